--- a/src/brain.rs
+++ b/crates/balancer/src/balancer.rs
@@ -16,13 +16,13 @@
 
 use self::zones::Zones;
 use crate::calls::{Advice, Answer, ApiCall, Lease, Listing, Outcome, Report, Shot, ShotEnd};
-use crate::chance::{hash_of, unit};
-use crate::decay::{FadingLevel, FadingMean, FadingSum};
+use crate::decaying::{FadingLevel, FadingMean, FadingSum};
 use crate::ids::{ApiCallId, CacheId, Key, ProductId, ShotNumber};
-use crate::open_call::{Open, Sent};
+use crate::pending_request::{Open, Sent};
+use crate::seeded_hash::{hash_of, unit};
 use crate::settings::{DedupScope, Effect, Product, Settings};
-use crate::slots::SlotTable;
-use crate::units::{Span, Time};
+use crate::slot_table::SlotTable;
+use crate::time::{Span, Time};
 
 // The mechanism. Its source leaves these figures open.
 /// Candidates of a key.
--- a/src/brain/zones.rs
+++ b/crates/balancer/src/balancer/zones.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{CacheId, ZoneId};
-use crate::units::{Span, Time};
+use crate::time::{Span, Time};
 
 /// So many caches in a row without an answer, and none of their zone heard between, tell that the zone is
 /// silent: one ill cache, or two, are no zone.
--- a/src/calls.rs
+++ b/crates/balancer/src/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use crate::units::{Span, Time};
+use crate::time::{Span, Time};
 
 /// One line of the list of caches.
 #[derive(Clone, Copy, Debug)]
--- a/src/decay.rs
+++ b/crates/balancer/src/decaying.rs
@@ -1,6 +1,6 @@
 //! Sums and averages that forget, brought up to date when they are read.
 
-use crate::units::{Span, Time};
+use crate::time::{Span, Time};
 
 /// A sum whose parts fade by a factor e in each `memory`.
 #[derive(Clone, Copy, Debug)]
--- a/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,11 +1,11 @@
 //! granitelb: which cache server gets which API call. Start reading at [`brain`].
 
-pub mod brain;
+pub mod balancer;
 pub mod calls;
-mod chance;
-pub mod decay;
+pub mod decaying;
 pub mod ids;
-mod open_call;
+mod pending_request;
+mod seeded_hash;
 pub mod settings;
-pub mod slots;
-pub mod units;
+pub mod slot_table;
+pub mod time;
--- a/src/open_call.rs
+++ b/crates/balancer/src/pending_request.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::ApiCall;
 use crate::ids::CacheId;
-use crate::units::{Span, Time};
+use crate::time::{Span, Time};
 
 /// A shot that was sent.
 #[derive(Clone, Copy)]
--- a/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,7 +1,7 @@
-//! What the host tells a [`Brain`](crate::brain::Brain) once, at its start.
+//! What the host tells a [`Brain`](crate::balancer::Brain) once, at its start.
 
 use crate::ids::KindId;
-use crate::units::Span;
+use crate::time::Span;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
--- a/src/slots.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 use crate::calls::{Moving, ShardSplit, TableForm};
-use crate::chance::{hash_of, unit};
 use crate::ids::{CacheId, Key};
+use crate::seeded_hash::{hash_of, unit};
 
 /// Some tens for each of hundreds of caches: with five each, their parts would differ by 0.44 of the mean (one over the
 /// root of five), with forty by 0.16.
--- a/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -3,11 +3,11 @@
 
 use std::collections::VecDeque;
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Advice, Answer, ApiCall, Lease, Listing, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{Effect, Product, Settings};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Advice, Answer, ApiCall, Lease, Listing, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{Effect, Product, Settings};
+use granitelb_balancer::time::{Span, Time};
 
 const ORIGIN: CacheId = CacheId(9);
 const COLD: CacheId = CacheId(3);
--- a/tests/open_terms.rs
+++ b/crates/balancer/tests/open_terms.rs
@@ -1,10 +1,10 @@
 //! A call keeps the terms that it was taken under, whatever settings follow while it is open.
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{DedupScope, Effect, Product, Settings};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::time::{Span, Time};
 
 const START: Time = Time(1_000_000_000);
 
--- a/tests/scenarios.rs
+++ b/crates/balancer/tests/scenarios.rs
@@ -7,11 +7,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Advice, Answer, ApiCall, Listing, Outcome, Report, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{DedupScope, Effect, Product, Settings};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Advice, Answer, ApiCall, Listing, Outcome, Report, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::time::{Span, Time};
 use test_case::test_case;
 
 /// The clock does not start at zero.
--- a/tests/table_form.rs
+++ b/crates/balancer/tests/table_form.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Advice, ApiCall, Listing, Moving, Outcome, ShardSplit, ShotEnd, TableForm};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{Effect, Product, Settings};
-use granitelb::slots::shard_of;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Advice, ApiCall, Listing, Moving, Outcome, ShardSplit, ShotEnd, TableForm};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{Effect, Product, Settings};
+use granitelb_balancer::slot_table::shard_of;
+use granitelb_balancer::time::{Span, Time};
 
 const ORIGIN: CacheId = CacheId(99);
 const READS: ProductId = ProductId(0);
--- a/crates/together/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -7,11 +7,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use granitelb::ids::CacheId;
-use granitelb_plan::leases::{Need, Resource};
-use granitelb_plan::letters::{Letter, Secret, Secrets, seal};
-use granitelb_plan::verdicts::{self, Part, Report, Seen};
-use granitelb_plan::{ForwarderId, Life, Member, Sender, leases};
+use granitelb_balancer::ids::CacheId;
+use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
+use granitelb_coordination::leases::{Need, Resource};
+use granitelb_coordination::message::{Letter, Secret, Secrets, seal};
+use granitelb_coordination::{ForwarderId, Life, Member, Sender, leases};
 
 const SECONDS: u64 = 10;
 const ROUNDS: u64 = 2 * SECONDS;
@@ -96,7 +96,7 @@
     let report = Report { number: round + 1, part: Part::WHOLE, caches: (0..5).map(seen).collect() };
     let needs = vec![Need { resource: Resource::Origin, amount: 500, using: round, heads: 1, has: 0 }];
     vec![
-        Letter::Verdicts(verdicts::Message::Report(report)),
+        Letter::Verdicts(endpoint_health::Message::Report(report)),
         Letter::Leases(leases::Message::Ask { ask: round + 1, needs }),
     ]
 }
--- a/crates/together/src/courier/desk.rs
+++ b/crates/control-plane/src/agent/handle.rs
@@ -18,9 +18,9 @@
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use std::time::Duration;
 
-use granitelb::calls::Advice;
-use granitelb::units::{Span, Time};
-use granitelb_plan::sight::Server;
+use granitelb_balancer::calls::Advice;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::observation::Server;
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
 
 use super::notes::{Dated, Note};
--- a/crates/together/src/courier/desk/tests.rs
+++ b/crates/control-plane/src/agent/handle/tests.rs
@@ -1,5 +1,5 @@
-use granitelb::calls::{Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::calls::{Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
 
 use super::*;
 
--- a/crates/together/src/courier/mod.rs
+++ b/crates/control-plane/src/agent/mod.rs
@@ -11,7 +11,7 @@
 //! under a new life, and one that planners took for dead goes on under a new one: what was granted to the former life is
 //! not used by it, and the module's leases of before end where they would have.
 
-mod desk;
+mod handle;
 mod notes;
 mod sides;
 mod tally;
@@ -25,20 +25,20 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::letters::{self, MOST_BYTES};
-use granitelb_plan::sight::Sight;
-use granitelb_plan::{ForwarderId, Life, Member, Sender};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::message::{self, MOST_BYTES};
+use granitelb_coordination::observation::Sight;
+use granitelb_coordination::{ForwarderId, Life, Member, Sender};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use self::desk::Desk;
-use self::desk::{Hatch, Left};
+pub use self::handle::Desk;
+use self::handle::{Hatch, Left};
 use self::notes::Accounts;
 pub use self::notes::{Note, Sent};
 use self::sides::Sides;
 use self::tally::{Refused, Tally};
 use self::ways::Ways;
-use crate::operator::Operator;
+use crate::fleet_config::Operator;
 
 /// It looks in so often where no letter comes.
 const ROUND: Duration = Duration::from_millis(25);
@@ -94,7 +94,7 @@
     /// # Errors
     /// Where the system gives no thread.
     pub fn start(self, clock: impl Fn() -> Time + Send + 'static) -> io::Result<Desk> {
-        let (desk, hatch) = desk::open();
+        let (desk, hatch) = handle::open();
         let office = Office {
             me: self.me,
             address: self.address,
@@ -240,7 +240,7 @@
             let Some(address) = self.operator.planners.get(&planner) else { continue };
             self.number += 1;
             let sender = Sender { member: Member::Forwarder(self.me), life: self.life, number: self.number };
-            match letters::seal(sender, &letter, &self.operator.secrets) {
+            match message::seal(sender, &letter, &self.operator.secrets) {
                 Ok(bytes) => {
                     if let Err(trouble) = ways.send(planner, *address, &bytes) {
                         self.tally.unsent(&trouble);
@@ -261,7 +261,7 @@
             *strangers_at = now + Span(ROUND.as_micros() as u64);
         }
         let take = |bytes: &[u8]| {
-            let opened = letters::open(bytes, &self.operator.secrets).map_err(Refused::Letter);
+            let opened = message::open(bytes, &self.operator.secrets).map_err(Refused::Letter);
             let heard = opened.and_then(|(from, letter)| sides.heard((self.clock)(), from, letter));
             match heard {
                 Ok(()) => came = true,
--- a/crates/together/src/courier/notes.rs
+++ b/crates/control-plane/src/agent/notes.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::calls::{ApiCall, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, ShotNumber};
-use granitelb::units::{Span, Time};
-use granitelb_plan::sight::{Ended, Server, Sight};
+use granitelb_balancer::calls::{ApiCall, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::observation::{Ended, Server, Sight};
 
 pub enum Note {
     /// These may get shots from now on, and no others.
--- a/crates/together/src/courier/sides.rs
+++ b/crates/control-plane/src/agent/sides.rs
@@ -4,17 +4,19 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::calls::{Advice, Lease};
-use granitelb::ids::CacheId;
-use granitelb::units::Time;
-use granitelb_plan::faculty::{Faculty, Remark};
-use granitelb_plan::letters::{Kind, Letter};
-use granitelb_plan::members::Members;
-use granitelb_plan::sight::Sight;
-use granitelb_plan::{ForwarderId, Life, Member, Sender, growth, hindsight, leases, verdicts};
+use granitelb_balancer::calls::{Advice, Lease};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::Time;
+use granitelb_coordination::component::{Faculty, Remark};
+use granitelb_coordination::membership::Members;
+use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::observation::Sight;
+use granitelb_coordination::{
+    ForwarderId, Life, Member, Sender, counterfactual, endpoint_health, leases, shard_growth,
+};
 
 use super::tally::Refused;
-use crate::operator::Operator;
+use crate::fleet_config::Operator;
 
 /// A forwarder's side, whatever its messages are.
 trait Side {
@@ -62,7 +64,7 @@
 }
 
 side!(
-    verdicts,
+    endpoint_health,
     Verdicts,
     fn advise(&mut self, now: Time, advice: &mut Advice) {
         let said = self.advice(now);
@@ -80,28 +82,28 @@
     }
 );
 side!(
-    growth,
+    shard_growth,
     Growth,
     fn advise(&mut self, _now: Time, advice: &mut Advice) {
         advice.table = self.advice();
     }
 );
-side!(hindsight, Hindsight);
+side!(counterfactual, Hindsight);
 
 type Faculties = BTreeMap<Kind, Box<dyn Side>>;
 
 fn faculties(operator: &Operator, me: ForwarderId, life: Life, now: Time) -> Faculties {
     let mut all: Faculties = BTreeMap::new();
-    let verdicts = verdicts::AtForwarder::new(operator.verdicts(), me, life, now);
+    let verdicts = endpoint_health::AtForwarder::new(operator.verdicts(), me, life, now);
     all.insert(Kind::Verdicts, Box::new(verdicts));
     if let Some(settings) = operator.leases() {
         all.insert(Kind::Leases, Box::new(leases::AtForwarder::new(settings, me, life, now)));
     }
     if let Some(settings) = operator.growth_seen() {
-        all.insert(Kind::Growth, Box::new(growth::AtForwarder::new(settings, me, life, now)));
+        all.insert(Kind::Growth, Box::new(shard_growth::AtForwarder::new(settings, me, life, now)));
     }
     if let Some(settings) = operator.hindsight() {
-        all.insert(Kind::Hindsight, Box::new(hindsight::AtForwarder::new(settings, me, life, now)));
+        all.insert(Kind::Hindsight, Box::new(counterfactual::AtForwarder::new(settings, me, life, now)));
     }
     all
 }
--- a/crates/together/src/courier/tally.rs
+++ b/crates/control-plane/src/agent/tally.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_plan::faculty::Help;
-use granitelb_plan::letters;
+use granitelb_coordination::component::Help;
+use granitelb_coordination::message;
 
 /// Why a letter was passed over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Refused {
-    Letter(letters::Fault),
+    Letter(message::Fault),
     /// Of a faculty that the operator's file leaves out.
     Off,
     /// By the side that it is for.
--- a/crates/together/src/courier/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -5,17 +5,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-use granitelb_plan::PlannerId;
-use granitelb_plan::letters::Letter;
-use granitelb_plan::members;
-use granitelb_plan::sight::Server;
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::membership;
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::observation::Server;
 
-use granitelb::calls::{Advice, ApiCall, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, Key, ProductId, ShotNumber};
+use granitelb_balancer::calls::{Advice, ApiCall, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, Key, ProductId, ShotNumber};
 
 use super::*;
-use crate::operator::LeasesForm;
-use crate::trouble::Source;
+use crate::config_error::Source;
+use crate::fleet_config::LeasesForm;
 
 const PATIENCE: Duration = Duration::from_secs(8);
 
@@ -40,7 +40,7 @@
     loop {
         assert!(Instant::now() < until, "no such letter");
         let Ok(read) = planner.recv(&mut bytes) else { continue };
-        if let Ok((sender, _)) = letters::open(&bytes[..read], &of.secrets)
+        if let Ok((sender, _)) = message::open(&bytes[..read], &of.secrets)
             && satisfies(&sender)
         {
             return sender;
@@ -135,13 +135,13 @@
     let operator = operator(&planner(), "000102030405060708090a0b0c0d0e0f");
     let mut sides = Sides::new(&operator, ForwarderId(3), Life(1), now);
     let sender = |life, number| Sender { member: Member::Planner(PlannerId(1)), life: Life(life), number };
-    let beat = || Letter::Members(members::Message::Beat);
+    let beat = || Letter::Members(membership::Message::Beat);
     assert_eq!(sides.heard(now, sender(2, 1), beat()), Ok(()));
     let mut tally = Tally::default();
     for (life, number) in [(2, 1), (1, 9)] {
         tally.refused(sides.heard(now, sender(life, number), beat()).expect_err("it came before"));
     }
-    let lease = Letter::Leases(granitelb_plan::leases::Message::Return { ask: 1 });
+    let lease = Letter::Leases(granitelb_coordination::leases::Message::Return { ask: 1 });
     assert_eq!(sides.heard(now, sender(2, 2), lease), Err(Refused::Off));
     tally.refused(Refused::Off);
     assert_eq!(tally.counts(), [("faculty_off", 1), ("stale", 2)]);
--- a/crates/together/src/courier/ways.rs
+++ b/crates/control-plane/src/agent/ways.rs
@@ -10,7 +10,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
 use std::time::Duration;
 
-use granitelb_plan::PlannerId;
+use granitelb_coordination::PlannerId;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketType, sockopt};
--- a/crates/together/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,7 +1,7 @@
 //! The process's own time: set by the Unix clock at the start, then it only goes forward, also while the process or its
 //! machine stands still. Whoever goes on after a pause must find that time has passed.
 
-use granitelb::units::Time;
+use granitelb_balancer::time::Time;
 use rustix::time::{ClockId, clock_gettime};
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/together/src/trouble.rs
+++ b/crates/control-plane/src/config_error.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use granitelb_plan::faculty::Help;
+use granitelb_coordination::component::Help;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
--- a/crates/together/src/trial.rs
+++ b/crates/control-plane/src/fault_injection.rs
@@ -1,12 +1,12 @@
 //! What a member can be made to do amiss, for trials only: a planner's file has it under `[trial]`. Whoever runs one so is
 //! told loudly; nothing here is read anywhere else.
 
-use granitelb::units::Span;
-use granitelb_plan::letters::Kind;
+use granitelb_balancer::time::Span;
+use granitelb_coordination::message::Kind;
 use serde::Deserialize;
 
 use crate::clock::Clock;
-use crate::trouble::Wrong;
+use crate::config_error::Wrong;
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
--- a/crates/together/src/operator.rs
+++ b/crates/control-plane/src/fleet_config.rs
@@ -6,13 +6,15 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-use granitelb::units::Span;
-use granitelb_plan::letters::{Kind, Secret, Secrets};
-use granitelb_plan::{PlannerId, growth, hindsight, leases, turns, verdicts};
+use granitelb_balancer::time::Span;
+use granitelb_coordination::message::{Kind, Secret, Secrets};
+use granitelb_coordination::{
+    PlannerId, counterfactual, endpoint_health, leases, probe_scheduling, shard_growth,
+};
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::trouble::{Source, Trouble, Wrong};
+use crate::config_error::{Source, Trouble, Wrong};
 
 const DAY: Span = Span::from_millis(86_400_000);
 /// More planners than these agree no better, and cost each forwarder letters.
@@ -52,7 +54,7 @@
 
 impl Default for HindsightForm {
     fn default() -> HindsightForm {
-        HindsightForm { judge_ms: hindsight::Settings::default().judges_every.0 / 1000 }
+        HindsightForm { judge_ms: counterfactual::Settings::default().judges_every.0 / 1000 }
     }
 }
 
@@ -109,7 +111,7 @@
 
 impl Default for TurnsForm {
     fn default() -> TurnsForm {
-        let usual = turns::Settings::default();
+        let usual = probe_scheduling::Settings::default();
         TurnsForm { trials: usual.wanted, window_ms: usual.window.0 / 1000 }
     }
 }
@@ -200,19 +202,19 @@
         })
     }
 
-    pub fn verdicts(&self) -> verdicts::Settings {
-        let turns = turns::Settings {
+    pub fn verdicts(&self) -> endpoint_health::Settings {
+        let turns = probe_scheduling::Settings {
             window: Span::from_millis(self.turns.window_ms),
             wanted: self.turns.trials,
-            ..turns::Settings::default()
+            ..probe_scheduling::Settings::default()
         };
-        verdicts::Settings { turns, ..verdicts::Settings::default() }
+        endpoint_health::Settings { turns, ..endpoint_health::Settings::default() }
     }
 
-    pub fn growth(&self) -> Option<growth::Settings> {
+    pub fn growth(&self) -> Option<shard_growth::Settings> {
         let form = self.growth.as_ref()?;
-        let usual = growth::schedule::Settings::default();
-        let mut schedule = growth::schedule::Settings {
+        let usual = shard_growth::schedule::Settings::default();
+        let mut schedule = shard_growth::schedule::Settings {
             most: form.splits_at_once,
             part: form.in_step(usual.part),
             planned: form.in_step(usual.planned),
@@ -227,8 +229,8 @@
             (schedule.planned, schedule.both_read) = (step, step);
             (schedule.watched, schedule.rests) = (step, step);
         }
-        let usual = growth::Settings::default();
-        Some(growth::Settings {
+        let usual = shard_growth::Settings::default();
+        Some(shard_growth::Settings {
             beat: form.quick(usual.beat),
             retry: form.quick(usual.retry),
             listed: form.quick(usual.listed),
@@ -243,22 +245,22 @@
     }
 
     /// The forwarder's side of it.
-    pub fn growth_seen(&self) -> Option<growth::ForwarderSettings> {
+    pub fn growth_seen(&self) -> Option<shard_growth::ForwarderSettings> {
         let form = self.growth.as_ref()?;
-        let usual = growth::ForwarderSettings::default();
+        let usual = shard_growth::ForwarderSettings::default();
         let lately = form.in_step(usual.lately);
         let (beat, lists) = (form.quick(usual.beat), form.quick(usual.lists));
         // In trials no more letters than it takes: planners end a day when an eighth of the next one is over.
         let usually = form.day_ms >= DAY.0 / 1000;
         let round = if usually { usual.round } else { Span::from_millis(form.day_ms).scaled(0.1) };
         let fetches = form.quick(usual.fetches);
-        Some(growth::ForwarderSettings { round, beat, lately, lists, fetches })
+        Some(shard_growth::ForwarderSettings { round, beat, lately, lists, fetches })
     }
 
-    pub fn hindsight(&self) -> Option<hindsight::Settings> {
+    pub fn hindsight(&self) -> Option<counterfactual::Settings> {
         let form = self.hindsight.as_ref()?;
         let judges_every = Span::from_millis(form.judge_ms);
-        Some(hindsight::Settings { judges_every, ..hindsight::Settings::default() })
+        Some(counterfactual::Settings { judges_every, ..counterfactual::Settings::default() })
     }
 
     /// # Errors
--- a/crates/together/src/planner/board.rs
+++ b/crates/control-plane/src/planner/board.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeSet;
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::growth::Fleet;
-use granitelb_plan::growth::form::FormVersion;
-use granitelb_plan::leases::Spare;
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::leases::Spare;
+use granitelb_coordination::shard_growth::Fleet;
+use granitelb_coordination::shard_growth::form::FormVersion;
 use tokio::sync::watch;
 
 /// Notes are written anew so often, and count for so long.
--- a/crates/together/src/planner/desk.rs
+++ b/crates/control-plane/src/planner/desk.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use futures_util::FutureExt;
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::{Faculty, Help};
-use granitelb_plan::letters::{Kind, Letter};
-use granitelb_plan::{Life, Member};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::{Faculty, Help};
+use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::{Life, Member};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
@@ -21,8 +21,8 @@
 use super::mailbox::Mailbox;
 use super::situation::Situation;
 use crate::clock::Clock;
-use crate::operator::Operator;
-use crate::store::Keeper;
+use crate::fleet_config::Operator;
+use crate::storage::Keeper;
 
 /// Letters that are taken before pulling, and pulled before sending: neither side starves the other.
 const BATCH: usize = 256;
@@ -181,7 +181,7 @@
                     for (from, letter) in std::iter::once(first).chain(more) {
                         let Some(message) = (self.unwrap)(letter) else { continue };
                         if self.hangs {
-                            crate::trial::hang();
+                            crate::fault_injection::hang();
                         }
                         if let Err(fault) = state.faculty.heard(self.clock.now(), from, message) {
                             state.passed_over += 1;
--- a/crates/together/src/planner/door.rs
+++ b/crates/control-plane/src/planner/door.rs
@@ -12,9 +12,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::Member;
-use granitelb_plan::faculty::Help;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::Member;
+use granitelb_coordination::component::Help;
 use thiserror::Error;
 
 /// Letters a second, and at once: a forwarder in a crowd of 2,000 caches writes some hundreds at most.
--- a/crates/together/src/planner/door/tests.rs
+++ b/crates/control-plane/src/planner/door/tests.rs
@@ -1,4 +1,4 @@
-use granitelb_plan::ForwarderId;
+use granitelb_coordination::ForwarderId;
 
 use super::*;
 
--- a/crates/together/src/planner/faculties.rs
+++ b/crates/control-plane/src/planner/faculties.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use granitelb::units::Span;
-use granitelb_plan::PlannerId;
-use granitelb_plan::faculty::{Faculty, Help};
-use granitelb_plan::letters::{Kind, Letter};
-use granitelb_plan::{growth, hindsight, leases, verdicts};
+use granitelb_balancer::time::Span;
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::component::{Faculty, Help};
+use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::{counterfactual, endpoint_health, leases, shard_growth};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
 
@@ -21,8 +21,8 @@
 use super::situation::Situation;
 use super::watch::{Pulse, Watch};
 use crate::clock::Clock;
-use crate::store::Keeper;
-use crate::trial::Trial;
+use crate::fault_injection::Trial;
+use crate::storage::Keeper;
 
 /// Letters that wait for a faculty: some seconds' worth of a large fleet, 6 MB at the most.
 const WAITING: usize = 4096;
@@ -84,11 +84,11 @@
     pub fn open(&self, crew: &mut Crew) -> io::Result<Counters> {
         let me = self.me;
         let mut counters = BTreeMap::new();
-        let verdicts: Make<verdicts::AtPlanner> = Box::new(move |operator, life, now, _| {
-            Ok(verdicts::AtPlanner::new(operator.verdicts(), me, life, now))
+        let verdicts: Make<endpoint_health::AtPlanner> = Box::new(move |operator, life, now, _| {
+            Ok(endpoint_health::AtPlanner::new(operator.verdicts(), me, life, now))
         });
         let unwrap = |letter| if let Letter::Verdicts(message) = letter { Some(message) } else { None };
-        let share: Share<verdicts::AtPlanner> =
+        let share: Share<endpoint_health::AtPlanner> =
             Box::new(|faculty, now, _, board| board.write_failing(now, faculty.failing()));
         let ways = Ways { kind: Kind::Verdicts, wrap: Letter::Verdicts, unwrap, share: Some(share) };
         counters.insert(ways.kind, self.desk(crew, verdicts, ways)?);
@@ -102,16 +102,16 @@
         let ways = Ways { kind: Kind::Leases, wrap: Letter::Leases, unwrap, share: Some(share) };
         counters.insert(ways.kind, self.desk(crew, leases, ways)?);
 
-        let growth: Make<growth::AtPlanner> = Box::new(move |operator, life, now, kept| {
+        let growth: Make<shard_growth::AtPlanner> = Box::new(move |operator, life, now, kept| {
             let settings = operator.growth().ok_or_else(off)?;
             // The process's clock is Unix time: all planners are in the same day of the book, or soon will be.
-            let day = growth::sketch::Day((now.0 / settings.day.0) as u32);
-            let calendar = growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
-            let made = growth::AtPlanner::new(settings, me, life, now, calendar, kept);
+            let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
+            let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
+            let made = shard_growth::AtPlanner::new(settings, me, life, now, calendar, kept);
             made.map_err(|fault| -> Refusal { Box::new(fault) })
         });
         let unwrap = |letter| if let Letter::Growth(message) = letter { Some(message) } else { None };
-        let share: Share<growth::AtPlanner> = Box::new(|faculty, now, operator, board| {
+        let share: Share<shard_growth::AtPlanner> = Box::new(|faculty, now, operator, board| {
             let figure = operator.growth.as_ref().and_then(|g| g.spare_per_s);
             faculty.fleet(board.fleet(now, operator.leases.is_some(), figure));
             board.write_table(faculty.new_table());
@@ -119,8 +119,8 @@
         let ways = Ways { kind: Kind::Growth, wrap: Letter::Growth, unwrap, share: Some(share) };
         counters.insert(ways.kind, self.desk(crew, growth, ways)?);
 
-        let hindsight: Make<hindsight::AtPlanner> = Box::new(move |operator, life, now, _| {
-            Ok(hindsight::AtPlanner::new(operator.hindsight().ok_or_else(off)?, me, life, now))
+        let hindsight: Make<counterfactual::AtPlanner> = Box::new(move |operator, life, now, _| {
+            Ok(counterfactual::AtPlanner::new(operator.hindsight().ok_or_else(off)?, me, life, now))
         });
         let unwrap = |letter| if let Letter::Hindsight(message) = letter { Some(message) } else { None };
         let ways = Ways {
@@ -163,7 +163,7 @@
 }
 
 /// Hindsight is told of each new table once. Growth that starts anew has seen none, which is no news.
-pub(super) fn forgets_old_tables() -> Share<hindsight::AtPlanner> {
+pub(super) fn forgets_old_tables() -> Share<counterfactual::AtPlanner> {
     let known = AtomicU64::new(0);
     Box::new(move |faculty, now, _, board| {
         let Some(new) = board.table().filter(|new| new.0 > 0) else { return };
--- a/crates/together/src/planner/file.rs
+++ b/crates/control-plane/src/planner/file.rs
@@ -4,12 +4,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use granitelb_plan::PlannerId;
+use granitelb_coordination::PlannerId;
 use serde::Deserialize;
 
-use crate::operator::Operator;
-use crate::trial::Trial;
-use crate::trouble::{Source, Trouble, Wrong};
+use crate::config_error::{Source, Trouble, Wrong};
+use crate::fault_injection::Trial;
+use crate::fleet_config::Operator;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/together/src/planner/mailbox.rs
+++ b/crates/control-plane/src/planner/mailbox.rs
@@ -9,8 +9,8 @@
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use granitelb_plan::letters::{Kind, Letter};
-use granitelb_plan::{Member, Sender};
+use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::{Member, Sender};
 use tokio::sync::Notify;
 
 pub struct Mailbox {
--- a/crates/together/src/planner/mod.rs
+++ b/crates/control-plane/src/planner/mod.rs
@@ -24,9 +24,9 @@
 use std::time::Duration;
 
 use futures_util::FutureExt;
-use granitelb_plan::Life;
-use granitelb_plan::faculty::{Help, Remark};
-use granitelb_plan::letters::Kind;
+use granitelb_coordination::Life;
+use granitelb_coordination::component::{Help, Remark};
+use granitelb_coordination::message::Kind;
 use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -38,8 +38,8 @@
 pub use file::PlannerFile;
 
 use crate::clock::Clock;
-use crate::store::{self, Keeper};
-use crate::trouble::Trouble;
+use crate::config_error::Trouble;
+use crate::storage::{self, Keeper};
 use board::Board;
 use crew::Crew;
 use post::{Asked, Order, Post};
@@ -63,7 +63,7 @@
     #[error("letters can't be received at {address}: {why}")]
     Address { address: std::net::SocketAddrV4, why: std::io::Error },
     #[error("{0}")]
-    Store(#[from] store::Fault),
+    Store(#[from] storage::Fault),
     #[error("the system gives no threads or signals: {0}")]
     System(std::io::Error),
     #[error("{0} never came back from a call")]
@@ -207,8 +207,8 @@
 /// The way to the store, and the thread that owns it.
 fn open_store(file: &PlannerFile) -> Result<(Keeper, Option<std::thread::JoinHandle<()>>), Fault> {
     let Some(folder) = &file.state else { return Ok((Keeper::none(), None)) };
-    let opened = store::open(folder, file.number)?;
-    let say = |opened: &store::Opened, then: &str| {
+    let opened = storage::open(folder, file.number)?;
+    let say = |opened: &storage::Opened, then: &str| {
         if let Some((fault, aside)) = &opened.refused {
             log::error!(event = "store_refused", aside = aside.display().to_string().as_str(); "{fault}; it is kept as {}, and {then}. {}", aside.display(), fault.help());
         }
@@ -217,7 +217,7 @@
     let (path, number, folder) = (opened.file, file.number, folder.clone());
     // The folder may have been taken away with it.
     let reopen = move || {
-        let opened = store::open(&folder, number)?;
+        let opened = storage::open(&folder, number)?;
         say(&opened, "all that was kept goes into a new one");
         Ok(opened.shelf)
     };
@@ -232,11 +232,11 @@
     let kept = keeper.read(Kind::Members).await?;
     let kept = kept.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_be_bytes);
     let life = Life(clock.now().0.max(kept + 1));
-    keep_life(keeper, life).await.map_err(|lost| store::Fault::Unwritten(lost.0))?;
+    keep_life(keeper, life).await.map_err(|lost| storage::Fault::Unwritten(lost.0))?;
     Ok(life)
 }
 
-async fn keep_life(keeper: &Keeper, life: Life) -> Result<(), store::Lost> {
+async fn keep_life(keeper: &Keeper, life: Life) -> Result<(), storage::Lost> {
     keeper.keep(Kind::Members, life.0.to_be_bytes().to_vec()).await
 }
 
@@ -250,7 +250,7 @@
 }
 
 /// Reads the files again; a fault in either changes nothing.
-fn reload(path: &Path, running: &mut PlannerFile) -> Option<Arc<crate::operator::Operator>> {
+fn reload(path: &Path, running: &mut PlannerFile) -> Option<Arc<crate::fleet_config::Operator>> {
     match PlannerFile::load(path) {
         Ok(file) => {
             log::info!(event = "reloaded"; "read again: {file}");
--- a/crates/together/src/planner/post.rs
+++ b/crates/control-plane/src/planner/post.rs
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::letters::{self, Kind, Letter, MOST_BYTES};
-use granitelb_plan::members::{Members, Stale};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::membership::{Members, Stale};
+use granitelb_coordination::message::{self, Kind, Letter, MOST_BYTES};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -30,8 +30,8 @@
 use super::tally::Tally;
 use super::watch::Finding;
 use crate::clock::Clock;
-use crate::operator::Operator;
-use crate::store::Keeper;
+use crate::fleet_config::Operator;
+use crate::storage::Keeper;
 
 pub const MINUTE: Span = Span::from_millis(60_000);
 /// Letters that are read or written before all else gets its turn.
@@ -280,7 +280,7 @@
             return self.tally.refused(flood.name(), &flood);
         }
         let operator = self.operator();
-        let (sender, letter) = match letters::open(bytes, &operator.secrets) {
+        let (sender, letter) = match message::open(bytes, &operator.secrets) {
             Ok(opened) => opened,
             Err(fault) => return self.tally.refused(fault.name(), &fault),
         };
@@ -358,7 +358,7 @@
         let operator = self.operator();
         self.number += 1;
         let sender = Sender { member: Member::Planner(self.me), life: self.life, number: self.number };
-        let bytes = match letters::seal(sender, letter, &operator.secrets) {
+        let bytes = match message::seal(sender, letter, &operator.secrets) {
             Ok(bytes) => bytes,
             Err(fault) => {
                 self.tally.refused(fault.name(), &fault);
--- a/crates/together/src/planner/situation.rs
+++ b/crates/control-plane/src/planner/situation.rs
@@ -3,9 +3,9 @@
 
 use std::sync::Arc;
 
-use granitelb_plan::{Life, Member};
+use granitelb_coordination::{Life, Member};
 
-use crate::operator::Operator;
+use crate::fleet_config::Operator;
 
 #[derive(Clone, Debug)]
 pub struct Situation {
--- a/crates/together/src/planner/tally.rs
+++ b/crates/control-plane/src/planner/tally.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use granitelb_plan::PlannerId;
-use granitelb_plan::faculty::Help;
-use granitelb_plan::letters::Kind;
-use granitelb_plan::members::Stale;
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::component::Help;
+use granitelb_coordination::membership::Stale;
+use granitelb_coordination::message::Kind;
 
 #[derive(Default)]
 pub struct Tally {
--- a/crates/together/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -2,11 +2,11 @@
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::letters::{Kind, Letter};
-use granitelb_plan::verdicts::{self, Part, Plan};
-use granitelb_plan::{ForwarderId, Member, PlannerId, Sender, Version, members};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::endpoint_health::{self, Part, Plan};
+use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender, Version, membership};
 use proptest::prelude::*;
 use redb::StorageBackend;
 use redb::backends::FileBackend;
@@ -16,13 +16,13 @@
 use super::desk::{Desk, Outgoing};
 use super::mailbox::{Full, Mailbox};
 use super::*;
-use crate::operator::Operator;
-use crate::store::Shelf;
-use crate::trouble::Source;
+use crate::config_error::Source;
+use crate::fleet_config::Operator;
+use crate::storage::Shelf;
 
 fn letter(from: Member, number: u64) -> (Sender, Letter) {
     let plan = Plan { version: Version(number), part: Part::WHOLE, forwarders: 0, verdicts: Vec::new() };
-    (Sender { member: from, life: Life(1), number }, Letter::Verdicts(verdicts::Message::Plan(plan)))
+    (Sender { member: from, life: Life(1), number }, Letter::Verdicts(endpoint_health::Message::Plan(plan)))
 }
 
 const SEES: Member = Member::Forwarder(ForwarderId(1));
@@ -61,10 +61,10 @@
 }
 
 impl Faculty for Mortal {
-    type Message = verdicts::Message;
-    type Fault = members::Stale;
+    type Message = endpoint_health::Message;
+    type Fault = membership::Stale;
 
-    fn heard(&mut self, _: Time, from: Sender, _: verdicts::Message) -> Result<(), members::Stale> {
+    fn heard(&mut self, _: Time, from: Sender, _: endpoint_health::Message) -> Result<(), membership::Stale> {
         assert!(!from.number.is_multiple_of(3), "as it is meant to");
         (self.heard, self.changed) = (self.heard + 1, true);
         Ok(())
@@ -72,7 +72,7 @@
 
     fn members(&mut self, _: Time, _: &[Member]) {}
 
-    fn next_letter(&mut self, _: Time) -> Option<(Member, verdicts::Message)> {
+    fn next_letter(&mut self, _: Time) -> Option<(Member, endpoint_health::Message)> {
         let (_, said) = letter(PLANS, self.heard.into());
         let Letter::Verdicts(message) = said else { return None };
         std::mem::take(&mut self.changed).then_some((PLANS, message))
@@ -132,7 +132,7 @@
 impl Bench {
     async fn says(&mut self) -> Option<u64> {
         let said = timeout(Duration::from_millis(700), self.out.recv()).await.ok()??;
-        let Letter::Verdicts(verdicts::Message::Plan(plan)) = said.letter else { return None };
+        let Letter::Verdicts(endpoint_health::Message::Plan(plan)) = said.letter else { return None };
         Some(plan.version.0)
     }
 }
@@ -177,7 +177,7 @@
 async fn a_faculty_that_dies_goes_on_with_what_was_kept_of_it() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("store");
-    let (keeper, _) = Keeper::start(shelf(&file), || Err(store::Fault::Ended)).expect("a thread");
+    let (keeper, _) = Keeper::start(shelf(&file), || Err(storage::Fault::Ended)).expect("a thread");
     let mut bench = bench(keeper);
     for number in [1, 2, 3] {
         bench.mailbox.put(letter(SEES, number)).expect("room");
@@ -214,9 +214,9 @@
 async fn a_store_that_is_taken_away_is_begun_anew_with_all_that_was_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let place = folder.path().join("state");
-    let opened = store::open(&place, PlannerId(1)).expect("a store");
+    let opened = storage::open(&place, PlannerId(1)).expect("a store");
     let (at, file) = (place.clone(), opened.file.clone());
-    let reopen = move || store::open(&at, PlannerId(1)).map(|opened| opened.shelf);
+    let reopen = move || storage::open(&at, PlannerId(1)).map(|opened| opened.shelf);
     let (keeper, thread) = Keeper::start_at(Some(file), opened.shelf, reopen).expect("a thread");
     keeper.keep(Kind::Members, vec![1]).await.expect("kept");
     keeper.keep(Kind::Growth, vec![2]).await.expect("kept");
@@ -231,15 +231,17 @@
     keeper.keep(Kind::Growth, vec![3]).await.expect("kept again");
     drop(keeper);
     thread.join().expect("it ends");
-    let again = store::open(&place, PlannerId(1)).expect("a store").shelf;
+    let again = storage::open(&place, PlannerId(1)).expect("a store").shelf;
     let read = |kind| again.read(kind).expect("whole");
     assert_eq!((read(Kind::Members), read(Kind::Growth)), (Some(vec![1]), Some(vec![3])));
 }
 
 #[test]
 fn hindsight_forgets_what_it_saw_at_each_new_table_once() {
-    use granitelb_plan::growth::form::FormVersion;
-    use granitelb_plan::hindsight::{AtPlanner, How, Message, Observation, Settings, is_sampled};
+    use granitelb_coordination::counterfactual::{
+        AtPlanner, How, Message, Observation, Settings, is_sampled,
+    };
+    use granitelb_coordination::shard_growth::form::FormVersion;
     let now = Time(1_000_000_000);
     let mut planner = AtPlanner::new(Settings::default(), PlannerId(1), Life(1), now);
     let (board, share) = (Board::new(), super::faculties::forgets_old_tables());
--- a/crates/together/src/planner/watch.rs
+++ b/crates/control-plane/src/planner/watch.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::task::{Context, Poll};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 /// A look adds no more than this, whatever the clock says.
 const MOST_A_LOOK: Span = Span::from_millis(500);
--- a/crates/together/src/store/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -9,18 +9,18 @@
 //! - **A planner that has lost its state begins with nothing**, and each faculty has to stand that: leases wait out what an
 //!   earlier life can have granted, growth votes on nothing until all other planners have said where they are.
 
-mod keeper;
-mod shelf;
+mod state_file;
+mod writer;
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-use granitelb_plan::PlannerId;
-use granitelb_plan::faculty::Help;
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::component::Help;
 use thiserror::Error;
 
-pub use keeper::{Keeper, Lost};
-pub use shelf::{Shelf, VERSION};
+pub use state_file::{Shelf, VERSION};
+pub use writer::{Keeper, Lost};
 
 /// Why a store is not read, or not written.
 #[derive(Debug, Error)]
--- a/crates/together/src/store/shelf.rs
+++ b/crates/control-plane/src/storage/state_file.rs
@@ -5,8 +5,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
-use granitelb_plan::PlannerId;
-use granitelb_plan::letters::Kind;
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::message::Kind;
 use redb::backends::FileBackend;
 use redb::{Database, DatabaseError, ReadableDatabase, StorageBackend, StorageError, TableDefinition};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/together/src/store/keeper.rs
+++ b/crates/control-plane/src/storage/writer.rs
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::thread::JoinHandle;
 
-use granitelb_plan::letters::Kind;
+use granitelb_coordination::message::Kind;
 use tokio::sync::{mpsc, oneshot};
 
 use super::{Fault, Shelf};
-use granitelb_plan::faculty::Help;
+use granitelb_coordination::component::Help;
 
 /// A faculty waits for its answer before it asks again, so there are never more than there are faculties.
 const WAITING: usize = 16;
--- a/crates/together/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::growing::{GROW, Growing, place};
-use granitelb_plan::growth::form::Step;
-use granitelb_plan::leases::{self, Need, Resource};
-use granitelb_plan::letters::Letter;
+use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::shard_growth::form::Step;
 
 const LONG: Duration = Duration::from_secs(25);
 
@@ -19,7 +19,7 @@
 fn until_granted(growing: &mut Growing, planner: u8) {
     let before = growing.auditor.grants.get(&planner).copied();
     for ask in 1..60 {
-        let now = granitelb_together::clock::Clock::start().now().0 + ask;
+        let now = granitelb_control_plane::clock::Clock::start().now().0 + ask;
         growing.say(0, &asks(now));
         growing.pass(Duration::from_millis(200));
         if growing.auditor.grants.get(&planner).copied() > before {
--- a/crates/together/tests/growth.rs
+++ b/crates/control-plane/tests/growth.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use crate::growing::{GROW, Growing, caches, place};
-use granitelb::slots::caches_of;
-use granitelb_plan::growth::form::{Form, Step};
-use granitelb_plan::leases::{self, Need, Resource};
-use granitelb_plan::letters::Letter;
-use granitelb_plan::verdicts::{self, Part, Report, Seen};
+use granitelb_balancer::slot_table::caches_of;
+use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
+use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::shard_growth::form::{Form, Step};
 
 const LONG: Duration = Duration::from_secs(25);
 
@@ -60,7 +60,7 @@
 /// Two forwarders say this so many times, each fifth of a second.
 fn say(growing: &mut Growing, times: u32, letter: impl Fn(u64) -> Letter) {
     for _ in 0..times {
-        let number = granitelb_together::clock::Clock::start().now().0;
+        let number = granitelb_control_plane::clock::Clock::start().now().0;
         (0..2).for_each(|node| growing.say(node, &letter(number)));
         growing.pass(Duration::from_millis(200));
     }
@@ -79,7 +79,11 @@
     let cache = *caches_of(GROW[0].0, 1, &caches()).first().expect("several");
     let seen = Seen { cache, failed, answered, out: 0.0 };
     move |number| {
-        Letter::Verdicts(verdicts::Message::Report(Report { number, part: Part::WHOLE, caches: vec![seen] }))
+        Letter::Verdicts(endpoint_health::Message::Report(Report {
+            number,
+            part: Part::WHOLE,
+            caches: vec![seen],
+        }))
     }
 }
 
--- a/crates/together/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-use granitelb_plan::faculty::Help;
-use granitelb_plan::{growth, hindsight, leases, letters, members, verdicts};
-use granitelb_together::{planner, store, trouble};
+use granitelb_control_plane::{config_error, planner, storage};
+use granitelb_coordination::component::Help;
+use granitelb_coordination::{counterfactual, endpoint_health, leases, membership, message, shard_growth};
 
 /// All values of an error, by a match that a new one breaks: whoever adds one has to give it here as well.
 macro_rules! all {
@@ -22,15 +22,15 @@
 }
 
 fn every_error() -> Vec<(&'static str, Box<dyn Help>)> {
-    use growth::{Fault as Growth, KeptFault};
-    use hindsight::Fault as Judged;
+    use config_error::{Fault as File, Trouble};
+    use counterfactual::Fault as Judged;
+    use endpoint_health::Fault as Verdicts;
     use leases::Fault as Leases;
-    use letters::Fault as Letter;
-    use members::Stale;
+    use membership::Stale;
+    use message::Fault as Letter;
     use planner::{Fault as Planner, Refused, TooOften};
-    use store::Fault as Store;
-    use trouble::{Fault as File, Trouble};
-    use verdicts::Fault as Verdicts;
+    use shard_growth::{Fault as Growth, KeptFault};
+    use storage::Fault as Store;
     let address = "127.0.0.1:1".parse().expect("an address");
     let file = || Trouble { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
     [
@@ -56,13 +56,13 @@
             Planner::File(file()) => Planner::File(_),
             Planner::Address { address: "127.0.0.1:1".parse().expect("one"), why: trouble() } => Planner::Address { .. },
             Planner::Store(Store::InUse) => Planner::Store(_), Planner::System(trouble()) => Planner::System(_),
-            Planner::Hung(letters::Kind::Growth) => Planner::Hung(_), Planner::NoPost => Planner::NoPost),
+            Planner::Hung(message::Kind::Growth) => Planner::Hung(_), Planner::NoPost => Planner::NoPost),
         all!(TooOften:
             TooOften::Address(address) => TooOften::Address(_), TooOften::Strangers(address) => TooOften::Strangers(_),
-            TooOften::Member(granitelb_plan::Member::Planner(granitelb_plan::PlannerId(1))) => TooOften::Member(_)),
+            TooOften::Member(granitelb_coordination::Member::Planner(granitelb_coordination::PlannerId(1))) => TooOften::Member(_)),
         all!(Refused: Refused::Off => Refused::Off),
         all!(Trouble: file() => Trouble { .. }),
-        all!(hindsight::NoSupport: hindsight::NoSupport => hindsight::NoSupport),
+        all!(counterfactual::NoSupport: counterfactual::NoSupport => counterfactual::NoSupport),
         all!(Verdicts:
             Verdicts::Figure => Verdicts::Figure, Verdicts::Old => Verdicts::Old, Verdicts::TooMany => Verdicts::TooMany,
             Verdicts::Part => Verdicts::Part, Verdicts::NotItsWord => Verdicts::NotItsWord),
--- a/crates/together/tests/hindsight.rs
+++ b/crates/control-plane/tests/hindsight.rs
@@ -6,15 +6,15 @@
 use std::time::{Duration, Instant};
 
 use crate::support::{Fleet, Forwarder, OURS, Planner};
-use granitelb::calls::Outcome;
-use granitelb::ids::{CacheId, Key, ProductId};
-use granitelb::units::Span;
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::hindsight::{AtForwarder, Settings, is_sampled};
-use granitelb_plan::letters::Letter;
-use granitelb_plan::sight::{Ended, Server, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId};
-use granitelb_together::clock::Clock;
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::time::Span;
+use granitelb_control_plane::clock::Clock;
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::counterfactual::{AtForwarder, Settings, is_sampled};
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId};
 
 const LONGER: Span = Span::from_millis(40);
 
--- a/crates/together/tests/planners.rs
+++ b/crates/control-plane/tests/planners.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use crate::support::{Fleet, Forwarder, OURS, THEIRS, check};
-use granitelb_plan::leases::{self, Need, Resource};
-use granitelb_plan::letters::Letter;
-use granitelb_plan::members::Message;
-use granitelb_plan::{Member, PlannerId};
+use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::membership::Message;
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::{Member, PlannerId};
 use rustix::process::Signal;
 
 const BEAT: Letter = Letter::Members(Message::Beat);
--- a/crates/together/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use granitelb_plan::PlannerId;
-use granitelb_plan::letters::Kind;
-use granitelb_together::store::{Fault, Shelf};
+use granitelb_control_plane::storage::{Fault, Shelf};
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::message::Kind;
 use redb::StorageBackend;
 
 const ME: PlannerId = PlannerId(3);
--- a/crates/together/tests/support/growing.rs
+++ b/crates/control-plane/tests/support/growing.rs
@@ -7,22 +7,22 @@
 use std::time::{Duration, Instant, UNIX_EPOCH};
 use std::{fs, thread};
 
-use granitelb::calls::{Outcome, TableForm};
-use granitelb::ids::{CacheId, Key, ProductId};
-use granitelb::slots::{caches_of, shard_of};
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::growth::agree::Kept;
-use granitelb_plan::growth::form::{Form, Step};
-use granitelb_plan::growth::sketch::{Day, Shard};
-use granitelb_plan::growth::{Archive, AtForwarder, Message};
-use granitelb_plan::leases;
-use granitelb_plan::letters::{self, Kind, Letter};
-use granitelb_plan::members::Members;
-use granitelb_plan::sight::{Ended, Server, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
-use granitelb_together::operator::Operator;
-use granitelb_together::store::Shelf;
+use granitelb_balancer::calls::{Outcome, TableForm};
+use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::slot_table::{caches_of, shard_of};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_control_plane::fleet_config::Operator;
+use granitelb_control_plane::storage::Shelf;
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::leases;
+use granitelb_coordination::membership::Members;
+use granitelb_coordination::message::{self, Kind, Letter};
+use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::shard_growth::agree::Kept;
+use granitelb_coordination::shard_growth::form::{Form, Step};
+use granitelb_coordination::shard_growth::sketch::{Day, Shard};
+use granitelb_coordination::shard_growth::{Archive, AtForwarder, Message};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::support::{Fleet, OURS, Planner, secrets};
@@ -103,7 +103,7 @@
     fn send(&mut self, to: SocketAddr, letter: &Letter, times: usize) {
         self.number += 1;
         let sender = Sender { member: self.me, life: self.members.life(), number: self.number };
-        let bytes = letters::seal(sender, letter, &secrets(OURS)).expect("a letter");
+        let bytes = message::seal(sender, letter, &secrets(OURS)).expect("a letter");
         for _ in 0..times {
             let _ = self.socket.send_to(&bytes, to);
         }
@@ -295,7 +295,7 @@
         for node in &mut self.nodes {
             while let Some(bytes) = read(&node.socket) {
                 for _ in 0..self.chance.times() {
-                    let (from, letter) = letters::open(&bytes, &secrets(OURS)).expect("of a planner");
+                    let (from, letter) = message::open(&bytes, &secrets(OURS)).expect("of a planner");
                     if let Letter::Growth(Message::Table { form }) = &letter {
                         self.auditor.heard(form);
                     }
--- a/crates/together/tests/support/holders.rs
+++ b/crates/control-plane/tests/support/holders.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use granitelb_plan::leases::{Message, Need, Resource};
-use granitelb_plan::letters::{self, Letter};
-use granitelb_plan::{Life, Member, PlannerId};
+use granitelb_coordination::leases::{Message, Need, Resource};
+use granitelb_coordination::message::{self, Letter};
+use granitelb_coordination::{Life, Member, PlannerId};
 
 use super::support::{Fleet, Forwarder, OURS, secrets};
 
@@ -49,7 +49,7 @@
     fn hear(&mut self) {
         let mut bytes = [0; 2000];
         while let Ok((length, _)) = self.speaks.socket.recv_from(&mut bytes) {
-            let Ok((from, letter)) = letters::open(&bytes[..length], &secrets(OURS)) else { continue };
+            let Ok((from, letter)) = message::open(&bytes[..length], &secrets(OURS)) else { continue };
             let Member::Planner(planner) = from.member else { continue };
             let known = self.lives.entry(planner).or_insert((from.life, Instant::now()));
             if from.life < known.0 {
--- a/crates/together/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use granitelb_plan::letters::{self, Letter, Secret, Secrets};
-use granitelb_plan::{ForwarderId, Life, Member, Sender};
+use granitelb_coordination::message::{self, Letter, Secret, Secrets};
+use granitelb_coordination::{ForwarderId, Life, Member, Sender};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::Value;
 
@@ -178,7 +178,7 @@
     pub fn sealed(&mut self, letter: &Letter, secret: &str) -> Vec<u8> {
         self.number += 1;
         let sender = Sender { member: self.me, life: self.life, number: self.number };
-        letters::seal(sender, letter, &secrets(secret)).expect("a letter")
+        message::seal(sender, letter, &secrets(secret)).expect("a letter")
     }
 
     pub fn send(&self, bytes: &[u8], to: SocketAddr) {
@@ -191,7 +191,7 @@
         let mut bytes = [0; 2000];
         while Instant::now() < until {
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            if let Ok(opened) = letters::open(&bytes[..length], &secrets(secret)) {
+            if let Ok(opened) = message::open(&bytes[..length], &secrets(secret)) {
                 return Some(opened);
             }
         }
--- a/crates/plan/examples/cost.rs
+++ b/crates/coordination/examples/cost.rs
@@ -4,13 +4,13 @@
 
 use std::time::Instant;
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::letters::{self, Letter, Secret, Secrets};
-use granitelb_plan::members::Members;
-use granitelb_plan::verdicts::{AtPlanner, Message, Part};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Report, Seen, Sender, Settings};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::endpoint_health::{AtPlanner, Message, Part};
+use granitelb_coordination::membership::Members;
+use granitelb_coordination::message::{self, Letter, Secret, Secrets};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Report, Seen, Sender, Settings};
 
 const SECONDS: u64 = 10;
 
@@ -20,7 +20,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let secrets = Secrets::one(Secret::new(b"of all that are asked").expect("long enough"));
-    let seal = |sender, letter| letters::seal(sender, &letter, &secrets).expect("a letter");
+    let seal = |sender, letter| message::seal(sender, &letter, &secrets).expect("a letter");
     let (me, life) = (Member::Planner(PlannerId(1)), Life(1));
     for forwarders in [50, 100, 200, 300, 500, 1000, 2000] {
         let seen = |from: u64, n: u64, k: u64| {
@@ -50,7 +50,7 @@
                 (joined, began) = (began.elapsed().as_secs_f64(), Instant::now());
                 (out, plans) = (0, 0);
             }
-            let Ok((sender, Letter::Verdicts(message))) = letters::open(letter, &secrets) else { continue };
+            let Ok((sender, Letter::Verdicts(message))) = message::open(letter, &secrets) else { continue };
             if members.take(now, sender).expect("news") {
                 let alive = members.changed(now).expect("one more");
                 planner.members(now, &alive);
--- a/crates/plan/examples/growth_books/mod.rs
+++ b/crates/coordination/examples/growth_books/mod.rs
@@ -1,7 +1,7 @@
 //! Seeded books: what a shard keeps, day by day, in several shapes with a month's rhythm, bursts, voids and gaps.
 
-use granitelb_plan::growth::forecast::{Point, forecast};
-use granitelb_plan::growth::sketch::Day;
+use granitelb_coordination::shard_growth::forecast::{Point, forecast};
+use granitelb_coordination::shard_growth::sketch::Day;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/plan/examples/growth_bytes.rs
+++ b/crates/coordination/examples/growth_bytes.rs
@@ -2,14 +2,14 @@
 
 use std::time::Instant;
 
-use granitelb::calls::Outcome;
-use granitelb::ids::{CacheId, Key, ProductId};
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::growth::sketch::Day;
-use granitelb_plan::growth::{AtForwarder, AtPlanner, Calendar, ForwarderSettings, Settings};
-use granitelb_plan::sight::{Ended, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::observation::{Ended, Sight};
+use granitelb_coordination::shard_growth::sketch::Day;
+use granitelb_coordination::shard_growth::{AtForwarder, AtPlanner, Calendar, ForwarderSettings, Settings};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const HOURS: u64 = 23;
@@ -38,7 +38,7 @@
         let mut forwarder = AtForwarder::new(ForwarderSettings::default(), ForwarderId(f), Life(f), start);
         forwarder.members(start, &[Member::Planner(me)]);
         forwarder
-            .heard(start, today, granitelb_plan::growth::Message::Today { day: Day(20_000) })
+            .heard(start, today, granitelb_coordination::shard_growth::Message::Today { day: Day(20_000) })
             .expect("sound");
         let calls = (per_s * 10.0) as u64;
         for tick in 0..HOURS * 360 {
--- a/crates/plan/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -4,14 +4,14 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use granitelb::calls::Moving;
-use granitelb::ids::{CacheId, Key};
-use granitelb::slots::{place_of, shard_of};
-use granitelb::units::{Span, Time};
-use granitelb_plan::growth::form::Form;
-use granitelb_plan::growth::history::History;
-use granitelb_plan::growth::schedule::{Outlook, Schedule, Settings, World};
-use granitelb_plan::growth::sketch::{Day, Shard};
+use granitelb_balancer::calls::Moving;
+use granitelb_balancer::ids::{CacheId, Key};
+use granitelb_balancer::slot_table::{place_of, shard_of};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::shard_growth::form::Form;
+use granitelb_coordination::shard_growth::history::History;
+use granitelb_coordination::shard_growth::schedule::{Outlook, Schedule, Settings, World};
+use granitelb_coordination::shard_growth::sketch::{Day, Shard};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const CACHES: u64 = 120;
--- a/crates/plan/examples/hindsight_cost.rs
+++ b/crates/coordination/examples/hindsight_cost.rs
@@ -3,10 +3,10 @@
 
 use std::time::{Duration, Instant};
 
-use granitelb::units::Time;
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::hindsight::{AtPlanner, How, Message, Observation, Settings, is_sampled};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::time::Time;
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::counterfactual::{AtPlanner, How, Message, Observation, Settings, is_sampled};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 
 const SECONDS: u64 = 600;
 
--- a/crates/plan/src/faculty.rs
+++ b/crates/coordination/src/component.rs
@@ -1,9 +1,9 @@
 //! What all faculties have in common, at planners and at forwarders: letters come in, time passes, and the host pulls
 //! what follows. A faculty does no I/O and reads no clock; `now` is the host's own, and is compared with no other's.
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
-use crate::names::{Member, Sender};
+use crate::member::{Member, Sender};
 
 /// An error that says what an operator can do about it.
 pub trait Help: std::error::Error {
--- a/crates/plan/src/hindsight/book.rs
+++ b/crates/coordination/src/counterfactual/book.rs
@@ -6,7 +6,7 @@
 use super::model::Model;
 use super::observation::{How, Observation};
 use super::survival::{Timed, Value, values};
-use crate::names::ForwarderId;
+use crate::member::ForwarderId;
 
 /// So many of a group have to be seen to the end, and so many choices have to be there to speak of a candidate.
 pub const LEAST: usize = 5;
--- a/crates/plan/src/hindsight/forwarder.rs
+++ b/crates/coordination/src/counterfactual/forwarder.rs
@@ -7,14 +7,14 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use granitelb::calls::Outcome;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::time::{Span, Time};
 
 use super::observation::{How, Message, Observation, PLACES, Said, Scale, Standing, class_of, tenths};
 use super::{Fault, Settings, is_sampled, rank};
-use crate::faculty::{Faculty, Remark};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::sight::{Ended, Server, Sight};
+use crate::component::{Faculty, Remark};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::observation::{Ended, Server, Sight};
 
 /// What an age in a letter takes at the most beyond what it takes while it is still 0.
 const AGE_BYTES: usize = 4;
--- a/crates/plan/src/hindsight/lottery.rs
+++ b/crates/coordination/src/counterfactual/lottery.rs
@@ -11,7 +11,7 @@
 use super::book::{LEAST, grouped};
 use super::estimate::{Estimate, LEAST_FREEDOM, NoSupport, Spread};
 use super::observation::Observation;
-use crate::names::ForwarderId;
+use crate::member::ForwarderId;
 
 /// Calls of one key are as alike as if such a share of what differs were the key's own: a hot key counts as ten calls.
 const OF_THE_KEY: f64 = 0.1;
--- a/crates/plan/src/hindsight/mod.rs
+++ b/crates/coordination/src/counterfactual/mod.rs
@@ -16,10 +16,10 @@
 mod standing;
 mod survival;
 
-use granitelb::units::Span;
+use granitelb_balancer::time::Span;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::faculty::Help;
+use crate::component::Help;
 
 pub use book::{Book, Measure};
 pub use estimate::{Estimate, NoSupport, Policy};
--- a/crates/plan/src/hindsight/observation.rs
+++ b/crates/coordination/src/counterfactual/observation.rs
@@ -1,6 +1,6 @@
 //! What is told of one choice: where a sampled call was sent first, what else it could have been, and what came of it.
 
-use granitelb::units::Span;
+use granitelb_balancer::time::Span;
 use serde::{Deserialize, Serialize};
 
 /// A key has so many candidates that are weighed; ones further down the table are hardly ever chosen.
--- a/crates/plan/src/hindsight/planner.rs
+++ b/crates/coordination/src/counterfactual/planner.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 use super::book::{Book, Measure};
 use super::estimate::{Estimate, NoSupport, Policy};
@@ -15,8 +15,8 @@
 use super::observation::{Message, Observation, Said, Scale, Standing};
 use super::standing::{Track, event_of, found, found_by_bets, sentence};
 use super::{Fault, Settings, is_sampled, rank};
-use crate::faculty::{Faculty, Remark};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::component::{Faculty, Remark};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
 
 /// Standings in a letter: about 30 bytes each.
 const SAID: usize = 36;
--- a/crates/plan/src/verdicts/fault.rs
+++ b/crates/coordination/src/endpoint_health/fault.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::faculty::Help;
+use crate::component::Help;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Fault {
--- a/crates/plan/src/verdicts/follower.rs
+++ b/crates/coordination/src/endpoint_health/follower.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::calls::{Advice, Outcome};
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::{Advice, Outcome};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
 
 use super::part::{Part, Parts};
 use super::planner::{MOST_CACHES, Plan, Version};
 use super::report::{Report, Seen};
 use super::view::Verdict;
-use crate::names::{Life, PlannerId};
+use crate::member::{Life, PlannerId};
 
 /// A plan counts for so long: a planner that is silent must not go on deciding.
 const LASTS: Span = Span::from_millis(2000);
--- a/crates/plan/src/verdicts/planner.rs
+++ b/crates/coordination/src/endpoint_health/planner.rs
@@ -2,17 +2,17 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 use super::fault::Fault;
 use super::part::{Part, Parts};
 use super::report::Report;
 use super::view::{Verdict, View};
-use crate::faculty::Remark;
-use crate::names::{ForwarderId, Life};
-use crate::turns::{self, Trials};
+use crate::component::Remark;
+use crate::member::{ForwarderId, Life};
+use crate::probe_scheduling::{self, Trials};
 
 /// Counts the plans of a life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     pub most_forwarders: usize,
     pub most_caches: usize,
     /// Who tries a cache that fails.
-    pub turns: turns::Settings,
+    pub turns: probe_scheduling::Settings,
 }
 
 impl Default for Settings {
@@ -38,7 +38,7 @@
             forgets: Span::from_millis(10_000),
             most_forwarders: 4096,
             most_caches: MOST_CACHES,
-            turns: turns::Settings::default(),
+            turns: probe_scheduling::Settings::default(),
         }
     }
 }
--- a/crates/plan/src/verdicts/report.rs
+++ b/crates/coordination/src/endpoint_health/report.rs
@@ -1,6 +1,6 @@
 //! What a forwarder says.
 
-use granitelb::ids::CacheId;
+use granitelb_balancer::ids::CacheId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use super::fault::Fault;
--- a/crates/plan/src/verdicts/sides.rs
+++ b/crates/coordination/src/endpoint_health/sides.rs
@@ -2,17 +2,17 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use granitelb::calls::Advice;
-use granitelb::ids::CacheId;
-use granitelb::units::Time;
+use granitelb_balancer::calls::Advice;
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::Time;
 
 use super::fault::Fault;
 use super::follower::Follower;
 use super::planner::{Planner, Settings};
 use super::{MOST_CACHES, Message};
-use crate::faculty::{BEAT, Faculty, Remark};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::sight::Sight;
+use crate::component::{BEAT, Faculty, Remark};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::observation::Sight;
 
 pub struct AtPlanner {
     me: PlannerId,
--- a/crates/plan/src/verdicts/view.rs
+++ b/crates/coordination/src/endpoint_health/view.rs
@@ -1,11 +1,11 @@
 //! One cache as all forwarders together saw it.
 
-use granitelb::decay::FadingSum;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::decaying::FadingSum;
+use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 use super::report::Seen;
-use crate::names::ForwarderId;
+use crate::member::ForwarderId;
 
 /// How long what was seen counts: a cache that is back must not be held to be ill for long.
 const MEMORY: Span = Span::from_millis(2000);
--- a/crates/plan/src/leases/book.rs
+++ b/crates/coordination/src/leases/book.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound::{Excluded, Included};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 use super::Need;
-use crate::names::{Life, Member, PlannerId};
+use crate::member::{Life, Member, PlannerId};
 
 /// A life of a member's: what an earlier one was granted may still be held.
 pub type Holding = (Member, Life);
--- a/crates/plan/src/leases/forwarder.rs
+++ b/crates/coordination/src/leases/forwarder.rs
@@ -3,17 +3,17 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::calls::{Lease, Outcome};
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::{Lease, Outcome};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::need::Use;
 use super::standing::{ASKS, Ask, Parts, Usual};
 use super::{Fault, Holder, Message, Resource, Settings};
-use crate::faculty::{Faculty, Remark};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::sight::{Server, Sight};
+use crate::component::{Faculty, Remark};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::observation::{Server, Sight};
 
 /// A planner that leaves so many asks unanswered is passed over for `PASSED_OVER`.
 const UNANSWERED: u8 = 2;
--- a/crates/plan/src/leases/holder.rs
+++ b/crates/coordination/src/leases/holder.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 use super::{Fault, MOST_NEEDS, Message, Need, Resource};
-use crate::names::{Life, PlannerId};
+use crate::member::{Life, PlannerId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Held {
--- a/crates/plan/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -49,16 +49,16 @@
 
 use std::collections::BTreeSet;
 
-use granitelb::ids::CacheId;
-use granitelb::units::Span;
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::Span;
 use serde::{Deserialize, Serialize};
 
 pub use forwarder::AtForwarder;
 pub use holder::Holder;
 pub use planner::{AtPlanner, Spare};
 
-use crate::faculty::{BEAT, Help};
-use crate::names::{Life, PlannerId};
+use crate::component::{BEAT, Help};
+use crate::member::{Life, PlannerId};
 
 /// What is shared out. Amounts are thousandths of a fetch a second, or millionths of a second of work a second of a warm
 /// cache: the own part of one in 300 was less than a thousandth, and rounded to nothing.
@@ -79,7 +79,7 @@
 }
 
 mod cache_id {
-    use granitelb::ids::CacheId;
+    use granitelb_balancer::ids::CacheId;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
     pub fn serialize<S: Serializer>(id: &CacheId, to: S) -> Result<S::Ok, S::Error> {
--- a/crates/plan/src/leases/need.rs
+++ b/crates/coordination/src/leases/need.rs
@@ -1,6 +1,6 @@
 //! How much a forwarder needs of a resource: what it used of late and a little, and more where it used all that it had.
 
-use granitelb::units::Time;
+use granitelb_balancer::time::Time;
 
 /// Shots come by chance: what is used is read over a short and a long while, and the greater counts.
 const WHILES: [f64; 2] = [1.0, 4.0];
--- a/crates/plan/src/leases/planner.rs
+++ b/crates/coordination/src/leases/planner.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 use super::book::{Loan, Pool, Terms};
 use super::standing::{Ask, Granter};
 use super::{Fault, MOST_NEEDS, Message, Need, Resource, Settings};
-use crate::faculty::{Faculty, Remark};
-use crate::names::{Life, Member, PlannerId, Sender};
+use crate::component::{Faculty, Remark};
+use crate::member::{Life, Member, PlannerId, Sender};
 
 /// Answers that wait for the host; with more the next ask is refused, as if its letter were lost.
 const MOST_WAITING: usize = 8192;
--- a/crates/plan/src/leases/standing.rs
+++ b/crates/coordination/src/leases/standing.rs
@@ -23,11 +23,11 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 use super::book::Pool;
 use super::{Fault, Need, Resource, Settings};
-use crate::names::{Life, Member, PlannerId, Sender};
+use crate::member::{Life, Member, PlannerId, Sender};
 
 /// Asks come so often: in the time of a part one of them is answered though most letters are lost.
 pub const ASKS: Span = Span::from_millis(1000);
--- a/crates/plan/src/members/known.rs
+++ b/crates/coordination/src/membership/known.rs
@@ -1,11 +1,11 @@
 //! Another member, as far as its letters tell.
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 use super::stale::Stale;
 use super::window::{Place, Window};
-use crate::faculty::{BEAT, SILENT};
-use crate::names::{Life, Member, Sender};
+use crate::component::{BEAT, SILENT};
+use crate::member::{Life, Member, Sender};
 
 #[derive(Clone, Debug)]
 pub struct Known {
--- a/crates/plan/src/members/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -23,11 +23,11 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::faculty::{BEAT, Faculty, Remark, SILENT};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::component::{BEAT, Faculty, Remark, SILENT};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
 use known::Known;
 pub use stale::Stale;
 
--- a/crates/plan/src/letters.rs
+++ b/crates/coordination/src/message.rs
@@ -18,9 +18,9 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-use crate::faculty::Help;
-use crate::names::Sender;
-use crate::{growth, hindsight, leases, members, verdicts};
+use crate::component::Help;
+use crate::member::Sender;
+use crate::{counterfactual, endpoint_health, leases, membership, shard_growth};
 
 /// More than these go into no letter: a datagram of as many passes through any usual link whole.
 pub const MOST_BYTES: usize = 1400;
@@ -36,11 +36,11 @@
 /// What passes between members, by faculty.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Letter {
-    Members(members::Message),
-    Verdicts(verdicts::Message),
+    Members(membership::Message),
+    Verdicts(endpoint_health::Message),
     Leases(leases::Message),
-    Growth(growth::Message),
-    Hindsight(hindsight::Message),
+    Growth(shard_growth::Message),
+    Hindsight(counterfactual::Message),
 }
 
 /// Which faculty a letter is of.
--- a/crates/plan/src/sight.rs
+++ b/crates/coordination/src/observation.rs
@@ -1,9 +1,9 @@
 //! What a forwarder's loop tells its own side of the faculties: what it did, and what came of it. It is told by value
 //! over a bounded channel, and no call waits for it.
 
-use granitelb::calls::Outcome;
-use granitelb::ids::{CacheId, Key, ProductId};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::time::{Span, Time};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sight {
--- a/crates/plan/src/turns/rank.rs
+++ b/crates/coordination/src/probe_scheduling/rank.rs
@@ -1,9 +1,9 @@
 //! Whose turn a duty is: the members with the greatest hash of duty, window and member (rendezvous hashing).
 
-use granitelb::ids::CacheId;
+use granitelb_balancer::ids::CacheId;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::names::ForwarderId;
+use crate::member::ForwarderId;
 
 /// What some of the forwarders do for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/plan/src/turns/trials.rs
+++ b/crates/coordination/src/probe_scheduling/trials.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
 
 use super::rank::{Duty, Window, holders};
-use crate::names::ForwarderId;
+use crate::member::ForwarderId;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
--- a/crates/plan/src/growth/agree.rs
+++ b/crates/coordination/src/shard_growth/agree.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::form::{Form, FormVersion};
-use crate::names::{Life, PlannerId};
+use crate::member::{Life, PlannerId};
 
 /// A try at a version: higher ones win, and no two planners have the same, nor two lives of one: it may have lost what it
 /// kept of its earlier tries.
--- a/crates/plan/src/growth/book.rs
+++ b/crates/coordination/src/shard_growth/book.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use granitelb::units::Span;
+use granitelb_balancer::time::Span;
 
 use super::sketch::Day;
 
--- a/crates/plan/src/growth/form.rs
+++ b/crates/coordination/src/shard_growth/form.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use granitelb::calls;
+use granitelb_balancer::calls;
 use serde::{Deserialize, Serialize};
 
 use super::sketch::Shard;
--- a/crates/plan/src/growth/forwarder.rs
+++ b/crates/coordination/src/shard_growth/forwarder.rs
@@ -5,18 +5,18 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::calls::{Outcome, TableForm};
-use granitelb::slots::{key_hash, shard_of};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::{Outcome, TableForm};
+use granitelb_balancer::slot_table::{key_hash, shard_of};
+use granitelb_balancer::time::{Span, Time};
 
 use super::form::{Form, FormVersion};
 use super::listing::{self, List};
 use super::message::{Fault, MOST_REGISTERS, Message};
 use super::origin::Fetches;
 use super::sketch::{Counts, Day, Distinct, Of, REGISTERS, SHARDS, Shard};
-use crate::faculty::{Faculty, Remark};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::sight::{Ended, Sight};
+use crate::component::{Faculty, Remark};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::observation::{Ended, Sight};
 
 #[derive(Clone, Debug)]
 pub struct ForwarderSettings {
--- a/crates/plan/src/growth/history.rs
+++ b/crates/coordination/src/shard_growth/history.rs
@@ -5,7 +5,7 @@
 use super::forecast::{NotYet, Point, forecast};
 use super::message::Fault;
 use super::sketch::{Day, SHARDS, Shard, ShardDay};
-use crate::names::{ForwarderId, Life};
+use crate::member::{ForwarderId, Life};
 
 /// Days that are kept of each shard.
 pub const MOST_DAYS: usize = 400;
--- a/crates/plan/src/growth/listing.rs
+++ b/crates/coordination/src/shard_growth/listing.rs
@@ -6,13 +6,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 use super::message::Fault;
-use crate::names::ForwarderId;
-use crate::sight::Server;
+use crate::member::ForwarderId;
+use crate::observation::Server;
 
 /// In one letter: 20 bytes each at most.
 pub const IN_A_LETTER: usize = 50;
--- a/crates/plan/src/growth/message.rs
+++ b/crates/coordination/src/shard_growth/message.rs
@@ -1,6 +1,6 @@
 //! What planners and forwarders say of growth, each under 1,100 bytes, and what a planner keeps on its disk.
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 use super::agree::{Kept, Vote};
@@ -8,7 +8,7 @@
 use super::history::Days;
 use super::listing::Listed;
 use super::sketch::{Counts, Day, Of, Shard};
-use crate::faculty::Help;
+use crate::component::Help;
 
 /// Registers of a sketch that rose, in one letter.
 pub const MOST_REGISTERS: usize = 300;
--- a/crates/plan/src/growth/origin.rs
+++ b/crates/coordination/src/shard_growth/origin.rs
@@ -6,11 +6,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::calls::Outcome;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::time::{Span, Time};
 
-use crate::names::ForwarderId;
-use crate::sight::Ended;
+use crate::member::ForwarderId;
+use crate::observation::Ended;
 
 /// Fewer fetches of late tell nothing.
 const FEWEST: f64 = 3.0;
--- a/crates/plan/src/growth/planner.rs
+++ b/crates/coordination/src/shard_growth/planner.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb::ids::CacheId;
-use granitelb::slots::caches_of;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::slot_table::caches_of;
+use granitelb_balancer::time::{Span, Time};
 
 use super::agree::{Agree, Vote};
 use super::book;
@@ -19,8 +19,8 @@
 use super::origin;
 use super::schedule::{self, Outlook, Schedule, World};
 use super::sketch::{Day, MOST_LIVES, REGISTERS, Shard};
-use crate::faculty::{Faculty, Remark};
-use crate::names::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::component::{Faculty, Remark};
+use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
 
 #[derive(Clone, Debug)]
 pub struct Settings {
--- a/crates/plan/src/growth/schedule.rs
+++ b/crates/coordination/src/shard_growth/schedule.rs
@@ -9,8 +9,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
 
 use super::form::{Form, MOST_BITS, PARTS, ShardForm, Step};
 use super::sketch::Shard;
--- a/crates/plan/src/growth/sketch.rs
+++ b/crates/coordination/src/shard_growth/sketch.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::names::{ForwarderId, Life};
+use crate::member::{ForwarderId, Life};
 
 /// A fixed range of the shared table's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/plan/tests/growth_agree.rs
+++ b/crates/coordination/tests/growth_agree.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_plan::growth::agree::{Agree, Kept, Vote};
-use granitelb_plan::growth::form::{ShardForm, Step};
-use granitelb_plan::growth::sketch::Shard;
-use granitelb_plan::{Life, PlannerId};
+use granitelb_coordination::shard_growth::agree::{Agree, Kept, Vote};
+use granitelb_coordination::shard_growth::form::{ShardForm, Step};
+use granitelb_coordination::shard_growth::sketch::Shard;
+use granitelb_coordination::{Life, PlannerId};
 use test_case::test_case;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/plan/tests/growth_faculty.rs
+++ b/crates/coordination/tests/growth_faculty.rs
@@ -3,20 +3,20 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::calls::Outcome;
-use granitelb::ids::{CacheId, Key, ProductId};
-use granitelb::slots::shard_of;
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::{Faculty, Help};
-use granitelb_plan::growth::agree::Vote;
-use granitelb_plan::growth::form::{Form, FormVersion, ShardForm, Step};
-use granitelb_plan::growth::sketch::{Counts, Day, Of, REGISTERS, SHARDS, Shard};
-use granitelb_plan::growth::{
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::slot_table::shard_of;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::{Faculty, Help};
+use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::shard_growth::agree::Vote;
+use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
+use granitelb_coordination::shard_growth::sketch::{Counts, Day, Of, REGISTERS, SHARDS, Shard};
+use granitelb_coordination::shard_growth::{
     Archive, AtForwarder, AtPlanner, Calendar, Fault, Fleet, ForwarderSettings, KeptFault, Message, Settings,
     schedule,
 };
-use granitelb_plan::sight::{Ended, Server, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const DAY: Span = Span::from_millis(7_200_000);
--- a/crates/plan/tests/growth_forecast.rs
+++ b/crates/coordination/tests/growth_forecast.rs
@@ -3,9 +3,9 @@
 #[path = "../examples/growth_books/mod.rs"]
 mod growth_books;
 
-use granitelb_plan::growth::forecast::{NotYet, Point, Why, forecast};
-use granitelb_plan::growth::sketch::{Counts, Day, Distinct, ShardDay};
-use granitelb_plan::{ForwarderId, Life};
+use granitelb_coordination::shard_growth::forecast::{NotYet, Point, Why, forecast};
+use granitelb_coordination::shard_growth::sketch::{Counts, Day, Distinct, ShardDay};
+use granitelb_coordination::{ForwarderId, Life};
 use growth_books::{SHAPES, Shape, backtest, book};
 use proptest::prelude::*;
 
--- a/crates/plan/tests/growth_schedule.rs
+++ b/crates/coordination/tests/growth_schedule.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::growth::form::{Form, ShardForm, Step};
-use granitelb_plan::growth::schedule::{Outlook, Reason, Schedule, Settings, World};
-use granitelb_plan::growth::sketch::Shard;
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::shard_growth::form::{Form, ShardForm, Step};
+use granitelb_coordination::shard_growth::schedule::{Outlook, Reason, Schedule, Settings, World};
+use granitelb_coordination::shard_growth::sketch::Shard;
 use proptest::prelude::*;
 
 const MINUTE: Span = Span::from_millis(60_000);
--- a/crates/plan/tests/hindsight.rs
+++ b/crates/coordination/tests/hindsight.rs
@@ -1,15 +1,15 @@
 //! Both sides of hindsight: what is kept and sent, whatever comes.
 
-use granitelb::calls::Outcome;
-use granitelb::ids::{CacheId, Key, ProductId};
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::hindsight::{
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::counterfactual::{
     AtForwarder, AtPlanner, Book, Fault, How, Measure, Message, Observation, Scale, Settings, Standing,
     is_sampled,
 };
-use granitelb_plan::sight::{Ended, Server, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use proptest::prelude::*;
 use test_case::test_case;
 
--- a/crates/plan/tests/hindsight_lottery.rs
+++ b/crates/coordination/tests/hindsight_lottery.rs
@@ -1,11 +1,11 @@
 //! Caches held against each other by the keys' lottery: calls that all went to their first candidate, as behind real nodes.
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::hindsight::{
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::counterfactual::{
     AtPlanner, How, Measure, Message, NoSupport, Observation, Scale, Settings, Standing, is_sampled,
 };
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use test_case::test_case;
 
 const CACHES: u64 = 6;
--- a/crates/plan/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -1,13 +1,13 @@
 //! Leases between one forwarder and one planner, step by step.
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::leases::{
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::leases::{
     AtForwarder, AtPlanner, Fault, Holder, MOST_NEEDS, Message, Need, Resource, Settings,
 };
-use granitelb_plan::sight::{Server, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::observation::{Server, Sight};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 
 const ME: PlannerId = PlannerId(1);
 
--- a/crates/plan/tests/leases_model.rs
+++ b/crates/coordination/tests/leases_model.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::leases::{AtPlanner, Holder, Message, Resource, Settings};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::leases::{AtPlanner, Holder, Message, Resource, Settings};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use test_case::test_case;
 
 const FORWARDERS: usize = 3;
--- a/crates/plan/tests/leases_standing.rs
+++ b/crates/coordination/tests/leases_standing.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::leases::Settings;
-use granitelb_plan::leases::standing::{Ask, Granter, Parts};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::leases::Settings;
+use granitelb_coordination::leases::standing::{Ask, Granter, Parts};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use test_case::test_case;
 
 const PLANNER: PlannerId = PlannerId(0);
--- a/crates/plan/tests/letters.rs
+++ b/crates/coordination/tests/letters.rs
@@ -1,10 +1,10 @@
 //! Letters: what was written is read, and nothing else is.
 
-use granitelb::ids::CacheId;
-use granitelb::units::Span;
-use granitelb_plan::letters::{Fault, Kind, Letter, MOST_BYTES, Secret, Secrets, open, seal};
-use granitelb_plan::verdicts::{Message, Part, Plan, Report, Seen, Verdict};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender, Version};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::Span;
+use granitelb_coordination::endpoint_health::{Message, Part, Plan, Report, Seen, Verdict};
+use granitelb_coordination::message::{Fault, Kind, Letter, MOST_BYTES, Secret, Secrets, open, seal};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender, Version};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -97,7 +97,7 @@
 #[test]
 fn a_secret_is_turned_over_without_a_refusal() {
     let sender = Sender { member: Member::Planner(PlannerId(1)), life: Life(2), number: 3 };
-    let letter = Letter::Members(granitelb_plan::members::Message::Beat);
+    let letter = Letter::Members(granitelb_coordination::membership::Message::Beat);
     let (before, during, after) = (secrets(OURS, None), secrets(THEIRS, Some(OURS)), secrets(THEIRS, None));
     let sealed = |by: &Secrets| seal(sender, &letter, by).expect("a letter");
     assert!(open(&sealed(&before), &during).is_ok());
--- a/crates/plan/tests/members.rs
+++ b/crates/coordination/tests/members.rs
@@ -1,9 +1,9 @@
 //! Who lives: by a star of beats, with losses, doubles, stopped processes and new lives.
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::{BEAT, Faculty, Help, SILENT};
-use granitelb_plan::members::{MOST_FORWARDERS, Members, Message, Stale};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::{BEAT, Faculty, Help, SILENT};
+use granitelb_coordination::membership::{MOST_FORWARDERS, Members, Message, Stale};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 
 const P: Member = Member::Planner(PlannerId(0));
 const F: Member = Member::Forwarder(ForwarderId(7));
--- a/crates/plan/tests/planning.rs
+++ b/crates/coordination/tests/planning.rs
@@ -1,11 +1,11 @@
 //! Planners and followers.
 
-use granitelb::calls::Outcome;
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::verdicts::{AtForwarder, AtPlanner, Fault, MOST_CACHES, Message, Part};
-use granitelb_plan::{
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::endpoint_health::{AtForwarder, AtPlanner, Fault, MOST_CACHES, Message, Part};
+use granitelb_coordination::{
     Follower, ForwarderId, Life, Member, Plan, Planner, PlannerId, Report, Seen, Sender, Settings, Verdict,
     Version,
 };
@@ -121,7 +121,7 @@
     assert!(f.plan_came(ms(1300), PlannerId(0), Life(2), plan(1, fails(0))));
     assert!(!f.plan_came(ms(1300), PlannerId(0), Life(1), plan(9, answers(0))));
     // Who says nothing for 2 s decides nothing.
-    assert_eq!(f.advice(ms(3400)), granitelb::calls::Advice::default());
+    assert_eq!(f.advice(ms(3400)), granitelb_balancer::calls::Advice::default());
 }
 
 #[test]
@@ -194,7 +194,7 @@
             for _ in 0..4 {
                 f.seen(
                     ms(0),
-                    &granitelb_plan::sight::Sight::Sent {
+                    &granitelb_coordination::observation::Sight::Sent {
                         cache: CacheId(cache << 50 | cache),
                         is_origin: false,
                         write: false,
--- a/crates/plan/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -1,9 +1,9 @@
 //! Turns: even, steady when members come and go, and as many trials whatever the fleet's size.
 
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::ForwarderId;
-use granitelb_plan::turns::{Duty, Settings, Trials, Window, holders};
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::ForwarderId;
+use granitelb_coordination::probe_scheduling::{Duty, Settings, Trials, Window, holders};
 use test_case::test_case;
 
 const C: CacheId = CacheId(7);
--- a/crates/fleet/examples/cold.rs
+++ b/crates/fleet-simulator/examples/cold.rs
@@ -1,7 +1,7 @@
 //! Plays days of cold caches, by default 40 seeds of each crossing, and prints what came of them; figures are simulated.
-//! `cargo run --release -p granitelb-fleet --example cold -- 100`
+//! `cargo run --release -p granitelb-fleet-simulator --example cold -- 100`
 
-use granitelb_fleet::cold_model::{CROSSINGS, Day, play};
+use granitelb_fleet_simulator::cold_model::{CROSSINGS, Day, play};
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(40u64);
--- a/crates/fleet/examples/gain.rs
+++ b/crates/fleet-simulator/examples/gain.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use granitelb_fleet::{Came, Play, Together, days, play};
+use granitelb_fleet_simulator::{Came, Play, Together, days, play};
 
 type Way = (&'static str, usize, Option<Together>, Option<(f64, f64)>);
 
@@ -34,7 +34,7 @@
         (share("reserve=", Play::default().reserve), share("standing=", Play::default().standing));
     let warm_up = figure("warm=").unwrap_or(Play::default().warm_up);
     let plays = |day: &String, (_, planners, together, dead): Way| -> Vec<Play> {
-        let faults = days::named(day).expect("a day of `granitelb-fleet`");
+        let faults = days::named(day).expect("a day of `granitelb-fleet-simulator`");
         let one = |seed: &u64| Play {
             faults: faults.clone(),
             planners,
--- a/crates/fleet/examples/groups.rs
+++ b/crates/fleet-simulator/examples/groups.rs
@@ -2,8 +2,8 @@
 //! table of its own, a node would open connections to fewer caches, and each key would be kept once in each group.
 //! Reckoned, not played: hits of one pooled cache of the group's size, calls at a pair of node and cache by chance.
 
-use granitelb_fleet::Play;
-use granitelb_fleet::popularity::Popularity;
+use granitelb_fleet_simulator::Play;
+use granitelb_fleet_simulator::popularity::Popularity;
 
 /// Connections idle for longer than this share of the limit are not used again.
 const IDLE_SHARE: f64 = 0.7;
--- a/crates/fleet/examples/hindsight.rs
+++ b/crates/fleet-simulator/examples/hindsight.rs
@@ -1,10 +1,10 @@
 //! Judges hindsight by worlds in which it is known what would have been. Simulated.
 //!
-//!     cargo run --release -p granitelb-fleet --example hindsight -- FIRST_SEED WORLDS [SHAPE]
+//!     cargo run --release -p granitelb-fleet-simulator --example hindsight -- FIRST_SEED WORLDS [SHAPE]
 
-use granitelb_fleet::hindsight::{Call, Make, SHAPES, Shape, World, tell};
-use granitelb_plan::faculty::Remark;
-use granitelb_plan::hindsight::{Measure, PLACES, Policy, Scale, Settings, Standing};
+use granitelb_coordination::component::Remark;
+use granitelb_coordination::counterfactual::{Measure, PLACES, Policy, Scale, Settings, Standing};
+use granitelb_fleet_simulator::hindsight::{Call, Make, SHAPES, Shape, World, tell};
 
 /// Intervals asked, intervals that held the truth, and no support.
 #[derive(Default)]
--- a/crates/fleet/examples/leases.rs
+++ b/crates/fleet-simulator/examples/leases.rs
@@ -1,8 +1,8 @@
-//! Leases played over a bad network: `cargo run --release -p granitelb-fleet --example leases [SEED...] [standing]`. With
+//! Leases played over a bad network: `cargo run --release -p granitelb-fleet-simulator --example leases [SEED...] [standing]`. With
 //! standing parts of 0.7 and a floor of 0.05, or without and with even own parts of a quarter.
 
-use granitelb_fleet::leases_model::{Play, play};
-use granitelb_plan::leases::Settings;
+use granitelb_coordination::leases::Settings;
+use granitelb_fleet_simulator::leases_model::{Play, play};
 
 fn main() {
     let seeds: Vec<u64> = std::env::args().skip(1).filter_map(|s| s.parse().ok()).collect();
--- a/crates/fleet/examples/turns.rs
+++ b/crates/fleet-simulator/examples/turns.rs
@@ -1,10 +1,10 @@
 //! Prints how a sick cache is tried by fleets of 3 to 300 forwarders, how even duties are, and what moves: simulated and
 //! reckoned figures.
 
-use granitelb::ids::CacheId;
-use granitelb_fleet::two_levels::{Came, Play, play};
-use granitelb_plan::ForwarderId;
-use granitelb_plan::turns::{Duty, Window, holders};
+use granitelb_balancer::ids::CacheId;
+use granitelb_coordination::ForwarderId;
+use granitelb_coordination::probe_scheduling::{Duty, Window, holders};
+use granitelb_fleet_simulator::two_levels::{Came, Play, play};
 
 const SEEDS: std::ops::Range<u64> = 301..306;
 
--- a/crates/fleet/examples/two_levels.rs
+++ b/crates/fleet-simulator/examples/two_levels.rs
@@ -1,6 +1,6 @@
 //! Prints what planners bring a fleet with a hung cache, beside the same fleet without: simulated figures.
 
-use granitelb_fleet::two_levels::{Came, Play, play};
+use granitelb_fleet_simulator::two_levels::{Came, Play, play};
 
 fn row(what: &str, came: &Came) {
     let back = came.back_after.map_or("never".into(), |s| format!("{s:.0} s"));
--- a/crates/fleet/src/cold_model.rs
+++ b/crates/fleet-simulator/src/cold_model.rs
@@ -6,11 +6,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-use granitelb::brain::Brain;
-use granitelb::calls::{ApiCall, Listing, Outcome, Shot, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{Effect, Product, Settings};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{ApiCall, Listing, Outcome, Shot, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{Effect, Product, Settings};
+use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
--- a/crates/fleet/src/hindsight.rs
+++ b/crates/fleet-simulator/src/hindsight.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::ids::Key;
-use granitelb::units::{Span, Time};
-use granitelb_plan::hindsight::{Measure, PLACES, is_sampled};
+use granitelb_balancer::ids::Key;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::counterfactual::{Measure, PLACES, is_sampled};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
--- a/crates/fleet/src/hindsight/told.rs
+++ b/crates/fleet-simulator/src/hindsight/told.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::calls::Outcome;
-use granitelb::ids::{CacheId, ProductId};
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::{Faculty, Remark};
-use granitelb_plan::hindsight::{AtForwarder, AtPlanner, Message, Settings};
-use granitelb_plan::sight::{Ended, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::ids::{CacheId, ProductId};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::{Faculty, Remark};
+use granitelb_coordination::counterfactual::{AtForwarder, AtPlanner, Message, Settings};
+use granitelb_coordination::observation::{Ended, Sight};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/fleet/src/leases_model.rs
+++ b/crates/fleet-simulator/src/leases_model.rs
@@ -5,13 +5,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use granitelb::calls::Lease;
-use granitelb::ids::CacheId;
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::leases::{AtForwarder, AtPlanner, Message, Resource, Settings};
-use granitelb_plan::sight::{Server, Sight};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_balancer::calls::Lease;
+use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::leases::{AtForwarder, AtPlanner, Message, Resource, Settings};
+use granitelb_coordination::observation::{Server, Sight};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -1,7 +1,7 @@
-//! `granitelb-fleet`: plays days of a simulated fleet and prints a row for each.
+//! `granitelb-fleet-simulator`: plays days of a simulated fleet and prints a row for each.
 
 use bpaf::Parser;
-use granitelb_fleet::{Came, Play, Policy, Together, days, play};
+use granitelb_fleet_simulator::{Came, Play, Policy, Together, days, play};
 
 /// Of an operator's file.
 const MOST_PLANNERS: usize = 5;
--- a/crates/fleet/src/mind.rs
+++ b/crates/fleet-simulator/src/mind.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Advice, Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, Key, KindId, ShotNumber};
-use granitelb::settings::Settings;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Advice, Answer, ApiCall, Listing, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, Key, KindId, ShotNumber};
+use granitelb_balancer::settings::Settings;
+use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/fleet/src/network.rs
+++ b/crates/fleet-simulator/src/network.rs
@@ -1,6 +1,6 @@
 //! Ways between zones: how long they take, and what is cut.
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 use rand::{Rng, RngExt};
 
 use crate::faults::Kind;
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet-simulator/src/play.rs
@@ -1,6 +1,6 @@
 //! What is played: the size of a fleet, its load, its servers and its faults.
 
-use granitelb::units::Span;
+use granitelb_balancer::time::Span;
 
 use crate::faults::Fault;
 use crate::mind::Policy;
--- a/crates/fleet/src/popularity.rs
+++ b/crates/fleet-simulator/src/popularity.rs
@@ -1,6 +1,6 @@
 //! Which keys are asked for, and how many of them caches hold.
 
-use granitelb::ids::Key;
+use granitelb_balancer::ids::Key;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use granitelb::ids::Key;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::ids::Key;
+use granitelb_balancer::time::{Span, Time};
 
 /// A shot as a server holds it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/fleet/src/two_levels/mod.rs
+++ b/crates/fleet-simulator/src/two_levels/mod.rs
@@ -4,19 +4,19 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{Effect, Product, Settings as ModuleSettings};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{Effect, Product, Settings as ModuleSettings};
+use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-use granitelb_plan::letters::{self, Letter, Secret, Secrets};
-use granitelb_plan::sight::{Ended, Sight};
-use granitelb_plan::verdicts::{AtForwarder, AtPlanner, Message, Verdict};
-use granitelb_plan::{ForwarderId, Member, PlannerId, Sender, Settings};
+use granitelb_coordination::endpoint_health::{AtForwarder, AtPlanner, Message, Verdict};
+use granitelb_coordination::message::{self, Letter, Secret, Secrets};
+use granitelb_coordination::observation::{Ended, Sight};
+use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender, Settings};
 
 mod node;
 mod play;
@@ -223,7 +223,7 @@
     fn post(&mut self, sender: Sender, letter: &Letter) -> Option<(usize, Span)> {
         let lost = self.ways.random::<f64>() < self.play.loss;
         let ms = self.ways.random_range(1..20);
-        let mut bytes = letters::seal(sender, letter, &self.secrets).ok().filter(|_| !lost)?;
+        let mut bytes = message::seal(sender, letter, &self.secrets).ok().filter(|_| !lost)?;
         self.came.letters += 1;
         if self.play.spoilt > 0.0 && self.ways.random::<f64>() < self.play.spoilt {
             let bit = self.ways.random_range(0..bytes.len() * 8);
@@ -236,7 +236,7 @@
 
     /// Opens a letter that has come, unless it is not what it says.
     fn open(&mut self, letter: usize) -> Option<(Sender, Letter)> {
-        let read = letters::open(&self.letters[letter].take()?, &self.secrets);
+        let read = message::open(&self.letters[letter].take()?, &self.secrets);
         self.came.refused += usize::from(read.is_err());
         read.ok()
     }
--- a/crates/fleet/src/two_levels/node.rs
+++ b/crates/fleet-simulator/src/two_levels/node.rs
@@ -1,11 +1,11 @@
 //! A member's letters: who lives, its side of the verdicts, and what it sends.
 
-use granitelb::units::Time;
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::letters::Letter;
-use granitelb_plan::members::Members;
-use granitelb_plan::verdicts::Message;
-use granitelb_plan::{Life, Member, PlannerId, Sender};
+use granitelb_balancer::time::Time;
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::endpoint_health::Message;
+use granitelb_coordination::membership::Members;
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::{Life, Member, PlannerId, Sender};
 
 pub struct Node<V> {
     me: Member,
--- a/crates/fleet/src/world/events.rs
+++ b/crates/fleet-simulator/src/world/events.rs
@@ -1,10 +1,10 @@
 //! What happens in a fleet, in order of time.
 
-use granitelb::calls::{Listing, Outcome};
-use granitelb::ids::Key;
-use granitelb::units::Time;
-use granitelb_plan::Sender;
-use granitelb_plan::letters::Letter;
+use granitelb_balancer::calls::{Listing, Outcome};
+use granitelb_balancer::ids::Key;
+use granitelb_balancer::time::Time;
+use granitelb_coordination::Sender;
+use granitelb_coordination::message::Letter;
 
 use super::talk::Seat;
 use crate::server::Job;
--- a/crates/fleet/src/world/fellows.rs
+++ b/crates/fleet-simulator/src/world/fellows.rs
@@ -1,15 +1,15 @@
 //! Nodes and planners as members of a fleet that decides together: each has its sides of the faculties that are on, and
-//! its word of who lives. The same sides run in `crates/together`; here letters are passed as they are, unsealed.
+//! its word of who lives. The same sides run in `crates/control-plane`; here letters are passed as they are, unsealed.
 
 use std::collections::BTreeSet;
 
-use granitelb::calls::Advice;
-use granitelb::units::Time;
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::letters::Letter;
-use granitelb_plan::members::Members;
-use granitelb_plan::sight::Sight;
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender, leases, verdicts};
+use granitelb_balancer::calls::Advice;
+use granitelb_balancer::time::Time;
+use granitelb_coordination::component::Faculty;
+use granitelb_coordination::membership::Members;
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::observation::Sight;
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender, endpoint_health, leases};
 
 use crate::play::{Play, Together};
 
@@ -30,8 +30,8 @@
     pub wake: Option<Time>,
 }
 
-pub type Forwarder = Fellow<verdicts::AtForwarder, leases::AtForwarder>;
-pub type Planner = Fellow<verdicts::AtPlanner, leases::AtPlanner>;
+pub type Forwarder = Fellow<endpoint_health::AtForwarder, leases::AtForwarder>;
+pub type Planner = Fellow<endpoint_health::AtPlanner, leases::AtPlanner>;
 
 /// What the model's servers stand: of the origin what writes leave of its places over its time, of a cache its one place.
 pub fn lease_settings(play: &Play, origin_slots: usize) -> leases::Settings {
@@ -56,7 +56,7 @@
 pub fn forwarder(play: &Play, leased: &leases::Settings, me: ForwarderId, now: Time) -> Forwarder {
     let (Together { verdicts, leases }, leased) = (play.together, leased.clone());
     let make = move |life, now| {
-        let said = verdicts::AtForwarder::new(verdicts::Settings::default(), me, life, now);
+        let said = endpoint_health::AtForwarder::new(endpoint_health::Settings::default(), me, life, now);
         let lease = leases::AtForwarder::new(leased.clone(), me, life, now);
         (verdicts.then_some(said), leases.then_some(lease))
     };
@@ -66,7 +66,7 @@
 pub fn planner(play: &Play, leased: &leases::Settings, me: PlannerId, now: Time) -> Planner {
     let (Together { verdicts, leases }, leased) = (play.together, leased.clone());
     let make = move |life, now| {
-        let says = verdicts::AtPlanner::new(verdicts::Settings::default(), me, life, now);
+        let says = endpoint_health::AtPlanner::new(endpoint_health::Settings::default(), me, life, now);
         let grants = leases::AtPlanner::new(leased.clone(), me, life, now);
         (verdicts.then_some(says), leases.then_some(grants))
     };
@@ -75,7 +75,7 @@
 
 impl<V, L> Fellow<V, L>
 where
-    V: Faculty<Message = verdicts::Message>,
+    V: Faculty<Message = endpoint_health::Message>,
     L: Faculty<Message = leases::Message>,
 {
     /// A process that starts now: its life is later than any before.
--- a/crates/fleet/src/world/mod.rs
+++ b/crates/fleet-simulator/src/world/mod.rs
@@ -10,10 +10,10 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use granitelb::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::settings::{DedupScope, Effect, Product, Settings};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal};
--- a/crates/fleet/src/world/nodes.rs
+++ b/crates/fleet-simulator/src/world/nodes.rs
@@ -1,6 +1,6 @@
 //! What clients and nodes do: calls, the module's orders, shots on their way, final answers.
 
-use granitelb_plan::sight::Sight;
+use granitelb_coordination::observation::Sight;
 
 use super::troubles::{hung_for, is_hung};
 use super::*;
--- a/crates/fleet/src/world/talk.rs
+++ b/crates/fleet-simulator/src/world/talk.rs
@@ -1,10 +1,10 @@
 //! Letters between nodes and planners, what nodes tell of themselves, and what they are told. Chance is drawn apart, so
 //! that with no planner a day is the same to the last call.
 
-use granitelb::calls::Advice;
-use granitelb_plan::letters::Letter;
-use granitelb_plan::sight::{Ended, Server as Listed, Sight};
-use granitelb_plan::{ForwarderId, Member, PlannerId, Sender};
+use granitelb_balancer::calls::Advice;
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::observation::{Ended, Server as Listed, Sight};
+use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender};
 
 use super::fellows::{Forwarder, Planner, forwarder, lease_settings, planner};
 use super::*;
@@ -25,7 +25,7 @@
 /// All that talk is made of; there is none where there are no planners.
 pub struct Talk {
     chance: ChaCha8Rng,
-    leased: granitelb_plan::leases::Settings,
+    leased: granitelb_coordination::leases::Settings,
     nodes: Vec<Forwarder>,
     by_id: HashMap<ForwarderId, usize>,
     /// What each node has heard of the list.
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet-simulator/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Rule four over the whole fleet: no cold cache gets more than N + 2 root N + 2 calls of mean work in a window, of which
 //! two thirds are of nodes that were told of its start. Days of all kinds, drawn from seeds, with the real module.
 
-use granitelb_fleet::cold_model::{CROSSINGS, Crossing, Day, play};
+use granitelb_fleet_simulator::cold_model::{CROSSINGS, Crossing, Day, play};
 use test_case::test_case;
 
 #[test]
--- a/crates/fleet/tests/days.rs
+++ b/crates/fleet-simulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! Days of a small fleet from a seed: what the module must reach there, and that the model itself is sound.
 
-use granitelb_fleet::{Came, Fault, Kind, Play, Policy, play};
+use granitelb_fleet_simulator::{Came, Fault, Kind, Play, Policy, play};
 use test_case::test_case;
 
 fn day(policy: Policy, faults: Vec<Fault>, seed: u64) -> Came {
--- a/crates/fleet/tests/hindsight.rs
+++ b/crates/fleet-simulator/tests/hindsight.rs
@@ -1,9 +1,9 @@
 //! Hindsight beside the truth, in worlds in which that is known. The figures over 100 worlds are the example's.
 
-use granitelb::units::Span;
-use granitelb_fleet::hindsight::{Make, Shape, World, tell};
-use granitelb_plan::faculty::Remark;
-use granitelb_plan::hindsight::{Measure, Policy, Scale, Settings, Standing};
+use granitelb_balancer::time::Span;
+use granitelb_coordination::component::Remark;
+use granitelb_coordination::counterfactual::{Measure, Policy, Scale, Settings, Standing};
+use granitelb_fleet_simulator::hindsight::{Make, Shape, World, tell};
 use test_case::test_case;
 
 fn small(shape: Shape, seed: u64) -> World {
--- a/crates/fleet/tests/leases.rs
+++ b/crates/fleet-simulator/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Leases over a bad network: what all loops may send together is within the whole at each event, and is shared fairly
 //! where nothing is in the way.
 
-use granitelb_fleet::leases_model::{Play, play};
+use granitelb_fleet_simulator::leases_model::{Play, play};
 use test_case::test_case;
 
 fn troubled(forwarders: usize, planners: u8, seed: u64) -> Play {
--- a/crates/fleet/tests/talk.rs
+++ b/crates/fleet-simulator/tests/talk.rs
@@ -1,6 +1,6 @@
 //! Planners in the crowded world: what they bring, and that talk that comes to nothing costs nothing.
 
-use granitelb_fleet::{Came, Fault, Kind, Play, Together, play};
+use granitelb_fleet_simulator::{Came, Fault, Kind, Play, Together, play};
 
 fn day(planners: usize, together: Together, loss: f64, seed: u64) -> Came {
     let faults = vec![Fault::new(Kind::Hang(0.2), 2.0, 8.0)];
--- a/crates/fleet/tests/two_levels.rs
+++ b/crates/fleet-simulator/tests/two_levels.rs
@@ -1,6 +1,6 @@
 //! A fleet of forwarders with planners, beside the same fleet without.
 
-use granitelb_fleet::two_levels::{Play, play};
+use granitelb_fleet_simulator::two_levels::{Play, play};
 use test_case::test_case;
 
 fn small(planners: usize, seed: u64) -> Play {
--- a/crates/node/src/program/config.rs
+++ b/crates/node/src/cli/config.rs
@@ -13,8 +13,8 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-use crate::protocol::Listings;
-use crate::routing::{Live, Setup};
+use crate::http::Listings;
+use crate::proxy::{Live, Setup};
 
 /// Where nothing says how many descriptors there are.
 const DESCRIPTORS: u64 = 1024;
--- a/crates/node/src/program/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -11,12 +11,12 @@
 
 use command::{Command, LogFormat};
 use config::Config;
-use granitelb_plan::faculty::Help;
-use granitelb_together::operator::Operator;
-use granitelb_together::planner::{self, PlannerFile};
+use granitelb_control_plane::fleet_config::Operator;
+use granitelb_control_plane::planner::{self, PlannerFile};
+use granitelb_coordination::component::Help;
 use signals::Signals;
 
-use crate::routing::{Node, Setup};
+use crate::proxy::{Node, Setup};
 
 pub fn run() -> ExitCode {
     match carry_out(command::parse()) {
--- a/crates/node/src/program/signals.rs
+++ b/crates/node/src/cli/signals.rs
@@ -12,7 +12,7 @@
 use super::config::Config;
 use super::load;
 use super::together::Renewing;
-use crate::routing::{Live, Operator, Order};
+use crate::proxy::{Live, Operator, Order};
 
 pub struct Signals {
     signals: SignalDelivery<UnixStream, SignalOnly>,
--- a/crates/node/src/program/together.rs
+++ b/crates/node/src/cli/together.rs
@@ -3,9 +3,9 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::{Path, PathBuf};
 
-use granitelb_plan::faculty::Help;
-use granitelb_together::courier::{Courier, Renewal};
-use granitelb_together::operator::Operator;
+use granitelb_control_plane::agent::{Courier, Renewal};
+use granitelb_control_plane::fleet_config::Operator;
+use granitelb_coordination::component::Help;
 
 use super::config::{Config, NO_NAME};
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! granitelb's real node. The layers, each using only those below it: `program`, `routing`, `protocol`,
 //! `transport`.
 
-pub mod program;
-pub mod protocol;
-pub mod routing;
+pub mod cli;
+pub mod http;
+pub mod proxy;
 pub mod transport;
--- a/crates/node/src/routing/arrivals.rs
+++ b/crates/node/src/proxy/arrivals.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 /// Bytes that come within this after others share their mark, with the earlier time: there are so few marks, also
 /// where bytes drip in while a call is out.
--- a/crates/node/src/routing/clients.rs
+++ b/crates/node/src/proxy/clients.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use granitelb::calls::{Answer, ApiCall};
-use granitelb::ids::{ApiCallId, Key, ProductId};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::{Answer, ApiCall};
+use granitelb_balancer::ids::{ApiCallId, Key, ProductId};
+use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Names;
 
 use super::arrivals::Arrivals;
 use super::exchange::{Exchanges, FinalAnswer};
-use crate::protocol::{Assembler, Fault, Head, Message, Side, write_answer, write_plain};
+use crate::http::{Assembler, Fault, Head, Message, Side, write_answer, write_plain};
 use crate::transport::{ConnId, Connection, End, Event, Listener, Owner, Ring, TimeOrder, Transport};
 
 /// A first message must be whole so long after its client connected, a later one so long after its first byte:
--- a/crates/node/src/routing/copies.rs
+++ b/crates/node/src/proxy/copies.rs
@@ -10,9 +10,9 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
-use crate::protocol::Message;
+use crate::http::Message;
 
 /// A copy comes within this, if it comes.
 const COPIES_COME: Span = Span::from_millis(250);
--- a/crates/node/src/routing/driver.rs
+++ b/crates/node/src/proxy/driver.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb::brain::{Brain, REMEMBERED};
-use granitelb::calls::Listing;
-use granitelb::ids::{CacheId, CellId, KindId, ZoneId};
-use granitelb::settings::Settings;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::{Brain, REMEMBERED};
+use granitelb_balancer::calls::Listing;
+use granitelb_balancer::ids::{CacheId, CellId, KindId, ZoneId};
+use granitelb_balancer::settings::Settings;
+use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Names;
 
 use super::clients::{Clients, stable_hash};
@@ -15,7 +15,7 @@
 use super::servers::Servers;
 use super::watch::{Heard, Watch};
 use super::witness::Witness;
-use crate::protocol::{Entry, Listings, State};
+use crate::http::{Entry, Listings, State};
 use crate::transport::Transport;
 
 pub struct Driver {
--- a/crates/node/src/routing/exchange.rs
+++ b/crates/node/src/proxy/exchange.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use granitelb::calls::{Answer, ApiCall, Outcome, Report, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, ShotNumber};
-use granitelb::units::Span;
+use granitelb_balancer::calls::{Answer, ApiCall, Outcome, Report, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::time::Span;
 
 use super::outcome::{ShotFate, load_report};
 use super::tally::Tally;
-use crate::protocol::Message;
+use crate::http::Message;
 use crate::transport::ConnId;
 
 /// The one final answer of a call.
--- a/crates/node/src/routing/mod.rs
+++ b/crates/node/src/proxy/mod.rs
@@ -1,6 +1,6 @@
 //! The layer that joins clients, caches and discovery to the decisions. Nothing is decided here: the client side
 //! and the server side know only the exchanges between them, and the driver carries what happened to the
-//! [`Brain`](granitelb::brain::Brain) and what it decides back.
+//! [`Brain`](granitelb_balancer::balancer::Brain) and what it decides back.
 
 mod arrivals;
 mod clients;
--- a/crates/node/src/routing/node.rs
+++ b/crates/node/src/proxy/node.rs
@@ -3,10 +3,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-use granitelb::brain::Brain;
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_control_plane::agent::Courier;
 use granitelb_settings::Decoded;
-use granitelb_together::courier::Courier;
 use rustix::fd::AsFd;
 
 use super::clients::{Clients, Limits};
@@ -15,7 +15,7 @@
 use super::servers::Servers;
 use super::watch::{Heard, Watch};
 use super::witness::Witness;
-use crate::protocol::Listings;
+use crate::http::Listings;
 use crate::transport::{ConnId, Event, Listener, Owner, Transport};
 
 const LISTENER: Owner = Owner(0);
--- a/crates/node/src/routing/outcome.rs
+++ b/crates/node/src/proxy/outcome.rs
@@ -1,9 +1,9 @@
 //! The one place where what became of a shot is put in the module's words.
 
-use granitelb::calls::{Outcome, Report};
+use granitelb_balancer::calls::{Outcome, Report};
 use granitelb_settings::Column;
 
-use crate::protocol::Message;
+use crate::http::Message;
 use crate::transport::End;
 
 /// What became of a shot.
--- a/crates/node/src/routing/servers.rs
+++ b/crates/node/src/proxy/servers.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb::calls::{Listing, Shot};
-use granitelb::ids::{ApiCallId, CacheId, ShotNumber};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::calls::{Listing, Shot};
+use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::time::{Span, Time};
 
 use super::copies::{Given, Telling};
 use super::exchange::Exchanges;
 use super::outcome::ShotFate;
-use crate::protocol::{Assembler, Side, write_call};
+use crate::http::{Assembler, Side, write_call};
 use crate::transport::{ConnId, Connection, End, Event, Owner, Transport};
 
 /// An idle connection is closed after this share of the time after which a cache may close it: what is written
--- a/crates/node/src/routing/tally.rs
+++ b/crates/node/src/proxy/tally.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use granitelb::calls::{Answer, Outcome};
+use granitelb_balancer::calls::{Answer, Outcome};
 
 use super::exchange::FinalAnswer;
 
--- a/crates/node/src/routing/watch.rs
+++ b/crates/node/src/proxy/watch.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 use serde::de::IgnoredAny;
 
-use crate::protocol::{Entry, Listings, Piece, Reader, Side, State};
+use crate::http::{Entry, Listings, Piece, Reader, Side, State};
 use crate::transport::{ConnId, Connection, End, Event, Owner, Transport};
 
 /// A line comes every two seconds at least: after one such time and five eighths without one the watch is lost. What it
--- a/crates/node/src/routing/witness.rs
+++ b/crates/node/src/proxy/witness.rs
@@ -4,14 +4,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Advice, Answer, Listing, Shot, ShotEnd};
-use granitelb::ids::{ApiCallId, CacheId, ShotNumber};
-use granitelb::settings::Settings;
-use granitelb::units::{Span, Time};
-use granitelb_plan::hindsight::is_sampled;
-use granitelb_plan::sight::Server;
-use granitelb_together::courier::{Desk, Note, Sent, call_of};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Advice, Answer, Listing, Shot, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::settings::Settings;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_control_plane::agent::{Desk, Note, Sent, call_of};
+use granitelb_coordination::counterfactual::is_sampled;
+use granitelb_coordination::observation::Server;
 
 use super::exchange::Exchanges;
 
--- a/crates/node/src/transport/clock.rs
+++ b/crates/node/src/transport/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 
 /// Unix time at the start, and monotonic time since: what others date by Unix time can be compared with it,
 /// and it never jumps.
--- a/crates/node/src/transport/poller.rs
+++ b/crates/node/src/transport/poller.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use granitelb::units::{Span, Time};
+use granitelb_balancer::time::{Span, Time};
 use rustix::event::{Timespec, epoll};
 use rustix::fd::{AsFd, OwnedFd};
 
--- a/crates/node/src/transport/time_order.rs
+++ b/crates/node/src/transport/time_order.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use granitelb::units::Time;
+use granitelb_balancer::time::Time;
 
 use super::ConnId;
 
--- a/crates/node/tests/scenarios/readers.rs
+++ b/crates/node/tests/scenarios/readers.rs
@@ -1,7 +1,7 @@
 //! What the node's readers make of texts, tried without a process.
 
-use granitelb_node::protocol::{Assembler, Fault, Side};
-use granitelb_node::routing::{ShotFate, load_report};
+use granitelb_node::http::{Assembler, Fault, Side};
+use granitelb_node::proxy::{ShotFate, load_report};
 use granitelb_node::transport::{End, Ring};
 
 use crate::notation::bytes;
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -7,11 +7,11 @@
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use granitelb::calls::{ApiCall, Listing, Outcome, Shot};
-use granitelb::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::units::{Span, Time};
-use granitelb_node::protocol::{Head, Message};
-use granitelb_node::routing::{Exchanges, FinalAnswer, Servers};
+use granitelb_balancer::calls::{ApiCall, Listing, Outcome, Shot};
+use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_node::http::{Head, Message};
+use granitelb_node::proxy::{Exchanges, FinalAnswer, Servers};
 use granitelb_node::transport::{ConnId, Event, Owner, Transport};
 
 const CACHE: CacheId = CacheId(7);
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use granitelb::settings::{DedupScope, Effect};
-use granitelb::units::Span;
+use granitelb_balancer::settings::{DedupScope, Effect};
+use granitelb_balancer::time::Span;
 use granitelb_settings::decode;
 use serde_json::{Value, json};
 use test_case::test_case;
--- a/crates/node/tests/together.rs
+++ b/crates/node/tests/together.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use granitelb_plan::letters::Letter;
-use granitelb_plan::{ForwarderId, Member, Sender, leases, members, verdicts};
+use granitelb_coordination::message::Letter;
+use granitelb_coordination::{ForwarderId, Member, Sender, endpoint_health, leases, membership};
 use rustix::process::Signal;
 use stage::{Client, Stage};
 
@@ -71,15 +71,15 @@
     // Each call had an answer of its cache. A planner is told once it has been heard.
     while beats < 2 || answered < 20.0 {
         if numbers.len() == 1 {
-            stage.planner.say(&Letter::Members(members::Message::Beat));
+            stage.planner.say(&Letter::Members(membership::Message::Beat));
         }
         assert!(Instant::now() < until, "{beats} beats, {answered} answers told");
         let Some((from, letter)) = stage.planner.hear() else { continue };
         assert_eq!(from.member, Member::Forwarder(ForwarderId::of_name("n")));
         assert!(numbers.insert(from.number), "a number that came before");
         match letter {
-            Letter::Members(members::Message::Beat) => beats += 1,
-            Letter::Verdicts(verdicts::Message::Report(report)) => {
+            Letter::Members(membership::Message::Beat) => beats += 1,
+            Letter::Verdicts(endpoint_health::Message::Report(report)) => {
                 beats += 1;
                 answered += report.caches.iter().map(|c| c.answered).sum::<f64>();
             }
@@ -148,7 +148,7 @@
                 (stage.fetches.load(Ordering::Relaxed), Instant::now() + Duration::from_millis(ms));
             while Instant::now() < until {
                 let Some((_, letter)) = stage.planner.hear() else { continue };
-                stage.planner.say(&Letter::Members(members::Message::Beat));
+                stage.planner.say(&Letter::Members(membership::Message::Beat));
                 let Letter::Leases(leases::Message::Ask { ask, .. }) = letter else { continue };
                 if grants {
                     let granted = vec![(leases::Resource::Origin, 40_000)];
--- a/crates/node/tests/together/fleet.rs
+++ b/crates/node/tests/together/fleet.rs
@@ -10,7 +10,7 @@
 
 use super::flood::WILD;
 use super::stage::{Client, Stage};
-use granitelb_plan::Member;
+use granitelb_coordination::Member;
 
 pub const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/node/tests/together/flood.rs
+++ b/crates/node/tests/together/flood.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-use granitelb_plan::letters::{self, Letter, Secret, Secrets};
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender, leases, members};
+use granitelb_coordination::message::{self, Letter, Secret, Secrets};
+use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender, leases, membership};
 
 use super::fleet::SECRET;
 
@@ -33,9 +33,9 @@
             let need = leases::Need { resource, amount: 1, using: 0, heads: 1, has: 0 };
             Letter::Leases(leases::Message::Ask { ask: number, needs: vec![need] })
         }
-        _ => Letter::Members(members::Message::Beat),
+        _ => Letter::Members(membership::Message::Beat),
     };
-    letters::seal(Sender { member, life: Life(life), number }, &letter, &secrets).expect("a letter")
+    message::seal(Sender { member, life: Life(life), number }, &letter, &secrets).expect("a letter")
 }
 
 fn hex(text: &str) -> Vec<u8> {
@@ -49,7 +49,7 @@
         Kind::Unsigned => {
             // As long as a letter may be: the fewer of them fill a socket.
             let mut one = sealed(wild, 1, 0);
-            one.resize(letters::MOST_BYTES, 0);
+            one.resize(message::MOST_BYTES, 0);
             vec![one]
         }
         Kind::Replayed => vec![sealed(Member::Planner(PlannerId(1)), 1, 0), sealed(wild, 1, 0)],
--- a/crates/node/tests/together/stage.rs
+++ b/crates/node/tests/together/stage.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use granitelb_plan::letters::{self, Letter, Secret, Secrets};
-use granitelb_plan::{Life, Member, PlannerId, Sender};
+use granitelb_coordination::message::{self, Letter, Secret, Secrets};
+use granitelb_coordination::{Life, Member, PlannerId, Sender};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
 
@@ -58,13 +58,13 @@
         let mut bytes = [0; 2048];
         let (read, from) = self.socket.recv_from(&mut bytes).ok()?;
         self.node = Some(from);
-        Some(letters::open(&bytes[..read], &self.secrets).expect("a letter"))
+        Some(message::open(&bytes[..read], &self.secrets).expect("a letter"))
     }
 
     pub fn say(&mut self, letter: &Letter) {
         self.number += 1;
         let sender = Sender { member: Member::Planner(PlannerId(1)), life: self.life, number: self.number };
-        let bytes = letters::seal(sender, letter, &self.secrets).expect("a letter");
+        let bytes = message::seal(sender, letter, &self.secrets).expect("a letter");
         self.send(&bytes);
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,10 +3,10 @@
 
 use std::fmt;
 
-use granitelb::calls::Report;
-use granitelb::ids::KindId;
-use granitelb::settings::{DedupScope, Effect, Product, Settings};
-use granitelb::units::Span;
+use granitelb_balancer::calls::Report;
+use granitelb_balancer::ids::KindId;
+use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::time::Span;
 use serde::Deserialize;
 
 /// What the settings say to the decisions, and what they say to whoever hosts them on sockets.
--- a/crates/adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read};
 use std::ops::Range;
 
-use granitelb::ids::CacheId;
+use granitelb_balancer::ids::CacheId;
 
 const EVENT_BYTES: usize = 48;
 const ACTION_BYTES: usize = 24;
@@ -159,6 +159,6 @@
 }
 
 /// A span for a field of 32 bits, which holds a little over an hour.
-pub fn span_bytes(span: granitelb::units::Span) -> [u8; 4] {
+pub fn span_bytes(span: granitelb_balancer::time::Span) -> [u8; 4] {
     u32::try_from(span.0).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb::brain::Brain;
-use granitelb::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb::ids::{ApiCallId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb::units::{Span, Time};
+use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
+use granitelb_balancer::ids::{ApiCallId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Column;
 
 use crate::frame::{Batch, Malformed, Record, Reply, cache_bytes, span_bytes};
--- a/crates/lab/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -69,7 +69,7 @@
         .command("check")
         .help("Check experiments");
     let folder =
-        positional::<PathBuf>("DIR").help("Where experiments are").fallback("lab/experiments".into());
+        positional::<PathBuf>("DIR").help("Where experiments are").fallback("testbed/experiments".into());
     let list = construct!(Command::List { folder })
         .to_options()
         .descr("Say what experiments there are")
@@ -191,7 +191,7 @@
         Ok(Ended::FellShort) => ExitCode::from(1),
         Ok(Ended::CouldNotRun) => ExitCode::from(2),
         Err(trouble) => {
-            eprintln!("granitelb-lab: {trouble}");
+            eprintln!("granitelb-testbed: {trouble}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    granitelb_lab::command::run()
+    granitelb_testbed::command::run()
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -381,7 +381,9 @@
 
 /// Where a run's files go, below the system's place for temporary ones.
 pub fn scratch(name: &str, seed: u64) -> PathBuf {
-    std::env::temp_dir().join(format!("granitelb-lab-{}", std::process::id())).join(format!("{name}-{seed}"))
+    std::env::temp_dir()
+        .join(format!("granitelb-testbed-{}", std::process::id()))
+        .join(format!("{name}-{seed}"))
 }
 
 #[cfg(test)]
--- a/crates/lab/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-use granitelb_lab::audit::Verdict;
-use granitelb_lab::experiment::Experiment;
+use granitelb_testbed::audit::Verdict;
+use granitelb_testbed::experiment::Experiment;
 use support::play;
 use test_case::test_case;
 
@@ -87,7 +87,7 @@
 fn program(vice: &str, name: &str) -> PathBuf {
     let file = format!("stand-in-{name}-{}.sh", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
-    let lab = env!("CARGO_BIN_EXE_granitelb-lab");
+    let lab = env!("CARGO_BIN_EXE_granitelb-testbed");
     // It is started as the real program is: `serve --config FILE`.
     let text = format!("#!/bin/sh\nshift\nexec '{lab}' stand-in-node --vice {vice} \"$@\"\n");
     // Written by a process of its own: one that another test starts at that moment would inherit a descriptor of ours that
--- a/crates/lab/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -1,14 +1,14 @@
 //! The experiments of the repository, each played once on the real program: the four rules, counts and recovery.
-//! What hangs on the machine's speed is left to `granitelb-lab run`.
+//! What hangs on the machine's speed is left to `granitelb-testbed run`.
 
 mod support;
 
 use std::path::Path;
 
-use granitelb_lab::book::{Moment, Shot};
-use granitelb_lab::experiment::Experiment;
-use granitelb_lab::schedule::Schedule;
-use granitelb_lab::{played, program, recording, stats};
+use granitelb_testbed::book::{Moment, Shot};
+use granitelb_testbed::experiment::Experiment;
+use granitelb_testbed::schedule::Schedule;
+use granitelb_testbed::{played, program, recording, stats};
 use support::{Turn, file, play};
 use test_case::test_case;
 
--- a/crates/lab/tests/growth.rs
+++ b/crates/testbed/tests/growth.rs
@@ -1,10 +1,10 @@
 //! Splits of growing shards behind real nodes, with real planners: by the lab's own books. What hangs on the machine's
-//! speed is left to `granitelb-lab run`.
+//! speed is left to `granitelb-testbed run`.
 
 mod support;
 
-use granitelb_lab::experiment::Experiment;
-use granitelb_lab::program;
+use granitelb_testbed::experiment::Experiment;
+use granitelb_testbed::program;
 use support::{file, play_strictly};
 use test_case::test_case;
 
@@ -35,7 +35,8 @@
     let (service, late, stalled) = (figures.service, figures.rig_late_ms, figures.rig_stalled_ms);
     println!("{name}: service {service:.4}, late {late:.1} ms, stalled {stalled:.1} ms, {growth}");
     assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
-    let grew = |s: &&granitelb_lab::audit::Shortfall| s.bar.starts_with("growth") || s.bar == "stale_reads";
+    let grew =
+        |s: &&granitelb_testbed::audit::Shortfall| s.bar.starts_with("growth") || s.bar == "stale_reads";
     assert_eq!(verdict.shortfalls.iter().find(grew), None, "{growth}");
     assert!(service > 0.8, "{service:.4}");
 }
--- a/crates/lab/tests/hindsight.rs
+++ b/crates/testbed/tests/hindsight.rs
@@ -6,9 +6,9 @@
 
 use std::path::Path;
 
-use granitelb_lab::audit::Verdict;
-use granitelb_lab::experiment::Experiment;
-use granitelb_lab::program;
+use granitelb_testbed::audit::Verdict;
+use granitelb_testbed::experiment::Experiment;
+use granitelb_testbed::program;
 use support::play;
 use test_case::test_case;
 
--- a/crates/lab/tests/hunt.rs
+++ b/crates/testbed/tests/hunt.rs
@@ -1,6 +1,6 @@
-//! Two timelines of overlapping faults, short, played by the real program. Others are for `granitelb-lab hunt`.
+//! Two timelines of overlapping faults, short, played by the real program. Others are for `granitelb-testbed hunt`.
 
-use granitelb_lab::{hunt, program};
+use granitelb_testbed::{hunt, program};
 use test_case::test_case;
 
 const SECONDS: f64 = 8.0;
--- a/tests/known_red.rs
+++ b/crates/testbed/tests/known_red.rs
@@ -42,10 +42,10 @@
 #[test_case("failed", 0, FIRST, "cargo test ended with 0, 1 tests failed", false; "a status that says less")]
 #[test_case("failed", 130, FIRST, "cargo test ended with 130", false; "a run broken off")]
 fn the_judge_says(output: &str, status: i32, listed: &str, says: &str, passes: bool) {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let list = tempfile(listed);
-    let mut judge = Command::new(root.join(".ci/verdict"));
-    judge.arg(&list).arg(root.join("tests/known_red").join(output).with_extension("txt"));
+    let mut judge = Command::new(package.join("../../.ci/verdict"));
+    judge.arg(&list).arg(package.join("tests/known_red").join(output).with_extension("txt"));
     let judged = judge.arg(status.to_string()).output().expect("the judge");
     let said = String::from_utf8(judged.stdout).expect("text");
     assert!(said.contains(says), "{said}");
@@ -57,10 +57,10 @@
 
 #[test]
 fn without_a_list_nothing_is_passed_over() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     for (output, status, passes) in [("passed", "0", true), ("failed", "101", false)] {
-        let mut judge = Command::new(root.join(".ci/verdict"));
-        judge.arg("there-is-none").arg(root.join("tests/known_red").join(output).with_extension("txt"));
+        let mut judge = Command::new(package.join("../../.ci/verdict"));
+        judge.arg("there-is-none").arg(package.join("tests/known_red").join(output).with_extension("txt"));
         let judged = judge.arg(status).output().expect("the judge");
         assert_eq!(judged.status.success(), passes, "{}", String::from_utf8_lossy(&judged.stdout));
     }
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
-use granitelb_lab::audit::Verdict;
-use granitelb_lab::experiment::Experiment;
-use granitelb_lab::played::{self, Played};
+use granitelb_testbed::audit::Verdict;
+use granitelb_testbed::experiment::Experiment;
+use granitelb_testbed::played::{self, Played};
 
 /// So many at a time leave each of them cores enough. With three on six cores one answer came 4 ms past its time; that the
 /// number was the cause is not shown.
@@ -40,7 +40,7 @@
 
 /// An experiment of the repository.
 pub fn file(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/experiments").join(name).with_extension("toml")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/experiments").join(name).with_extension("toml")
 }
 
 /// Plays an experiment until the rig was on time.
--- a/crates/lab/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -1,10 +1,10 @@
 //! Fleets with planners, as the real program: the rules, what leases add up to, and that nothing comes to an end. What
-//! hangs on the machine's speed is left to `granitelb-lab run`.
+//! hangs on the machine's speed is left to `granitelb-testbed run`.
 
 mod support;
 
-use granitelb_lab::experiment::Experiment;
-use granitelb_lab::program;
+use granitelb_testbed::experiment::Experiment;
+use granitelb_testbed::program;
 use support::{file, play};
 use test_case::test_case;
 
@@ -26,8 +26,8 @@
     println!("rig late {:.1} ms, stalled {:.1} ms", figures.rig_late_ms, figures.rig_stalled_ms);
     assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
     // Letters went both ways: a fleet of lone nodes would hold to all else.
-    let heard = |l: &&granitelb_lab::book::Carried| {
-        matches!(l.from, granitelb_lab::book::Member::Planner(_)) && !l.passed.is_empty()
+    let heard = |l: &&granitelb_testbed::book::Carried| {
+        matches!(l.from, granitelb_testbed::book::Member::Planner(_)) && !l.passed.is_empty()
     };
     assert!(book.letters.iter().filter(heard).count() > 100, "{together:?}");
     let fell = verdict
