--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! All decisions of one node. Make a [`Brain`] from the settings; tell it what happens (that only updates
+//! All decisions of one node. Make a [`Balancer`] from the settings; tell it what happens (that only updates
 //! what is known); then pull `next_shot`, `next_answer`, `next_recall` and `wants_watch` until none is left,
 //! and call again by `next_wake`. The ordinary path is `ranked` in `choosing`: the highest weight among a
 //! key's three candidates. Rules are kept in `may_send` there, which every shot passes, and in `answer` in
@@ -15,12 +15,15 @@
 use std::ops::Bound::{Excluded, Unbounded};
 
 use self::zones::Zones;
-use crate::calls::{Advice, Answer, ApiCall, Lease, Listing, Outcome, Report, Shot, ShotEnd};
+use crate::calls::{
+    Attempt, AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, Lease, LoadReport,
+    LocalReply, Request,
+};
 use crate::decaying::{FadingLevel, FadingMean, FadingSum};
-use crate::ids::{ApiCallId, CacheId, Key, ProductId, ShotNumber};
-use crate::pending_request::{Open, Sent};
+use crate::ids::{AttemptNumber, EndpointId, Key, RequestClassId, RequestId};
+use crate::pending_request::{InFlightAttempt, PendingRequest};
 use crate::seeded_hash::{hash_of, unit};
-use crate::settings::{DedupScope, Effect, Product, Settings};
+use crate::settings::{DedupScope, Effect, RequestClass, Settings};
 use crate::slot_table::SlotTable;
 use crate::time::{Span, Time};
 
@@ -112,7 +115,7 @@
 }
 
 struct Cache {
-    listing: Listing,
+    listing: EndpointUpdate,
     is_origin: bool,
     /// A bit each, the last one lowest; successes are ones.
     outcomes: u32,
@@ -131,7 +134,7 @@
     /// When anything was heard from it last.
     heard: Time,
     /// What it reported of its load last, and when.
-    told: Option<(Time, Report)>,
+    told: Option<(Time, LoadReport)>,
     /// When the list dropped it, though it was not seen to drain.
     dropped: Option<Time>,
 }
@@ -139,15 +142,15 @@
 struct KeyWeights {
     table: u64,
     slot: u64,
-    slots: [Option<(CacheId, f64)>; CANDIDATES],
+    slots: [Option<(EndpointId, f64)>; CANDIDATES],
     asked: FadingSum,
 }
 
-pub struct Brain {
+pub struct Balancer {
     settings: Settings,
     seed: u64,
     chances: u64,
-    caches: BTreeMap<CacheId, Cache>,
+    caches: BTreeMap<EndpointId, Cache>,
     /// The serving caches, and the three best of them in each slot.
     table: SlotTable<CANDIDATES>,
     keys: HashMap<Key, KeyWeights>,
@@ -155,16 +158,16 @@
     learned: Time,
     /// For each product, how long an answer takes in seconds: a cache's without a fetch, and the origin's.
     latencies: Vec<[FadingMean; 2]>,
-    open: HashMap<ApiCallId, Open>,
-    ready: BTreeMap<(u64, u64), ApiCallId>,
+    open: HashMap<RequestId, PendingRequest>,
+    ready: BTreeMap<(u64, u64), RequestId>,
     cursor: Option<(u64, u64)>,
-    alarms: BTreeSet<(Time, ApiCallId)>,
+    alarms: BTreeSet<(Time, RequestId)>,
     /// The reads that have a fetch of their key out, and those that wait for it.
-    fetching: HashMap<Key, (ApiCallId, Vec<ApiCallId>)>,
+    fetching: HashMap<Key, (RequestId, Vec<RequestId>)>,
     /// Every shot whose end was not heard yet, also of calls that have ended.
-    out: HashMap<(ApiCallId, ShotNumber), Sent>,
-    answers: VecDeque<(ApiCallId, Answer)>,
-    recalls: VecDeque<(ApiCallId, ShotNumber)>,
+    out: HashMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    answers: VecDeque<(RequestId, LocalReply)>,
+    recalls: VecDeque<(RequestId, AttemptNumber)>,
     calls_seen: u64,
     reask: Option<(Time, Span)>,
     /// Work sent to caches in the fall window, and its part for each unit of warm size over a warm-up's time.
@@ -178,18 +181,18 @@
 }
 
 /// What is expected of a product's answers before any came.
-fn unknown_latencies(product: &Product, now: Time) -> [FadingMean; 2] {
-    [FadingMean::new(RATE_MEMORY, now, product.slo.as_secs_f64() / 8.0); 2]
+fn unknown_latencies(request_class: &RequestClass, now: Time) -> [FadingMean; 2] {
+    [FadingMean::new(RATE_MEMORY, now, request_class.slo.as_secs_f64() / 8.0); 2]
 }
 
-impl Brain {
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Brain {
-        Brain {
+impl Balancer {
+    pub fn new(settings: Settings, seed: u64, now: Time) -> Balancer {
+        Balancer {
             sent: FadingSum::new(settings.fall_window.max(LEARNING_STEP), now),
             wanted: FadingSum::new(settings.fall_window.max(LEARNING_STEP), now),
             warm_size: 0.0,
             carried: FadingMean::new(settings.warm_after.max(LEARNING_STEP), now, 0.0),
-            latencies: settings.products.iter().map(|p| unknown_latencies(p, now)).collect(),
+            latencies: settings.request_classes.iter().map(|p| unknown_latencies(p, now)).collect(),
             reask: settings.list_on_request.then_some((now, FIRST_REASK)),
             settings,
             seed,
@@ -215,11 +218,11 @@
 
     /// Other settings hold from now on; products keep their places, new ones follow. Calls that are open keep
     /// their terms. What was learnt of caches stands where it still means the same; the rest starts anew.
-    pub fn settings_changed(&mut self, now: Time, settings: Settings) {
+    pub fn on_settings_update(&mut self, now: Time, settings: Settings) {
         self.heard(now);
         let old = std::mem::replace(&mut self.settings, settings);
         let s = &self.settings;
-        let new = s.products.iter().skip(self.latencies.len()).map(|p| unknown_latencies(p, now));
+        let new = s.request_classes.iter().skip(self.latencies.len()).map(|p| unknown_latencies(p, now));
         self.latencies.extend(new);
         for c in self.caches.values_mut() {
             // Usage may be of another kind now, and limits start by the number of nodes; shots that are out
@@ -240,43 +243,44 @@
     }
 
     /// The list that an earlier life of this node last saw; it may be old.
-    pub fn caches_remembered(&mut self, now: Time, listings: &[Listing]) {
+    pub fn on_endpoints_restored(&mut self, now: Time, listings: &[EndpointUpdate]) {
         self.take_list(now, listings, true);
     }
 
     /// The list of caches, or its changed lines. Where it only comes on request, the watch stands.
-    pub fn caches_listed(&mut self, now: Time, listings: &[Listing], complete: bool) {
+    pub fn on_endpoints_update(&mut self, now: Time, listings: &[EndpointUpdate], complete: bool) {
         self.reask = None;
         self.take_list(now, listings, complete);
     }
 
     /// The list could not be had, or the watch was lost.
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn on_endpoints_watch_failed(&mut self, now: Time) {
         self.heard(now);
         let wait = self.reask.map_or(FIRST_REASK, |r| Span(r.1.0 * 2).min(LAST_REASK));
         self.reask = Some((now + wait.scaled(0.5 + self.chance()), wait));
     }
 
-    pub fn api_call(&mut self, now: Time, id: ApiCallId, call: ApiCall) {
+    pub fn on_request(&mut self, now: Time, id: RequestId, call: Request) {
         self.heard(now);
-        let Some(product) = self.settings.products.get(call.product.0 as usize) else {
-            return self.answers.push_back((id, Answer::Errored));
+        let Some(request_class) = self.settings.request_classes.get(call.request_class.0 as usize) else {
+            return self.answers.push_back((id, LocalReply::Errored));
         };
-        let slo = product.slo.min(call.budget);
-        let work = if self.settings.value_by_work { 1.0 } else { self.latency(now, call.product, false) };
-        let value = product.billed_value / work.max(1e-6);
+        let slo = request_class.slo.min(call.budget);
+        let work =
+            if self.settings.value_by_work { 1.0 } else { self.latency(now, call.request_class, false) };
+        let value = request_class.billed_value / work.max(1e-6);
         self.calls_seen += 1;
         let rank = (u64::MAX - value.to_bits(), self.calls_seen);
-        let open = Open {
+        let open = PendingRequest {
             call,
             rank,
             slo_end: now + slo,
-            worth_end: now + if product.late_value > 0.0 { call.budget } else { slo },
+            worth_end: now + if request_class.value_after_slo > 0.0 { call.budget } else { slo },
             end: now + call.budget,
             patience_end: now + slo.scaled(PATIENCE),
             shots: Vec::new(),
-            most_shots: self.settings.max_shots as usize,
-            come_back: product.slo.scaled(COME_BACK).min(self.settings.max_come_back),
+            most_shots: self.settings.max_attempts as usize,
+            retry_after: request_class.slo.scaled(COME_BACK).min(self.settings.max_retry_after),
             may_have_run: None,
             passed: Vec::new(),
             lacking: false,
@@ -288,32 +292,34 @@
     }
 
     /// The client no longer waits for this call, or was answered otherwise.
-    pub fn client_left(&mut self, now: Time, id: ApiCallId) {
+    pub fn on_client_disconnect(&mut self, now: Time, id: RequestId) {
         self.heard(now);
         self.close(id);
     }
 
-    pub fn shot_ended(&mut self, now: Time, id: ApiCallId, end: &ShotEnd) {
+    pub fn on_attempt_finished(&mut self, now: Time, id: RequestId, end: &AttemptResult) {
         self.heard(now);
-        let ShotEnd { number, cache, outcome, latency, answered } = *end;
+        let AttemptResult { number, cache, outcome, latency, answered } = *end;
         let Some(sent) = self.out.remove(&(id, number)).filter(|s| s.cache == cache) else { return };
         self.judge(now, &sent, outcome, latency);
         let (origin, lost) = (self.is_origin(cache), self.is_overtaken(&sent));
-        let typical = Span::from_secs_f64(self.latency(now, sent.call.product, false));
+        let typical = Span::from_secs_f64(self.latency(now, sent.call.request_class, false));
         let Some(open) = self.open.get_mut(&id) else { return };
         open.shots.iter_mut().skip(number.0 as usize).take(1).for_each(|shot| shot.out = false);
-        if !outcome.proves_it_never_ran() && open.may_have_run.is_none_or(|n| n > number.0 as usize) {
+        if !outcome.proves_not_executed() && open.may_have_run.is_none_or(|n| n > number.0 as usize) {
             open.may_have_run = Some(number.0 as usize);
         }
-        open.lacking |= outcome == Outcome::Lacking && !origin;
+        open.lacking |= outcome == AttemptOutcome::CacheMiss && !origin;
         // A first reset may be its connection's alone: the cache that holds the key is asked once more.
-        let again = outcome == Outcome::Reset && open.shots.iter().filter(|s| s.cache == cache).count() == 1;
-        let stays = matches!(outcome, Outcome::Full | Outcome::Moot) || outcome == Outcome::Recalled && lost;
+        let again =
+            outcome == AttemptOutcome::Reset && open.shots.iter().filter(|s| s.cache == cache).count() == 1;
+        let stays = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::NotSent)
+            || outcome == AttemptOutcome::Cancelled && lost;
         open.passed.extend((!origin && !stays && !again).then_some(cache));
         self.release_joined(id);
         if answered {
             self.close(id);
-        } else if !self.settings.aside() && outcome == Outcome::Errored && latency > typical {
+        } else if !self.settings.is_cache_aside() && outcome == AttemptOutcome::Errored && latency > typical {
             // An error slower than an answer tells of a failed fetch: another would only ask for it too.
             self.give_up(id);
         } else if self.open.get(&id).is_some_and(|o| o.first_out().is_none()) {
@@ -322,7 +328,7 @@
     }
 
     /// A cache's load report, told with an answer; told before what became of the shot.
-    pub fn load_reported(&mut self, now: Time, cache: CacheId, report: &Report) {
+    pub fn on_load_report(&mut self, now: Time, cache: EndpointId, report: &LoadReport) {
         self.heard(now);
         if let Some(c) = self.caches.get_mut(&cache) {
             c.told = Some((now, *report));
@@ -331,7 +337,7 @@
 
     /// What planners say of caches. Own evidence that is fresher stands; and since all may lie, no more
     /// caches are left out by it than a third, and none is taken back in but by a trial.
-    pub fn plan_heard(&mut self, now: Time, advice: &Advice) {
+    pub fn on_control_plane_update(&mut self, now: Time, advice: &ControlPlaneUpdate) {
         self.heard(now);
         let most = (self.table.len() as f64 * MINORITY).max(1.0) as usize;
         let mut out = self.caches.values().filter(|c| c.trial.is_some()).count();
@@ -352,7 +358,7 @@
         }
     }
 
-    pub fn next_shot(&mut self, now: Time) -> Option<Shot> {
+    pub fn poll_attempt(&mut self, now: Time) -> Option<Attempt> {
         self.advance(now);
         loop {
             let after = self.cursor.map_or(Unbounded, Excluded);
@@ -364,20 +370,20 @@
         }
     }
 
-    pub fn next_answer(&mut self, now: Time) -> Option<(ApiCallId, Answer)> {
+    pub fn poll_response(&mut self, now: Time) -> Option<(RequestId, LocalReply)> {
         self.advance(now);
         self.answers.pop_front()
     }
 
-    pub fn next_recall(&mut self) -> Option<(ApiCallId, ShotNumber)> {
+    pub fn poll_cancellation(&mut self) -> Option<(RequestId, AttemptNumber)> {
         self.recalls.pop_front()
     }
 
     /// Whether to ask for a watch on the list now.
-    pub fn wants_watch(&mut self, now: Time) -> bool {
+    pub fn poll_watch_request(&mut self, now: Time) -> bool {
         let Some((_, wait)) = self.reask.filter(|(at, _)| *at <= now) else { return false };
         // Settings under which nobody has to ask name no time for it.
-        let most = Some(self.settings.must_ask_in).filter(|most| *most > Span::ZERO);
+        let most = Some(self.settings.max_poll_interval).filter(|most| *most > Span::ZERO);
         self.reask = Some((now + most.unwrap_or(UNANSWERED).min(UNANSWERED), wait));
         true
     }
@@ -389,7 +395,7 @@
     }
 
     /// When to pull again if nothing happens before.
-    pub fn next_wake(&self, now: Time) -> Option<Time> {
+    pub fn poll_timeout(&self, now: Time) -> Option<Time> {
         let alarm = self.alarms.first().map(|a| a.0);
         let recheck = (!self.ready.is_empty()).then_some(now + RECHECK);
         [alarm, recheck, self.reask.map(|r| r.0)].into_iter().flatten().min().map(|w| w.max(now))
--- a/crates/balancer/src/balancer/caches.rs
+++ b/crates/balancer/src/balancer/caches.rs
@@ -36,7 +36,13 @@
         self.listing.ready && !self.is_origin
     }
 
-    pub(super) fn new(listing: Listing, settings: &Settings, draw: f64, held: f64, now: Time) -> Cache {
+    pub(super) fn new(
+        listing: EndpointUpdate,
+        settings: &Settings,
+        draw: f64,
+        held: f64,
+        now: Time,
+    ) -> Cache {
         let is_origin = Some(listing.kind) == settings.origin;
         Cache {
             listing,
--- a/crates/balancer/src/balancer/choosing.rs
+++ b/crates/balancer/src/balancer/choosing.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-impl Brain {
+impl Balancer {
     /// The shot for a call that waits, if one can be sent; else it may be given up or go on waiting.
-    pub(super) fn place(&mut self, now: Time, id: ApiCallId) -> Option<Shot> {
+    pub(super) fn place(&mut self, now: Time, id: RequestId) -> Option<Attempt> {
         let open = self.open.get(&id)?;
         // Ranked once for calls that wait while the table changes, not at each look at each of them.
         self.keys.get(&open.call.key).into_iter().for_each(|k| self.table.use_slot(k.slot));
-        let asks_origin =
-            open.call.write && self.settings.aside() || open.lacking && self.old_place(now, id).is_none();
-        let typical = Span::from_secs_f64(self.latency(now, open.call.product, asks_origin));
+        let asks_origin = open.call.write && self.settings.is_cache_aside()
+            || open.lacking && self.old_place(now, id).is_none();
+        let typical = Span::from_secs_f64(self.latency(now, open.call.request_class, asks_origin));
         // Nothing can come of a call that may have run and must not run twice: it is not sat upon.
         let may = |c: &Cache| !open.passed.contains(&c.listing.cache) && self.may_repeat(now, open, c);
         let barred = open.may_have_run.is_some() && !self.caches.values().any(may);
@@ -28,7 +28,9 @@
         }
         // A read that was turned away everywhere has its last shot where one more crowd can't be met.
         let late = now + typical > open.slo_end;
-        let last = self.settings.aside() && !open.shots.is_empty() && open.shots.len() + 1 == open.most_shots;
+        let last = self.settings.is_cache_aside()
+            && !open.shots.is_empty()
+            && open.shots.len() + 1 == open.most_shots;
         let part = if asks_origin && !late { 1.0 } else { SPARE_PART };
         let at_origin = (asks_origin || last).then(|| self.free_origin(now, id, part)).flatten();
         let found = at_origin.or_else(|| self.best_candidate(now, id).filter(|_| !asks_origin));
@@ -42,7 +44,7 @@
     }
 
     /// A key's candidates that the list holds, the highest weight first.
-    pub fn ranked(&self, key: Key) -> Vec<CacheId> {
+    pub fn ranked(&self, key: Key) -> Vec<EndpointId> {
         let slots = match self.keys.get(&key) {
             Some(weights) if weights.table == self.table.version() => weights.slots,
             known => self.start_weights(key, known.map_or_else(|| self.slot_of(key, 0.0), |k| k.slot)),
@@ -53,7 +55,7 @@
     }
 
     /// The candidate of highest weight that may be sent to.
-    fn best_candidate(&self, now: Time, id: ApiCallId) -> Option<CacheId> {
+    fn best_candidate(&self, now: Time, id: RequestId) -> Option<EndpointId> {
         let open = &self.open[&id];
         let old = || self.old_place(now, id).into_iter().collect();
         let ranked = if open.lacking { old() } else { self.ranked(open.call.key) };
@@ -61,7 +63,7 @@
     }
 
     /// Where a read that missed may yet find its key, a shot left for the origin: its shard is being split.
-    fn old_place(&self, now: Time, id: ApiCallId) -> Option<CacheId> {
+    fn old_place(&self, now: Time, id: RequestId) -> Option<EndpointId> {
         let open = &self.open[&id];
         let (key, left) = (open.call.key, open.shots.len() + 1 < open.most_shots);
         let old = self.start_weights(key, self.table.old_slot(hash_of(key)).filter(|_| left)?);
@@ -70,31 +72,31 @@
     }
 
     /// The origin, if this part of its in-flight limit has room.
-    fn free_origin(&self, now: Time, id: ApiCallId, part: f64) -> Option<CacheId> {
+    fn free_origin(&self, now: Time, id: RequestId, part: f64) -> Option<EndpointId> {
         let spare = |c: &Cache| c.is_origin && c.limit.in_flight < c.limit.most.max(1.0) * part;
         let mut origins = self.caches.iter().filter(|(_, c)| spare(c)).map(|(id, _)| *id);
         origins.find(|c| self.is_free(now, id, *c))
     }
 
     /// Whether all candidates of a read fail or failed it: nobody is left but the origin, under its limit.
-    fn all_fail(&self, now: Time, id: ApiCallId) -> bool {
+    fn all_fail(&self, now: Time, id: RequestId) -> bool {
         let open = &self.open[&id];
         let out = |c: &Cache| c.trial.is_some() || !self.zones.may_try(now, c.listing.zone);
         let fails = |c| open.passed.contains(c) || self.caches.get(c).is_some_and(out);
         let ranked = self.ranked(open.call.key);
-        self.settings.aside() && !ranked.is_empty() && ranked.iter().all(fails)
+        self.settings.is_cache_aside() && !ranked.is_empty() && ranked.iter().all(fails)
     }
 
-    fn is_free(&self, now: Time, id: ApiCallId, cache: CacheId) -> bool {
+    fn is_free(&self, now: Time, id: RequestId, cache: EndpointId) -> bool {
         self.may_send(now, id, cache) && self.has_room(now, id, cache)
     }
 
     /// Whether health and the in-flight limit leave room at this cache.
-    pub(super) fn has_room(&self, now: Time, id: ApiCallId, cache: CacheId) -> bool {
+    pub(super) fn has_room(&self, now: Time, id: RequestId, cache: EndpointId) -> bool {
         let open = &self.open[&id];
         let Some(c) = self.caches.get(&cache) else { return false };
         // Only what may run again is risked on a cache that fails, or in a zone that is silent.
-        let idempotent = self.product(open.call.product).effect == Effect::Idempotent;
+        let idempotent = self.request_class(open.call.request_class).effect == Effect::Idempotent;
         let tried = |at| at <= now && c.limit.in_flight < 1.0 && idempotent;
         let barred = open.passed.contains(&cache) || c.trial.is_some_and(|(at, _)| !tried(at));
         let risks = idempotent && self.zones.may_try(now, c.listing.zone);
@@ -111,12 +113,12 @@
     }
 
     /// The gate of the rules that every shot passes.
-    fn may_send(&self, now: Time, id: ApiCallId, cache: CacheId) -> bool {
+    fn may_send(&self, now: Time, id: RequestId, cache: EndpointId) -> bool {
         let (Some(open), Some(c)) = (self.open.get(&id), self.caches.get(&cache)) else { return false };
         // Rule 1: nothing for a call that has ended.
         let lives = now < open.end && open.shots.len() < open.most_shots;
         // Rule 2: no effect twice, and no two shots out where the site forbids it.
-        let single = self.settings.second_copies || open.first_out().is_none();
+        let single = self.settings.hedged_requests || open.first_out().is_none();
         let harmless = single && self.may_repeat(now, open, c);
         // Rule 3: nothing new from the moment the node knows, well within the grace.
         let ready = c.listing.ready;
@@ -127,9 +129,9 @@
     }
 
     /// Whether an effect is safe from happening twice if the call goes to this cache too.
-    fn may_repeat(&self, now: Time, open: &Open, c: &Cache) -> bool {
+    fn may_repeat(&self, now: Time, open: &PendingRequest, c: &Cache) -> bool {
         let Some(first) = open.first_risky().map(|n| open.shots[n]) else { return true };
-        match self.product(open.call.product).effect {
+        match self.request_class(open.call.request_class).effect {
             Effect::Idempotent => true,
             Effect::NonIdempotent => false,
             Effect::Deduplicated { scope, window } => {
@@ -145,8 +147,8 @@
     }
 
     /// Until when a shot of this call may begin: the gate is passed once, and its connection may come up later.
-    fn begin_by(&self, open: &Open) -> Time {
-        match (self.product(open.call.product).effect, open.first_risky()) {
+    fn begin_by(&self, open: &PendingRequest) -> Time {
+        match (self.request_class(open.call.request_class).effect, open.first_risky()) {
             (Effect::Deduplicated { window, .. }, Some(first)) => {
                 open.end.min(open.shots[first].at + window.scaled(REPEATED_IN))
             }
@@ -169,7 +171,7 @@
     }
 
     /// What a call takes of what a cold cache stands, or of a lease: writes can go to the origin alone.
-    fn cost(&self, now: Time, c: &Cache, call: &ApiCall) -> f64 {
+    fn cost(&self, now: Time, c: &Cache, call: &Request) -> f64 {
         match c.lease.filter(|_| c.is_origin) {
             Some(_) => f64::from(u8::from(!call.write)),
             None if self.warmth(now, c) >= 1.0 => 0.0,
@@ -185,13 +187,13 @@
         (c.saved.0 + rate * (now - c.saved.1).as_secs_f64()).min(most)
     }
 
-    fn send(&mut self, now: Time, id: ApiCallId, cache: CacheId) -> Shot {
+    fn send(&mut self, now: Time, id: RequestId, cache: EndpointId) -> Attempt {
         let (c, call) = (&self.caches[&cache], self.open[&id].call);
         let (origin, work, cost) = (c.is_origin, self.work_of(now, &call), self.cost(now, c, &call));
         let begin_within = self.begin_by(&self.open[&id]) - now;
         let open = self.open.get_mut(&id).expect("placed calls are open");
-        let (end, sent) = (open.end, Sent { call, cache, at: now, out: true });
-        self.out.insert((id, ShotNumber(open.shots.len() as u8)), sent);
+        let (end, sent) = (open.end, InFlightAttempt { call, cache, at: now, out: true });
+        self.out.insert((id, AttemptNumber(open.shots.len() as u8)), sent);
         open.shots.push(sent);
         self.ready.remove(&open.rank);
         if origin && !open.call.write {
@@ -205,7 +207,7 @@
         self.sent.add(now, if origin { 0.0 } else { work });
         (!origin).then(|| self.zones.tried(now, c.listing.zone));
         c.trial = c.trial.map(|(_, wait)| (now + wait, Span(wait.0 * 2).min(LAST_TRIAL)));
-        self.alarms.insert((now + self.product(call.product).slo.scaled(SLOW_SHARE), id));
-        Shot { api_call: id, cache, give_up_after: end - now, begin_within }
+        self.alarms.insert((now + self.request_class(call.request_class).slo.scaled(SLOW_SHARE), id));
+        Attempt { request: id, cache, give_up_after: end - now, begin_within }
     }
 }
--- a/crates/balancer/src/balancer/known.rs
+++ b/crates/balancer/src/balancer/known.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-impl Brain {
-    pub(super) fn take_list(&mut self, now: Time, listings: &[Listing], complete: bool) {
+impl Balancer {
+    pub(super) fn take_list(&mut self, now: Time, listings: &[EndpointUpdate], complete: bool) {
         self.heard(now);
         let doubts = self.settings.only_draining_binds;
         let drop = |c: &mut Cache| {
@@ -11,7 +11,7 @@
             c.listing.ready = false;
         };
         if complete {
-            let named: BTreeSet<CacheId> = listings.iter().map(|l| l.cache).collect();
+            let named: BTreeSet<EndpointId> = listings.iter().map(|l| l.cache).collect();
             self.caches.values_mut().filter(|c| !named.contains(&c.listing.cache)).for_each(drop);
         }
         for listing in listings {
@@ -58,7 +58,7 @@
             self.alarms.remove(&(at, id));
             let Some(open) = self.open.get(&id) else { continue };
             if at >= open.end {
-                self.answer(id, Answer::Errored);
+                self.answer(id, LocalReply::Errored);
             } else if at >= open.slo_end && open.first_out().is_none() {
                 self.give_up(id);
             } else {
@@ -73,10 +73,18 @@
     }
 
     /// Judges a cache by an outcome: its health, its in-flight limit, and how long answers take.
-    pub(super) fn judge(&mut self, now: Time, sent: &Sent, outcome: Outcome, latency: Span) {
-        let (origin, aside, chance) = (self.is_origin(sent.cache), self.settings.aside(), self.chance());
-        let slo = self.product(sent.call.product).slo;
-        let service = Span::from_secs_f64(self.latency(now, sent.call.product, origin) * (0.5 + chance));
+    pub(super) fn judge(
+        &mut self,
+        now: Time,
+        sent: &InFlightAttempt,
+        outcome: AttemptOutcome,
+        latency: Span,
+    ) {
+        let (origin, aside, chance) =
+            (self.is_origin(sent.cache), self.settings.is_cache_aside(), self.chance());
+        let slo = self.request_class(sent.call.request_class).slo;
+        let service =
+            Span::from_secs_f64(self.latency(now, sent.call.request_class, origin) * (0.5 + chance));
         // A slow cache's rest goes by its own answers, or a crowd of quiet nodes never leaves it.
         let rest = if origin { service } else { service.max(latency) };
         // A cache's queue serves all products: it must be short enough for the one with the least time.
@@ -88,52 +96,55 @@
         let waits = self.told_wait(now, sent.cache).is_none_or(|wait| wait > short);
         let slow = latency > least.max(quickest.scaled(6.0).min(slo.scaled(0.7))) && waits;
         // What came too late does not count: it would make every call look hopeless.
-        if outcome == Outcome::Fulfilled && latency <= slo {
-            let mean = &mut self.latencies[sent.call.product.0 as usize][usize::from(origin)];
+        if outcome == AttemptOutcome::Fulfilled && latency <= slo {
+            let mean = &mut self.latencies[sent.call.request_class.0 as usize][usize::from(origin)];
             mean.add(now, latency.as_secs_f64());
         }
         let overtaken = self.is_overtaken(sent);
         let Some(c) = self.caches.get_mut(&sent.cache) else { return };
         c.usage.step_by(now, -1.0);
         match outcome {
-            Outcome::TimedOut | Outcome::Recalled if overtaken || latency < least => {}
-            Outcome::TimedOut | Outcome::Recalled | Outcome::Unreachable if !origin => {
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if overtaken || latency < least => {}
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Unreachable if !origin => {
                 self.zones.unanswered(now, c.listing.zone, sent.cache);
             }
-            Outcome::TimedOut | Outcome::Recalled | Outcome::Unreachable | Outcome::Moot => {}
+            AttemptOutcome::TimedOut
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::Unreachable
+            | AttemptOutcome::NotSent => {}
             _ => {
                 c.heard = now;
                 // The origin's place is no sign of the caches there.
                 (!origin).then(|| self.zones.heard(now, c.listing.zone));
             }
         }
-        let (answered, soon) = (outcome == Outcome::Fulfilled, latency < slo.scaled(SILENCE_SHARE));
+        let (answered, soon) = (outcome == AttemptOutcome::Fulfilled, latency < slo.scaled(SILENCE_SHARE));
         c.quickest = c.quickest.scaled(1.001).min(if answered { latency } else { c.quickest });
         // Behind a cache that fetches, one call may wait for its fetch while others pass it.
-        if aside && !slow && matches!(outcome, Outcome::Fulfilled | Outcome::Lacking) {
+        if aside && !slow && matches!(outcome, AttemptOutcome::Fulfilled | AttemptOutcome::CacheMiss) {
             c.overtook = c.overtook.max(sent.at);
         }
         let crowded = match outcome {
-            Outcome::Full | Outcome::Unreachable => Some(true),
+            AttemptOutcome::Rejected | AttemptOutcome::Unreachable => Some(true),
             // Queues show in slow answers first; cut for silence, a cache that loses some would get no work.
-            Outcome::TimedOut | Outcome::Recalled if origin && !overtaken => Some(slow),
-            Outcome::Fulfilled => Some(slow),
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if origin && !overtaken => Some(slow),
+            AttemptOutcome::Fulfilled => Some(slow),
             // That a key is lacking is soon said, crowd or none.
-            Outcome::Lacking if slow => Some(true),
+            AttemptOutcome::CacheMiss if slow => Some(true),
             _ => None,
         };
         c.limit.learn(now, latency, crowded, rest, if origin { ORIGIN_GROWS } else { LIMIT_GROWS });
-        if outcome == Outcome::Full {
+        if outcome == AttemptOutcome::Rejected {
             // Repeated at once, shots that are turned away would become a crowded cache's whole work.
             c.limit.rest_until = c.limit.rest_until.max(now + service);
         }
         let healthy = match outcome {
             // No sign is a shot whose client had little time left, or whose answer alone was lost.
-            Outcome::TimedOut | Outcome::Recalled if overtaken || soon => return,
-            Outcome::Moot => return,
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if overtaken || soon => return,
+            AttemptOutcome::NotSent => return,
             // The origin's trouble bars no cache that fetches.
-            Outcome::Errored if !aside && latency > service => return,
-            Outcome::Fulfilled | Outcome::Lacking | Outcome::Full => true,
+            AttemptOutcome::Errored if !aside && latency > service => return,
+            AttemptOutcome::Fulfilled | AttemptOutcome::CacheMiss | AttemptOutcome::Rejected => true,
             _ => false,
         };
         c.outcomes = (c.outcomes << 1 | u32::from(healthy)) & ALL_GOOD;
@@ -146,30 +157,30 @@
         }
     }
 
-    pub(super) fn work_of(&self, now: Time, call: &ApiCall) -> f64 {
-        call.work.map_or_else(|| self.latency(now, call.product, false), |w| w.as_secs_f64())
+    pub(super) fn work_of(&self, now: Time, call: &Request) -> f64 {
+        call.work.map_or_else(|| self.latency(now, call.request_class, false), |w| w.as_secs_f64())
     }
 
-    pub(super) fn latency(&self, now: Time, product: ProductId, origin: bool) -> f64 {
-        self.latencies[product.0 as usize][usize::from(origin)].read(now)
+    pub(super) fn latency(&self, now: Time, request_class: RequestClassId, origin: bool) -> f64 {
+        self.latencies[request_class.0 as usize][usize::from(origin)].read(now)
     }
 
-    pub(super) fn product(&self, id: ProductId) -> &Product {
-        &self.settings.products[id.0 as usize]
+    pub(super) fn request_class(&self, id: RequestClassId) -> &RequestClass {
+        &self.settings.request_classes[id.0 as usize]
     }
 
-    pub(super) fn size_of(&self, listing: &Listing) -> f64 {
+    pub(super) fn size_of(&self, listing: &EndpointUpdate) -> f64 {
         if self.settings.steady_sizes { listing.size.max(1e-3) } else { 1.0 }
     }
 
     /// How long a call waits at a cache by its last report, where that tells: by Little's law the calls held
     /// over the rate are the time that one is there. An old report must not pass off a queue for long work.
-    fn told_wait(&self, now: Time, cache: CacheId) -> Option<f64> {
+    fn told_wait(&self, now: Time, cache: EndpointId) -> Option<f64> {
         let (_, told) = self.caches.get(&cache)?.told.filter(|t| now - t.0 <= USAGE_MEMORY)?;
         Some(told.held? / told.per_s.filter(|p| *p > 0.0)? - told.service?.as_secs_f64())
     }
 
-    pub(super) fn is_origin(&self, cache: CacheId) -> bool {
+    pub(super) fn is_origin(&self, cache: EndpointId) -> bool {
         self.caches.get(&cache).is_some_and(|c| c.is_origin)
     }
 
--- a/crates/balancer/src/balancer/learning.rs
+++ b/crates/balancer/src/balancer/learning.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Brain {
+impl Balancer {
     /// One learning step: the push on every stored weight, by its cache's usage against the mean.
     pub(super) fn learn(&mut self, now: Time) {
         self.settle_list(now);
@@ -14,7 +14,7 @@
         let own = |c: &Cache| c.usage.read(now) / self.size_of(&c.listing);
         let serving = self.caches.values().filter(|c| c.serves());
         // What was reported, by size, and how much that still counts: old reports fade to the mean of all.
-        let told = |c: &Cache, figure: fn(&Report) -> Option<f64>| {
+        let told = |c: &Cache, figure: fn(&LoadReport) -> Option<f64>| {
             let (at, report) = c.told?;
             let counts = (-(now - at).as_secs_f64() / USAGE_MEMORY.as_secs_f64()).exp();
             Some((figure(&report)? / self.size_of(&c.listing), counts))
@@ -34,7 +34,8 @@
             cache.push = PUSH * (1.0 - if mean > 0.0 { usage / mean } else { 1.0 }) + PUSH_KEPT * cache.push;
         }
         let psi = |b: f64| (1.0 - (-PUSH_STEEPNESS * b).exp()) / (1.0 + (-PUSH_STEEPNESS * b).exp());
-        let pushes: BTreeMap<CacheId, f64> = self.caches.iter().map(|(id, c)| (*id, psi(c.push))).collect();
+        let pushes: BTreeMap<EndpointId, f64> =
+            self.caches.iter().map(|(id, c)| (*id, psi(c.push))).collect();
         for (id, w) in self.keys.values_mut().flat_map(|k| k.slots.iter_mut().flatten()) {
             let push = pushes.get(id).copied().unwrap_or(0.0);
             *w += push * if push >= 0.0 { PUSH_TARGET - *w } else { *w };
@@ -42,9 +43,9 @@
     }
 
     /// Stores a key's weights and pulls them towards the candidates that rank high.
-    pub(super) fn note_asked(&mut self, now: Time, call: &ApiCall) {
+    pub(super) fn note_asked(&mut self, now: Time, call: &Request) {
         self.asked.add(now, 1.0);
-        if call.write && self.settings.aside() {
+        if call.write && self.settings.is_cache_aside() {
             return;
         }
         self.wanted.add(now, self.work_of(now, call));
@@ -60,7 +61,7 @@
             let old = weights.slots;
             // Where another cache is first all nodes start anew: keys clinging to others would leave it idle.
             let same_first = fresh[0].map(|f| f.0) == old[0].map(|f| f.0);
-            let kept = |c: CacheId| old.iter().flatten().find(|o| same_first && o.0 == c).map(|o| o.1);
+            let kept = |c: EndpointId| old.iter().flatten().find(|o| same_first && o.0 == c).map(|o| o.1);
             weights.slots = fresh.map(|slot| slot.map(|(c, w)| (c, kept(c).unwrap_or(w))));
             (weights.table, weights.slot) = (self.table.version(), slot);
         }
@@ -86,7 +87,7 @@
         self.table.slot(if part == 0 { hash_of(key) } else { hash_of((key, part)) })
     }
 
-    pub(super) fn start_weights(&self, key: Key, slot: u64) -> [Option<(CacheId, f64)>; CANDIDATES] {
+    pub(super) fn start_weights(&self, key: Key, slot: u64) -> [Option<(EndpointId, f64)>; CANDIDATES] {
         let ranked = self.table.ranks(slot);
         std::array::from_fn(|place| {
             ranked[place].map(|cache| (cache, START[place] + START_SPREAD * unit(hash_of((key, place)))))
--- a/crates/balancer/src/balancer/zones.rs
+++ b/crates/balancer/src/balancer/zones.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::ids::{CacheId, ZoneId};
+use crate::ids::{EndpointId, ZoneId};
 use crate::time::{Span, Time};
 
 /// So many caches in a row without an answer, and none of their zone heard between, tell that the zone is
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct Zone {
     /// The caches that gave no answer since anything of the zone was heard, each once, `CACHES` at the most.
-    unanswered: Vec<CacheId>,
+    unanswered: Vec<EndpointId>,
     since: Time,
     heard: Time,
     next_trial: Time,
@@ -39,7 +39,7 @@
     }
 
     /// A shot at a cache of the zone was left without an answer, or no connection came up.
-    pub fn unanswered(&mut self, now: Time, zone: ZoneId, cache: CacheId) {
+    pub fn unanswered(&mut self, now: Time, zone: ZoneId, cache: EndpointId) {
         let zone = self.0.entry(zone).or_default();
         if zone.unanswered.is_empty() {
             zone.since = now;
--- a/crates/balancer/src/balancer/zones/tests.rs
+++ b/crates/balancer/src/balancer/zones/tests.rs
@@ -9,7 +9,7 @@
 
 fn silent() -> Zones {
     let mut zones = Zones::default();
-    (0..3).for_each(|n| zones.unanswered(at(n), FAR, CacheId(n)));
+    (0..3).for_each(|n| zones.unanswered(at(n), FAR, EndpointId(n)));
     zones.heard(at(10), NEAR);
     zones
 }
@@ -18,7 +18,7 @@
 fn three_caches_without_an_answer_tell_while_another_zone_answers() {
     let mut zones = Zones::default();
     zones.heard(at(0), NEAR);
-    (1..4).for_each(|n| zones.unanswered(at(n), FAR, CacheId(n)));
+    (1..4).for_each(|n| zones.unanswered(at(n), FAR, EndpointId(n)));
     assert!(!zones.is_silent(FAR), "nothing else was heard since: it may be the node itself");
     zones.heard(at(5), NEAR);
     assert!(zones.is_silent(FAR));
@@ -28,7 +28,7 @@
 #[test]
 fn one_cache_is_no_zone_however_often_it_is_silent() {
     let mut zones = Zones::default();
-    (0..30).for_each(|n| zones.unanswered(at(n), FAR, CacheId(n % 2)));
+    (0..30).for_each(|n| zones.unanswered(at(n), FAR, EndpointId(n % 2)));
     zones.heard(at(31), NEAR);
     assert!(!zones.is_silent(FAR));
 }
--- a/crates/balancer/src/calls.rs
+++ b/crates/balancer/src/calls.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use crate::ids::{AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId};
 use crate::time::{Span, Time};
 
 /// One line of the list of caches.
 #[derive(Clone, Copy, Debug)]
-pub struct Listing {
-    pub cache: CacheId,
+pub struct EndpointUpdate {
+    pub cache: EndpointId,
     pub kind: KindId,
     pub size: f64,
     pub zone: ZoneId,
@@ -23,8 +23,8 @@
 
 /// What a client asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct ApiCall {
-    pub product: ProductId,
+pub struct Request {
+    pub request_class: RequestClassId,
     pub key: Key,
     /// How long until the client gives up on this try.
     pub budget: Span,
@@ -35,9 +35,9 @@
 
 /// A shot to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shot {
-    pub api_call: ApiCallId,
-    pub cache: CacheId,
+pub struct Attempt {
+    pub request: RequestId,
+    pub cache: EndpointId,
     pub give_up_after: Span,
     /// Its first byte may go out for so long: a connection may take long to come up, and a repeat must still be dropped.
     pub begin_within: Span,
@@ -45,7 +45,7 @@
 
 /// What a cache reports of its load, as far as it does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// API calls that it holds, waiting ones too.
     pub held: Option<f64>,
     /// API calls that wait there.
@@ -58,10 +58,10 @@
 
 /// What became of a shot.
 #[derive(Clone, Copy, Debug)]
-pub struct ShotEnd {
-    pub number: ShotNumber,
-    pub cache: CacheId,
-    pub outcome: Outcome,
+pub struct AttemptResult {
+    pub number: AttemptNumber,
+    pub cache: EndpointId,
+    pub outcome: AttemptOutcome,
     pub latency: Span,
     /// Whether the API call is finished, by this or before.
     pub answered: bool,
@@ -69,33 +69,39 @@
 
 /// How a shot ended, as far as that decides what follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     Fulfilled,
     /// The cache lacks the key.
-    Lacking,
+    CacheMiss,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No connection.
     Unreachable,
     /// Never sent.
-    Moot,
+    NotSent,
     TimedOut,
     Errored,
     Reset,
     /// Called off.
-    Recalled,
+    Cancelled,
 }
 
-impl Outcome {
-    pub fn proves_it_never_ran(self) -> bool {
-        matches!(self, Outcome::Lacking | Outcome::Full | Outcome::Unreachable | Outcome::Moot)
+impl AttemptOutcome {
+    pub fn proves_not_executed(self) -> bool {
+        matches!(
+            self,
+            AttemptOutcome::CacheMiss
+                | AttemptOutcome::Rejected
+                | AttemptOutcome::Unreachable
+                | AttemptOutcome::NotSent
+        )
     }
 }
 
 /// How shards of the slot table are split, by a version that all planners would give: half of a split shard's keys, by
 /// one more bit of their hash, have other candidates. It is told whole; one that was not heard costs misses alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TableForm {
+pub struct ShardMap {
     pub version: u64,
     /// By the shard's number; those that are not named are whole.
     pub shards: BTreeMap<u8, ShardSplit>,
@@ -106,32 +112,32 @@
     /// More bits of the hash that tell its keys apart.
     pub bits: u8,
     /// The split under way, by one more bit.
-    pub moving: Moving,
+    pub moving: MigrationPhase,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Moving {
+pub enum MigrationPhase {
     #[default]
-    Still,
+    Stable,
     /// So many sixteenths of the keys that move are read at their new places.
     Copying { sixteenths: u8 },
     /// All are, and what lacks there is asked of the old place before the origin.
-    BothRead,
+    DualRead,
     /// The old places are asked no more.
     Switched,
 }
 
 /// What others say of caches, each with the time of what it rests on. It is weighed as information, never obeyed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Advice {
+pub struct ControlPlaneUpdate {
     /// Caches that leave other nodes' calls unanswered.
-    pub failing: Vec<(CacheId, Time)>,
+    pub failing: Vec<(EndpointId, Time)>,
     /// Caches that had failed and answer others again.
-    pub answering: Vec<(CacheId, Time)>,
+    pub answering: Vec<(EndpointId, Time)>,
     /// The slot table's form; none keeps the one that is held.
-    pub table: Option<TableForm>,
+    pub table: Option<ShardMap>,
     /// What this node may use of the origin, and of cold caches.
-    pub leases: Vec<(CacheId, Lease)>,
+    pub leases: Vec<(EndpointId, Lease)>,
 }
 
 /// A node's part of what the whole fleet may ask of a server: of the origin fetches a second, of a cold cache work a
@@ -162,7 +168,7 @@
 
 /// A final answer that the node gives itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    RateLimited { come_back: Span },
+pub enum LocalReply {
+    RateLimited { retry_after: Span },
     Errored,
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -11,17 +11,17 @@
 
 ids! {
     /// A cache server, or the origin where the list names it.
-    CacheId(u64),
+    EndpointId(u64),
     /// One API call; a client's repeat has a new one.
-    ApiCallId(u64),
+    RequestId(u64),
     /// What an API call asks for.
     Key(u64),
     /// The place of a product in the settings.
-    ProductId(u16),
+    RequestClassId(u16),
     /// The place of a zone in the settings; of one that they don't name, a number beyond all places.
     ZoneId(u32),
     KindId(u16),
     CellId(u32),
     /// Counts the shots of one API call from 0.
-    ShotNumber(u8),
+    AttemptNumber(u8),
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,4 +1,4 @@
-//! granitelb: which cache server gets which API call. Start reading at [`brain`].
+//! granitelb: which cache server gets which API call. Start reading at [`balancer`].
 
 pub mod balancer;
 pub mod calls;
--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -6,8 +6,8 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::calls::{Moving, ShardSplit, TableForm};
-use crate::ids::{CacheId, Key};
+use crate::calls::{MigrationPhase, ShardMap, ShardSplit};
+use crate::ids::{EndpointId, Key};
 use crate::seeded_hash::{hash_of, unit};
 
 /// Some tens for each of hundreds of caches: with five each, their parts would differ by 0.44 of the mean (one over the
@@ -29,14 +29,18 @@
 }
 
 /// The caches that come first in a shard's slots by so many more bits, of these with their sizes.
-pub fn caches_of(shard: u8, bits: u8, caches: &[(CacheId, f64)]) -> BTreeSet<CacheId> {
+pub fn caches_of(shard: u8, bits: u8, caches: &[(EndpointId, f64)]) -> BTreeSet<EndpointId> {
     let mut table = SlotTable::<1>::new();
     table.renew(caches.to_vec());
     slots_of(shard, bits).filter_map(|slot| table.ranks(slot)[0]).collect()
 }
 
 /// The cache that comes first for a key in a form, and the one that a miss asks next while both places are read.
-pub fn place_of(key: Key, form: &TableForm, caches: &[(CacheId, f64)]) -> Option<(CacheId, Option<CacheId>)> {
+pub fn place_of(
+    key: Key,
+    form: &ShardMap,
+    caches: &[(EndpointId, f64)],
+) -> Option<(EndpointId, Option<EndpointId>)> {
     let mut table = SlotTable::<1>::new();
     table.renew(caches.to_vec());
     table.reform(form);
@@ -55,20 +59,20 @@
 }
 
 pub(crate) struct SlotTable<const PLACES: usize> {
-    caches: Vec<(CacheId, f64)>,
+    caches: Vec<(EndpointId, f64)>,
     /// Slots in use, of which there are no more than slots. Ranked when first used since the caches changed: ranking all at each change would cost a large fleet dearly.
-    ranked: HashMap<u64, [Option<CacheId>; PLACES]>,
+    ranked: HashMap<u64, [Option<EndpointId>; PLACES]>,
     version: u64,
-    form: TableForm,
+    form: ShardMap,
 }
 
 impl<const PLACES: usize> SlotTable<PLACES> {
     pub fn new() -> SlotTable<PLACES> {
-        SlotTable { caches: Vec::new(), ranked: HashMap::new(), version: 0, form: TableForm::default() }
+        SlotTable { caches: Vec::new(), ranked: HashMap::new(), version: 0, form: ShardMap::default() }
     }
 
     /// Takes the caches that stand in it, with their sizes; a change makes a new version.
-    pub fn renew(&mut self, caches: Vec<(CacheId, f64)>) {
+    pub fn renew(&mut self, caches: Vec<(EndpointId, f64)>) {
         if caches != self.caches {
             self.caches = caches;
             self.ranked.clear();
@@ -77,8 +81,9 @@
     }
 
     /// Takes a form that is newer than the one that is held. Slots keep their ranks; keys may stand in others.
-    pub fn reform(&mut self, form: &TableForm) {
-        let sound = |s: &ShardSplit| s.bits.saturating_add(u8::from(s.moving != Moving::Still)) <= MOST_BITS;
+    pub fn reform(&mut self, form: &ShardMap) {
+        let sound =
+            |s: &ShardSplit| s.bits.saturating_add(u8::from(s.moving != MigrationPhase::Stable)) <= MOST_BITS;
         if form.version > self.form.version && form.shards.values().all(sound) {
             self.form = form.clone();
             self.version += 1;
@@ -99,17 +104,18 @@
         let slot = hash % SLOTS;
         let Some(split) = self.form.shards.get(&shard(slot)) else { return slot };
         let moved = match split.moving {
-            Moving::Still => false,
+            MigrationPhase::Stable => false,
             // By other bits than those that tell the places apart.
-            Moving::Copying { sixteenths } => (hash >> 32) % 16 < u64::from(sixteenths),
-            Moving::BothRead | Moving::Switched => true,
+            MigrationPhase::Copying { sixteenths } => (hash >> 32) % 16 < u64::from(sixteenths),
+            MigrationPhase::DualRead | MigrationPhase::Switched => true,
         };
         part_of(hash, split.bits + u8::from(moved))
     }
 
     /// While both places of a split are read: the slot that the hash fell to before it, if that is another.
     pub fn old_slot(&self, hash: u64) -> Option<u64> {
-        let split = self.form.shards.get(&shard(hash % SLOTS)).filter(|s| s.moving == Moving::BothRead)?;
+        let split =
+            self.form.shards.get(&shard(hash % SLOTS)).filter(|s| s.moving == MigrationPhase::DualRead)?;
         Some(part_of(hash, split.bits)).filter(|old| *old != part_of(hash, split.bits + 1))
     }
 
@@ -122,7 +128,7 @@
     }
 
     /// The caches of highest rank in a slot, the first one first.
-    pub fn ranks(&self, slot: u64) -> [Option<CacheId>; PLACES] {
+    pub fn ranks(&self, slot: u64) -> [Option<EndpointId>; PLACES] {
         if let Some(ranks) = self.ranked.get(&slot) {
             return *ranks;
         }
--- a/crates/balancer/src/slot_table/tests.rs
+++ b/crates/balancer/src/slot_table/tests.rs
@@ -2,13 +2,13 @@
 
 fn table(sizes: &[f64]) -> SlotTable<3> {
     let mut table = SlotTable::new();
-    table.renew(sizes.iter().enumerate().map(|(n, s)| (CacheId(n as u64), *s)).collect());
+    table.renew(sizes.iter().enumerate().map(|(n, s)| (EndpointId(n as u64), *s)).collect());
     table
 }
 
 #[test]
 fn a_cache_of_a_quarter_of_the_size_is_first_in_a_quarter_as_many_slots() {
-    let firsts = |t: &SlotTable<3>, n| (0..SLOTS).filter(|s| t.ranks(*s)[0] == Some(CacheId(n))).count();
+    let firsts = |t: &SlotTable<3>, n| (0..SLOTS).filter(|s| t.ranks(*s)[0] == Some(EndpointId(n))).count();
     let uneven = table(&[0.25, 1.0, 1.0, 1.0, 1.0, 1.0]);
     let share = firsts(&uneven, 0) as f64 / firsts(&uneven, 1) as f64;
     assert!((0.15..0.4).contains(&share), "{share}");
@@ -29,7 +29,7 @@
 fn slots_that_a_cache_did_not_stand_in_stay_when_it_grows() {
     let (before, after) = (table(&[0.25, 1.0, 1.0, 1.0, 1.0]), table(&[0.5, 1.0, 1.0, 1.0, 1.0]));
     for slot in 0..SLOTS {
-        if !after.ranks(slot).contains(&Some(CacheId(0))) {
+        if !after.ranks(slot).contains(&Some(EndpointId(0))) {
             assert_eq!(before.ranks(slot), after.ranks(slot));
         }
     }
--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -3,14 +3,18 @@
 
 use std::collections::VecDeque;
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{Advice, Answer, ApiCall, Lease, Listing, Outcome, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb_balancer::settings::{Effect, Product, Settings};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{
+    AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, Lease, LocalReply, Request,
+};
+use granitelb_balancer::ids::{
+    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
+};
+use granitelb_balancer::settings::{Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
 
-const ORIGIN: CacheId = CacheId(9);
-const COLD: CacheId = CacheId(3);
+const ORIGIN: EndpointId = EndpointId(9);
+const COLD: EndpointId = EndpointId(3);
 const START: Time = Time(1_000_000_000);
 
 fn at(ms: u64) -> Time {
@@ -19,44 +23,44 @@
 
 /// One node before two warm caches that lack every key, an origin that has all, and a cold cache if asked for.
 struct World {
-    brain: Brain,
+    balancer: Balancer,
     now: u64,
     calls: u64,
     /// Shots out at the origin: when each ends, its call and its number.
-    out: VecDeque<(u64, ApiCallId, u8)>,
+    out: VecDeque<(u64, RequestId, u8)>,
     /// Shots of each call are counted here, by call.
-    shots: std::collections::BTreeMap<ApiCallId, u8>,
+    shots: std::collections::BTreeMap<RequestId, u8>,
     limited: usize,
 }
 
 impl World {
     fn new(nodes: f64, cold_at: Option<u64>) -> World {
-        let product = |effect| Product {
+        let request_class = |effect| RequestClass {
             slo: Span::from_millis(200),
             billed_value: 1.0,
-            late_value: 0.0,
+            value_after_slo: 0.0,
             offered: true,
             effect,
         };
         let settings = Settings {
             origin: Some(KindId(1)),
-            products: vec![product(Effect::Idempotent), product(Effect::NonIdempotent)],
+            request_classes: vec![request_class(Effect::Idempotent), request_class(Effect::NonIdempotent)],
             nodes,
             list_on_request: false,
-            must_ask_in: Span::from_millis(10_000),
+            max_poll_interval: Span::from_millis(10_000),
             only_draining_binds: false,
             cold_from: 0.2,
             warm_after: Span::from_millis(20_000),
             fall_multiple: 3.0,
             fall_window: Span::from_millis(2000),
-            max_shots: 3,
-            second_copies: false,
-            may_recall: true,
-            max_come_back: Span::from_millis(1500),
+            max_attempts: 3,
+            hedged_requests: false,
+            may_cancel: true,
+            max_retry_after: Span::from_millis(1500),
             value_by_work: false,
             steady_sizes: false,
         };
-        let listing = |cache: CacheId, started: Option<Time>| Listing {
+        let listing = |cache: EndpointId, started: Option<Time>| EndpointUpdate {
             cache,
             kind: KindId(u16::from(cache == ORIGIN)),
             size: 1.0,
@@ -66,16 +70,19 @@
             draining: false,
             started,
         };
-        let mut list: Vec<_> = [CacheId(1), CacheId(2), ORIGIN].map(|c| listing(c, None)).into();
+        let mut list: Vec<_> = [EndpointId(1), EndpointId(2), ORIGIN].map(|c| listing(c, None)).into();
         list.extend(cold_at.map(|ms| listing(COLD, Some(at(ms)))));
-        let mut brain = Brain::new(settings, 7, START);
-        brain.caches_listed(START, &list, true);
-        World { brain, now: 0, calls: 0, out: VecDeque::new(), shots: Default::default(), limited: 0 }
+        let mut balancer = Balancer::new(settings, 7, START);
+        balancer.on_endpoints_update(START, &list, true);
+        World { balancer, now: 0, calls: 0, out: VecDeque::new(), shots: Default::default(), limited: 0 }
     }
 
-    fn lease(&mut self, cache: CacheId, most: f64, for_ms: u64, then: f64) {
+    fn lease(&mut self, cache: EndpointId, most: f64, for_ms: u64, then: f64) {
         let leases = vec![(cache, Lease { most, until: at(self.now + for_ms), then })];
-        self.brain.plan_heard(at(self.now), &Advice { leases, ..Advice::default() });
+        self.balancer.on_control_plane_update(
+            at(self.now),
+            &ControlPlaneUpdate { leases, ..ControlPlaneUpdate::default() },
+        );
     }
 
     /// A call every `every` ms until then; how many shots went to the origin and to the cold cache.
@@ -85,37 +92,37 @@
             self.now += 1;
             while self.out.front().is_some_and(|o| o.0 <= self.now) {
                 let (_, id, number) = self.out.pop_front().expect("looked at");
-                self.end(id, number, ORIGIN, Outcome::Fulfilled, 10);
+                self.end(id, number, ORIGIN, AttemptOutcome::Fulfilled, 10);
             }
             if self.now.is_multiple_of(every) {
                 self.calls += 1;
-                let (product, key) = (ProductId(u16::from(write)), Key(self.calls));
+                let (request_class, key) = (RequestClassId(u16::from(write)), Key(self.calls));
                 let budget = Span::from_millis(500);
-                let call = ApiCall { product, key, budget, work: Some(Span::from_millis(4)), write };
-                self.brain.api_call(at(self.now), ApiCallId(self.calls), call);
+                let call = Request { request_class, key, budget, work: Some(Span::from_millis(4)), write };
+                self.balancer.on_request(at(self.now), RequestId(self.calls), call);
             }
-            while let Some(shot) = self.brain.next_shot(at(self.now)) {
-                let count = self.shots.entry(shot.api_call).or_default();
+            while let Some(shot) = self.balancer.poll_attempt(at(self.now)) {
+                let count = self.shots.entry(shot.request).or_default();
                 let number = std::mem::replace(count, *count + 1);
                 if shot.cache == ORIGIN {
                     sent.0 += 1;
-                    self.out.push_back((self.now + 10, shot.api_call, number));
+                    self.out.push_back((self.now + 10, shot.request, number));
                 } else {
                     sent.1 += usize::from(shot.cache == COLD);
-                    self.end(shot.api_call, number, shot.cache, Outcome::Lacking, 0);
+                    self.end(shot.request, number, shot.cache, AttemptOutcome::CacheMiss, 0);
                 }
             }
-            while let Some((_, answer)) = self.brain.next_answer(at(self.now)) {
-                self.limited += usize::from(matches!(answer, Answer::RateLimited { .. }));
+            while let Some((_, answer)) = self.balancer.poll_response(at(self.now)) {
+                self.limited += usize::from(matches!(answer, LocalReply::RateLimited { .. }));
             }
         }
         sent
     }
 
-    fn end(&mut self, id: ApiCallId, number: u8, cache: CacheId, outcome: Outcome, ms: u64) {
-        let (latency, answered) = (Span::from_millis(ms), outcome == Outcome::Fulfilled);
-        let end = ShotEnd { number: ShotNumber(number), cache, outcome, latency, answered };
-        self.brain.shot_ended(at(self.now), id, &end);
+    fn end(&mut self, id: RequestId, number: u8, cache: EndpointId, outcome: AttemptOutcome, ms: u64) {
+        let (latency, answered) = (Span::from_millis(ms), outcome == AttemptOutcome::Fulfilled);
+        let end = AttemptResult { number: AttemptNumber(number), cache, outcome, latency, answered };
+        self.balancer.on_attempt_finished(at(self.now), id, &end);
     }
 }
 
--- a/crates/balancer/tests/scenarios.rs
+++ b/crates/balancer/tests/scenarios.rs
@@ -1,16 +1,20 @@
 //! Plays the scenarios: text files in a notation of our own, on the decision module alone.
 //!
-//! A line is a comment (`#`), a setting (`settings k=v ...`, `product NAME EFFECT k=v ...`), something that
+//! A line is a comment (`#`), a setting (`settings k=v ...`, `request_class NAME EFFECT k=v ...`), something that
 //! happens (`MS WHAT ...`), or a decision that must follow (`> WHAT ...`). All decisions up to the next
 //! thing that happens must be named, in order; `> ...` passes over any number of them. A cache is called
 //! by any name; an upper-case name stands for whichever cache it is first seen as.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{Advice, Answer, ApiCall, Listing, Outcome, Report, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{
+    AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LoadReport, LocalReply, Request,
+};
+use granitelb_balancer::ids::{
+    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
+};
+use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
 use test_case::test_case;
 
@@ -19,21 +23,21 @@
 
 struct Stage {
     settings: Settings,
-    products: Vec<String>,
+    request_classes: Vec<String>,
     /// Each product's client timeout in milliseconds.
     timeouts: Vec<f64>,
-    brain: Option<Brain>,
+    balancer: Option<Balancer>,
     now: u64,
     caches: Vec<String>,
     bound: BTreeMap<String, usize>,
     calls: Vec<String>,
     /// For each call, where its shots went.
-    shots: BTreeMap<usize, Vec<CacheId>>,
+    shots: BTreeMap<usize, Vec<EndpointId>>,
     decided: VecDeque<(u64, String)>,
     /// What each cache reports with its answers.
-    reports: BTreeMap<CacheId, Report>,
+    reports: BTreeMap<EndpointId, LoadReport>,
     /// Shots by cache since the last count.
-    counts: BTreeMap<CacheId, usize>,
+    counts: BTreeMap<EndpointId, usize>,
 }
 
 fn option<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
@@ -51,19 +55,19 @@
 fn settings(words: &[&str]) -> Settings {
     Settings {
         origin: (!words.contains(&"through")).then_some(KindId(1)),
-        products: Vec::new(),
+        request_classes: Vec::new(),
         nodes: number(words, "nodes", 1.0),
         list_on_request: words.contains(&"ask"),
-        must_ask_in: span(number(words, "must-ask", 10_000.0)),
+        max_poll_interval: span(number(words, "must-ask", 10_000.0)),
         only_draining_binds: words.contains(&"only-draining"),
         cold_from: 0.2,
         warm_after: span(20_000.0),
         fall_multiple: 3.0,
         fall_window: span(2000.0),
-        max_shots: number(words, "shots", 4.0) as u8,
-        second_copies: false,
-        may_recall: true,
-        max_come_back: span(1500.0),
+        max_attempts: number(words, "shots", 4.0) as u8,
+        hedged_requests: false,
+        may_cancel: true,
+        max_retry_after: span(1500.0),
         value_by_work: false,
         steady_sizes: false,
     }
@@ -82,37 +86,37 @@
     }
 }
 
-fn outcome(word: &str) -> Outcome {
+fn outcome(word: &str) -> AttemptOutcome {
     match word {
-        "fulfilled" => Outcome::Fulfilled,
-        "lacking" => Outcome::Lacking,
-        "full" => Outcome::Full,
-        "unreachable" => Outcome::Unreachable,
-        "moot" => Outcome::Moot,
-        "timed-out" => Outcome::TimedOut,
-        "errored" => Outcome::Errored,
-        "reset" => Outcome::Reset,
-        "recalled" => Outcome::Recalled,
+        "fulfilled" => AttemptOutcome::Fulfilled,
+        "lacking" => AttemptOutcome::CacheMiss,
+        "full" => AttemptOutcome::Rejected,
+        "unreachable" => AttemptOutcome::Unreachable,
+        "moot" => AttemptOutcome::NotSent,
+        "timed-out" => AttemptOutcome::TimedOut,
+        "errored" => AttemptOutcome::Errored,
+        "reset" => AttemptOutcome::Reset,
+        "recalled" => AttemptOutcome::Cancelled,
         _ => panic!("no outcome {word}"),
     }
 }
 
 impl Stage {
-    fn brain(&mut self) -> &mut Brain {
+    fn balancer(&mut self) -> &mut Balancer {
         let settings = &self.settings;
-        self.brain.get_or_insert_with(|| Brain::new(settings.clone(), 7, Time(START)))
+        self.balancer.get_or_insert_with(|| Balancer::new(settings.clone(), 7, Time(START)))
     }
 
     /// The number behind a cache's name.
-    fn cache(&mut self, name: &str) -> CacheId {
+    fn cache(&mut self, name: &str) -> EndpointId {
         if let Some(n) = self.bound.get(name) {
-            return CacheId(*n as u64);
+            return EndpointId(*n as u64);
         }
         let n = self.caches.iter().position(|c| c == name).unwrap_or_else(|| {
             self.caches.push(name.to_string());
             self.caches.len() - 1
         });
-        CacheId(n as u64)
+        EndpointId(n as u64)
     }
 
     fn call(&mut self, name: &str) -> usize {
@@ -126,18 +130,18 @@
     fn pull(&mut self) {
         let now = Time(self.now);
         let mut decided = Vec::new();
-        let brain = self.brain();
-        while let Some(shot) = brain.next_shot(now) {
-            decided.push((Some((shot.api_call.0 as usize, shot.cache)), "shot".to_string()));
+        let balancer = self.balancer();
+        while let Some(shot) = balancer.poll_attempt(now) {
+            decided.push((Some((shot.request.0 as usize, shot.cache)), "shot".to_string()));
         }
-        while let Some((id, answer)) = brain.next_answer(now) {
-            let word = if answer == Answer::Errored { "errored" } else { "rate-limited" };
-            decided.push((Some((id.0 as usize, CacheId(u64::MAX))), word.to_string()));
+        while let Some((id, answer)) = balancer.poll_response(now) {
+            let word = if answer == LocalReply::Errored { "errored" } else { "rate-limited" };
+            decided.push((Some((id.0 as usize, EndpointId(u64::MAX))), word.to_string()));
         }
-        while let Some((id, number)) = brain.next_recall() {
-            decided.push((Some((id.0 as usize, CacheId(u64::MAX))), format!("recall {}", number.0)));
+        while let Some((id, number)) = balancer.poll_cancellation() {
+            decided.push((Some((id.0 as usize, EndpointId(u64::MAX))), format!("recall {}", number.0)));
         }
-        if brain.wants_watch(now) {
+        if balancer.poll_watch_request(now) {
             decided.push((None, "watch".to_string()));
         }
         for (subject, word) in decided {
@@ -157,7 +161,7 @@
 
     /// Lets time pass, pulling whenever the module asked for it.
     fn advance(&mut self, until: u64) {
-        while let Some(wake) = self.brain.as_ref().and_then(|b| b.next_wake(Time(self.now))) {
+        while let Some(wake) = self.balancer.as_ref().and_then(|b| b.poll_timeout(Time(self.now))) {
             if wake.0 > until {
                 break;
             }
@@ -173,7 +177,7 @@
             let mut parts = word.split(':');
             let name = parts.next().expect("a name");
             let options: Vec<&str> = parts.collect();
-            Listing {
+            EndpointUpdate {
                 cache: stage.cache(name),
                 kind: KindId(u16::from(name.starts_with("origin"))),
                 size: number(&options, "size", 1.0),
@@ -184,25 +188,25 @@
                 started: options.contains(&"new").then_some(now),
             }
         };
-        let listings: Vec<Listing> = words.iter().map(|w| listing(self, w)).collect();
+        let listings: Vec<EndpointUpdate> = words.iter().map(|w| listing(self, w)).collect();
         match remembered {
-            true => self.brain().caches_remembered(now, &listings),
-            false => self.brain().caches_listed(now, &listings, complete),
+            true => self.balancer().on_endpoints_restored(now, &listings),
+            false => self.balancer().on_endpoints_update(now, &listings, complete),
         }
     }
 
     fn ask(&mut self, name: &str, words: &[&str]) {
-        let product = self.products.iter().position(|p| p == words[0]).expect("a product");
-        let budget = span(number(words, "budget", self.timeouts[product]));
-        let call = ApiCall {
-            product: ProductId(product as u16),
+        let request_class = self.request_classes.iter().position(|p| p == words[0]).expect("a product");
+        let budget = span(number(words, "budget", self.timeouts[request_class]));
+        let call = Request {
+            request_class: RequestClassId(request_class as u16),
             key: Key(words[1].parse().expect("a key")),
             budget,
             work: option(words, "work").map(|ms| span(ms.parse().expect("a work"))),
             write: words.contains(&"write"),
         };
         let (id, now) = (self.call(name), Time(self.now));
-        self.brain().api_call(now, ApiCallId(id as u64), call);
+        self.balancer().on_request(now, RequestId(id as u64), call);
     }
 
     fn end(&mut self, name: &str, words: &[&str]) {
@@ -210,14 +214,20 @@
         let shots = &self.shots[&id];
         let shot = number(words, "shot", shots.len() as f64 - 1.0) as usize;
         let outcome = outcome(words[0]);
-        let answered = outcome == Outcome::Fulfilled;
+        let answered = outcome == AttemptOutcome::Fulfilled;
         let latency = span(number(words, "after", 50.0));
-        let end = ShotEnd { number: ShotNumber(shot as u8), cache: shots[shot], outcome, latency, answered };
+        let end = AttemptResult {
+            number: AttemptNumber(shot as u8),
+            cache: shots[shot],
+            outcome,
+            latency,
+            answered,
+        };
         let now = Time(self.now);
         if let Some(report) = self.reports.get(&end.cache).copied() {
-            self.brain().load_reported(now, end.cache, &report);
+            self.balancer().on_load_report(now, end.cache, &report);
         }
-        self.brain().shot_ended(now, ApiCallId(id as u64), &end);
+        self.balancer().on_attempt_finished(now, RequestId(id as u64), &end);
     }
 
     /// Calls for many keys, one at a time, each ended as said; one at the cache to `hold` only with the next there.
@@ -308,7 +318,7 @@
             "list" => self.list(rest, true, false),
             "remembered" => self.list(rest, true, true),
             "change" => self.list(rest, false, false),
-            "list-failed" => self.brain().list_failed(now),
+            "list-failed" => self.balancer().on_endpoints_watch_failed(now),
             "call" => self.ask(rest[0], &rest[1..]),
             "end" => self.end(rest[0], &rest[1..]),
             "generations" => self.generations(rest),
@@ -320,22 +330,22 @@
             "reports" => {
                 let figure = |name| option(rest, name).map(|v| v.parse::<f64>().expect("a figure"));
                 let (held, waiting, per_s) = (figure("held"), figure("waiting"), figure("per_s"));
-                let report = Report { held, waiting, per_s, service: figure("service").map(span) };
+                let report = LoadReport { held, waiting, per_s, service: figure("service").map(span) };
                 let cache = self.cache(rest[0]);
                 self.reports.insert(cache, report);
-                if report == Report::default() {
+                if report == LoadReport::default() {
                     self.reports.remove(&cache);
                 }
             }
             // Other settings hold from now on, for the same products.
             "moved" => {
-                let products = self.settings.products.clone();
-                let moved = Settings { products, ..settings(rest) };
+                let request_classes = self.settings.request_classes.clone();
+                let moved = Settings { request_classes, ..settings(rest) };
                 self.settings = moved.clone();
-                self.brain().settings_changed(now, moved);
+                self.balancer().on_settings_update(now, moved);
             }
             "advised" => {
-                let mut advice = Advice::default();
+                let mut advice = ControlPlaneUpdate::default();
                 for (said, of) in rest.iter().filter_map(|w| w.split_once('=')) {
                     let (name, ago) = of.split_once(':').unwrap_or((of, "0"));
                     let at = Time(self.now - span(ago.parse().expect("an age")).0);
@@ -343,11 +353,11 @@
                     (if said == "fails" { &mut advice.failing } else { &mut advice.answering })
                         .push((cache, at));
                 }
-                self.brain().plan_heard(now, &advice);
+                self.balancer().on_control_plane_update(now, &advice);
             }
             "left" => {
-                let id = ApiCallId(self.call(rest[0]) as u64);
-                self.brain().client_left(now, id);
+                let id = RequestId(self.call(rest[0]) as u64);
+                self.balancer().on_client_disconnect(now, id);
             }
             _ => panic!("nothing happens by {what}"),
         }
@@ -360,7 +370,7 @@
             return self.decided.clear();
         }
         if let ["entries", "<", most] = words {
-            let (entries, most) = (self.brain().entries(), most.parse().expect("a count"));
+            let (entries, most) = (self.balancer().entries(), most.parse().expect("a count"));
             assert!(entries < most, "{entries} entries, not under {most}");
             return;
         }
@@ -393,9 +403,9 @@
 fn play(text: &str) {
     let mut stage = Stage {
         settings: settings(&[]),
-        products: Vec::new(),
+        request_classes: Vec::new(),
         timeouts: Vec::new(),
-        brain: None,
+        balancer: None,
         now: START,
         caches: Vec::new(),
         bound: BTreeMap::new(),
@@ -412,12 +422,12 @@
         match first {
             "settings" => stage.settings = settings(rest),
             "product" => {
-                stage.products.push(rest[0].to_string());
+                stage.request_classes.push(rest[0].to_string());
                 stage.timeouts.push(number(rest, "timeout", 1200.0));
-                stage.settings.products.push(Product {
+                stage.settings.request_classes.push(RequestClass {
                     slo: span(number(rest, "slo", 600.0)),
                     billed_value: number(rest, "value", 1.0),
-                    late_value: number(rest, "late", 0.0),
+                    value_after_slo: number(rest, "late", 0.0),
                     offered: true,
                     effect: effect(rest[1]),
                 });
--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -7,11 +7,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
 use granitelb_coordination::leases::{Need, Resource};
-use granitelb_coordination::message::{Letter, Secret, Secrets, seal};
-use granitelb_coordination::{ForwarderId, Life, Member, Sender, leases};
+use granitelb_coordination::message::{Message, Secret, Secrets, seal};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender, leases};
 
 const SECONDS: u64 = 10;
 const ROUNDS: u64 = 2 * SECONDS;
@@ -66,8 +66,8 @@
             let letters = letters(n, round);
             for (k, letter) in letters.iter().enumerate() {
                 let number = round * letters.len() as u64 + k as u64;
-                let bytes =
-                    seal(Sender { member, life: Life(1), number }, letter, &secrets).expect("a letter");
+                let bytes = seal(Sender { member, incarnation: Incarnation(1), number }, letter, &secrets)
+                    .expect("a letter");
                 let socket = &sockets[n as usize % sockets.len()];
                 sent += socket.send(&bytes).unwrap_or(0);
             }
@@ -87,17 +87,17 @@
 }
 
 /// What a forwarder writes in a round: five caches of 70, one of which fails, and an ask for fetches.
-fn letters(n: u64, round: u64) -> Vec<Letter> {
+fn letters(n: u64, round: u64) -> Vec<Message> {
     let seen = |k: u64| {
         let cache = (n + round + 14 * k) % 70;
         let ill = f64::from(u8::from(cache == 0));
-        Seen { cache: CacheId(cache), answered: 1.0 - ill, failed: ill, out: 0.0 }
+        Seen { cache: EndpointId(cache), answered: 1.0 - ill, failed: ill, out: 0.0 }
     };
     let report = Report { number: round + 1, part: Part::WHOLE, caches: (0..5).map(seen).collect() };
     let needs = vec![Need { resource: Resource::Origin, amount: 500, using: round, heads: 1, has: 0 }];
     vec![
-        Letter::Verdicts(endpoint_health::Message::Report(report)),
-        Letter::Leases(leases::Message::Ask { ask: round + 1, needs }),
+        Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)),
+        Message::Leases(leases::LeaseMessage::Ask { ask: round + 1, needs }),
     ]
 }
 
--- a/crates/control-plane/src/agent/handle.rs
+++ b/crates/control-plane/src/agent/handle.rs
@@ -18,12 +18,12 @@
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use std::time::Duration;
 
-use granitelb_balancer::calls::Advice;
+use granitelb_balancer::calls::ControlPlaneUpdate;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::observation::Server;
+use granitelb_coordination::observation::ObservedEndpoint;
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
 
-use super::notes::{Dated, Note};
+use super::notes::{Dated, RawObservation};
 
 /// Notes on the way: a third of a second of a node at its fastest, some 2.5 MB.
 const MOST_NOTES: usize = 16_384;
@@ -36,22 +36,22 @@
 #[derive(Default)]
 struct Slot {
     news: AtomicBool,
-    advice: Mutex<Option<(Time, Advice)>>,
+    advice: Mutex<Option<(Time, ControlPlaneUpdate)>>,
     dropped: AtomicU64,
     turns: AtomicU64,
 }
 
 /// The loop's end.
-pub struct Desk {
+pub struct AgentHandle {
     notes: Producer<Dated>,
     /// A list that found no room.
-    list: Option<(Time, Vec<Server>)>,
+    list: Option<(Time, Vec<ObservedEndpoint>)>,
     slot: Arc<Slot>,
     left: Receiver<Left>,
 }
 
 /// The courier's end.
-pub(super) struct Hatch {
+pub(super) struct AgentChannel {
     notes: Consumer<Dated>,
     slot: Arc<Slot>,
     /// The turn in which advice was laid out that was not known to be taken yet.
@@ -64,20 +64,22 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Left;
 
-pub(super) fn open() -> (Desk, Hatch) {
+pub(super) fn open() -> (AgentHandle, AgentChannel) {
     let (write, read) = RingBuffer::new(MOST_NOTES);
     let slot = Arc::new(Slot::default());
     let (leaves, left) = sync_channel(1);
-    let desk = Desk { notes: write, list: None, slot: slot.clone(), left };
-    (desk, Hatch { notes: read, slot, untaken: Cell::new(None), _leaves: leaves })
+    let desk = AgentHandle { notes: write, list: None, slot: slot.clone(), left };
+    (desk, AgentChannel { notes: read, slot, untaken: Cell::new(None), _leaves: leaves })
 }
 
-impl Desk {
+impl AgentHandle {
     /// Writes down what is seen.
-    pub fn note(&mut self, now: Time, note: Note) {
+    pub fn note(&mut self, now: Time, note: RawObservation) {
         match self.notes.push((now, note)) {
             Ok(()) => {}
-            Err(PushError::Full((at, Note::Listed(servers)))) => self.list = Some((at, servers)),
+            Err(PushError::Full((at, RawObservation::EndpointsChanged(servers)))) => {
+                self.list = Some((at, servers))
+            }
             Err(PushError::Full(_)) => {
                 self.slot.dropped.fetch_add(1, Ordering::Relaxed);
             }
@@ -85,19 +87,19 @@
     }
 
     /// Begins a turn: the latest advice, once.
-    pub fn begin_turn(&mut self, now: Time) -> Option<Advice> {
+    pub fn begin_turn(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
         self.slot.turns.fetch_add(1, Ordering::SeqCst);
         self.take_advice(now)
     }
 
     pub fn end_turn(&mut self) {
         if let Some((at, servers)) = self.list.take() {
-            self.note(at, Note::Listed(servers));
+            self.note(at, RawObservation::EndpointsChanged(servers));
         }
         self.slot.turns.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn take_advice(&mut self, now: Time) -> Option<Advice> {
+    fn take_advice(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
         if !self.slot.news.load(Ordering::SeqCst) {
             return None;
         }
@@ -110,7 +112,11 @@
         self.slot.news.store(false, Ordering::SeqCst);
         let (at, advice) = slot.take()?;
         let old = now - at >= LASTS;
-        Some(if old { Advice { leases: advice.leases, ..Advice::default() } } else { advice })
+        Some(if old {
+            ControlPlaneUpdate { leases: advice.leases, ..ControlPlaneUpdate::default() }
+        } else {
+            advice
+        })
     }
 
     /// The loop sends nothing more: the courier gives back what was leased, for which it has a moment.
@@ -121,7 +127,7 @@
     }
 }
 
-impl Hatch {
+impl AgentChannel {
     /// The next note, if there is one.
     pub fn next(&mut self) -> Result<Option<Dated>, Left> {
         // Asked first: what was written before the loop left is read still.
@@ -134,7 +140,7 @@
     }
 
     /// Lays advice out in place of what lay there.
-    pub fn advise(&self, now: Time, advice: Advice) {
+    pub fn advise(&self, now: Time, advice: ControlPlaneUpdate) {
         let mut slot = self.slot.advice.lock().unwrap_or_else(PoisonError::into_inner);
         *slot = Some((now, advice));
         self.slot.news.store(true, Ordering::SeqCst);
--- a/crates/control-plane/src/agent/handle/tests.rs
+++ b/crates/control-plane/src/agent/handle/tests.rs
@@ -1,12 +1,12 @@
-use granitelb_balancer::calls::{Outcome, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 
 use super::*;
 
-fn note(n: u64) -> Note {
-    let (number, cache, outcome) = (ShotNumber(0), CacheId(1), Outcome::Fulfilled);
-    let end = ShotEnd { number, cache, outcome, latency: Span::ZERO, answered: true };
-    Note::Ended { api_call: ApiCallId(n), end, bytes: 0 }
+fn note(n: u64) -> RawObservation {
+    let (number, cache, outcome) = (AttemptNumber(0), EndpointId(1), AttemptOutcome::Fulfilled);
+    let end = AttemptResult { number, cache, outcome, latency: Span::ZERO, answered: true };
+    RawObservation::AttemptFinished { request: RequestId(n), end, bytes: 0 }
 }
 
 #[test]
@@ -16,15 +16,15 @@
     for n in 0..all {
         desk.note(Time(n), note(n));
         if n % 100 == 0 {
-            desk.note(Time(n), Note::Listed(Vec::new()));
+            desk.note(Time(n), RawObservation::EndpointsChanged(Vec::new()));
         }
         desk.end_turn();
     }
     let (mut came, mut last_list) = (0, 0);
-    let mut read = |hatch: &mut Hatch, last: &mut u64| {
+    let mut read = |hatch: &mut AgentChannel, last: &mut u64| {
         while let Ok(Some((at, note))) = hatch.next() {
-            came += u64::from(!matches!(note, Note::Listed(_)));
-            *last = if let Note::Listed(_) = note { at.0 } else { *last };
+            came += u64::from(!matches!(note, RawObservation::EndpointsChanged(_)));
+            *last = if let RawObservation::EndpointsChanged(_) = note { at.0 } else { *last };
         }
     };
     read(&mut hatch, &mut last_list);
@@ -39,7 +39,8 @@
 #[test]
 fn advice_is_the_last_one_given_once_and_not_when_it_is_old() {
     let (mut desk, hatch) = open();
-    let of = |n| Advice { failing: vec![(CacheId(n), Time(0))], ..Advice::default() };
+    let of =
+        |n| ControlPlaneUpdate { failing: vec![(EndpointId(n), Time(0))], ..ControlPlaneUpdate::default() };
     assert_eq!(desk.begin_turn(Time(0)), None);
     hatch.advise(Time(0), of(1));
     assert!(!hatch.is_taken(), "a turn is on that began without it");
@@ -53,5 +54,5 @@
     hatch.advise(Time(10), of(3));
     assert!(hatch.is_taken());
     let old = desk.begin_turn(Time(10) + LASTS);
-    assert_eq!(old, Some(Advice::default()), "the process was stopped meanwhile");
+    assert_eq!(old, Some(ControlPlaneUpdate::default()), "the process was stopped meanwhile");
 }
--- a/crates/control-plane/src/agent/mod.rs
+++ b/crates/control-plane/src/agent/mod.rs
@@ -27,18 +27,18 @@
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::message::{self, MOST_BYTES};
-use granitelb_coordination::observation::Sight;
-use granitelb_coordination::{ForwarderId, Life, Member, Sender};
+use granitelb_coordination::observation::Observation;
+use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use self::handle::Desk;
-use self::handle::{Hatch, Left};
+pub use self::handle::AgentHandle;
+use self::handle::{AgentChannel, Left};
 use self::notes::Accounts;
-pub use self::notes::{Note, Sent};
+pub use self::notes::{RawObservation, SentAttempt};
 use self::sides::Sides;
 use self::tally::{Refused, Tally};
 use self::ways::Ways;
-use crate::fleet_config::Operator;
+use crate::fleet_config::FleetConfig;
 
 /// It looks in so often where no letter comes.
 const ROUND: Duration = Duration::from_millis(25);
@@ -58,31 +58,31 @@
 }
 
 /// A courier that is not on its way yet.
-pub struct Courier {
+pub struct Agent {
     me: ForwarderId,
     address: Ipv4Addr,
-    operator: Operator,
+    operator: FleetConfig,
     renewal: Renewal,
 }
 
 /// Gives a courier another operator's file.
 #[derive(Clone, Default)]
-pub struct Renewal(Arc<Mutex<Option<Operator>>>);
+pub struct Renewal(Arc<Mutex<Option<FleetConfig>>>);
 
 impl Renewal {
-    pub fn renew(&self, operator: Operator) {
+    pub fn renew(&self, operator: FleetConfig) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(operator);
     }
 
-    fn take(&self) -> Option<Operator> {
+    fn take(&self) -> Option<FleetConfig> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 }
 
-impl Courier {
+impl Agent {
     /// For the forwarder of this name; letters come and go by this address.
-    pub fn new(operator: Operator, name: &str, address: Ipv4Addr) -> Courier {
-        Courier { me: ForwarderId::of_name(name), address, operator, renewal: Renewal::default() }
+    pub fn new(operator: FleetConfig, name: &str, address: Ipv4Addr) -> Agent {
+        Agent { me: ForwarderId::of_name(name), address, operator, renewal: Renewal::default() }
     }
 
     pub fn renewal(&self) -> Renewal {
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Where the system gives no thread.
-    pub fn start(self, clock: impl Fn() -> Time + Send + 'static) -> io::Result<Desk> {
+    pub fn start(self, clock: impl Fn() -> Time + Send + 'static) -> io::Result<AgentHandle> {
         let (desk, hatch) = handle::open();
         let office = Office {
             me: self.me,
@@ -103,7 +103,7 @@
             clock: Box::new(clock),
             hatch,
             accounts: Accounts::default(),
-            life: Life(0),
+            incarnation: Incarnation(0),
             number: 0,
             listed: None,
             tally: Tally::default(),
@@ -117,16 +117,16 @@
 struct Office {
     me: ForwarderId,
     address: Ipv4Addr,
-    operator: Operator,
+    operator: FleetConfig,
     renewal: Renewal,
     clock: Box<dyn Fn() -> Time + Send>,
-    hatch: Hatch,
+    hatch: AgentChannel,
     accounts: Accounts,
-    life: Life,
+    incarnation: Incarnation,
     /// Of the last letter, over all lives.
     number: u64,
     /// The last list that was told: a new courier has to know it.
-    listed: Option<Sight>,
+    listed: Option<Observation>,
     tally: Tally,
 }
 
@@ -153,17 +153,17 @@
 }
 
 impl Office {
-    fn next_life(&mut self, now: Time, least: Life) -> Life {
+    fn next_incarnation(&mut self, now: Time, least: Incarnation) -> Incarnation {
         // Later than any before, also of a process before this one.
-        self.life = Life(now.0.max(self.life.0 + 1)).max(least);
-        self.life
+        self.incarnation = Incarnation(now.0.max(self.incarnation.0 + 1)).max(least);
+        self.incarnation
     }
 
     /// Serves until the loop ends.
     fn serve(&mut self) -> Ended {
         let now = (self.clock)();
-        let life = self.next_life(now, Life(0));
-        let mut sides = Sides::new(&self.operator, self.me, life, now);
+        let incarnation = self.next_incarnation(now, Incarnation(0));
+        let mut sides = Sides::new(&self.operator, self.me, incarnation, now);
         if let Some(listed) = &self.listed {
             sides.seen(now, listed);
         }
@@ -202,9 +202,9 @@
                     self.hatch.advise(now, sides.advice(now));
                 }
             }
-            while let Some(remark) = sides.next_remark() {
-                let level = if remark.warns { log::Level::Warn } else { log::Level::Info };
-                log::log!(level, event = remark.event; "{}", remark.text);
+            while let Some(remark) = sides.poll_event() {
+                let level = if remark.is_warning { log::Level::Warn } else { log::Level::Info };
+                log::log!(level, event = remark.name; "{}", remark.message);
             }
             if tally_at <= now {
                 tally_at = now + TALLY;
@@ -215,7 +215,7 @@
 
     /// Goes on under a new life: what was granted or told to the one before counts no more. Not for other secrets or
     /// addresses alone.
-    fn renew(&mut self, sides: &mut Sides, operator: Option<Operator>, now: Time) {
+    fn renew(&mut self, sides: &mut Sides, operator: Option<FleetConfig>, now: Time) {
         if let Some(operator) = operator {
             log::info!(event = "operator_renewed"; "the operator's file was read again: {operator}");
             let same = operator.decides_as(&self.operator);
@@ -224,8 +224,8 @@
                 return;
             }
         }
-        let life = self.next_life(now, sides.least_life());
-        sides.renew(&self.operator, life, now);
+        let incarnation = self.next_incarnation(now, sides.least_incarnation());
+        sides.renew(&self.operator, incarnation, now);
         if let Some(listed) = &self.listed {
             sides.seen(now, listed);
         }
@@ -235,18 +235,22 @@
     fn write(&mut self, ways: &Ways, sides: &mut Sides) {
         for _ in 0..MOST_WRITTEN {
             // Each by the clock of its own moment: leases count from when they were asked for.
-            let Some((to, letter)) = sides.next_letter((self.clock)()) else { return };
+            let Some((to, letter)) = sides.poll_message((self.clock)()) else { return };
             let Member::Planner(planner) = to else { continue };
             let Some(address) = self.operator.planners.get(&planner) else { continue };
             self.number += 1;
-            let sender = Sender { member: Member::Forwarder(self.me), life: self.life, number: self.number };
+            let sender = Sender {
+                member: Member::Forwarder(self.me),
+                incarnation: self.incarnation,
+                number: self.number,
+            };
             match message::seal(sender, &letter, &self.operator.secrets) {
                 Ok(bytes) => {
                     if let Err(trouble) = ways.send(planner, *address, &bytes) {
                         self.tally.unsent(&trouble);
                     }
                 }
-                Err(fault) => self.tally.refused(Refused::Letter(fault)),
+                Err(fault) => self.tally.refused(Refused::Message(fault)),
             }
         }
     }
@@ -261,8 +265,8 @@
             *strangers_at = now + Span(ROUND.as_micros() as u64);
         }
         let take = |bytes: &[u8]| {
-            let opened = message::open(bytes, &self.operator.secrets).map_err(Refused::Letter);
-            let heard = opened.and_then(|(from, letter)| sides.heard((self.clock)(), from, letter));
+            let opened = message::open(bytes, &self.operator.secrets).map_err(Refused::Message);
+            let heard = opened.and_then(|(from, letter)| sides.on_message((self.clock)(), from, letter));
             match heard {
                 Ok(()) => came = true,
                 Err(refused) => self.tally.refused(refused),
@@ -280,7 +284,7 @@
             let Some((at, note)) = self.hatch.next()? else { break };
             let Some(sight) = self.accounts.sight(note) else { continue };
             sides.seen(at, &sight);
-            if let Sight::Listed(_) = sight {
+            if let Observation::EndpointsChanged(_) = sight {
                 self.listed = Some(sight);
             }
         }
--- a/crates/control-plane/src/agent/notes.rs
+++ b/crates/control-plane/src/agent/notes.rs
@@ -3,39 +3,39 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::{ApiCall, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::calls::{AttemptResult, Request};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
 
-pub enum Note {
+pub enum RawObservation {
     /// These may get shots from now on, and no others.
-    Listed(Vec<Server>),
-    Sent(Sent),
-    Ended {
-        api_call: ApiCallId,
-        end: ShotEnd,
+    EndpointsChanged(Vec<ObservedEndpoint>),
+    AttemptSent(SentAttempt),
+    AttemptFinished {
+        request: RequestId,
+        end: AttemptResult,
         /// Of the answer's body.
         bytes: u32,
     },
     /// A read that caches lacked was rate-limited.
-    Denied,
+    FetchDenied,
 }
 
 /// A shot that goes out.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    pub api_call: ApiCallId,
-    pub number: ShotNumber,
-    pub cache: CacheId,
+pub struct SentAttempt {
+    pub request: RequestId,
+    pub number: AttemptNumber,
+    pub cache: EndpointId,
     /// See [`super::call_of`].
     pub call: u64,
-    pub asked: ApiCall,
+    pub asked: Request,
     /// Of the value that is written.
     pub bytes: u32,
     pub slo: Span,
     /// The key's candidates in their order, for sampled calls.
-    pub candidates: [Option<CacheId>; 3],
+    pub candidates: [Option<EndpointId>; 3],
 }
 
 /// Shots whose end was not told of, for want of room on the way, are forgotten past so many.
@@ -44,23 +44,23 @@
 /// What is out, as far as notes tell.
 #[derive(Default)]
 pub(super) struct Accounts {
-    is_origin: BTreeMap<CacheId, bool>,
-    shots: BTreeMap<(ApiCallId, ShotNumber), (Sent, u16)>,
+    is_origin: BTreeMap<EndpointId, bool>,
+    shots: BTreeMap<(RequestId, AttemptNumber), (SentAttempt, u16)>,
     /// How many are out at each server that has some.
-    out: BTreeMap<CacheId, u16>,
+    out: BTreeMap<EndpointId, u16>,
 }
 
 impl Accounts {
     /// What a note tells of; nothing for the end of a shot that is not known.
-    pub fn sight(&mut self, note: Note) -> Option<Sight> {
+    pub fn sight(&mut self, note: RawObservation) -> Option<Observation> {
         match note {
-            Note::Listed(servers) => {
+            RawObservation::EndpointsChanged(servers) => {
                 self.is_origin = servers.iter().map(|s| (s.cache, s.is_origin)).collect();
-                Some(Sight::Listed(servers))
+                Some(Observation::EndpointsChanged(servers))
             }
-            Note::Sent(sent) => {
+            RawObservation::AttemptSent(sent) => {
                 let out = self.out.entry(sent.cache).or_default();
-                self.shots.insert((sent.api_call, sent.number), (sent, *out));
+                self.shots.insert((sent.request, sent.number), (sent, *out));
                 *out = out.saturating_add(1);
                 if self.shots.len() > MOST_OUT
                     && let Some((_, (lost, _))) = self.shots.pop_first()
@@ -68,18 +68,18 @@
                     self.ended(lost.cache);
                 }
                 let is_origin = self.is_origin(sent.cache);
-                Some(Sight::Sent { cache: sent.cache, is_origin, write: sent.asked.write })
+                Some(Observation::AttemptSent { cache: sent.cache, is_origin, write: sent.asked.write })
             }
-            Note::Denied => Some(Sight::Denied),
-            Note::Ended { api_call, end, bytes } => {
-                let (sent, out_then) = self.shots.remove(&(api_call, end.number))?;
+            RawObservation::FetchDenied => Some(Observation::FetchDenied),
+            RawObservation::AttemptFinished { request, end, bytes } => {
+                let (sent, out_then) = self.shots.remove(&(request, end.number))?;
                 self.ended(sent.cache);
                 let asked = sent.asked;
-                Some(Sight::Ended(Box::new(Ended {
+                Some(Observation::AttemptFinished(Box::new(FinishedAttempt {
                     call: sent.call,
                     number: end.number.0,
                     key: asked.key,
-                    product: asked.product,
+                    request_class: asked.request_class,
                     write: asked.write,
                     work: asked.work,
                     cache: sent.cache,
@@ -95,7 +95,7 @@
         }
     }
 
-    fn ended(&mut self, cache: CacheId) {
+    fn ended(&mut self, cache: EndpointId) {
         if let Some(out) = self.out.get_mut(&cache) {
             *out = out.saturating_sub(1);
             if *out == 0 {
@@ -104,10 +104,10 @@
         }
     }
 
-    fn is_origin(&self, cache: CacheId) -> bool {
+    fn is_origin(&self, cache: EndpointId) -> bool {
         self.is_origin.get(&cache).copied().unwrap_or(false)
     }
 }
 
 /// A note with its time.
-pub(super) type Dated = (Time, Note);
+pub(super) type Dated = (Time, RawObservation);
--- a/crates/control-plane/src/agent/sides.rs
+++ b/crates/control-plane/src/agent/sides.rs
@@ -4,30 +4,30 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::{Advice, Lease};
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::calls::{ControlPlaneUpdate, Lease};
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Time;
-use granitelb_coordination::component::{Faculty, Remark};
+use granitelb_coordination::component::{Component, Event};
 use granitelb_coordination::membership::Members;
-use granitelb_coordination::message::{Kind, Letter};
-use granitelb_coordination::observation::Sight;
+use granitelb_coordination::message::{ComponentKind, Message};
+use granitelb_coordination::observation::Observation;
 use granitelb_coordination::{
-    ForwarderId, Life, Member, Sender, counterfactual, endpoint_health, leases, shard_growth,
+    ForwarderId, Incarnation, Member, Sender, counterfactual, endpoint_health, leases, shard_growth,
 };
 
 use super::tally::Refused;
-use crate::fleet_config::Operator;
+use crate::fleet_config::FleetConfig;
 
 /// A forwarder's side, whatever its messages are.
 trait Side {
-    fn seen(&mut self, now: Time, sight: &Sight);
-    fn heard(&mut self, now: Time, from: Sender, letter: Letter) -> Result<(), Refused>;
-    fn members(&mut self, now: Time, alive: &[Member]);
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Letter)>;
-    fn next_remark(&mut self) -> Option<Remark>;
+    fn seen(&mut self, now: Time, sight: &Observation);
+    fn on_message(&mut self, now: Time, from: Sender, letter: Message) -> Result<(), Refused>;
+    fn on_membership_change(&mut self, now: Time, alive: &[Member]);
+    fn poll_message(&mut self, now: Time) -> Option<(Member, Message)>;
+    fn poll_event(&mut self) -> Option<Event>;
 
     /// Adds what it has to say to the module now.
-    fn advise(&mut self, _now: Time, _advice: &mut Advice) {}
+    fn advise(&mut self, _now: Time, _advice: &mut ControlPlaneUpdate) {}
 
     /// The loop sends nothing more.
     fn leave(&mut self) {}
@@ -36,26 +36,26 @@
 /// Makes a faculty's side one of these, by its kind of letters; what it says to the module is given on top.
 macro_rules! side {
     ($faculty:ident, $kind:ident $(, $more:item)*) => {
-        impl Side for $faculty::AtForwarder {
-            fn seen(&mut self, now: Time, sight: &Sight) {
-                $faculty::AtForwarder::seen(self, now, sight);
+        impl Side for $faculty::ForwarderComponent {
+            fn seen(&mut self, now: Time, sight: &Observation) {
+                $faculty::ForwarderComponent::seen(self, now, sight);
             }
 
-            fn heard(&mut self, now: Time, from: Sender, letter: Letter) -> Result<(), Refused> {
-                let Letter::$kind(message) = letter else { return Err(Refused::Off) };
-                Faculty::heard(self, now, from, message).map_err(|fault| Refused::of("passed_over", &fault))
+            fn on_message(&mut self, now: Time, from: Sender, letter: Message) -> Result<(), Refused> {
+                let Message::$kind(message) = letter else { return Err(Refused::Off) };
+                Component::on_message(self, now, from, message).map_err(|fault| Refused::of("passed_over", &fault))
             }
 
-            fn members(&mut self, now: Time, alive: &[Member]) {
-                Faculty::members(self, now, alive);
+            fn on_membership_change(&mut self, now: Time, alive: &[Member]) {
+                Component::on_membership_change(self, now, alive);
             }
 
-            fn next_letter(&mut self, now: Time) -> Option<(Member, Letter)> {
-                Faculty::next_letter(self, now).map(|(to, message)| (to, Letter::$kind(message)))
+            fn poll_message(&mut self, now: Time) -> Option<(Member, Message)> {
+                Component::poll_message(self, now).map(|(to, message)| (to, Message::$kind(message)))
             }
 
-            fn next_remark(&mut self) -> Option<Remark> {
-                Faculty::next_remark(self)
+            fn poll_event(&mut self) -> Option<Event> {
+                Component::poll_event(self)
             }
 
             $($more)*
@@ -65,8 +65,8 @@
 
 side!(
     endpoint_health,
-    Verdicts,
-    fn advise(&mut self, now: Time, advice: &mut Advice) {
+    EndpointHealth,
+    fn advise(&mut self, now: Time, advice: &mut ControlPlaneUpdate) {
         let said = self.advice(now);
         (advice.failing, advice.answering) = (said.failing, said.answering);
     }
@@ -74,36 +74,45 @@
 side!(
     leases,
     Leases,
-    fn advise(&mut self, now: Time, advice: &mut Advice) {
+    fn advise(&mut self, now: Time, advice: &mut ControlPlaneUpdate) {
         advice.leases = self.advice(now);
     },
     fn leave(&mut self) {
-        leases::AtForwarder::leave(self);
+        leases::ForwarderComponent::leave(self);
     }
 );
 side!(
     shard_growth,
-    Growth,
-    fn advise(&mut self, _now: Time, advice: &mut Advice) {
+    ShardGrowth,
+    fn advise(&mut self, _now: Time, advice: &mut ControlPlaneUpdate) {
         advice.table = self.advice();
     }
 );
-side!(counterfactual, Hindsight);
+side!(counterfactual, Counterfactual);
 
-type Faculties = BTreeMap<Kind, Box<dyn Side>>;
+type Faculties = BTreeMap<ComponentKind, Box<dyn Side>>;
 
-fn faculties(operator: &Operator, me: ForwarderId, life: Life, now: Time) -> Faculties {
+fn faculties(operator: &FleetConfig, me: ForwarderId, incarnation: Incarnation, now: Time) -> Faculties {
     let mut all: Faculties = BTreeMap::new();
-    let verdicts = endpoint_health::AtForwarder::new(operator.verdicts(), me, life, now);
-    all.insert(Kind::Verdicts, Box::new(verdicts));
+    let verdicts = endpoint_health::ForwarderComponent::new(operator.verdicts(), me, incarnation, now);
+    all.insert(ComponentKind::EndpointHealth, Box::new(verdicts));
     if let Some(settings) = operator.leases() {
-        all.insert(Kind::Leases, Box::new(leases::AtForwarder::new(settings, me, life, now)));
+        all.insert(
+            ComponentKind::Leases,
+            Box::new(leases::ForwarderComponent::new(settings, me, incarnation, now)),
+        );
     }
     if let Some(settings) = operator.growth_seen() {
-        all.insert(Kind::Growth, Box::new(shard_growth::AtForwarder::new(settings, me, life, now)));
+        all.insert(
+            ComponentKind::ShardGrowth,
+            Box::new(shard_growth::ForwarderComponent::new(settings, me, incarnation, now)),
+        );
     }
     if let Some(settings) = operator.hindsight() {
-        all.insert(Kind::Hindsight, Box::new(counterfactual::AtForwarder::new(settings, me, life, now)));
+        all.insert(
+            ComponentKind::Counterfactual,
+            Box::new(counterfactual::ForwarderComponent::new(settings, me, incarnation, now)),
+        );
     }
     all
 }
@@ -116,53 +125,54 @@
     members: Members,
     faculties: Faculties,
     /// Servers with a lease in the last advice, and those that had one when leases were turned off.
-    leased: Vec<CacheId>,
-    freed: Vec<CacheId>,
+    leased: Vec<EndpointId>,
+    freed: Vec<EndpointId>,
 }
 
 impl Sides {
-    pub fn new(operator: &Operator, me: ForwarderId, life: Life, now: Time) -> Sides {
-        let mut members = Members::new(Member::Forwarder(me), life, now);
+    pub fn new(operator: &FleetConfig, me: ForwarderId, incarnation: Incarnation, now: Time) -> Sides {
+        let mut members = Members::new(Member::Forwarder(me), incarnation, now);
         members.set_planners(now, operator.planners.keys().copied());
         let (leased, freed) = (Vec::new(), Vec::new());
-        Sides { me, members, faculties: faculties(operator, me, life, now), leased, freed }
+        Sides { me, members, faculties: faculties(operator, me, incarnation, now), leased, freed }
     }
 
     /// Goes on under a new life. Who else lives, and which of their letters came already, is still known.
-    pub fn renew(&mut self, operator: &Operator, life: Life, now: Time) {
-        self.members.renewed(life);
+    pub fn renew(&mut self, operator: &FleetConfig, incarnation: Incarnation, now: Time) {
+        self.members.renewed(incarnation);
         self.members.set_planners(now, operator.planners.keys().copied());
-        self.faculties = faculties(operator, self.me, life, now);
-        if !self.faculties.contains_key(&Kind::Leases) {
+        self.faculties = faculties(operator, self.me, incarnation, now);
+        if !self.faculties.contains_key(&ComponentKind::Leases) {
             self.freed.append(&mut self.leased);
         } else {
             self.freed.clear();
         }
         let alive = self.members.alive(now);
-        self.faculties.values_mut().for_each(|side| side.members(now, &alive));
+        self.faculties.values_mut().for_each(|side| side.on_membership_change(now, &alive));
     }
 
-    pub fn seen(&mut self, now: Time, sight: &Sight) {
+    pub fn seen(&mut self, now: Time, sight: &Observation) {
         self.faculties.values_mut().for_each(|side| side.seen(now, sight));
     }
 
     /// A letter that was signed has come.
-    pub fn heard(&mut self, now: Time, from: Sender, letter: Letter) -> Result<(), Refused> {
+    pub fn on_message(&mut self, now: Time, from: Sender, letter: Message) -> Result<(), Refused> {
         self.members.take(now, from).map_err(|stale| Refused::of("stale", &stale))?;
         self.tell_alive(now);
         let kind = letter.kind();
         match letter {
-            Letter::Members(message) => {
-                self.members.heard(now, from, message).map_err(|fault| Refused::of("passed_over", &fault))
-            }
-            letter => self.faculties.get_mut(&kind).ok_or(Refused::Off)?.heard(now, from, letter),
+            Message::Membership(message) => self
+                .members
+                .on_message(now, from, message)
+                .map_err(|fault| Refused::of("passed_over", &fault)),
+            letter => self.faculties.get_mut(&kind).ok_or(Refused::Off)?.on_message(now, from, letter),
         }
     }
 
     /// Tells all sides where the members that live have changed.
     pub fn tell_alive(&mut self, now: Time) {
         if let Some(alive) = self.members.changed(now) {
-            self.faculties.values_mut().for_each(|side| side.members(now, &alive));
+            self.faculties.values_mut().for_each(|side| side.on_membership_change(now, &alive));
         }
     }
 
@@ -172,30 +182,31 @@
     }
 
     /// The least life under which it may go on.
-    pub fn least_life(&self) -> Life {
-        self.members.least_life()
+    pub fn least_incarnation(&self) -> Incarnation {
+        self.members.least_incarnation()
     }
 
     pub fn leave(&mut self) {
         self.faculties.values_mut().for_each(|side| side.leave());
     }
 
-    pub fn next_letter(&mut self, now: Time) -> Option<(Member, Letter)> {
+    pub fn poll_message(&mut self, now: Time) -> Option<(Member, Message)> {
         // Beats last: any other letter is as good as one.
-        let next = self.faculties.values_mut().find_map(|side| side.next_letter(now));
-        let next = next.or_else(|| self.members.next_letter(now).map(|(to, m)| (to, Letter::Members(m))))?;
+        let next = self.faculties.values_mut().find_map(|side| side.poll_message(now));
+        let next =
+            next.or_else(|| self.members.poll_message(now).map(|(to, m)| (to, Message::Membership(m))))?;
         self.members.sent(now, next.0);
         Some(next)
     }
 
-    pub fn next_remark(&mut self) -> Option<Remark> {
-        let members = self.members.next_remark();
-        members.or_else(|| self.faculties.values_mut().find_map(|side| side.next_remark()))
+    pub fn poll_event(&mut self) -> Option<Event> {
+        let members = self.members.poll_event();
+        members.or_else(|| self.faculties.values_mut().find_map(|side| side.poll_event()))
     }
 
     /// What is to be said to the module now.
-    pub fn advice(&mut self, now: Time) -> Advice {
-        let mut advice = Advice::default();
+    pub fn advice(&mut self, now: Time) -> ControlPlaneUpdate {
+        let mut advice = ControlPlaneUpdate::default();
         self.faculties.values_mut().for_each(|side| side.advise(now, &mut advice));
         self.leased = advice.leases.iter().map(|(cache, _)| *cache).collect();
         // The module keeps what it was told last, and the loop may miss an advice: said for as long as they are off.
--- a/crates/control-plane/src/agent/tally.rs
+++ b/crates/control-plane/src/agent/tally.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_coordination::component::Help;
+use granitelb_coordination::component::Remediation;
 use granitelb_coordination::message;
 
 /// Why a letter was passed over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Refused {
-    Letter(message::Fault),
+    Message(message::EnvelopeError),
     /// Of a faculty that the operator's file leaves out.
     Off,
     /// By the side that it is for.
@@ -20,8 +20,8 @@
 }
 
 impl Refused {
-    pub fn of(name: &'static str, fault: &dyn Help) -> Refused {
-        Refused::By { name, why: fault.to_string(), help: fault.help() }
+    pub fn of(name: &'static str, fault: &dyn Remediation) -> Refused {
+        Refused::By { name, why: fault.to_string(), help: fault.remediation() }
     }
 }
 
@@ -34,7 +34,7 @@
 impl Tally {
     pub fn refused(&mut self, refused: Refused) {
         match refused {
-            Refused::Letter(fault) => self.count(fault.name(), 1, &fault, fault.help()),
+            Refused::Message(fault) => self.count(fault.name(), 1, &fault, fault.remediation()),
             Refused::By { name, why, help } => self.count(name, 1, &why, help),
             Refused::Off => {
                 let help = "Give all members the same operator's file and send SIGHUP.";
--- a/crates/control-plane/src/config_error.rs
+++ b/crates/control-plane/src/config_error.rs
@@ -2,23 +2,23 @@
 
 use std::path::{Path, PathBuf};
 
-use granitelb_coordination::component::Help;
+use granitelb_coordination::component::Remediation;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
 /// What is wrong with a file, and where.
 #[derive(Debug, Error)]
 #[error("{}{}: {fault}", file.display(), line.map(|l| format!(":{l}")).unwrap_or_default())]
-pub struct Trouble {
+pub struct ConfigError {
     pub file: PathBuf,
     /// Counted from 1, unless it is the file as a whole.
     pub line: Option<usize>,
     #[source]
-    pub fault: Fault,
+    pub fault: ConfigErrorKind,
 }
 
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum ConfigErrorKind {
     #[error("it can't be read: {0}")]
     Unread(#[source] std::io::Error),
     /// Not TOML, a key that is not known, a missing one, or a value of another form.
@@ -28,68 +28,72 @@
     Value { key: &'static str, what: String },
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for ConfigErrorKind {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::Unread(_) => "Name a file that this program may read.",
-            Fault::Form(_) => {
+            ConfigErrorKind::Unread(_) => "Name a file that this program may read.",
+            ConfigErrorKind::Form(_) => {
                 "Write that line as docs/configuration.md has it, and `granitelb check` the file."
             }
-            Fault::Value { .. } => {
+            ConfigErrorKind::Value { .. } => {
                 "Give that key a value that docs/configuration.md allows, and `granitelb check` the file."
             }
         }
     }
 }
 
-impl Help for Trouble {
-    fn help(&self) -> &'static str {
-        self.fault.help()
+impl Remediation for ConfigError {
+    fn remediation(&self) -> &'static str {
+        self.fault.remediation()
     }
 }
 
 /// A value that is not allowed, by its key; what a check of a file gives.
 #[derive(Debug)]
-pub struct Wrong {
+pub struct InvalidValue {
     pub key: &'static str,
     pub what: String,
     /// Where it stands, as far as the reader knows; else its key is looked for.
     pub at: Option<usize>,
 }
 
-impl Wrong {
-    pub fn new(key: &'static str, what: impl Into<String>) -> Wrong {
-        Wrong { key, what: what.into(), at: None }
+impl InvalidValue {
+    pub fn new(key: &'static str, what: impl Into<String>) -> InvalidValue {
+        InvalidValue { key, what: what.into(), at: None }
     }
 }
 
 /// A file of which faults can be told by line.
-pub struct Source {
+pub struct ConfigSource {
     pub file: PathBuf,
     pub text: String,
 }
 
-impl Source {
-    pub fn load(file: &Path) -> Result<Source, Trouble> {
-        let text = std::fs::read_to_string(file).map_err(|e| Trouble {
+impl ConfigSource {
+    pub fn load(file: &Path) -> Result<ConfigSource, ConfigError> {
+        let text = std::fs::read_to_string(file).map_err(|e| ConfigError {
             file: file.into(),
             line: None,
-            fault: Fault::Unread(e),
+            fault: ConfigErrorKind::Unread(e),
         })?;
-        Ok(Source { file: file.into(), text })
+        Ok(ConfigSource { file: file.into(), text })
     }
 
-    pub fn read<T: DeserializeOwned>(&self) -> Result<T, Trouble> {
-        toml::from_str(&self.text).map_err(|e| Trouble {
+    pub fn read<T: DeserializeOwned>(&self) -> Result<T, ConfigError> {
+        toml::from_str(&self.text).map_err(|e| ConfigError {
             file: self.file.clone(),
             line: e.span().map(|s| self.line_of(s.start)),
-            fault: Fault::Form(e.message().trim().to_string()),
+            fault: ConfigErrorKind::Form(e.message().trim().to_string()),
         })
     }
 
-    pub fn wrong(&self, wrong: Wrong) -> Trouble {
+    pub fn wrong(&self, wrong: InvalidValue) -> ConfigError {
         let line = wrong.at.map(|at| self.line_of(at)).or_else(|| self.line_with(wrong.key));
-        Trouble { file: self.file.clone(), line, fault: Fault::Value { key: wrong.key, what: wrong.what } }
+        ConfigError {
+            file: self.file.clone(),
+            line,
+            fault: ConfigErrorKind::Value { key: wrong.key, what: wrong.what },
+        }
     }
 
     fn line_of(&self, at: usize) -> usize {
--- a/crates/control-plane/src/fault_injection.rs
+++ b/crates/control-plane/src/fault_injection.rs
@@ -2,15 +2,15 @@
 //! told loudly; nothing here is read anywhere else.
 
 use granitelb_balancer::time::Span;
-use granitelb_coordination::message::Kind;
+use granitelb_coordination::message::ComponentKind;
 use serde::Deserialize;
 
 use crate::clock::Clock;
-use crate::config_error::Wrong;
+use crate::config_error::InvalidValue;
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Trial {
+pub struct FaultInjection {
     /// The clock goes so much as fast as the machine's.
     pub clock_rate: f64,
     /// At the start it is ahead of the machine's by so much, or behind it.
@@ -22,23 +22,31 @@
     pub hang_ends_ms: Option<u64>,
 }
 
-impl Default for Trial {
-    fn default() -> Trial {
-        Trial { clock_rate: 1.0, clock_ahead_ms: 0, hangs: None, hang_named_ms: None, hang_ends_ms: None }
+impl Default for FaultInjection {
+    fn default() -> FaultInjection {
+        FaultInjection {
+            clock_rate: 1.0,
+            clock_ahead_ms: 0,
+            hangs: None,
+            hang_named_ms: None,
+            hang_ends_ms: None,
+        }
     }
 }
 
-impl Trial {
+impl FaultInjection {
     /// # Errors
     /// Says which key can't be.
-    pub fn check(&self) -> Result<(), Wrong> {
+    pub fn check(&self) -> Result<(), InvalidValue> {
         if !(0.5..=2.0).contains(&self.clock_rate) {
-            return Err(Wrong::new("trial.clock_rate", "from 0.5 to 2, and for trials only"));
+            return Err(InvalidValue::new("trial.clock_rate", "from 0.5 to 2, and for trials only"));
         }
         if let Some(name) = &self.hangs
-            && !Kind::ALL.iter().any(|kind| kind.name() == name && *kind != Kind::Members)
+            && !ComponentKind::ALL
+                .iter()
+                .any(|kind| kind.name() == name && *kind != ComponentKind::Membership)
         {
-            return Err(Wrong::new(
+            return Err(InvalidValue::new(
                 "trial.hangs",
                 "verdicts, leases, growth or hindsight, and for trials only",
             ));
@@ -50,7 +58,7 @@
         Clock::for_trial(self.clock_rate, self.clock_ahead_ms)
     }
 
-    pub fn hangs(&self, kind: Kind) -> bool {
+    pub fn hangs(&self, kind: ComponentKind) -> bool {
         self.hangs.as_deref() == Some(kind.name())
     }
 
--- a/crates/control-plane/src/fleet_config.rs
+++ b/crates/control-plane/src/fleet_config.rs
@@ -7,14 +7,14 @@
 use std::path::{Path, PathBuf};
 
 use granitelb_balancer::time::Span;
-use granitelb_coordination::message::{Kind, Secret, Secrets};
+use granitelb_coordination::message::{ComponentKind, Secret, Secrets};
 use granitelb_coordination::{
     PlannerId, counterfactual, endpoint_health, leases, probe_scheduling, shard_growth,
 };
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::config_error::{Source, Trouble, Wrong};
+use crate::config_error::{ConfigError, ConfigSource, InvalidValue};
 
 const DAY: Span = Span::from_millis(86_400_000);
 /// More planners than these agree no better, and cost each forwarder letters.
@@ -59,9 +59,9 @@
 }
 
 impl HindsightForm {
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         if !(500..=600_000).contains(&self.judge_ms) {
-            return Err(Wrong::new(
+            return Err(InvalidValue::new(
                 "hindsight.judge_ms",
                 "from 500 to 600000, and less than 30000 for trials only",
             ));
@@ -147,7 +147,7 @@
 
 /// The file, checked.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct FleetConfig {
     pub secrets: Secrets,
     /// Where each planner's letters go.
     pub planners: BTreeMap<PlannerId, SocketAddrV4>,
@@ -159,28 +159,28 @@
     pub hindsight: Option<HindsightForm>,
 }
 
-impl Operator {
+impl FleetConfig {
     /// Reads and checks a file.
     ///
     /// # Errors
     /// Whatever keeps it from being an operator's file, by file, line and key.
-    pub fn load(path: &Path) -> Result<Operator, Trouble> {
-        Operator::read(&Source::load(path)?)
+    pub fn load(path: &Path) -> Result<FleetConfig, ConfigError> {
+        FleetConfig::read(&ConfigSource::load(path)?)
     }
 
     /// Whether a faculty's section is there; who lives and what fails is always told.
-    pub fn has(&self, kind: Kind) -> bool {
+    pub fn has(&self, kind: ComponentKind) -> bool {
         match kind {
-            Kind::Members | Kind::Verdicts => true,
-            Kind::Leases => self.leases.is_some(),
-            Kind::Growth => self.growth.is_some(),
-            Kind::Hindsight => self.hindsight.is_some(),
+            ComponentKind::Membership | ComponentKind::EndpointHealth => true,
+            ComponentKind::Leases => self.leases.is_some(),
+            ComponentKind::ShardGrowth => self.growth.is_some(),
+            ComponentKind::Counterfactual => self.hindsight.is_some(),
         }
     }
 
     /// Whether faculties decide by this as by the other one; addresses and secrets aside.
-    pub fn decides_as(&self, other: &Operator) -> bool {
-        let figures = |o: &Operator| {
+    pub fn decides_as(&self, other: &FleetConfig) -> bool {
+        let figures = |o: &FleetConfig| {
             let numbers: Vec<_> = o.planners.keys().copied().collect();
             (numbers, o.forwarders, o.leases.clone(), o.turns.clone(), o.growth.clone(), o.hindsight.clone())
         };
@@ -264,16 +264,17 @@
     }
 
     /// # Errors
-    /// As [`Operator::load`].
-    pub fn read(source: &Source) -> Result<Operator, Trouble> {
+    /// As [`FleetConfig::load`].
+    pub fn read(source: &ConfigSource) -> Result<FleetConfig, ConfigError> {
         let form: Form = source.read()?;
         form.check(source).map_err(|wrong| source.wrong(wrong))
     }
 }
 
-impl fmt::Display for Operator {
+impl fmt::Display for FleetConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let on: Vec<_> = Kind::ALL.into_iter().filter(|kind| self.has(*kind)).map(Kind::name).collect();
+        let on: Vec<_> =
+            ComponentKind::ALL.into_iter().filter(|kind| self.has(*kind)).map(ComponentKind::name).collect();
         let two = if self.secrets.old.is_some() { ", a former secret too" } else { "" };
         let (planners, forwarders) = (self.planners.len(), self.forwarders);
         write!(f, "{planners} planners, at most {forwarders} forwarders, {}{two}", on.join(", "))
@@ -281,12 +282,12 @@
 }
 
 impl Form {
-    fn check(self, source: &Source) -> Result<Operator, Wrong> {
+    fn check(self, source: &ConfigSource) -> Result<FleetConfig, InvalidValue> {
         let new = secret("secret", self.secret, self.secret_file, source)?;
-        let new = new.ok_or_else(|| Wrong::new("secret", "neither it nor secret_file is given"))?;
+        let new = new.ok_or_else(|| InvalidValue::new("secret", "neither it nor secret_file is given"))?;
         let old = secret("former_secret", self.former_secret, self.former_secret_file, source)?;
         if !(1..=MOST_FORWARDERS).contains(&self.forwarders) {
-            return Err(Wrong::new("forwarders", format!("from 1 to {MOST_FORWARDERS}")));
+            return Err(InvalidValue::new("forwarders", format!("from 1 to {MOST_FORWARDERS}")));
         }
         if let Some(leases) = &self.leases {
             leases.check()?;
@@ -298,7 +299,7 @@
         if let Some(hindsight) = &self.hindsight {
             hindsight.check()?;
         }
-        Ok(Operator {
+        Ok(FleetConfig {
             secrets: Secrets { new, old },
             planners: planners(&self.planner)?,
             forwarders: self.forwarders,
@@ -314,30 +315,31 @@
     key: &'static str,
     here: Option<String>,
     file: Option<PathBuf>,
-    source: &Source,
-) -> Result<Option<Secret>, Wrong> {
+    source: &ConfigSource,
+) -> Result<Option<Secret>, InvalidValue> {
     let text = match (here, file) {
-        (Some(_), Some(_)) => return Err(Wrong::new(key, "given here and by a file: one of them")),
+        (Some(_), Some(_)) => return Err(InvalidValue::new(key, "given here and by a file: one of them")),
         (Some(text), None) => text,
         (None, Some(file)) => {
             let file = source.beside(&file);
-            let unread = |e| Wrong::new(key, format!("{} can't be read: {e}", file.display()));
+            let unread = |e| InvalidValue::new(key, format!("{} can't be read: {e}", file.display()));
             std::fs::read_to_string(&file).map_err(unread)?
         }
         (None, None) => return Ok(None),
     };
     // What the text is stays out of the message: it is a secret.
-    let bytes = hex::decode(text.trim()).map_err(|_| Wrong::new(key, "not hexadecimal digits in pairs"))?;
-    Secret::new(&bytes).map(Some).map_err(|fault| Wrong::new(key, fault.to_string()))
+    let bytes =
+        hex::decode(text.trim()).map_err(|_| InvalidValue::new(key, "not hexadecimal digits in pairs"))?;
+    Secret::new(&bytes).map(Some).map_err(|fault| InvalidValue::new(key, fault.to_string()))
 }
 
-fn planners(forms: &[Spanned<PlannerForm>]) -> Result<BTreeMap<PlannerId, SocketAddrV4>, Wrong> {
+fn planners(forms: &[Spanned<PlannerForm>]) -> Result<BTreeMap<PlannerId, SocketAddrV4>, InvalidValue> {
     if !(1..=MOST_PLANNERS).contains(&forms.len()) {
-        return Err(Wrong::new("planner", format!("from 1 to {MOST_PLANNERS} of them")));
+        return Err(InvalidValue::new("planner", format!("from 1 to {MOST_PLANNERS} of them")));
     }
     let mut planners = BTreeMap::new();
     for form in forms {
-        let wrong = |key, what: String| Wrong { key, what, at: Some(form.span().start) };
+        let wrong = |key, what: String| InvalidValue { key, what, at: Some(form.span().start) };
         let PlannerForm { number, letters } = *form.get_ref();
         let SocketAddr::V4(letters) = letters else {
             return Err(wrong("planner.letters", format!("{letters} is not of IPv4")));
@@ -360,15 +362,15 @@
         Span::from_millis(self.lasts_ms)
     }
 
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         if !(self.origin_per_s > 0.0 && self.origin_per_s <= 1e6) {
-            return Err(Wrong::new("leases.origin_per_s", "over 0, up to 1000000"));
+            return Err(InvalidValue::new("leases.origin_per_s", "over 0, up to 1000000"));
         }
         if !(self.cold_work > 0.0 && self.cold_work <= 1000.0) {
-            return Err(Wrong::new("leases.cold_work", "over 0, up to 1000"));
+            return Err(InvalidValue::new("leases.cold_work", "over 0, up to 1000"));
         }
         if !(0.01..=1.0).contains(&self.reserve) {
-            return Err(Wrong::new(
+            return Err(InvalidValue::new(
                 "leases.reserve",
                 "from 0.01 to 1: without a floor a quiet node could not try",
             ));
@@ -376,23 +378,26 @@
         // In thousandths, as they are used: each rounded up, both could come to more than the whole.
         let thousandths = (self.reserve * 1000.0).round() + (self.standing * 1000.0).round();
         if !(0.0..=1.0).contains(&self.standing) || thousandths > 1000.0 {
-            return Err(Wrong::new("leases.standing", "from 0 to 1, and no more than the reserve leaves"));
+            return Err(InvalidValue::new(
+                "leases.standing",
+                "from 0 to 1, and no more than the reserve leaves",
+            ));
         }
         // Whoever starts waits out the longest lease or loan that any file could set, so there has to be one.
         if !(500..=2400).contains(&self.lasts_ms) {
-            return Err(Wrong::new("leases.lasts_ms", "from 500 to 2400"));
+            return Err(InvalidValue::new("leases.lasts_ms", "from 500 to 2400"));
         }
         Ok(())
     }
 }
 
 impl TurnsForm {
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         if !(0.5..=100.0).contains(&self.trials) {
-            return Err(Wrong::new("turns.trials", "from 0.5 to 100"));
+            return Err(InvalidValue::new("turns.trials", "from 0.5 to 100"));
         }
         if !(500..=10_000).contains(&self.window_ms) {
-            return Err(Wrong::new("turns.window_ms", "from 500 to 10000"));
+            return Err(InvalidValue::new("turns.window_ms", "from 500 to 10000"));
         }
         Ok(())
     }
@@ -409,27 +414,27 @@
         if self.day_ms < DAY.0 / 1000 { self.in_step(span).max(span.scaled(0.05)) } else { span }
     }
 
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), InvalidValue> {
         if self.shard_bytes == 0 {
-            return Err(Wrong::new("growth.shard_bytes", "over 0"));
+            return Err(InvalidValue::new("growth.shard_bytes", "over 0"));
         }
         if !(1..=16).contains(&self.splits_at_once) {
-            return Err(Wrong::new("growth.splits_at_once", "from 1 to 16"));
+            return Err(InvalidValue::new("growth.splits_at_once", "from 1 to 16"));
         }
         if !self.frozen_days.iter().all(|day| (1..=31).contains(&day.unsigned_abs())) {
-            return Err(Wrong::new(
+            return Err(InvalidValue::new(
                 "growth.frozen_days",
                 "days of a month, 1 to 31, or from its end, -1 to -31",
             ));
         }
         if !self.spare_per_s.is_none_or(|spare| (0.0..=1e6).contains(&spare)) {
-            return Err(Wrong::new("growth.spare_per_s", "from 0 to 1000000"));
+            return Err(InvalidValue::new("growth.spare_per_s", "from 0 to 1000000"));
         }
         if !self.step_ms.is_none_or(|step| (100..=DAY.0 / 1000).contains(&step)) {
-            return Err(Wrong::new("growth.step_ms", "from 100 to 86400000, and for trials only"));
+            return Err(InvalidValue::new("growth.step_ms", "from 100 to 86400000, and for trials only"));
         }
         if !(1000..=DAY.0 / 1000).contains(&self.day_ms) {
-            return Err(Wrong::new(
+            return Err(InvalidValue::new(
                 "growth.day_ms",
                 "from 1000 to 86400000, and less than that for trials only",
             ));
--- a/crates/control-plane/src/planner/board.rs
+++ b/crates/control-plane/src/planner/board.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::leases::Spare;
 use granitelb_coordination::shard_growth::Fleet;
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 /// Notes are written anew so often, and count for so long.
-pub const BEAT: Span = Span::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Span = Span::from_millis(250);
 const LASTS: Span = Span::from_millis(3000);
 
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
 /// A channel's two ends together: whoever has the board may read and write.
 #[derive(Clone, Debug)]
 pub struct Board {
-    failing: watch::Sender<Option<Dated<BTreeSet<CacheId>>>>,
+    failing: watch::Sender<Option<Dated<BTreeSet<EndpointId>>>>,
     spare: watch::Sender<Option<Dated<Spare>>>,
     /// The version by which the table was new last; it stays so.
     table: watch::Sender<Option<FormVersion>>,
@@ -41,7 +41,7 @@
         Board { failing, spare, table: watch::Sender::new(None) }
     }
 
-    pub fn write_failing(&self, now: Time, what: BTreeSet<CacheId>) {
+    pub fn write_failing(&self, now: Time, what: BTreeSet<EndpointId>) {
         self.failing.send_replace(Some(Dated { at: now, what }));
     }
 
--- a/crates/control-plane/src/planner/desk.rs
+++ b/crates/control-plane/src/planner/desk.rs
@@ -11,9 +11,9 @@
 
 use futures_util::FutureExt;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::{Faculty, Help};
-use granitelb_coordination::message::{Kind, Letter};
-use granitelb_coordination::{Life, Member};
+use granitelb_coordination::component::{Component, Remediation};
+use granitelb_coordination::message::{ComponentKind, Message};
+use granitelb_coordination::{Incarnation, Member};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
@@ -21,8 +21,8 @@
 use super::mailbox::Mailbox;
 use super::situation::Situation;
 use crate::clock::Clock;
-use crate::fleet_config::Operator;
-use crate::storage::Keeper;
+use crate::fleet_config::FleetConfig;
+use crate::storage::StorageWriter;
 
 /// Letters that are taken before pulling, and pulled before sending: neither side starves the other.
 const BATCH: usize = 256;
@@ -32,29 +32,30 @@
 const RETRY: Duration = Duration::from_secs(1);
 /// Where a faculty wants to be woken at once, over and over, others get their turn.
 const LEAST_SLEEP: Duration = Duration::from_millis(1);
-const BOARD_BEAT: Duration = Duration::from_micros(board::BEAT.0);
+const BOARD_BEAT: Duration = Duration::from_micros(board::HEARTBEAT_INTERVAL.0);
 
 /// A letter to go out, and the life in which it was written.
 pub struct Outgoing {
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub to: Member,
-    pub letter: Letter,
+    pub letter: Message,
 }
 
 /// Makes a faculty, with what was kept of it.
-pub type Make<F> = Box<dyn Fn(&Operator, Life, Time, Option<&[u8]>) -> Result<F, Refusal> + Send + Sync>;
+pub type Make<F> =
+    Box<dyn Fn(&FleetConfig, Incarnation, Time, Option<&[u8]>) -> Result<F, Refusal> + Send + Sync>;
 /// Why it is not made.
-pub type Refusal = Box<dyn Help + Send + Sync>;
+pub type Refusal = Box<dyn Remediation + Send + Sync>;
 
 /// Says to other faculties of this planner what they have to know, and takes what they say; called over and over.
-pub type Share<F> = Box<dyn Fn(&mut F, Time, &Operator, &Board) + Send + Sync>;
+pub type Share<F> = Box<dyn Fn(&mut F, Time, &FleetConfig, &Board) + Send + Sync>;
 
 /// What a faculty's task works with; the state is made in it.
-pub struct Desk<F: Faculty> {
-    pub kind: Kind,
+pub struct Desk<F: Component> {
+    pub kind: ComponentKind,
     pub make: Make<F>,
-    pub wrap: fn(F::Message) -> Letter,
-    pub unwrap: fn(Letter) -> Option<F::Message>,
+    pub wrap: fn(F::Message) -> Message,
+    pub unwrap: fn(Message) -> Option<F::Message>,
     /// None for one that the others have nothing to do with.
     pub share: Option<Share<F>>,
     pub board: Board,
@@ -63,7 +64,7 @@
     pub out: mpsc::Sender<Outgoing>,
     /// Asks for a new life of the whole planner.
     pub renewal: mpsc::Sender<()>,
-    pub keeper: Keeper,
+    pub keeper: StorageWriter,
     pub clock: Clock,
     /// In a trial: it never comes back from the first letter that it hears.
     pub hangs: bool,
@@ -80,15 +81,15 @@
 }
 
 /// What is promised to others by a number of this life: forgotten, the whole planner has to be a new one.
-fn binds(kind: Kind) -> bool {
-    matches!(kind, Kind::Leases | Kind::Growth)
+fn binds(kind: ComponentKind) -> bool {
+    matches!(kind, ComponentKind::Leases | ComponentKind::ShardGrowth)
 }
 
 impl<F> Desk<F>
 where
-    F: Faculty + Send,
+    F: Component + Send,
     F::Message: Send,
-    F::Fault: Send,
+    F::Error: Send,
 {
     /// Serves until the planner stops.
     pub async fn run(mut self) {
@@ -148,12 +149,12 @@
             Ok(state) => state,
             Err(ended) => return ended,
         };
-        state.faculty.members(self.clock.now(), &situation.alive);
+        state.faculty.on_membership_change(self.clock.now(), &situation.alive);
         loop {
             self.share(&mut state, &situation.operator);
             self.pull(&mut state).await;
             let now = self.clock.now();
-            let wake = state.faculty.next_wake(now).map(|at| Duration::from_micros((at - now).0));
+            let wake = state.faculty.poll_timeout(now).map(|at| Duration::from_micros((at - now).0));
             let wake = if state.unkept.is_some() { Some(wake.unwrap_or(RETRY).max(RETRY)) } else { wake };
             let wake = self.share.as_ref().map(|_| BOARD_BEAT).into_iter().chain(wake).min();
             let nap = async {
@@ -174,7 +175,7 @@
                     if new.made != situation.made {
                         return Ended::Renewed;
                     }
-                    state.faculty.members(self.clock.now(), &new.alive);
+                    state.faculty.on_membership_change(self.clock.now(), &new.alive);
                 }
                 first = self.mailbox.take() => {
                     let more = std::iter::from_fn(|| self.mailbox.try_take()).take(BATCH - 1);
@@ -183,10 +184,10 @@
                         if self.hangs {
                             crate::fault_injection::hang();
                         }
-                        if let Err(fault) = state.faculty.heard(self.clock.now(), from, message) {
+                        if let Err(fault) = state.faculty.on_message(self.clock.now(), from, message) {
                             state.passed_over += 1;
                             log::debug!(event = "passed_over", task = self.kind.name(); "{}: {fault}", from.member);
-                            state.last_fault = Some(format!("{fault}. {}", fault.help()));
+                            state.last_fault = Some(format!("{fault}. {}", fault.remediation()));
                         }
                     }
                 }
@@ -202,17 +203,17 @@
         let kept = match self.keeper.read(kind).await {
             Ok(kept) => kept,
             Err(fault) => {
-                log::error!(event = "task_off", task = kind.name(); "{kind} waits, its state can't be read: {fault}. {}", fault.help());
+                log::error!(event = "task_off", task = kind.name(); "{kind} waits, its state can't be read: {fault}. {}", fault.remediation());
                 return Err(Ended::Unread);
             }
         };
         let now = self.clock.now();
         // A faculty that died and is made anew in the same life of the planner is a later one.
-        let life = Life(situation.life.0.max(now.0));
-        match (self.make)(&situation.operator, life, now, kept.as_deref()) {
+        let incarnation = Incarnation(situation.incarnation.0.max(now.0));
+        match (self.make)(&situation.operator, incarnation, now, kept.as_deref()) {
             Ok(faculty) => Ok(State {
                 faculty,
-                life: situation.life,
+                incarnation: situation.incarnation,
                 unkept: None,
                 retry_at: now,
                 said_unkept: false,
@@ -222,18 +223,18 @@
                 share_at: now,
             }),
             Err(fault) => {
-                log::info!(event = "task_off", task = kind.name(); "{kind} is off: {fault}. {}", fault.help());
+                log::info!(event = "task_off", task = kind.name(); "{kind} is off: {fault}. {}", fault.remediation());
                 Err(Ended::Unmade(situation.made))
             }
         }
     }
 
-    fn share(&self, state: &mut State<F>, operator: &Operator) {
+    fn share(&self, state: &mut State<F>, operator: &FleetConfig) {
         let now = self.clock.now();
         if let Some(share) = &self.share
             && now >= state.share_at
         {
-            state.share_at = now + board::BEAT;
+            state.share_at = now + board::HEARTBEAT_INTERVAL;
             share(&mut state.faculty, now, operator, &self.board);
         }
     }
@@ -241,11 +242,12 @@
     /// Pulls what is to go out, has kept what it rests on, and sends it.
     async fn pull(&self, state: &mut State<F>) {
         loop {
-            let before = state.faculty.to_keep();
+            let before = state.faculty.poll_snapshot();
             let now = self.clock.now();
-            let letters: Vec<_> = std::iter::from_fn(|| state.faculty.next_letter(now)).take(BATCH).collect();
+            let letters: Vec<_> =
+                std::iter::from_fn(|| state.faculty.poll_message(now)).take(BATCH).collect();
             // What is kept is the last whole state; an earlier one is void by it.
-            let after = state.faculty.to_keep();
+            let after = state.faculty.poll_snapshot();
             state.unkept = after.or(before).or(state.unkept.take());
             if !self.keep(state).await {
                 return;
@@ -254,7 +256,7 @@
             for (to, message) in letters {
                 let letter = (self.wrap)(message);
                 // The post ends after all desks; a letter that it no longer takes is as good as lost.
-                let _ = self.out.send(Outgoing { life: state.life, to, letter }).await;
+                let _ = self.out.send(Outgoing { incarnation: state.incarnation, to, letter }).await;
             }
             if !more {
                 return;
@@ -289,7 +291,7 @@
     }
 
     fn say(&self, state: &mut State<F>) {
-        while let Some(remark) = state.faculty.next_remark() {
+        while let Some(remark) = state.faculty.poll_event() {
             super::log_remark(self.kind.name(), &remark);
         }
         let now = self.clock.now();
@@ -306,7 +308,7 @@
 struct State<F> {
     faculty: F,
     /// Of the planner, which letters bear.
-    life: Life,
+    incarnation: Incarnation,
     unkept: Option<Vec<u8>>,
     /// Where it could not be kept: not again before.
     retry_at: Time,
--- a/crates/control-plane/src/planner/door.rs
+++ b/crates/control-plane/src/planner/door.rs
@@ -14,7 +14,7 @@
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::Member;
-use granitelb_coordination::component::Help;
+use granitelb_coordination::component::Remediation;
 use thiserror::Error;
 
 /// Letters a second, and at once: a forwarder in a crowd of 2,000 caches writes some hundreds at most.
@@ -52,8 +52,8 @@
     }
 }
 
-impl Help for TooOften {
-    fn help(&self) -> &'static str {
+impl Remediation for TooOften {
+    fn remediation(&self) -> &'static str {
         match self {
             TooOften::Address(_) | TooOften::Strangers(_) => {
                 "Find out who sends there, and close the letters' port to all but members. Members that are known are heard \
@@ -142,7 +142,7 @@
     }
 
     /// It was new, too: a member is heard from here.
-    pub fn heard(&mut self, now: Time, from: SocketAddr) {
+    pub fn on_message(&mut self, now: Time, from: SocketAddr) {
         self.strangers.remove(&from);
         let room = self.known.len() < MOST_KNOWN;
         match self.known.get_mut(&from) {
--- a/crates/control-plane/src/planner/door/tests.rs
+++ b/crates/control-plane/src/planner/door/tests.rs
@@ -16,14 +16,14 @@
 #[test]
 fn whoever_is_known_is_read_however_many_strangers_come() {
     let mut door = Door::new(Time(0));
-    door.heard(Time(0), address(1));
+    door.on_message(Time(0), address(1));
     // Every hundredth letter is the member's, the others come from all over the place.
     let mut read = 0;
     for n in 0..100_000u64 {
         let now = Time(n * 20);
         if n % 100 == 0 {
             assert_eq!(door.comes(now, address(1)), Ok(()), "{n}");
-            door.heard(now, address(1));
+            door.on_message(now, address(1));
         } else {
             read += u64::from(door.comes(now, address(2 + (n % 60_000) as u16)).is_ok());
         }
@@ -39,7 +39,7 @@
     let stranger = let_in(&mut door, 20_000, |_| address(2));
     assert!((0.0009..0.0012).contains(&stranger), "{stranger}");
     let mut door = Door::new(Time(0));
-    door.heard(Time(0), address(2));
+    door.on_message(Time(0), address(2));
     let known = let_in(&mut door, 20_000, |_| address(2));
     assert!((0.04..0.06).contains(&known), "{known}");
     let mut door = Door::new(Time(0));
--- a/crates/control-plane/src/planner/faculties.rs
+++ b/crates/control-plane/src/planner/faculties.rs
@@ -8,8 +8,8 @@
 
 use granitelb_balancer::time::Span;
 use granitelb_coordination::PlannerId;
-use granitelb_coordination::component::{Faculty, Help};
-use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::component::{Component, Remediation};
+use granitelb_coordination::message::{ComponentKind, Message};
 use granitelb_coordination::{counterfactual, endpoint_health, leases, shard_growth};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
@@ -21,8 +21,8 @@
 use super::situation::Situation;
 use super::watch::{Pulse, Watch};
 use crate::clock::Clock;
-use crate::fault_injection::Trial;
-use crate::storage::Keeper;
+use crate::fault_injection::FaultInjection;
+use crate::storage::StorageWriter;
 
 /// Letters that wait for a faculty: some seconds' worth of a large fleet, 6 MB at the most.
 const WAITING: usize = 4096;
@@ -34,8 +34,8 @@
     Off,
 }
 
-impl Help for Refused {
-    fn help(&self) -> &'static str {
+impl Remediation for Refused {
+    fn remediation(&self) -> &'static str {
         match self {
             Refused::Off => {
                 "Nothing, if that is meant; else give it its section in the operator's file of all members."
@@ -54,10 +54,10 @@
     pub told: watch::Receiver<Situation>,
     pub out: mpsc::Sender<Outgoing>,
     pub renewal: mpsc::Sender<()>,
-    pub keeper: Keeper,
+    pub keeper: StorageWriter,
     pub clock: Clock,
     pub board: Board,
-    pub trial: Trial,
+    pub trial: FaultInjection,
 }
 
 /// A desk as the post sees it: where its letters are put, and whether it still comes for them.
@@ -66,13 +66,13 @@
     pub watch: Watch,
 }
 
-pub type Counters = BTreeMap<Kind, Counter>;
+pub type Counters = BTreeMap<ComponentKind, Counter>;
 
 /// How a faculty's desk talks with the others.
-struct Ways<F: Faculty> {
-    kind: Kind,
-    wrap: fn(F::Message) -> Letter,
-    unwrap: fn(Letter) -> Option<F::Message>,
+struct Ways<F: Component> {
+    kind: ComponentKind,
+    wrap: fn(F::Message) -> Message,
+    unwrap: fn(Message) -> Option<F::Message>,
     share: Option<Share<F>>,
 }
 
@@ -84,48 +84,65 @@
     pub fn open(&self, crew: &mut Crew) -> io::Result<Counters> {
         let me = self.me;
         let mut counters = BTreeMap::new();
-        let verdicts: Make<endpoint_health::AtPlanner> = Box::new(move |operator, life, now, _| {
-            Ok(endpoint_health::AtPlanner::new(operator.verdicts(), me, life, now))
-        });
-        let unwrap = |letter| if let Letter::Verdicts(message) = letter { Some(message) } else { None };
-        let share: Share<endpoint_health::AtPlanner> =
+        let verdicts: Make<endpoint_health::PlannerComponent> =
+            Box::new(move |operator, incarnation, now, _| {
+                Ok(endpoint_health::PlannerComponent::new(operator.verdicts(), me, incarnation, now))
+            });
+        let unwrap =
+            |letter| if let Message::EndpointHealth(message) = letter { Some(message) } else { None };
+        let share: Share<endpoint_health::PlannerComponent> =
             Box::new(|faculty, now, _, board| board.write_failing(now, faculty.failing()));
-        let ways = Ways { kind: Kind::Verdicts, wrap: Letter::Verdicts, unwrap, share: Some(share) };
+        let ways = Ways {
+            kind: ComponentKind::EndpointHealth,
+            wrap: Message::EndpointHealth,
+            unwrap,
+            share: Some(share),
+        };
         counters.insert(ways.kind, self.desk(crew, verdicts, ways)?);
 
-        let leases: Make<leases::AtPlanner> = Box::new(move |operator, life, now, _| {
-            Ok(leases::AtPlanner::new(operator.leases().ok_or_else(off)?, me, life, now))
+        let leases: Make<leases::PlannerComponent> = Box::new(move |operator, incarnation, now, _| {
+            Ok(leases::PlannerComponent::new(operator.leases().ok_or_else(off)?, me, incarnation, now))
         });
-        let unwrap = |letter| if let Letter::Leases(message) = letter { Some(message) } else { None };
-        let share: Share<leases::AtPlanner> =
+        let unwrap = |letter| if let Message::Leases(message) = letter { Some(message) } else { None };
+        let share: Share<leases::PlannerComponent> =
             Box::new(|faculty, now, _, board| board.write_spare(now, faculty.spare(now)));
-        let ways = Ways { kind: Kind::Leases, wrap: Letter::Leases, unwrap, share: Some(share) };
+        let ways = Ways { kind: ComponentKind::Leases, wrap: Message::Leases, unwrap, share: Some(share) };
         counters.insert(ways.kind, self.desk(crew, leases, ways)?);
 
-        let growth: Make<shard_growth::AtPlanner> = Box::new(move |operator, life, now, kept| {
-            let settings = operator.growth().ok_or_else(off)?;
-            // The process's clock is Unix time: all planners are in the same day of the book, or soon will be.
-            let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
-            let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
-            let made = shard_growth::AtPlanner::new(settings, me, life, now, calendar, kept);
-            made.map_err(|fault| -> Refusal { Box::new(fault) })
-        });
-        let unwrap = |letter| if let Letter::Growth(message) = letter { Some(message) } else { None };
-        let share: Share<shard_growth::AtPlanner> = Box::new(|faculty, now, operator, board| {
+        let growth: Make<shard_growth::PlannerComponent> =
+            Box::new(move |operator, incarnation, now, kept| {
+                let settings = operator.growth().ok_or_else(off)?;
+                // The process's clock is Unix time: all planners are in the same day of the book, or soon will be.
+                let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
+                let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
+                let made =
+                    shard_growth::PlannerComponent::new(settings, me, incarnation, now, calendar, kept);
+                made.map_err(|fault| -> Refusal { Box::new(fault) })
+            });
+        let unwrap = |letter| if let Message::ShardGrowth(message) = letter { Some(message) } else { None };
+        let share: Share<shard_growth::PlannerComponent> = Box::new(|faculty, now, operator, board| {
             let figure = operator.growth.as_ref().and_then(|g| g.spare_per_s);
             faculty.fleet(board.fleet(now, operator.leases.is_some(), figure));
             board.write_table(faculty.new_table());
         });
-        let ways = Ways { kind: Kind::Growth, wrap: Letter::Growth, unwrap, share: Some(share) };
+        let ways =
+            Ways { kind: ComponentKind::ShardGrowth, wrap: Message::ShardGrowth, unwrap, share: Some(share) };
         counters.insert(ways.kind, self.desk(crew, growth, ways)?);
 
-        let hindsight: Make<counterfactual::AtPlanner> = Box::new(move |operator, life, now, _| {
-            Ok(counterfactual::AtPlanner::new(operator.hindsight().ok_or_else(off)?, me, life, now))
-        });
-        let unwrap = |letter| if let Letter::Hindsight(message) = letter { Some(message) } else { None };
+        let hindsight: Make<counterfactual::PlannerComponent> =
+            Box::new(move |operator, incarnation, now, _| {
+                Ok(counterfactual::PlannerComponent::new(
+                    operator.hindsight().ok_or_else(off)?,
+                    me,
+                    incarnation,
+                    now,
+                ))
+            });
+        let unwrap =
+            |letter| if let Message::Counterfactual(message) = letter { Some(message) } else { None };
         let ways = Ways {
-            kind: Kind::Hindsight,
-            wrap: Letter::Hindsight,
+            kind: ComponentKind::Counterfactual,
+            wrap: Message::Counterfactual,
             unwrap,
             share: Some(forgets_old_tables()),
         };
@@ -135,9 +152,9 @@
 
     fn desk<F>(&self, crew: &mut Crew, make: Make<F>, ways: Ways<F>) -> io::Result<Counter>
     where
-        F: Faculty + Send + 'static,
+        F: Component + Send + 'static,
         F::Message: Send,
-        F::Fault: Send,
+        F::Error: Send,
     {
         let mailbox = Arc::new(Mailbox::new(WAITING));
         let desk = Desk {
@@ -163,7 +180,7 @@
 }
 
 /// Hindsight is told of each new table once. Growth that starts anew has seen none, which is no news.
-pub(super) fn forgets_old_tables() -> Share<counterfactual::AtPlanner> {
+pub(super) fn forgets_old_tables() -> Share<counterfactual::PlannerComponent> {
     let known = AtomicU64::new(0);
     Box::new(move |faculty, now, _, board| {
         let Some(new) = board.table().filter(|new| new.0 > 0) else { return };
--- a/crates/control-plane/src/planner/file.rs
+++ b/crates/control-plane/src/planner/file.rs
@@ -7,9 +7,9 @@
 use granitelb_coordination::PlannerId;
 use serde::Deserialize;
 
-use crate::config_error::{Source, Trouble, Wrong};
-use crate::fault_injection::Trial;
-use crate::fleet_config::Operator;
+use crate::config_error::{ConfigError, ConfigSource, InvalidValue};
+use crate::fault_injection::FaultInjection;
+use crate::fleet_config::FleetConfig;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -18,34 +18,34 @@
     operator: PathBuf,
     state: Option<PathBuf>,
     listen: Option<SocketAddr>,
-    trial: Option<Trial>,
+    trial: Option<FaultInjection>,
 }
 
 /// The file and the operator's file that it names, both checked.
 #[derive(Clone, Debug)]
-pub struct PlannerFile {
+pub struct PlannerConfig {
     pub number: PlannerId,
-    pub operator: Arc<Operator>,
+    pub operator: Arc<FleetConfig>,
     /// The folder of its store.
     pub state: Option<PathBuf>,
     /// Where it receives letters: what the operator's file has, unless its machine has another name for that.
     pub listen: SocketAddrV4,
     /// What it is made to do amiss.
-    pub trial: Option<Trial>,
+    pub trial: Option<FaultInjection>,
 }
 
-impl PlannerFile {
+impl PlannerConfig {
     /// # Errors
     /// Whatever is wrong with either file, by file, line and key.
-    pub fn load(path: &Path) -> Result<PlannerFile, Trouble> {
-        let source = Source::load(path)?;
+    pub fn load(path: &Path) -> Result<PlannerConfig, ConfigError> {
+        let source = ConfigSource::load(path)?;
         let form: Form = source.read()?;
-        let operator = Operator::load(&source.beside(&form.operator))?;
+        let operator = FleetConfig::load(&source.beside(&form.operator))?;
         form.check(&source, operator).map_err(|wrong| source.wrong(wrong))
     }
 
     /// What differs in a way that a running planner can't take up.
-    pub fn for_next_start(&self, running: &PlannerFile) -> Vec<&'static str> {
+    pub fn for_next_start(&self, running: &PlannerConfig) -> Vec<&'static str> {
         let differs = [
             ("number", self.number != running.number),
             ("state", self.state != running.state),
@@ -57,29 +57,35 @@
 }
 
 impl Form {
-    fn check(self, source: &Source, operator: Operator) -> Result<PlannerFile, Wrong> {
+    fn check(self, source: &ConfigSource, operator: FleetConfig) -> Result<PlannerConfig, InvalidValue> {
         let number = PlannerId(self.number);
         let Some(&listed) = operator.planners.get(&number) else {
-            return Err(Wrong::new("number", format!("the operator's file has no planner {}", self.number)));
+            return Err(InvalidValue::new(
+                "number",
+                format!("the operator's file has no planner {}", self.number),
+            ));
         };
         let listen = match self.listen {
             None => listed,
             Some(SocketAddr::V4(listen)) => listen,
-            Some(other) => return Err(Wrong::new("listen", format!("{other} is not of IPv4"))),
+            Some(other) => return Err(InvalidValue::new("listen", format!("{other} is not of IPv4"))),
         };
         if operator.growth.is_some() && self.state.is_none() {
             // What it agreed to must outlive it, or two forms of the table could be agreed on.
-            return Err(Wrong::new("state", "growth is on, and needs a folder to keep what was agreed on"));
+            return Err(InvalidValue::new(
+                "state",
+                "growth is on, and needs a folder to keep what was agreed on",
+            ));
         }
         if let Some(trial) = &self.trial {
             trial.check()?;
         }
         let state = self.state.map(|folder| source.beside(&folder));
-        Ok(PlannerFile { number, operator: Arc::new(operator), state, listen, trial: self.trial })
+        Ok(PlannerConfig { number, operator: Arc::new(operator), state, listen, trial: self.trial })
     }
 }
 
-impl std::fmt::Display for PlannerFile {
+impl std::fmt::Display for PlannerConfig {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
--- a/crates/control-plane/src/planner/mailbox.rs
+++ b/crates/control-plane/src/planner/mailbox.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::message::{ComponentKind, Message};
 use granitelb_coordination::{Member, Sender};
 use tokio::sync::Notify;
 
@@ -22,21 +22,23 @@
 
 #[derive(Default)]
 struct Queue {
-    letters: VecDeque<(Sender, Letter)>,
+    letters: VecDeque<(Sender, Message)>,
     observations: usize,
     shed: u64,
     shut: bool,
 }
 
 /// What forwarders saw: it is said anew all the time.
-fn is_observation((from, letter): &(Sender, Letter)) -> bool {
-    matches!(letter.kind(), Kind::Verdicts | Kind::Growth | Kind::Hindsight)
-        && matches!(from.member, Member::Forwarder(_))
+fn is_observation((from, letter): &(Sender, Message)) -> bool {
+    matches!(
+        letter.kind(),
+        ComponentKind::EndpointHealth | ComponentKind::ShardGrowth | ComponentKind::Counterfactual
+    ) && matches!(from.member, Member::Forwarder(_))
 }
 
 /// There is no room, and nothing that may be shed.
 #[derive(Debug, PartialEq)]
-pub struct Full(pub Box<(Sender, Letter)>);
+pub struct Full(pub Box<(Sender, Message)>);
 
 impl Mailbox {
     pub fn new(most: usize) -> Mailbox {
@@ -50,7 +52,7 @@
 
     /// # Errors
     /// Gives the letter back where it has to wait until [`Mailbox::room`].
-    pub fn put(&self, letter: (Sender, Letter)) -> Result<(), Full> {
+    pub fn put(&self, letter: (Sender, Message)) -> Result<(), Full> {
         let mut queue = self.queue();
         if queue.shut {
             queue.shed += 1;
@@ -80,7 +82,7 @@
         Ok(())
     }
 
-    pub fn try_take(&self) -> Option<(Sender, Letter)> {
+    pub fn try_take(&self) -> Option<(Sender, Message)> {
         let mut queue = self.queue();
         let letter = queue.letters.pop_front()?;
         queue.observations -= usize::from(is_observation(&letter));
@@ -90,7 +92,7 @@
     }
 
     /// The next letter, when there is one. It may be dropped before; no letter is lost by it.
-    pub async fn take(&self) -> (Sender, Letter) {
+    pub async fn take(&self) -> (Sender, Message) {
         loop {
             if let Some(letter) = self.try_take() {
                 return letter;
--- a/crates/control-plane/src/planner/mod.rs
+++ b/crates/control-plane/src/planner/mod.rs
@@ -24,9 +24,9 @@
 use std::time::Duration;
 
 use futures_util::FutureExt;
-use granitelb_coordination::Life;
-use granitelb_coordination::component::{Help, Remark};
-use granitelb_coordination::message::Kind;
+use granitelb_coordination::Incarnation;
+use granitelb_coordination::component::{Event, Remediation};
+use granitelb_coordination::message::ComponentKind;
 use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -35,11 +35,11 @@
 pub use self::watch::Patience;
 pub use door::TooOften;
 pub use faculties::Refused;
-pub use file::PlannerFile;
+pub use file::PlannerConfig;
 
 use crate::clock::Clock;
-use crate::config_error::Trouble;
-use crate::storage::{self, Keeper};
+use crate::config_error::ConfigError;
+use crate::storage::{self, StorageWriter};
 use board::Board;
 use crew::Crew;
 use post::{Asked, Order, Post};
@@ -57,32 +57,32 @@
 
 /// Why a planner can't serve.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum PlannerError {
     #[error("configuration, {0}")]
-    File(#[from] Trouble),
+    File(#[from] ConfigError),
     #[error("letters can't be received at {address}: {why}")]
     Address { address: std::net::SocketAddrV4, why: std::io::Error },
     #[error("{0}")]
-    Store(#[from] storage::Fault),
+    Store(#[from] storage::StoreError),
     #[error("the system gives no threads or signals: {0}")]
     System(std::io::Error),
     #[error("{0} never came back from a call")]
-    Hung(Kind),
+    Hung(ComponentKind),
     #[error("letters can no longer be read")]
     NoPost,
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for PlannerError {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::File(trouble) => trouble.help(),
-            Fault::Address { .. } => {
+            PlannerError::File(trouble) => trouble.remediation(),
+            PlannerError::Address { .. } => {
                 "Stop whatever holds the port, or name an address of this machine by `listen` in the planner's file."
             }
-            Fault::Store(fault) => fault.help(),
-            Fault::System(_) => "Raise the limits of processes and descriptors.",
-            Fault::NoPost => "Look at the lines before this one, and restart the planner.",
-            Fault::Hung(_) => {
+            PlannerError::Store(fault) => fault.remediation(),
+            PlannerError::System(_) => "Raise the limits of processes and descriptors.",
+            PlannerError::NoPost => "Look at the lines before this one, and restart the planner.",
+            PlannerError::Hung(_) => {
                 "Have a supervisor start it anew, and report it with the lines before this one. If it happens again, take \
                  that faculty's section out of the operator's file of all members."
             }
@@ -90,25 +90,25 @@
     }
 }
 
-pub(crate) fn log_remark(task: &str, remark: &Remark) {
-    let level = if remark.warns { log::Level::Warn } else { log::Level::Info };
-    log::log!(level, event = remark.event, task = task; "{}", remark.text);
+pub(crate) fn log_remark(task: &str, remark: &Event) {
+    let level = if remark.is_warning { log::Level::Warn } else { log::Level::Info };
+    log::log!(level, event = remark.name, task = task; "{}", remark.message);
 }
 
 /// Serves as a planner until a stop signal.
 ///
 /// # Errors
 /// Whatever keeps it from serving at all.
-pub fn run(path: &Path) -> Result<(), Fault> {
-    let file = PlannerFile::load(path)?;
+pub fn run(path: &Path) -> Result<(), PlannerError> {
+    let file = PlannerConfig::load(path)?;
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = runtime.enable_all().build().map_err(Fault::System)?;
+    let runtime = runtime.enable_all().build().map_err(PlannerError::System)?;
     runtime.block_on(serve(path, file))
 }
 
-async fn serve(path: &Path, file: PlannerFile) -> Result<(), Fault> {
+async fn serve(path: &Path, file: PlannerConfig) -> Result<(), PlannerError> {
     // Before anything is served: a signal that nobody heeds ends the program.
-    let mut signals = Signals::heed().map_err(Fault::System)?;
+    let mut signals = Signals::heed().map_err(PlannerError::System)?;
     log::info!(event = "starting"; "{file}");
     let trial = file.trial.clone().unwrap_or_default();
     if file.trial.is_some() {
@@ -119,7 +119,7 @@
     let (keeper, thread) = open_store(&file)?;
 
     let first = Situation {
-        life: first_life(&keeper, clock).await?,
+        incarnation: first_incarnation(&keeper, clock).await?,
         alive: Arc::from([]),
         operator: file.operator.clone(),
         made: 0,
@@ -140,7 +140,7 @@
         trial,
     };
     let (mut desks, mut posts) = (Crew::new(), Crew::new());
-    let counters = office.open(&mut desks).map_err(Fault::System)?;
+    let counters = office.open(&mut desks).map_err(PlannerError::System)?;
     drop(office);
     let (lost, mut hung) = mpsc::channel(1);
     let (number, asked) = (file.number, Asked { out: outgoing, orders, renewals });
@@ -156,7 +156,7 @@
             }
         }
     };
-    posts.hire("post", post).map_err(Fault::System)?;
+    posts.hire("post", post).map_err(PlannerError::System)?;
     log::info!(event = "ready"; "ready");
 
     let mut running = file;
@@ -171,7 +171,7 @@
                 }
             },
             // The post ends after everyone else, unless it can't read at all.
-            kind = hung.recv() => break Some(kind.map_or(Fault::NoPost, Fault::Hung)),
+            kind = hung.recv() => break Some(kind.map_or(PlannerError::NoPost, PlannerError::Hung)),
         }
     };
     log::info!(event = "stopping"; "stopping");
@@ -195,8 +195,8 @@
     }
 }
 
-fn bound(address: std::net::SocketAddrV4) -> Result<std::net::UdpSocket, Fault> {
-    let wrong = |why| Fault::Address { address, why };
+fn bound(address: std::net::SocketAddrV4) -> Result<std::net::UdpSocket, PlannerError> {
+    let wrong = |why| PlannerError::Address { address, why };
     let socket = std::net::UdpSocket::bind(address).map_err(wrong)?;
     socket.set_nonblocking(true).map_err(wrong)?;
     // As much as the system allows (`net.core.rmem_max`), and less will do.
@@ -205,12 +205,14 @@
 }
 
 /// The way to the store, and the thread that owns it.
-fn open_store(file: &PlannerFile) -> Result<(Keeper, Option<std::thread::JoinHandle<()>>), Fault> {
-    let Some(folder) = &file.state else { return Ok((Keeper::none(), None)) };
+fn open_store(
+    file: &PlannerConfig,
+) -> Result<(StorageWriter, Option<std::thread::JoinHandle<()>>), PlannerError> {
+    let Some(folder) = &file.state else { return Ok((StorageWriter::none(), None)) };
     let opened = storage::open(folder, file.number)?;
     let say = |opened: &storage::Opened, then: &str| {
         if let Some((fault, aside)) = &opened.refused {
-            log::error!(event = "store_refused", aside = aside.display().to_string().as_str(); "{fault}; it is kept as {}, and {then}. {}", aside.display(), fault.help());
+            log::error!(event = "store_refused", aside = aside.display().to_string().as_str(); "{fault}; it is kept as {}, and {then}. {}", aside.display(), fault.remediation());
         }
     };
     say(&opened, "this planner begins with nothing");
@@ -221,23 +223,23 @@
         say(&opened, "all that was kept goes into a new one");
         Ok(opened.shelf)
     };
-    let started = Keeper::start_at(Some(path), opened.shelf, reopen);
-    let (keeper, thread) = started.map_err(Fault::System)?;
+    let started = StorageWriter::start_at(Some(path), opened.shelf, reopen);
+    let (keeper, thread) = started.map_err(PlannerError::System)?;
     Ok((keeper, Some(thread)))
 }
 
 /// Later than all before: those of this process by its clock, and those of earlier ones also where the machine's clock
 /// was set back since.
-async fn first_life(keeper: &Keeper, clock: Clock) -> Result<Life, Fault> {
-    let kept = keeper.read(Kind::Members).await?;
+async fn first_incarnation(keeper: &StorageWriter, clock: Clock) -> Result<Incarnation, PlannerError> {
+    let kept = keeper.read(ComponentKind::Membership).await?;
     let kept = kept.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_be_bytes);
-    let life = Life(clock.now().0.max(kept + 1));
-    keep_life(keeper, life).await.map_err(|lost| storage::Fault::Unwritten(lost.0))?;
-    Ok(life)
+    let incarnation = Incarnation(clock.now().0.max(kept + 1));
+    store_incarnation(keeper, incarnation).await.map_err(|lost| storage::StoreError::Unwritten(lost.0))?;
+    Ok(incarnation)
 }
 
-async fn keep_life(keeper: &Keeper, life: Life) -> Result<(), storage::Lost> {
-    keeper.keep(Kind::Members, life.0.to_be_bytes().to_vec()).await
+async fn store_incarnation(keeper: &StorageWriter, incarnation: Incarnation) -> Result<(), storage::Lost> {
+    keeper.keep(ComponentKind::Membership, incarnation.0.to_be_bytes().to_vec()).await
 }
 
 /// Serves as the post; one that dies is named, and goes on as that of a new planner.
@@ -250,8 +252,8 @@
 }
 
 /// Reads the files again; a fault in either changes nothing.
-fn reload(path: &Path, running: &mut PlannerFile) -> Option<Arc<crate::fleet_config::Operator>> {
-    match PlannerFile::load(path) {
+fn reload(path: &Path, running: &mut PlannerConfig) -> Option<Arc<crate::fleet_config::FleetConfig>> {
+    match PlannerConfig::load(path) {
         Ok(file) => {
             log::info!(event = "reloaded"; "read again: {file}");
             for key in file.for_next_start(running) {
@@ -261,7 +263,7 @@
             Some(file.operator)
         }
         Err(trouble) => {
-            log::error!(event = "reload_refused"; "configuration, {trouble}; the files before it stay in force. {}", trouble.help());
+            log::error!(event = "reload_refused"; "configuration, {trouble}; the files before it stay in force. {}", trouble.remediation());
             None
         }
     }
--- a/crates/control-plane/src/planner/post.rs
+++ b/crates/control-plane/src/planner/post.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::membership::{Members, Stale};
-use granitelb_coordination::message::{self, Kind, Letter, MOST_BYTES};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::membership::{Members, MembershipError};
+use granitelb_coordination::message::{self, ComponentKind, MOST_BYTES, Message};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -30,8 +30,8 @@
 use super::tally::Tally;
 use super::watch::Finding;
 use crate::clock::Clock;
-use crate::fleet_config::Operator;
-use crate::storage::Keeper;
+use crate::fleet_config::FleetConfig;
+use crate::storage::StorageWriter;
 
 pub const MINUTE: Span = Span::from_millis(60_000);
 /// Letters that are read or written before all else gets its turn.
@@ -44,7 +44,7 @@
 
 pub enum Order {
     /// Other files are in force.
-    Reload(Arc<Operator>),
+    Reload(Arc<FleetConfig>),
     /// All faculties are to end; letters still go out.
     Stop,
     /// All faculties have ended.
@@ -56,19 +56,19 @@
     socket: UdpSocket,
     clock: Clock,
     members: Members,
-    life: Life,
+    incarnation: Incarnation,
     number: u64,
     /// Where forwarders wrote from last; of those that live.
     forwarders: BTreeMap<ForwarderId, SocketAddrV4>,
     counters: Counters,
     door: Door,
     /// Told of a faculty that never came back.
-    lost: mpsc::Sender<Kind>,
+    lost: mpsc::Sender<ComponentKind>,
     /// A letter that found its mailbox full.
-    held: Option<(Sender, Letter)>,
+    held: Option<(Sender, Message)>,
     situation: watch::Sender<Situation>,
     /// The last life is to be kept.
-    lives: watch::Sender<Life>,
+    lives: watch::Sender<Incarnation>,
     tally: Tally,
     told: Time,
     /// When to look next who lives.
@@ -88,20 +88,20 @@
         socket: UdpSocket,
         clock: Clock,
         counters: Counters,
-        lost: mpsc::Sender<Kind>,
+        lost: mpsc::Sender<ComponentKind>,
         situation: watch::Sender<Situation>,
-        keeper: Keeper,
+        keeper: StorageWriter,
     ) -> Post {
         let now = clock.now();
-        let (life, operator) = (situation.borrow().life, situation.borrow().operator.clone());
-        let mut members = Members::new(Member::Planner(me), life, now);
+        let (incarnation, operator) = (situation.borrow().incarnation, situation.borrow().operator.clone());
+        let mut members = Members::new(Member::Planner(me), incarnation, now);
         members.set_planners(now, operator.planners.keys().copied());
         Post {
             me,
             socket,
             clock,
             members,
-            life,
+            incarnation,
             number: 0,
             forwarders: BTreeMap::new(),
             counters,
@@ -109,7 +109,7 @@
             lost,
             held: None,
             situation,
-            lives: keep_lives(keeper, life),
+            lives: keep_lives(keeper, incarnation),
             tally: Tally::default(),
             told: now,
             look_at: now,
@@ -121,7 +121,7 @@
         loop {
             let now = self.clock.now();
             self.look(self.look_at <= now);
-            let wake = self.members.next_wake(now).unwrap_or(now + MINUTE);
+            let wake = self.members.poll_timeout(now).unwrap_or(now + MINUTE);
             let nap = sleep(Duration::from_micros((wake - now).0.max(1000)));
             let held = self.held.as_ref().map(|(_, letter)| self.counters[&letter.kind()].mailbox.clone());
             let room = async {
@@ -171,13 +171,13 @@
     pub fn reset(&mut self) {
         let now = self.clock.now();
         self.held = None;
-        self.members = Members::new(Member::Planner(self.me), self.life, now);
+        self.members = Members::new(Member::Planner(self.me), self.incarnation, now);
         let operator = self.operator();
         self.members.set_planners(now, operator.planners.keys().copied());
         self.renew();
     }
 
-    fn operator(&self) -> Arc<Operator> {
+    fn operator(&self) -> Arc<FleetConfig> {
         self.situation.borrow().operator.clone()
     }
 
@@ -185,8 +185,8 @@
     fn look(&mut self, who_lives: bool) {
         let now = self.clock.now();
         for _ in 0..BATCH {
-            let Some((to, message)) = self.members.next_letter(now) else { break };
-            self.send(to, &Letter::Members(message));
+            let Some((to, message)) = self.members.poll_message(now) else { break };
+            self.send(to, &Message::Membership(message));
         }
         let changed = who_lives.then(|| self.members.changed(now)).flatten();
         if who_lives {
@@ -200,7 +200,7 @@
         if self.members.must_be_new() {
             self.renew();
         }
-        while let Some(remark) = self.members.next_remark() {
+        while let Some(remark) = self.members.poll_event() {
             super::log_remark("members", &remark);
         }
         if now - self.told >= MINUTE {
@@ -238,16 +238,16 @@
 
     /// Goes on under a greater life: all faculties are made anew.
     fn renew(&mut self) {
-        self.life = Life(self.clock.now().0).max(self.members.least_life());
-        self.members.renewed(self.life);
-        log::warn!(event = "new_life", life = self.life.0; "goes on as a new planner, under life {}", self.life.0);
+        self.incarnation = Incarnation(self.clock.now().0).max(self.members.least_incarnation());
+        self.members.renewed(self.incarnation);
+        log::warn!(event = "new_life", incarnation = self.incarnation.0; "goes on as a new planner, under life {}", self.incarnation.0);
         // Only a clock that is set back would make a use of it; nothing waits for it.
-        let life = self.life;
-        self.lives.send_replace(life);
-        self.situation.send_modify(|s| (s.life, s.made) = (life, s.made + 1));
+        let incarnation = self.incarnation;
+        self.lives.send_replace(incarnation);
+        self.situation.send_modify(|s| (s.incarnation, s.made) = (incarnation, s.made + 1));
     }
 
-    fn reload(&mut self, operator: Arc<Operator>) {
+    fn reload(&mut self, operator: Arc<FleetConfig>) {
         let anew = !operator.decides_as(&self.operator());
         self.members.set_planners(self.clock.now(), operator.planners.keys().copied());
         self.situation.send_modify(|s| s.operator = operator);
@@ -294,28 +294,28 @@
         }
         let taken = self.members.take(now, sender);
         // One that was silent was forgotten, and has to be found to be told that it was gone.
-        let is_found = matches!(taken, Ok(_) | Err(Stale::WasGone));
+        let is_found = matches!(taken, Ok(_) | Err(MembershipError::WasGone));
         if let (true, Member::Forwarder(id), SocketAddr::V4(from)) = (is_found, sender.member, from) {
             self.forwarders.insert(id, from);
         }
         let is_new = match taken {
             Ok(is_new) => is_new,
             Err(stale) => {
-                if stale == Stale::OlderLife
+                if stale == MembershipError::OlderLife
                     && let Some(message) = self.members.tell_succeeded(now, sender)
                 {
-                    self.send_to(from, &Letter::Members(message));
+                    self.send_to(from, &Message::Membership(message));
                 }
                 return self.tally.refused(super::tally::name_of(stale), &stale);
             }
         };
-        self.door.heard(now, from);
+        self.door.on_message(now, from);
         // Who lives is told before what they say.
         if is_new {
             self.look(true);
         }
-        if let Letter::Members(message) = letter {
-            if let Err(stale) = self.members.heard(now, sender, message) {
+        if let Message::Membership(message) = letter {
+            if let Err(stale) = self.members.on_message(now, sender, message) {
                 self.tally.refused(super::tally::name_of(stale), &stale);
             }
             return;
@@ -323,7 +323,7 @@
         self.deliver((sender, letter));
     }
 
-    fn deliver(&mut self, letter: (Sender, Letter)) {
+    fn deliver(&mut self, letter: (Sender, Message)) {
         let on = self.operator().has(letter.1.kind());
         let Some(counter) = self.counters.get(&letter.1.kind()).filter(|_| on) else {
             return self.tally.off(letter.1.kind());
@@ -336,12 +336,12 @@
 
     fn send_outgoing(&mut self, outgoing: Outgoing) {
         // What an earlier life wrote is void.
-        if outgoing.life == self.life {
+        if outgoing.incarnation == self.incarnation {
             self.send(outgoing.to, &outgoing.letter);
         }
     }
 
-    fn send(&mut self, to: Member, letter: &Letter) {
+    fn send(&mut self, to: Member, letter: &Message) {
         let operator = self.operator();
         let address = match to {
             Member::Planner(id) => operator.planners.get(&id).copied(),
@@ -354,10 +354,11 @@
     }
 
     /// Whether it went out.
-    fn send_to(&mut self, address: SocketAddr, letter: &Letter) -> bool {
+    fn send_to(&mut self, address: SocketAddr, letter: &Message) -> bool {
         let operator = self.operator();
         self.number += 1;
-        let sender = Sender { member: Member::Planner(self.me), life: self.life, number: self.number };
+        let sender =
+            Sender { member: Member::Planner(self.me), incarnation: self.incarnation, number: self.number };
         let bytes = match message::seal(sender, letter, &operator.secrets) {
             Ok(bytes) => bytes,
             Err(fault) => {
@@ -377,16 +378,16 @@
 }
 
 /// Keeps the last life that it is told of, one after the other, so that none is overwritten by an earlier one.
-fn keep_lives(keeper: Keeper, first: Life) -> watch::Sender<Life> {
+fn keep_lives(keeper: StorageWriter, first: Incarnation) -> watch::Sender<Incarnation> {
     let (tell, mut told) = watch::channel(first);
     tokio::spawn(async move {
         while told.changed().await.is_ok() {
             let mut said = false;
             loop {
-                let life = *told.borrow_and_update();
-                let Err(lost) = super::keep_life(&keeper, life).await else { break };
+                let incarnation = *told.borrow_and_update();
+                let Err(lost) = super::store_incarnation(&keeper, incarnation).await else { break };
                 if !std::mem::replace(&mut said, true) {
-                    log::error!(event = "not_kept", task = "members"; "life {}: {} A restart with a clock that was set back may bear a lesser one until then, and be refused.", life.0, lost.0);
+                    log::error!(event = "not_kept", task = "members"; "life {}: {} A restart with a clock that was set back may bear a lesser one until then, and be refused.", incarnation.0, lost.0);
                 }
                 sleep(RETRY).await;
             }
--- a/crates/control-plane/src/planner/situation.rs
+++ b/crates/control-plane/src/planner/situation.rs
@@ -3,17 +3,17 @@
 
 use std::sync::Arc;
 
-use granitelb_coordination::{Life, Member};
+use granitelb_coordination::{Incarnation, Member};
 
-use crate::fleet_config::Operator;
+use crate::fleet_config::FleetConfig;
 
 #[derive(Clone, Debug)]
 pub struct Situation {
     /// Which letters bear.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The others, in order.
     pub alive: Arc<[Member]>,
-    pub operator: Arc<Operator>,
+    pub operator: Arc<FleetConfig>,
     /// Rises whenever all faculties have to be made anew.
     pub made: u64,
     pub stopping: bool,
--- a/crates/control-plane/src/planner/tally.rs
+++ b/crates/control-plane/src/planner/tally.rs
@@ -5,45 +5,46 @@
 use std::fmt::Write;
 
 use granitelb_coordination::PlannerId;
-use granitelb_coordination::component::Help;
-use granitelb_coordination::membership::Stale;
-use granitelb_coordination::message::Kind;
+use granitelb_coordination::component::Remediation;
+use granitelb_coordination::membership::MembershipError;
+use granitelb_coordination::message::ComponentKind;
 
 #[derive(Default)]
 pub struct Tally {
     pub read: u64,
     pub sent: u64,
-    troubles: BTreeMap<&'static str, Trouble>,
+    troubles: BTreeMap<&'static str, ConfigError>,
 }
 
-struct Trouble {
+struct ConfigError {
     count: u64,
     last: String,
     help: &'static str,
 }
 
 /// A name that stays the same.
-pub fn name_of(stale: Stale) -> &'static str {
+pub fn name_of(stale: MembershipError) -> &'static str {
     match stale {
-        Stale::Mine => "own_name",
-        Stale::OlderLife => "older_life",
-        Stale::Twice => "twice",
-        Stale::TooLate => "too_late",
-        Stale::WasGone => "was_gone",
-        Stale::TooMany => "too_many",
-        Stale::NotItsWord => "not_its_word",
+        MembershipError::Mine => "own_name",
+        MembershipError::OlderLife => "older_life",
+        MembershipError::Twice => "twice",
+        MembershipError::TooLate => "too_late",
+        MembershipError::WasGone => "was_gone",
+        MembershipError::TooMany => "too_many",
+        MembershipError::NotItsWord => "not_its_word",
     }
 }
 
 impl Tally {
     fn count(&mut self, name: &'static str, count: u64, last: String, help: &'static str) {
-        let trouble = self.troubles.entry(name).or_insert(Trouble { count: 0, last: String::new(), help });
+        let trouble =
+            self.troubles.entry(name).or_insert(ConfigError { count: 0, last: String::new(), help });
         trouble.count += count;
         trouble.last = last;
     }
 
-    pub fn refused(&mut self, name: &'static str, fault: &dyn Help) {
-        self.count(name, 1, fault.to_string(), fault.help());
+    pub fn refused(&mut self, name: &'static str, fault: &dyn Remediation) {
+        self.count(name, 1, fault.to_string(), fault.remediation());
     }
 
     pub fn troubled(&mut self, name: &'static str, trouble: &std::io::Error) {
@@ -60,18 +61,18 @@
         self.count("unlisted", 1, format!("planner {} is not in the operator's file", id.0), help);
     }
 
-    pub fn off(&mut self, kind: Kind) {
+    pub fn off(&mut self, kind: ComponentKind) {
         let help = "Give all members the same operator's file and send SIGHUP.";
         self.count("off", 1, format!("{kind} is off here"), help);
     }
 
     /// A letter that must not be shed waits, and all behind it in the socket.
-    pub fn full(&mut self, kind: Kind) {
+    pub fn full(&mut self, kind: ComponentKind) {
         let help = "The planner is short of CPU or its disk is slow: give it more, or start more planners.";
         self.count("full", 1, format!("letters wait for {kind}"), help);
     }
 
-    pub fn shed(&mut self, kind: Kind, count: u64) {
+    pub fn shed(&mut self, kind: ComponentKind, count: u64) {
         if count > 0 {
             let help = "The planner is short of CPU: give it more, or start more planners.";
             self.count("shed", count, format!("observations for {kind}"), help);
--- a/crates/control-plane/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -3,9 +3,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Faculty;
+use granitelb_coordination::component::Component;
 use granitelb_coordination::endpoint_health::{self, Part, Plan};
-use granitelb_coordination::message::{Kind, Letter};
+use granitelb_coordination::message::{ComponentKind, Message};
 use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender, Version, membership};
 use proptest::prelude::*;
 use redb::StorageBackend;
@@ -16,13 +16,16 @@
 use super::desk::{Desk, Outgoing};
 use super::mailbox::{Full, Mailbox};
 use super::*;
-use crate::config_error::Source;
-use crate::fleet_config::Operator;
-use crate::storage::Shelf;
+use crate::config_error::ConfigSource;
+use crate::fleet_config::FleetConfig;
+use crate::storage::StateFile;
 
-fn letter(from: Member, number: u64) -> (Sender, Letter) {
+fn letter(from: Member, number: u64) -> (Sender, Message) {
     let plan = Plan { version: Version(number), part: Part::WHOLE, forwarders: 0, verdicts: Vec::new() };
-    (Sender { member: from, life: Life(1), number }, Letter::Verdicts(endpoint_health::Message::Plan(plan)))
+    (
+        Sender { member: from, incarnation: Incarnation(1), number },
+        Message::EndpointHealth(endpoint_health::HealthMessage::Plan(plan)),
+    )
 }
 
 const SEES: Member = Member::Forwarder(ForwarderId(1));
@@ -60,29 +63,34 @@
     changed: bool,
 }
 
-impl Faculty for Mortal {
-    type Message = endpoint_health::Message;
-    type Fault = membership::Stale;
+impl Component for Mortal {
+    type Message = endpoint_health::HealthMessage;
+    type Error = membership::MembershipError;
 
-    fn heard(&mut self, _: Time, from: Sender, _: endpoint_health::Message) -> Result<(), membership::Stale> {
+    fn on_message(
+        &mut self,
+        _: Time,
+        from: Sender,
+        _: endpoint_health::HealthMessage,
+    ) -> Result<(), membership::MembershipError> {
         assert!(!from.number.is_multiple_of(3), "as it is meant to");
         (self.heard, self.changed) = (self.heard + 1, true);
         Ok(())
     }
 
-    fn members(&mut self, _: Time, _: &[Member]) {}
+    fn on_membership_change(&mut self, _: Time, _: &[Member]) {}
 
-    fn next_letter(&mut self, _: Time) -> Option<(Member, endpoint_health::Message)> {
+    fn poll_message(&mut self, _: Time) -> Option<(Member, endpoint_health::HealthMessage)> {
         let (_, said) = letter(PLANS, self.heard.into());
-        let Letter::Verdicts(message) = said else { return None };
+        let Message::EndpointHealth(message) = said else { return None };
         std::mem::take(&mut self.changed).then_some((PLANS, message))
     }
 
-    fn next_wake(&self, _: Time) -> Option<Time> {
+    fn poll_timeout(&self, _: Time) -> Option<Time> {
         None
     }
 
-    fn to_keep(&mut self) -> Option<Vec<u8>> {
+    fn poll_snapshot(&mut self) -> Option<Vec<u8>> {
         self.changed.then(|| vec![self.heard])
     }
 
@@ -97,11 +105,11 @@
     situation: watch::Sender<Situation>,
 }
 
-fn bench(keeper: Keeper) -> Bench {
+fn bench(keeper: StorageWriter) -> Bench {
     let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n[[planner]]\nnumber = 1\nletters = \"127.0.0.1:1\"";
-    let operator = Operator::read(&Source { file: "operator.toml".into(), text: text.into() });
+    let operator = FleetConfig::read(&ConfigSource { file: "operator.toml".into(), text: text.into() });
     let situation = Situation {
-        life: Life(1),
+        incarnation: Incarnation(1),
         alive: Arc::from([]),
         operator: Arc::new(operator.expect("an operator's file")),
         made: 0,
@@ -111,10 +119,10 @@
     let (sent, out) = mpsc::channel(16);
     let mailbox = Arc::new(Mailbox::new(16));
     let desk: Desk<Mortal> = Desk {
-        kind: Kind::Verdicts,
+        kind: ComponentKind::EndpointHealth,
         make: Box::new(|_, _, _, kept| Ok(Mortal { heard: kept.map_or(0, |k| k[0]), changed: false })),
-        wrap: Letter::Verdicts,
-        unwrap: |letter| if let Letter::Verdicts(message) = letter { Some(message) } else { None },
+        wrap: Message::EndpointHealth,
+        unwrap: |letter| if let Message::EndpointHealth(message) = letter { Some(message) } else { None },
         share: None,
         board: board::Board::new(),
         mailbox: mailbox.clone(),
@@ -132,7 +140,9 @@
 impl Bench {
     async fn says(&mut self) -> Option<u64> {
         let said = timeout(Duration::from_millis(700), self.out.recv()).await.ok()??;
-        let Letter::Verdicts(endpoint_health::Message::Plan(plan)) = said.letter else { return None };
+        let Message::EndpointHealth(endpoint_health::HealthMessage::Plan(plan)) = said.letter else {
+            return None;
+        };
         Some(plan.version.0)
     }
 }
@@ -169,15 +179,16 @@
     }
 }
 
-fn shelf(file: &Path) -> Shelf {
-    Shelf::open(file, PlannerId(1)).expect("a store")
+fn shelf(file: &Path) -> StateFile {
+    StateFile::open(file, PlannerId(1)).expect("a store")
 }
 
 #[tokio::test]
 async fn a_faculty_that_dies_goes_on_with_what_was_kept_of_it() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("store");
-    let (keeper, _) = Keeper::start(shelf(&file), || Err(storage::Fault::Ended)).expect("a thread");
+    let (keeper, _) =
+        StorageWriter::start(shelf(&file), || Err(storage::StoreError::Ended)).expect("a thread");
     let mut bench = bench(keeper);
     for number in [1, 2, 3] {
         bench.mailbox.put(letter(SEES, number)).expect("room");
@@ -197,9 +208,9 @@
     let file = folder.path().join("store");
     let open = move || {
         let file = std::fs::File::options().read(true).write(true).create(true).truncate(false).open(&file);
-        Shelf::on(Flaky(FileBackend::new(file.expect("a file")).expect("a store")), PlannerId(1))
+        StateFile::on(Flaky(FileBackend::new(file.expect("a file")).expect("a store")), PlannerId(1))
     };
-    let (keeper, _) = Keeper::start(open().expect("a store"), open).expect("a thread");
+    let (keeper, _) = StorageWriter::start(open().expect("a store"), open).expect("a thread");
     WORKS.store(false, Ordering::Relaxed);
     let mut bench = bench(keeper);
     bench.mailbox.put(letter(SEES, 1)).expect("room");
@@ -217,45 +228,52 @@
     let opened = storage::open(&place, PlannerId(1)).expect("a store");
     let (at, file) = (place.clone(), opened.file.clone());
     let reopen = move || storage::open(&at, PlannerId(1)).map(|opened| opened.shelf);
-    let (keeper, thread) = Keeper::start_at(Some(file), opened.shelf, reopen).expect("a thread");
-    keeper.keep(Kind::Members, vec![1]).await.expect("kept");
-    keeper.keep(Kind::Growth, vec![2]).await.expect("kept");
+    let (keeper, thread) = StorageWriter::start_at(Some(file), opened.shelf, reopen).expect("a thread");
+    keeper.keep(ComponentKind::Membership, vec![1]).await.expect("kept");
+    keeper.keep(ComponentKind::ShardGrowth, vec![2]).await.expect("kept");
     std::fs::remove_dir_all(&place).expect("it was there");
     // Something else stands in its place, too.
     std::fs::write(&place, "no folder").expect("written");
     for _ in 0..2 {
-        assert!(keeper.keep(Kind::Growth, vec![3]).await.is_err(), "it would outlast nothing");
+        assert!(keeper.keep(ComponentKind::ShardGrowth, vec![3]).await.is_err(), "it would outlast nothing");
     }
-    assert_eq!(keeper.read(Kind::Growth).await.expect("known"), Some(vec![2]), "the last that was kept");
+    assert_eq!(
+        keeper.read(ComponentKind::ShardGrowth).await.expect("known"),
+        Some(vec![2]),
+        "the last that was kept"
+    );
     std::fs::remove_file(&place).expect("it was there");
-    keeper.keep(Kind::Growth, vec![3]).await.expect("kept again");
+    keeper.keep(ComponentKind::ShardGrowth, vec![3]).await.expect("kept again");
     drop(keeper);
     thread.join().expect("it ends");
     let again = storage::open(&place, PlannerId(1)).expect("a store").shelf;
     let read = |kind| again.read(kind).expect("whole");
-    assert_eq!((read(Kind::Members), read(Kind::Growth)), (Some(vec![1]), Some(vec![3])));
+    assert_eq!(
+        (read(ComponentKind::Membership), read(ComponentKind::ShardGrowth)),
+        (Some(vec![1]), Some(vec![3]))
+    );
 }
 
 #[test]
 fn hindsight_forgets_what_it_saw_at_each_new_table_once() {
     use granitelb_coordination::counterfactual::{
-        AtPlanner, How, Message, Observation, Settings, is_sampled,
+        CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
     };
     use granitelb_coordination::shard_growth::form::FormVersion;
     let now = Time(1_000_000_000);
-    let mut planner = AtPlanner::new(Settings::default(), PlannerId(1), Life(1), now);
+    let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), now);
     let (board, share) = (Board::new(), super::faculties::forgets_old_tables());
     let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n\
         [[planner]]\nnumber = 1\nletters = \"127.0.0.1:9\"\n";
     let operator =
-        Operator::read(&Source { file: "operator.toml".into(), text: text.into() }).expect("sound");
-    let seen_by = |planner: &mut AtPlanner, call: u64, seconds: u64| {
+        FleetConfig::read(&ConfigSource { file: "operator.toml".into(), text: text.into() }).expect("sound");
+    let seen_by = |planner: &mut PlannerComponent, call: u64, seconds: u64| {
         let at = now + Span::from_millis(seconds * 1000);
         let call = (call..).find(|c| is_sampled(*c)).expect("one in two");
-        let seen = Observation {
+        let seen = SampledRequest {
             call,
             key: 1,
-            product: 0,
+            request_class: 0,
             class: 0,
             candidates: vec![1, 2, 3],
             place: 0,
@@ -265,8 +283,8 @@
             out: 0,
             ago: 0,
         };
-        let from = Sender { member: SEES, life: Life(1), number: call };
-        planner.heard(at, from, Message::Seen(vec![seen])).expect("sound");
+        let from = Sender { member: SEES, incarnation: Incarnation(1), number: call };
+        planner.on_message(at, from, CounterfactualMessage::Seen(vec![seen])).expect("sound");
         share(planner, at, &operator, &board);
         planner.support()
     };
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -5,14 +5,14 @@
 
 use crate::growing::{GROW, Growing, place};
 use granitelb_coordination::leases::{self, Need, Resource};
-use granitelb_coordination::message::Letter;
+use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::Step;
 
 const LONG: Duration = Duration::from_secs(25);
 
-fn asks(ask: u64) -> Letter {
+fn asks(ask: u64) -> Message {
     let needs = vec![Need { resource: Resource::Origin, amount: 5000, using: ask, heads: 1, has: 0 }];
-    Letter::Leases(leases::Message::Ask { ask, needs })
+    Message::Leases(leases::LeaseMessage::Ask { ask, needs })
 }
 
 /// Until the planner has granted anew.
--- a/crates/control-plane/tests/growth.rs
+++ b/crates/control-plane/tests/growth.rs
@@ -8,7 +8,7 @@
 use granitelb_balancer::slot_table::caches_of;
 use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
 use granitelb_coordination::leases::{self, Need, Resource};
-use granitelb_coordination::message::Letter;
+use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::{Form, Step};
 
 const LONG: Duration = Duration::from_secs(25);
@@ -55,10 +55,10 @@
     assert!(!growing.auditor.told.values().any(withdrawn), "nothing was in the way but killed planners");
 }
 
-type Says = Box<dyn Fn(u64) -> Letter>;
+type Says = Box<dyn Fn(u64) -> Message>;
 
 /// Two forwarders say this so many times, each fifth of a second.
-fn say(growing: &mut Growing, times: u32, letter: impl Fn(u64) -> Letter) {
+fn say(growing: &mut Growing, times: u32, letter: impl Fn(u64) -> Message) {
     for _ in 0..times {
         let number = granitelb_control_plane::clock::Clock::start().now().0;
         (0..2).for_each(|node| growing.say(node, &letter(number)));
@@ -67,19 +67,19 @@
 }
 
 /// More of the origin than there is, or nothing.
-fn asks(amount: u32) -> impl Fn(u64) -> Letter {
+fn asks(amount: u32) -> impl Fn(u64) -> Message {
     move |ask| {
         let needs = vec![Need { resource: Resource::Origin, amount, using: ask, heads: 1, has: 0 }];
-        Letter::Leases(leases::Message::Ask { ask, needs })
+        Message::Leases(leases::LeaseMessage::Ask { ask, needs })
     }
 }
 
 /// What came of shots at one of the shard's caches.
-fn reports(failed: f64, answered: f64) -> impl Fn(u64) -> Letter {
+fn reports(failed: f64, answered: f64) -> impl Fn(u64) -> Message {
     let cache = *caches_of(GROW[0].0, 1, &caches()).first().expect("several");
     let seen = Seen { cache, failed, answered, out: 0.0 };
     move |number| {
-        Letter::Verdicts(endpoint_health::Message::Report(Report {
+        Message::EndpointHealth(endpoint_health::HealthMessage::Report(Report {
             number,
             part: Part::WHOLE,
             caches: vec![seen],
