--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use granitelb_control_plane::{config_error, planner, storage};
-use granitelb_coordination::component::Help;
+use granitelb_coordination::component::Remediation;
 use granitelb_coordination::{counterfactual, endpoint_health, leases, membership, message, shard_growth};
 
 /// All values of an error, by a match that a new one breaks: whoever adds one has to give it here as well.
@@ -13,7 +13,7 @@
         let known = |fault: &$type| match fault { $($pattern => ()),+ };
         let all: Vec<$type> = vec![$($value),+];
         all.iter().for_each(known);
-        all.into_iter().map(|fault| (stringify!($type), Box::new(fault) as Box<dyn Help>)).collect::<Vec<_>>()
+        all.into_iter().map(|fault| (stringify!($type), Box::new(fault) as Box<dyn Remediation>)).collect::<Vec<_>>()
     }};
 }
 
@@ -21,28 +21,28 @@
     std::io::Error::other("trouble")
 }
 
-fn every_error() -> Vec<(&'static str, Box<dyn Help>)> {
-    use config_error::{Fault as File, Trouble};
-    use counterfactual::Fault as Judged;
-    use endpoint_health::Fault as Verdicts;
-    use leases::Fault as Leases;
-    use membership::Stale;
-    use message::Fault as Letter;
-    use planner::{Fault as Planner, Refused, TooOften};
-    use shard_growth::{Fault as Growth, KeptFault};
-    use storage::Fault as Store;
+fn every_error() -> Vec<(&'static str, Box<dyn Remediation>)> {
+    use config_error::{ConfigError, ConfigErrorKind as File};
+    use counterfactual::CounterfactualError as Judged;
+    use endpoint_health::HealthError as Verdicts;
+    use leases::LeaseError as Leases;
+    use membership::MembershipError;
+    use message::EnvelopeError as Message;
+    use planner::{PlannerError as Planner, Refused, TooOften};
+    use shard_growth::{GrowthError as Growth, SnapshotError};
+    use storage::StoreError as Store;
     let address = "127.0.0.1:1".parse().expect("an address");
-    let file = || Trouble { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
+    let file = || ConfigError { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
     [
-        all!(Letter:
-            Letter::ShortSecret => Letter::ShortSecret, Letter::Stranger => Letter::Stranger,
-            Letter::OtherVersion(1) => Letter::OtherVersion(_), Letter::Forged => Letter::Forged,
-            Letter::UnknownKind(9) => Letter::UnknownKind(_), Letter::Unreadable => Letter::Unreadable,
-            Letter::TooLong(9) => Letter::TooLong(_)),
-        all!(Stale:
-            Stale::Mine => Stale::Mine, Stale::OlderLife => Stale::OlderLife, Stale::Twice => Stale::Twice,
-            Stale::TooLate => Stale::TooLate, Stale::WasGone => Stale::WasGone, Stale::TooMany => Stale::TooMany,
-            Stale::NotItsWord => Stale::NotItsWord),
+        all!(Message:
+            Message::ShortSecret => Message::ShortSecret, Message::Stranger => Message::Stranger,
+            Message::OtherVersion(1) => Message::OtherVersion(_), Message::Forged => Message::Forged,
+            Message::UnknownKind(9) => Message::UnknownKind(_), Message::Unreadable => Message::Unreadable,
+            Message::TooLong(9) => Message::TooLong(_)),
+        all!(MembershipError:
+            MembershipError::Mine => MembershipError::Mine, MembershipError::OlderLife => MembershipError::OlderLife, MembershipError::Twice => MembershipError::Twice,
+            MembershipError::TooLate => MembershipError::TooLate, MembershipError::WasGone => MembershipError::WasGone, MembershipError::TooMany => MembershipError::TooMany,
+            MembershipError::NotItsWord => MembershipError::NotItsWord),
         all!(File:
             File::Unread(trouble()) => File::Unread(_), File::Form("x".into()) => File::Form(_),
             File::Value { key: "k", what: "w".into() } => File::Value { .. }),
@@ -56,12 +56,12 @@
             Planner::File(file()) => Planner::File(_),
             Planner::Address { address: "127.0.0.1:1".parse().expect("one"), why: trouble() } => Planner::Address { .. },
             Planner::Store(Store::InUse) => Planner::Store(_), Planner::System(trouble()) => Planner::System(_),
-            Planner::Hung(message::Kind::Growth) => Planner::Hung(_), Planner::NoPost => Planner::NoPost),
+            Planner::Hung(message::ComponentKind::ShardGrowth) => Planner::Hung(_), Planner::NoPost => Planner::NoPost),
         all!(TooOften:
             TooOften::Address(address) => TooOften::Address(_), TooOften::Strangers(address) => TooOften::Strangers(_),
             TooOften::Member(granitelb_coordination::Member::Planner(granitelb_coordination::PlannerId(1))) => TooOften::Member(_)),
         all!(Refused: Refused::Off => Refused::Off),
-        all!(Trouble: file() => Trouble { .. }),
+        all!(ConfigError: file() => ConfigError { .. }),
         all!(counterfactual::NoSupport: counterfactual::NoSupport => counterfactual::NoSupport),
         all!(Verdicts:
             Verdicts::Figure => Verdicts::Figure, Verdicts::Old => Verdicts::Old, Verdicts::TooMany => Verdicts::TooMany,
@@ -73,8 +73,8 @@
         all!(Growth:
             Growth::Stranger => Growth::Stranger, Growth::Nonsense => Growth::Nonsense, Growth::OldDay => Growth::OldDay,
             Growth::Full => Growth::Full),
-        all!(KeptFault:
-            KeptFault::OtherVersion(0) => KeptFault::OtherVersion(_), KeptFault::Torn => KeptFault::Torn),
+        all!(SnapshotError:
+            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Torn => SnapshotError::Torn),
         all!(Judged:
             Judged::Figure => Judged::Figure, Judged::NotSampled => Judged::NotSampled,
             Judged::WrongSide => Judged::WrongSide),
@@ -88,7 +88,7 @@
 fn each_says_what_is_wrong_and_what_to_do() {
     let all = every_error();
     for (of, fault) in &all {
-        let (what, help) = (fault.to_string(), fault.help());
+        let (what, help) = (fault.to_string(), fault.remediation());
         assert!(!what.is_empty() && !what.ends_with('.'), "{of}: {what:?}");
         let sentence = help.len() > 10 && help.starts_with(char::is_uppercase) && help.ends_with('.');
         assert!(sentence && help != what, "{of}, {what}: {help:?} is no sentence to an operator");
@@ -99,7 +99,7 @@
 #[test]
 fn no_error_type_is_left_out() {
     let mut declared = Vec::new();
-    for folder in ["../plan/src", "src"] {
+    for folder in ["../coordination/src", "src"] {
         walk(&Path::new(env!("CARGO_MANIFEST_DIR")).join(folder), &mut declared);
     }
     let given: BTreeSet<_> = every_error().into_iter().map(|(of, _)| of).collect();
--- a/crates/control-plane/tests/hindsight.rs
+++ b/crates/control-plane/tests/hindsight.rs
@@ -6,36 +6,36 @@
 use std::time::{Duration, Instant};
 
 use crate::support::{Fleet, Forwarder, OURS, Planner};
-use granitelb_balancer::calls::Outcome;
-use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::Span;
 use granitelb_control_plane::clock::Clock;
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::counterfactual::{AtForwarder, Settings, is_sampled};
-use granitelb_coordination::message::Letter;
-use granitelb_coordination::observation::{Ended, Server, Sight};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::counterfactual::{ForwarderComponent, Settings, is_sampled};
+use granitelb_coordination::message::Message;
+use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId};
 
 const LONGER: Span = Span::from_millis(40);
 
 /// Four caches; the `slow` one takes 40 ms longer of an SLO of 50. Every third call goes to its second candidate. In another
 /// table keys have other candidates.
-fn call(n: u64, table: u64, slow: Option<u64>) -> Ended {
-    let candidates: Vec<_> = (0..3).map(|place| CacheId((n + table + place) % 4)).collect();
+fn call(n: u64, table: u64, slow: Option<u64>) -> FinishedAttempt {
+    let candidates: Vec<_> = (0..3).map(|place| EndpointId((n + table + place) % 4)).collect();
     let cache = candidates[usize::from((n / 4).is_multiple_of(3))];
     let noise = Span((n * 7919 % 101) * 100);
     let longer = if slow == Some(cache.0) { LONGER } else { Span::ZERO };
-    Ended {
+    FinishedAttempt {
         call: (n * 64..).find(|c| is_sampled(*c)).expect("one in two"),
         number: 0,
         key: Key(n),
-        product: ProductId(0),
+        request_class: RequestClassId(0),
         write: false,
         work: None,
         cache,
         is_origin: false,
         candidates,
-        outcome: Outcome::Fulfilled,
+        outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(10) + noise + longer,
         bytes: 1000,
         out_then: 0,
@@ -46,7 +46,7 @@
 struct World {
     fleet: Fleet,
     clock: Clock,
-    forwarders: Vec<(AtForwarder, Forwarder)>,
+    forwarders: Vec<(ForwarderComponent, Forwarder)>,
     calls: u64,
     letters: usize,
 }
@@ -62,8 +62,9 @@
         let clock = Clock::start();
         let alive = [1, 2].map(|id| Member::Planner(PlannerId(id)));
         let forwarder = |n| {
-            let mut side = AtForwarder::new(Settings::default(), ForwarderId(n), Life(1), clock.now());
-            side.members(clock.now(), &alive);
+            let mut side =
+                ForwarderComponent::new(Settings::default(), ForwarderId(n), Incarnation(1), clock.now());
+            side.on_membership_change(clock.now(), &alive);
             (side, Forwarder::new(&format!("node-{n}")))
         };
         let forwarders = (0..forwarders).map(forwarder).collect();
@@ -71,16 +72,21 @@
     }
 
     /// For so long, each forwarder sees a call every 20 ms, made from its number and the forwarder's.
-    fn run(&mut self, span: Duration, call: impl Fn(u64, usize) -> Ended, is_over: impl Fn() -> bool) {
+    fn run(
+        &mut self,
+        span: Duration,
+        call: impl Fn(u64, usize) -> FinishedAttempt,
+        is_over: impl Fn() -> bool,
+    ) {
         let ends = Instant::now() + span;
         while Instant::now() < ends && !is_over() {
             for (number, (side, forwarder)) in self.forwarders.iter_mut().enumerate() {
                 self.calls += 1;
                 let ended = call(self.calls, number);
-                side.seen(self.clock.now(), &Sight::Ended(Box::new(ended)));
-                while let Some((to, message)) = side.next_letter(self.clock.now()) {
+                side.seen(self.clock.now(), &Observation::AttemptFinished(Box::new(ended)));
+                while let Some((to, message)) = side.poll_message(self.clock.now()) {
                     let Member::Planner(to) = to else { continue };
-                    let bytes = forwarder.sealed(&Letter::Hindsight(message), OURS);
+                    let bytes = forwarder.sealed(&Message::Counterfactual(message), OURS);
                     self.letters += 1;
                     for _ in 0..[0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.letters % 10] {
                         forwarder.send(&bytes, self.fleet.addresses[usize::from(to.0) - 1]);
@@ -94,10 +100,10 @@
     /// All forwarders' lists say that this cache has just started.
     fn starts_anew(&mut self, cache: u64) {
         let started = Some(self.clock.now());
-        let (cache, warm_after) = (CacheId(cache), Span::ZERO);
-        let server = Server { cache, is_origin: false, zone: 0, size: 1.0, started, warm_after };
+        let (cache, warm_after) = (EndpointId(cache), Span::ZERO);
+        let server = ObservedEndpoint { cache, is_origin: false, zone: 0, size: 1.0, started, warm_after };
         for (side, _) in &mut self.forwarders {
-            side.seen(self.clock.now(), &Sight::Listed(vec![server]));
+            side.seen(self.clock.now(), &Observation::EndpointsChanged(vec![server]));
         }
     }
 }
--- a/crates/control-plane/tests/planners.rs
+++ b/crates/control-plane/tests/planners.rs
@@ -5,12 +5,12 @@
 
 use crate::support::{Fleet, Forwarder, OURS, THEIRS, check};
 use granitelb_coordination::leases::{self, Need, Resource};
-use granitelb_coordination::membership::Message;
-use granitelb_coordination::message::Letter;
+use granitelb_coordination::membership::MembershipMessage;
+use granitelb_coordination::message::Message;
 use granitelb_coordination::{Member, PlannerId};
 use rustix::process::Signal;
 
-const BEAT: Letter = Letter::Members(Message::Beat);
+const HEARTBEAT_INTERVAL: Message = Message::Membership(MembershipMessage::Beat);
 const SOON: Duration = Duration::from_secs(3);
 
 #[test]
@@ -18,22 +18,22 @@
     let fleet = Fleet::new(1);
     let mut planner = fleet.start(1);
     let mut forwarder = Forwarder::new("node-1");
-    let beat = forwarder.sealed(&BEAT, OURS);
+    let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
     let (from, letter) = forwarder.receive(OURS, SOON).expect("an answer");
-    assert_eq!((from.member, letter), (Member::Planner(PlannerId(1)), BEAT));
+    assert_eq!((from.member, letter), (Member::Planner(PlannerId(1)), HEARTBEAT_INTERVAL));
 
-    let mut changed = forwarder.sealed(&BEAT, OURS);
+    let mut changed = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     changed[6] ^= 1;
-    let foreign = forwarder.sealed(&BEAT, THEIRS);
-    let mut older = forwarder.sealed(&BEAT, OURS);
+    let foreign = forwarder.sealed(&HEARTBEAT_INTERVAL, THEIRS);
+    let mut older = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     older[2] = 1;
     let junk = b"GET / HTTP/1.1\r\n\r\n".to_vec();
     for bytes in [&changed, &foreign, &older, &junk, &beat] {
         forwarder.send(bytes, fleet.addresses[0]);
     }
     // It is still read: what came before was passed over.
-    let last = forwarder.sealed(&BEAT, OURS);
+    let last = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&last, fleet.addresses[0]);
     std::thread::sleep(Duration::from_millis(200));
     assert!(planner.stop().success());
@@ -86,17 +86,20 @@
     let fleet = Fleet::new(1);
     let planner = fleet.start(1);
     let mut forwarder = Forwarder::new("node-1");
-    let beat = forwarder.sealed(&BEAT, OURS);
+    let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
     let (before, _) = forwarder.receive(OURS, SOON).expect("an answer");
     planner.signal(Signal::STOP);
     std::thread::sleep(Duration::from_secs(3));
     planner.signal(Signal::CONT);
     planner.wait_for("new_life");
-    let beat = forwarder.sealed(&BEAT, OURS);
+    let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
-    let later = std::iter::from_fn(|| forwarder.receive(OURS, SOON)).map(|(from, _)| from.life);
-    assert!(later.take(20).any(|life| life > before.life), "its letters bear the life before");
+    let later = std::iter::from_fn(|| forwarder.receive(OURS, SOON)).map(|(from, _)| from.incarnation);
+    assert!(
+        later.take(20).any(|incarnation| incarnation > before.incarnation),
+        "its letters bear the life before"
+    );
 }
 
 /// The planner had forgotten where it is, and passed over all that it said from then on.
@@ -105,14 +108,14 @@
     let fleet = Fleet::new(1);
     let planner = fleet.start(1);
     let mut forwarder = Forwarder::new("node-1");
-    let beat = forwarder.sealed(&BEAT, OURS);
+    let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
     planner.wait_for("member_gone");
     let began = Instant::now();
-    let told = |letter| matches!(letter, Letter::Members(Message::YouWereGone { .. }));
+    let told = |letter| matches!(letter, Message::Membership(MembershipMessage::YouWereGone { .. }));
     loop {
         assert!(began.elapsed() < SOON, "not told");
-        let beat = forwarder.sealed(&BEAT, OURS);
+        let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
         forwarder.send(&beat, fleet.addresses[0]);
         let letters = std::iter::from_fn(|| forwarder.receive(OURS, Duration::from_millis(100)));
         if letters.take(8).any(|(_, letter)| told(letter)) {
@@ -130,14 +133,14 @@
     planner.signal(Signal::HUP);
     let refused = planner.wait_for("reload_refused");
     assert!(refused["message"].as_str().is_some_and(|m| m.contains("operator.toml:1: secret:")), "{refused}");
-    let beat = forwarder.sealed(&BEAT, OURS);
+    let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
     assert!(forwarder.receive(OURS, SOON).is_some());
 
     fleet.write_operator(&format!("secret = \"{THEIRS}\"\nformer_secret = \"{OURS}\""));
     planner.signal(Signal::HUP);
     planner.wait_for("reloaded");
-    let beat = forwarder.sealed(&BEAT, OURS);
+    let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
     assert!(forwarder.receive(THEIRS, SOON).is_some(), "sealed with the new one, opened with the former");
     assert!(planner.stop().success());
@@ -152,11 +155,11 @@
     let mut forwarder = Forwarder::new("node-1");
     let granted = (1..60).find_map(|ask| {
         let needs = vec![Need { resource: Resource::Origin, amount: 20_000, using: 0, heads: 1, has: 0 }];
-        let asked = forwarder.sealed(&Letter::Leases(leases::Message::Ask { ask, needs }), OURS);
+        let asked = forwarder.sealed(&Message::Leases(leases::LeaseMessage::Ask { ask, needs }), OURS);
         forwarder.send(&asked, fleet.addresses[0]);
         let came = std::iter::from_fn(|| forwarder.receive(OURS, Duration::from_millis(200)));
         came.take(8).find_map(|(_, letter)| match letter {
-            Letter::Leases(leases::Message::Grant { granted, .. }) => {
+            Message::Leases(leases::LeaseMessage::Grant { granted, .. }) => {
                 granted.first().copied().filter(|g| g.1 > 0)
             }
             _ => None,
@@ -195,11 +198,11 @@
     let (mut one, two) = (fleet.start(1), fleet.start(2));
     assert!(one.said("trial")[0]["message"].as_str().is_some_and(|m| m.contains("made to do amiss")));
     let mut forwarder = Forwarder::new("node-1");
-    let mut say = |letter: &Letter| {
+    let mut say = |letter: &Message| {
         let bytes = forwarder.sealed(letter, OURS);
         forwarder.send(&bytes, fleet.addresses[0]);
     };
-    let ask = Letter::Leases(leases::Message::Ask { ask: 1, needs: Vec::new() });
+    let ask = Message::Leases(leases::LeaseMessage::Ask { ask: 1, needs: Vec::new() });
     say(&ask);
     one.wait_for("task_hangs");
     // More than a mailbox holds, and what comes after is heard all the same.
@@ -210,7 +213,7 @@
             std::thread::sleep(Duration::from_millis(10));
         }
     }
-    say(&BEAT);
+    say(&HEARTBEAT_INTERVAL);
     assert!(forwarder.receive(OURS, Duration::from_millis(700)).is_some(), "beats stopped");
     assert!(began.elapsed() < Duration::from_secs(5), "the machine is too slow to say");
     assert!(two.said("member_gone").is_empty(), "{:?}", two.said("member_gone"));
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use granitelb_control_plane::storage::{Fault, Shelf};
+use granitelb_control_plane::storage::{StateFile, StoreError};
 use granitelb_coordination::PlannerId;
-use granitelb_coordination::message::Kind;
+use granitelb_coordination::message::ComponentKind;
 use redb::StorageBackend;
 
 const ME: PlannerId = PlannerId(3);
@@ -105,8 +105,12 @@
 
 /// Two faculties' states a commit; returns the last commit that was said to be kept.
 fn keep_some(backend: &Backend) -> Option<u64> {
-    let shelf = Shelf::on(backend.clone(), ME).ok()?;
-    let kept = |n: &u64| shelf.write(&[(Kind::Leases, state(*n)), (Kind::Growth, state(*n + 1))]).is_ok();
+    let shelf = StateFile::on(backend.clone(), ME).ok()?;
+    let kept = |n: &u64| {
+        shelf
+            .write(&[(ComponentKind::Leases, state(*n)), (ComponentKind::ShardGrowth, state(*n + 1))])
+            .is_ok()
+    };
     (1..=4).take_while(kept).last()
 }
 
@@ -116,18 +120,22 @@
     loop {
         let backend = Backend::default();
         // A store is begun under another name, so it is whole when it is first used.
-        drop(Shelf::on(backend.clone(), ME).expect("begun"));
+        drop(StateFile::on(backend.clone(), ME).expect("begun"));
         backend.disk().left = Some(steps);
         let kept = keep_some(&backend);
         let torn = backend.after_power_loss(steps as u64 + 77);
-        let shelf = Shelf::on(torn, ME).unwrap_or_else(|fault| panic!("killed at step {steps}: {fault}"));
-        let found = shelf.read(Kind::Leases).expect("whole");
+        let shelf = StateFile::on(torn, ME).unwrap_or_else(|fault| panic!("killed at step {steps}: {fault}"));
+        let found = shelf.read(ComponentKind::Leases).expect("whole");
         // What was under way when it was killed may have come through, or not; nothing before it is lost.
         let next = kept.unwrap_or(0) + 1;
         let may = [kept.map(state), Some(state(next))];
         assert!(may.contains(&found), "step {steps}: {kept:?} was kept, and not found");
         let n = if found == Some(state(next)) { Some(next) } else { kept };
-        assert_eq!(shelf.read(Kind::Growth).expect("whole"), n.map(|n| state(n + 1)), "step {steps}: half");
+        assert_eq!(
+            shelf.read(ComponentKind::ShardGrowth).expect("whole"),
+            n.map(|n| state(n + 1)),
+            "step {steps}: half"
+        );
         if kept == Some(4) {
             break;
         }
@@ -139,16 +147,16 @@
 #[test]
 fn a_changed_byte_is_found_wherever_it_stands_in_a_state() {
     let backend = Backend::default();
-    let shelf = Shelf::on(backend.clone(), ME).expect("a store");
+    let shelf = StateFile::on(backend.clone(), ME).expect("a store");
     let marked = b"a state that is easily found".to_vec();
-    shelf.write(&[(Kind::Growth, marked.clone())]).expect("kept");
+    shelf.write(&[(ComponentKind::ShardGrowth, marked.clone())]).expect("kept");
     drop(shelf);
     let bytes = backend.disk().seen.clone();
     let places = bytes.windows(marked.len()).enumerate().filter(|(_, w)| *w == marked).map(|(at, _)| at);
     for at in places.collect::<Vec<_>>() {
         backend.disk().seen[at + 5] ^= 1;
     }
-    assert!(matches!(Shelf::on(backend, ME), Err(Fault::Torn(_))));
+    assert!(matches!(StateFile::on(backend, ME), Err(StoreError::Torn(_))));
 }
 
 #[test]
@@ -163,11 +171,14 @@
         }
         write.commit().expect("kept");
         drop(store);
-        Shelf::on(backend, ME).err()
+        StateFile::on(backend, ME).err()
     };
     let of_version_0 = with(&[("version", 0), ("planner", 3)], other);
-    assert!(matches!(of_version_0, Some(Fault::OtherVersion { found: 0 })));
-    assert!(matches!(with(&[("version", 1), ("planner", 4)], other), Some(Fault::Foreign { own: 3, .. })));
+    assert!(matches!(of_version_0, Some(StoreError::OtherVersion { found: 0 })));
+    assert!(matches!(
+        with(&[("version", 1), ("planner", 4)], other),
+        Some(StoreError::Foreign { own: 3, .. })
+    ));
     let theirs = redb::TableDefinition::<&str, u64>::new("accounts");
-    assert!(matches!(with(&[("balance", 1)], theirs), Some(Fault::Foreign { .. })));
+    assert!(matches!(with(&[("balance", 1)], theirs), Some(StoreError::Foreign { .. })));
 }
--- a/crates/control-plane/tests/support/growing.rs
+++ b/crates/control-plane/tests/support/growing.rs
@@ -7,22 +7,22 @@
 use std::time::{Duration, Instant, UNIX_EPOCH};
 use std::{fs, thread};
 
-use granitelb_balancer::calls::{Outcome, TableForm};
-use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::calls::{AttemptOutcome, ShardMap};
+use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::slot_table::{caches_of, shard_of};
 use granitelb_balancer::time::{Span, Time};
-use granitelb_control_plane::fleet_config::Operator;
-use granitelb_control_plane::storage::Shelf;
-use granitelb_coordination::component::Faculty;
+use granitelb_control_plane::fleet_config::FleetConfig;
+use granitelb_control_plane::storage::StateFile;
+use granitelb_coordination::component::Component;
 use granitelb_coordination::leases;
 use granitelb_coordination::membership::Members;
-use granitelb_coordination::message::{self, Kind, Letter};
-use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::message::{self, ComponentKind, Message};
+use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
 use granitelb_coordination::shard_growth::agree::Kept;
 use granitelb_coordination::shard_growth::form::{Form, Step};
 use granitelb_coordination::shard_growth::sketch::{Day, Shard};
-use granitelb_coordination::shard_growth::{Archive, AtForwarder, Message};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::shard_growth::{Archive, ForwarderComponent, GrowthMessage};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::support::{Fleet, OURS, Planner, secrets};
@@ -41,8 +41,8 @@
 }
 
 /// All of one size.
-pub fn caches() -> Vec<(CacheId, f64)> {
-    (0..CACHES).map(|c| (CacheId(c), 1.0)).collect()
+pub fn caches() -> Vec<(EndpointId, f64)> {
+    (0..CACHES).map(|c| (EndpointId(c), 1.0)).collect()
 }
 
 fn now() -> Time {
@@ -79,37 +79,38 @@
     me: Member,
     number: u64,
     members: Members,
-    growth: AtForwarder,
+    growth: ForwarderComponent,
 }
 
 impl Node {
-    fn new(n: usize, operator: &Operator) -> Node {
+    fn new(n: usize, operator: &FleetConfig) -> Node {
         let (now, id) = (now(), ForwarderId(n as u64));
-        let mut members = Members::new(Member::Forwarder(id), Life(now.0), now);
+        let mut members = Members::new(Member::Forwarder(id), Incarnation(now.0), now);
         members.set_planners(now, (1..=PLANNERS as u8).map(PlannerId));
-        let mut growth = AtForwarder::new(operator.growth_seen().expect("it is on"), id, Life(now.0), now);
-        let server = |cache| Server {
-            cache: CacheId(cache),
+        let mut growth =
+            ForwarderComponent::new(operator.growth_seen().expect("it is on"), id, Incarnation(now.0), now);
+        let server = |cache| ObservedEndpoint {
+            cache: EndpointId(cache),
             is_origin: false,
             zone: 0,
             size: 1.0,
             started: None,
             warm_after: Span::ZERO,
         };
-        growth.seen(now, &Sight::Listed((0..CACHES).map(server).collect()));
+        growth.seen(now, &Observation::EndpointsChanged((0..CACHES).map(server).collect()));
         Node { socket: socket(), me: Member::Forwarder(id), number: 0, members, growth }
     }
 
-    fn send(&mut self, to: SocketAddr, letter: &Letter, times: usize) {
+    fn send(&mut self, to: SocketAddr, letter: &Message, times: usize) {
         self.number += 1;
-        let sender = Sender { member: self.me, life: self.members.life(), number: self.number };
+        let sender = Sender { member: self.me, incarnation: self.members.incarnation(), number: self.number };
         let bytes = message::seal(sender, letter, &secrets(OURS)).expect("a letter");
         for _ in 0..times {
             let _ = self.socket.send_to(&bytes, to);
         }
     }
 
-    pub fn form(&self) -> Option<TableForm> {
+    pub fn form(&self) -> Option<ShardMap> {
         self.growth.advice()
     }
 }
@@ -123,7 +124,7 @@
 }
 
 impl Auditor {
-    fn heard(&mut self, form: &Form) {
+    fn on_message(&mut self, form: &Form) {
         let known = self.told.entry(form.version.0).or_insert_with(|| form.clone());
         assert_eq!(known, form, "two forms of version {}", form.version.0);
         let caches = caches();
@@ -213,7 +214,7 @@
             "[growth]\nshard_bytes = {room}\nsplits_at_once = 2\nday_ms = {DAY_MS}\nstep_ms = {step_ms}\n"
         );
         fs::write(fleet.path("operator.toml"), text + settings).expect("written");
-        let operator = Operator::load(&fleet.path("operator.toml")).expect("an operator's file");
+        let operator = FleetConfig::load(&fleet.path("operator.toml")).expect("an operator's file");
         let first_day = now().0 / (DAY_MS * 1000) - u64::from(KNOWN_DAYS);
         let mut growing = Growing {
             fleet,
@@ -247,8 +248,8 @@
         let history = GROW.map(|shard| (shard, (0..KNOWN_DAYS - 1).map(day).collect())).into();
         let bytes = Archive { votes: Some(Kept::default()), history }.to_bytes();
         fs::create_dir(self.fleet.path(&format!("state-{number}"))).expect("a folder");
-        let shelf = Shelf::open(&self.fleet.store(number), PlannerId(number as u8)).expect("a store");
-        shelf.write(&[(Kind::Growth, bytes)]).expect("written");
+        let shelf = StateFile::open(&self.fleet.store(number), PlannerId(number as u8)).expect("a store");
+        shelf.write(&[(ComponentKind::ShardGrowth, bytes)]).expect("written");
     }
 
     pub fn start_planner(&mut self, number: usize) {
@@ -278,7 +279,7 @@
     }
 
     /// A letter of a forwarder's to all planners.
-    pub fn say(&mut self, node: usize, letter: &Letter) {
+    pub fn say(&mut self, node: usize, letter: &Message) {
         for to in self.fleet.addresses.clone() {
             self.nodes[node].send(to, letter, 1);
         }
@@ -296,10 +297,10 @@
             while let Some(bytes) = read(&node.socket) {
                 for _ in 0..self.chance.times() {
                     let (from, letter) = message::open(&bytes, &secrets(OURS)).expect("of a planner");
-                    if let Letter::Growth(Message::Table { form }) = &letter {
-                        self.auditor.heard(form);
+                    if let Message::ShardGrowth(GrowthMessage::Table { form }) = &letter {
+                        self.auditor.on_message(form);
                     }
-                    if let (Member::Planner(id), Letter::Leases(leases::Message::Grant { granted, .. })) =
+                    if let (Member::Planner(id), Message::Leases(leases::LeaseMessage::Grant { granted, .. })) =
                         (from.member, &letter)
                         && granted.iter().any(|(_, amount)| *amount > 0)
                     {
@@ -309,22 +310,22 @@
                         continue;
                     }
                     match letter {
-                        Letter::Members(m) => drop(node.members.heard(now, from, m)),
-                        Letter::Growth(m) => drop(node.growth.heard(now, from, m)),
+                        Message::Membership(m) => drop(node.members.on_message(now, from, m)),
+                        Message::ShardGrowth(m) => drop(node.growth.on_message(now, from, m)),
                         _ => {}
                     }
                 }
             }
             if node.members.must_be_new() {
-                node.members.renewed(Life(now.0));
+                node.members.renewed(Incarnation(now.0));
             }
             if let Some(alive) = node.members.changed(now) {
-                node.growth.members(now, &alive);
+                node.growth.on_membership_change(now, &alive);
             }
             loop {
-                let growth = node.growth.next_letter(now).map(|(to, m)| (to, Letter::Growth(m)));
-                let Some((Member::Planner(to), letter)) =
-                    growth.or_else(|| node.members.next_letter(now).map(|(to, m)| (to, Letter::Members(m))))
+                let growth = node.growth.poll_message(now).map(|(to, m)| (to, Message::ShardGrowth(m)));
+                let Some((Member::Planner(to), letter)) = growth
+                    .or_else(|| node.members.poll_message(now).map(|(to, m)| (to, Message::Membership(m))))
                 else {
                     break;
                 };
@@ -343,24 +344,24 @@
         self.read_on = day;
         let count = keys((day - self.first_day) as f64) as usize;
         for key in self.keys.values().flat_map(|keys| keys.iter().take(count)) {
-            let ended = Ended {
+            let ended = FinishedAttempt {
                 call: *key,
                 number: 0,
                 key: Key(*key),
-                product: ProductId(0),
+                request_class: RequestClassId(0),
                 write: false,
                 work: None,
-                cache: CacheId(1),
+                cache: EndpointId(1),
                 is_origin: false,
                 candidates: Vec::new(),
-                outcome: Outcome::Fulfilled,
+                outcome: AttemptOutcome::Fulfilled,
                 latency: Span::from_millis(5),
                 bytes: 1000,
                 out_then: 0,
                 slo: Span::from_millis(500),
             };
             let node = &mut self.nodes[(*key % FORWARDERS as u64) as usize];
-            node.growth.seen(now, &Sight::Ended(Box::new(ended)));
+            node.growth.seen(now, &Observation::AttemptFinished(Box::new(ended)));
         }
     }
 }
--- a/crates/control-plane/tests/support/holders.rs
+++ b/crates/control-plane/tests/support/holders.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::leases::{Message, Need, Resource};
-use granitelb_coordination::message::{self, Letter};
-use granitelb_coordination::{Life, Member, PlannerId};
+use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::message::{self, Message};
+use granitelb_coordination::{Incarnation, Member, PlannerId};
 
 use super::support::{Fleet, Forwarder, OURS, secrets};
 
-const BEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// More than all is what each wants.
 const WANTS: u32 = 60_000;
 
@@ -27,10 +27,10 @@
     rate: f64,
     last: u64,
     asked: BTreeMap<u64, (PlannerId, Instant)>,
-    held: BTreeMap<(PlannerId, Life), Held>,
+    held: BTreeMap<(PlannerId, Incarnation), Held>,
     next: Instant,
     /// The greatest life of each planner that was heard, and when it was heard first.
-    lives: BTreeMap<PlannerId, (Life, Instant)>,
+    lives: BTreeMap<PlannerId, (Incarnation, Instant)>,
 }
 
 impl Holder {
@@ -40,7 +40,7 @@
         let of = self.held.iter().filter(|((p, _), _)| *p == planner);
         let using = of.map(|(_, held)| held.ask).max().unwrap_or(0);
         let need = Need { resource: Resource::Origin, amount: WANTS, using, heads: 1, has: 0 };
-        let letter = Letter::Leases(Message::Ask { ask: self.last, needs: vec![need] });
+        let letter = Message::Leases(LeaseMessage::Ask { ask: self.last, needs: vec![need] });
         let bytes = self.speaks.sealed(&letter, OURS);
         self.speaks.send(&bytes, to);
     }
@@ -51,19 +51,19 @@
         while let Ok((length, _)) = self.speaks.socket.recv_from(&mut bytes) {
             let Ok((from, letter)) = message::open(&bytes[..length], &secrets(OURS)) else { continue };
             let Member::Planner(planner) = from.member else { continue };
-            let known = self.lives.entry(planner).or_insert((from.life, Instant::now()));
-            if from.life < known.0 {
+            let known = self.lives.entry(planner).or_insert((from.incarnation, Instant::now()));
+            if from.incarnation < known.0 {
                 continue;
             }
-            if from.life > known.0 {
-                *known = (from.life, Instant::now());
+            if from.incarnation > known.0 {
+                *known = (from.incarnation, Instant::now());
             }
-            let Letter::Leases(Message::Grant { ask, granted, lasts }) = letter else { continue };
+            let Message::Leases(LeaseMessage::Grant { ask, granted, lasts }) = letter else { continue };
             let Some((_, sent)) = self.asked.remove(&ask).filter(|(of, _)| *of == planner) else { continue };
             self.asked.retain(|_, (of, at)| *of != planner || *at >= sent);
             let amount = granted.iter().find(|(of, _)| *of == Resource::Origin).map_or(0, |(_, n)| *n);
             let ends = sent + Duration::from_micros(u64::from(lasts)).div_f64(self.rate);
-            self.held.insert((planner, from.life), Held { ask, amount, ends });
+            self.held.insert((planner, from.incarnation), Held { ask, amount, ends });
         }
         let now = Instant::now();
         self.held.retain(|_, held| held.ends > now);
@@ -98,7 +98,7 @@
                 last: 0,
                 asked: BTreeMap::new(),
                 held: BTreeMap::new(),
-                next: Instant::now() + BEAT.mul_f64(n as f64 / rates.len() as f64),
+                next: Instant::now() + HEARTBEAT_INTERVAL.mul_f64(n as f64 / rates.len() as f64),
                 lives: BTreeMap::new(),
             }
         };
@@ -117,7 +117,7 @@
             for (n, holder) in self.holders.iter_mut().enumerate() {
                 holder.hear();
                 if holder.next <= Instant::now() {
-                    holder.next = Instant::now() + BEAT;
+                    holder.next = Instant::now() + HEARTBEAT_INTERVAL;
                     if let Some((planner, to)) = whom(n) {
                         holder.ask(PlannerId(planner as u8), to);
                     }
@@ -137,7 +137,7 @@
     /// One begins a new life. What it held is judged as if that were in use still.
     pub fn restart(&mut self, n: usize) {
         let holder = &mut self.holders[n];
-        holder.speaks.life.0 += 1;
+        holder.speaks.incarnation.0 += 1;
         holder.asked.clear();
         let held = std::mem::take(&mut holder.held);
         self.left.extend(held.into_values());
@@ -149,7 +149,7 @@
     }
 
     /// The life under which the first one hears a planner, and when it heard it first.
-    pub fn life_of(&self, planner: usize) -> Option<(Life, Instant)> {
+    pub fn life_of(&self, planner: usize) -> Option<(Incarnation, Instant)> {
         self.holders[0].lives.get(&PlannerId(planner as u8)).copied()
     }
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::message::{self, Letter, Secret, Secrets};
-use granitelb_coordination::{ForwarderId, Life, Member, Sender};
+use granitelb_coordination::message::{self, Message, Secret, Secrets};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::Value;
 
@@ -164,7 +164,7 @@
 pub struct Forwarder {
     pub socket: UdpSocket,
     me: Member,
-    pub life: Life,
+    pub incarnation: Incarnation,
     number: u64,
 }
 
@@ -172,12 +172,17 @@
     pub fn new(name: &str) -> Forwarder {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
         socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
-        Forwarder { socket, me: Member::Forwarder(ForwarderId::of_name(name)), life: Life(1), number: 0 }
+        Forwarder {
+            socket,
+            me: Member::Forwarder(ForwarderId::of_name(name)),
+            incarnation: Incarnation(1),
+            number: 0,
+        }
     }
 
-    pub fn sealed(&mut self, letter: &Letter, secret: &str) -> Vec<u8> {
+    pub fn sealed(&mut self, letter: &Message, secret: &str) -> Vec<u8> {
         self.number += 1;
-        let sender = Sender { member: self.me, life: self.life, number: self.number };
+        let sender = Sender { member: self.me, incarnation: self.incarnation, number: self.number };
         message::seal(sender, letter, &secrets(secret)).expect("a letter")
     }
 
@@ -186,7 +191,7 @@
     }
 
     /// The next letter that this secret opens, if one comes in a while.
-    pub fn receive(&self, secret: &str, patience: Duration) -> Option<(Sender, Letter)> {
+    pub fn receive(&self, secret: &str, patience: Duration) -> Option<(Sender, Message)> {
         let until = Instant::now() + patience;
         let mut bytes = [0; 2000];
         while Instant::now() < until {
--- a/crates/coordination/examples/growth_bytes.rs
+++ b/crates/coordination/examples/growth_bytes.rs
@@ -2,14 +2,16 @@
 
 use std::time::Instant;
 
-use granitelb_balancer::calls::Outcome;
-use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::observation::{Ended, Sight};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::observation::{FinishedAttempt, Observation};
 use granitelb_coordination::shard_growth::sketch::Day;
-use granitelb_coordination::shard_growth::{AtForwarder, AtPlanner, Calendar, ForwarderSettings, Settings};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::shard_growth::{
+    Calendar, ForwarderComponent, ForwarderSettings, PlannerComponent, Settings,
+};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const HOURS: u64 = 23;
@@ -28,17 +30,26 @@
     let start = Time(1_000_000_000);
     let calendar = Calendar { at: start, day: Day(20_000), into: Span::ZERO };
     let me = PlannerId(1);
-    let mut planner =
-        AtPlanner::new(Settings::default(), me, Life(1), start, calendar, None).expect("nothing was kept");
-    planner.members(start, &(0..forwarders).map(|f| Member::Forwarder(ForwarderId(f))).collect::<Vec<_>>());
+    let mut planner = PlannerComponent::new(Settings::default(), me, Incarnation(1), start, calendar, None)
+        .expect("nothing was kept");
+    planner.on_membership_change(
+        start,
+        &(0..forwarders).map(|f| Member::Forwarder(ForwarderId(f))).collect::<Vec<_>>(),
+    );
     let (mut bytes, mut letters, mut busy) = (0u64, 0u64, 0.0);
     for f in 0..forwarders {
-        let from = Sender { member: Member::Forwarder(ForwarderId(f)), life: Life(1), number: 0 };
+        let from =
+            Sender { member: Member::Forwarder(ForwarderId(f)), incarnation: Incarnation(1), number: 0 };
         let today = Sender { member: Member::Planner(me), ..from };
-        let mut forwarder = AtForwarder::new(ForwarderSettings::default(), ForwarderId(f), Life(f), start);
-        forwarder.members(start, &[Member::Planner(me)]);
+        let mut forwarder =
+            ForwarderComponent::new(ForwarderSettings::default(), ForwarderId(f), Incarnation(f), start);
+        forwarder.on_membership_change(start, &[Member::Planner(me)]);
         forwarder
-            .heard(start, today, granitelb_coordination::shard_growth::Message::Today { day: Day(20_000) })
+            .on_message(
+                start,
+                today,
+                granitelb_coordination::shard_growth::GrowthMessage::Today { day: Day(20_000) },
+            )
             .expect("sound");
         let calls = (per_s * 10.0) as u64;
         for tick in 0..HOURS * 360 {
@@ -47,30 +58,30 @@
                 // A million keys, the first ones more often.
                 let drawn =
                     xxh3_64_with_seed(&(f << 40 | tick << 10 | n).to_le_bytes(), 1) as f64 / u64::MAX as f64;
-                let ended = Ended {
+                let ended = FinishedAttempt {
                     call: n,
                     number: 0,
                     key: Key((drawn * drawn * 1e6) as u64),
-                    product: ProductId(0),
+                    request_class: RequestClassId(0),
                     write: n % 10 == 0,
                     work: None,
-                    cache: CacheId(1),
+                    cache: EndpointId(1),
                     is_origin: false,
                     candidates: Vec::new(),
-                    outcome: Outcome::Fulfilled,
+                    outcome: AttemptOutcome::Fulfilled,
                     latency: Span::from_millis(5),
                     bytes: 1000,
                     out_then: 0,
                     slo: Span::from_millis(500),
                 };
-                forwarder.seen(now, &Sight::Ended(Box::new(ended)));
+                forwarder.seen(now, &Observation::AttemptFinished(Box::new(ended)));
             }
-            while let Some((_, message)) = forwarder.next_letter(now) {
+            while let Some((_, message)) = forwarder.poll_message(now) {
                 // An envelope takes about 48 more.
                 bytes += postcard::to_stdvec(&message).expect("plain").len() as u64 + 48;
                 letters += 1;
                 let began = Instant::now();
-                planner.heard(start, from, message).expect("sound");
+                planner.on_message(start, from, message).expect("sound");
                 busy += began.elapsed().as_secs_f64();
             }
         }
--- a/crates/coordination/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use granitelb_balancer::calls::Moving;
-use granitelb_balancer::ids::{CacheId, Key};
+use granitelb_balancer::calls::MigrationPhase;
+use granitelb_balancer::ids::{EndpointId, Key};
 use granitelb_balancer::slot_table::{place_of, shard_of};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::shard_growth::form::Form;
@@ -98,7 +98,7 @@
 
 fn play(seed: u64, way: Way) -> Came {
     let draw = |n: u64| xxh3_64_with_seed(&n.to_le_bytes(), seed);
-    let sizes: Vec<(CacheId, f64)> = (0..CACHES).map(|c| (CacheId(c), 1.0)).collect();
+    let sizes: Vec<(EndpointId, f64)> = (0..CACHES).map(|c| (EndpointId(c), 1.0)).collect();
     // The keys of each shard, as many as there will be.
     let most = grown(seed, KNOWN + DAYS) as usize + 1;
     let mut keys: Vec<Vec<u64>> = vec![Vec::new(); 256];
@@ -127,7 +127,7 @@
     let (mut schedule, mut form) = (Schedule::new(settings), Form::default());
     let mut edges = Default::default();
     let mut caches: Vec<Lru> = (0..CACHES).map(|_| Lru::default()).collect();
-    let mut places: HashMap<u64, (CacheId, Option<CacheId>)> = HashMap::new();
+    let mut places: HashMap<u64, (EndpointId, Option<EndpointId>)> = HashMap::new();
     let (mut came, mut n) = (Came::default(), 0u64);
     for tick in 0..DAYS * TICKS {
         let day = KNOWN + tick / TICKS;
@@ -169,7 +169,7 @@
             keys[usize::from(GROWS.0)].iter().for_each(|k| _ = places.remove(k));
         }
         let table = form.for_module();
-        let both = table.shards.get(&GROWS.0).is_some_and(|s| s.moving == Moving::BothRead);
+        let both = table.shards.get(&GROWS.0).is_some_and(|s| s.moving == MigrationPhase::DualRead);
         let (mut fetches, total) = (0, alive + BASE * u64::from(SHARDS));
         // Month end brings more.
         let (of_month, length) = Day(20_000 + day).in_month();
--- a/crates/coordination/examples/hindsight_cost.rs
+++ b/crates/coordination/examples/hindsight_cost.rs
@@ -4,9 +4,11 @@
 use std::time::{Duration, Instant};
 
 use granitelb_balancer::time::Time;
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::counterfactual::{AtPlanner, How, Message, Observation, Settings, is_sampled};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::counterfactual::{
+    CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
+};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
 const SECONDS: u64 = 600;
 
@@ -15,15 +17,15 @@
     (x ^ (x >> 27)).wrapping_mul(0x81da_def4_bc2d_d44d) >> 7
 }
 
-fn observation(n: u64) -> Option<Observation> {
+fn observation(n: u64) -> Option<SampledRequest> {
     let call = spread(n);
     let of = |k: u64, most: u64| spread(call ^ k) % most;
     let first = of(1, 200);
     let place = u8::from(of(2, 8) == 0);
-    is_sampled(call).then(|| Observation {
+    is_sampled(call).then(|| SampledRequest {
         call,
         key: of(3, 20_000) as u32,
-        product: of(4, 2) as u16,
+        request_class: of(4, 2) as u16,
         class: of(5, 3) as u8,
         candidates: vec![first, (first + 7) % 200, (first + 31) % 200],
         place,
@@ -39,7 +41,7 @@
     println!("| forwarders | bytes in a second | of a core | a round takes, at the longest | calls kept |");
     println!("| --- | --- | --- | --- | --- |");
     for forwarders in [50u64, 100, 200, 300, 500, 1000, 2000] {
-        let mut planner = AtPlanner::new(Settings::default(), PlannerId(1), Life(1), Time(0));
+        let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), Time(0));
         let (mut bytes, mut n, mut longest) = (0, 0, Duration::ZERO);
         let mut took = Duration::ZERO;
         for beat in 0..SECONDS / 4 {
@@ -48,15 +50,15 @@
                 let seen: Vec<_> = (n..n + 12).filter_map(observation).collect();
                 n += 12;
                 let member = Member::Forwarder(ForwarderId(forwarder));
-                let from = Sender { member, life: Life(1), number: beat };
-                let message = Message::Seen(seen);
+                let from = Sender { member, incarnation: Incarnation(1), number: beat };
+                let message = CounterfactualMessage::Seen(seen);
                 bytes += postcard::to_allocvec(&message).map_or(0, |b| b.len());
                 let began = Instant::now();
-                planner.heard(now, from, message).expect("a sound letter");
+                planner.on_message(now, from, message).expect("a sound letter");
                 took += began.elapsed();
             }
             let began = Instant::now();
-            while planner.next_letter(now).is_some() {}
+            while planner.poll_message(now).is_some() {}
             longest = longest.max(began.elapsed());
             took += began.elapsed();
         }
--- a/crates/coordination/src/component.rs
+++ b/crates/coordination/src/component.rs
@@ -6,48 +6,48 @@
 use crate::member::{Member, Sender};
 
 /// An error that says what an operator can do about it.
-pub trait Help: std::error::Error {
+pub trait Remediation: std::error::Error {
     /// What to do, as a sentence to an operator.
-    fn help(&self) -> &'static str;
+    fn remediation(&self) -> &'static str;
 }
 
 /// Something worth a line in the log: an event by which programs find it, and a sentence.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Remark {
-    pub event: &'static str,
-    pub text: String,
+pub struct Event {
+    pub name: &'static str,
+    pub message: String,
     /// Whether an operator should look at it.
-    pub warns: bool,
+    pub is_warning: bool,
 }
 
 /// One side of a faculty. Inputs only update what is known; the `next_` ones are pulled until there is none.
-pub trait Faculty {
+pub trait Component {
     type Message;
-    type Fault: Help;
+    type Error: Remediation;
 
     /// A letter has come. The envelope was checked: it is signed, its sender lives, and it came once.
     ///
     /// # Errors
     /// Says why it was passed over; nothing of it counts then.
-    fn heard(&mut self, now: Time, from: Sender, message: Self::Message) -> Result<(), Self::Fault>;
+    fn on_message(&mut self, now: Time, from: Sender, message: Self::Message) -> Result<(), Self::Error>;
 
     /// The members that live have changed; both are in order.
-    fn members(&mut self, now: Time, alive: &[Member]);
+    fn on_membership_change(&mut self, now: Time, alive: &[Member]);
 
     /// The next letter to send, and to whom.
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Self::Message)>;
+    fn poll_message(&mut self, now: Time) -> Option<(Member, Self::Message)>;
 
     /// When to pull again if nothing comes before.
-    fn next_wake(&self, now: Time) -> Option<Time>;
+    fn poll_timeout(&self, now: Time) -> Option<Time>;
 
     /// What has to be kept on disk, whole, before any letter that is pulled after this goes out; none if nothing
     /// has changed. It is given back to the faculty when it is made anew.
-    fn to_keep(&mut self) -> Option<Vec<u8>> {
+    fn poll_snapshot(&mut self) -> Option<Vec<u8>> {
         None
     }
 
     /// The next line for the log.
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         None
     }
 
@@ -56,5 +56,5 @@
 }
 
 /// Members that say nothing for so long are taken for dead. Beats come four times as often.
-pub const SILENT: Span = Span::from_millis(2000);
-pub const BEAT: Span = Span::from_millis(500);
+pub const FAILURE_TIMEOUT: Span = Span::from_millis(2000);
+pub const HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
--- a/crates/coordination/src/counterfactual/book.rs
+++ b/crates/coordination/src/counterfactual/book.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::model::Model;
-use super::observation::{How, Observation};
+use super::observation::{How, SampledRequest};
 use super::survival::{Timed, Value, values};
 use crate::member::ForwarderId;
 
@@ -35,7 +35,7 @@
 
 /// A call with its value.
 pub struct Case {
-    pub seen: Observation,
+    pub seen: SampledRequest,
     pub from: ForwarderId,
     pub bucket: u64,
     pub value: Value,
@@ -71,12 +71,12 @@
 
 impl Book {
     /// Calls of one product, each with who told of it and the time bucket in which it was made.
-    pub fn of<'a>(calls: impl Iterator<Item = (&'a Observation, ForwarderId, u64)>) -> Book {
+    pub fn of<'a>(calls: impl Iterator<Item = (&'a SampledRequest, ForwarderId, u64)>) -> Book {
         let calls: Vec<_> = calls.collect();
         let share = |tenths: u32| f64::from(tenths);
         // What was chosen at a later place mostly misses: cut ones of both together would look alike and are not.
-        let narrow = |o: &Observation| (o.chosen(), o.class, o.place > 0);
-        let wide = |o: &Observation| (o.class, o.place > 0);
+        let narrow = |o: &SampledRequest| (o.chosen(), o.class, o.place > 0);
+        let wide = |o: &SampledRequest| (o.class, o.place > 0);
         let by_narrow = grouped(&calls, narrow, share);
         let by_wide = grouped(&calls, wide, share);
         let mut cases = Vec::new();
@@ -149,8 +149,8 @@
 
 /// The values of the calls whose group says enough, by their number; times on this scale, which has to grow with them.
 pub(super) fn grouped<K: Ord>(
-    calls: &[(&Observation, ForwarderId, u64)],
-    group_of: impl Fn(&Observation) -> K,
+    calls: &[(&SampledRequest, ForwarderId, u64)],
+    group_of: impl Fn(&SampledRequest) -> K,
     scale: impl Fn(u32) -> f64,
 ) -> BTreeMap<usize, Value> {
     let mut groups: BTreeMap<K, Vec<usize>> = BTreeMap::new();
--- a/crates/coordination/src/counterfactual/forwarder.rs
+++ b/crates/coordination/src/counterfactual/forwarder.rs
@@ -7,14 +7,16 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::calls::AttemptOutcome;
 use granitelb_balancer::time::{Span, Time};
 
-use super::observation::{How, Message, Observation, PLACES, Said, Scale, Standing, class_of, tenths};
-use super::{Fault, Settings, is_sampled, rank};
-use crate::component::{Faculty, Remark};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::observation::{Ended, Server, Sight};
+use super::observation::{
+    CounterfactualMessage, How, PLACES, Said, SampledRequest, Scale, Standing, class_of, tenths,
+};
+use super::{CounterfactualError, Settings, is_sampled, rank};
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+use crate::observation::{FinishedAttempt, Observation, ObservedEndpoint};
 
 /// What an age in a letter takes at the most beyond what it takes while it is still 0.
 const AGE_BYTES: usize = 4;
@@ -27,33 +29,33 @@
 
 /// A call whose first choice lacked the key and that is still to be answered.
 struct Missed {
-    observation: Observation,
+    observation: SampledRequest,
     sent: Time,
     /// The last that was heard of it.
     seen: Time,
 }
 
-pub struct AtForwarder {
+pub struct ForwarderComponent {
     settings: Settings,
     missed: BTreeMap<u64, Missed>,
     /// Missed calls by when they are given up.
     order: VecDeque<(Time, u64)>,
-    told: VecDeque<(Time, Observation, usize)>,
+    told: VecDeque<(Time, SampledRequest, usize)>,
     starts: BTreeMap<u64, Time>,
     new_starts: VecDeque<(u64, Time)>,
     planners: Vec<PlannerId>,
-    out: VecDeque<(Member, Message)>,
+    out: VecDeque<(Member, CounterfactualMessage)>,
     saved: f64,
     refilled: Time,
     /// Calls that were not told of, for want of room.
     shed: u64,
     standings: BTreeMap<(u64, u16, Scale), Standing>,
-    remarks: VecDeque<Remark>,
+    remarks: VecDeque<Event>,
 }
 
-impl AtForwarder {
-    pub fn new(settings: Settings, _me: ForwarderId, _life: Life, now: Time) -> AtForwarder {
-        AtForwarder {
+impl ForwarderComponent {
+    pub fn new(settings: Settings, _me: ForwarderId, _life: Incarnation, now: Time) -> ForwarderComponent {
+        ForwarderComponent {
             settings,
             missed: BTreeMap::new(),
             order: VecDeque::new(),
@@ -70,11 +72,11 @@
         }
     }
 
-    pub fn seen(&mut self, now: Time, sight: &Sight) {
+    pub fn seen(&mut self, now: Time, sight: &Observation) {
         match sight {
-            Sight::Listed(servers) => self.listed(servers),
-            Sight::Sent { .. } | Sight::Denied => {}
-            Sight::Ended(ended) => self.ended(now, ended),
+            Observation::EndpointsChanged(servers) => self.listed(servers),
+            Observation::AttemptSent { .. } | Observation::FetchDenied => {}
+            Observation::AttemptFinished(ended) => self.ended(now, ended),
         }
     }
 
@@ -84,11 +86,11 @@
     }
 
     /// How planners hold a cache to stand for a product, by the last letter.
-    pub fn standing(&self, cache: u64, product: u16, scale: Scale) -> Option<Standing> {
-        self.standings.get(&(cache, product, scale)).copied()
+    pub fn standing(&self, cache: u64, request_class: u16, scale: Scale) -> Option<Standing> {
+        self.standings.get(&(cache, request_class, scale)).copied()
     }
 
-    fn listed(&mut self, servers: &[Server]) {
+    fn listed(&mut self, servers: &[ObservedEndpoint]) {
         let mut starts = BTreeMap::new();
         for server in servers.iter().filter(|s| !s.is_origin).take(self.settings.most_caches) {
             let Some(started) = server.started else { continue };
@@ -105,13 +107,13 @@
         self.new_starts.drain(..self.new_starts.len().saturating_sub(most));
     }
 
-    fn ended(&mut self, now: Time, ended: &Ended) {
-        if ended.write || ended.outcome == Outcome::Moot || !is_sampled(ended.call) {
+    fn ended(&mut self, now: Time, ended: &FinishedAttempt) {
+        if ended.write || ended.outcome == AttemptOutcome::NotSent || !is_sampled(ended.call) {
             return;
         }
         if let Some(missed) = self.missed.get_mut(&ended.call) {
             missed.seen = now;
-            if ended.outcome == Outcome::Fulfilled {
+            if ended.outcome == AttemptOutcome::Fulfilled {
                 self.answered(ended.call, How::Miss);
             }
             return;
@@ -119,16 +121,19 @@
         let place = ended.candidates.iter().take(PLACES).position(|c| *c == ended.cache);
         let (Some(place), 0, false) = (place, ended.number, ended.is_origin) else { return };
         let how = match ended.outcome {
-            Outcome::Fulfilled => How::Hit,
-            Outcome::Lacking => How::Miss,
-            Outcome::TimedOut | Outcome::Recalled => How::Cut,
-            Outcome::Full | Outcome::Unreachable | Outcome::Errored | Outcome::Reset => How::Refused,
-            Outcome::Moot => return,
+            AttemptOutcome::Fulfilled => How::Hit,
+            AttemptOutcome::CacheMiss => How::Miss,
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => How::Cut,
+            AttemptOutcome::Rejected
+            | AttemptOutcome::Unreachable
+            | AttemptOutcome::Errored
+            | AttemptOutcome::Reset => How::Refused,
+            AttemptOutcome::NotSent => return,
         };
-        let observation = Observation {
+        let observation = SampledRequest {
             call: ended.call,
             key: rank(ended.key.0) as u32,
-            product: ended.product.0,
+            request_class: ended.request_class.0,
             class: class_of(ended.work),
             candidates: ended.candidates.iter().take(PLACES).map(|c| c.0).collect(),
             place: place as u8,
@@ -168,7 +173,7 @@
         }
     }
 
-    fn tell(&mut self, at: Time, observation: Observation) {
+    fn tell(&mut self, at: Time, observation: SampledRequest) {
         let Ok(bytes) = postcard::to_allocvec(&observation) else { return };
         if self.told.len() >= self.settings.most_told {
             self.told.pop_front();
@@ -213,7 +218,7 @@
             self.saved -= bytes;
             let age = |at: Time| u32::try_from((now - at).0 / 1000).unwrap_or(u32::MAX);
             let starts = self.new_starts.drain(..n).map(|(cache, at)| (cache, age(at)));
-            Message::Started(starts.collect())
+            CounterfactualMessage::Started(starts.collect())
         } else {
             let (mut n, mut bytes) = (0, HEAD_BYTES);
             while let Some((_, _, size)) = self.told.get(n).filter(|t| bytes + t.2 <= self.settings.letter) {
@@ -228,9 +233,9 @@
             let told = self.told.drain(..n);
             let aged = told.map(|(at, observation, _)| {
                 let ago = u32::try_from((now - at).0 / 1000).unwrap_or(u32::MAX);
-                Observation { ago, ..observation }
+                SampledRequest { ago, ..observation }
             });
-            Message::Seen(aged.collect())
+            CounterfactualMessage::Seen(aged.collect())
         };
         for planner in &self.planners {
             self.out.push_back((Member::Planner(*planner), message.clone()));
@@ -238,7 +243,7 @@
     }
 
     fn remark(&mut self, from: Member, said: &Said, scale: Scale) {
-        let key = (said.cache, said.product, scale);
+        let key = (said.cache, said.request_class, scale);
         if self.standings.get(&key) == Some(&said.standing) {
             return;
         }
@@ -249,36 +254,41 @@
         let (event, warns) = super::standing::event_of(said.standing);
         let text = format!("{from} says: {}", super::standing::sentence(said, scale));
         if self.remarks.len() < self.settings.most_remarks {
-            self.remarks.push_back(Remark { event, text, warns });
+            self.remarks.push_back(Event { name: event, message: text, is_warning: warns });
         }
     }
 }
 
-impl Faculty for AtForwarder {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for ForwarderComponent {
+    type Message = CounterfactualMessage;
+    type Error = CounterfactualError;
 
-    fn heard(&mut self, _now: Time, from: Sender, message: Message) -> Result<(), Fault> {
+    fn on_message(
+        &mut self,
+        _now: Time,
+        from: Sender,
+        message: CounterfactualMessage,
+    ) -> Result<(), CounterfactualError> {
         let (said, scale) = match (from.member, message) {
-            (Member::Planner(_), Message::Standing(said)) => (said, Scale::Share),
-            (Member::Planner(_), Message::Times(said)) => (said, Scale::Times),
-            _ => return Err(Fault::WrongSide),
+            (Member::Planner(_), CounterfactualMessage::Standing(said)) => (said, Scale::Share),
+            (Member::Planner(_), CounterfactualMessage::Times(said)) => (said, Scale::Times),
+            _ => return Err(CounterfactualError::WrongSide),
         };
         if said.iter().any(|s| ![s.more, s.low, s.high].iter().all(|f| f.is_finite())) {
-            return Err(Fault::Figure);
+            return Err(CounterfactualError::Figure);
         }
         said.iter().for_each(|s| self.remark(from.member, s, scale));
         Ok(())
     }
 
-    fn members(&mut self, _now: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _now: Time, alive: &[Member]) {
         let planner = |m: &Member| if let Member::Planner(id) = m { Some(*id) } else { None };
         self.planners = alive.iter().filter_map(planner).collect();
         // What a planner that has gone was to be told would wait for ever.
         self.out.retain(|(to, _)| alive.contains(to));
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, CounterfactualMessage)> {
         self.sweep(now);
         if self.out.is_empty() {
             self.write(now);
@@ -286,7 +296,7 @@
         self.out.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         if !self.out.is_empty() {
             return Some(now);
         }
@@ -297,7 +307,7 @@
         told.into_iter().chain(self.order.front().map(|(at, _)| *at)).min()
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
--- a/crates/coordination/src/counterfactual/lottery.rs
+++ b/crates/coordination/src/counterfactual/lottery.rs
@@ -10,7 +10,7 @@
 
 use super::book::{LEAST, grouped};
 use super::estimate::{Estimate, LEAST_FREEDOM, NoSupport, Spread};
-use super::observation::Observation;
+use super::observation::SampledRequest;
 use crate::member::ForwarderId;
 
 /// Calls of one key are as alike as if such a share of what differs were the key's own: a hot key counts as ten calls.
@@ -58,7 +58,7 @@
 
 impl Lottery {
     /// Calls of one product, each with who told of it and the time bucket in which it was made.
-    pub fn of<'a>(calls: impl Iterator<Item = (&'a Observation, ForwarderId, u64)>) -> Lottery {
+    pub fn of<'a>(calls: impl Iterator<Item = (&'a SampledRequest, ForwarderId, u64)>) -> Lottery {
         let calls: Vec<_> = calls.collect();
         let horizon = scale(calls.iter().map(|(seen, ..)| seen.slo).max().unwrap_or(0));
         let narrow = grouped(&calls, |o| (o.candidates[0], o.class, o.place > 0), scale);
@@ -180,7 +180,7 @@
 }
 
 impl Moments {
-    fn of(valued: &[(&(&Observation, ForwarderId, u64), f64)]) -> Moments {
+    fn of(valued: &[(&(&SampledRequest, ForwarderId, u64), f64)]) -> Moments {
         let (mut classes, mut moments) = (BTreeMap::new(), BTreeMap::new());
         for ((seen, _, bucket), value) in valued {
             let of =
--- a/crates/coordination/src/counterfactual/mod.rs
+++ b/crates/coordination/src/counterfactual/mod.rs
@@ -19,14 +19,16 @@
 use granitelb_balancer::time::Span;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::component::Help;
+use crate::component::Remediation;
 
 pub use book::{Book, Measure};
 pub use estimate::{Estimate, NoSupport, Policy};
-pub use forwarder::AtForwarder;
+pub use forwarder::ForwarderComponent;
 pub use lottery::{Beside, Lottery};
-pub use observation::{CLASSES, How, Message, Observation, PLACES, Said, Scale, Standing, class_of};
-pub use planner::AtPlanner;
+pub use observation::{
+    CLASSES, CounterfactualMessage, How, PLACES, Said, SampledRequest, Scale, Standing, class_of,
+};
+pub use planner::PlannerComponent;
 
 /// One call in so many is told of.
 pub const ONE_IN: u64 = 2;
@@ -129,7 +131,7 @@
 
 /// Why a letter was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum CounterfactualError {
     #[error("a figure of a call that no forwarder can have seen")]
     Figure,
     #[error("a call that is not among the sampled ones")]
@@ -138,24 +140,24 @@
     WrongSide,
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for CounterfactualError {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::Figure => {
+            CounterfactualError::Figure => {
                 "Look at the forwarder that is named: its program may be of another version, or ill."
             }
-            Fault::NotSampled => {
+            CounterfactualError::NotSampled => {
                 "Bring the forwarder that is named to this version: both have to sample the same calls."
             }
-            Fault::WrongSide => {
+            CounterfactualError::WrongSide => {
                 "Look in the operator's file whether a planner and a forwarder have changed addresses."
             }
         }
     }
 }
 
-impl Help for NoSupport {
-    fn help(&self) -> &'static str {
+impl Remediation for NoSupport {
+    fn remediation(&self) -> &'static str {
         "Nothing to do: nodes send too few such calls elsewhere to tell. More calls, or a longer window, may tell."
     }
 }
--- a/crates/coordination/src/counterfactual/observation.rs
+++ b/crates/coordination/src/counterfactual/observation.rs
@@ -23,11 +23,11 @@
 
 /// One choice as a forwarder saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Observation {
+pub struct SampledRequest {
     pub call: u64,
     /// Part of the key's hash: calls of one key are not independent.
     pub key: u32,
-    pub product: u16,
+    pub request_class: u16,
     pub class: u8,
     /// The key's first candidates in their order of that moment, and which of them was chosen.
     pub candidates: Vec<u64>,
@@ -55,7 +55,7 @@
     u8::try_from(class).map_or(CLASSES - 1, |c| c.min(CLASSES - 1))
 }
 
-impl Observation {
+impl SampledRequest {
     /// Whether it can be what a forwarder saw.
     pub(super) fn is_sound(&self) -> bool {
         let several = (2..=PLACES).contains(&self.candidates.len());
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Said {
     pub cache: u64,
-    pub product: u16,
+    pub request_class: u16,
     pub standing: Standing,
     /// By the scale of the message: the middle of the interval and its ends.
     pub more: f32,
@@ -101,9 +101,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
+pub enum CounterfactualMessage {
     /// From a forwarder.
-    Seen(Vec<Observation>),
+    Seen(Vec<SampledRequest>),
     /// From a forwarder: caches that started, and how many milliseconds ago.
     Started(Vec<(u64, u32)>),
     /// From a planner: by shares of the SLO.
--- a/crates/coordination/src/counterfactual/planner.rs
+++ b/crates/coordination/src/counterfactual/planner.rs
@@ -12,17 +12,17 @@
 use super::book::{Book, Measure};
 use super::estimate::{Estimate, NoSupport, Policy};
 use super::lottery::Lottery;
-use super::observation::{Message, Observation, Said, Scale, Standing};
+use super::observation::{CounterfactualMessage, Said, SampledRequest, Scale, Standing};
 use super::standing::{Track, event_of, found, found_by_bets, sentence};
-use super::{Fault, Settings, is_sampled, rank};
-use crate::component::{Faculty, Remark};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use super::{CounterfactualError, Settings, is_sampled, rank};
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
 /// Standings in a letter: about 30 bytes each.
 const SAID: usize = 36;
 
 struct Kept {
-    seen: Observation,
+    seen: SampledRequest,
     at: Time,
 }
 
@@ -32,7 +32,7 @@
 /// An estimate, and whether it is in the list of those found.
 type Finding = (Of, Result<Estimate, NoSupport>, bool);
 
-pub struct AtPlanner {
+pub struct PlannerComponent {
     settings: Settings,
     /// By forwarder, and by the call's hash.
     kept: BTreeMap<ForwarderId, BTreeMap<(u64, u64), Kept>>,
@@ -47,19 +47,19 @@
     judged: Time,
     valued: Time,
     repeated: Time,
-    out: VecDeque<(Member, Message)>,
+    out: VecDeque<(Member, CounterfactualMessage)>,
     /// Standings to be told with the next round.
     news: Vec<(Scale, Said)>,
-    remarks: VecDeque<Remark>,
+    remarks: VecDeque<Event>,
 }
 
 fn is_bold(standing: Standing) -> bool {
     matches!(standing, Standing::Worse | Standing::Better)
 }
 
-impl AtPlanner {
-    pub fn new(settings: Settings, _me: PlannerId, _life: Life, now: Time) -> AtPlanner {
-        AtPlanner {
+impl PlannerComponent {
+    pub fn new(settings: Settings, _me: PlannerId, _life: Incarnation, now: Time) -> PlannerComponent {
+        PlannerComponent {
             settings,
             kept: BTreeMap::new(),
             count: 0,
@@ -88,15 +88,15 @@
 
     /// Whoever was told that a cache is worse or better is told that nothing is known of it now.
     fn forget(&mut self, tracks: BTreeMap<Of, Track>) {
-        for ((cache, product, scale), _) in tracks.into_iter().filter(|(_, t)| is_bold(t.standing)) {
-            self.news(scale, Track::default().said(cache, product, scale));
+        for ((cache, request_class, scale), _) in tracks.into_iter().filter(|(_, t)| is_bold(t.standing)) {
+            self.news(scale, Track::default().said(cache, request_class, scale));
         }
     }
 
     fn news(&mut self, scale: Scale, said: Said) {
         let (event, warns) = event_of(said.standing);
         if self.remarks.len() < self.settings.most_remarks {
-            self.remarks.push_back(Remark { event, text: sentence(&said, scale), warns });
+            self.remarks.push_back(Event { name: event, message: sentence(&said, scale), is_warning: warns });
         }
         if self.news.len() < self.settings.most_standings {
             self.news.push((scale, said));
@@ -104,29 +104,29 @@
     }
 
     /// Products of which anything is known.
-    pub fn products(&self) -> BTreeSet<u16> {
-        self.kept.values().flatten().map(|(_, k)| k.seen.product).collect()
+    pub fn request_classes(&self) -> BTreeSet<u16> {
+        self.kept.values().flatten().map(|(_, k)| k.seen.request_class).collect()
     }
 
-    fn calls(&self, product: u16) -> impl Iterator<Item = (&Observation, ForwarderId, u64)> {
+    fn calls(&self, request_class: u16) -> impl Iterator<Item = (&SampledRequest, ForwarderId, u64)> {
         let bucket = self.settings.bucket.0.max(1);
         let all = self.kept.iter().flat_map(|(from, of)| of.values().map(move |k| (from, k)));
-        let of = all.filter(move |(_, k)| k.seen.product == product);
+        let of = all.filter(move |(_, k)| k.seen.request_class == request_class);
         of.map(move |(from, k)| (&k.seen, *from, k.at.0 / bucket))
     }
 
     /// All that is kept of a product, made ready to be asked.
-    pub fn book(&self, product: u16) -> Book {
-        Book::of(self.calls(product))
+    pub fn book(&self, request_class: u16) -> Book {
+        Book::of(self.calls(request_class))
     }
 
     /// The same, by the lottery of keys.
-    pub fn lottery(&self, product: u16) -> Lottery {
-        Lottery::of(self.calls(product))
+    pub fn lottery(&self, request_class: u16) -> Lottery {
+        Lottery::of(self.calls(request_class))
     }
 
-    pub fn standing(&self, cache: u64, product: u16, scale: Scale) -> Standing {
-        self.tracks.get(&(cache, product, scale)).map_or(Standing::NoSupport, |t| t.standing)
+    pub fn standing(&self, cache: u64, request_class: u16, scale: Scale) -> Standing {
+        self.tracks.get(&(cache, request_class, scale)).map_or(Standing::NoSupport, |t| t.standing)
     }
 
     /// Calls kept now.
@@ -134,11 +134,11 @@
         self.count
     }
 
-    fn is_void(&self, seen: &Observation, at: Time) -> bool {
+    fn is_void(&self, seen: &SampledRequest, at: Time) -> bool {
         at < self.since || seen.candidates.iter().any(|c| self.starts.get(c).is_some_and(|s| at < *s))
     }
 
-    fn keep(&mut self, now: Time, from: ForwarderId, mut seen: Observation) {
+    fn keep(&mut self, now: Time, from: ForwarderId, mut seen: SampledRequest) {
         let at = Time(now.0.saturating_sub(u64::from(seen.ago) * 1000));
         let rank = rank(seen.call);
         if now - at > self.settings.window || self.is_void(&seen, at) || rank >= self.bar {
@@ -209,22 +209,22 @@
         let (mut shares, mut times) = (Vec::new(), Vec::new());
         let (mut chances, mut yields) = (Vec::new(), Vec::new());
         let least = self.settings.least(Scale::Times);
-        for product in self.products().into_iter().take(self.settings.most_products) {
-            let book = self.book(product);
+        for request_class in self.request_classes().into_iter().take(self.settings.most_products) {
+            let book = self.book(request_class);
             let room = self.settings.most_standings.saturating_sub(shares.len() + times.len()) / 2;
             for cache in book.caches().into_iter().take(room) {
                 let estimate = book.beside_others(cache, Measure::Waited);
                 chances.extend(estimate.as_ref().ok().map(|e| e.by_chance));
-                shares.push(((cache, product, Scale::Share), estimate));
+                shares.push(((cache, request_class, Scale::Share), estimate));
             }
-            let lottery = self.lottery(product);
+            let lottery = self.lottery(request_class);
             for cache in lottery.caches().take(room) {
                 let beside = lottery.beside_others(cache, least);
                 yields.extend(beside.as_ref().ok().map(|b| b.evidence));
-                times.push(((cache, product, Scale::Times), beside.map(|b| b.estimate)));
+                times.push(((cache, request_class, Scale::Times), beside.map(|b| b.estimate)));
             }
             if values {
-                self.remark_values(product, &book);
+                self.remark_values(request_class, &book);
             }
         }
         let q = self.settings.false_share;
@@ -256,13 +256,18 @@
             // A letter may have been lost, and forwarders come new.
             self.repeated = now;
             let bold = self.tracks.iter().filter(|(_, t)| is_bold(t.standing));
-            told.extend(bold.map(|((cache, product, scale), t)| (*scale, t.said(*cache, *product, *scale))));
+            told.extend(
+                bold.map(|((cache, request_class, scale), t)| {
+                    (*scale, t.said(*cache, *request_class, *scale))
+                }),
+            );
         }
         self.out.clear();
         let by = |scale: Scale| told.iter().filter(|t| t.0 == scale).map(|t| t.1).collect::<Vec<Said>>();
         let (shares, times) = (by(Scale::Share), by(Scale::Times));
-        let shares = shares.chunks(SAID).map(|said| Message::Standing(said.to_vec()));
-        let letters = shares.chain(times.chunks(SAID).map(|said| Message::Times(said.to_vec())));
+        let shares = shares.chunks(SAID).map(|said| CounterfactualMessage::Standing(said.to_vec()));
+        let letters =
+            shares.chain(times.chunks(SAID).map(|said| CounterfactualMessage::Times(said.to_vec())));
         for message in letters.take(self.settings.most_letters) {
             let to = self.forwarders.iter().map(|f| (Member::Forwarder(*f), message.clone()));
             self.out.extend(to);
@@ -275,7 +280,7 @@
         self.kept.len() < 2 || self.kept.values().filter(|of| saw(of)).take(2).count() == 2
     }
 
-    fn remark_values(&mut self, product: u16, book: &Book) {
+    fn remark_values(&mut self, request_class: u16, book: &Book) {
         let told = self.settings.policies.iter().map(|policy| {
             let name = match policy {
                 Policy::First => "the table's first".to_owned(),
@@ -292,56 +297,63 @@
             }
         });
         let told: Vec<String> = told.collect();
-        let text = format!("product {product}, first choices fulfilled in time: {}", told.join(", "));
+        let text = format!("product {request_class}, first choices fulfilled in time: {}", told.join(", "));
         if self.remarks.len() < self.settings.most_remarks {
-            self.remarks.push_back(Remark { event: "hindsight_values", text, warns: false });
+            self.remarks.push_back(Event { name: "hindsight_values", message: text, is_warning: false });
         }
     }
 }
 
-impl Faculty for AtPlanner {
-    type Message = Message;
-    type Fault = Fault;
-
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
-        let Member::Forwarder(forwarder) = from.member else { return Err(Fault::WrongSide) };
+impl Component for PlannerComponent {
+    type Message = CounterfactualMessage;
+    type Error = CounterfactualError;
+
+    fn on_message(
+        &mut self,
+        now: Time,
+        from: Sender,
+        message: CounterfactualMessage,
+    ) -> Result<(), CounterfactualError> {
+        let Member::Forwarder(forwarder) = from.member else { return Err(CounterfactualError::WrongSide) };
         match message {
-            Message::Seen(seen) => {
-                if !seen.iter().all(Observation::is_sound) {
-                    return Err(Fault::Figure);
+            CounterfactualMessage::Seen(seen) => {
+                if !seen.iter().all(SampledRequest::is_sound) {
+                    return Err(CounterfactualError::Figure);
                 }
                 if !seen.iter().all(|o| is_sampled(o.call)) {
-                    return Err(Fault::NotSampled);
+                    return Err(CounterfactualError::NotSampled);
                 }
                 seen.into_iter().for_each(|o| self.keep(now, forwarder, o));
                 Ok(())
             }
-            Message::Started(starts) => {
+            CounterfactualMessage::Started(starts) => {
                 for (cache, ago) in starts {
                     self.started(now, cache, Span::from_millis(u64::from(ago)));
                 }
                 Ok(())
             }
-            Message::Standing(_) | Message::Times(_) => Err(Fault::WrongSide),
+            CounterfactualMessage::Standing(_) | CounterfactualMessage::Times(_) => {
+                Err(CounterfactualError::WrongSide)
+            }
         }
     }
 
-    fn members(&mut self, _now: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _now: Time, alive: &[Member]) {
         let forwarder = |m: &Member| if let Member::Forwarder(id) = m { Some(*id) } else { None };
         self.forwarders = alive.iter().filter_map(forwarder).collect();
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, CounterfactualMessage)> {
         self.turn(now);
         self.out.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         let due = self.judged + self.settings.judges_every;
         Some(if self.out.is_empty() { due.max(now) } else { now })
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
--- a/crates/coordination/src/counterfactual/standing.rs
+++ b/crates/coordination/src/counterfactual/standing.rs
@@ -87,11 +87,11 @@
         true
     }
 
-    pub fn said(&self, cache: u64, product: u16, scale: Scale) -> Said {
+    pub fn said(&self, cache: u64, request_class: u16, scale: Scale) -> Said {
         let told = |figure: f64| if scale == Scale::Times { figure.exp() } else { figure };
         let of = |f: fn(&Estimate) -> f64| self.last.as_ref().map_or(0.0, |e| told(f(e)) as f32);
         let (more, low, high) = (of(|e| e.mean), of(|e| e.low), of(|e| e.high));
-        Said { cache, product, standing: self.standing, more, low, high }
+        Said { cache, request_class, standing: self.standing, more, low, high }
     }
 }
 
@@ -106,7 +106,7 @@
 }
 
 pub(super) fn sentence(said: &Said, scale: Scale) -> String {
-    let of = format!("cache {:016x} for product {}", said.cache, said.product);
+    let of = format!("cache {:016x} for product {}", said.cache, said.request_class);
     let figures = format!(
         "{:+.1}% of the SLO waited, 95% interval {:+.1} to {:+.1}",
         100.0 * said.more,
--- a/crates/coordination/src/endpoint_health/fault.rs
+++ b/crates/coordination/src/endpoint_health/fault.rs
@@ -2,10 +2,10 @@
 
 use thiserror::Error;
 
-use crate::component::Help;
+use crate::component::Remediation;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Fault {
+pub enum HealthError {
     /// A figure that is negative, not finite, or more than any forwarder can have seen.
     #[error("a figure that no forwarder can have seen")]
     Figure,
@@ -21,21 +21,21 @@
     NotItsWord,
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for HealthError {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::Figure => {
+            HealthError::Figure => {
                 "A forwarder holds the secret and writes what can't be: look which program and version runs there."
             }
-            Fault::Old => {
+            HealthError::Old => {
                 "Nothing, if a few: networks double and delay letters. If many, look at the network."
             }
-            Fault::TooMany => {
+            HealthError::TooMany => {
                 "Count the fleet's forwarders (4,096 at most) and caches (2,048 at most): past these the fleet has \
                  to be parted, each part with planners of its own."
             }
-            Fault::Part => "Look whether all members run the same version of the program.",
-            Fault::NotItsWord => {
+            HealthError::Part => "Look whether all members run the same version of the program.",
+            HealthError::NotItsWord => {
                 "Look whether two members have the same name or number, and which program speaks with the secret."
             }
         }
--- a/crates/coordination/src/endpoint_health/mod.rs
+++ b/crates/coordination/src/endpoint_health/mod.rs
@@ -15,17 +15,17 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use fault::Fault;
+pub use fault::HealthError;
 pub use follower::Follower;
 pub use part::Part;
 pub use planner::{MOST_CACHES, Plan, Planner, Settings, Version};
 pub use report::{Report, Seen};
-pub use sides::{AtForwarder, AtPlanner};
-pub use view::Verdict;
+pub use sides::{ForwarderComponent, PlannerComponent};
+pub use view::HealthStatus;
 
 /// What passes between the two sides.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
+pub enum HealthMessage {
     Report(Report),
     Plan(Plan),
 }
--- a/crates/coordination/src/endpoint_health/part.rs
+++ b/crates/coordination/src/endpoint_health/part.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::fault::Fault;
+use super::fault::HealthError;
 
 /// A cache takes up to 22 bytes in a report, 16 in a plan: so many go into 1,100 bytes.
 const IN_A_LETTER: usize = 46;
@@ -21,9 +21,9 @@
 
     /// # Errors
     /// Where there can be no such part.
-    pub fn check(self) -> Result<(), Fault> {
+    pub fn check(self) -> Result<(), HealthError> {
         let sound = self.of <= MOST_PARTS && self.index < self.of;
-        if sound { Ok(()) } else { Err(Fault::Part) }
+        if sound { Ok(()) } else { Err(HealthError::Part) }
     }
 
     /// Cuts what has to be said; nothing at all is one part too.
--- a/crates/coordination/src/endpoint_health/planner.rs
+++ b/crates/coordination/src/endpoint_health/planner.rs
@@ -2,16 +2,16 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-use super::fault::Fault;
+use super::fault::HealthError;
 use super::part::{Part, Parts};
 use super::report::Report;
-use super::view::{Verdict, View};
-use crate::component::Remark;
-use crate::member::{ForwarderId, Life};
+use super::view::{HealthStatus, View};
+use crate::component::Event;
+use crate::member::{ForwarderId, Incarnation};
 use crate::probe_scheduling::{self, Trials};
 
 /// Counts the plans of a life.
@@ -53,14 +53,14 @@
     pub part: Part,
     /// How many forwarders the view rests on.
     pub forwarders: usize,
-    pub verdicts: Vec<(CacheId, Verdict)>,
+    pub verdicts: Vec<(EndpointId, HealthStatus)>,
 }
 
 /// Remarks that nobody pulls are dropped past so many.
 const MOST_REMARKS: usize = 64;
 
 struct Known {
-    life: Life,
+    incarnation: Incarnation,
     number: u64,
     /// Of that report.
     parts: Parts,
@@ -70,20 +70,20 @@
     /// When it may be told next, if it has said anything since.
     due: Option<Time>,
     /// Shots out at each cache by its last report, and by the one before.
-    out: BTreeMap<CacheId, f64>,
-    out_before: BTreeMap<CacheId, f64>,
+    out: BTreeMap<EndpointId, f64>,
+    out_before: BTreeMap<EndpointId, f64>,
 }
 
 pub struct Planner {
     settings: Settings,
     version: Version,
     forwarders: BTreeMap<ForwarderId, Known>,
-    caches: BTreeMap<CacheId, View>,
+    caches: BTreeMap<EndpointId, View>,
     trials: Trials,
     /// Who is to be told, by when: looked for among all of them, a plan would cost more the more there are.
     due: BTreeSet<(Time, ForwarderId)>,
     swept: Time,
-    remarks: VecDeque<Remark>,
+    remarks: VecDeque<Event>,
 }
 
 impl Planner {
@@ -101,28 +101,34 @@
     }
 
     /// The forwarders that live, in order, and how many planners that live come before this one.
-    pub fn members(&mut self, forwarders: Vec<ForwarderId>, before: usize) {
-        self.trials.members(forwarders, before);
+    pub fn on_membership_change(&mut self, forwarders: Vec<ForwarderId>, before: usize) {
+        self.trials.on_membership_change(forwarders, before);
     }
 
     /// Takes in a report, or a part of one.
     ///
     /// # Errors
     /// Says why it was passed over; nothing of it counts then.
-    pub fn heard(&mut self, now: Time, from: ForwarderId, life: Life, report: &Report) -> Result<(), Fault> {
+    pub fn on_message(
+        &mut self,
+        now: Time,
+        from: ForwarderId,
+        incarnation: Incarnation,
+        report: &Report,
+    ) -> Result<(), HealthError> {
         report.check()?;
         self.sweep(now);
         let known = self.forwarders.get(&from);
-        let at = (life, report.number);
-        let same = known.filter(|k| (k.life, k.number) == at);
+        let at = (incarnation, report.number);
+        let same = known.filter(|k| (k.incarnation, k.number) == at);
         let mut parts = same.map_or(Parts::default(), |k| k.parts);
-        if known.is_some_and(|k| (k.life, k.number) > at) || !parts.take(report.part) {
-            return Err(Fault::Old);
+        if known.is_some_and(|k| (k.incarnation, k.number) > at) || !parts.take(report.part) {
+            return Err(HealthError::Old);
         }
         let new_caches = report.caches.iter().filter(|s| !self.caches.contains_key(&s.cache)).count();
         let full = known.is_none() && self.forwarders.len() >= self.settings.most_forwarders;
         if full || self.caches.len() + new_caches > self.settings.most_caches {
-            return Err(Fault::TooMany);
+            return Err(HealthError::TooMany);
         }
         let told = known.and_then(|k| k.told);
         let due =
@@ -162,11 +168,12 @@
                 let (event, says) =
                     if is_ill { ("cache_fails", "fails") } else { ("cache_answers", "answers again") };
                 let text = format!("cache {:016x} {says}, by what forwarders report", seen.cache.0);
-                self.remarks.push_back(Remark { event, text, warns: is_ill });
+                self.remarks.push_back(Event { name: event, message: text, is_warning: is_ill });
             }
         }
         let (number, due) = (report.number, Some(due));
-        self.forwarders.insert(from, Known { life, number, parts, heard: now, told, due, out, out_before });
+        self.forwarders
+            .insert(from, Known { incarnation, number, parts, heard: now, told, due, out, out_before });
         Ok(())
     }
 
@@ -182,8 +189,8 @@
         let mut verdicts = Vec::new();
         for (cache, view) in &self.caches {
             match view.verdict(now) {
-                Some(Verdict::Fails { ago }) if self.trials.has(now, *cache, next) => {
-                    verdicts.push((*cache, Verdict::Try { ago }));
+                Some(HealthStatus::Failing { ago }) if self.trials.has(now, *cache, next) => {
+                    verdicts.push((*cache, HealthStatus::Probe { ago }));
                 }
                 Some(verdict) => verdicts.push((*cache, verdict)),
                 None => {}
@@ -199,17 +206,17 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    pub fn next_remark(&mut self) -> Option<Remark> {
+    pub fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
     /// The caches that fail, as this planner sees it.
-    pub fn failing(&self) -> BTreeSet<CacheId> {
+    pub fn failing(&self) -> BTreeSet<EndpointId> {
         self.caches.iter().filter(|(_, view)| view.is_ill()).map(|(cache, _)| *cache).collect()
     }
 
     /// Shots out at a cache, over all forwarders heard of late.
-    pub fn out(&self, cache: CacheId) -> f64 {
+    pub fn out(&self, cache: EndpointId) -> f64 {
         self.caches.get(&cache).map_or(0.0, |v| v.out)
     }
 
--- a/crates/coordination/src/endpoint_health/report.rs
+++ b/crates/coordination/src/endpoint_health/report.rs
@@ -1,15 +1,15 @@
 //! What a forwarder says.
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::fault::Fault;
+use super::fault::HealthError;
 use super::part::Part;
 
 /// What came of shots at one cache since the report before.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
-    pub cache: CacheId,
+    pub cache: EndpointId,
     /// Answered in any way that shows it to be there, a miss or a full queue included.
     #[serde(with = "single")]
     pub answered: f64,
@@ -48,10 +48,10 @@
 
 impl Report {
     /// Whether its figures can be what a forwarder saw; one bad figure makes all of it suspect.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), HealthError> {
         self.part.check()?;
         let sound = |n: f64| (0.0..=MOST_SHOTS).contains(&n);
         let all = self.caches.iter().all(|s| sound(s.answered) && sound(s.failed) && sound(s.out));
-        if all { Ok(()) } else { Err(Fault::Figure) }
+        if all { Ok(()) } else { Err(HealthError::Figure) }
     }
 }
--- a/crates/coordination/src/endpoint_health/sides.rs
+++ b/crates/coordination/src/endpoint_health/sides.rs
@@ -2,72 +2,72 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use granitelb_balancer::calls::Advice;
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::calls::ControlPlaneUpdate;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Time;
 
-use super::fault::Fault;
+use super::fault::HealthError;
 use super::follower::Follower;
 use super::planner::{Planner, Settings};
-use super::{MOST_CACHES, Message};
-use crate::component::{BEAT, Faculty, Remark};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::observation::Sight;
+use super::{HealthMessage, MOST_CACHES};
+use crate::component::{Component, Event, HEARTBEAT_INTERVAL};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+use crate::observation::Observation;
 
-pub struct AtPlanner {
+pub struct PlannerComponent {
     me: PlannerId,
     planner: Planner,
     /// Parts of a plan that are still to be pulled.
-    parts: VecDeque<(Member, Message)>,
+    parts: VecDeque<(Member, HealthMessage)>,
 }
 
-impl AtPlanner {
-    pub fn new(settings: Settings, me: PlannerId, _: Life, now: Time) -> AtPlanner {
-        AtPlanner { me, planner: Planner::new(settings, now), parts: VecDeque::new() }
+impl PlannerComponent {
+    pub fn new(settings: Settings, me: PlannerId, _: Incarnation, now: Time) -> PlannerComponent {
+        PlannerComponent { me, planner: Planner::new(settings, now), parts: VecDeque::new() }
     }
 
     /// The caches that fail, as this planner sees it.
-    pub fn failing(&self) -> BTreeSet<CacheId> {
+    pub fn failing(&self) -> BTreeSet<EndpointId> {
         self.planner.failing()
     }
 }
 
-impl Faculty for AtPlanner {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for PlannerComponent {
+    type Message = HealthMessage;
+    type Error = HealthError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
+    fn on_message(&mut self, now: Time, from: Sender, message: HealthMessage) -> Result<(), HealthError> {
         match (from.member, message) {
-            (Member::Forwarder(id), Message::Report(report)) => {
-                self.planner.heard(now, id, from.life, &report)
+            (Member::Forwarder(id), HealthMessage::Report(report)) => {
+                self.planner.on_message(now, id, from.incarnation, &report)
             }
-            _ => Err(Fault::NotItsWord),
+            _ => Err(HealthError::NotItsWord),
         }
     }
 
-    fn members(&mut self, _: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _: Time, alive: &[Member]) {
         let forwarders = alive.iter().filter_map(|m| match m {
             Member::Forwarder(id) => Some(*id),
             Member::Planner(_) => None,
         });
         let before = alive.iter().filter(|m| matches!(m, Member::Planner(id) if *id < self.me)).count();
-        self.planner.members(forwarders.collect(), before);
+        self.planner.on_membership_change(forwarders.collect(), before);
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, HealthMessage)> {
         if self.parts.is_empty() {
             let (to, parts) = self.planner.next_plan(now)?;
-            self.parts = parts.into_iter().map(|p| (Member::Forwarder(to), Message::Plan(p))).collect();
+            self.parts = parts.into_iter().map(|p| (Member::Forwarder(to), HealthMessage::Plan(p))).collect();
         }
         self.parts.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         if self.parts.is_empty() { self.planner.next_due() } else { Some(now) }
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
-        self.planner.next_remark()
+    fn poll_event(&mut self) -> Option<Event> {
+        self.planner.poll_event()
     }
 
     fn entries(&self) -> usize {
@@ -75,58 +75,66 @@
     }
 }
 
-pub struct AtForwarder {
+pub struct ForwarderComponent {
     follower: Follower,
     planners: Vec<PlannerId>,
     next_report: Time,
     /// What is still to be pulled of the last report.
-    letters: VecDeque<(Member, Message)>,
+    letters: VecDeque<(Member, HealthMessage)>,
 }
 
-impl AtForwarder {
-    pub fn new(_: Settings, me: ForwarderId, _: Life, now: Time) -> AtForwarder {
+impl ForwarderComponent {
+    pub fn new(_: Settings, me: ForwarderId, _: Incarnation, now: Time) -> ForwarderComponent {
         // Forwarders that start together do not all report at once.
-        let next_report = now + BEAT.scaled((me.0 % 1024) as f64 / 1024.0);
-        AtForwarder { follower: Follower::new(), planners: Vec::new(), next_report, letters: VecDeque::new() }
+        let next_report = now + HEARTBEAT_INTERVAL.scaled((me.0 % 1024) as f64 / 1024.0);
+        ForwarderComponent {
+            follower: Follower::new(),
+            planners: Vec::new(),
+            next_report,
+            letters: VecDeque::new(),
+        }
     }
 
-    pub fn seen(&mut self, _: Time, sight: &Sight) {
+    pub fn seen(&mut self, _: Time, sight: &Observation) {
         match sight {
-            Sight::Sent { cache, is_origin: false, .. } => self.follower.shot_sent(*cache),
-            Sight::Ended(end) if !end.is_origin => {
-                self.follower.shot_ended(end.cache, end.outcome, end.latency, end.slo);
+            Observation::AttemptSent { cache, is_origin: false, .. } => self.follower.on_attempt_sent(*cache),
+            Observation::AttemptFinished(end) if !end.is_origin => {
+                self.follower.on_attempt_finished(end.cache, end.outcome, end.latency, end.slo);
             }
-            Sight::Listed(_) | Sight::Sent { .. } | Sight::Ended(_) | Sight::Denied => {}
+            Observation::EndpointsChanged(_)
+            | Observation::AttemptSent { .. }
+            | Observation::AttemptFinished(_)
+            | Observation::FetchDenied => {}
         }
     }
 
     /// What planners say of caches now.
-    pub fn advice(&self, now: Time) -> Advice {
+    pub fn advice(&self, now: Time) -> ControlPlaneUpdate {
         self.follower.advice(now)
     }
 
     /// The failing caches that it is this forwarder's turn to try.
-    pub fn turns(&self, now: Time) -> Vec<CacheId> {
+    pub fn turns(&self, now: Time) -> Vec<EndpointId> {
         self.follower.turns(now)
     }
 }
 
-impl Faculty for AtForwarder {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for ForwarderComponent {
+    type Message = HealthMessage;
+    type Error = HealthError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
-        let (Member::Planner(id), Message::Plan(plan)) = (from.member, message) else {
-            return Err(Fault::NotItsWord);
+    fn on_message(&mut self, now: Time, from: Sender, message: HealthMessage) -> Result<(), HealthError> {
+        let (Member::Planner(id), HealthMessage::Plan(plan)) = (from.member, message) else {
+            return Err(HealthError::NotItsWord);
         };
         plan.part.check()?;
         if plan.verdicts.len() > MOST_CACHES {
-            return Err(Fault::TooMany);
+            return Err(HealthError::TooMany);
         }
-        if self.follower.plan_came(now, id, from.life, plan) { Ok(()) } else { Err(Fault::Old) }
+        if self.follower.plan_came(now, id, from.incarnation, plan) { Ok(()) } else { Err(HealthError::Old) }
     }
 
-    fn members(&mut self, _: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _: Time, alive: &[Member]) {
         let planners = alive.iter().filter_map(|m| match m {
             Member::Planner(id) => Some(*id),
             Member::Forwarder(_) => None,
@@ -134,22 +142,26 @@
         self.planners = planners.collect();
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, HealthMessage)> {
         if now >= self.next_report {
             let late = now - self.next_report;
-            self.next_report = if late < BEAT { self.next_report + BEAT } else { now + BEAT };
+            self.next_report = if late < HEARTBEAT_INTERVAL {
+                self.next_report + HEARTBEAT_INTERVAL
+            } else {
+                now + HEARTBEAT_INTERVAL
+            };
             // What was not pulled in a whole beat is older than what comes now.
             self.letters.clear();
             let parts = self.follower.report();
             for planner in &self.planners {
                 let to = Member::Planner(*planner);
-                self.letters.extend(parts.iter().map(|p| (to, Message::Report(p.clone()))));
+                self.letters.extend(parts.iter().map(|p| (to, HealthMessage::Report(p.clone()))));
             }
         }
         self.letters.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         Some(if self.letters.is_empty() { self.next_report } else { now })
     }
 
--- a/crates/coordination/src/endpoint_health/view.rs
+++ b/crates/coordination/src/endpoint_health/view.rs
@@ -24,13 +24,13 @@
 
 /// What all forwarders together say of a cache. Nothing is said where they say too little.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum HealthStatus {
     /// It leaves calls unanswered; the last failure was seen so long ago.
-    Fails { ago: Span },
+    Failing { ago: Span },
     /// The same, and it is the hearer's turn to try it.
-    Try { ago: Span },
+    Probe { ago: Span },
     /// It answers again, since this long after it had failed.
-    Answers { ago: Span },
+    Recovered { ago: Span },
 }
 
 pub struct View {
@@ -122,12 +122,12 @@
         failed >= FAILURES && answered < failed * 0.5 && enough
     }
 
-    pub fn verdict(&self, now: Time) -> Option<Verdict> {
+    pub fn verdict(&self, now: Time) -> Option<HealthStatus> {
         let last = self.last_failure?;
         if self.ill {
-            return (now - last < FORGIVEN).then_some(Verdict::Fails { ago: now - last });
+            return (now - last < FORGIVEN).then_some(HealthStatus::Failing { ago: now - last });
         }
         let answer = self.last_answer.filter(|at| *at >= last && now - *at < MEMORY)?;
-        (self.since >= ANSWERS).then_some(Verdict::Answers { ago: now - answer })
+        (self.since >= ANSWERS).then_some(HealthStatus::Recovered { ago: now - answer })
     }
 }
--- a/crates/coordination/src/leases/book.rs
+++ b/crates/coordination/src/leases/book.rs
@@ -9,10 +9,10 @@
 use granitelb_balancer::time::{Span, Time};
 
 use super::Need;
-use crate::member::{Life, Member, PlannerId};
+use crate::member::{Incarnation, Member, PlannerId};
 
 /// A life of a member's: what an earlier one was granted may still be held.
-pub type Holding = (Member, Life);
+pub type Holding = (Member, Incarnation);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Granted {
@@ -98,7 +98,7 @@
 pub struct Pool {
     pub escrow: u32,
     pub claims: BTreeMap<Holding, Claim>,
-    pub lenders: BTreeMap<(PlannerId, Life), Lender>,
+    pub lenders: BTreeMap<(PlannerId, Incarnation), Lender>,
     leases: u64,
     loans: u64,
     /// When each claim has something that ends: else an ask would cost more the more forwarders there are.
@@ -214,13 +214,17 @@
     }
 
     /// Whether a later life of the member has a claim.
-    pub fn lives_after(&self, (member, life): Holding) -> bool {
-        self.claims.range((Excluded((member, life)), Included((member, Life(u64::MAX))))).next().is_some()
+    pub fn incarnations_after(&self, (member, incarnation): Holding) -> bool {
+        self.claims
+            .range((Excluded((member, incarnation)), Included((member, Incarnation(u64::MAX)))))
+            .next()
+            .is_some()
     }
 
     /// Takes back what earlier lives of the member were granted.
-    pub fn end_before(&mut self, (member, life): Holding) {
-        let earlier = self.claims.range((member, Life(0))..(member, life)).map(|(holding, _)| *holding);
+    pub fn end_before(&mut self, (member, incarnation): Holding) {
+        let earlier =
+            self.claims.range((member, Incarnation(0))..(member, incarnation)).map(|(holding, _)| *holding);
         for holding in earlier.collect::<Vec<_>>() {
             self.change(holding, |c| c.live.clear());
             self.claims.remove(&holding);
@@ -228,7 +232,7 @@
     }
 
     /// What others lend up to that moment, of loans from the asks given on.
-    fn borrowed(&self, at: Time, from: impl Fn(&(PlannerId, Life)) -> u64) -> u64 {
+    fn borrowed(&self, at: Time, from: impl Fn(&(PlannerId, Incarnation)) -> u64) -> u64 {
         self.lenders.iter().map(|(id, l)| u64::from(l.until(at, from(id)))).sum()
     }
 
@@ -299,7 +303,7 @@
     }
 
     /// Takes in a loan. An older one than is known may have been given up, and is void.
-    pub fn lent(&mut self, lender: (PlannerId, Life), loan: Loan) {
+    pub fn lent(&mut self, lender: (PlannerId, Incarnation), loan: Loan) {
         let loans = &mut self.lenders.entry(lender).or_default().loans;
         if loans.len() < MOST_APART && loans.last().is_none_or(|l| l.ask < loan.ask) {
             loans.push(loan);
@@ -310,7 +314,7 @@
     pub fn uses(&mut self, now: Time, lender: PlannerId, hold: Span) -> u64 {
         self.pass(now);
         let newest = |l: &Lender| l.newest().map_or(0, |l| l.ask);
-        let drops = |id: &(PlannerId, Life)| {
+        let drops = |id: &(PlannerId, Incarnation)| {
             if id.0 == lender { self.lenders.get(id).map_or(0, newest) } else { 0 }
         };
         let without = u64::from(self.escrow) + self.borrowed(now + hold, drops);
--- a/crates/coordination/src/leases/forwarder.rs
+++ b/crates/coordination/src/leases/forwarder.rs
@@ -3,17 +3,17 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb_balancer::calls::{Lease, Outcome};
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::calls::{AttemptOutcome, Lease};
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::need::Use;
 use super::standing::{ASKS, Ask, Parts, Usual};
-use super::{Fault, Holder, Message, Resource, Settings};
-use crate::component::{Faculty, Remark};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::observation::{Server, Sight};
+use super::{Holder, LeaseError, LeaseMessage, Resource, Settings};
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+use crate::observation::{Observation, ObservedEndpoint};
 
 /// A planner that leaves so many asks unanswered is passed over for `PASSED_OVER`.
 const UNANSWERED: u8 = 2;
@@ -27,12 +27,12 @@
 const NEW_WORK: f64 = 0.05;
 
 struct Origin {
-    servers: BTreeSet<CacheId>,
+    servers: BTreeSet<EndpointId>,
     used: Use,
 }
 
 struct Cold {
-    server: Server,
+    server: ObservedEndpoint,
     used: Use,
 }
 
@@ -43,7 +43,7 @@
     since: Time,
 }
 
-pub struct AtForwarder {
+pub struct ForwarderComponent {
     settings: Settings,
     me: ForwarderId,
     holder: Holder,
@@ -51,9 +51,9 @@
     silent: BTreeMap<PlannerId, Silent>,
     origin: Origin,
     /// All servers but origins that may become or be cold, bounded by the settings.
-    cold: BTreeMap<CacheId, Cold>,
+    cold: BTreeMap<EndpointId, Cold>,
     work: f64,
-    letters: VecDeque<(Member, Message)>,
+    letters: VecDeque<(Member, LeaseMessage)>,
     next_ask: Time,
     parts: Parts,
     usual: Usual,
@@ -63,17 +63,17 @@
     told: bool,
     /// Whether leases are held now, for the log.
     leased: bool,
-    remarks: VecDeque<Remark>,
+    remarks: VecDeque<Event>,
 }
 
-impl AtForwarder {
-    pub fn new(settings: Settings, me: ForwarderId, _life: Life, now: Time) -> AtForwarder {
+impl ForwarderComponent {
+    pub fn new(settings: Settings, me: ForwarderId, _life: Incarnation, now: Time) -> ForwarderComponent {
         let beat = settings.beat.0.max(1);
         // Not all at one moment, though all start at once.
         let first = now + Span(xxh3_64_with_seed(&[], me.0) % beat);
         let even = f64::from(settings.whole_origin) / f64::from(settings.forwarders.max(1));
         let no_standing = settings.standing_escrow() == 0;
-        AtForwarder {
+        ForwarderComponent {
             settings,
             me,
             holder: Holder::default(),
@@ -94,33 +94,35 @@
     }
 
     /// What the loop did or was told.
-    pub fn seen(&mut self, now: Time, sight: &Sight) {
+    pub fn seen(&mut self, now: Time, sight: &Observation) {
         match sight {
-            Sight::Listed(servers) => self.listed(now, servers),
+            Observation::EndpointsChanged(servers) => self.listed(now, servers),
             // Known by what was sent alone, a need far over what is allowed would be found out step by step.
-            Sight::Sent { is_origin: true, write: false, .. } | Sight::Denied => {
+            Observation::AttemptSent { is_origin: true, write: false, .. } | Observation::FetchDenied => {
                 self.origin.used.add(1000.0);
                 self.usual.add(1000.0);
             }
-            Sight::Sent { cache, is_origin: false, .. } => {
+            Observation::AttemptSent { cache, is_origin: false, .. } => {
                 if let Some(cold) = self.cold.get_mut(cache) {
                     // As if the cache were warm and of size 1, as leases are.
                     let by = warmth(&self.settings, now, &cold.server) * cold.server.size.max(1e-3);
                     cold.used.add(self.work * Resource::Cold(*cache).parts() / by);
                 }
             }
-            Sight::Ended(ended) if !ended.is_origin && ended.outcome == Outcome::Fulfilled => {
+            Observation::AttemptFinished(ended)
+                if !ended.is_origin && ended.outcome == AttemptOutcome::Fulfilled =>
+            {
                 let work = ended.work.unwrap_or(ended.latency).as_secs_f64();
                 self.work += NEW_WORK * (work - self.work);
             }
-            Sight::Sent { .. } | Sight::Ended(_) => {}
+            Observation::AttemptSent { .. } | Observation::AttemptFinished(_) => {}
         }
     }
 
-    fn listed(&mut self, now: Time, servers: &[Server]) {
+    fn listed(&mut self, now: Time, servers: &[ObservedEndpoint]) {
         self.origin.servers = servers.iter().filter(|s| s.is_origin).map(|s| s.cache).collect();
-        let is_cold = |s: &&Server| !s.is_origin && warmth(&self.settings, now, s) < 1.0;
-        let cold: Vec<Server> =
+        let is_cold = |s: &&ObservedEndpoint| !s.is_origin && warmth(&self.settings, now, s) < 1.0;
+        let cold: Vec<ObservedEndpoint> =
             servers.iter().filter(is_cold).take(self.settings.most_cold).copied().collect();
         let mut before = std::mem::take(&mut self.cold);
         for server in cold {
@@ -137,7 +139,7 @@
 
     /// What the loop may use now, of each origin and each cold cache. The loop has to be given it before any letter
     /// that is pulled after.
-    pub fn advice(&mut self, now: Time) -> Vec<(CacheId, Lease)> {
+    pub fn advice(&mut self, now: Time) -> Vec<(EndpointId, Lease)> {
         self.holder.pass(now);
         self.holder.tell();
         self.parts.pass(now);
@@ -181,7 +183,7 @@
         let need = self.usual.need(now);
         for planner in self.alive.iter().filter(|p| self.settings.planners.contains(p)) {
             let Ask { ask, need, using, to, has } = self.parts.ask(now, *planner, need);
-            let message = Message::AskStanding { ask, need, using, to, has };
+            let message = LeaseMessage::AskStanding { ask, need, using, to, has };
             self.letters.push_back((Member::Planner(*planner), message));
         }
     }
@@ -191,7 +193,7 @@
         let back = self.holder.give_back();
         self.letters.extend(back.into_iter().map(|(p, m)| (Member::Planner(p), m)));
         let (whom, ask) = self.parts.give_back();
-        let back = whom.into_iter().map(|p| (Member::Planner(p), Message::ReturnStanding { ask }));
+        let back = whom.into_iter().map(|p| (Member::Planner(p), LeaseMessage::ReturnStanding { ask }));
         self.letters.extend(back);
         (self.next_ask, self.next_standing) = (Time(u64::MAX), Time(u64::MAX));
     }
@@ -254,44 +256,44 @@
         self.leased = leased;
         let text =
             if leased { "uses leases of planners" } else { "no planner grants leases: goes by its own part" };
-        self.remarks.push_back(Remark { event: "leases", text: text.to_string(), warns: !leased });
+        self.remarks.push_back(Event { name: "leases", message: text.to_string(), is_warning: !leased });
     }
 }
 
 /// The share of its capacity that a server has.
-fn warmth(settings: &Settings, now: Time, server: &Server) -> f64 {
+fn warmth(settings: &Settings, now: Time, server: &ObservedEndpoint) -> f64 {
     let Some(started) = server.started.filter(|_| server.warm_after > Span::ZERO) else { return 1.0 };
     let age = (now - started).as_secs_f64() / server.warm_after.as_secs_f64();
     settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0)
 }
 
-impl Faculty for AtForwarder {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for ForwarderComponent {
+    type Message = LeaseMessage;
+    type Error = LeaseError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
-        let Member::Planner(planner) = from.member else { return Err(Fault::NotForUs) };
+    fn on_message(&mut self, now: Time, from: Sender, message: LeaseMessage) -> Result<(), LeaseError> {
+        let Member::Planner(planner) = from.member else { return Err(LeaseError::NotForUs) };
         if !self.settings.planners.contains(&planner) {
-            return Err(Fault::Stranger);
+            return Err(LeaseError::Stranger);
         }
-        self.parts.heard(planner, from.life);
-        if let Message::Standing { ask, amount, lasts } = message {
+        self.parts.on_message(planner, from.incarnation);
+        if let LeaseMessage::Standing { ask, amount, lasts } = message {
             if lasts == 0 {
                 // Nothing is granted or taken back: what is held is told to this life with the next ask.
                 return Ok(());
             }
             let lasts = Span(u64::from(lasts)).min(self.settings.standing_lasts);
-            return self.parts.granted(now, (planner, from.life), ask, amount, lasts);
+            return self.parts.granted(now, (planner, from.incarnation), ask, amount, lasts);
         }
-        let Message::Grant { ask, granted, lasts } = message else { return Err(Fault::NotForUs) };
+        let LeaseMessage::Grant { ask, granted, lasts } = message else { return Err(LeaseError::NotForUs) };
         let lasts = Span(u64::from(lasts)).min(self.settings.longest);
-        self.holder.granted(now, (planner, from.life), ask, &granted, lasts)?;
+        self.holder.granted(now, (planner, from.incarnation), ask, &granted, lasts)?;
         self.silent.remove(&planner);
         self.remark(now);
         Ok(())
     }
 
-    fn members(&mut self, _now: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _now: Time, alive: &[Member]) {
         let planners = |m: &Member| match m {
             Member::Planner(id) => Some(*id),
             Member::Forwarder(_) => None,
@@ -301,7 +303,7 @@
         self.alive = alive;
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, LeaseMessage)> {
         if now >= self.next_ask {
             self.next_ask = now + self.settings.beat;
             self.ask(now);
@@ -316,12 +318,12 @@
         self.letters.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         let next = self.next_ask.min(self.next_standing);
         Some(if self.letters.is_empty() { next.max(now) } else { now })
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
--- a/crates/coordination/src/leases/holder.rs
+++ b/crates/coordination/src/leases/holder.rs
@@ -4,8 +4,8 @@
 
 use granitelb_balancer::time::{Span, Time};
 
-use super::{Fault, MOST_NEEDS, Message, Need, Resource};
-use crate::member::{Life, PlannerId};
+use super::{LeaseError, LeaseMessage, MOST_NEEDS, Need, Resource};
+use crate::member::{Incarnation, PlannerId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Held {
@@ -20,8 +20,8 @@
 pub struct Holder {
     last: u64,
     asked: BTreeMap<u64, (PlannerId, Time)>,
-    held: BTreeMap<(Resource, PlannerId, Life), Held>,
-    lives: BTreeMap<PlannerId, Life>,
+    held: BTreeMap<(Resource, PlannerId, Incarnation), Held>,
+    lives: BTreeMap<PlannerId, Incarnation>,
 }
 
 /// Asks that are remembered; an answer to an older one is void.
@@ -29,7 +29,7 @@
 
 impl Holder {
     /// Letters that ask one planner for these amounts; each is one whole ask.
-    pub fn ask(&mut self, now: Time, planner: PlannerId, amounts: &[(Resource, u32)]) -> Vec<Message> {
+    pub fn ask(&mut self, now: Time, planner: PlannerId, amounts: &[(Resource, u32)]) -> Vec<LeaseMessage> {
         let mut letters = Vec::new();
         for part in amounts.chunks(MOST_NEEDS) {
             self.last += 1;
@@ -39,7 +39,7 @@
                 let using = ours.filter(|(_, h)| h.told).map(|(_, h)| h.ask).max().unwrap_or(0);
                 Need { resource: *resource, amount: *amount, using, heads: 1, has: 0 }
             });
-            letters.push(Message::Ask { ask: self.last, needs: needs.collect() });
+            letters.push(LeaseMessage::Ask { ask: self.last, needs: needs.collect() });
         }
         while self.asked.len() > MOST_ASKED {
             self.asked.pop_first();
@@ -54,22 +54,23 @@
     pub fn granted(
         &mut self,
         now: Time,
-        (planner, life): (PlannerId, Life),
+        (planner, incarnation): (PlannerId, Incarnation),
         ask: u64,
         granted: &[(Resource, u32)],
         lasts: Span,
-    ) -> Result<(), Fault> {
-        if self.lives.get(&planner).is_some_and(|l| *l > life) {
-            return Err(Fault::Old);
+    ) -> Result<(), LeaseError> {
+        if self.lives.get(&planner).is_some_and(|l| *l > incarnation) {
+            return Err(LeaseError::Old);
         }
         let known = self.asked.get(&ask).filter(|(of, _)| *of == planner);
-        let Some((_, sent)) = known.copied() else { return Err(Fault::Unasked) };
-        self.lives.insert(planner, life);
+        let Some((_, sent)) = known.copied() else { return Err(LeaseError::Unasked) };
+        self.lives.insert(planner, incarnation);
         // What was asked before is not used once this is: the planner will be told so.
         self.asked.retain(|n, (of, at)| *of != planner || *at >= sent && *n != ask);
         let ends = sent + lasts;
         for (resource, amount) in granted.iter().take(MOST_NEEDS) {
-            self.held.insert((*resource, planner, life), Held { ask, amount: *amount, ends, told: false });
+            self.held
+                .insert((*resource, planner, incarnation), Held { ask, amount: *amount, ends, told: false });
         }
         self.pass(now);
         Ok(())
@@ -104,14 +105,14 @@
     }
 
     /// Uses nothing more of any planner's, nor of what may yet be granted, and says whom to tell so.
-    pub fn give_back(&mut self) -> Vec<(PlannerId, Message)> {
+    pub fn give_back(&mut self) -> Vec<(PlannerId, LeaseMessage)> {
         let held = self.held.keys().map(|(_, p, _)| *p);
         let mut whom: Vec<_> = held.chain(self.asked.values().map(|(p, _)| *p)).collect();
         whom.sort_unstable();
         whom.dedup();
         self.held.clear();
         self.asked.clear();
-        whom.into_iter().map(|p| (p, Message::Return { ask: self.last })).collect()
+        whom.into_iter().map(|p| (p, LeaseMessage::Return { ask: self.last })).collect()
     }
 
     pub fn entries(&self) -> usize {
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -49,23 +49,23 @@
 
 use std::collections::BTreeSet;
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Span;
 use serde::{Deserialize, Serialize};
 
-pub use forwarder::AtForwarder;
+pub use forwarder::ForwarderComponent;
 pub use holder::Holder;
-pub use planner::{AtPlanner, Spare};
+pub use planner::{PlannerComponent, Spare};
 
-use crate::component::{BEAT, Help};
-use crate::member::{Life, PlannerId};
+use crate::component::{HEARTBEAT_INTERVAL, Remediation};
+use crate::member::{Incarnation, PlannerId};
 
 /// What is shared out. Amounts are thousandths of a fetch a second, or millionths of a second of work a second of a warm
 /// cache: the own part of one in 300 was less than a thousandth, and rounded to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Resource {
     Origin,
-    Cold(#[serde(with = "cache_id")] CacheId),
+    Cold(#[serde(with = "cache_id")] EndpointId),
 }
 
 impl Resource {
@@ -79,15 +79,15 @@
 }
 
 mod cache_id {
-    use granitelb_balancer::ids::CacheId;
+    use granitelb_balancer::ids::EndpointId;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-    pub fn serialize<S: Serializer>(id: &CacheId, to: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: Serializer>(id: &EndpointId, to: S) -> Result<S::Ok, S::Error> {
         id.0.serialize(to)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<CacheId, D::Error> {
-        u64::deserialize(from).map(CacheId)
+    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<EndpointId, D::Error> {
+        u64::deserialize(from).map(EndpointId)
     }
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Message {
+pub enum LeaseMessage {
     /// A forwarder asks for leases, or a planner for loans. Numbers rise with each ask of a life.
     Ask {
         ask: u64,
@@ -125,7 +125,7 @@
         ask: u64,
         need: u32,
         using: u64,
-        to: Life,
+        to: Incarnation,
         has: u32,
     },
     Standing {
@@ -192,7 +192,7 @@
             longest: Span::from_millis(5000),
             drift: 10,
             slack: Span::from_millis(50),
-            beat: BEAT,
+            beat: HEARTBEAT_INTERVAL,
             fresh: Span::from_millis(100),
             cold_from: 0.25,
             most_cold: 256,
@@ -241,20 +241,22 @@
 
     /// # Errors
     /// Says which figures can't be kept.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), LeaseError> {
         let short = self.longest.0 > 60_000_000 || self.lease > self.longest || self.loan > self.longest;
         match () {
-            () if self.planners.is_empty() || self.forwarders == 0 => Err(Fault::Nobody),
-            () if self.reserve > 1000 || self.standing > 1000 - self.reserve => Err(Fault::Reserve),
+            () if self.planners.is_empty() || self.forwarders == 0 => Err(LeaseError::Nobody),
+            () if self.reserve > 1000 || self.standing > 1000 - self.reserve => Err(LeaseError::Reserve),
             // A loan that is shorter than what is granted from it would never serve.
-            () if short || self.lease.0 == 0 || self.loan <= self.hold(self.lease) => Err(Fault::Lengths),
+            () if short || self.lease.0 == 0 || self.loan <= self.hold(self.lease) => {
+                Err(LeaseError::Lengths)
+            }
             () => Ok(()),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum LeaseError {
     #[error("leases: an ask that is no newer than one before")]
     Old,
     #[error("leases: more forwarders or cold caches than are kept")]
@@ -275,25 +277,25 @@
     Lengths,
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for LeaseError {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::Old => {
+            LeaseError::Old => {
                 "Nothing to do: letters were doubled or passed one another. If it goes on, two processes may bear one name."
             }
-            Fault::TooMany => {
+            LeaseError::TooMany => {
                 "Raise most_forwarders or most_cold in the planners' files, or look for who makes up names."
             }
-            Fault::Stranger => "Give all planners and forwarders the same operator's file.",
-            Fault::Unasked => {
+            LeaseError::Stranger => "Give all planners and forwarders the same operator's file.",
+            LeaseError::Unasked => {
                 "Nothing to do if it is rare: an answer was late. If it goes on, look at the network between the two."
             }
-            Fault::NotForUs => {
+            LeaseError::NotForUs => {
                 "Look whether a planner's address is listed as a forwarder's, or a version is mixed."
             }
-            Fault::Nobody => "Name at least one planner and one forwarder in the operator's file.",
-            Fault::Reserve => "Set the reserve and the standing share so that both come to 1 at most.",
-            Fault::Lengths => {
+            LeaseError::Nobody => "Name at least one planner and one forwarder in the operator's file.",
+            LeaseError::Reserve => "Set the reserve and the standing share so that both come to 1 at most.",
+            LeaseError::Lengths => {
                 "Set lease, then loan, then longest, each greater than the one before; 2 s, 4 s and 5 s serve."
             }
         }
--- a/crates/coordination/src/leases/planner.rs
+++ b/crates/coordination/src/leases/planner.rs
@@ -6,9 +6,9 @@
 
 use super::book::{Loan, Pool, Terms};
 use super::standing::{Ask, Granter};
-use super::{Fault, MOST_NEEDS, Message, Need, Resource, Settings};
-use crate::component::{Faculty, Remark};
-use crate::member::{Life, Member, PlannerId, Sender};
+use super::{LeaseError, LeaseMessage, MOST_NEEDS, Need, Resource, Settings};
+use crate::component::{Component, Event};
+use crate::member::{Incarnation, Member, PlannerId, Sender};
 
 /// Answers that wait for the host; with more the next ask is refused, as if its letter were lost.
 const MOST_WAITING: usize = 8192;
@@ -16,7 +16,7 @@
 const MOST_ASKED: usize = 1024;
 
 #[derive(Clone, Debug)]
-pub struct AtPlanner {
+pub struct PlannerComponent {
     settings: Settings,
     me: PlannerId,
     /// Until then what an earlier life granted may still be held.
@@ -24,19 +24,19 @@
     pools: BTreeMap<Resource, Pool>,
     standing: Granter,
     alive: BTreeSet<PlannerId>,
-    letters: VecDeque<(Member, Message)>,
+    letters: VecDeque<(Member, LeaseMessage)>,
     last: u64,
     asked: BTreeMap<u64, (PlannerId, Time)>,
     next_borrow: Time,
-    remarks: VecDeque<Remark>,
+    remarks: VecDeque<Event>,
 }
 
-impl AtPlanner {
+impl PlannerComponent {
     /// Settings are to be checked before. A life has to be greater than each before it.
-    pub fn new(settings: Settings, me: PlannerId, life: Life, now: Time) -> AtPlanner {
+    pub fn new(settings: Settings, me: PlannerId, incarnation: Incarnation, now: Time) -> PlannerComponent {
         let quiet = Some(now + settings.hold(settings.longest));
-        let standing = Granter::new(&settings, life, now);
-        AtPlanner {
+        let standing = Granter::new(&settings, incarnation, now);
+        PlannerComponent {
             settings,
             me,
             quiet,
@@ -67,26 +67,26 @@
                 pool.escrow = self.settings.escrow(*resource);
             }
             let text = "the wait after the start is over: grants its own part".to_string();
-            self.remarks.push_back(Remark { event: "leases_ready", text, warns: false });
+            self.remarks.push_back(Event { name: "leases_ready", message: text, is_warning: false });
         }
     }
 
     /// The book of a resource, made if there is room.
-    fn pool(&mut self, resource: Resource) -> Result<&mut Pool, Fault> {
+    fn pool(&mut self, resource: Resource) -> Result<&mut Pool, LeaseError> {
         if !self.pools.contains_key(&resource) && self.pools.len() > self.settings.most_cold {
-            return Err(Fault::TooMany);
+            return Err(LeaseError::TooMany);
         }
         let escrow = if self.quiet.is_some() { 0 } else { self.settings.escrow(resource) };
         Ok(self.pools.entry(resource).or_insert_with(|| Pool::new(escrow)))
     }
 
-    fn asked(&mut self, now: Time, from: Sender, ask: u64, needs: &[Need]) -> Result<(), Fault> {
+    fn asked(&mut self, now: Time, from: Sender, ask: u64, needs: &[Need]) -> Result<(), LeaseError> {
         if self.letters.len() >= MOST_WAITING {
-            return Err(Fault::TooMany);
+            return Err(LeaseError::TooMany);
         }
         let lasts = match from.member {
             Member::Planner(id) if id == self.me || !self.settings.planners.contains(&id) => {
-                return Err(Fault::Stranger);
+                return Err(LeaseError::Stranger);
             }
             Member::Planner(_) => self.settings.loan,
             Member::Forwarder(_) => self.settings.lease,
@@ -95,28 +95,28 @@
         let hold_lease = self.settings.hold(self.settings.lease);
         let terms = Terms { hold, hold_lease, recent, fresh: self.settings.fresh };
         let most = self.settings.most_forwarders;
-        let holding = (from.member, from.life);
+        let holding = (from.member, from.incarnation);
         let mut granted = Vec::new();
         let mut fault = None;
         for need in needs.iter().take(MOST_NEEDS) {
             let pool = match self.pool(need.resource) {
                 Ok(pool) if pool.claims.len() < most || pool.claims.contains_key(&holding) => pool,
                 _ => {
-                    fault = Some(Fault::TooMany);
+                    fault = Some(LeaseError::TooMany);
                     continue;
                 }
             };
             if pool.asked(now, holding, ask, *need) {
                 granted.push((need.resource, pool.grant(now, holding, terms)));
             } else {
-                fault = Some(Fault::Old);
+                fault = Some(LeaseError::Old);
             }
         }
         // An ask that was answered is not answered again: its grant may have been given back since.
         match fault {
             Some(fault) if granted.is_empty() => Err(fault),
             _ => {
-                let grant = Message::Grant { ask, granted, lasts: lasts.0 as u32 };
+                let grant = LeaseMessage::Grant { ask, granted, lasts: lasts.0 as u32 };
                 self.letters.push_back((from.member, grant));
                 Ok(())
             }
@@ -129,15 +129,15 @@
         ask: u64,
         granted: &[(Resource, u32)],
         lasts: Span,
-    ) -> Result<(), Fault> {
-        let Member::Planner(lender) = from.member else { return Err(Fault::NotForUs) };
+    ) -> Result<(), LeaseError> {
+        let Member::Planner(lender) = from.member else { return Err(LeaseError::NotForUs) };
         let known = self.asked.get(&ask).filter(|(of, _)| *of == lender);
-        let Some((_, sent)) = known.copied() else { return Err(Fault::Unasked) };
+        let Some((_, sent)) = known.copied() else { return Err(LeaseError::Unasked) };
         // What was asked before is given up with the next ask, so it must not be taken up after this.
         self.asked.retain(|n, (of, at)| *of != lender || *at >= sent && *n != ask);
         for (resource, amount) in granted.iter().take(MOST_NEEDS) {
             if let Some(pool) = self.pools.get_mut(resource) {
-                pool.lent((lender, from.life), Loan { ask, amount: *amount, ends: sent + lasts });
+                pool.lent((lender, from.incarnation), Loan { ask, amount: *amount, ends: sent + lasts });
             }
         }
         Ok(())
@@ -165,7 +165,7 @@
             for part in needs.chunks(MOST_NEEDS) {
                 self.last += 1;
                 self.asked.insert(self.last, (lender, now));
-                let ask = Message::Ask { ask: self.last, needs: part.to_vec() };
+                let ask = LeaseMessage::Ask { ask: self.last, needs: part.to_vec() };
                 if self.letters.len() < MOST_WAITING {
                     self.letters.push_back((Member::Planner(lender), ask));
                 }
@@ -177,41 +177,43 @@
     }
 }
 
-impl Faculty for AtPlanner {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for PlannerComponent {
+    type Message = LeaseMessage;
+    type Error = LeaseError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
+    fn on_message(&mut self, now: Time, from: Sender, message: LeaseMessage) -> Result<(), LeaseError> {
         self.pass(now);
         match message {
-            Message::Ask { ask, needs } => self.asked(now, from, ask, &needs),
-            Message::Grant { ask, granted, lasts } => {
+            LeaseMessage::Ask { ask, needs } => self.asked(now, from, ask, &needs),
+            LeaseMessage::Grant { ask, granted, lasts } => {
                 self.lent(from, ask, &granted, Span(u64::from(lasts)).min(self.settings.longest))
             }
-            Message::Return { ask } => {
-                let holding = (from.member, from.life);
+            LeaseMessage::Return { ask } => {
+                let holding = (from.member, from.incarnation);
                 self.pools.values_mut().for_each(|p| p.returned(holding, ask));
                 Ok(())
             }
-            Message::AskStanding { .. } if self.letters.len() >= MOST_WAITING => Err(Fault::TooMany),
-            Message::AskStanding { ask, need, using, to, has } => {
+            LeaseMessage::AskStanding { .. } if self.letters.len() >= MOST_WAITING => {
+                Err(LeaseError::TooMany)
+            }
+            LeaseMessage::AskStanding { ask, need, using, to, has } => {
                 let asked = Ask { ask, need, using, to, has };
                 let lasts = self.settings.standing_lasts.0 as u32;
                 // In the wait after a start an ask to an earlier life gets nothing but this life's name, to ask again by.
                 let granted = self.standing.asked(now, from, asked, &self.settings)?;
                 let (amount, lasts) = granted.map_or((0, 0), |amount| (amount, lasts));
-                self.letters.push_back((from.member, Message::Standing { ask, amount, lasts }));
+                self.letters.push_back((from.member, LeaseMessage::Standing { ask, amount, lasts }));
                 Ok(())
             }
-            Message::ReturnStanding { ask } => {
+            LeaseMessage::ReturnStanding { ask } => {
                 self.standing.returned(from, ask);
                 Ok(())
             }
-            Message::Standing { .. } => Err(Fault::NotForUs),
+            LeaseMessage::Standing { .. } => Err(LeaseError::NotForUs),
         }
     }
 
-    fn members(&mut self, _now: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _now: Time, alive: &[Member]) {
         let planners = alive.iter().filter_map(|m| match m {
             Member::Planner(id) if self.settings.planners.contains(id) => Some(*id),
             _ => None,
@@ -219,7 +221,7 @@
         self.alive = planners.collect();
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, LeaseMessage)> {
         self.pass(now);
         if now >= self.next_borrow {
             self.next_borrow = now + self.settings.beat;
@@ -228,7 +230,7 @@
         self.letters.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         if !self.letters.is_empty() {
             return Some(now);
         }
@@ -236,7 +238,7 @@
         (!self.pools.is_empty()).then(|| self.next_borrow.min(quiet).max(now))
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
@@ -255,7 +257,7 @@
     pub short: bool,
 }
 
-impl AtPlanner {
+impl PlannerComponent {
     /// What is free of this planner's own part and of loans to it. Others' parts and forwarders' own ones are not seen from
     /// here, so it is too little and never too much. None while it is not known what an earlier life granted.
     pub fn spare(&self, now: Time) -> Option<Spare> {
--- a/crates/coordination/src/leases/standing.rs
+++ b/crates/coordination/src/leases/standing.rs
@@ -26,8 +26,8 @@
 use granitelb_balancer::time::{Span, Time};
 
 use super::book::Pool;
-use super::{Fault, Need, Resource, Settings};
-use crate::member::{Life, Member, PlannerId, Sender};
+use super::{LeaseError, Need, Resource, Settings};
+use crate::member::{Incarnation, Member, PlannerId, Sender};
 
 /// Asks come so often: in the time of a part one of them is answered though most letters are lost.
 pub const ASKS: Span = Span::from_millis(1000);
@@ -49,13 +49,13 @@
     pub need: u32,
     pub using: u64,
     /// The life of the planner that this is to.
-    pub to: Life,
+    pub to: Incarnation,
     pub has: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Part {
-    life: Life,
+    incarnation: Incarnation,
     ask: u64,
     amount: u32,
     asked: Time,
@@ -70,14 +70,14 @@
     last: u64,
     asked: BTreeMap<u64, (PlannerId, Time)>,
     parts: BTreeMap<PlannerId, Part>,
-    lives: BTreeMap<PlannerId, Life>,
+    lives: BTreeMap<PlannerId, Incarnation>,
 }
 
 impl Parts {
     /// The planner has written, under this life.
-    pub fn heard(&mut self, planner: PlannerId, life: Life) {
-        let known = self.lives.entry(planner).or_insert(life);
-        *known = life.max(*known);
+    pub fn on_message(&mut self, planner: PlannerId, incarnation: Incarnation) {
+        let known = self.lives.entry(planner).or_insert(incarnation);
+        *known = incarnation.max(*known);
     }
 
     pub fn ask(&mut self, now: Time, planner: PlannerId, need: u32) -> Ask {
@@ -91,7 +91,7 @@
             ask: self.last,
             need,
             using: part.map_or(0, |p| p.using),
-            to: self.lives.get(&planner).copied().unwrap_or(Life(0)),
+            to: self.lives.get(&planner).copied().unwrap_or(Incarnation(0)),
             has: part.map_or(0, |p| p.amount),
         }
     }
@@ -103,20 +103,20 @@
     pub fn granted(
         &mut self,
         now: Time,
-        (planner, life): (PlannerId, Life),
+        (planner, incarnation): (PlannerId, Incarnation),
         ask: u64,
         amount: u32,
         lasts: Span,
-    ) -> Result<(), Fault> {
-        if self.lives.get(&planner).is_some_and(|l| *l > life) {
-            return Err(Fault::Old);
+    ) -> Result<(), LeaseError> {
+        if self.lives.get(&planner).is_some_and(|l| *l > incarnation) {
+            return Err(LeaseError::Old);
         }
         let known = self.asked.get(&ask).filter(|(of, _)| *of == planner);
-        let Some((_, asked)) = known.copied() else { return Err(Fault::Unasked) };
-        self.heard(planner, life);
+        let Some((_, asked)) = known.copied() else { return Err(LeaseError::Unasked) };
+        self.on_message(planner, incarnation);
         self.asked.retain(|n, (of, _)| *of != planner || *n > ask);
         let using = self.parts.get(&planner).filter(|p| p.ends > now).map_or(0, |p| p.using);
-        self.parts.insert(planner, Part { life, ask, amount, asked, ends: asked + lasts, using });
+        self.parts.insert(planner, Part { incarnation, ask, amount, asked, ends: asked + lasts, using });
         self.pass(now);
         Ok(())
     }
@@ -218,7 +218,7 @@
 /// A planner's side: its standing escrow and who may hold what of it.
 #[derive(Clone, Debug)]
 pub struct Granter {
-    life: Life,
+    incarnation: Incarnation,
     pool: Pool,
     /// Until then what an earlier life granted may still be held.
     quiet: Option<Time>,
@@ -226,9 +226,9 @@
 }
 
 impl Granter {
-    pub fn new(settings: &Settings, life: Life, now: Time) -> Granter {
+    pub fn new(settings: &Settings, incarnation: Incarnation, now: Time) -> Granter {
         let quiet = Some(now + settings.hold(settings.standing_lasts));
-        Granter { life, pool: Pool::new(settings.standing_escrow()), quiet, shares: None }
+        Granter { incarnation, pool: Pool::new(settings.standing_escrow()), quiet, shares: None }
     }
 
     /// Takes up other settings, after the wait of a start. What is held is in the book.
@@ -236,7 +236,7 @@
         self.quiet = Some(now + settings.hold(settings.standing_lasts));
         self.pool.escrow = settings.standing_escrow();
         // Who tells of what an earlier life granted is not heard now, since asks of before this moment name this life.
-        self.life = Life(u64::MAX);
+        self.incarnation = Incarnation(u64::MAX);
     }
 
     /// Grants a share; none where there is nothing to answer.
@@ -249,31 +249,31 @@
         from: Sender,
         ask: Ask,
         settings: &Settings,
-    ) -> Result<Option<u32>, Fault> {
-        let holding = (from.member, from.life);
+    ) -> Result<Option<u32>, LeaseError> {
+        let holding = (from.member, from.incarnation);
         if !matches!(from.member, Member::Forwarder(_)) {
-            return Err(Fault::NotForUs);
+            return Err(LeaseError::NotForUs);
         }
         self.quiet = self.quiet.filter(|until| *until > now);
         self.pool.pass(now);
         self.pool.sweep(now, settings.hold(settings.standing_lasts));
-        if self.pool.lives_after(holding) {
-            return Err(Fault::Old);
+        if self.pool.incarnations_after(holding) {
+            return Err(LeaseError::Old);
         }
         if self.pool.claims.len() >= settings.most_forwarders && !self.pool.claims.contains_key(&holding) {
-            return Err(Fault::TooMany);
+            return Err(LeaseError::TooMany);
         }
         self.pool.end_before(holding);
         // As much is asked of each planner.
         let amount = ask.need / settings.planners.len().max(1) as u32;
         let need = Need { resource: Resource::Origin, amount, using: ask.using, heads: 1, has: 0 };
         if !self.pool.asked(now, holding, ask.ask, need) {
-            return Err(Fault::Old);
+            return Err(LeaseError::Old);
         }
         let hold = settings.hold(settings.standing_lasts);
         if self.quiet.is_some() {
             let known = self.pool.claims.get(&holding).map_or(0, |c| c.counts());
-            let told = if ask.to == self.life { ask.has } else { 0 };
+            let told = if ask.to == self.incarnation { ask.has } else { 0 };
             let again = known.min(ask.has).max(told);
             // What is not told of to this life is not answered: the forwarder goes on with what it holds.
             return Ok((again > 0).then(|| self.pool.give(now, holding, (again, 0, 0), hold)));
@@ -305,7 +305,7 @@
     }
 
     pub fn returned(&mut self, from: Sender, ask: u64) {
-        self.pool.returned((from.member, from.life), ask);
+        self.pool.returned((from.member, from.incarnation), ask);
     }
 
     pub fn entries(&self) -> usize {
@@ -324,6 +324,6 @@
     /// All that decides what it will do, for a search over states.
     pub fn state(&self) -> impl std::hash::Hash + '_ {
         let shares = self.shares.map(|s| (s.at, s.level, s.chance.to_bits(), s.gaps));
-        (self.life, &self.pool, self.quiet, shares)
+        (self.incarnation, &self.pool, self.quiet, shares)
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod probe_scheduling;
 pub mod shard_growth;
 
-pub use endpoint_health::{Follower, Plan, Planner, Report, Seen, Settings, Verdict, Version};
-pub use member::{ForwarderId, Life, Member, PlannerId, Sender};
+pub use endpoint_health::{Follower, HealthStatus, Plan, Planner, Report, Seen, Settings, Version};
+pub use member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -22,7 +22,7 @@
 /// A member's start, or its return after it was taken for dead; later ones are greater, and what an earlier one said
 /// is void once a later one is heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Member {
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
     pub member: Member,
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Rises with each letter of a life, whoever it is to.
     pub number: u64,
 }
--- a/crates/coordination/src/membership/known.rs
+++ b/crates/coordination/src/membership/known.rs
@@ -2,14 +2,14 @@
 
 use granitelb_balancer::time::{Span, Time};
 
-use super::stale::Stale;
+use super::stale::MembershipError;
 use super::window::{Place, Window};
-use crate::component::{BEAT, SILENT};
-use crate::member::{Life, Member, Sender};
+use crate::component::{FAILURE_TIMEOUT, HEARTBEAT_INTERVAL};
+use crate::member::{Incarnation, Member, Sender};
 
 #[derive(Clone, Debug)]
 pub struct Known {
-    life: Life,
+    incarnation: Incarnation,
     window: Window,
     heard: Time,
     /// It came back under the life under which it was taken for dead, at this time.
@@ -22,7 +22,7 @@
     pub fn new(now: Time, from: Sender) -> Known {
         let mut window = Window::default();
         window.take(from.number);
-        Known { life: from.life, window, heard: now, gone: None, told: None }
+        Known { incarnation: from.incarnation, window, heard: now, gone: None, told: None }
     }
 
     pub fn heard(&self) -> Time {
@@ -30,7 +30,7 @@
     }
 
     pub fn alive(&self, now: Time) -> bool {
-        self.gone.is_none() && now - self.heard < SILENT
+        self.gone.is_none() && now - self.heard < FAILURE_TIMEOUT
     }
 
     /// Whether it says things under a life that is over.
@@ -39,9 +39,9 @@
     }
 
     /// This life, if it is a greater one than that, which has not been told so for a beat.
-    pub fn succeeds(&mut self, now: Time, life: Life) -> Option<Life> {
-        let lately = self.told.is_some_and(|at| now - at < BEAT);
-        let greater = (self.life > life && !lately).then_some(self.life)?;
+    pub fn succeeds(&mut self, now: Time, incarnation: Incarnation) -> Option<Incarnation> {
+        let lately = self.told.is_some_and(|at| now - at < HEARTBEAT_INTERVAL);
+        let greater = (self.incarnation > incarnation && !lately).then_some(self.incarnation)?;
         self.told = Some(now);
         Some(greater)
     }
@@ -51,28 +51,28 @@
         self.heard = self.heard + gap;
     }
 
-    pub fn take(&mut self, now: Time, from: Sender) -> Result<(), Stale> {
-        if from.life < self.life {
-            return Err(Stale::OlderLife);
+    pub fn take(&mut self, now: Time, from: Sender) -> Result<(), MembershipError> {
+        if from.incarnation < self.incarnation {
+            return Err(MembershipError::OlderLife);
         }
-        if from.life > self.life {
+        if from.incarnation > self.incarnation {
             *self = Known::new(now, from);
             return Ok(());
         }
         match self.window.place(from.number) {
-            Place::Taken => return Err(Stale::Twice),
-            Place::TooLate => return Err(Stale::TooLate),
+            Place::Taken => return Err(MembershipError::Twice),
+            Place::TooLate => return Err(MembershipError::TooLate),
             Place::New => self.window.take(from.number),
         }
         // Judged when it speaks: whether anyone looked while it was silent is of no account.
-        if now - self.heard >= SILENT {
+        if now - self.heard >= FAILURE_TIMEOUT {
             self.gone = Some(now);
         }
         self.heard = now;
         match (self.gone, from.member) {
             // What it had in its queues when it stopped comes within a beat; by then it knows that it stood still.
-            (Some(since), Member::Planner(_)) if now - since >= BEAT => self.gone = None,
-            (Some(_), _) => return Err(Stale::WasGone),
+            (Some(since), Member::Planner(_)) if now - since >= HEARTBEAT_INTERVAL => self.gone = None,
+            (Some(_), _) => return Err(MembershipError::WasGone),
             (None, _) => {}
         }
         Ok(())
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who lives. Members say so by beats, and any other letter is as good as one; who is silent for [`SILENT`] is taken
+//! Who lives. Members say so by beats, and any other letter is as good as one; who is silent for [`FAILURE_TIMEOUT`] is taken
 //! for dead. Forwarders beat to all planners, planners to one another and to the forwarders they heard: a star, in which
 //! forwarders know nothing of one another.
 //!
@@ -26,22 +26,22 @@
 use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::component::{BEAT, Faculty, Remark, SILENT};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use crate::component::{Component, Event, FAILURE_TIMEOUT, HEARTBEAT_INTERVAL};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use known::Known;
-pub use stale::Stale;
+pub use stale::MembershipError;
 
 pub const MOST_FORWARDERS: usize = 4096;
 pub const MOST_PLANNERS: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Message {
+pub enum MembershipMessage {
     /// I live.
     Beat,
     /// You were silent for long under this life: what you say under it is heard no more.
-    YouWereGone { life: Life },
+    YouWereGone { incarnation: Incarnation },
     /// Somebody was heard under your name by a greater life than this one of yours, which is heard no more.
-    YouWereSucceeded { life: Life, by: Life },
+    YouWereSucceeded { incarnation: Incarnation, by: Incarnation },
 }
 
 /// Between two calls of the host's; a longer gap is time in which this member stood still.
@@ -53,7 +53,7 @@
 
 pub struct Members {
     me: Member,
-    life: Life,
+    incarnation: Incarnation,
     /// Those of the operator's file, without me.
     planners: BTreeSet<PlannerId>,
     known: BTreeMap<Member, Known>,
@@ -61,11 +61,11 @@
     due: BTreeMap<Member, Time>,
     order: BTreeSet<(Time, Member)>,
     /// Who is to be told that it was gone.
-    gone: BTreeMap<Member, Life>,
+    gone: BTreeMap<Member, Incarnation>,
     /// Planners that told this one that it was gone, and when.
     told_by: BTreeMap<Member, Time>,
     /// The greatest life under this member's name that it was told of, and when it gave way to one last.
-    succeeded_by: Life,
+    succeeded_by: Incarnation,
     gave_way: Option<Time>,
     must_be_new: bool,
     /// The host's last call.
@@ -75,7 +75,7 @@
     /// When it was looked through last, and whether it has to be again.
     looked: Time,
     stirred: bool,
-    remarks: VecDeque<Remark>,
+    remarks: VecDeque<Event>,
 }
 
 /// Spreads beats: the same for the same member.
@@ -84,21 +84,21 @@
         Member::Planner(id) => u64::from(id.0),
         Member::Forwarder(id) => id.0,
     };
-    Span(n.wrapping_mul(0x9e37_79b9_7f4a_7c15) % BEAT.0)
+    Span(n.wrapping_mul(0x9e37_79b9_7f4a_7c15) % HEARTBEAT_INTERVAL.0)
 }
 
 impl Members {
-    pub fn new(me: Member, life: Life, now: Time) -> Members {
+    pub fn new(me: Member, incarnation: Incarnation, now: Time) -> Members {
         Members {
             me,
-            life,
+            incarnation,
             planners: BTreeSet::new(),
             known: BTreeMap::new(),
             due: BTreeMap::new(),
             order: BTreeSet::new(),
             gone: BTreeMap::new(),
             told_by: BTreeMap::new(),
-            succeeded_by: Life(0),
+            succeeded_by: Incarnation(0),
             gave_way: None,
             must_be_new: false,
             last: Some(now),
@@ -129,17 +129,17 @@
     ///
     /// # Errors
     /// Says why the letter is passed over.
-    pub fn take(&mut self, now: Time, from: Sender) -> Result<bool, Stale> {
+    pub fn take(&mut self, now: Time, from: Sender) -> Result<bool, MembershipError> {
         self.pass(now);
         if from.member == self.me {
-            return Err(Stale::Mine);
+            return Err(MembershipError::Mine);
         }
         if let Some(known) = self.known.get_mut(&from.member) {
             let was_alive = known.alive(now);
             let taken = known.take(now, from);
             self.stirred |= was_alive && !known.alive(now);
             if known.is_gone() && matches!(self.me, Member::Planner(_)) {
-                self.gone.insert(from.member, from.life);
+                self.gone.insert(from.member, from.incarnation);
             }
             if taken.is_ok() && !was_alive {
                 self.stirred = true;
@@ -158,18 +158,18 @@
 
     /// What its sender is to be told of a letter that was refused for its life, if anything: at where it came from, since
     /// the other one of its name is elsewhere.
-    pub fn tell_succeeded(&mut self, now: Time, from: Sender) -> Option<Message> {
+    pub fn tell_succeeded(&mut self, now: Time, from: Sender) -> Option<MembershipMessage> {
         let Member::Planner(_) = self.me else { return None };
         let known = self.known.get_mut(&from.member)?;
         let other_ended = !known.alive(now);
         let told = matches!(from.member, Member::Planner(_)) || other_ended;
-        let by = known.succeeds(now, from.life).filter(|_| told)?;
-        Some(Message::YouWereSucceeded { life: from.life, by })
+        let by = known.succeeds(now, from.incarnation).filter(|_| told)?;
+        Some(MembershipMessage::YouWereSucceeded { incarnation: from.incarnation, by })
     }
 
     /// The least life under which this member may go on.
-    pub fn least_life(&self) -> Life {
-        Life(self.life.0.max(self.succeeded_by.0).saturating_add(1))
+    pub fn least_incarnation(&self) -> Incarnation {
+        Incarnation(self.incarnation.0.max(self.succeeded_by.0).saturating_add(1))
     }
 
     /// The others that live, in order.
@@ -193,7 +193,7 @@
         }
         let before = std::mem::replace(&mut self.told, alive.clone());
         for gone in before.iter().filter(|m| alive.binary_search(m).is_err()) {
-            self.remark("member_gone", format!("{gone} has been silent for {} ms", SILENT.0 / 1000));
+            self.remark("member_gone", format!("{gone} has been silent for {} ms", FAILURE_TIMEOUT.0 / 1000));
         }
         Some(alive)
     }
@@ -202,7 +202,7 @@
     /// given some time more, so that no beat goes out just before the answer.
     pub fn sent(&mut self, now: Time, to: Member) {
         if self.due.contains_key(&to) {
-            self.beat_at(to, now + BEAT.scaled(1.25));
+            self.beat_at(to, now + HEARTBEAT_INTERVAL.scaled(1.25));
         }
     }
 
@@ -212,14 +212,14 @@
     }
 
     /// This member goes on as a new one; what it knows of others stays.
-    pub fn renewed(&mut self, life: Life) {
-        self.life = self.life.max(life);
+    pub fn renewed(&mut self, incarnation: Incarnation) {
+        self.incarnation = self.incarnation.max(incarnation);
         self.must_be_new = false;
         self.told_by.clear();
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// Time goes on; if it did so without this member, others are not held to have been silent.
@@ -228,15 +228,15 @@
         if gap >= STOOD_STILL {
             self.known.values_mut().for_each(|k| k.excuse(gap));
         }
-        if gap >= SILENT && !self.must_be_new {
+        if gap >= FAILURE_TIMEOUT && !self.must_be_new {
             self.must_be_new = true;
             let text = format!("stood still for {} ms: goes on under a new life", gap.0 / 1000);
-            self.remarks.push_back(Remark { event: "stood_still", text, warns: true });
+            self.remarks.push_back(Event { name: "stood_still", message: text, is_warning: true });
         }
         self.last = self.last.max(Some(now));
     }
 
-    fn make_room(&mut self, now: Time, member: Member) -> Result<(), Stale> {
+    fn make_room(&mut self, now: Time, member: Member) -> Result<(), MembershipError> {
         let first_forwarder = Member::Forwarder(ForwarderId(0));
         let planners = self.known.range(..first_forwarder);
         let of_planners = planners.clone().count();
@@ -250,7 +250,7 @@
             return Ok(());
         }
         let dead = alike.filter(|(_, k)| !k.alive(now)).min_by_key(|(m, k)| (k.heard(), **m));
-        let dead = dead.map(|(m, _)| *m).ok_or(Stale::TooMany)?;
+        let dead = dead.map(|(m, _)| *m).ok_or(MembershipError::TooMany)?;
         self.known.remove(&dead);
         self.gone.remove(&dead);
         self.told_by.remove(&dead);
@@ -274,7 +274,7 @@
 
     fn remark(&mut self, event: &'static str, text: String) {
         if self.remarks.len() < MOST_REMARKS {
-            self.remarks.push_back(Remark { event, text, warns: false });
+            self.remarks.push_back(Event { name: event, message: text, is_warning: false });
         }
     }
 
@@ -285,44 +285,49 @@
             return true;
         }
         self.told_by.insert(from, now);
-        self.told_by.retain(|_, at| now - *at < SILENT);
+        self.told_by.retain(|_, at| now - *at < FAILURE_TIMEOUT);
         let peers = self.alive(now).into_iter().filter(|m| matches!(m, Member::Planner(_))).count();
         // Of two planners that were cut from each other neither was dead.
         peers >= 2 && self.told_by.len() * 2 > peers
     }
 }
 
-impl Faculty for Members {
-    type Message = Message;
-    type Fault = Stale;
+impl Component for Members {
+    type Message = MembershipMessage;
+    type Error = MembershipError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Stale> {
+    fn on_message(
+        &mut self,
+        now: Time,
+        from: Sender,
+        message: MembershipMessage,
+    ) -> Result<(), MembershipError> {
         self.pass(now);
         match message {
-            Message::Beat => {}
-            Message::YouWereSucceeded { life, by } => {
+            MembershipMessage::Beat => {}
+            MembershipMessage::YouWereSucceeded { incarnation, by } => {
                 if let Member::Forwarder(_) = from.member {
-                    return Err(Stale::NotItsWord);
+                    return Err(MembershipError::NotItsWord);
                 }
-                let lately = self.gave_way.is_some_and(|at| now - at < SILENT);
-                if life == self.life && by > life && !self.must_be_new && !lately {
+                let lately = self.gave_way.is_some_and(|at| now - at < FAILURE_TIMEOUT);
+                if incarnation == self.incarnation && by > incarnation && !self.must_be_new && !lately {
                     (self.must_be_new, self.succeeded_by, self.gave_way) = (true, by, Some(now));
                     let text = format!(
                         "{} heard a greater life under this member's name: goes on under a new one. If it comes again, two \
                          processes have one name or number: stop one",
                         from.member
                     );
-                    self.remarks.push_back(Remark { event: "succeeded", text, warns: true });
+                    self.remarks.push_back(Event { name: "succeeded", message: text, is_warning: true });
                 }
             }
-            Message::YouWereGone { life } => {
+            MembershipMessage::YouWereGone { incarnation } => {
                 if let Member::Forwarder(_) = from.member {
-                    return Err(Stale::NotItsWord);
+                    return Err(MembershipError::NotItsWord);
                 }
-                if life == self.life && !self.must_be_new && self.is_gone_by(now, from.member) {
+                if incarnation == self.incarnation && !self.must_be_new && self.is_gone_by(now, from.member) {
                     self.must_be_new = true;
                     let text = format!("{} took this member for dead: goes on under a new life", from.member);
-                    self.remarks.push_back(Remark { event: "was_gone", text, warns: true });
+                    self.remarks.push_back(Event { name: "was_gone", message: text, is_warning: true });
                 }
             }
         }
@@ -330,31 +335,31 @@
     }
 
     /// Its own word is what says who lives.
-    fn members(&mut self, _: Time, _: &[Member]) {}
+    fn on_membership_change(&mut self, _: Time, _: &[Member]) {}
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, MembershipMessage)> {
         self.pass(now);
-        if let Some((member, life)) = self.gone.pop_first() {
-            return Some((member, Message::YouWereGone { life }));
+        if let Some((member, incarnation)) = self.gone.pop_first() {
+            return Some((member, MembershipMessage::YouWereGone { incarnation }));
         }
         loop {
             let (_, member) = self.order.first().copied().filter(|(at, _)| *at <= now)?;
             let listed = matches!(member, Member::Planner(id) if self.planners.contains(&id));
             if listed || self.known.get(&member).is_some_and(|k| k.alive(now)) {
-                self.beat_at(member, now + BEAT);
-                return Some((member, Message::Beat));
+                self.beat_at(member, now + HEARTBEAT_INTERVAL);
+                return Some((member, MembershipMessage::Beat));
             }
             self.due.remove(&member).map(|at| self.order.remove(&(at, member)));
         }
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         // Often enough to see soon who has become silent, and never so late that it looks like standing still.
-        let look = now + Span(BEAT.0 / 2);
+        let look = now + Span(HEARTBEAT_INTERVAL.0 / 2);
         Some(self.order.first().map_or(look, |(at, _)| look.min(*at)))
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -18,7 +18,7 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-use crate::component::Help;
+use crate::component::Remediation;
 use crate::member::Sender;
 use crate::{counterfactual, endpoint_health, leases, membership, shard_growth};
 
@@ -35,52 +35,58 @@
 
 /// What passes between members, by faculty.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Letter {
-    Members(membership::Message),
-    Verdicts(endpoint_health::Message),
-    Leases(leases::Message),
-    Growth(shard_growth::Message),
-    Hindsight(counterfactual::Message),
+pub enum Message {
+    Membership(membership::MembershipMessage),
+    EndpointHealth(endpoint_health::HealthMessage),
+    Leases(leases::LeaseMessage),
+    ShardGrowth(shard_growth::GrowthMessage),
+    Counterfactual(counterfactual::CounterfactualMessage),
 }
 
 /// Which faculty a letter is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    Members = 1,
-    Verdicts = 2,
+pub enum ComponentKind {
+    Membership = 1,
+    EndpointHealth = 2,
     Leases = 3,
-    Growth = 4,
-    Hindsight = 5,
+    ShardGrowth = 4,
+    Counterfactual = 5,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 5] = [Kind::Members, Kind::Verdicts, Kind::Leases, Kind::Growth, Kind::Hindsight];
+impl ComponentKind {
+    pub const ALL: [ComponentKind; 5] = [
+        ComponentKind::Membership,
+        ComponentKind::EndpointHealth,
+        ComponentKind::Leases,
+        ComponentKind::ShardGrowth,
+        ComponentKind::Counterfactual,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Members => "members",
-            Kind::Verdicts => "verdicts",
-            Kind::Leases => "leases",
-            Kind::Growth => "growth",
-            Kind::Hindsight => "hindsight",
+            ComponentKind::Membership => "members",
+            ComponentKind::EndpointHealth => "verdicts",
+            ComponentKind::Leases => "leases",
+            ComponentKind::ShardGrowth => "growth",
+            ComponentKind::Counterfactual => "hindsight",
         }
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ComponentKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-impl Letter {
-    pub fn kind(&self) -> Kind {
+impl Message {
+    pub fn kind(&self) -> ComponentKind {
         match self {
-            Letter::Members(_) => Kind::Members,
-            Letter::Verdicts(_) => Kind::Verdicts,
-            Letter::Leases(_) => Kind::Leases,
-            Letter::Growth(_) => Kind::Growth,
-            Letter::Hindsight(_) => Kind::Hindsight,
+            Message::Membership(_) => ComponentKind::Membership,
+            Message::EndpointHealth(_) => ComponentKind::EndpointHealth,
+            Message::Leases(_) => ComponentKind::Leases,
+            Message::ShardGrowth(_) => ComponentKind::ShardGrowth,
+            Message::Counterfactual(_) => ComponentKind::Counterfactual,
         }
     }
 }
@@ -92,9 +98,9 @@
 impl Secret {
     /// # Errors
     /// Where it is too short.
-    pub fn new(bytes: &[u8]) -> Result<Secret, Fault> {
+    pub fn new(bytes: &[u8]) -> Result<Secret, EnvelopeError> {
         let sound = Some(bytes).filter(|b| b.len() >= LEAST_SECRET);
-        sound.and_then(|b| Hmac::new_from_slice(b).ok()).map(Secret).ok_or(Fault::ShortSecret)
+        sound.and_then(|b| Hmac::new_from_slice(b).ok()).map(Secret).ok_or(EnvelopeError::ShortSecret)
     }
 
     fn signed(&self, bytes: &[u8], tag: &[u8; TAG]) -> bool {
@@ -123,7 +129,7 @@
 
 /// Why bytes are no letter, or a letter can't be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
-pub enum Fault {
+pub enum EnvelopeError {
     #[error("a secret has at least {LEAST_SECRET} bytes")]
     ShortSecret,
     #[error("no letter of this protocol")]
@@ -140,92 +146,101 @@
     TooLong(usize),
 }
 
-impl Fault {
+impl EnvelopeError {
     /// A name that stays the same, for counts in the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Fault::ShortSecret => "short_secret",
-            Fault::Stranger => "stranger",
-            Fault::OtherVersion(_) => "other_version",
-            Fault::Forged => "forged",
-            Fault::UnknownKind(_) => "unknown_kind",
-            Fault::Unreadable => "unreadable",
-            Fault::TooLong(_) => "too_long",
+            EnvelopeError::ShortSecret => "short_secret",
+            EnvelopeError::Stranger => "stranger",
+            EnvelopeError::OtherVersion(_) => "other_version",
+            EnvelopeError::Forged => "forged",
+            EnvelopeError::UnknownKind(_) => "unknown_kind",
+            EnvelopeError::Unreadable => "unreadable",
+            EnvelopeError::TooLong(_) => "too_long",
         }
     }
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for EnvelopeError {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::ShortSecret => "Make a longer one: `openssl rand -hex 32` writes 32 bytes.",
-            Fault::Stranger => "Find out who sends to the letters' port, and close it to all but members.",
-            Fault::OtherVersion(_) | Fault::UnknownKind(_) => {
+            EnvelopeError::ShortSecret => "Make a longer one: `openssl rand -hex 32` writes 32 bytes.",
+            EnvelopeError::Stranger => {
+                "Find out who sends to the letters' port, and close it to all but members."
+            }
+            EnvelopeError::OtherVersion(_) | EnvelopeError::UnknownKind(_) => {
                 "Bring all members to one version of the program; until then they decide without each other."
             }
-            Fault::Forged => {
+            EnvelopeError::Forged => {
                 "Give all members the same operator's file and send SIGHUP; if it lasts, find out who sends."
             }
-            Fault::Unreadable => "Bring all members to one version of the program; if they are, report it.",
-            Fault::TooLong(_) => "Report it: a faculty wrote more than goes into one datagram.",
+            EnvelopeError::Unreadable => {
+                "Bring all members to one version of the program; if they are, report it."
+            }
+            EnvelopeError::TooLong(_) => "Report it: a faculty wrote more than goes into one datagram.",
         }
     }
 }
 
 /// # Errors
 /// Where it would be longer than a letter may be.
-pub fn seal(sender: Sender, letter: &Letter, secrets: &Secrets) -> Result<Vec<u8>, Fault> {
+pub fn seal(sender: Sender, letter: &Message, secrets: &Secrets) -> Result<Vec<u8>, EnvelopeError> {
     let head = [MAGIC[0], MAGIC[1], VERSION, letter.kind() as u8];
     let mut bytes = match letter {
-        Letter::Members(message) => written(head, sender, message),
-        Letter::Verdicts(message) => written(head, sender, message),
-        Letter::Leases(message) => written(head, sender, message),
-        Letter::Growth(message) => written(head, sender, message),
-        Letter::Hindsight(message) => written(head, sender, message),
+        Message::Membership(message) => written(head, sender, message),
+        Message::EndpointHealth(message) => written(head, sender, message),
+        Message::Leases(message) => written(head, sender, message),
+        Message::ShardGrowth(message) => written(head, sender, message),
+        Message::Counterfactual(message) => written(head, sender, message),
     }?;
     let tag = secrets.new.0.clone().chain_update(&bytes).finalize().into_bytes();
     bytes.extend(&tag[..TAG]);
-    if bytes.len() > MOST_BYTES { Err(Fault::TooLong(bytes.len())) } else { Ok(bytes) }
+    if bytes.len() > MOST_BYTES { Err(EnvelopeError::TooLong(bytes.len())) } else { Ok(bytes) }
 }
 
 /// # Errors
 /// Whatever keeps the bytes from being one whole letter, signed with one of the secrets.
-pub fn open(bytes: &[u8], secrets: &Secrets) -> Result<(Sender, Letter), Fault> {
+pub fn open(bytes: &[u8], secrets: &Secrets) -> Result<(Sender, Message), EnvelopeError> {
     if bytes.len() > MOST_BYTES {
-        return Err(Fault::TooLong(bytes.len()));
+        return Err(EnvelopeError::TooLong(bytes.len()));
     }
-    let (signed, tag) = bytes.split_last_chunk::<TAG>().ok_or(Fault::Stranger)?;
-    let (head, body) = signed.split_first_chunk::<HEAD>().ok_or(Fault::Stranger)?;
+    let (signed, tag) = bytes.split_last_chunk::<TAG>().ok_or(EnvelopeError::Stranger)?;
+    let (head, body) = signed.split_first_chunk::<HEAD>().ok_or(EnvelopeError::Stranger)?;
     let [m0, m1, version, kind] = *head;
     if [m0, m1] != MAGIC {
-        return Err(Fault::Stranger);
+        return Err(EnvelopeError::Stranger);
     }
     if version != VERSION {
-        return Err(Fault::OtherVersion(version));
+        return Err(EnvelopeError::OtherVersion(version));
     }
     let mut known = [Some(&secrets.new), secrets.old.as_ref()].into_iter().flatten();
     if !known.any(|secret| secret.signed(signed, tag)) {
-        return Err(Fault::Forged);
+        return Err(EnvelopeError::Forged);
     }
-    let kind = Kind::ALL.into_iter().find(|k| *k as u8 == kind).ok_or(Fault::UnknownKind(kind))?;
+    let kind =
+        ComponentKind::ALL.into_iter().find(|k| *k as u8 == kind).ok_or(EnvelopeError::UnknownKind(kind))?;
     match kind {
-        Kind::Members => read(body, Letter::Members),
-        Kind::Verdicts => read(body, Letter::Verdicts),
-        Kind::Leases => read(body, Letter::Leases),
-        Kind::Growth => read(body, Letter::Growth),
-        Kind::Hindsight => read(body, Letter::Hindsight),
+        ComponentKind::Membership => read(body, Message::Membership),
+        ComponentKind::EndpointHealth => read(body, Message::EndpointHealth),
+        ComponentKind::Leases => read(body, Message::Leases),
+        ComponentKind::ShardGrowth => read(body, Message::ShardGrowth),
+        ComponentKind::Counterfactual => read(body, Message::Counterfactual),
     }
 }
 
-fn written(head: [u8; HEAD], sender: Sender, message: &impl Serialize) -> Result<Vec<u8>, Fault> {
-    let bytes = postcard::to_extend(&(sender, message), head.to_vec()).map_err(|_| Fault::Unreadable)?;
-    if bytes.len() > MOST_BYTES { Err(Fault::TooLong(bytes.len())) } else { Ok(bytes) }
+fn written(head: [u8; HEAD], sender: Sender, message: &impl Serialize) -> Result<Vec<u8>, EnvelopeError> {
+    let bytes =
+        postcard::to_extend(&(sender, message), head.to_vec()).map_err(|_| EnvelopeError::Unreadable)?;
+    if bytes.len() > MOST_BYTES { Err(EnvelopeError::TooLong(bytes.len())) } else { Ok(bytes) }
 }
 
-fn read<M: DeserializeOwned>(body: &[u8], of: impl Fn(M) -> Letter) -> Result<(Sender, Letter), Fault> {
+fn read<M: DeserializeOwned>(
+    body: &[u8],
+    of: impl Fn(M) -> Message,
+) -> Result<(Sender, Message), EnvelopeError> {
     match postcard::take_from_bytes::<(Sender, M)>(body) {
         Ok(((sender, message), [])) => Ok((sender, of(message))),
         // Whoever sent what goes on after its end meant something else by it.
-        _ => Err(Fault::Unreadable),
+        _ => Err(EnvelopeError::Unreadable),
     }
 }
--- a/crates/coordination/src/observation.rs
+++ b/crates/coordination/src/observation.rs
@@ -1,28 +1,28 @@
 //! What a forwarder's loop tells its own side of the faculties: what it did, and what came of it. It is told by value
 //! over a bounded channel, and no call waits for it.
 
-use granitelb_balancer::calls::Outcome;
-use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sight {
+pub enum Observation {
     /// The caches and origins that may get shots now, all of them.
-    Listed(Vec<Server>),
-    Sent {
-        cache: CacheId,
+    EndpointsChanged(Vec<ObservedEndpoint>),
+    AttemptSent {
+        cache: EndpointId,
         is_origin: bool,
         write: bool,
     },
-    Ended(Box<Ended>),
+    AttemptFinished(Box<FinishedAttempt>),
     /// A read that caches lacked was rate-limited: it would have been fetched.
-    Denied,
+    FetchDenied,
 }
 
 /// A server as the list has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Server {
-    pub cache: CacheId,
+pub struct ObservedEndpoint {
+    pub cache: EndpointId,
     pub is_origin: bool,
     pub zone: u16,
     pub size: f64,
@@ -34,21 +34,21 @@
 
 /// A shot that has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct FinishedAttempt {
     /// The same at all nodes for the same call of a client's: a hash of the name that the client gave it.
     pub call: u64,
     /// Of the call's shots, from 0.
     pub number: u8,
     pub key: Key,
-    pub product: ProductId,
+    pub request_class: RequestClassId,
     pub write: bool,
     /// The client's guess at the work, if it gave one.
     pub work: Option<Span>,
-    pub cache: CacheId,
+    pub cache: EndpointId,
     pub is_origin: bool,
     /// The key's candidates in their order of that moment; given for sampled calls alone.
-    pub candidates: Vec<CacheId>,
-    pub outcome: Outcome,
+    pub candidates: Vec<EndpointId>,
+    pub outcome: AttemptOutcome,
     /// From the first byte sent to the last byte received, or to the end of waiting.
     pub latency: Span,
     /// Of the answer's body, or of the value that was written.
--- a/crates/coordination/src/probe_scheduling/rank.rs
+++ b/crates/coordination/src/probe_scheduling/rank.rs
@@ -1,6 +1,6 @@
 //! Whose turn a duty is: the members with the greatest hash of duty, window and member (rendezvous hashing).
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::member::ForwarderId;
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Duty {
     /// Trying a cache that fails.
-    Try(CacheId),
+    Try(EndpointId),
     /// Opening connections first to a cache that comes up.
-    Open(CacheId),
+    Open(EndpointId),
     /// Asking discovery anew when watches break.
     List,
 }
--- a/crates/coordination/src/probe_scheduling/trials.rs
+++ b/crates/coordination/src/probe_scheduling/trials.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 
 use super::rank::{Duty, Window, holders};
@@ -60,7 +60,7 @@
     members: Vec<ForwarderId>,
     /// Planners before this one.
     before: u64,
-    sick: BTreeMap<CacheId, Sick>,
+    sick: BTreeMap<EndpointId, Sick>,
 }
 
 impl Trials {
@@ -70,7 +70,7 @@
     }
 
     /// The forwarders that live, in order, and how many planners that live are before this one.
-    pub fn members(&mut self, members: Vec<ForwarderId>, before: usize) {
+    pub fn on_membership_change(&mut self, members: Vec<ForwarderId>, before: usize) {
         (self.members, self.before) = (members, before as u64);
         for (cache, sick) in &mut self.sick {
             if self.before == 0 {
@@ -81,7 +81,7 @@
     }
 
     /// A cache is held to fail; before that it got so many shots a second of all forwarders.
-    pub fn fell_ill(&mut self, now: Time, cache: CacheId, rate: f64) {
+    pub fn fell_ill(&mut self, now: Time, cache: EndpointId, rate: f64) {
         self.advance(now);
         if self.sick.len() >= self.settings.most_caches || self.sick.contains_key(&cache) {
             return;
@@ -106,12 +106,12 @@
         self.sick.insert(cache, sick);
     }
 
-    pub fn healed(&mut self, cache: CacheId) {
+    pub fn healed(&mut self, cache: EndpointId) {
         self.sick.remove(&cache);
     }
 
     /// So many shots were sent to a failing cache; whether some were answered.
-    pub fn tried(&mut self, now: Time, cache: CacheId, sent: f64, answered: bool) {
+    pub fn tried(&mut self, now: Time, cache: EndpointId, sent: f64, answered: bool) {
         self.advance(now);
         let Some(sick) = self.sick.get_mut(&cache) else { return };
         sick.sent += sent;
@@ -123,7 +123,7 @@
     }
 
     /// Whether it is this forwarder's turn to try a failing cache.
-    pub fn has(&mut self, now: Time, cache: CacheId, forwarder: ForwarderId) -> bool {
+    pub fn has(&mut self, now: Time, cache: EndpointId, forwarder: ForwarderId) -> bool {
         self.advance(now);
         self.sick.get(&cache).is_some_and(|s| s.holders.binary_search(&forwarder).is_ok())
     }
@@ -166,7 +166,7 @@
     sick.many = sick.many.min(live);
 }
 
-fn pick(window: Window, members: &[ForwarderId], cache: CacheId, sick: &mut Sick) {
+fn pick(window: Window, members: &[ForwarderId], cache: EndpointId, sick: &mut Sick) {
     sick.holders = holders(Duty::Try(cache), window, members, sick.many);
     sick.holders.sort_unstable();
 }
--- a/crates/coordination/src/shard_growth/agree.rs
+++ b/crates/coordination/src/shard_growth/agree.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::form::{Form, FormVersion};
-use crate::member::{Life, PlannerId};
+use crate::member::{Incarnation, PlannerId};
 
 /// A try at a version: higher ones win, and no two planners have the same, nor two lives of one: it may have lost what it
 /// kept of its earlier tries.
@@ -27,7 +27,7 @@
 pub struct Ballot {
     pub round: u64,
     pub planner: u8,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
     },
     /// Asks where a planner is: by one that has nothing kept. Answers to its earlier lives are void.
     Where {
-        life: u64,
+        incarnation: u64,
     },
     /// What it promised and took for the version after the decided one, which it tells by a letter of its own.
     Here {
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct Agree {
     me: PlannerId,
-    life: Life,
+    incarnation: Incarnation,
     planners: BTreeSet<PlannerId>,
     majority: usize,
     kept: Kept,
@@ -114,12 +114,17 @@
 
 impl Agree {
     /// `planners` are all that are configured, and `kept` what this one found on its disk.
-    pub fn new(me: PlannerId, life: Life, planners: BTreeSet<PlannerId>, kept: Option<Kept>) -> Agree {
+    pub fn new(
+        me: PlannerId,
+        incarnation: Incarnation,
+        planners: BTreeSet<PlannerId>,
+        kept: Option<Kept>,
+    ) -> Agree {
         let majority = planners.len() / 2 + 1;
         let recovering = kept.is_none().then(BTreeMap::new);
         let mut agree = Agree {
             me,
-            life,
+            incarnation,
             majority,
             kept: kept.unwrap_or_default(),
             recovering,
@@ -160,7 +165,7 @@
             return;
         }
         self.highest_seen += 1;
-        let ballot = Ballot { round: self.highest_seen, planner: self.me.0, life: self.life.0 };
+        let ballot = Ballot { round: self.highest_seen, planner: self.me.0, incarnation: self.incarnation.0 };
         let version = form.version;
         self.proposal = Some(Proposal {
             ballot,
@@ -182,12 +187,12 @@
             let form = self.kept.decided.clone();
             self.send(planner, Vote::Decided { form });
         } else {
-            self.send(planner, Vote::Where { life: self.life.0 });
+            self.send(planner, Vote::Where { incarnation: self.incarnation.0 });
         }
     }
 
     /// False where the sender is none of the configured planners, or says what no planner would.
-    pub fn heard(&mut self, from: PlannerId, vote: Vote) -> bool {
+    pub fn on_message(&mut self, from: PlannerId, vote: Vote) -> bool {
         if !self.planners.contains(&from) || !is_sound(from, &vote) {
             return false;
         }
@@ -206,15 +211,18 @@
                 self.learn(form);
                 self.recover();
             }
-            Vote::Where { life } => {
+            Vote::Where { incarnation } => {
                 // It has forgotten its votes: none counts here any more.
                 self.proposal = None;
                 self.remind_decided(from);
                 let Kept { decided, promised, took } = self.kept.clone();
-                self.send(from, Vote::Here { to_life: life, decided: decided.version, promised, took });
+                self.send(
+                    from,
+                    Vote::Here { to_life: incarnation, decided: decided.version, promised, took },
+                );
             }
             Vote::Here { to_life, decided, promised, took } => {
-                if let Some(said) = self.recovering.as_mut().filter(|_| to_life == self.life.0) {
+                if let Some(said) = self.recovering.as_mut().filter(|_| to_life == self.incarnation.0) {
                     said.insert(from, (decided, promised, took));
                     self.recover();
                 }
@@ -223,7 +231,7 @@
         true
     }
 
-    pub fn next_letter(&mut self) -> Option<(PlannerId, Vote)> {
+    pub fn poll_message(&mut self) -> Option<(PlannerId, Vote)> {
         if self.unkept { None } else { self.out.pop_front() }
     }
 
@@ -238,7 +246,7 @@
 
     /// What is to be kept, if it has changed since it was pulled last. Nothing before it has recovered: after a restart
     /// it would pass for one that remembers its votes.
-    pub fn to_keep(&mut self) -> Option<&Kept> {
+    pub fn poll_snapshot(&mut self) -> Option<&Kept> {
         std::mem::take(&mut self.unkept).then_some(&self.kept)
     }
 
@@ -360,7 +368,7 @@
     /// A letter to itself is heard at once; what is said to others waits until it is kept.
     fn send(&mut self, to: PlannerId, vote: Vote) {
         if to == self.me {
-            self.heard(to, vote);
+            self.on_message(to, vote);
         } else if self.out.len() < MOST_OUT {
             self.out.push_back((to, vote));
         }
--- a/crates/coordination/src/shard_growth/form.rs
+++ b/crates/coordination/src/shard_growth/form.rs
@@ -118,17 +118,17 @@
     }
 
     /// As the module takes it.
-    pub fn for_module(&self) -> calls::TableForm {
+    pub fn for_module(&self) -> calls::ShardMap {
         let moving = |step| match step {
-            Some(Step::Copying(n)) => calls::Moving::Copying { sixteenths: n },
-            Some(Step::BothRead) => calls::Moving::BothRead,
-            Some(Step::Switched) => calls::Moving::Switched,
-            Some(Step::Foreseen | Step::Planned | Step::Withdrawn) | None => calls::Moving::Still,
+            Some(Step::Copying(n)) => calls::MigrationPhase::Copying { sixteenths: n },
+            Some(Step::BothRead) => calls::MigrationPhase::DualRead,
+            Some(Step::Switched) => calls::MigrationPhase::Switched,
+            Some(Step::Foreseen | Step::Planned | Step::Withdrawn) | None => calls::MigrationPhase::Stable,
         };
         let shards = self
             .shards
             .iter()
             .map(|(shard, s)| (shard.0, calls::ShardSplit { bits: s.bits, moving: moving(s.step) }));
-        calls::TableForm { version: self.version.0, shards: shards.collect() }
+        calls::ShardMap { version: self.version.0, shards: shards.collect() }
     }
 }
