--- a/crates/coordination/src/shard_growth/forwarder.rs
+++ b/crates/coordination/src/shard_growth/forwarder.rs
@@ -5,18 +5,18 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb_balancer::calls::{Outcome, TableForm};
+use granitelb_balancer::calls::{AttemptOutcome, ShardMap};
 use granitelb_balancer::slot_table::{key_hash, shard_of};
 use granitelb_balancer::time::{Span, Time};
 
 use super::form::{Form, FormVersion};
 use super::listing::{self, List};
-use super::message::{Fault, MOST_REGISTERS, Message};
+use super::message::{GrowthError, GrowthMessage, MOST_REGISTERS};
 use super::origin::Fetches;
 use super::sketch::{Counts, Day, Distinct, Of, REGISTERS, SHARDS, Shard};
-use crate::component::{Faculty, Remark};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
-use crate::observation::{Ended, Sight};
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+use crate::observation::{FinishedAttempt, Observation};
 
 #[derive(Clone, Debug)]
 pub struct ForwarderSettings {
@@ -59,7 +59,7 @@
 const LOOKS: Span = Span::from_millis(1000);
 
 #[derive(Debug)]
-pub struct AtForwarder {
+pub struct ForwarderComponent {
     settings: ForwarderSettings,
     planners: BTreeSet<PlannerId>,
     /// The book's day, as the planner of the lowest number that lives has it.
@@ -75,13 +75,18 @@
     next_shard: u8,
     due: Time,
     beat_due: Time,
-    out: VecDeque<(Member, Message)>,
-    remarks: VecDeque<Remark>,
+    out: VecDeque<(Member, GrowthMessage)>,
+    remarks: VecDeque<Event>,
 }
 
-impl AtForwarder {
-    pub fn new(settings: ForwarderSettings, me: ForwarderId, life: Life, now: Time) -> AtForwarder {
-        AtForwarder {
+impl ForwarderComponent {
+    pub fn new(
+        settings: ForwarderSettings,
+        me: ForwarderId,
+        incarnation: Incarnation,
+        now: Time,
+    ) -> ForwarderComponent {
+        ForwarderComponent {
             planners: BTreeSet::new(),
             day: None,
             today: BTreeMap::new(),
@@ -92,7 +97,7 @@
             list: List::default(),
             list_due: now,
             // Forwarders that start together begin their rounds at unlike shards.
-            next_shard: (me.0 ^ life.0) as u8,
+            next_shard: (me.0 ^ incarnation.0) as u8,
             due: now,
             beat_due: now,
             out: VecDeque::new(),
@@ -102,18 +107,18 @@
     }
 
     /// What the node did, as its loop tells it.
-    pub fn seen(&mut self, now: Time, sight: &Sight) {
+    pub fn seen(&mut self, now: Time, sight: &Observation) {
         match sight {
-            Sight::Ended(ended) => self.ended(now, ended),
-            Sight::Listed(servers) => {
+            Observation::AttemptFinished(ended) => self.ended(now, ended),
+            Observation::EndpointsChanged(servers) => {
                 self.list.learn(servers);
                 self.list_due = now;
             }
-            Sight::Sent { .. } | Sight::Denied => {}
+            Observation::AttemptSent { .. } | Observation::FetchDenied => {}
         }
     }
 
-    fn ended(&mut self, now: Time, ended: &Ended) {
+    fn ended(&mut self, now: Time, ended: &FinishedAttempt) {
         if ended.is_origin {
             self.fetches.ended(now, ended, self.settings.fetches);
         }
@@ -122,7 +127,7 @@
         let was_stored = place.0 == hash && now - place.1 <= self.settings.lately;
         let seen = self.today.entry(shard).or_default();
         match ended.outcome {
-            Outcome::Fulfilled => {
+            AttemptOutcome::Fulfilled => {
                 seen.counts.bytes += u64::from(ended.bytes);
                 seen.counts.sized += 1;
                 if ended.write {
@@ -138,13 +143,15 @@
                     *place = (hash, now);
                 }
             }
-            Outcome::Lacking if !ended.is_origin && !ended.write && was_stored => seen.counts.evicted += 1,
+            AttemptOutcome::CacheMiss if !ended.is_origin && !ended.write && was_stored => {
+                seen.counts.evicted += 1
+            }
             _ => {}
         }
     }
 
     /// The table's form for the module.
-    pub fn advice(&self) -> Option<TableForm> {
+    pub fn advice(&self) -> Option<ShardMap> {
         (self.form.version > FormVersion(0)).then(|| self.form.for_module())
     }
 
@@ -152,16 +159,16 @@
         if now >= self.beat_due {
             self.beat_due = now + self.settings.beat;
             let version = self.form.version;
-            self.tell(&Message::Holds { version });
+            self.tell(&GrowthMessage::Holds { version });
             if self.fetches.are_slow(now, self.settings.fetches) {
-                self.tell(&Message::OriginSlow);
+                self.tell(&GrowthMessage::OriginSlow);
             }
         }
         if now >= self.list_due && !self.planners.is_empty() {
             self.list_due = now + LOOKS;
             let news = self.list.next(now, self.settings.lists);
             for part in news.chunks(listing::IN_A_LETTER) {
-                self.tell(&Message::Caches { listed: part.to_vec() });
+                self.tell(&GrowthMessage::Caches { listed: part.to_vec() });
             }
         }
         // A host that looks in seldom has several shards due by then: each day has to be said whole before it ends.
@@ -180,12 +187,12 @@
         self.before.take_if(|b| now >= b.2);
         let today = self.day.zip(self.today.get(&shard));
         let before = self.before.as_ref().and_then(|(day, all, _)| Some((*day, all.get(&shard)?)));
-        let said: Vec<Message> =
+        let said: Vec<GrowthMessage> =
             today.into_iter().chain(before).flat_map(|(day, seen)| letters(day, shard, seen)).collect();
         said.iter().for_each(|message| self.tell(message));
     }
 
-    fn tell(&mut self, message: &Message) {
+    fn tell(&mut self, message: &GrowthMessage) {
         for planner in &self.planners {
             if self.out.len() < MOST_OUT {
                 self.out.push_back((Member::Planner(*planner), message.clone()));
@@ -195,12 +202,12 @@
 }
 
 /// All that was seen of a shard in a day.
-fn letters(day: Day, shard: Shard, seen: &Seen) -> Vec<Message> {
-    let mut said = vec![Message::Counted { day, counts: vec![(shard, seen.counts)] }];
+fn letters(day: Day, shard: Shard, seen: &Seen) -> Vec<GrowthMessage> {
+    let mut said = vec![GrowthMessage::Counted { day, counts: vec![(shard, seen.counts)] }];
     for (of, sketch) in [(Of::Read, &seen.read), (Of::Written, &seen.written)] {
         let set: Vec<(u16, u8)> =
             (0..REGISTERS as u16).map(|r| (r, sketch.register(r))).filter(|r| r.1 > 0).collect();
-        said.extend(set.chunks(MOST_REGISTERS).map(|registers| Message::Sketch {
+        said.extend(set.chunks(MOST_REGISTERS).map(|registers| GrowthMessage::Sketch {
             day,
             shard,
             of,
@@ -210,14 +217,14 @@
     said
 }
 
-impl Faculty for AtForwarder {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for ForwarderComponent {
+    type Message = GrowthMessage;
+    type Error = GrowthError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
-        let Member::Planner(planner) = from.member else { return Err(Fault::Stranger) };
+    fn on_message(&mut self, now: Time, from: Sender, message: GrowthMessage) -> Result<(), GrowthError> {
+        let Member::Planner(planner) = from.member else { return Err(GrowthError::Stranger) };
         match message {
-            Message::Today { day } => {
+            GrowthMessage::Today { day } => {
                 // One planner's calendar goes, or a wrong one would begin days at will.
                 if self.planners.first().is_none_or(|first| *first == planner)
                     && self.day.is_none_or(|known| day > known)
@@ -230,22 +237,22 @@
                 }
                 Ok(())
             }
-            Message::Table { form } if !form.is_sound() => Err(Fault::Nonsense),
-            Message::Table { form } => {
+            GrowthMessage::Table { form } if !form.is_sound() => Err(GrowthError::Nonsense),
+            GrowthMessage::Table { form } => {
                 if form.version > self.form.version {
                     let text = format!("the table's form {} is taken", form.version.0);
                     self.remarks.truncate(15);
-                    self.remarks.push_back(Remark { event: "growth_form", text, warns: false });
+                    self.remarks.push_back(Event { name: "growth_form", message: text, is_warning: false });
                     self.form = form;
                     self.beat_due = now;
                 }
                 Ok(())
             }
-            _ => Err(Fault::Stranger),
+            _ => Err(GrowthError::Stranger),
         }
     }
 
-    fn members(&mut self, now: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, now: Time, alive: &[Member]) {
         let planners = alive.iter().filter_map(|m| match m {
             Member::Planner(id) => Some(*id),
             Member::Forwarder(_) => None,
@@ -259,16 +266,16 @@
         self.planners = planners;
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, GrowthMessage)> {
         self.round(now);
         self.out.pop_front()
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         Some(if self.out.is_empty() { self.due.min(self.beat_due).min(self.list_due).max(now) } else { now })
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
--- a/crates/coordination/src/shard_growth/history.rs
+++ b/crates/coordination/src/shard_growth/history.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::forecast::{NotYet, Point, forecast};
-use super::message::Fault;
+use super::message::GrowthError;
 use super::sketch::{Day, SHARDS, Shard, ShardDay};
-use crate::member::{ForwarderId, Life};
+use crate::member::{ForwarderId, Incarnation};
 
 /// Days that are kept of each shard.
 pub const MOST_DAYS: usize = 400;
@@ -45,10 +45,10 @@
     ///
     /// # Errors
     /// Any other day, and one that has ended here.
-    pub fn open(&mut self, today: Day, day: Day, shard: Shard) -> Result<&mut ShardDay, Fault> {
+    pub fn open(&mut self, today: Day, day: Day, shard: Shard) -> Result<&mut ShardDay, GrowthError> {
         let ended = self.days.get(&shard).and_then(|d| d.last()).is_some_and(|last| last.0 >= day);
         if ended || day.0.abs_diff(today.0) > 1 {
-            return Err(Fault::OldDay);
+            return Err(GrowthError::OldDay);
         }
         Ok(self.open.entry(day).or_default().entry(shard).or_default())
     }
@@ -62,11 +62,11 @@
         today: Day,
         day: Day,
         shard: Shard,
-        (forwarder, life): (ForwarderId, Life),
+        (forwarder, incarnation): (ForwarderId, Incarnation),
         counts: &super::sketch::Counts,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), GrowthError> {
         let known = self.open(today, day, shard)?;
-        known.raise(forwarder, life, counts).then_some(()).ok_or(Fault::Full)
+        known.raise(forwarder, incarnation, counts).then_some(()).ok_or(GrowthError::Full)
     }
 
     /// Ends all days up to one; whether there was any.
--- a/crates/coordination/src/shard_growth/listing.rs
+++ b/crates/coordination/src/shard_growth/listing.rs
@@ -6,13 +6,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-use super::message::Fault;
+use super::message::GrowthError;
 use crate::member::ForwarderId;
-use crate::observation::Server;
+use crate::observation::ObservedEndpoint;
 
 /// In one letter: 20 bytes each at most.
 pub const IN_A_LETTER: usize = 50;
@@ -25,7 +25,7 @@
 /// A cache as a forwarder has it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
-    pub cache: CacheId,
+    pub cache: EndpointId,
     pub size: f64,
     pub cold: bool,
 }
@@ -33,13 +33,13 @@
 /// The forwarder's side: its list, and what of it was said.
 #[derive(Debug, Default)]
 pub struct List {
-    servers: Vec<Server>,
-    said: BTreeMap<CacheId, Listed>,
+    servers: Vec<ObservedEndpoint>,
+    said: BTreeMap<EndpointId, Listed>,
     due: Time,
 }
 
 impl List {
-    pub fn learn(&mut self, servers: &[Server]) {
+    pub fn learn(&mut self, servers: &[ObservedEndpoint]) {
         self.servers = servers.iter().filter(|s| !s.is_origin).take(MOST_OF_ONE).copied().collect();
     }
 
@@ -50,7 +50,7 @@
 
     /// What to say now: all of it once in a while, else what has changed.
     pub fn next(&mut self, now: Time, every: Span) -> Vec<Listed> {
-        let listed = |s: &Server| {
+        let listed = |s: &ObservedEndpoint| {
             let cold = s.started.is_some_and(|at| now - at < s.warm_after);
             Listed { cache: s.cache, size: s.size, cold }
         };
@@ -72,7 +72,7 @@
 /// The planner's side: who says what of each cache.
 #[derive(Debug, Default)]
 pub struct Listings {
-    caches: BTreeMap<CacheId, BTreeMap<ForwarderId, (Listed, Time)>>,
+    caches: BTreeMap<EndpointId, BTreeMap<ForwarderId, (Listed, Time)>>,
     /// How many caches each forwarder tells of.
     of: BTreeMap<ForwarderId, usize>,
 }
@@ -80,24 +80,24 @@
 /// What is believed of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Believed {
-    pub sizes: Vec<(CacheId, f64)>,
-    pub cold: BTreeSet<CacheId>,
+    pub sizes: Vec<(EndpointId, f64)>,
+    pub cold: BTreeSet<EndpointId>,
 }
 
 impl Listings {
     /// # Errors
     /// Figures that no list has, or more caches than are kept; those before them count.
-    pub fn heard(&mut self, now: Time, from: ForwarderId, listed: &[Listed]) -> Result<(), Fault> {
+    pub fn on_message(&mut self, now: Time, from: ForwarderId, listed: &[Listed]) -> Result<(), GrowthError> {
         let sound = |l: &Listed| l.size.is_finite() && l.size > 0.0 && l.size <= 1e9;
         if listed.len() > IN_A_LETTER || !listed.iter().all(sound) {
-            return Err(Fault::Nonsense);
+            return Err(GrowthError::Nonsense);
         }
         for one in listed {
             let full = self.caches.len() >= MOST_CACHES && !self.caches.contains_key(&one.cache);
             let count = self.of.entry(from).or_default();
             let known = self.caches.get(&one.cache).is_some_and(|c| c.contains_key(&from));
             if full || !known && *count >= MOST_OF_ONE {
-                return Err(Fault::Full);
+                return Err(GrowthError::Full);
             }
             *count += usize::from(!known);
             self.caches.entry(one.cache).or_default().insert(from, (*one, now));
--- a/crates/coordination/src/shard_growth/message.rs
+++ b/crates/coordination/src/shard_growth/message.rs
@@ -8,7 +8,7 @@
 use super::history::Days;
 use super::listing::Listed;
 use super::sketch::{Counts, Day, Of, Shard};
-use crate::component::Help;
+use crate::component::Remediation;
 
 /// Registers of a sketch that rose, in one letter.
 pub const MOST_REGISTERS: usize = 300;
@@ -16,7 +16,7 @@
 pub const MOST_ENDED: usize = 75;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
+pub enum GrowthMessage {
     /// From a forwarder: registers of one shard's sketch.
     Sketch { day: Day, shard: Shard, of: Of, registers: Vec<(u16, u8)> },
     /// From a forwarder: what this life counted of some shards.
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum GrowthError {
     #[error("a letter of growth from a member that would not write it")]
     Stranger,
     #[error("a letter of growth with figures that no member would say")]
@@ -49,17 +49,19 @@
     Full,
 }
 
-impl Help for Fault {
-    fn help(&self) -> &'static str {
+impl Remediation for GrowthError {
+    fn remediation(&self) -> &'static str {
         match self {
-            Fault::Stranger => {
+            GrowthError::Stranger => {
                 "Check that all planners have the same operator's file, with the same numbers."
             }
-            Fault::Nonsense => "Check that all members run the same version; if they do, look at the sender.",
-            Fault::OldDay => {
+            GrowthError::Nonsense => {
+                "Check that all members run the same version; if they do, look at the sender."
+            }
+            GrowthError::OldDay => {
                 "Some of these are usual at midnight; if they go on, check the planners' calendars."
             }
-            Fault::Full => {
+            GrowthError::Full => {
                 "More forwarders started today than are counted; look for ones that restart all the time."
             }
         }
@@ -68,20 +70,20 @@
 
 /// What is kept can't be read. The file has to be kept aside: it may be another version's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KeptFault {
+pub enum SnapshotError {
     #[error("what growth kept is of version {0}, and this program writes version {VERSION}")]
     OtherVersion(u8),
     #[error("what growth kept is torn or not its own")]
     Torn,
 }
 
-impl Help for KeptFault {
-    fn help(&self) -> &'static str {
+impl Remediation for SnapshotError {
+    fn remediation(&self) -> &'static str {
         match self {
-            KeptFault::OtherVersion(_) => {
+            SnapshotError::OtherVersion(_) => {
                 "Run the program that wrote it; or move the file aside and start with none while all other planners are up."
             }
-            KeptFault::Torn => {
+            SnapshotError::Torn => {
                 "Move the file aside and start with none while all other planners are up: it asks them for what it lost."
             }
         }
@@ -109,18 +111,18 @@
 
     /// # Errors
     /// Says what is wrong with them; they are never half read.
-    pub fn of_bytes(bytes: &[u8]) -> Result<Archive, KeptFault> {
-        let (&version, _) = bytes.split_first().ok_or(KeptFault::Torn)?;
-        let (said, sum) = bytes.split_last_chunk::<8>().ok_or(KeptFault::Torn)?;
+    pub fn of_bytes(bytes: &[u8]) -> Result<Archive, SnapshotError> {
+        let (&version, _) = bytes.split_first().ok_or(SnapshotError::Torn)?;
+        let (said, sum) = bytes.split_last_chunk::<8>().ok_or(SnapshotError::Torn)?;
         if xxhash_rust::xxh3::xxh3_64(said).to_be_bytes() != *sum {
-            return Err(KeptFault::Torn);
+            return Err(SnapshotError::Torn);
         }
         if version != VERSION {
-            return Err(KeptFault::OtherVersion(version));
+            return Err(SnapshotError::OtherVersion(version));
         }
-        let archive: Archive = postcard::from_bytes(&said[1..]).map_err(|_| KeptFault::Torn)?;
+        let archive: Archive = postcard::from_bytes(&said[1..]).map_err(|_| SnapshotError::Torn)?;
         let days = archive.history.iter().all(|(_, days)| days.windows(2).all(|w| w[0].0 < w[1].0));
-        days.then_some(archive).ok_or(KeptFault::Torn)
+        days.then_some(archive).ok_or(SnapshotError::Torn)
     }
 }
 
--- a/crates/coordination/src/shard_growth/mod.rs
+++ b/crates/coordination/src/shard_growth/mod.rs
@@ -15,6 +15,6 @@
 pub mod schedule;
 pub mod sketch;
 
-pub use forwarder::{AtForwarder, ForwarderSettings};
-pub use message::{Archive, Calendar, Fault, KeptFault, Message};
-pub use planner::{AtPlanner, Fleet, Settings};
+pub use forwarder::{ForwarderComponent, ForwarderSettings};
+pub use message::{Archive, Calendar, GrowthError, GrowthMessage, SnapshotError};
+pub use planner::{Fleet, PlannerComponent, Settings};
--- a/crates/coordination/src/shard_growth/origin.rs
+++ b/crates/coordination/src/shard_growth/origin.rs
@@ -6,11 +6,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::calls::Outcome;
+use granitelb_balancer::calls::AttemptOutcome;
 use granitelb_balancer::time::{Span, Time};
 
 use crate::member::ForwarderId;
-use crate::observation::Ended;
+use crate::observation::FinishedAttempt;
 
 /// Fewer fetches of late tell nothing.
 const FEWEST: f64 = 3.0;
@@ -26,14 +26,16 @@
 
 impl Fetches {
     /// A shot has ended at the origin. One that took more than half of its SLO is late, or one that came to nothing.
-    pub fn ended(&mut self, now: Time, ended: &Ended, memory: Span) {
+    pub fn ended(&mut self, now: Time, ended: &FinishedAttempt, memory: Span) {
         let late = match ended.outcome {
-            Outcome::Fulfilled | Outcome::Lacking | Outcome::Recalled => ended.latency.0 > ended.slo.0 / 2,
-            Outcome::Moot => return,
+            AttemptOutcome::Fulfilled | AttemptOutcome::CacheMiss | AttemptOutcome::Cancelled => {
+                ended.latency.0 > ended.slo.0 / 2
+            }
+            AttemptOutcome::NotSent => return,
             _ => true,
         };
         // Called off in time: nobody knows what it would have taken.
-        if ended.write || ended.outcome == Outcome::Recalled && !late {
+        if ended.write || ended.outcome == AttemptOutcome::Cancelled && !late {
             return;
         }
         self.pass(now, memory);
@@ -58,7 +60,7 @@
 
 impl Said {
     /// Only those that live are kept, so that they are as many as there are.
-    pub fn heard(&mut self, now: Time, from: ForwarderId, live: &BTreeSet<ForwarderId>) {
+    pub fn on_message(&mut self, now: Time, from: ForwarderId, live: &BTreeSet<ForwarderId>) {
         self.0.retain(|known, _| live.contains(known));
         if live.contains(&from) {
             self.0.insert(from, now);
--- a/crates/coordination/src/shard_growth/planner.rs
+++ b/crates/coordination/src/shard_growth/planner.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::slot_table::caches_of;
 use granitelb_balancer::time::{Span, Time};
 
@@ -15,12 +15,14 @@
 use super::form::{Form, FormVersion, MOST_BITS, Step};
 use super::history::{Edges, History};
 use super::listing::{Believed, Listings};
-use super::message::{Archive, Calendar, Fault, KeptFault, MOST_ENDED, MOST_REGISTERS, Message};
+use super::message::{
+    Archive, Calendar, GrowthError, GrowthMessage, MOST_ENDED, MOST_REGISTERS, SnapshotError,
+};
 use super::origin;
 use super::schedule::{self, Outlook, Schedule, World};
-use super::sketch::{Day, MOST_LIVES, REGISTERS, Shard};
-use crate::component::{Faculty, Remark};
-use crate::member::{ForwarderId, Life, Member, PlannerId, Sender};
+use super::sketch::{Day, MAX_INCARNATIONS, REGISTERS, Shard};
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -65,7 +67,7 @@
 /// What the host knows of the fleet beside growth's own signals: from verdicts and leases.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
-    pub failing: BTreeSet<CacheId>,
+    pub failing: BTreeSet<EndpointId>,
     pub origin_slow: bool,
     /// Fetches a second that the origin could do beyond what is asked of it.
     pub spare_fetches: f64,
@@ -76,7 +78,7 @@
 const BLIND: Span = Span::from_millis(600_000);
 
 #[derive(Debug)]
-pub struct AtPlanner {
+pub struct PlannerComponent {
     settings: Settings,
     me: PlannerId,
     calendar: Calendar,
@@ -95,7 +97,7 @@
     edges: BTreeMap<Shard, Edges>,
     looked: VecDeque<Shard>,
     /// The caches of each shard by its bits, as long as the list is the same.
-    caches: BTreeMap<(Shard, u8), BTreeSet<CacheId>>,
+    caches: BTreeMap<(Shard, u8), BTreeSet<EndpointId>>,
     ended: Day,
     /// Up to where days were told to other planners.
     days_told: Option<(Shard, usize)>,
@@ -109,26 +111,26 @@
     told: Form,
     /// The last form by which keys stood elsewhere than before it, that this life has seen decided.
     moved: FormVersion,
-    out: VecDeque<(Member, Message)>,
-    remarks: VecDeque<Remark>,
+    out: VecDeque<(Member, GrowthMessage)>,
+    remarks: VecDeque<Event>,
 }
 
-impl AtPlanner {
+impl PlannerComponent {
     /// # Errors
     /// What was kept can't be read: it is to be put aside, never overwritten.
     pub fn new(
         settings: Settings,
         me: PlannerId,
-        life: Life,
+        incarnation: Incarnation,
         now: Time,
         calendar: Calendar,
         kept: Option<&[u8]>,
-    ) -> Result<AtPlanner, KeptFault> {
+    ) -> Result<PlannerComponent, SnapshotError> {
         let archive = kept.map(Archive::of_bytes).transpose()?.unwrap_or_default();
-        let agree = Agree::new(me, life, settings.planners.clone(), archive.votes);
+        let agree = Agree::new(me, incarnation, settings.planners.clone(), archive.votes);
         let history = History::of(archive.history);
         let today = calendar.day_of(settings.day, now).0;
-        Ok(AtPlanner {
+        Ok(PlannerComponent {
             schedule: Schedule::new(settings.schedule.clone()),
             looked: history.shards().collect(),
             told: agree.decided().clone(),
@@ -202,7 +204,7 @@
             others.into_iter().for_each(|other| self.agree.remind(other));
             let forwarders: Vec<_> = self.forwarders.keys().copied().collect();
             for forwarder in forwarders {
-                self.say(Member::Forwarder(forwarder), Message::Today { day: today });
+                self.say(Member::Forwarder(forwarder), GrowthMessage::Today { day: today });
             }
             self.tell_days();
             self.listings.sweep(now, self.settings.listed, |from| self.live.contains(from));
@@ -288,7 +290,7 @@
         self.days_told = self.history.part(self.days_told, MOST_ENDED).map(|(place, days)| {
             let others: Vec<_> = self.alive.iter().copied().filter(|p| *p != self.me).collect();
             for other in others {
-                let message = Message::Ended { shard: place.0, days: days.clone() };
+                let message = GrowthMessage::Ended { shard: place.0, days: days.clone() };
                 self.say(Member::Planner(other), message);
             }
             place
@@ -318,7 +320,7 @@
         }
     }
 
-    fn caches_of(&mut self, shard: Shard) -> BTreeSet<CacheId> {
+    fn caches_of(&mut self, shard: Shard) -> BTreeSet<EndpointId> {
         let bits = (self.form().of(shard).bits + 1).min(MOST_BITS);
         let caches = &self.believed.sizes;
         self.caches.entry((shard, bits)).or_insert_with(|| caches_of(shard.0, bits, caches)).clone()
@@ -333,7 +335,7 @@
                 break;
             }
             let form = self.form().clone();
-            self.out.push_back((Member::Forwarder(forwarder), Message::Table { form }));
+            self.out.push_back((Member::Forwarder(forwarder), GrowthMessage::Table { form }));
             self.forwarders.entry(forwarder).and_modify(|f| f.1 = true);
         }
     }
@@ -367,11 +369,11 @@
 
     fn remark(&mut self, event: &'static str, text: String, warns: bool) {
         if self.remarks.len() < 64 {
-            self.remarks.push_back(Remark { event, text, warns });
+            self.remarks.push_back(Event { name: event, message: text, is_warning: warns });
         }
     }
 
-    fn say(&mut self, to: Member, message: Message) {
+    fn say(&mut self, to: Member, message: GrowthMessage) {
         if self.out.len() < MOST_OUT {
             self.out.push_back((to, message));
         }
@@ -380,60 +382,60 @@
     fn forwarder_said(
         &mut self,
         now: Time,
-        (forwarder, life): (ForwarderId, Life),
-        message: Message,
-    ) -> Result<(), Fault> {
+        (forwarder, incarnation): (ForwarderId, Incarnation),
+        message: GrowthMessage,
+    ) -> Result<(), GrowthError> {
         let today = self.calendar.day_of(self.settings.day, now).0;
         match message {
-            Message::Sketch { day, shard, of, registers } => {
+            GrowthMessage::Sketch { day, shard, of, registers } => {
                 let sound = |r: &(u16, u8)| (r.0 as usize) < REGISTERS && r.1 <= 64;
                 if registers.len() > MOST_REGISTERS || !registers.iter().all(sound) {
-                    return Err(Fault::Nonsense);
+                    return Err(GrowthError::Nonsense);
                 }
                 let sketch = self.history.open(today, day, shard)?.sketch(of);
                 registers.iter().for_each(|(register, to)| _ = sketch.raise(*register, *to));
                 Ok(())
             }
-            Message::Counted { day, counts } => {
+            GrowthMessage::Counted { day, counts } => {
                 let sound = |c: &super::sketch::Counts| {
                     c.bytes <= c.sized.saturating_mul(1 << 32) && c.sized < 1 << 40
                 };
                 if !counts.iter().all(|(_, c)| sound(c)) {
-                    return Err(Fault::Nonsense);
+                    return Err(GrowthError::Nonsense);
                 }
                 for (shard, counts) in counts {
-                    self.history.count(today, day, shard, (forwarder, life), &counts)?;
+                    self.history.count(today, day, shard, (forwarder, incarnation), &counts)?;
                 }
                 Ok(())
             }
-            Message::Holds { version } => {
-                if self.forwarders.len() >= MOST_LIVES && !self.forwarders.contains_key(&forwarder) {
-                    return Err(Fault::Full);
+            GrowthMessage::Holds { version } => {
+                if self.forwarders.len() >= MAX_INCARNATIONS && !self.forwarders.contains_key(&forwarder) {
+                    return Err(GrowthError::Full);
                 }
                 self.forwarders.insert(forwarder, (version, false));
                 Ok(())
             }
-            Message::OriginSlow => {
-                self.slow.heard(now, forwarder, &self.live);
+            GrowthMessage::OriginSlow => {
+                self.slow.on_message(now, forwarder, &self.live);
                 Ok(())
             }
-            Message::Caches { listed } => {
-                let heard = self.listings.heard(now, forwarder, &listed);
+            GrowthMessage::Caches { listed } => {
+                let heard = self.listings.on_message(now, forwarder, &listed);
                 // At once only where a split may be one step from a cache that has become cold.
                 if self.form().shards.values().any(|s| s.step.is_some()) || self.believed.sizes.is_empty() {
                     self.believe();
                 }
                 heard
             }
-            _ => Err(Fault::Stranger),
+            _ => Err(GrowthError::Stranger),
         }
     }
 
     /// Days that another planner knows.
-    fn filled(&mut self, shard: Shard, days: &super::history::Days) -> Result<(), Fault> {
+    fn filled(&mut self, shard: Shard, days: &super::history::Days) -> Result<(), GrowthError> {
         let sound = |d: &(Day, f32, f32)| d.1.is_finite() && d.1 >= 0.0 && d.2.is_finite() && d.2 >= 0.0;
         if days.len() > MOST_ENDED || !days.iter().all(sound) {
-            return Err(Fault::Nonsense);
+            return Err(GrowthError::Nonsense);
         }
         if self.history.fill(shard, days, self.ended) {
             self.history_unkept = true;
@@ -445,38 +447,38 @@
     }
 }
 
-impl Faculty for AtPlanner {
-    type Message = Message;
-    type Fault = Fault;
+impl Component for PlannerComponent {
+    type Message = GrowthMessage;
+    type Error = GrowthError;
 
-    fn heard(&mut self, now: Time, from: Sender, message: Message) -> Result<(), Fault> {
+    fn on_message(&mut self, now: Time, from: Sender, message: GrowthMessage) -> Result<(), GrowthError> {
         match (from.member, message) {
-            (Member::Planner(planner), Message::Vote(vote)) => {
+            (Member::Planner(planner), GrowthMessage::Vote(vote)) => {
                 let stranger = !self.settings.planners.contains(&planner) || planner == self.me;
                 if stranger {
-                    return Err(Fault::Stranger);
+                    return Err(GrowthError::Stranger);
                 }
                 let undecided = self.agree.decided().version;
-                let sound = self.agree.heard(planner, vote);
+                let sound = self.agree.on_message(planner, vote);
                 if self.agree.decided().version > undecided {
                     self.propose_due = now;
                 }
-                sound.then_some(()).ok_or(Fault::Nonsense)
+                sound.then_some(()).ok_or(GrowthError::Nonsense)
             }
-            (Member::Planner(planner), Message::Ended { shard, days }) => {
+            (Member::Planner(planner), GrowthMessage::Ended { shard, days }) => {
                 if !self.settings.planners.contains(&planner) {
-                    return Err(Fault::Stranger);
+                    return Err(GrowthError::Stranger);
                 }
                 self.filled(shard, &days)
             }
             (Member::Forwarder(forwarder), message) => {
-                self.forwarder_said(now, (forwarder, from.life), message)
+                self.forwarder_said(now, (forwarder, from.incarnation), message)
             }
-            (Member::Planner(_), _) => Err(Fault::Stranger),
+            (Member::Planner(_), _) => Err(GrowthError::Stranger),
         }
     }
 
-    fn members(&mut self, _: Time, alive: &[Member]) {
+    fn on_membership_change(&mut self, _: Time, alive: &[Member]) {
         let planners = alive.iter().filter_map(|m| match m {
             Member::Planner(id) => Some(*id),
             Member::Forwarder(_) => None,
@@ -493,22 +495,22 @@
         self.forwarders.retain(|id, _| live.contains(id));
     }
 
-    fn next_letter(&mut self, now: Time) -> Option<(Member, Message)> {
+    fn poll_message(&mut self, now: Time) -> Option<(Member, GrowthMessage)> {
         self.advance(now);
         if self.history_unkept || self.agree.is_unkept() {
             return None;
         }
-        let vote = |(to, vote): (PlannerId, Vote)| (Member::Planner(to), Message::Vote(vote));
-        self.agree.next_letter().map(vote).or_else(|| self.out.pop_front())
+        let vote = |(to, vote): (PlannerId, Vote)| (Member::Planner(to), GrowthMessage::Vote(vote));
+        self.agree.poll_message().map(vote).or_else(|| self.out.pop_front())
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         let busy = !self.out.is_empty() || !self.looked.is_empty();
         Some(if busy { now } else { self.beat_due.max(now) })
     }
 
-    fn to_keep(&mut self) -> Option<Vec<u8>> {
-        let votes = self.agree.to_keep().is_some();
+    fn poll_snapshot(&mut self) -> Option<Vec<u8>> {
+        let votes = self.agree.poll_snapshot().is_some();
         let history = std::mem::take(&mut self.history_unkept);
         (votes || history).then(|| {
             // One that has not recovered keeps its history alone.
@@ -517,7 +519,7 @@
         })
     }
 
-    fn next_remark(&mut self) -> Option<Remark> {
+    fn poll_event(&mut self) -> Option<Event> {
         self.remarks.pop_front()
     }
 
--- a/crates/coordination/src/shard_growth/schedule.rs
+++ b/crates/coordination/src/shard_growth/schedule.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 
 use super::form::{Form, MOST_BITS, PARTS, ShardForm, Step};
@@ -54,8 +54,8 @@
 /// What is known of the fleet now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct World {
-    pub failing: BTreeSet<CacheId>,
-    pub cold: BTreeSet<CacheId>,
+    pub failing: BTreeSet<EndpointId>,
+    pub cold: BTreeSet<EndpointId>,
     pub origin_slow: bool,
     /// Whether less than a majority of the configured planners is heard.
     pub planners_few: bool,
@@ -75,7 +75,7 @@
     /// Keys that it keeps.
     pub keys: f64,
     /// The caches that keep them now, and that would after one more split.
-    pub caches: BTreeSet<CacheId>,
+    pub caches: BTreeSet<EndpointId>,
 }
 
 /// Why a split goes on, waits or goes back.
@@ -87,13 +87,13 @@
     Due,
     NoLongerForeseen,
     Rested,
-    CacheFails(CacheId),
-    CacheCold(CacheId),
+    CacheFails(EndpointId),
+    CacheCold(EndpointId),
     OriginSlow,
     PlannersFew,
     Frozen,
     /// Another split has one of its caches.
-    CacheTaken(CacheId),
+    CacheTaken(EndpointId),
     TooMany,
     /// It could not end before a frozen time.
     NoTimeBeforeFrozen,
@@ -165,7 +165,7 @@
 
     /// What keeps a split from going forward now.
     fn holds_back(world: &World, outlook: &Outlook) -> Option<Reason> {
-        let one = |of: &BTreeSet<CacheId>| outlook.caches.intersection(of).next().copied();
+        let one = |of: &BTreeSet<EndpointId>| outlook.caches.intersection(of).next().copied();
         if world.planners_few {
             return Some(Reason::PlannersFew);
         }
--- a/crates/coordination/src/shard_growth/sketch.rs
+++ b/crates/coordination/src/shard_growth/sketch.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::member::{ForwarderId, Life};
+use crate::member::{ForwarderId, Incarnation};
 
 /// A fixed range of the shared table's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -126,11 +126,11 @@
 pub struct ShardDay {
     pub read: Distinct,
     pub written: Distinct,
-    counts: BTreeMap<(ForwarderId, Life), Counts>,
+    counts: BTreeMap<(ForwarderId, Incarnation), Counts>,
 }
 
 /// Of so many lives of forwarders counts are kept for a shard's day: a thousand forwarders that each start four times.
-pub const MOST_LIVES: usize = 4096;
+pub const MAX_INCARNATIONS: usize = 4096;
 
 impl ShardDay {
     pub fn sketch(&mut self, of: Of) -> &mut Distinct {
@@ -141,11 +141,11 @@
     }
 
     /// Takes one life's counts; false where there are too many lives.
-    pub fn raise(&mut self, forwarder: ForwarderId, life: Life, counts: &Counts) -> bool {
-        let known = self.counts.contains_key(&(forwarder, life));
-        let room = known || self.counts.len() < MOST_LIVES;
+    pub fn raise(&mut self, forwarder: ForwarderId, incarnation: Incarnation, counts: &Counts) -> bool {
+        let known = self.counts.contains_key(&(forwarder, incarnation));
+        let room = known || self.counts.len() < MAX_INCARNATIONS;
         if room {
-            self.counts.entry((forwarder, life)).or_default().raise(counts);
+            self.counts.entry((forwarder, incarnation)).or_default().raise(counts);
         }
         room
     }
@@ -153,8 +153,8 @@
     pub fn merge(&mut self, other: &ShardDay) {
         self.read.merge(&other.read);
         self.written.merge(&other.written);
-        for ((forwarder, life), counts) in &other.counts {
-            self.raise(*forwarder, *life, counts);
+        for ((forwarder, incarnation), counts) in &other.counts {
+            self.raise(*forwarder, *incarnation, counts);
         }
     }
 
--- a/crates/coordination/tests/growth_agree.rs
+++ b/crates/coordination/tests/growth_agree.rs
@@ -6,7 +6,7 @@
 use granitelb_coordination::shard_growth::agree::{Agree, Kept, Vote};
 use granitelb_coordination::shard_growth::form::{ShardForm, Step};
 use granitelb_coordination::shard_growth::sketch::Shard;
-use granitelb_coordination::{Life, PlannerId};
+use granitelb_coordination::{Incarnation, PlannerId};
 use test_case::test_case;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -30,7 +30,7 @@
     disks: Vec<Option<Kept>>,
     lives: u64,
     /// Of each planner, and the latest that others have heard of.
-    life: Vec<u64>,
+    incarnation: Vec<u64>,
     heard: BTreeMap<(PlannerId, PlannerId), u64>,
     letters: Vec<(PlannerId, u64, PlannerId, Vote)>,
     decided: BTreeMap<u64, BTreeSet<String>>,
@@ -48,7 +48,7 @@
             planners: Vec::new(),
             disks: vec![None; count.into()],
             lives: 0,
-            life: vec![0; count.into()],
+            incarnation: vec![0; count.into()],
             heard: BTreeMap::new(),
             letters: Vec::new(),
             decided: BTreeMap::new(),
@@ -68,23 +68,23 @@
 
     fn start(&mut self, n: usize) -> Agree {
         self.lives += 1;
-        self.life[n] = self.lives;
+        self.incarnation[n] = self.lives;
         let kept = self.disks[n].clone().or((self.way == Way::ForgetsAndVotes).then(Kept::default));
-        let planner = Agree::new(PlannerId(n as u8 + 1), Life(self.lives), self.ids.clone(), kept);
+        let planner = Agree::new(PlannerId(n as u8 + 1), Incarnation(self.lives), self.ids.clone(), kept);
         let majority = self.ids.len() / 2 + usize::from(self.way != Way::Minority);
         planner.with_majority(majority)
     }
 
     /// Pulls what a planner has to say; it may end in between.
     fn pull(&mut self, n: usize) {
-        let kept = self.planners[n].to_keep().cloned();
+        let kept = self.planners[n].poll_snapshot().cloned();
         let late = self.way == Way::KeptTooLate && self.draw(3) == 0;
         if !late && kept.is_some() {
             self.disks[n] = kept;
         }
-        while let Some((to, vote)) = self.planners[n].next_letter() {
+        while let Some((to, vote)) = self.planners[n].poll_message() {
             if self.letters.len() < 400 {
-                self.letters.push((PlannerId(n as u8 + 1), self.life[n], to, vote));
+                self.letters.push((PlannerId(n as u8 + 1), self.incarnation[n], to, vote));
             }
         }
         if late && self.draw(2) == 0 {
@@ -119,7 +119,7 @@
             }
             _ if !self.letters.is_empty() => {
                 let at = self.draw(self.letters.len() as u64) as usize;
-                let (from, life, to, vote) = match self.draw(10) {
+                let (from, incarnation, to, vote) = match self.draw(10) {
                     0 if wild => self.letters[at].clone(),
                     _ => self.letters.swap_remove(at),
                 };
@@ -128,9 +128,9 @@
                     wild && self.draw(20) == 0 || self.cut.is_some_and(|c| side(from, c) != side(to, c));
                 // The post drops what an earlier life wrote, as soon as a later one was heard.
                 let latest = self.heard.entry((from, to)).or_default();
-                *latest = life.max(*latest);
-                if !lost && life == *latest {
-                    assert!(self.planners[to.0 as usize - 1].heard(from, vote));
+                *latest = incarnation.max(*latest);
+                if !lost && incarnation == *latest {
+                    assert!(self.planners[to.0 as usize - 1].on_message(from, vote));
                     self.pull(to.0 as usize - 1);
                 }
             }
--- a/crates/coordination/tests/growth_faculty.rs
+++ b/crates/coordination/tests/growth_faculty.rs
@@ -3,20 +3,20 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::calls::Outcome;
-use granitelb_balancer::ids::{CacheId, Key, ProductId};
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::slot_table::shard_of;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::{Faculty, Help};
-use granitelb_coordination::observation::{Ended, Server, Sight};
+use granitelb_coordination::component::{Component, Remediation};
+use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
 use granitelb_coordination::shard_growth::agree::Vote;
 use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
 use granitelb_coordination::shard_growth::sketch::{Counts, Day, Of, REGISTERS, SHARDS, Shard};
 use granitelb_coordination::shard_growth::{
-    Archive, AtForwarder, AtPlanner, Calendar, Fault, Fleet, ForwarderSettings, KeptFault, Message, Settings,
-    schedule,
+    Archive, Calendar, Fleet, ForwarderComponent, ForwarderSettings, GrowthError, GrowthMessage,
+    PlannerComponent, Settings, SnapshotError, schedule,
 };
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const DAY: Span = Span::from_millis(7_200_000);
@@ -29,18 +29,18 @@
 const MORE: f64 = 40.0;
 const KNOWN_DAYS: u32 = 110;
 
-fn read(key: u64) -> Ended {
-    Ended {
+fn read(key: u64) -> FinishedAttempt {
+    FinishedAttempt {
         call: key,
         number: 0,
         key: Key(key),
-        product: ProductId(0),
+        request_class: RequestClassId(0),
         write: false,
         work: None,
-        cache: CacheId(1),
+        cache: EndpointId(1),
         is_origin: false,
         candidates: Vec::new(),
-        outcome: Outcome::Fulfilled,
+        outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(5),
         bytes: 1000,
         out_then: 0,
@@ -53,10 +53,10 @@
     drawn: u64,
     now: Time,
     lives: u64,
-    planners: BTreeMap<PlannerId, AtPlanner>,
+    planners: BTreeMap<PlannerId, PlannerComponent>,
     disks: BTreeMap<PlannerId, Vec<u8>>,
-    forwarders: BTreeMap<ForwarderId, AtForwarder>,
-    letters: Vec<(Sender, Member, Message)>,
+    forwarders: BTreeMap<ForwarderId, ForwarderComponent>,
+    letters: Vec<(Sender, Member, GrowthMessage)>,
     keys: Vec<u64>,
     forms: BTreeMap<u64, Form>,
     steps: Vec<(u32, Option<Step>, u8)>,
@@ -86,16 +86,16 @@
 }
 
 /// A list of caches, some of which have just started.
-fn listed(caches: std::ops::Range<u64>, cold: std::ops::Range<u64>, now: Time) -> Sight {
-    let server = |cache| Server {
-        cache: CacheId(cache),
+fn listed(caches: std::ops::Range<u64>, cold: std::ops::Range<u64>, now: Time) -> Observation {
+    let server = |cache| ObservedEndpoint {
+        cache: EndpointId(cache),
         is_origin: false,
         zone: 0,
         size: 1.0,
         started: cold.contains(&cache).then_some(now),
         warm_after: Span(u64::MAX / 2),
     };
-    Sight::Listed(caches.map(server).collect())
+    Observation::EndpointsChanged(caches.map(server).collect())
 }
 
 impl World {
@@ -124,7 +124,7 @@
         let fast = ForwarderSettings { round: Span(DAY.0 / 8), ..ForwarderSettings::default() };
         for n in 0..FORWARDERS {
             let id = ForwarderId(n);
-            let mut forwarder = AtForwarder::new(fast.clone(), id, Life(1), world.now);
+            let mut forwarder = ForwarderComponent::new(fast.clone(), id, Incarnation(1), world.now);
             forwarder.seen(world.now, &listed(0..60, 0..0, world.now));
             world.forwarders.insert(id, forwarder);
         }
@@ -144,7 +144,8 @@
         let calendar = Calendar { at: self.now, day, into: Span((self.now.0 - 1_000_000_000) % DAY.0) };
         let kept = self.disks.get(&id).map(|k| &k[..]);
         let mut planner =
-            AtPlanner::new(settings(), id, Life(self.lives), self.now, calendar, kept).expect("its own disk");
+            PlannerComponent::new(settings(), id, Incarnation(self.lives), self.now, calendar, kept)
+                .expect("its own disk");
         planner.fleet(Some(Fleet { spare_fetches: 100.0, ..Fleet::default() }));
         self.planners.insert(id, planner);
         self.tell_members();
@@ -153,8 +154,8 @@
     fn tell_members(&mut self) {
         let planners = self.planners.keys().map(|p| Member::Planner(*p));
         let alive: Vec<_> = planners.chain(self.forwarders.keys().map(|f| Member::Forwarder(*f))).collect();
-        self.planners.values_mut().for_each(|p| p.members(self.now, &alive));
-        self.forwarders.values_mut().for_each(|f| f.members(self.now, &alive));
+        self.planners.values_mut().for_each(|p| p.on_membership_change(self.now, &alive));
+        self.forwarders.values_mut().for_each(|f| f.on_membership_change(self.now, &alive));
     }
 
     /// A day's calls, at its middle.
@@ -163,7 +164,10 @@
         for key in self.keys.clone().into_iter().take(count) {
             let to = ForwarderId(self.draw(FORWARDERS));
             let now = self.now;
-            self.forwarders.get_mut(&to).expect("one of them").seen(now, &Sight::Ended(Box::new(read(key))));
+            self.forwarders
+                .get_mut(&to)
+                .expect("one of them")
+                .seen(now, &Observation::AttemptFinished(Box::new(read(key))));
         }
     }
 
@@ -173,18 +177,18 @@
         for (id, planner) in &mut self.planners {
             let mut number = 0;
             loop {
-                if let Some(bytes) = planner.to_keep() {
+                if let Some(bytes) = planner.poll_snapshot() {
                     self.disks.insert(*id, bytes);
                 }
-                let Some((to, message)) = planner.next_letter(now) else {
+                let Some((to, message)) = planner.poll_message(now) else {
                     // What is to be kept holds letters back: they come once it is.
-                    if let Some(bytes) = planner.to_keep() {
+                    if let Some(bytes) = planner.poll_snapshot() {
                         self.disks.insert(*id, bytes);
                         continue;
                     }
                     break;
                 };
-                let from = Sender { member: Member::Planner(*id), life: Life(1), number };
+                let from = Sender { member: Member::Planner(*id), incarnation: Incarnation(1), number };
                 number += 1;
                 self.letters.push((from, to, message));
             }
@@ -193,8 +197,8 @@
             assert_eq!(*known, form, "two forms of one version");
         }
         for (id, forwarder) in &mut self.forwarders {
-            while let Some((to, message)) = forwarder.next_letter(now) {
-                let from = Sender { member: Member::Forwarder(*id), life: Life(1), number: 0 };
+            while let Some((to, message)) = forwarder.poll_message(now) {
+                let from = Sender { member: Member::Forwarder(*id), incarnation: Incarnation(1), number: 0 };
                 self.letters.push((from, to, message));
             }
         }
@@ -207,13 +211,13 @@
             for _ in 0..[0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.draw(10) as usize] {
                 let heard = match to {
                     Member::Planner(id) => {
-                        self.planners.get_mut(&id).map(|p| p.heard(now, from, message.clone()))
+                        self.planners.get_mut(&id).map(|p| p.on_message(now, from, message.clone()))
                     }
                     Member::Forwarder(id) => {
-                        self.forwarders.get_mut(&id).map(|f| f.heard(now, from, message.clone()))
+                        self.forwarders.get_mut(&id).map(|f| f.on_message(now, from, message.clone()))
                     }
                 };
-                assert!(heard.is_none_or(|h| h.is_ok() || h == Err(Fault::OldDay)), "{heard:?}");
+                assert!(heard.is_none_or(|h| h.is_ok() || h == Err(GrowthError::OldDay)), "{heard:?}");
             }
         }
         let day = ((now.0 - 1_000_000_000) / DAY.0) as u32;
@@ -270,7 +274,7 @@
     let last = world.forms.values().last().expect("one").for_module();
     assert!(world.forwarders.values().all(|f| f.advice().as_ref() == Some(&last)));
     assert!(world.longest < 1100, "{}", world.longest);
-    let entries: usize = world.planners.values().map(Faculty::entries).sum();
+    let entries: usize = world.planners.values().map(Component::entries).sum();
     assert!(entries < 3 * 20_000, "{entries}");
 }
 
@@ -293,7 +297,7 @@
     // It leads, and has no votes before all others have said where they are: it stood still without a word.
     let planner = world.planners.get_mut(&PlannerId(1)).expect("it lives");
     assert!(planner.leads());
-    let said = std::iter::from_fn(|| planner.next_remark()).any(|r| r.event == "growth_waits");
+    let said = std::iter::from_fn(|| planner.poll_event()).any(|r| r.name == "growth_waits");
     assert!(said, "nobody would know what it waits for");
 }
 
@@ -344,51 +348,59 @@
     newer[0] = 9;
     newer.extend(xxhash_rust::xxh3::xxh3_64(&newer).to_be_bytes());
     let fault = Archive::of_bytes(&newer).expect_err("another version");
-    assert_eq!(fault, KeptFault::OtherVersion(9));
-    assert!(!fault.help().is_empty());
+    assert_eq!(fault, SnapshotError::OtherVersion(9));
+    assert!(!fault.remediation().is_empty());
 }
 
 #[test]
 fn what_no_member_would_say_is_refused_and_the_largest_form_goes_into_a_letter() {
     let mut world = World::new(4);
     let now = world.now;
-    let from = |member| Sender { member, life: Life(1), number: 1 };
+    let from = |member| Sender { member, incarnation: Incarnation(1), number: 1 };
     let forwarder = from(Member::Forwarder(ForwarderId(1)));
     let (day, shard) = (Day(20_000 + KNOWN_DAYS), GROWS);
     let planner = world.planners.get_mut(&PlannerId(1)).expect("it lives");
-    let mut said = |from, message| planner.heard(now, from, message);
-    let registers = |r| Message::Sketch { day, shard, of: Of::Read, registers: r };
-    assert_eq!(said(forwarder, registers(vec![(REGISTERS as u16, 1)])), Err(Fault::Nonsense));
-    assert_eq!(said(forwarder, registers(vec![(1, 1); 1000])), Err(Fault::Nonsense));
+    let mut said = |from, message| planner.on_message(now, from, message);
+    let registers = |r| GrowthMessage::Sketch { day, shard, of: Of::Read, registers: r };
+    assert_eq!(said(forwarder, registers(vec![(REGISTERS as u16, 1)])), Err(GrowthError::Nonsense));
+    assert_eq!(said(forwarder, registers(vec![(1, 1); 1000])), Err(GrowthError::Nonsense));
     let counts = Counts { bytes: u64::MAX, ..Counts::default() };
     assert_eq!(
-        said(forwarder, Message::Counted { day, counts: vec![(shard, counts)] }),
-        Err(Fault::Nonsense)
+        said(forwarder, GrowthMessage::Counted { day, counts: vec![(shard, counts)] }),
+        Err(GrowthError::Nonsense)
     );
-    let old = Message::Counted { day: Day(7), counts: vec![(shard, Counts::default())] };
-    assert_eq!(said(forwarder, old), Err(Fault::OldDay));
-    let never = Message::Counted { day: Day(u32::MAX), counts: vec![(shard, Counts::default())] };
-    assert_eq!(said(forwarder, never), Err(Fault::OldDay));
+    let old = GrowthMessage::Counted { day: Day(7), counts: vec![(shard, Counts::default())] };
+    assert_eq!(said(forwarder, old), Err(GrowthError::OldDay));
+    let never = GrowthMessage::Counted { day: Day(u32::MAX), counts: vec![(shard, Counts::default())] };
+    assert_eq!(said(forwarder, never), Err(GrowthError::OldDay));
     for (version, bits) in [(1, 255), (u64::MAX, 0)] {
         let split = ShardForm { bits, step: Some(Step::Switched) };
         let form = Form { version: FormVersion(version), shards: BTreeMap::from([(shard, split)]) };
-        let decided = Message::Vote(Vote::Decided { form: form.clone() });
-        assert_eq!(said(from(Member::Planner(PlannerId(2))), decided), Err(Fault::Nonsense));
-        let table = Message::Table { form };
+        let decided = GrowthMessage::Vote(Vote::Decided { form: form.clone() });
+        assert_eq!(said(from(Member::Planner(PlannerId(2))), decided), Err(GrowthError::Nonsense));
+        let table = GrowthMessage::Table { form };
         let held = world.forwarders.get_mut(&ForwarderId(1)).expect("it lives");
-        assert_eq!(held.heard(now, from(Member::Planner(PlannerId(2))), table), Err(Fault::Nonsense));
+        assert_eq!(
+            held.on_message(now, from(Member::Planner(PlannerId(2))), table),
+            Err(GrowthError::Nonsense)
+        );
     }
-    assert_eq!(said(forwarder, Message::Today { day }), Err(Fault::Stranger));
-    assert_eq!(said(from(Member::Planner(PlannerId(9))), Message::Today { day }), Err(Fault::Stranger));
+    assert_eq!(said(forwarder, GrowthMessage::Today { day }), Err(GrowthError::Stranger));
+    assert_eq!(
+        said(from(Member::Planner(PlannerId(9))), GrowthMessage::Today { day }),
+        Err(GrowthError::Stranger)
+    );
     let mut form = Form::default();
     for shard in 0..SHARDS as u32 {
         let split = ShardForm { bits: 2, step: Some(Step::Switched) };
         form = form.with(Shard(shard as u8), split);
     }
-    let bytes = postcard::to_stdvec(&Message::Table { form }).expect("plain").len();
+    let bytes = postcard::to_stdvec(&GrowthMessage::Table { form }).expect("plain").len();
     assert!(bytes < 1100, "{bytes}");
     let names: BTreeSet<_> =
-        [Fault::Stranger, Fault::Nonsense, Fault::OldDay, Fault::Full].map(|f| f.help()).into();
+        [GrowthError::Stranger, GrowthError::Nonsense, GrowthError::OldDay, GrowthError::Full]
+            .map(|f| f.remediation())
+            .into();
     assert_eq!(names.len(), 4);
 }
 
@@ -397,18 +409,18 @@
 fn a_host_that_looks_in_seldom_has_said_all_shards_when_a_round_is_over() {
     let settings = ForwarderSettings { round: Span::from_millis(1000), ..ForwarderSettings::default() };
     let mut now = Time(1_000_000);
-    let mut forwarder = AtForwarder::new(settings, ForwarderId(1), Life(1), now);
+    let mut forwarder = ForwarderComponent::new(settings, ForwarderId(1), Incarnation(1), now);
     let planner = Member::Planner(PlannerId(1));
-    forwarder.members(now, &[planner]);
-    let from = Sender { member: planner, life: Life(1), number: 1 };
-    forwarder.heard(now, from, Message::Today { day: Day(7) }).expect("its calendar");
+    forwarder.on_membership_change(now, &[planner]);
+    let from = Sender { member: planner, incarnation: Incarnation(1), number: 1 };
+    forwarder.on_message(now, from, GrowthMessage::Today { day: Day(7) }).expect("its calendar");
     for key in 0..5000 {
-        forwarder.seen(now, &Sight::Ended(Box::new(read(key))));
+        forwarder.seen(now, &Observation::AttemptFinished(Box::new(read(key))));
     }
     let mut said = BTreeSet::new();
     for _ in 0..41 {
-        while let Some((_, message)) = forwarder.next_letter(now) {
-            if let Message::Counted { counts, .. } = message {
+        while let Some((_, message)) = forwarder.poll_message(now) {
+            if let GrowthMessage::Counted { counts, .. } = message {
                 said.extend(counts.into_iter().map(|(shard, _)| shard));
             }
         }
@@ -417,9 +429,9 @@
     assert_eq!(said.len(), SHARDS);
 }
 
-fn fetch(key: u64, ms: u64) -> Sight {
+fn fetch(key: u64, ms: u64) -> Observation {
     let (latency, slo) = (Span::from_millis(ms), Span::from_millis(400));
-    Sight::Ended(Box::new(Ended { is_origin: true, latency, slo, ..read(key) }))
+    Observation::AttemptFinished(Box::new(FinishedAttempt { is_origin: true, latency, slo, ..read(key) }))
 }
 
 /// Leases see what the origin is asked, not what it takes: a split went on at a twentieth of the origin's speed.
--- a/crates/coordination/tests/growth_forecast.rs
+++ b/crates/coordination/tests/growth_forecast.rs
@@ -5,7 +5,7 @@
 
 use granitelb_coordination::shard_growth::forecast::{NotYet, Point, Why, forecast};
 use granitelb_coordination::shard_growth::sketch::{Counts, Day, Distinct, ShardDay};
-use granitelb_coordination::{ForwarderId, Life};
+use granitelb_coordination::{ForwarderId, Incarnation};
 use growth_books::{SHAPES, Shape, backtest, book};
 use proptest::prelude::*;
 
@@ -28,10 +28,10 @@
     fn merging_is_idempotent_and_knows_no_order(
         told in prop::collection::vec((0u64..3, 0u64..2, 0u64..500), 1..40), twice in prop::collection::vec(0usize..40, 0..40),
     ) {
-        let day = |(forwarder, life, n): &(u64, u64, u64)| {
+        let day = |(forwarder, incarnation, n): &(u64, u64, u64)| {
             let mut day = ShardDay::default();
             (0..*n).for_each(|k| _ = day.read.add(hash(k * (forwarder + 1))));
-            day.raise(ForwarderId(*forwarder), Life(*life), &Counts { reads: *n, ..Counts::default() });
+            day.raise(ForwarderId(*forwarder), Incarnation(*incarnation), &Counts { reads: *n, ..Counts::default() });
             day
         };
         let (mut once, mut doubled) = (ShardDay::default(), ShardDay::default());
--- a/crates/coordination/tests/growth_schedule.rs
+++ b/crates/coordination/tests/growth_schedule.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::shard_growth::form::{Form, ShardForm, Step};
 use granitelb_coordination::shard_growth::schedule::{Outlook, Reason, Schedule, Settings, World};
@@ -16,7 +16,7 @@
 }
 
 fn outlook(early: Option<u64>, keys: f64, caches: &[u64]) -> Outlook {
-    let caches = caches.iter().map(|c| CacheId(*c)).collect();
+    let caches = caches.iter().map(|c| EndpointId(*c)).collect();
     Outlook { early: early.map(minutes), likely: early.map(|e| minutes(e * 2)), keys, caches }
 }
 
@@ -108,8 +108,8 @@
                 form.shards.keys().for_each(|s| schedule.withdraw(*s));
             }
             let world = World {
-                failing: m.failing.map(CacheId).into_iter().collect(),
-                cold: m.cold.map(CacheId).into_iter().collect(),
+                failing: m.failing.map(EndpointId).into_iter().collect(),
+                cold: m.cold.map(EndpointId).into_iter().collect(),
                 origin_slow: m.origin_slow,
                 planners_few: m.planners_few,
                 spare_fetches: m.spare,
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -1,38 +1,39 @@
 //! Leases between one forwarder and one planner, step by step.
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Faculty;
+use granitelb_coordination::component::Component;
 use granitelb_coordination::leases::{
-    AtForwarder, AtPlanner, Fault, Holder, MOST_NEEDS, Message, Need, Resource, Settings,
+    ForwarderComponent, Holder, LeaseError, LeaseMessage, MOST_NEEDS, Need, PlannerComponent, Resource,
+    Settings,
 };
-use granitelb_coordination::observation::{Server, Sight};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::observation::{Observation, ObservedEndpoint};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
 const ME: PlannerId = PlannerId(1);
 
 fn sender(n: u64) -> Sender {
-    Sender { member: Member::Forwarder(ForwarderId(n)), life: Life(1), number: 0 }
+    Sender { member: Member::Forwarder(ForwarderId(n)), incarnation: Incarnation(1), number: 0 }
 }
 
 fn at(ms: u64) -> Time {
     Time(1_000_000_000) + Span::from_millis(ms)
 }
 
-fn planner() -> AtPlanner {
-    AtPlanner::new(Settings::default(), ME, Life(1), Time(0))
+fn planner() -> PlannerComponent {
+    PlannerComponent::new(Settings::default(), ME, Incarnation(1), Time(0))
 }
 
 #[test]
 fn the_greatest_message_goes_into_a_letter() {
     let need = |n| Need {
-        resource: Resource::Cold(CacheId(u64::MAX - n)),
+        resource: Resource::Cold(EndpointId(u64::MAX - n)),
         amount: u32::MAX,
         using: u64::MAX,
         heads: u32::MAX,
         has: u32::MAX,
     };
-    let ask = Message::Ask { ask: u64::MAX, needs: (0..MOST_NEEDS as u64).map(need).collect() };
+    let ask = LeaseMessage::Ask { ask: u64::MAX, needs: (0..MOST_NEEDS as u64).map(need).collect() };
     assert!(postcard::to_allocvec(&ask).unwrap().len() <= 1100);
 }
 
@@ -40,9 +41,9 @@
 fn what_is_given_back_is_free_at_once_and_an_old_ask_is_void() {
     let mut planner = planner();
     let mut grant = |now, from, message| {
-        planner.heard(now, sender(from), message)?;
-        match planner.next_letter(now) {
-            Some((_, Message::Grant { granted, .. })) => Ok(granted[0].1),
+        planner.on_message(now, sender(from), message)?;
+        match planner.poll_message(now) {
+            Some((_, LeaseMessage::Grant { granted, .. })) => Ok(granted[0].1),
             _ => Ok(0),
         }
     };
@@ -51,7 +52,7 @@
     let ask = first.ask(at(0), ME, &all).remove(0);
     // The whole is 100 a second, and 25 of it are the forwarders' own, in parts of 83 thousandths.
     assert_eq!(grant(at(1), 1, ask.clone()), Ok(75_100));
-    assert_eq!(grant(at(2), 1, ask), Err(Fault::Old));
+    assert_eq!(grant(at(2), 1, ask), Err(LeaseError::Old));
     assert_eq!(grant(at(3), 2, second.ask(at(3), ME, &all).remove(0)), Ok(0));
     for (_, message) in first.give_back() {
         assert_eq!(grant(at(4), 1, message), Ok(0));
@@ -63,24 +64,24 @@
 /// seconds.
 #[test]
 fn reads_that_were_turned_away_tell_of_a_need() {
-    let mut side = AtForwarder::new(Settings::default(), ForwarderId(3), Life(1), at(0));
-    side.members(at(0), &[Member::Planner(ME)]);
-    let origin = Server {
-        cache: CacheId(1),
+    let mut side = ForwarderComponent::new(Settings::default(), ForwarderId(3), Incarnation(1), at(0));
+    side.on_membership_change(at(0), &[Member::Planner(ME)]);
+    let origin = ObservedEndpoint {
+        cache: EndpointId(1),
         is_origin: true,
         zone: 0,
         size: 1.0,
         started: None,
         warm_after: Span::ZERO,
     };
-    side.seen(at(0), &Sight::Listed(vec![origin]));
+    side.seen(at(0), &Observation::EndpointsChanged(vec![origin]));
     let mut asked = 0;
     for ms in (0..4000).step_by(100) {
         if ms >= 1000 {
-            side.seen(at(ms), &Sight::Denied);
+            side.seen(at(ms), &Observation::FetchDenied);
         }
-        while let Some((_, message)) = side.next_letter(at(ms)) {
-            if let Message::Ask { needs, .. } = message {
+        while let Some((_, message)) = side.poll_message(at(ms)) {
+            if let LeaseMessage::Ask { needs, .. } = message {
                 asked = needs.iter().map(|n| n.amount).sum();
             }
         }
@@ -92,13 +93,13 @@
 #[test]
 fn no_more_is_asked_for_than_is_used_and_a_little() {
     let settings = Settings { whole_origin: 2_000_000, reserve: 0, ..Settings::default() };
-    let mut side = AtForwarder::new(settings, ForwarderId(3), Life(1), at(0));
-    side.members(at(0), &[Member::Planner(ME)]);
+    let mut side = ForwarderComponent::new(settings, ForwarderId(3), Incarnation(1), at(0));
+    side.on_membership_change(at(0), &[Member::Planner(ME)]);
     let mut asked = 0;
     for ms in (0..20_000).step_by(500) {
-        side.seen(at(ms), &Sight::Sent { cache: CacheId(1), is_origin: true, write: false });
-        while let Some((_, message)) = side.next_letter(at(ms)) {
-            if let Message::Ask { needs, .. } = message {
+        side.seen(at(ms), &Observation::AttemptSent { cache: EndpointId(1), is_origin: true, write: false });
+        while let Some((_, message)) = side.poll_message(at(ms)) {
+            if let LeaseMessage::Ask { needs, .. } = message {
                 asked = needs.iter().map(|n| n.amount).sum();
             }
         }
@@ -110,32 +111,32 @@
 #[test]
 fn each_of_many_forwarders_has_a_part_of_a_cold_cache() {
     let settings = Settings { whole_cold: 500_000, forwarders: 300, ..Settings::default() };
-    assert_eq!(settings.own(Resource::Cold(CacheId(1))), 416);
+    assert_eq!(settings.own(Resource::Cold(EndpointId(1))), 416);
 }
 
 /// Its first ask ends what an earlier life held at the planner, which the loop may use until it is told otherwise.
 #[test]
 fn a_new_life_asks_for_a_standing_part_only_once_its_loop_was_told() {
     let settings = Settings { standing: 500, ..Settings::default() };
-    let mut side = AtForwarder::new(settings, ForwarderId(3), Life(2), at(0));
-    side.members(at(0), &[Member::Planner(ME)]);
-    let asks = |side: &mut AtForwarder, ms| {
-        std::iter::from_fn(|| side.next_letter(at(ms)))
-            .filter(|(_, m)| matches!(m, Message::AskStanding { .. }))
+    let mut side = ForwarderComponent::new(settings, ForwarderId(3), Incarnation(2), at(0));
+    side.on_membership_change(at(0), &[Member::Planner(ME)]);
+    let asks = |side: &mut ForwarderComponent, ms| {
+        std::iter::from_fn(|| side.poll_message(at(ms)))
+            .filter(|(_, m)| matches!(m, LeaseMessage::AskStanding { .. }))
             .count()
     };
     // Of no list: the module still has the lease that it was told before.
     side.advice(at(0));
     assert_eq!(asks(&mut side, 600), 0);
-    let origin = Server {
-        cache: CacheId(1),
+    let origin = ObservedEndpoint {
+        cache: EndpointId(1),
         is_origin: true,
         zone: 0,
         size: 1.0,
         started: None,
         warm_after: Span::ZERO,
     };
-    side.seen(at(600), &Sight::Listed(vec![origin]));
+    side.seen(at(600), &Observation::EndpointsChanged(vec![origin]));
     assert_eq!(asks(&mut side, 1200), 0);
     side.advice(at(1200));
     assert_eq!(asks(&mut side, 1800), 1);
@@ -145,33 +146,34 @@
 #[test]
 fn a_planner_that_starts_grants_again_what_a_forwarder_tells_it() {
     let settings = Settings { standing: 500, ..Settings::default() };
-    let mut side = AtForwarder::new(settings.clone(), ForwarderId(3), Life(1), at(0));
-    side.members(at(0), &[Member::Planner(ME)]);
-    let origin = Server {
-        cache: CacheId(1),
+    let mut side = ForwarderComponent::new(settings.clone(), ForwarderId(3), Incarnation(1), at(0));
+    side.on_membership_change(at(0), &[Member::Planner(ME)]);
+    let origin = ObservedEndpoint {
+        cache: EndpointId(1),
         is_origin: true,
         zone: 0,
         size: 1.0,
         started: None,
         warm_after: Span::ZERO,
     };
-    side.seen(at(0), &Sight::Listed(vec![origin]));
-    let mut planner = AtPlanner::new(settings.clone(), ME, Life(1), Time(0));
-    let mut life = Life(1);
+    side.seen(at(0), &Observation::EndpointsChanged(vec![origin]));
+    let mut planner = PlannerComponent::new(settings.clone(), ME, Incarnation(1), Time(0));
+    let mut incarnation = Incarnation(1);
     let mut may = Vec::new();
     for ms in (0..29_000).step_by(100) {
         if ms == 10_000 {
-            life = Life(2);
-            planner = AtPlanner::new(settings.clone(), ME, life, at(ms));
+            incarnation = Incarnation(2);
+            planner = PlannerComponent::new(settings.clone(), ME, incarnation, at(ms));
         }
         side.advice(at(ms));
-        while let Some((_, message)) = side.next_letter(at(ms)) {
-            if matches!(message, Message::AskStanding { .. }) {
-                planner.heard(at(ms), sender(3), message).unwrap();
+        while let Some((_, message)) = side.poll_message(at(ms)) {
+            if matches!(message, LeaseMessage::AskStanding { .. }) {
+                planner.on_message(at(ms), sender(3), message).unwrap();
             }
         }
-        while let Some((_, message)) = planner.next_letter(at(ms)) {
-            side.heard(at(ms), Sender { member: Member::Planner(ME), life, number: 0 }, message).unwrap();
+        while let Some((_, message)) = planner.poll_message(at(ms)) {
+            side.on_message(at(ms), Sender { member: Member::Planner(ME), incarnation, number: 0 }, message)
+                .unwrap();
         }
         may.push(side.advice(at(ms))[0].1.most);
     }
--- a/crates/coordination/tests/leases_model.rs
+++ b/crates/coordination/tests/leases_model.rs
@@ -8,9 +8,9 @@
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::leases::{AtPlanner, Holder, Message, Resource, Settings};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::leases::{Holder, LeaseMessage, PlannerComponent, Resource, Settings};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use test_case::test_case;
 
 const FORWARDERS: usize = 3;
@@ -58,12 +58,12 @@
 }
 
 #[derive(Clone, Hash, PartialEq, Eq, PartialOrd, Ord)]
-struct Letter {
+struct Message {
     to: Member,
     from: Member,
-    life: Life,
+    incarnation: Incarnation,
     sent: Time,
-    message: Message,
+    message: LeaseMessage,
 }
 
 #[derive(Clone)]
@@ -72,12 +72,12 @@
     /// Whose turn it is: the planners', then the forwarders'.
     turn: usize,
     peaks: [u32; FORWARDERS],
-    planners: Vec<(Life, AtPlanner)>,
+    planners: Vec<(Incarnation, PlannerComponent)>,
     forwarders: Vec<Holder>,
     /// When each forwarder sent each ask.
     asked: BTreeMap<(Member, u64), Time>,
     /// On the way, each with how often it may still come. What never comes is lost.
-    letters: BTreeMap<Letter, u8>,
+    letters: BTreeMap<Message, u8>,
     left: Left,
 }
 
@@ -92,10 +92,10 @@
 impl State {
     fn start(variant: Variant, left: Left) -> State {
         let planner = |id| {
-            let mut planner = AtPlanner::new(settings(variant), id, Life(1), Time(0));
-            planner.members(Time(0), &PLANNERS.map(Member::Planner));
-            planner.next_letter(START);
-            (Life(1), planner)
+            let mut planner = PlannerComponent::new(settings(variant), id, Incarnation(1), Time(0));
+            planner.on_membership_change(Time(0), &PLANNERS.map(Member::Planner));
+            planner.poll_message(START);
+            (Incarnation(1), planner)
         };
         let planners = PLANNERS.map(planner).to_vec();
         let forwarders = vec![Holder::default(); FORWARDERS];
@@ -144,20 +144,20 @@
         }
     }
 
-    fn post(&mut self, from: Member, life: Life, to: Member, message: Message) {
-        let letter = Letter { to, from, life, sent: self.now, message };
+    fn post(&mut self, from: Member, incarnation: Incarnation, to: Member, message: LeaseMessage) {
+        let letter = Message { to, from, incarnation, sent: self.now, message };
         *self.letters.entry(letter).or_default() += 1;
     }
 
     fn pull(&mut self, n: usize) {
-        let life = self.planners[n].0;
-        while let Some((to, message)) = self.planners[n].1.next_letter(self.now) {
-            self.post(Member::Planner(PLANNERS[n]), life, to, message);
+        let incarnation = self.planners[n].0;
+        while let Some((to, message)) = self.planners[n].1.poll_message(self.now) {
+            self.post(Member::Planner(PLANNERS[n]), incarnation, to, message);
         }
     }
 
     /// A letter comes. Afterwards it may come once more if `again`.
-    fn comes(&mut self, letter: &Letter, again: bool, variant: Variant) {
+    fn comes(&mut self, letter: &Message, again: bool, variant: Variant) {
         let count = self.letters.get_mut(letter).expect("on the way");
         if again {
             self.left.doubles -= 1;
@@ -167,16 +167,16 @@
         self.letters.retain(|_, n| *n > 0);
         match letter.to {
             Member::Planner(id) => {
-                let sender = Sender { member: letter.from, life: letter.life, number: 0 };
+                let sender = Sender { member: letter.from, incarnation: letter.incarnation, number: 0 };
                 let mut message = letter.message.clone();
-                if let (Message::Grant { lasts, .. }, Variant::LongLoan) = (&mut message, variant) {
+                if let (LeaseMessage::Grant { lasts, .. }, Variant::LongLoan) = (&mut message, variant) {
                     *lasts += 4;
                 }
-                let _ = self.planners[id.0 as usize].1.heard(self.now, sender, message);
+                let _ = self.planners[id.0 as usize].1.on_message(self.now, sender, message);
                 self.pull(id.0 as usize);
             }
             Member::Forwarder(id) => {
-                let (Message::Grant { ask, granted, lasts }, Member::Planner(from)) =
+                let (LeaseMessage::Grant { ask, granted, lasts }, Member::Planner(from)) =
                     (&letter.message, letter.from)
                 else {
                     return;
@@ -185,7 +185,7 @@
                 let late = if variant == Variant::FromArrival { self.now - sent } else { Span(0) };
                 let lasts = Span(u64::from(*lasts)) + late;
                 let forwarder = &mut self.forwarders[id.0 as usize];
-                let _ = forwarder.granted(self.now, (from, letter.life), *ask, granted, lasts);
+                let _ = forwarder.granted(self.now, (from, letter.incarnation), *ask, granted, lasts);
                 forwarder.tell();
                 self.see();
             }
@@ -234,10 +234,10 @@
                         s.left.asks[n] -= 1;
                         let asks = s.forwarders[n].ask(s.now, *planner, &[(Resource::Origin, self.needs[n])]);
                         for message in asks {
-                            if let Message::Ask { ask, .. } = &message {
+                            if let LeaseMessage::Ask { ask, .. } = &message {
                                 s.asked.insert((whose, *ask), s.now);
                             }
-                            s.post(whose, Life(1), Member::Planner(*planner), message);
+                            s.post(whose, Incarnation(1), Member::Planner(*planner), message);
                         }
                     });
                 }
@@ -253,9 +253,10 @@
             to(&|s| {
                 s.left.restarts -= 1;
                 let born = if self.variant == Variant::NoWait { Time(0) } else { s.now };
-                let mut planner = AtPlanner::new(settings(self.variant), PLANNERS[s.turn], Life(2), born);
-                planner.members(s.now, &PLANNERS.map(Member::Planner));
-                s.planners[s.turn] = (Life(2), planner);
+                let mut planner =
+                    PlannerComponent::new(settings(self.variant), PLANNERS[s.turn], Incarnation(2), born);
+                planner.on_membership_change(s.now, &PLANNERS.map(Member::Planner));
+                s.planners[s.turn] = (Incarnation(2), planner);
             });
         }
         next
--- a/crates/coordination/tests/leases_standing.rs
+++ b/crates/coordination/tests/leases_standing.rs
@@ -8,7 +8,7 @@
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::leases::Settings;
 use granitelb_coordination::leases::standing::{Ask, Granter, Parts};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use test_case::test_case;
 
 const PLANNER: PlannerId = PlannerId(0);
@@ -43,9 +43,22 @@
 }
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Letter {
-    Ask { from: usize, life: Life, sent: Time, ask: (u64, u32, u64, u64, u32) },
-    Granted { to: usize, life: Life, of: Life, sent: Time, asked: Time, ask: u64, amount: u32 },
+enum Message {
+    Ask {
+        from: usize,
+        incarnation: Incarnation,
+        sent: Time,
+        ask: (u64, u32, u64, u64, u32),
+    },
+    Granted {
+        to: usize,
+        incarnation: Incarnation,
+        of: Incarnation,
+        sent: Time,
+        asked: Time,
+        ask: u64,
+        amount: u32,
+    },
 }
 
 #[derive(Clone, Hash)]
@@ -62,16 +75,17 @@
 #[derive(Clone)]
 struct State {
     now: Time,
-    life: Life,
+    incarnation: Incarnation,
     planner: Granter,
-    forwarders: [(Life, Parts); 2],
-    letters: BTreeMap<Letter, u8>,
+    forwarders: [(Incarnation, Parts); 2],
+    letters: BTreeMap<Message, u8>,
     left: Left,
 }
 
 impl State {
     fn key(&self) -> u64 {
-        let all = (self.now, self.life, self.planner.state(), &self.forwarders, &self.letters, &self.left);
+        let all =
+            (self.now, self.incarnation, self.planner.state(), &self.forwarders, &self.letters, &self.left);
         BuildHasherDefault::<DefaultHasher>::default().hash_one(all)
     }
 
@@ -79,25 +93,26 @@
         self.forwarders.iter().map(|(_, parts)| parts.grants(self.now)).sum()
     }
 
-    fn post(&mut self, letter: Letter) {
+    fn post(&mut self, letter: Message) {
         *self.letters.entry(letter).or_default() += 1;
     }
 
-    fn comes(&mut self, letter: &Letter, variant: Variant) {
+    fn comes(&mut self, letter: &Message, variant: Variant) {
         match *letter {
-            Letter::Ask { from, life, sent, ask: (ask, need, using, to, has) } => {
-                let to = if variant == Variant::Unnamed { self.life } else { Life(to) };
+            Message::Ask { from, incarnation, sent, ask: (ask, need, using, to, has) } => {
+                let to = if variant == Variant::Unnamed { self.incarnation } else { Incarnation(to) };
                 let asked = Ask { ask, need, using, to, has };
-                let sender = Sender { member: Member::Forwarder(ForwarderId(from as u64)), life, number: 0 };
+                let sender =
+                    Sender { member: Member::Forwarder(ForwarderId(from as u64)), incarnation, number: 0 };
                 if let Ok(Some(amount)) = self.planner.asked(self.now, sender, asked, &settings()) {
-                    let (of, asked, sent) = (self.life, sent, self.now);
-                    self.post(Letter::Granted { to: from, life, of, sent, asked, ask, amount });
+                    let (of, asked, sent) = (self.incarnation, sent, self.now);
+                    self.post(Message::Granted { to: from, incarnation, of, sent, asked, ask, amount });
                 }
             }
-            Letter::Granted { to, life, of, asked, ask, amount, .. } => {
+            Message::Granted { to, incarnation, of, asked, ask, amount, .. } => {
                 let (lives, parts) = &mut self.forwarders[to];
                 // The envelope's: a letter to an earlier life is not known to have been asked for.
-                if *lives == life {
+                if *lives == incarnation {
                     let late = if variant == Variant::FromArrival { self.now - asked } else { Span(0) };
                     let _ = parts.granted(self.now, (PLANNER, of), ask, amount, LASTS + late);
                     parts.tell();
@@ -118,8 +133,8 @@
                 s.left.ticks -= 1;
                 s.now = s.now + Span(1);
                 let (now, late) = (s.now, Span(s.left.late));
-                let sent = |l: &Letter| match l {
-                    Letter::Ask { sent, .. } | Letter::Granted { sent, .. } => *sent,
+                let sent = |l: &Message| match l {
+                    Message::Ask { sent, .. } | Message::Granted { sent, .. } => *sent,
                 };
                 s.letters.retain(|l, _| now - sent(l) <= late);
                 s.forwarders.iter_mut().for_each(|(_, f)| f.pass(now));
@@ -128,26 +143,31 @@
         if self.left.restarts > 0 {
             to(&|s| {
                 s.left.restarts -= 1;
-                s.life = Life(s.life.0 + 1);
+                s.incarnation = Incarnation(s.incarnation.0 + 1);
                 let born = if variant == Variant::NoWait { Time(0) } else { s.now };
-                s.planner = Granter::new(&settings(), s.life, born);
+                s.planner = Granter::new(&settings(), s.incarnation, born);
             });
         }
         for n in 0..2 {
             if self.left.asks[n] > 0 {
                 to(&|s| {
                     s.left.asks[n] -= 1;
-                    let (life, now) = (s.forwarders[n].0, s.now);
+                    let (incarnation, now) = (s.forwarders[n].0, s.now);
                     let Ask { ask, need, using, to, has } = s.forwarders[n].1.ask(now, PLANNER, [8, 8][n]);
-                    s.post(Letter::Ask { from: n, life, sent: now, ask: (ask, need, using, to.0, has) });
+                    s.post(Message::Ask {
+                        from: n,
+                        incarnation,
+                        sent: now,
+                        ask: (ask, need, using, to.0, has),
+                    });
                 });
             }
         }
         if self.left.renewals > 0 {
             to(&|s| {
                 s.left.renewals -= 1;
-                let (life, parts) = &mut s.forwarders[0];
-                *life = Life(life.0 + 1);
+                let (incarnation, parts) = &mut s.forwarders[0];
+                *incarnation = Incarnation(incarnation.0 + 1);
                 if variant != Variant::LivesOn {
                     *parts = Parts::default();
                 }
@@ -175,16 +195,16 @@
 fn search(variant: Variant, left: Left) -> (usize, u32, bool) {
     let start = State {
         now: Time(100),
-        life: Life(1),
-        planner: Granter::new(&settings(), Life(1), Time(0)),
-        forwarders: [(Life(1), Parts::default()), (Life(1), Parts::default())],
+        incarnation: Incarnation(1),
+        planner: Granter::new(&settings(), Incarnation(1), Time(0)),
+        forwarders: [(Incarnation(1), Parts::default()), (Incarnation(1), Parts::default())],
         letters: BTreeMap::new(),
         left,
     };
     let (mut known, mut open, mut most, mut again) = (HashSet::new(), vec![start], 0, false);
     while let Some(state) = open.pop() {
         most = most.max(state.held());
-        again |= state.life > Life(1) && state.planner.counted() > 0;
+        again |= state.incarnation > Incarnation(1) && state.planner.counted() > 0;
         if most > WHOLE {
             break;
         }
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -1,12 +1,12 @@
 //! Turns: even, steady when members come and go, and as many trials whatever the fleet's size.
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::ForwarderId;
 use granitelb_coordination::probe_scheduling::{Duty, Settings, Trials, Window, holders};
 use test_case::test_case;
 
-const C: CacheId = CacheId(7);
+const C: EndpointId = EndpointId(7);
 const WINDOW: u64 = 2000;
 
 fn ms(ms: u64) -> Time {
@@ -20,7 +20,7 @@
 }
 
 fn duties(n: u64) -> Vec<Duty> {
-    (0..n).map(|c| if c % 3 == 0 { Duty::Open(CacheId(c)) } else { Duty::Try(CacheId(c)) }).collect()
+    (0..n).map(|c| if c % 3 == 0 { Duty::Open(EndpointId(c)) } else { Duty::Try(EndpointId(c)) }).collect()
 }
 
 /// Of how many times each member held a duty.
@@ -86,7 +86,7 @@
 fn holders_grow_without_trials_and_shrink_with_too_many() {
     let all = members(300);
     let mut trials = Trials::new(Settings::default(), ms(0));
-    trials.members(all.clone(), 0);
+    trials.on_membership_change(all.clone(), 0);
     trials.fell_ill(ms(0), C, 30.0);
     let many = |trials: &mut Trials, window: u64| holding(trials, ms(window * WINDOW), &all).len();
     // As many as together send what is wanted, by what they all sent it before.
@@ -118,7 +118,7 @@
     let all = members(n);
     let settings = Settings::default();
     let mut trials = Trials::new(settings, ms(0));
-    trials.members(all.clone(), 0);
+    trials.on_membership_change(all.clone(), 0);
     trials.fell_ill(ms(0), C, n as f64 * calls_a_window / 2.0);
     let mut chance = 7_u64;
     let mut sum = 0.0;
@@ -139,14 +139,14 @@
 fn a_dead_holder_keeps_a_turn_no_longer_than_it_is_unknown() {
     let mut all = members(40);
     let mut trials = Trials::new(Settings::default(), ms(0));
-    trials.members(all.clone(), 0);
+    trials.on_membership_change(all.clone(), 0);
     trials.fell_ill(ms(0), C, 4000.0);
     for window in 0..50 {
         let now = ms(window * WINDOW);
         let [holder] = holding(&mut trials, now, &all)[..] else { panic!("one holds it") };
         if window % 2 == 0 {
             all.retain(|m| *m != holder);
-            trials.members(all.clone(), 0);
+            trials.on_membership_change(all.clone(), 0);
             assert_eq!(holding(&mut trials, now, &all).len(), 1, "at once, once it is known");
         }
         trials.tried(now + Span(1), C, 9.0, false);
@@ -157,7 +157,7 @@
 fn a_planner_behind_another_stands_in_when_nobody_tries_and_steps_back() {
     let all = members(40);
     let mut second = Trials::new(Settings::default(), ms(0));
-    second.members(all.clone(), 1);
+    second.on_membership_change(all.clone(), 1);
     second.fell_ill(ms(0), C, 4000.0);
     let many = |second: &mut Trials, window: u64| holding(second, ms(window * WINDOW), &all).len();
     for window in 0..6 {
@@ -171,7 +171,7 @@
     second.tried(ms(8 * WINDOW + 1), C, 4.0, false);
     assert_eq!(many(&mut second, 9), 0);
     // It died.
-    second.members(all.clone(), 0);
+    second.on_membership_change(all.clone(), 0);
     assert_eq!(many(&mut second, 9), 1);
 }
 
@@ -179,7 +179,7 @@
 fn failing_caches_are_bounded() {
     let settings = Settings { most_caches: 2, ..Settings::default() };
     let mut trials = Trials::new(settings, ms(0));
-    trials.members(members(3), 0);
-    (0..9).for_each(|c| trials.fell_ill(ms(0), CacheId(c), 0.0));
+    trials.on_membership_change(members(3), 0);
+    (0..9).for_each(|c| trials.fell_ill(ms(0), EndpointId(c), 0.0));
     assert_eq!(trials.entries(), 3 + 2 * 2);
 }
--- a/crates/fleet-simulator/examples/hindsight.rs
+++ b/crates/fleet-simulator/examples/hindsight.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo run --release -p granitelb-fleet-simulator --example hindsight -- FIRST_SEED WORLDS [SHAPE]
 
-use granitelb_coordination::component::Remark;
+use granitelb_coordination::component::Event;
 use granitelb_coordination::counterfactual::{Measure, PLACES, Policy, Scale, Settings, Standing};
 use granitelb_fleet_simulator::hindsight::{Call, Make, SHAPES, Shape, World, tell};
 
@@ -92,8 +92,8 @@
                 *if right { &mut times_named } else { &mut times_wrong } += 1;
                 times_found += usize::from(cache == 0 && standing == Standing::Worse);
             }
-            let by_times = |r: &&Remark| r.text.contains(" times the time ");
-            times_alarmed += usize::from(told.remarks.iter().any(|r| by_times(&r) && bold(r.event)));
+            let by_times = |r: &&Event| r.message.contains(" times the time ");
+            times_alarmed += usize::from(told.remarks.iter().any(|r| by_times(&r) && bold(r.name)));
             for cache in 0..world.make.caches {
                 for (measure, held) in [(Measure::Waited, &mut waited), (Measure::InTime, &mut in_time)] {
                     let estimate = book.beside_others(cache, measure).ok();
@@ -123,7 +123,7 @@
                     cache == 0 && told.planner.standing(cache, 0, Scale::Share) == Standing::Worse,
                 );
             }
-            alarmed_worlds += usize::from(told.remarks.iter().any(|r| !by_times(&r) && bold(r.event)));
+            alarmed_worlds += usize::from(told.remarks.iter().any(|r| !by_times(&r) && bold(r.name)));
             for (policy, held) in POLICIES.iter().zip(&mut policies) {
                 let truth = world.truth_of_policy(Measure::InTime, |c| shares(*policy, c));
                 let estimate = book.value(*policy, Measure::InTime).ok();
--- a/crates/fleet-simulator/examples/turns.rs
+++ b/crates/fleet-simulator/examples/turns.rs
@@ -1,7 +1,7 @@
 //! Prints how a sick cache is tried by fleets of 3 to 300 forwarders, how even duties are, and what moves: simulated and
 //! reckoned figures.
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_coordination::ForwarderId;
 use granitelb_coordination::probe_scheduling::{Duty, Window, holders};
 use granitelb_fleet_simulator::two_levels::{Came, Play, play};
@@ -37,7 +37,7 @@
 }
 
 fn duties(n: u64) -> Vec<Duty> {
-    (0..n).map(|n| Duty::Try(CacheId(n))).collect()
+    (0..n).map(|n| Duty::Try(EndpointId(n))).collect()
 }
 
 /// Of duties held over a minute's windows: 1 is wholly even.
--- a/crates/fleet-simulator/src/cold_model.rs
+++ b/crates/fleet-simulator/src/cold_model.rs
@@ -6,10 +6,12 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{ApiCall, Listing, Outcome, Shot, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb_balancer::settings::{Effect, Product, Settings};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{Attempt, AttemptOutcome, AttemptResult, EndpointUpdate, Request};
+use granitelb_balancer::ids::{
+    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
+};
+use granitelb_balancer::settings::{Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -128,28 +130,28 @@
     }
 
     fn settings(&self) -> Settings {
-        let product = Product {
+        let request_class = RequestClass {
             slo: Span::from_secs_f64(self.slo),
             billed_value: 1.0,
-            late_value: 0.0,
+            value_after_slo: 0.0,
             offered: true,
             effect: Effect::Idempotent,
         };
         Settings {
             origin: None,
-            products: vec![product],
+            request_classes: vec![request_class],
             nodes: self.nodes as f64,
             list_on_request: false,
-            must_ask_in: Span::from_millis(10_000),
+            max_poll_interval: Span::from_millis(10_000),
             only_draining_binds: false,
             cold_from: self.cold_from,
             warm_after: Span::from_secs_f64(self.warm_after),
             fall_multiple: self.multiple,
             fall_window: Span::from_secs_f64(self.window),
-            max_shots: 4,
-            second_copies: false,
-            may_recall: true,
-            max_come_back: Span::from_millis(1500),
+            max_attempts: 4,
+            hedged_requests: false,
+            may_cancel: true,
+            max_retry_after: Span::from_millis(1500),
             value_by_work: false,
             steady_sizes: self.sized,
         }
@@ -159,12 +161,12 @@
 enum What {
     Call { node: usize },
     Comes { shot: ShotId, told: bool },
-    Done { shot: ShotId, cache: usize, life: u32 },
-    Ends { shot: ShotId, outcome: Outcome },
-    Wake { node: usize, life: u32 },
+    Done { shot: ShotId, cache: usize, incarnation: u32 },
+    Ends { shot: ShotId, outcome: AttemptOutcome },
+    Wake { node: usize, incarnation: u32 },
     Start { cache: usize },
     Gone { cache: usize },
-    Heard { node: usize, listing: Listing },
+    Heard { node: usize, listing: EndpointUpdate },
     Kill { node: usize },
     Middle,
 }
@@ -172,7 +174,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct ShotId {
     node: usize,
-    life: u32,
+    incarnation: u32,
     call: u64,
     number: u8,
 }
@@ -200,8 +202,8 @@
 }
 
 struct Node {
-    brain: Brain,
-    life: u32,
+    balancer: Balancer,
+    incarnation: u32,
     rate: f64,
     wake: Option<Time>,
     /// Work, and shots so far.
@@ -215,7 +217,7 @@
     ready: bool,
     free_at: Time,
     held: usize,
-    life: u32,
+    incarnation: u32,
     /// Arrivals since the start and in the window: when, work in mean calls, told.
     window: VecDeque<(Time, f64, bool)>,
     fell: bool,
@@ -264,7 +266,7 @@
             ready: !(joins && n < day.cold),
             free_at: ORIGIN_OF_TIME,
             held: 0,
-            life: 0,
+            incarnation: 0,
             window: VecDeque::new(),
             fell: false,
         };
@@ -287,10 +289,10 @@
             chance,
         };
         for (n, share) in shares.into_iter().enumerate() {
-            let brain = world.fresh(n as u64);
+            let balancer = world.fresh(n as u64);
             let rate = rate * share / sum;
             let (wake, calls, knows) = (None, HashMap::new(), HashMap::new());
-            world.nodes.push(Node { brain, life: 0, rate, wake, calls, knows });
+            world.nodes.push(Node { balancer, incarnation: 0, rate, wake, calls, knows });
             world.next_call(n);
         }
         world.plan();
@@ -298,19 +300,19 @@
     }
 
     /// A node's module that knows nothing but the list as it stands.
-    fn fresh(&self, seed: u64) -> Brain {
+    fn fresh(&self, seed: u64) -> Balancer {
         let mut settings = self.day.settings();
         settings.fall_multiple = self.multiple;
-        let mut brain = Brain::new(settings, self.day.seed ^ seed << 20, self.now);
+        let mut balancer = Balancer::new(settings, self.day.seed ^ seed << 20, self.now);
         let ready = (0..self.servers.len()).filter(|n| self.servers[*n].ready);
         let list: Vec<_> = ready.map(|n| self.listing(n)).collect();
-        brain.caches_listed(self.now, &list, true);
-        brain
+        balancer.on_endpoints_update(self.now, &list, true);
+        balancer
     }
 
-    fn listing(&self, n: usize) -> Listing {
-        Listing {
-            cache: CacheId(n as u64),
+    fn listing(&self, n: usize) -> EndpointUpdate {
+        EndpointUpdate {
+            cache: EndpointId(n as u64),
             kind: KindId(0),
             size: if self.day.sized { self.day.capacities[n] } else { 1.0 },
             zone: ZoneId(0),
@@ -381,14 +383,14 @@
                 self.call(node);
             }
             What::Comes { shot, told } => self.comes(shot, told),
-            What::Done { shot, cache, life } => {
+            What::Done { shot, cache, incarnation } => {
                 let server = &mut self.servers[cache];
-                server.held -= usize::from(server.life == life);
-                self.later(NET, What::Ends { shot, outcome: Outcome::Fulfilled });
+                server.held -= usize::from(server.incarnation == incarnation);
+                self.later(NET, What::Ends { shot, outcome: AttemptOutcome::Fulfilled });
             }
             What::Ends { shot, outcome } => self.ends(shot, outcome),
-            What::Wake { node, life } => {
-                if self.nodes[node].life == life && self.nodes[node].wake == Some(self.now) {
+            What::Wake { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].wake == Some(self.now) {
                     self.nodes[node].wake = None;
                     self.pull(node);
                 }
@@ -397,7 +399,7 @@
                 let server = &mut self.servers[cache];
                 (server.started, server.ready) = (Some(self.now), true);
                 (server.free_at, server.held, server.fell) = (self.now, 0, false);
-                server.life += 1;
+                server.incarnation += 1;
                 server.window.clear();
                 self.came.starts += 1;
                 self.tell(cache);
@@ -413,15 +415,15 @@
                 if let Some(started) = listing.started.filter(|_| listing.ready) {
                     self.nodes[node].knows.insert(cache, started);
                 }
-                self.nodes[node].brain.caches_listed(self.now, &[listing], false);
+                self.nodes[node].balancer.on_endpoints_update(self.now, &[listing], false);
                 self.pull(node);
             }
             What::Kill { node } => {
-                let brain = self.fresh(self.made);
+                let balancer = self.fresh(self.made);
                 let knows = self.servers.iter().enumerate().filter_map(|(n, s)| Some((n, s.started?)));
                 let knows = knows.collect();
                 let n = &mut self.nodes[node];
-                (n.brain, n.life, n.wake, n.knows) = (brain, n.life + 1, None, knows);
+                (n.balancer, n.incarnation, n.wake, n.knows) = (balancer, n.incarnation + 1, None, knows);
                 n.calls.clear();
             }
             What::Middle => match self.day.crossing {
@@ -430,16 +432,17 @@
                 Crossing::HotKey => {
                     let busy = (0..self.nodes.len())
                         .max_by(|a, b| self.nodes[*a].rate.total_cmp(&self.nodes[*b].rate));
-                    let brain = &self.nodes[busy.expect("a fleet has nodes")].brain;
-                    let cold =
-                        |k: &u64| brain.ranked(Key(*k)).first().is_some_and(|c| c.0 < self.day.cold as u64);
+                    let balancer = &self.nodes[busy.expect("a fleet has nodes")].balancer;
+                    let cold = |k: &u64| {
+                        balancer.ranked(Key(*k)).first().is_some_and(|c| c.0 < self.day.cold as u64)
+                    };
                     self.hot = (0..self.day.keys).rev().find(cold);
                 }
                 Crossing::SettingsChanged => {
                     self.multiple = self.day.multiple / 1.5;
                     let settings = Settings { fall_multiple: self.multiple, ..self.day.settings() };
                     for n in 0..self.nodes.len() {
-                        self.nodes[n].brain.settings_changed(self.now, settings.clone());
+                        self.nodes[n].balancer.on_settings_update(self.now, settings.clone());
                         self.pull(n);
                     }
                 }
@@ -469,8 +472,8 @@
         let drawn = self.chance.random::<f64>();
         let usual = (drawn * drawn * self.day.keys as f64) as u64;
         let key = self.hot.filter(|_| self.chance.random::<f64>() < 0.33).unwrap_or(usual);
-        let call = ApiCall {
-            product: ProductId(0),
+        let call = Request {
+            request_class: RequestClassId(0),
             key: Key(key),
             budget: Span::from_secs_f64(self.day.slo * 2.0),
             work: self.day.told.then_some(Span::from_secs_f64(work)),
@@ -478,46 +481,46 @@
         };
         self.came.calls += 1;
         self.nodes[node].calls.insert(id, (work, 0));
-        self.nodes[node].brain.api_call(self.now, ApiCallId(id), call);
+        self.nodes[node].balancer.on_request(self.now, RequestId(id), call);
         self.pull(node);
     }
 
     fn pull(&mut self, node: usize) {
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         loop {
             let n = &mut self.nodes[node];
-            if let Some((call, number)) = n.brain.next_recall() {
-                let shot = ShotId { node, life, call: call.0, number: number.0 };
-                self.later(Span(1), What::Ends { shot, outcome: Outcome::Recalled });
-            } else if let Some(shot) = n.brain.next_shot(self.now) {
+            if let Some((call, number)) = n.balancer.poll_cancellation() {
+                let shot = ShotId { node, incarnation, call: call.0, number: number.0 };
+                self.later(Span(1), What::Ends { shot, outcome: AttemptOutcome::Cancelled });
+            } else if let Some(shot) = n.balancer.poll_attempt(self.now) {
                 self.send(node, &shot);
-            } else if let Some((call, _)) = n.brain.next_answer(self.now) {
+            } else if let Some((call, _)) = n.balancer.poll_response(self.now) {
                 n.calls.remove(&call.0);
             } else {
                 break;
             }
         }
         let n = &mut self.nodes[node];
-        if let Some(wake) = n.brain.next_wake(self.now).map(|w| w.max(self.now + Span(1)))
+        if let Some(wake) = n.balancer.poll_timeout(self.now).map(|w| w.max(self.now + Span(1)))
             && n.wake.is_none_or(|w| wake < w)
         {
             n.wake = Some(wake);
-            self.later(wake - self.now, What::Wake { node, life });
+            self.later(wake - self.now, What::Wake { node, incarnation });
         }
     }
 
-    fn send(&mut self, node: usize, shot: &Shot) {
+    fn send(&mut self, node: usize, shot: &Attempt) {
         let cache = shot.cache.0 as usize;
         let n = &mut self.nodes[node];
-        let Some((work, shots)) = n.calls.get_mut(&shot.api_call.0) else { return };
+        let Some((work, shots)) = n.calls.get_mut(&shot.request.0) else { return };
         let (work, number) = (*work, *shots);
         *shots += 1;
         let started = self.servers[cache].started;
         let told = started.is_none() || n.knows.get(&cache).copied() == started;
-        let id = ShotId { node, life: n.life, call: shot.api_call.0, number };
+        let id = ShotId { node, incarnation: n.incarnation, call: shot.request.0, number };
         self.out.insert(id, (cache, self.now, work));
         self.later(NET, What::Comes { shot: id, told });
-        self.later(shot.give_up_after, What::Ends { shot: id, outcome: Outcome::TimedOut });
+        self.later(shot.give_up_after, What::Ends { shot: id, outcome: AttemptOutcome::TimedOut });
     }
 
     fn warmth(&self, started: Option<Time>) -> f64 {
@@ -529,7 +532,7 @@
     fn comes(&mut self, shot: ShotId, told: bool) {
         let Some(&(cache, _, work)) = self.out.get(&shot) else { return };
         if !self.servers[cache].ready {
-            return self.later(NET, What::Ends { shot, outcome: Outcome::Unreachable });
+            return self.later(NET, What::Ends { shot, outcome: AttemptOutcome::Unreachable });
         }
         let warmth = self.warmth(self.servers[cache].started);
         if warmth < 1.0 {
@@ -538,12 +541,12 @@
         let speed = self.day.capacities[cache] * warmth;
         let server = &mut self.servers[cache];
         if server.held > self.day.queue {
-            return self.later(NET, What::Ends { shot, outcome: Outcome::Full });
+            return self.later(NET, What::Ends { shot, outcome: AttemptOutcome::Rejected });
         }
         server.held += 1;
         server.free_at = server.free_at.max(self.now) + Span::from_secs_f64(work / speed);
-        let (wait, life) = (server.free_at - self.now, server.life);
-        self.later(wait, What::Done { shot, cache, life });
+        let (wait, incarnation) = (server.free_at - self.now, server.incarnation);
+        self.later(wait, What::Done { shot, cache, incarnation });
     }
 
     /// What came to a cold cache in the window that ends now.
@@ -570,14 +573,14 @@
         }
     }
 
-    fn ends(&mut self, shot: ShotId, outcome: Outcome) {
+    fn ends(&mut self, shot: ShotId, outcome: AttemptOutcome) {
         // The end that comes first is the one that counts.
         let Some((cache, sent, _)) = self.out.remove(&shot) else { return };
         let node = &mut self.nodes[shot.node];
-        if node.life != shot.life {
+        if node.incarnation != shot.incarnation {
             return;
         }
-        let fulfilled = outcome == Outcome::Fulfilled;
+        let fulfilled = outcome == AttemptOutcome::Fulfilled;
         let latency = self.now - sent;
         if fulfilled
             && node.calls.remove(&shot.call).is_some()
@@ -585,9 +588,9 @@
         {
             self.came.served += 1;
         }
-        let (number, cache) = (ShotNumber(shot.number), CacheId(cache as u64));
-        let end = ShotEnd { number, cache, outcome, latency, answered: fulfilled };
-        node.brain.shot_ended(self.now, ApiCallId(shot.call), &end);
+        let (number, cache) = (AttemptNumber(shot.number), EndpointId(cache as u64));
+        let end = AttemptResult { number, cache, outcome, latency, answered: fulfilled };
+        node.balancer.on_attempt_finished(self.now, RequestId(shot.call), &end);
         self.pull(shot.node);
     }
 }
--- a/crates/fleet-simulator/src/hindsight/told.rs
+++ b/crates/fleet-simulator/src/hindsight/told.rs
@@ -2,43 +2,51 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::Outcome;
-use granitelb_balancer::ids::{CacheId, ProductId};
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::ids::{EndpointId, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::{Faculty, Remark};
-use granitelb_coordination::counterfactual::{AtForwarder, AtPlanner, Message, Settings};
-use granitelb_coordination::observation::{Ended, Sight};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::component::{Component, Event};
+use granitelb_coordination::counterfactual::{
+    CounterfactualMessage, ForwarderComponent, PlannerComponent, Settings,
+};
+use granitelb_coordination::observation::{FinishedAttempt, Observation};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use super::{BEGIN, Call, SLO, World};
 
 /// The origin among the servers.
-const ORIGIN: CacheId = CacheId(u64::MAX);
+const ORIGIN: EndpointId = EndpointId(u64::MAX);
 
 /// What came of it.
 pub struct Told {
-    pub planner: AtPlanner,
-    pub remarks: Vec<Remark>,
+    pub planner: PlannerComponent,
+    pub remarks: Vec<Event>,
     /// What a forwarder has in its log by letters.
-    pub forwarders_remarks: Vec<Remark>,
+    pub forwarders_remarks: Vec<Event>,
     pub letters: usize,
     pub bytes: usize,
     pub largest: usize,
 }
 
-fn shot(call: &Call, number: u8, cache: CacheId, outcome: Outcome, latency: Span) -> Ended {
-    Ended {
+fn shot(
+    call: &Call,
+    number: u8,
+    cache: EndpointId,
+    outcome: AttemptOutcome,
+    latency: Span,
+) -> FinishedAttempt {
+    FinishedAttempt {
         call: call.name,
         number,
         key: call.key,
-        product: ProductId(0),
+        request_class: RequestClassId(0),
         write: false,
         work: Some(call.guess),
         cache,
         is_origin: cache == ORIGIN,
-        candidates: call.candidates.map(CacheId).to_vec(),
+        candidates: call.candidates.map(EndpointId).to_vec(),
         outcome,
         latency,
         bytes: 1000,
@@ -48,19 +56,24 @@
 }
 
 /// The shots of a call as its node sees them end.
-fn shots(call: &Call) -> Vec<(Time, Ended)> {
+fn shots(call: &Call) -> Vec<(Time, FinishedAttempt)> {
     let fate = &call.fates[call.place];
-    let cache = CacheId(call.candidates[call.place]);
+    let cache = EndpointId(call.candidates[call.place]);
     if fate.refused {
-        return vec![(call.at + Span(500), shot(call, 0, cache, Outcome::Full, Span(500)))];
+        return vec![(call.at + Span(500), shot(call, 0, cache, AttemptOutcome::Rejected, Span(500)))];
     }
-    let cut =
-        |span: Span| if span > call.cut { (call.cut, Outcome::Recalled) } else { (span, Outcome::Fulfilled) };
+    let cut = |span: Span| {
+        if span > call.cut {
+            (call.cut, AttemptOutcome::Cancelled)
+        } else {
+            (span, AttemptOutcome::Fulfilled)
+        }
+    };
     if fate.hit || fate.lacks > call.cut {
         let (after, outcome) = cut(fate.ends);
         return vec![(call.at + after, shot(call, 0, cache, outcome, after))];
     }
-    let first = (call.at + fate.lacks, shot(call, 0, cache, Outcome::Lacking, fate.lacks));
+    let first = (call.at + fate.lacks, shot(call, 0, cache, AttemptOutcome::CacheMiss, fate.lacks));
     let (after, outcome) = cut(fate.ends);
     let second = (call.at + after, shot(call, 1, ORIGIN, outcome, Span(after.0 - fate.lacks.0)));
     vec![first, second]
@@ -70,13 +83,13 @@
     let mut chance = ChaCha8Rng::seed_from_u64(world.make.seed ^ 0x70_1d);
     let planner_id = Member::Planner(PlannerId(1));
     let ids: Vec<ForwarderId> = (0..world.make.nodes as u64).map(ForwarderId).collect();
-    let mut forwarders: Vec<AtForwarder> =
-        ids.iter().map(|id| AtForwarder::new(settings.clone(), *id, Life(1), BEGIN)).collect();
-    let mut planner = AtPlanner::new(settings.clone(), PlannerId(1), Life(1), BEGIN);
+    let mut forwarders: Vec<ForwarderComponent> =
+        ids.iter().map(|id| ForwarderComponent::new(settings.clone(), *id, Incarnation(1), BEGIN)).collect();
+    let mut planner = PlannerComponent::new(settings.clone(), PlannerId(1), Incarnation(1), BEGIN);
     let alive: Vec<Member> = ids.iter().map(|id| Member::Forwarder(*id)).collect();
-    planner.members(BEGIN, &alive);
-    forwarders.iter_mut().for_each(|f| f.members(BEGIN, &[planner_id]));
-    let mut sights: BTreeMap<Time, Vec<(usize, Ended)>> = BTreeMap::new();
+    planner.on_membership_change(BEGIN, &alive);
+    forwarders.iter_mut().for_each(|f| f.on_membership_change(BEGIN, &[planner_id]));
+    let mut sights: BTreeMap<Time, Vec<(usize, FinishedAttempt)>> = BTreeMap::new();
     for call in &world.calls {
         for (at, ended) in shots(call) {
             sights.entry(at).or_default().push((call.node, ended));
@@ -90,22 +103,23 @@
         bytes: 0,
         largest: 0,
     };
-    let mut under_way: BTreeMap<(Time, usize), (Sender, Message)> = BTreeMap::new();
+    let mut under_way: BTreeMap<(Time, usize), (Sender, CounterfactualMessage)> = BTreeMap::new();
     let (step, end) = (Span::from_millis(250), BEGIN + Span::from_secs_f64(world.make.seconds + 18.0));
     let mut now = BEGIN;
     while now < end {
         now = now + step;
         let later = sights.split_off(&now);
         for (at, of) in std::mem::replace(&mut sights, later) {
-            of.into_iter().for_each(|(node, e)| forwarders[node].seen(at, &Sight::Ended(Box::new(e))));
+            of.into_iter()
+                .for_each(|(node, e)| forwarders[node].seen(at, &Observation::AttemptFinished(Box::new(e))));
         }
         for (node, forwarder) in forwarders.iter_mut().enumerate() {
-            while let Some((_, message)) = forwarder.next_letter(now) {
+            while let Some((_, message)) = forwarder.poll_message(now) {
                 let size = postcard::to_allocvec(&message).map_or(0, |b| b.len());
                 told.letters += 1;
                 (told.bytes, told.largest) = (told.bytes + size, told.largest.max(size));
                 let number = told.letters as u64;
-                let from = Sender { member: alive[node], life: Life(1), number };
+                let from = Sender { member: alive[node], incarnation: Incarnation(1), number };
                 let copies = usize::from(!chance.random_bool(world.make.lost))
                     + usize::from(chance.random_bool(world.make.doubled));
                 for copy in 0..copies {
@@ -116,16 +130,16 @@
         }
         let later = under_way.split_off(&(now, usize::MAX));
         for (from, message) in std::mem::replace(&mut under_way, later).into_values() {
-            told.planner.heard(now, from, message).expect("a sound letter");
+            told.planner.on_message(now, from, message).expect("a sound letter");
         }
-        while let Some((to, message)) = told.planner.next_letter(now) {
-            let from = Sender { member: planner_id, life: Life(1), number: 1 };
+        while let Some((to, message)) = told.planner.poll_message(now) {
+            let from = Sender { member: planner_id, incarnation: Incarnation(1), number: 1 };
             if to == alive[0] {
-                forwarders[0].heard(now, from, message).expect("a sound letter");
+                forwarders[0].on_message(now, from, message).expect("a sound letter");
             }
         }
-        told.remarks.extend(std::iter::from_fn(|| told.planner.next_remark()));
-        told.forwarders_remarks.extend(std::iter::from_fn(|| forwarders[0].next_remark()));
+        told.remarks.extend(std::iter::from_fn(|| told.planner.poll_event()));
+        told.forwarders_remarks.extend(std::iter::from_fn(|| forwarders[0].poll_event()));
     }
     told
 }
--- a/crates/fleet-simulator/src/leases_model.rs
+++ b/crates/fleet-simulator/src/leases_model.rs
@@ -6,17 +6,19 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use granitelb_balancer::calls::Lease;
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::leases::{AtForwarder, AtPlanner, Message, Resource, Settings};
-use granitelb_coordination::observation::{Server, Sight};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::leases::{
+    ForwarderComponent, LeaseMessage, PlannerComponent, Resource, Settings,
+};
+use granitelb_coordination::observation::{Observation, ObservedEndpoint};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 
-const ORIGIN: CacheId = CacheId(1);
+const ORIGIN: EndpointId = EndpointId(1);
 /// A forwarder that may use less than so much of its fair part goes short.
 const SHORT: f64 = 0.5;
 const TICK: Span = Span::from_millis(50);
@@ -86,20 +88,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Tick,
-    Wake { who: Member, life: u64 },
+    Wake { who: Member, incarnation: u64 },
     Comes { letter: usize },
     Trouble,
     Starts { who: Member },
 }
 
 enum Side {
-    Planner(Box<AtPlanner>),
-    Forwarder(Box<AtForwarder>),
+    Planner(Box<PlannerComponent>),
+    Forwarder(Box<ForwarderComponent>),
 }
 
 struct Process {
     side: Option<Side>,
-    life: u64,
+    incarnation: u64,
     /// Its clock's rate, and what it showed at the beginning.
     rate: f64,
     base: u64,
@@ -130,7 +132,7 @@
     now: Time,
     chance: ChaCha8Rng,
     members: BTreeMap<Member, Process>,
-    letters: Vec<Option<(Member, Sender, Message)>>,
+    letters: Vec<Option<(Member, Sender, LeaseMessage)>>,
     events: BinaryHeap<Reverse<(Time, u64, What)>>,
     order: u64,
     came: Came,
@@ -180,7 +182,7 @@
             let base = self.chance.random_range(0..1_000_000_000_000);
             let process = Process {
                 side: None,
-                life: 0,
+                incarnation: 0,
                 rate,
                 base,
                 wake: None,
@@ -206,21 +208,22 @@
         let alive: Vec<_> = (0..self.play.planners).map(|p| Member::Planner(PlannerId(p))).collect();
         self.draw_want(who);
         let process = self.members.get_mut(&who).expect("a member");
-        process.life += 1;
+        process.incarnation += 1;
         process.wake = None;
         process.stopped = now;
-        let (life, clock) = (Life(process.life), process.clock(now));
+        let (incarnation, clock) = (Incarnation(process.incarnation), process.clock(now));
         process.side = Some(match who {
             Member::Planner(id) => {
                 let longest = if self.play.no_wait { Span::ZERO } else { settings.longest };
-                let mut side = AtPlanner::new(Settings { longest, ..settings }, id, life, clock);
-                side.members(clock, &alive);
+                let mut side =
+                    PlannerComponent::new(Settings { longest, ..settings }, id, incarnation, clock);
+                side.on_membership_change(clock, &alive);
                 Side::Planner(Box::new(side))
             }
             Member::Forwarder(id) => {
-                let mut side = AtForwarder::new(settings, id, life, clock);
-                side.members(clock, &alive);
-                side.seen(clock, &Sight::Listed(vec![origin()]));
+                let mut side = ForwarderComponent::new(settings, id, incarnation, clock);
+                side.on_membership_change(clock, &alive);
+                side.seen(clock, &Observation::EndpointsChanged(vec![origin()]));
                 process.lease = side.advice(clock).first().map(|a| a.1);
                 Side::Forwarder(Box::new(side))
             }
@@ -254,11 +257,11 @@
     fn happens(&mut self, what: What) {
         match what {
             What::Tick => self.tick(),
-            What::Wake { who, life } => {
+            What::Wake { who, incarnation } => {
                 let process = &self.members[&who];
-                if process.life == life && process.stopped > self.now {
-                    self.later(process.stopped - self.now, What::Wake { who, life });
-                } else if process.life == life {
+                if process.incarnation == incarnation && process.stopped > self.now {
+                    self.later(process.stopped - self.now, What::Wake { who, incarnation });
+                } else if process.incarnation == incarnation {
                     self.pull(who);
                 }
             }
@@ -303,22 +306,22 @@
     fn pull(&mut self, who: Member) {
         let now = self.now;
         let process = self.members.get_mut(&who).expect("a member");
-        let (clock, life) = (process.clock(now), process.life);
+        let (clock, incarnation) = (process.clock(now), process.incarnation);
         let mut out = Vec::new();
         let (wake, entries) = match &mut process.side {
             None => return,
             Some(Side::Planner(side)) => {
-                while let Some(letter) = side.next_letter(clock) {
+                while let Some(letter) = side.poll_message(clock) {
                     out.push(letter);
                 }
-                (side.next_wake(clock), side.entries())
+                (side.poll_timeout(clock), side.entries())
             }
             Some(Side::Forwarder(side)) => {
                 process.lease = side.advice(clock).first().map(|a| a.1);
-                while let Some(letter) = side.next_letter(clock) {
+                while let Some(letter) = side.poll_message(clock) {
                     out.push(letter);
                 }
-                (side.next_wake(clock), side.entries())
+                (side.poll_timeout(clock), side.entries())
             }
         };
         let rate = process.rate;
@@ -327,16 +330,16 @@
             let after = Span(((at - clock).0 as f64 / rate) as u64 + 1);
             if process.wake.is_none_or(|known| known <= now || now + after < known) {
                 process.wake = Some(now + after);
-                self.later(after, What::Wake { who, life });
+                self.later(after, What::Wake { who, incarnation });
             }
         }
         for (to, message) in out {
-            let sender = Sender { member: who, life: Life(life), number: 0 };
+            let sender = Sender { member: who, incarnation: Incarnation(incarnation), number: 0 };
             self.send(to, sender, message);
         }
     }
 
-    fn send(&mut self, to: Member, from: Sender, message: Message) {
+    fn send(&mut self, to: Member, from: Sender, message: LeaseMessage) {
         let bytes = postcard::to_allocvec(&message).map_or(0, |b| b.len());
         self.came.letters += 1;
         self.came.bytes += bytes;
@@ -372,8 +375,8 @@
         let clock = process.clock(now);
         let _ = match &mut process.side {
             None => return,
-            Some(Side::Planner(side)) => side.heard(clock, from, message),
-            Some(Side::Forwarder(side)) => side.heard(clock, from, message),
+            Some(Side::Planner(side)) => side.on_message(clock, from, message),
+            Some(Side::Forwarder(side)) => side.on_message(clock, from, message),
         };
         self.pull(to);
     }
@@ -397,7 +400,8 @@
             let is_up = self.members[&who].side.is_some();
             if n >= up && is_up {
                 self.kill(who);
-            } else if n < up && self.members[&who].life == 0 || n < up && !is_up && self.play.troubles == 0.0
+            } else if n < up && self.members[&who].incarnation == 0
+                || n < up && !is_up && self.play.troubles == 0.0
             {
                 self.start(who);
             }
@@ -424,10 +428,10 @@
         // Whole fetches, by chance.
         let fetches = (rate * TICK.as_secs_f64() + drawn).floor() as usize;
         for _ in 0..fetches {
-            side.seen(clock, &Sight::Sent { cache: ORIGIN, is_origin: true, write: false });
+            side.seen(clock, &Observation::AttemptSent { cache: ORIGIN, is_origin: true, write: false });
         }
         let denied = ((process.want - rate).max(0.0) * TICK.as_secs_f64() + drawn).floor() as usize;
-        (0..denied).for_each(|_| side.seen(clock, &Sight::Denied));
+        (0..denied).for_each(|_| side.seen(clock, &Observation::FetchDenied));
         if last {
             process.used += rate;
         }
@@ -502,6 +506,13 @@
     }
 }
 
-fn origin() -> Server {
-    Server { cache: ORIGIN, is_origin: true, zone: 0, size: 1.0, started: None, warm_after: Span::ZERO }
+fn origin() -> ObservedEndpoint {
+    ObservedEndpoint {
+        cache: ORIGIN,
+        is_origin: true,
+        zone: 0,
+        size: 1.0,
+        started: None,
+        warm_after: Span::ZERO,
+    }
 }
--- a/crates/fleet-simulator/src/mind.rs
+++ b/crates/fleet-simulator/src/mind.rs
@@ -3,9 +3,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{Advice, Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, Key, KindId, ShotNumber};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{
+    AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LocalReply, Request,
+};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, Key, KindId, RequestId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
@@ -23,70 +25,70 @@
 }
 
 /// What a seeing policy sees: how much of each cache's places is taken, all of it where no answer would come.
-pub type Sight<'a> = &'a dyn Fn(CacheId) -> f64;
+pub type Observation<'a> = &'a dyn Fn(EndpointId) -> f64;
 
 /// What is to be carried out.
 pub enum Order {
-    Shoot { call: ApiCallId, cache: CacheId, give_up_after: Span },
-    Answer { call: ApiCallId, answer: Answer },
-    Recall { call: ApiCallId, number: ShotNumber },
+    Shoot { call: RequestId, cache: EndpointId, give_up_after: Span },
+    LocalReply { call: RequestId, answer: LocalReply },
+    Recall { call: RequestId, number: AttemptNumber },
 }
 
 pub enum Mind {
-    Module(Box<Brain>),
+    Module(Box<Balancer>),
     Plain(Box<Plain>),
 }
 
 impl Mind {
     pub fn new(policy: Policy, settings: Settings, seed: u64, now: Time) -> Mind {
         match policy {
-            Policy::Module => Mind::Module(Box::new(Brain::new(settings, seed, now))),
+            Policy::Module => Mind::Module(Box::new(Balancer::new(settings, seed, now))),
             _ => Mind::Plain(Box::new(Plain::new(policy, settings, seed))),
         }
     }
 
-    pub fn listed(&mut self, now: Time, listings: &[Listing], complete: bool) {
+    pub fn listed(&mut self, now: Time, listings: &[EndpointUpdate], complete: bool) {
         match self {
-            Mind::Module(brain) => brain.caches_listed(now, listings, complete),
+            Mind::Module(balancer) => balancer.on_endpoints_update(now, listings, complete),
             Mind::Plain(plain) => plain.listed(listings),
         }
     }
 
-    pub fn call(&mut self, now: Time, id: ApiCallId, call: ApiCall) {
+    pub fn call(&mut self, now: Time, id: RequestId, call: Request) {
         match self {
-            Mind::Module(brain) => brain.api_call(now, id, call),
+            Mind::Module(balancer) => balancer.on_request(now, id, call),
             Mind::Plain(plain) => plain.call(now, id, call),
         }
     }
 
-    pub fn ended(&mut self, now: Time, id: ApiCallId, end: &ShotEnd) {
+    pub fn ended(&mut self, now: Time, id: RequestId, end: &AttemptResult) {
         match self {
-            Mind::Module(brain) => brain.shot_ended(now, id, end),
+            Mind::Module(balancer) => balancer.on_attempt_finished(now, id, end),
             Mind::Plain(plain) => plain.ended(id, end),
         }
     }
 
     /// What planners say; plain policies go by nothing of it.
-    pub fn plan_heard(&mut self, now: Time, advice: &Advice) {
-        if let Mind::Module(brain) = self {
-            brain.plan_heard(now, advice);
+    pub fn on_control_plane_update(&mut self, now: Time, advice: &ControlPlaneUpdate) {
+        if let Mind::Module(balancer) = self {
+            balancer.on_control_plane_update(now, advice);
         }
     }
 
-    pub fn pull(&mut self, now: Time, sight: Sight<'_>) -> Vec<Order> {
+    pub fn pull(&mut self, now: Time, sight: Observation<'_>) -> Vec<Order> {
         match self {
-            Mind::Module(brain) => {
+            Mind::Module(balancer) => {
                 let mut orders = Vec::new();
                 // Recalls first: they free what the next shot of the same call may need.
                 loop {
-                    while let Some((call, number)) = brain.next_recall() {
+                    while let Some((call, number)) = balancer.poll_cancellation() {
                         orders.push(Order::Recall { call, number });
                     }
-                    if let Some(s) = brain.next_shot(now) {
-                        let (call, cache, give_up_after) = (s.api_call, s.cache, s.give_up_after);
+                    if let Some(s) = balancer.poll_attempt(now) {
+                        let (call, cache, give_up_after) = (s.request, s.cache, s.give_up_after);
                         orders.push(Order::Shoot { call, cache, give_up_after });
-                    } else if let Some((call, answer)) = brain.next_answer(now) {
-                        orders.push(Order::Answer { call, answer });
+                    } else if let Some((call, answer)) = balancer.poll_response(now) {
+                        orders.push(Order::LocalReply { call, answer });
                     } else {
                         return orders;
                     }
@@ -98,21 +100,21 @@
 
     pub fn wake(&self, now: Time) -> Option<Time> {
         match self {
-            Mind::Module(brain) => brain.next_wake(now),
+            Mind::Module(balancer) => balancer.poll_timeout(now),
             Mind::Plain(plain) => plain.wake(now),
         }
     }
 }
 
 struct Open {
-    call: ApiCall,
+    call: Request,
     end: Time,
     patience: Time,
     shots: u8,
     out: bool,
     lacking: bool,
     may_have_run: bool,
-    passed: Vec<CacheId>,
+    passed: Vec<EndpointId>,
 }
 
 /// A plain policy: no learning, no limits, no health.
@@ -120,11 +122,11 @@
     policy: Policy,
     settings: Settings,
     chance: ChaCha8Rng,
-    ready: Vec<CacheId>,
-    origin: Option<CacheId>,
-    known: BTreeMap<CacheId, Listing>,
-    ranks: HashMap<Key, Vec<CacheId>>,
-    open: BTreeMap<ApiCallId, Open>,
+    ready: Vec<EndpointId>,
+    origin: Option<EndpointId>,
+    known: BTreeMap<EndpointId, EndpointUpdate>,
+    ranks: HashMap<Key, Vec<EndpointId>>,
+    open: BTreeMap<RequestId, Open>,
 }
 
 const RECHECK: Span = Span::from_millis(20);
@@ -144,16 +146,16 @@
         }
     }
 
-    fn listed(&mut self, listings: &[Listing]) {
+    fn listed(&mut self, listings: &[EndpointUpdate]) {
         self.known.extend(listings.iter().map(|l| (l.cache, *l)));
-        let is_origin = |l: &&Listing| l.kind == KindId(1);
+        let is_origin = |l: &&EndpointUpdate| l.kind == KindId(1);
         self.origin = self.known.values().find(is_origin).map(|l| l.cache);
         self.ready = self.known.values().filter(|l| l.ready && !is_origin(l)).map(|l| l.cache).collect();
         self.ranks.clear();
     }
 
-    fn call(&mut self, now: Time, id: ApiCallId, call: ApiCall) {
-        let slo = self.settings.products[call.product.0 as usize].slo;
+    fn call(&mut self, now: Time, id: RequestId, call: Request) {
+        let slo = self.settings.request_classes[call.request_class.0 as usize].slo;
         let open = Open {
             call,
             end: now + call.budget,
@@ -167,11 +169,11 @@
         self.open.insert(id, open);
     }
 
-    fn ended(&mut self, id: ApiCallId, end: &ShotEnd) {
+    fn ended(&mut self, id: RequestId, end: &AttemptResult) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.out = false;
-        open.may_have_run |= !end.outcome.proves_it_never_ran();
-        if end.outcome == Outcome::Lacking {
+        open.may_have_run |= !end.outcome.proves_not_executed();
+        if end.outcome == AttemptOutcome::CacheMiss {
             open.lacking = true;
         }
         open.passed.push(end.cache);
@@ -180,7 +182,7 @@
         }
     }
 
-    fn ranked(&mut self, key: Key, most: usize) -> Vec<CacheId> {
+    fn ranked(&mut self, key: Key, most: usize) -> Vec<EndpointId> {
         let ready = &self.ready;
         let rank = || {
             let hasher = BuildHasherDefault::<DefaultHasher>::default();
@@ -192,7 +194,7 @@
         self.ranks.entry(key).or_insert_with(rank).clone()
     }
 
-    fn choose(&mut self, id: ApiCallId, sight: Sight<'_>) -> Option<CacheId> {
+    fn choose(&mut self, id: RequestId, sight: Observation<'_>) -> Option<EndpointId> {
         let (key, passed) = (self.open[&id].call.key, self.open[&id].passed.clone());
         let mut pool = match self.policy {
             Policy::RandomOf(most) | Policy::Seeing(most) => self.ranked(key, most),
@@ -207,12 +209,12 @@
         pool.get(n).copied()
     }
 
-    fn pull(&mut self, now: Time, sight: Sight<'_>) -> Vec<Order> {
+    fn pull(&mut self, now: Time, sight: Observation<'_>) -> Vec<Order> {
         let mut orders = Vec::new();
         let waiting: Vec<_> = self.open.iter().filter(|(_, o)| !o.out).map(|(id, _)| *id).collect();
         for id in waiting {
             let open = &self.open[&id];
-            let over = open.shots >= self.settings.max_shots || now >= open.end;
+            let over = open.shots >= self.settings.max_attempts || now >= open.end;
             // What may have run is not sent again by a plain policy, unless a repeat is harmless.
             let barred = open.may_have_run && open.call.write;
             let at_origin = open.call.write || open.lacking;
@@ -222,11 +224,11 @@
             if given_up {
                 self.open.remove(&id);
                 let answer = if barred {
-                    Answer::Errored
+                    LocalReply::Errored
                 } else {
-                    Answer::RateLimited { come_back: self.settings.max_come_back }
+                    LocalReply::RateLimited { retry_after: self.settings.max_retry_after }
                 };
-                orders.push(Order::Answer { call: id, answer });
+                orders.push(Order::LocalReply { call: id, answer });
             } else if let Some(cache) = cache {
                 let open = self.open.get_mut(&id).expect("looked at above");
                 open.out = true;
--- a/crates/fleet-simulator/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     pub node: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub call: u64,
     pub number: u8,
     pub key: Key,
@@ -33,7 +33,7 @@
     pub busy: usize,
     pub queue: VecDeque<Job>,
     /// Ends of an earlier life are void.
-    pub life: u32,
+    pub incarnation: u32,
     /// Work of handshakes that is still to be done, in seconds.
     pub debt: f64,
     keeps: usize,
@@ -54,7 +54,7 @@
             left: false,
             busy: 0,
             queue: VecDeque::new(),
-            life: 0,
+            incarnation: 0,
             debt: 0.0,
             keeps,
             held: HashMap::new(),
@@ -96,7 +96,7 @@
 
     /// Everything it had is gone, as after a loss of power.
     pub fn fall(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.busy = 0;
         self.debt = 0.0;
         self.queue.clear();
--- a/crates/fleet-simulator/src/two_levels/mod.rs
+++ b/crates/fleet-simulator/src/two_levels/mod.rs
@@ -4,18 +4,22 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb_balancer::settings::{Effect, Product, Settings as ModuleSettings};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
+use granitelb_balancer::ids::{
+    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
+};
+use granitelb_balancer::settings::{Effect, RequestClass, Settings as ModuleSettings};
 use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-use granitelb_coordination::endpoint_health::{AtForwarder, AtPlanner, Message, Verdict};
-use granitelb_coordination::message::{self, Letter, Secret, Secrets};
-use granitelb_coordination::observation::{Ended, Sight};
+use granitelb_coordination::endpoint_health::{
+    ForwarderComponent, HealthMessage, HealthStatus, PlannerComponent,
+};
+use granitelb_coordination::message::{self, Message, Secret, Secrets};
+use granitelb_coordination::observation::{FinishedAttempt, Observation};
 use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender, Settings};
 
 mod node;
@@ -68,8 +72,8 @@
 }
 
 struct Forwarder {
-    brain: Brain,
-    node: Node<AtForwarder>,
+    balancer: Balancer,
+    node: Node<ForwarderComponent>,
     alive: bool,
     shots: BTreeMap<u64, u8>,
     /// Shots out, by call and number.
@@ -86,7 +90,7 @@
     /// For letters alone: the calls of a fleet are the same with planners and without.
     ways: ChaCha8Rng,
     forwarders: Vec<Forwarder>,
-    planners: Vec<Node<AtPlanner>>,
+    planners: Vec<Node<PlannerComponent>>,
     events: BinaryHeap<Reverse<(Time, u64, What)>>,
     order: u64,
     calls: u64,
@@ -103,25 +107,25 @@
 fn module_settings(play: &Play) -> ModuleSettings {
     ModuleSettings {
         origin: Some(KindId(1)),
-        products: vec![Product {
+        request_classes: vec![RequestClass {
             slo: SLO,
             billed_value: 1.0,
-            late_value: 0.0,
+            value_after_slo: 0.0,
             offered: true,
             effect: Effect::Idempotent,
         }],
         nodes: play.forwarders as f64,
         list_on_request: false,
-        must_ask_in: Span::from_millis(10_000),
+        max_poll_interval: Span::from_millis(10_000),
         only_draining_binds: false,
         cold_from: 0.2,
         warm_after: Span::from_millis(20_000),
         fall_multiple: 3.0,
         fall_window: Span::from_millis(2000),
-        max_shots: 3,
-        second_copies: false,
-        may_recall: true,
-        max_come_back: Span::from_millis(1500),
+        max_attempts: 3,
+        hedged_requests: false,
+        may_cancel: true,
+        max_retry_after: Span::from_millis(1500),
         value_by_work: false,
         steady_sizes: false,
     }
@@ -140,8 +144,8 @@
 
 impl Fleet<'_> {
     fn new(play: &Play) -> Fleet<'_> {
-        let listing = |n: usize| Listing {
-            cache: CacheId(n as u64),
+        let listing = |n: usize| EndpointUpdate {
+            cache: EndpointId(n as u64),
             kind: KindId(u16::from(n == play.caches)),
             size: 1.0,
             zone: ZoneId(0),
@@ -153,17 +157,19 @@
         let listings: Vec<_> = (0..=play.caches).map(listing).collect();
         let mut chance = ChaCha8Rng::seed_from_u64(play.seed);
         let forwarder = |n: usize| {
-            let mut brain = Brain::new(module_settings(play), play.seed ^ (n as u64) << 20, START);
-            brain.caches_listed(START, &listings, true);
+            let mut balancer = Balancer::new(module_settings(play), play.seed ^ (n as u64) << 20, START);
+            balancer.on_endpoints_update(START, &listings, true);
             let id = ForwarderId(n as u64);
-            let make = move |life, now| AtForwarder::new(Settings::default(), id, life, now);
+            let make =
+                move |incarnation, now| ForwarderComponent::new(Settings::default(), id, incarnation, now);
             let node = Node::new(Member::Forwarder(id), play.planners, START, make);
             let (shots, out, open) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-            Forwarder { brain, node, alive: true, shots, out, open, wake: None }
+            Forwarder { balancer, node, alive: true, shots, out, open, wake: None }
         };
         let planner = |n: usize| {
             let id = PlannerId(n as u8);
-            let make = move |life, now| AtPlanner::new(Settings::default(), id, life, now);
+            let make =
+                move |incarnation, now| PlannerComponent::new(Settings::default(), id, incarnation, now);
             Node::new(Member::Planner(id), play.planners, START, make)
         };
         let mut fleet = Fleet {
@@ -220,7 +226,7 @@
     }
 
     /// Sends a letter, which arrives after a while or never; says which it is and when it does.
-    fn post(&mut self, sender: Sender, letter: &Letter) -> Option<(usize, Span)> {
+    fn post(&mut self, sender: Sender, letter: &Message) -> Option<(usize, Span)> {
         let lost = self.ways.random::<f64>() < self.play.loss;
         let ms = self.ways.random_range(1..20);
         let mut bytes = message::seal(sender, letter, &self.secrets).ok().filter(|_| !lost)?;
@@ -235,7 +241,7 @@
     }
 
     /// Opens a letter that has come, unless it is not what it says.
-    fn open(&mut self, letter: usize) -> Option<(Sender, Letter)> {
+    fn open(&mut self, letter: usize) -> Option<(Sender, Message)> {
         let read = message::open(&self.letters[letter].take()?, &self.secrets);
         self.came.refused += usize::from(read.is_err());
         read.ok()
@@ -277,10 +283,11 @@
         self.calls += 1;
         self.came.calls += 1;
         let id = self.calls;
-        let call = ApiCall { product: ProductId(0), key, budget: TIMEOUT, work: None, write: false };
+        let call =
+            Request { request_class: RequestClassId(0), key, budget: TIMEOUT, work: None, write: false };
         let f = &mut self.forwarders[n];
         f.open.insert(id, self.now);
-        f.brain.api_call(self.now, ApiCallId(id), call);
+        f.balancer.on_request(self.now, RequestId(id), call);
         self.pull(n);
     }
 
@@ -293,25 +300,26 @@
         if f.out.remove(&(shot.call, shot.number)).is_none() {
             return;
         }
-        let outcome = [Outcome::Fulfilled, Outcome::TimedOut, Outcome::Recalled][usize::from(outcome)];
+        let outcome = [AttemptOutcome::Fulfilled, AttemptOutcome::TimedOut, AttemptOutcome::Cancelled]
+            [usize::from(outcome)];
         let mut answered = false;
-        if outcome == Outcome::Fulfilled
+        if outcome == AttemptOutcome::Fulfilled
             && let Some(came) = f.open.remove(&shot.call)
         {
             answered = true;
             self.came.fulfilled += 1;
             self.came.in_time += usize::from(self.now - came <= SLO);
         }
-        let (cache, latency) = (CacheId(shot.cache), self.now - shot.sent);
+        let (cache, latency) = (EndpointId(shot.cache), self.now - shot.sent);
         f.node.verdicts.seen(self.now, &ended(shot, outcome, latency, self.play));
-        let end = ShotEnd {
-            number: ShotNumber(shot.number),
+        let end = AttemptResult {
+            number: AttemptNumber(shot.number),
             cache,
             outcome,
             latency,
             answered: answered || !f.open.contains_key(&shot.call),
         };
-        f.brain.shot_ended(self.now, ApiCallId(shot.call), &end);
+        f.balancer.on_attempt_finished(self.now, RequestId(shot.call), &end);
         if answered && self.now >= at(self.play.hang.1) && (shot.cache as usize) < self.play.caches {
             let second = (self.now - at(self.play.hang.1)).0 / 1_000_000;
             let count = self.after.entry(second).or_default();
@@ -325,12 +333,12 @@
         if !self.forwarders[n].alive {
             return;
         }
-        while let Some((call, number)) = self.forwarders[n].brain.next_recall() {
+        while let Some((call, number)) = self.forwarders[n].balancer.poll_cancellation() {
             if let Some(shot) = self.forwarders[n].out.get(&(call.0, number.0)).copied() {
                 self.later(Span(1), What::Ends { forwarder: n, shot, outcome: 2 });
             }
         }
-        while let Some(shot) = self.forwarders[n].brain.next_shot(self.now) {
+        while let Some(shot) = self.forwarders[n].balancer.poll_attempt(self.now) {
             let hung = self.is_hung(shot.cache.0);
             if hung {
                 self.came.wasted += 1;
@@ -340,22 +348,24 @@
             }
             let f = &mut self.forwarders[n];
             let is_origin = shot.cache.0 as usize == self.play.caches;
-            f.node.verdicts.seen(self.now, &Sight::Sent { cache: shot.cache, is_origin, write: false });
-            let number = f.shots.entry(shot.api_call.0).or_insert(0);
-            let out = ShotOut { call: shot.api_call.0, number: *number, cache: shot.cache.0, sent: self.now };
+            f.node
+                .verdicts
+                .seen(self.now, &Observation::AttemptSent { cache: shot.cache, is_origin, write: false });
+            let number = f.shots.entry(shot.request.0).or_insert(0);
+            let out = ShotOut { call: shot.request.0, number: *number, cache: shot.cache.0, sent: self.now };
             *number += 1;
             f.out.insert((out.call, out.number), out);
             let (after, outcome) = if hung { (shot.give_up_after, 1) } else { (ANSWER, 0) };
             self.later(after, What::Ends { forwarder: n, shot: out, outcome });
         }
-        while let Some((id, answer)) = self.forwarders[n].brain.next_answer(self.now) {
+        while let Some((id, answer)) = self.forwarders[n].balancer.poll_response(self.now) {
             match self.forwarders[n].open.remove(&id.0) {
-                Some(_) if matches!(answer, Answer::Errored) => self.came.errored += 1,
+                Some(_) if matches!(answer, LocalReply::Errored) => self.came.errored += 1,
                 Some(_) => self.came.rate_limited += 1,
                 None => self.came.unsound += 1,
             }
         }
-        let wake = self.forwarders[n].brain.next_wake(self.now);
+        let wake = self.forwarders[n].balancer.poll_timeout(self.now);
         if let Some(time) = wake.filter(|w| self.forwarders[n].wake.is_none_or(|known| *w < known)) {
             self.forwarders[n].wake = Some(time);
             self.later((time - self.now).max(Span(1)), What::Wake { forwarder: n });
@@ -400,13 +410,13 @@
         }
         match to {
             Of::Planner(n) => {
-                self.planners[n].heard(self.now, sender, letter);
+                self.planners[n].on_message(self.now, sender, letter);
             }
             Of::Forwarder(n) => {
                 let f = &mut self.forwarders[n];
-                if f.node.heard(self.now, sender, letter) {
+                if f.node.on_message(self.now, sender, letter) {
                     let advice = f.node.verdicts.advice(self.now);
-                    f.brain.plan_heard(self.now, &advice);
+                    f.balancer.on_control_plane_update(self.now, &advice);
                     self.pull(n);
                 }
             }
@@ -425,8 +435,8 @@
         }
         let now = self.now;
         while let Some((to, sender, mut letter)) = match of {
-            Of::Planner(n) => self.planners[n].next_letter(now),
-            Of::Forwarder(n) => self.forwarders[n].node.next_letter(now),
+            Of::Planner(n) => self.planners[n].poll_message(now),
+            Of::Forwarder(n) => self.forwarders[n].node.poll_message(now),
         } {
             if self.play.liar && matches!(of, Of::Planner(0) | Of::Forwarder(0)) {
                 self.lie(&mut letter);
@@ -439,8 +449,10 @@
             self.later(way, What::Comes { to, letter });
         }
         let (wake, known) = match of {
-            Of::Planner(n) => (self.planners[n].next_wake(now), &mut self.planners[n].wake),
-            Of::Forwarder(n) => (self.forwarders[n].node.next_wake(now), &mut self.forwarders[n].node.wake),
+            Of::Planner(n) => (self.planners[n].poll_timeout(now), &mut self.planners[n].wake),
+            Of::Forwarder(n) => {
+                (self.forwarders[n].node.poll_timeout(now), &mut self.forwarders[n].node.wake)
+            }
         };
         if let Some(time) = wake.filter(|w| known.is_none_or(|k| k <= now || *w < k)) {
             *known = Some(time);
@@ -448,14 +460,14 @@
         }
     }
 
-    fn lie(&self, letter: &mut Letter) {
+    fn lie(&self, letter: &mut Message) {
         match letter {
-            Letter::Verdicts(Message::Report(report)) => {
+            Message::EndpointHealth(HealthMessage::Report(report)) => {
                 report.caches.iter_mut().for_each(|s| (s.answered, s.failed) = (0.0, 1000.0));
             }
-            Letter::Verdicts(Message::Plan(plan)) => {
-                let fails = Verdict::Fails { ago: Span::ZERO };
-                plan.verdicts = (0..self.play.caches as u64).map(|c| (CacheId(c), fails)).collect();
+            Message::EndpointHealth(HealthMessage::Plan(plan)) => {
+                let fails = HealthStatus::Failing { ago: Span::ZERO };
+                plan.verdicts = (0..self.play.caches as u64).map(|c| (EndpointId(c), fails)).collect();
             }
             _ => {}
         }
@@ -463,15 +475,15 @@
 }
 
 /// What the forwarder's loop tells of a shot that has ended.
-fn ended(shot: ShotOut, outcome: Outcome, latency: Span, play: &Play) -> Sight {
-    Sight::Ended(Box::new(Ended {
+fn ended(shot: ShotOut, outcome: AttemptOutcome, latency: Span, play: &Play) -> Observation {
+    Observation::AttemptFinished(Box::new(FinishedAttempt {
         call: shot.call,
         number: shot.number,
         key: Key(0),
-        product: ProductId(0),
+        request_class: RequestClassId(0),
         write: false,
         work: None,
-        cache: CacheId(shot.cache),
+        cache: EndpointId(shot.cache),
         is_origin: shot.cache as usize == play.caches,
         candidates: Vec::new(),
         outcome,
--- a/crates/fleet-simulator/src/two_levels/node.rs
+++ b/crates/fleet-simulator/src/two_levels/node.rs
@@ -1,68 +1,77 @@
 //! A member's letters: who lives, its side of the verdicts, and what it sends.
 
 use granitelb_balancer::time::Time;
-use granitelb_coordination::component::Faculty;
-use granitelb_coordination::endpoint_health::Message;
+use granitelb_coordination::component::Component;
+use granitelb_coordination::endpoint_health::HealthMessage;
 use granitelb_coordination::membership::Members;
-use granitelb_coordination::message::Letter;
-use granitelb_coordination::{Life, Member, PlannerId, Sender};
+use granitelb_coordination::message::Message;
+use granitelb_coordination::{Incarnation, Member, PlannerId, Sender};
 
 pub struct Node<V> {
     me: Member,
     members: Members,
     pub verdicts: V,
-    make: Box<dyn Fn(Life, Time) -> V>,
+    make: Box<dyn Fn(Incarnation, Time) -> V>,
     number: u64,
     /// When it is to be looked at next.
     pub wake: Option<Time>,
 }
 
-impl<V: Faculty<Message = Message>> Node<V> {
-    pub fn new(me: Member, planners: usize, now: Time, make: impl Fn(Life, Time) -> V + 'static) -> Node<V> {
-        let mut members = Members::new(me, Life(1), now);
+impl<V: Component<Message = HealthMessage>> Node<V> {
+    pub fn new(
+        me: Member,
+        planners: usize,
+        now: Time,
+        make: impl Fn(Incarnation, Time) -> V + 'static,
+    ) -> Node<V> {
+        let mut members = Members::new(me, Incarnation(1), now);
         members.set_planners(now, (0..planners).map(|n| PlannerId(n as u8)));
-        let verdicts = make(Life(1), now);
+        let verdicts = make(Incarnation(1), now);
         Node { me, members, verdicts, make: Box::new(make), number: 0, wake: None }
     }
 
     /// Takes in a letter if it is to be heard.
-    pub fn heard(&mut self, now: Time, sender: Sender, letter: Letter) -> bool {
+    pub fn on_message(&mut self, now: Time, sender: Sender, letter: Message) -> bool {
         if self.members.take(now, sender).is_err() {
             return false;
         }
         self.goes_on(now);
         match letter {
-            Letter::Members(message) => self.members.heard(now, sender, message).is_ok(),
-            Letter::Verdicts(message) => self.verdicts.heard(now, sender, message).is_ok(),
+            Message::Membership(message) => self.members.on_message(now, sender, message).is_ok(),
+            Message::EndpointHealth(message) => self.verdicts.on_message(now, sender, message).is_ok(),
             _ => false,
         }
     }
 
     /// The next letter to send, and to whom.
-    pub fn next_letter(&mut self, now: Time) -> Option<(Member, Sender, Letter)> {
+    pub fn poll_message(&mut self, now: Time) -> Option<(Member, Sender, Message)> {
         self.goes_on(now);
-        let verdict = self.verdicts.next_letter(now).map(|(to, m)| (to, Letter::Verdicts(m)));
+        let verdict = self.verdicts.poll_message(now).map(|(to, m)| (to, Message::EndpointHealth(m)));
         let (to, letter) =
-            verdict.or_else(|| self.members.next_letter(now).map(|(to, m)| (to, Letter::Members(m))))?;
+            verdict.or_else(|| self.members.poll_message(now).map(|(to, m)| (to, Message::Membership(m))))?;
         self.members.sent(now, to);
         self.number += 1;
-        Some((to, Sender { member: self.me, life: self.members.life(), number: self.number }, letter))
+        Some((
+            to,
+            Sender { member: self.me, incarnation: self.members.incarnation(), number: self.number },
+            letter,
+        ))
     }
 
     /// When to look at it again.
-    pub fn next_wake(&self, now: Time) -> Option<Time> {
-        self.members.next_wake(now).into_iter().chain(self.verdicts.next_wake(now)).min()
+    pub fn poll_timeout(&self, now: Time) -> Option<Time> {
+        self.members.poll_timeout(now).into_iter().chain(self.verdicts.poll_timeout(now)).min()
     }
 
     fn goes_on(&mut self, now: Time) {
         let changed = self.members.changed(now);
         if self.members.must_be_new() {
-            let life = Life(self.members.life().0 + 1);
-            self.members.renewed(life);
-            self.verdicts = (self.make)(life, now);
-            self.verdicts.members(now, &self.members.alive(now));
+            let incarnation = Incarnation(self.members.incarnation().0 + 1);
+            self.members.renewed(incarnation);
+            self.verdicts = (self.make)(incarnation, now);
+            self.verdicts.on_membership_change(now, &self.members.alive(now));
         } else if let Some(alive) = changed {
-            self.verdicts.members(now, &alive);
+            self.verdicts.on_membership_change(now, &alive);
         }
     }
 }
--- a/crates/fleet-simulator/src/world/events.rs
+++ b/crates/fleet-simulator/src/world/events.rs
@@ -1,10 +1,10 @@
 //! What happens in a fleet, in order of time.
 
-use granitelb_balancer::calls::{Listing, Outcome};
+use granitelb_balancer::calls::{AttemptOutcome, EndpointUpdate};
 use granitelb_balancer::ids::Key;
 use granitelb_balancer::time::Time;
 use granitelb_coordination::Sender;
-use granitelb_coordination::message::Letter;
+use granitelb_coordination::message::Message;
 
 use super::talk::Seat;
 use crate::server::Job;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShotId {
     pub node: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub call: u64,
     pub number: u8,
 }
@@ -24,18 +24,18 @@
     Again { node: usize, first: Time, key: Key, write: bool, deadline: Time },
     Connected { shot: ShotId },
     Comes { shot: ShotId, server: usize, job: Job },
-    Done { server: usize, life: u32, job: Job },
-    Answer { shot: ShotId, outcome: Outcome, stored: bool },
+    Done { server: usize, incarnation: u32, job: Job },
+    LocalReply { shot: ShotId, outcome: AttemptOutcome, stored: bool },
     GiveUp { shot: ShotId },
-    Wake { node: usize, life: u32 },
-    List { node: usize, life: u32, listing: Listing },
+    Wake { node: usize, incarnation: u32 },
+    List { node: usize, incarnation: u32, listing: EndpointUpdate },
     Loses { zone: usize },
     Returns { zone: usize },
     Replaces { old: usize },
     Leaves { server: usize },
     Kills { node: usize },
-    Letter { to: Seat, life: u32, sender: Sender, letter: Box<Letter> },
-    Round { of: Seat, life: u32 },
+    Message { to: Seat, incarnation: u32, sender: Sender, letter: Box<Message> },
+    Round { of: Seat, incarnation: u32 },
     PlannersDie,
     PlannersReturn,
 }
--- a/crates/fleet-simulator/src/world/fellows.rs
+++ b/crates/fleet-simulator/src/world/fellows.rs
@@ -3,13 +3,13 @@
 
 use std::collections::BTreeSet;
 
-use granitelb_balancer::calls::Advice;
+use granitelb_balancer::calls::ControlPlaneUpdate;
 use granitelb_balancer::time::Time;
-use granitelb_coordination::component::Faculty;
+use granitelb_coordination::component::Component;
 use granitelb_coordination::membership::Members;
-use granitelb_coordination::message::Letter;
-use granitelb_coordination::observation::Sight;
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender, endpoint_health, leases};
+use granitelb_coordination::message::Message;
+use granitelb_coordination::observation::Observation;
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender, endpoint_health, leases};
 
 use crate::play::{Play, Together};
 
@@ -21,17 +21,17 @@
     members: Members,
     verdicts: Option<V>,
     leases: Option<L>,
-    make: Box<dyn Fn(Life, Time) -> Sides<V, L>>,
+    make: Box<dyn Fn(Incarnation, Time) -> Sides<V, L>>,
     number: u64,
     /// The list that was told last: sides that are made anew have to know it.
-    listed: Option<Sight>,
+    listed: Option<Observation>,
     is_new: bool,
     /// When it is to be looked at next.
     pub wake: Option<Time>,
 }
 
-pub type Forwarder = Fellow<endpoint_health::AtForwarder, leases::AtForwarder>;
-pub type Planner = Fellow<endpoint_health::AtPlanner, leases::AtPlanner>;
+pub type Forwarder = Fellow<endpoint_health::ForwarderComponent, leases::ForwarderComponent>;
+pub type Planner = Fellow<endpoint_health::PlannerComponent, leases::PlannerComponent>;
 
 /// What the model's servers stand: of the origin what writes leave of its places over its time, of a cache its one place.
 pub fn lease_settings(play: &Play, origin_slots: usize) -> leases::Settings {
@@ -55,9 +55,14 @@
 
 pub fn forwarder(play: &Play, leased: &leases::Settings, me: ForwarderId, now: Time) -> Forwarder {
     let (Together { verdicts, leases }, leased) = (play.together, leased.clone());
-    let make = move |life, now| {
-        let said = endpoint_health::AtForwarder::new(endpoint_health::Settings::default(), me, life, now);
-        let lease = leases::AtForwarder::new(leased.clone(), me, life, now);
+    let make = move |incarnation, now| {
+        let said = endpoint_health::ForwarderComponent::new(
+            endpoint_health::Settings::default(),
+            me,
+            incarnation,
+            now,
+        );
+        let lease = leases::ForwarderComponent::new(leased.clone(), me, incarnation, now);
         (verdicts.then_some(said), leases.then_some(lease))
     };
     Fellow::new(play, Member::Forwarder(me), now, make)
@@ -65,9 +70,14 @@
 
 pub fn planner(play: &Play, leased: &leases::Settings, me: PlannerId, now: Time) -> Planner {
     let (Together { verdicts, leases }, leased) = (play.together, leased.clone());
-    let make = move |life, now| {
-        let says = endpoint_health::AtPlanner::new(endpoint_health::Settings::default(), me, life, now);
-        let grants = leases::AtPlanner::new(leased.clone(), me, life, now);
+    let make = move |incarnation, now| {
+        let says = endpoint_health::PlannerComponent::new(
+            endpoint_health::Settings::default(),
+            me,
+            incarnation,
+            now,
+        );
+        let grants = leases::PlannerComponent::new(leased.clone(), me, incarnation, now);
         (verdicts.then_some(says), leases.then_some(grants))
     };
     Fellow::new(play, Member::Planner(me), now, make)
@@ -75,79 +85,90 @@
 
 impl<V, L> Fellow<V, L>
 where
-    V: Faculty<Message = endpoint_health::Message>,
-    L: Faculty<Message = leases::Message>,
+    V: Component<Message = endpoint_health::HealthMessage>,
+    L: Component<Message = leases::LeaseMessage>,
 {
     /// A process that starts now: its life is later than any before.
-    fn new(play: &Play, me: Member, now: Time, make: impl Fn(Life, Time) -> Sides<V, L> + 'static) -> Self {
-        let life = Life(now.0);
-        let mut members = Members::new(me, life, now);
+    fn new(
+        play: &Play,
+        me: Member,
+        now: Time,
+        make: impl Fn(Incarnation, Time) -> Sides<V, L> + 'static,
+    ) -> Self {
+        let incarnation = Incarnation(now.0);
+        let mut members = Members::new(me, incarnation, now);
         members.set_planners(now, planners(play));
-        let (verdicts, leases) = make(life, now);
+        let (verdicts, leases) = make(incarnation, now);
         let make = Box::new(make);
         Fellow { me, members, verdicts, leases, make, number: 0, listed: None, is_new: false, wake: None }
     }
 
     /// Takes in a letter if it is to be heard.
-    pub fn heard(&mut self, now: Time, sender: Sender, letter: Letter) -> bool {
+    pub fn on_message(&mut self, now: Time, sender: Sender, letter: Message) -> bool {
         if self.members.take(now, sender).is_err() {
             return false;
         }
         self.goes_on(now);
         match (letter, &mut self.verdicts, &mut self.leases) {
-            (Letter::Members(message), ..) => self.members.heard(now, sender, message).is_ok(),
-            (Letter::Verdicts(message), Some(side), _) => side.heard(now, sender, message).is_ok(),
-            (Letter::Leases(message), _, Some(side)) => side.heard(now, sender, message).is_ok(),
+            (Message::Membership(message), ..) => self.members.on_message(now, sender, message).is_ok(),
+            (Message::EndpointHealth(message), Some(side), _) => {
+                side.on_message(now, sender, message).is_ok()
+            }
+            (Message::Leases(message), _, Some(side)) => side.on_message(now, sender, message).is_ok(),
             _ => false,
         }
     }
 
     /// The next letter to send, and to whom. Beats last: any other letter is as good as one.
-    pub fn next_letter(&mut self, now: Time) -> Option<(Member, Sender, Letter)> {
+    pub fn poll_message(&mut self, now: Time) -> Option<(Member, Sender, Message)> {
         self.goes_on(now);
-        let verdict = self.verdicts.as_mut().and_then(|v| v.next_letter(now));
-        let next = verdict.map(|(to, m)| (to, Letter::Verdicts(m)));
-        let mut lease = || self.leases.as_mut().and_then(|l| l.next_letter(now));
-        let next = next.or_else(|| lease().map(|(to, m)| (to, Letter::Leases(m))));
-        let beat = || self.members.next_letter(now).map(|(to, m)| (to, Letter::Members(m)));
+        let verdict = self.verdicts.as_mut().and_then(|v| v.poll_message(now));
+        let next = verdict.map(|(to, m)| (to, Message::EndpointHealth(m)));
+        let mut lease = || self.leases.as_mut().and_then(|l| l.poll_message(now));
+        let next = next.or_else(|| lease().map(|(to, m)| (to, Message::Leases(m))));
+        let beat = || self.members.poll_message(now).map(|(to, m)| (to, Message::Membership(m)));
         let (to, letter) = next.or_else(beat)?;
         self.members.sent(now, to);
         self.number += 1;
-        Some((to, Sender { member: self.me, life: self.members.life(), number: self.number }, letter))
+        Some((
+            to,
+            Sender { member: self.me, incarnation: self.members.incarnation(), number: self.number },
+            letter,
+        ))
     }
 
-    pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let verdicts = self.verdicts.as_ref().and_then(|v| v.next_wake(now));
-        let leases = self.leases.as_ref().and_then(|l| l.next_wake(now));
-        self.members.next_wake(now).into_iter().chain(verdicts).chain(leases).min()
+    pub fn poll_timeout(&self, now: Time) -> Option<Time> {
+        let verdicts = self.verdicts.as_ref().and_then(|v| v.poll_timeout(now));
+        let leases = self.leases.as_ref().and_then(|l| l.poll_timeout(now));
+        self.members.poll_timeout(now).into_iter().chain(verdicts).chain(leases).min()
     }
 
     fn goes_on(&mut self, now: Time) {
         let mut changed = self.members.changed(now);
         if self.members.must_be_new() {
-            let life = Life(now.0.max(self.members.life().0 + 1));
-            self.members.renewed(life);
-            (self.verdicts, self.leases) = (self.make)(life, now);
+            let incarnation = Incarnation(now.0.max(self.members.incarnation().0 + 1));
+            self.members.renewed(incarnation);
+            (self.verdicts, self.leases) = (self.make)(incarnation, now);
             self.is_new = true;
             changed = Some(self.members.alive(now));
         }
         let Some(alive) = changed else { return };
-        self.verdicts.iter_mut().for_each(|v| v.members(now, &alive));
-        self.leases.iter_mut().for_each(|l| l.members(now, &alive));
+        self.verdicts.iter_mut().for_each(|v| v.on_membership_change(now, &alive));
+        self.leases.iter_mut().for_each(|l| l.on_membership_change(now, &alive));
     }
 }
 
 impl Forwarder {
-    pub fn seen(&mut self, now: Time, sight: Sight) {
+    pub fn seen(&mut self, now: Time, sight: Observation) {
         self.verdicts.iter_mut().for_each(|v| v.seen(now, &sight));
         self.leases.iter_mut().for_each(|l| l.seen(now, &sight));
-        if let Sight::Listed(_) = sight {
+        if let Observation::EndpointsChanged(_) = sight {
             self.listed = Some(sight);
         }
     }
 
     /// What is to be said to the module now.
-    pub fn advice(&mut self, now: Time) -> Advice {
+    pub fn advice(&mut self, now: Time) -> ControlPlaneUpdate {
         if std::mem::take(&mut self.is_new)
             && let Some(listed) = self.listed.take()
         {
--- a/crates/fleet-simulator/src/world/mod.rs
+++ b/crates/fleet-simulator/src/world/mod.rs
@@ -10,9 +10,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
-use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
+use granitelb_balancer::ids::{
+    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
+};
+use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,7 +50,7 @@
     missed: Vec<usize>,
 }
 
-struct Shot {
+struct Attempt {
     server: usize,
     at: Time,
     /// Its connection is up, and so may be used again.
@@ -60,9 +62,9 @@
     mind: Mind,
     zone: usize,
     rate: f64,
-    life: u32,
+    incarnation: u32,
     calls: HashMap<u64, Call>,
-    shots: HashMap<(u64, u8), Shot>,
+    shots: HashMap<(u64, u8), Attempt>,
     idle: HashMap<usize, Vec<Time>>,
     wake: Option<Time>,
 }
@@ -74,7 +76,7 @@
     chance: ChaCha8Rng,
     nodes: Vec<Node>,
     servers: Vec<Server>,
-    listed: Vec<Listing>,
+    listed: Vec<EndpointUpdate>,
     origin: usize,
     origin_slots: usize,
     popularity: Popularity,
@@ -94,25 +96,30 @@
 
 /// What every node is told of the site.
 fn settings(play: &Play) -> Settings {
-    let product =
-        |billed_value, effect| Product { slo: SLO, billed_value, late_value: 0.0, offered: true, effect };
+    let request_class = |billed_value, effect| RequestClass {
+        slo: SLO,
+        billed_value,
+        value_after_slo: 0.0,
+        offered: true,
+        effect,
+    };
     let window = Span::from_millis(3000);
     let dropped = Effect::Deduplicated { scope: DedupScope::All, window };
     Settings {
         origin: Some(KindId(1)),
-        products: vec![product(1.0, Effect::Idempotent), product(2.0, dropped)],
+        request_classes: vec![request_class(1.0, Effect::Idempotent), request_class(2.0, dropped)],
         nodes: play.nodes as f64,
         list_on_request: false,
-        must_ask_in: Span::from_millis(10_000),
+        max_poll_interval: Span::from_millis(10_000),
         only_draining_binds: false,
         cold_from: COLD_FROM,
         warm_after: WARM_AFTER,
         fall_multiple: 3.0,
         fall_window: Span::from_millis(2000),
-        max_shots: MOST_SHOTS,
-        second_copies: false,
-        may_recall: true,
-        max_come_back: Span::from_millis(1500),
+        max_attempts: MOST_SHOTS,
+        hedged_requests: false,
+        may_cancel: true,
+        max_retry_after: Span::from_millis(1500),
         value_by_work: true,
         steady_sizes: false,
     }
@@ -163,7 +170,7 @@
                 mind,
                 zone: n % play.zones,
                 rate,
-                life: 0,
+                incarnation: 0,
                 calls,
                 shots,
                 idle,
@@ -177,10 +184,10 @@
         world
     }
 
-    fn listing(&self, server: usize) -> Listing {
+    fn listing(&self, server: usize) -> EndpointUpdate {
         let s = &self.servers[server];
-        Listing {
-            cache: CacheId(server as u64),
+        EndpointUpdate {
+            cache: EndpointId(server as u64),
             kind: KindId(u16::from(server == self.origin)),
             size: 1.0,
             zone: ZoneId(s.zone as u32),
@@ -228,18 +235,18 @@
             }
             What::Connected { shot } => self.write(shot),
             What::Comes { shot, server, job } => self.comes(shot, server, job),
-            What::Done { server, life, job } => self.done(server, life, job),
-            What::Answer { shot, outcome, stored } => self.shot_ends(shot, outcome, stored),
+            What::Done { server, incarnation, job } => self.done(server, incarnation, job),
+            What::LocalReply { shot, outcome, stored } => self.shot_ends(shot, outcome, stored),
             What::GiveUp { shot } => {
                 let up = self.shot(shot).is_some_and(|s| s.up);
-                let outcome = if up { Outcome::TimedOut } else { Outcome::Unreachable };
+                let outcome = if up { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
                 self.shot_ends(shot, outcome, false);
             }
-            What::Wake { node, life } if self.nodes[node].life == life => {
+            What::Wake { node, incarnation } if self.nodes[node].incarnation == incarnation => {
                 self.nodes[node].wake = None;
                 self.pull(node);
             }
-            What::List { node, life, listing } if self.nodes[node].life == life => {
+            What::List { node, incarnation, listing } if self.nodes[node].incarnation == incarnation => {
                 self.nodes[node].mind.listed(self.now, &[listing], false);
                 self.heard_list(node, listing);
                 self.pull(node);
@@ -250,8 +257,10 @@
             What::Replaces { old } => self.replace(old),
             What::Leaves { server } => self.servers[server].down = true,
             What::Kills { node } => self.kill(node),
-            What::Letter { to, life, sender, letter } => self.letter_comes(to, life, sender, *letter),
-            What::Round { of, life } => self.round(of, life),
+            What::Message { to, incarnation, sender, letter } => {
+                self.letter_comes(to, incarnation, sender, *letter)
+            }
+            What::Round { of, incarnation } => self.round(of, incarnation),
             What::PlannersDie => self.planners_die(),
             What::PlannersReturn => self.planners_return(),
         }
--- a/crates/fleet-simulator/src/world/nodes.rs
+++ b/crates/fleet-simulator/src/world/nodes.rs
@@ -1,6 +1,6 @@
 //! What clients and nodes do: calls, the module's orders, shots on their way, final answers.
 
-use granitelb_coordination::observation::Sight;
+use granitelb_coordination::observation::Observation;
 
 use super::troubles::{hung_for, is_hung};
 use super::*;
@@ -45,8 +45,8 @@
         self.calls += 1;
         self.came.tries += 1;
         let id = self.calls;
-        let call = ApiCall {
-            product: ProductId(u16::from(write)),
+        let call = Request {
+            request_class: RequestClassId(u16::from(write)),
             key,
             budget: deadline - self.now,
             work: Some(self.play.work.scaled(self.popularity.size(key))),
@@ -54,7 +54,7 @@
         };
         let known = Call { first, deadline, key, write, again, shots: 0, out: 0, missed: Vec::new() };
         self.nodes[n].calls.insert(id, known);
-        self.nodes[n].mind.call(self.now, ApiCallId(id), call);
+        self.nodes[n].mind.call(self.now, RequestId(id), call);
         self.pull(n);
     }
 
@@ -62,7 +62,7 @@
     pub(super) fn pull(&mut self, n: usize) {
         let (servers, network, now) = (&self.servers, &self.network, self.now);
         let zone = self.nodes[n].zone;
-        let sight = |c: CacheId| {
+        let sight = |c: EndpointId| {
             let s = &servers[c.0 as usize];
             let dead = s.down || is_hung(network, now, c.0 as usize) || network.is_cut(now, zone, s.zone);
             if dead { 1.0 } else { s.crowd() }
@@ -72,11 +72,19 @@
                 Order::Shoot { call, cache, give_up_after } => {
                     self.shoot(n, call.0, cache.0 as usize, give_up_after)
                 }
-                Order::Answer { call, answer } => self.answered_by_node(n, call.0, answer),
+                Order::LocalReply { call, answer } => self.answered_by_node(n, call.0, answer),
                 Order::Recall { call, number } => {
-                    let shot = ShotId { node: n, life: self.nodes[n].life, call: call.0, number: number.0 };
+                    let shot = ShotId {
+                        node: n,
+                        incarnation: self.nodes[n].incarnation,
+                        call: call.0,
+                        number: number.0,
+                    };
                     self.came.recalled += usize::from(self.shot(shot).is_some());
-                    self.later(Span(1), What::Answer { shot, outcome: Outcome::Recalled, stored: false });
+                    self.later(
+                        Span(1),
+                        What::LocalReply { shot, outcome: AttemptOutcome::Cancelled, stored: false },
+                    );
                 }
             }
         }
@@ -84,18 +92,18 @@
         let wake = node.mind.wake(self.now).filter(|w| node.wake.is_none_or(|known| *w < known));
         if let Some(time) = wake {
             node.wake = Some(time);
-            let life = node.life;
-            self.later((time - self.now).max(Span(1)), What::Wake { node: n, life });
+            let incarnation = node.incarnation;
+            self.later((time - self.now).max(Span(1)), What::Wake { node: n, incarnation });
         }
     }
 
-    pub(super) fn shot(&self, id: ShotId) -> Option<&Shot> {
+    pub(super) fn shot(&self, id: ShotId) -> Option<&Attempt> {
         let node = &self.nodes[id.node];
-        node.shots.get(&(id.call, id.number)).filter(|_| node.life == id.life)
+        node.shots.get(&(id.call, id.number)).filter(|_| node.incarnation == id.incarnation)
     }
 
     pub(super) fn shoot(&mut self, n: usize, call_id: u64, server: usize, give_up_after: Span) {
-        let life = self.nodes[n].life;
+        let incarnation = self.nodes[n].incarnation;
         let Some(call) = self.nodes[n].calls.get_mut(&call_id) else {
             self.came.unsound += 1;
             return;
@@ -105,8 +113,9 @@
         self.came.copies += usize::from(call.out > 0);
         call.out += 1;
         let (key, write) = (call.key, call.write);
-        let job = Job { node: n, life, call: call_id, number, key, write, work: Span::ZERO, lacks: false };
-        let shot = ShotId { node: n, life, call: call_id, number };
+        let job =
+            Job { node: n, incarnation, call: call_id, number, key, write, work: Span::ZERO, lacks: false };
+        let shot = ShotId { node: n, incarnation, call: call_id, number };
         let counts = self.day_s(self.now) >= 0.0;
         if counts && server == self.origin {
             self.came.at_origin += 1;
@@ -120,13 +129,13 @@
                 self.came.trials += usize::from(hung_for(&self.network, self.now, KNOWN_AFTER));
             }
         }
-        let (cache, is_origin) = (CacheId(server as u64), server == self.origin);
-        self.saw(n, |_| Sight::Sent { cache, is_origin, write });
+        let (cache, is_origin) = (EndpointId(server as u64), server == self.origin);
+        self.saw(n, |_| Observation::AttemptSent { cache, is_origin, write });
         let (now, keep) = (self.now, self.play.idle.scaled(IDLE_SHARE));
         let idle = self.nodes[n].idle.entry(server).or_default();
         idle.retain(|since| now - *since < keep);
         let up = idle.pop().is_some();
-        self.nodes[n].shots.insert((call_id, number), Shot { server, at: now, up, job });
+        self.nodes[n].shots.insert((call_id, number), Attempt { server, at: now, up, job });
         self.later(give_up_after, What::GiveUp { shot });
         if up {
             self.write(shot);
@@ -135,8 +144,8 @@
         self.came.handshakes += usize::from(counts);
         let (here, there) = (self.nodes[n].zone, self.servers[server].zone);
         if self.servers[server].down || self.network.is_cut(now, here, there) {
-            let never = Outcome::Unreachable;
-            self.later(self.play.connect_timeout, What::Answer { shot, outcome: never, stored: false });
+            let never = AttemptOutcome::Unreachable;
+            self.later(self.play.connect_timeout, What::LocalReply { shot, outcome: never, stored: false });
             return;
         }
         let way = self.network.way(&mut self.chance, here, there);
@@ -156,13 +165,16 @@
         self.later(way, What::Comes { shot: id, server, job });
     }
 
-    pub(super) fn shot_ends(&mut self, id: ShotId, outcome: Outcome, stored: bool) {
+    pub(super) fn shot_ends(&mut self, id: ShotId, outcome: AttemptOutcome, stored: bool) {
         if self.shot(id).is_none() {
             return;
         }
         let node = &mut self.nodes[id.node];
         let shot = node.shots.remove(&(id.call, id.number)).expect("looked at above");
-        let kept = !matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::Recalled);
+        let kept = !matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::Cancelled
+        );
         if kept {
             node.idle.entry(shot.server).or_default().push(self.now);
         }
@@ -173,8 +185,8 @@
         let mut answered = true;
         if let Some(call) = node.calls.get_mut(&id.call) {
             call.out -= 1;
-            answered = outcome == Outcome::Fulfilled;
-            if outcome == Outcome::Lacking {
+            answered = outcome == AttemptOutcome::Fulfilled;
+            if outcome == AttemptOutcome::CacheMiss {
                 call.missed.push(shot.server);
             }
             if answered {
@@ -188,28 +200,28 @@
                 self.fulfilled(&call);
             }
         }
-        let end = ShotEnd {
-            number: ShotNumber(id.number),
-            cache: CacheId(shot.server as u64),
+        let end = AttemptResult {
+            number: AttemptNumber(id.number),
+            cache: EndpointId(shot.server as u64),
             outcome,
             latency: self.now - shot.at,
             answered,
         };
-        self.nodes[id.node].mind.ended(self.now, ApiCallId(id.call), &end);
+        self.nodes[id.node].mind.ended(self.now, RequestId(id.call), &end);
         self.pull(id.node);
     }
 
-    pub(super) fn count(&mut self, server: usize, outcome: Outcome, counts: bool) {
+    pub(super) fn count(&mut self, server: usize, outcome: AttemptOutcome, counts: bool) {
         let came = &mut self.came;
         let at_origin = server == self.origin;
         let figure = match outcome {
             _ if !counts => return,
-            Outcome::Full if at_origin => &mut came.origin_full,
-            Outcome::Full => &mut came.full,
-            Outcome::Fulfilled if !at_origin => &mut came.hits,
-            Outcome::Lacking => &mut came.misses,
-            Outcome::Unreachable => &mut came.unreachable,
-            Outcome::TimedOut => &mut came.timed_out,
+            AttemptOutcome::Rejected if at_origin => &mut came.origin_full,
+            AttemptOutcome::Rejected => &mut came.full,
+            AttemptOutcome::Fulfilled if !at_origin => &mut came.hits,
+            AttemptOutcome::CacheMiss => &mut came.misses,
+            AttemptOutcome::Unreachable => &mut came.unreachable,
+            AttemptOutcome::TimedOut => &mut came.timed_out,
             _ => return,
         };
         *figure += 1;
@@ -226,31 +238,31 @@
         }
     }
 
-    pub(super) fn answered_by_node(&mut self, n: usize, id: u64, answer: Answer) {
+    pub(super) fn answered_by_node(&mut self, n: usize, id: u64, answer: LocalReply) {
         let Some(call) = self.nodes[n].calls.remove(&id) else {
             self.came.unsound += 1;
             return;
         };
         self.came.unsound += usize::from(self.now > call.deadline + Span::from_millis(1));
         let counts = self.second(call.first).is_some();
-        let come_back = match answer {
-            Answer::RateLimited { come_back } => come_back,
-            Answer::Errored => Span::ZERO,
+        let retry_after = match answer {
+            LocalReply::RateLimited { retry_after } => retry_after,
+            LocalReply::Errored => Span::ZERO,
         };
         match answer {
-            Answer::RateLimited { .. } => {
+            LocalReply::RateLimited { .. } => {
                 self.came.rate_limited += usize::from(counts);
                 if !call.write && !call.missed.is_empty() {
-                    self.saw(n, |_| Sight::Denied);
+                    self.saw(n, |_| Observation::FetchDenied);
                 }
             }
-            Answer::Errored => self.came.errored += usize::from(counts),
+            LocalReply::Errored => self.came.errored += usize::from(counts),
         }
         if call.again || self.chance.random::<f64>() >= self.play.comes_again {
             return;
         }
         let heeds = self.chance.random::<f64>() < self.play.heeds;
-        let wait = if heeds { come_back.max(BACKOFF) } else { BACKOFF };
+        let wait = if heeds { retry_after.max(BACKOFF) } else { BACKOFF };
         if self.now + wait < call.deadline {
             let Call { first, key, write, deadline, .. } = call;
             self.later(wait, What::Again { node: n, first, key, write, deadline });
--- a/crates/fleet-simulator/src/world/servers.rs
+++ b/crates/fleet-simulator/src/world/servers.rs
@@ -20,7 +20,7 @@
             server.slots = most;
         }
         if server.is_full() || server.left {
-            return self.reply(id, n, Outcome::Full);
+            return self.reply(id, n, AttemptOutcome::Rejected);
         }
         let size = self.popularity.size(job.key);
         let drawn = self.play.work.as_secs_f64() * size * read_work(self.play, &mut self.chance);
@@ -47,32 +47,32 @@
             let speed = if n == self.origin { 1.0 } else { speed };
             let debt = std::mem::take(&mut server.debt);
             let takes = Span::from_secs_f64((job.work.as_secs_f64() + debt) / speed);
-            let life = server.life;
-            self.later(takes, What::Done { server: n, life, job });
+            let incarnation = server.incarnation;
+            self.later(takes, What::Done { server: n, incarnation, job });
         }
     }
 
-    pub(super) fn done(&mut self, n: usize, life: u32, job: Job) {
-        if self.servers[n].life != life {
+    pub(super) fn done(&mut self, n: usize, incarnation: u32, job: Job) {
+        if self.servers[n].incarnation != incarnation {
             return;
         }
         self.servers[n].busy -= 1;
-        let id = ShotId { node: job.node, life: job.life, call: job.call, number: job.number };
+        let id = ShotId { node: job.node, incarnation: job.incarnation, call: job.call, number: job.number };
         if n == self.origin && job.write {
             self.servers.iter_mut().for_each(|s| s.drop_key(job.key));
         }
-        let outcome = if job.lacks { Outcome::Lacking } else { Outcome::Fulfilled };
+        let outcome = if job.lacks { AttemptOutcome::CacheMiss } else { AttemptOutcome::Fulfilled };
         if self.reaches(job.node, n) && !is_hung(&self.network, self.now, n) {
             self.reply(id, n, outcome);
         }
         self.begin(n);
     }
 
-    pub(super) fn reply(&mut self, shot: ShotId, n: usize, outcome: Outcome) {
+    pub(super) fn reply(&mut self, shot: ShotId, n: usize, outcome: AttemptOutcome) {
         let (here, there) = (self.nodes[shot.node].zone, self.servers[n].zone);
         let way = self.network.way(&mut self.chance, here, there);
-        let stored = n == self.origin && outcome == Outcome::Fulfilled;
-        self.later(way, What::Answer { shot, outcome, stored });
+        let stored = n == self.origin && outcome == AttemptOutcome::Fulfilled;
+        self.later(way, What::LocalReply { shot, outcome, stored });
     }
 }
 
--- a/crates/fleet-simulator/src/world/talk.rs
+++ b/crates/fleet-simulator/src/world/talk.rs
@@ -1,9 +1,9 @@
 //! Letters between nodes and planners, what nodes tell of themselves, and what they are told. Chance is drawn apart, so
 //! that with no planner a day is the same to the last call.
 
-use granitelb_balancer::calls::Advice;
-use granitelb_coordination::message::Letter;
-use granitelb_coordination::observation::{Ended, Server as Listed, Sight};
+use granitelb_balancer::calls::ControlPlaneUpdate;
+use granitelb_coordination::message::Message;
+use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint as Listed};
 use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender};
 
 use super::fellows::{Forwarder, Planner, forwarder, lease_settings, planner};
@@ -29,7 +29,7 @@
     nodes: Vec<Forwarder>,
     by_id: HashMap<ForwarderId, usize>,
     /// What each node has heard of the list.
-    known: Vec<std::collections::BTreeMap<CacheId, Listing>>,
+    known: Vec<std::collections::BTreeMap<EndpointId, EndpointUpdate>>,
     /// None while dead.
     planners: Vec<Option<Planner>>,
 }
@@ -56,12 +56,13 @@
             leased,
         });
         (0..play.nodes).for_each(|n| self.tell_list(n));
-        (0..play.planners).for_each(|n| self.later(Span(1), What::Round { of: Seat::Planner(n), life: 0 }));
+        (0..play.planners)
+            .for_each(|n| self.later(Span(1), What::Round { of: Seat::Planner(n), incarnation: 0 }));
         for n in 0..play.nodes {
             // Processes start one after the other.
             let talk = self.talk.as_mut().expect("made above");
             let spread = Span(talk.chance.random_range(1..500_000));
-            self.later(spread, What::Round { of: Seat::Node(n), life: 0 });
+            self.later(spread, What::Round { of: Seat::Node(n), incarnation: 0 });
         }
         if let Some((from, to)) = play.planners_dead {
             let at = |s: f64| Span::from_secs_f64(play.warm_up + s);
@@ -70,7 +71,7 @@
         }
     }
 
-    pub(super) fn saw(&mut self, node: usize, sight: impl FnOnce(&Self) -> Sight) {
+    pub(super) fn saw(&mut self, node: usize, sight: impl FnOnce(&Self) -> Observation) {
         if self.talk.is_none() {
             return;
         }
@@ -80,7 +81,7 @@
     }
 
     /// A node hears of a line of the list.
-    pub(super) fn heard_list(&mut self, node: usize, listing: Listing) {
+    pub(super) fn heard_list(&mut self, node: usize, listing: EndpointUpdate) {
         let Some(talk) = &mut self.talk else { return };
         talk.known[node].insert(listing.cache, listing);
         self.tell_list(node);
@@ -88,7 +89,7 @@
 
     fn tell_list(&mut self, node: usize) {
         let Some(talk) = &mut self.talk else { return };
-        let server = |l: &Listing| Listed {
+        let server = |l: &EndpointUpdate| Listed {
             cache: l.cache,
             is_origin: l.kind == KindId(1),
             zone: l.zone.0 as u16,
@@ -97,21 +98,21 @@
             warm_after: WARM_AFTER,
         };
         let servers = talk.known[node].values().filter(|l| l.ready).map(server).collect();
-        talk.nodes[node].seen(self.now, Sight::Listed(servers));
+        talk.nodes[node].seen(self.now, Observation::EndpointsChanged(servers));
     }
 
-    pub(super) fn saw_end(&mut self, shot: &Shot, outcome: Outcome) {
+    pub(super) fn saw_end(&mut self, shot: &Attempt, outcome: AttemptOutcome) {
         let job = shot.job;
         let latency = self.now - shot.at;
         self.saw(job.node, |world| {
-            Sight::Ended(Box::new(Ended {
+            Observation::AttemptFinished(Box::new(FinishedAttempt {
                 call: job.call,
                 number: job.number,
                 key: job.key,
-                product: ProductId(u16::from(job.write)),
+                request_class: RequestClassId(u16::from(job.write)),
                 write: job.write,
                 work: Some(world.play.work.scaled(world.popularity.size(job.key))),
-                cache: CacheId(shot.server as u64),
+                cache: EndpointId(shot.server as u64),
                 is_origin: shot.server == world.origin,
                 candidates: Vec::new(),
                 outcome,
@@ -129,8 +130,8 @@
         talk.nodes[n] = forwarder(self.play, &talk.leased, id(n), self.now);
         talk.known[n] = self.listed.iter().map(|l| (l.cache, *l)).collect();
         self.tell_list(n);
-        let life = self.nodes[n].life;
-        self.later(Span(1), What::Round { of: Seat::Node(n), life });
+        let incarnation = self.nodes[n].incarnation;
+        self.later(Span(1), What::Round { of: Seat::Node(n), incarnation });
     }
 
     pub(super) fn planners_die(&mut self) {
@@ -144,21 +145,21 @@
             talk.planners[n] = Some(planner(self.play, &talk.leased, PlannerId(n as u8), self.now));
         }
         (0..self.play.planners)
-            .for_each(|n| self.later(Span(1), What::Round { of: Seat::Planner(n), life: 0 }));
+            .for_each(|n| self.later(Span(1), What::Round { of: Seat::Planner(n), incarnation: 0 }));
     }
 
     /// A letter comes, unless whom it was to has ended since.
-    pub(super) fn letter_comes(&mut self, to: Seat, life: u32, sender: Sender, letter: Letter) {
+    pub(super) fn letter_comes(&mut self, to: Seat, incarnation: u32, sender: Sender, letter: Message) {
         let now = self.now;
         let Some(talk) = &mut self.talk else { return };
         match to {
             Seat::Planner(n) => {
                 let Some(planner) = &mut talk.planners[n] else { return };
-                planner.heard(now, sender, letter);
+                planner.on_message(now, sender, letter);
                 self.write_letters(to);
             }
-            Seat::Node(n) if self.nodes[n].life == life => {
-                if talk.nodes[n].heard(now, sender, letter) {
+            Seat::Node(n) if self.nodes[n].incarnation == incarnation => {
+                if talk.nodes[n].on_message(now, sender, letter) {
                     self.advise(n);
                 }
                 self.write_letters(to);
@@ -168,9 +169,9 @@
     }
 
     /// A member's own moment has come.
-    pub(super) fn round(&mut self, of: Seat, life: u32) {
+    pub(super) fn round(&mut self, of: Seat, incarnation: u32) {
         if let Seat::Node(n) = of {
-            if self.nodes[n].life != life {
+            if self.nodes[n].incarnation != incarnation {
                 return;
             }
             self.advise(n);
@@ -185,8 +186,8 @@
         if self.now < self.network.start {
             advice.leases.clear();
         }
-        if advice != Advice::default() {
-            self.nodes[n].mind.plan_heard(self.now, &advice);
+        if advice != ControlPlaneUpdate::default() {
+            self.nodes[n].mind.on_control_plane_update(self.now, &advice);
             self.pull(n);
         }
     }
@@ -204,38 +205,40 @@
         let over = self.day_s(now) >= self.play.seconds + AFTER;
         let Some(mut talk) = self.talk.take().filter(|_| !over) else { return };
         let next = |talk: &mut Talk| match of {
-            Seat::Planner(n) => talk.planners[n].as_mut()?.next_letter(now),
-            Seat::Node(n) => talk.nodes[n].next_letter(now),
+            Seat::Planner(n) => talk.planners[n].as_mut()?.poll_message(now),
+            Seat::Node(n) => talk.nodes[n].poll_message(now),
         };
         while let Some((to, sender, letter)) = next(&mut talk) {
-            let (to, life) = match to {
+            let (to, incarnation) = match to {
                 Member::Planner(id) => (Seat::Planner(id.0.into()), 0),
-                Member::Forwarder(id) => (Seat::Node(talk.by_id[&id]), self.nodes[talk.by_id[&id]].life),
+                Member::Forwarder(id) => {
+                    (Seat::Node(talk.by_id[&id]), self.nodes[talk.by_id[&id]].incarnation)
+                }
             };
             let lost = talk.chance.random::<f64>() < self.play.loss;
             let way = Span::from_millis(talk.chance.random_range(WAY));
             self.came.letters += 1;
             if !lost && !self.network.is_cut(now, self.zone_of(of), self.zone_of(to)) {
-                self.later(way, What::Letter { to, life, sender, letter: Box::new(letter) });
+                self.later(way, What::Message { to, incarnation, sender, letter: Box::new(letter) });
             }
         }
         let (wake, known) = match of {
             Seat::Planner(n) => match &mut talk.planners[n] {
-                Some(planner) => (planner.next_wake(now), &mut planner.wake),
+                Some(planner) => (planner.poll_timeout(now), &mut planner.wake),
                 None => (None, &mut None),
             },
             Seat::Node(n) => {
                 let fellow = &mut talk.nodes[n];
                 (
-                    Some(fellow.next_wake(now).map_or(now + ADVISES, |w| w.min(now + ADVISES))),
+                    Some(fellow.poll_timeout(now).map_or(now + ADVISES, |w| w.min(now + ADVISES))),
                     &mut fellow.wake,
                 )
             }
         };
         if let Some(time) = wake.filter(|w| known.is_none_or(|k| k <= now || *w < k)) {
             *known = Some(time);
-            let life = if let Seat::Node(n) = of { self.nodes[n].life } else { 0 };
-            self.later((time - now).max(Span(1)), What::Round { of, life });
+            let incarnation = if let Seat::Node(n) = of { self.nodes[n].incarnation } else { 0 };
+            self.later((time - now).max(Span(1)), What::Round { of, incarnation });
         }
         self.talk = Some(talk);
     }
--- a/crates/fleet-simulator/src/world/troubles.rs
+++ b/crates/fleet-simulator/src/world/troubles.rs
@@ -44,8 +44,8 @@
         let noticed = from + (to - from) * self.chance.random::<f64>();
         for node in 0..self.nodes.len() {
             let own = noticed + 0.1 * self.chance.random::<f64>();
-            let life = self.nodes[node].life;
-            self.later(Span::from_secs_f64(own), What::List { node, life, listing });
+            let incarnation = self.nodes[node].incarnation;
+            self.later(Span::from_secs_f64(own), What::List { node, incarnation, listing });
         }
     }
 
@@ -92,7 +92,7 @@
         let mut mind = Mind::new(self.play.policy, settings(self.play), seed, self.now);
         mind.listed(self.now, &self.listed, true);
         let node = &mut self.nodes[n];
-        node.life += 1;
+        node.incarnation += 1;
         node.mind = mind;
         node.calls.clear();
         node.shots.clear();
--- a/crates/fleet-simulator/tests/hindsight.rs
+++ b/crates/fleet-simulator/tests/hindsight.rs
@@ -1,7 +1,7 @@
 //! Hindsight beside the truth, in worlds in which that is known. The figures over 100 worlds are the example's.
 
 use granitelb_balancer::time::Span;
-use granitelb_coordination::component::Remark;
+use granitelb_coordination::component::Event;
 use granitelb_coordination::counterfactual::{Measure, Policy, Scale, Settings, Standing};
 use granitelb_fleet_simulator::hindsight::{Make, Shape, World, tell};
 use test_case::test_case;
@@ -62,7 +62,7 @@
             assert_eq!(slow.planner.standing(0, 0, scale), Standing::Worse);
         }
         // By choices and by the lottery, and in forwarders' logs once each, however often it is said.
-        let named = |r: &&Remark| r.event == "hindsight_worse";
+        let named = |r: &&Event| r.name == "hindsight_worse";
         assert_eq!(slow.remarks.iter().filter(named).count(), 2);
         assert_eq!(slow.forwarders_remarks.iter().filter(named).count(), 2);
         let calm = tell(&longer(Shape::Calm, seed), &settings);
--- a/crates/node/examples/courier_cost.rs
+++ b/crates/node/examples/courier_cost.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use granitelb_coordination::membership;
-use granitelb_coordination::message::Letter;
+use granitelb_coordination::message::Message;
 use stage::{Client, Stage};
 
 const CLIENTS: usize = 8;
@@ -70,7 +70,7 @@
         let load = scope.spawn(|| load(seconds));
         while !load.is_finished() {
             if on.planner.hear().is_some() {
-                on.planner.say(&Letter::Members(membership::Message::Beat));
+                on.planner.say(&Message::Membership(membership::MembershipMessage::Beat));
             }
         }
         load.join().expect("calls")
