--- a/crates/node/src/cli/config.rs
+++ b/crates/node/src/cli/config.rs
@@ -84,7 +84,9 @@
         };
         let settings = granitelb_settings::decode(file.settings.get().as_bytes())
             .map_err(|fault| fault.under("settings"))?;
-        if settings.names.products.iter().any(String::is_empty) || settings.names.products.is_empty() {
+        if settings.names.request_classes.iter().any(String::is_empty)
+            || settings.names.request_classes.is_empty()
+        {
             return Err(fault("settings.Products", "each product needs a name, and there must be one"));
         }
         let is_name =
@@ -185,7 +187,7 @@
             self.listen,
             self.discovery,
             self.descriptors,
-            self.settings.names.products.join(", ")
+            self.settings.names.request_classes.join(", ")
         )
     }
 }
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -11,9 +11,9 @@
 
 use command::{Command, LogFormat};
 use config::Config;
-use granitelb_control_plane::fleet_config::Operator;
-use granitelb_control_plane::planner::{self, PlannerFile};
-use granitelb_coordination::component::Help;
+use granitelb_control_plane::fleet_config::FleetConfig;
+use granitelb_control_plane::planner::{self, PlannerConfig};
+use granitelb_coordination::component::Remediation;
 use signals::Signals;
 
 use crate::proxy::{Node, Setup};
@@ -42,8 +42,8 @@
     Config::load(path).map_err(|fault| format!("configuration, {fault}"))
 }
 
-fn told(fault: &dyn Help) -> String {
-    format!("{fault}. {}", fault.help())
+fn told(fault: &dyn Remediation) -> String {
+    format!("{fault}. {}", fault.remediation())
 }
 
 fn plan(path: &Path, log: LogFormat) -> Result<(), String> {
@@ -54,11 +54,11 @@
 /// A node's file is JSON; a planner's is TOML, and named so.
 fn check(config: Option<PathBuf>, operator: Option<PathBuf>) -> Result<(), String> {
     if let Some(path) = &operator {
-        println!("{}", Operator::load(path).map_err(|trouble| told(&trouble))?);
+        println!("{}", FleetConfig::load(path).map_err(|trouble| told(&trouble))?);
     }
     match config {
         Some(path) if path.extension().is_some_and(|e| e == "toml") => {
-            println!("{}", PlannerFile::load(&path).map_err(|trouble| told(&trouble))?);
+            println!("{}", PlannerConfig::load(&path).map_err(|trouble| told(&trouble))?);
         }
         None if operator.is_some() => {}
         path => println!("{}", load(path.as_deref())?),
--- a/crates/node/src/cli/signals.rs
+++ b/crates/node/src/cli/signals.rs
@@ -12,7 +12,7 @@
 use super::config::Config;
 use super::load;
 use super::together::Renewing;
-use crate::proxy::{Live, Operator, Order};
+use crate::proxy::{FleetConfig, Live, Order};
 
 pub struct Signals {
     signals: SignalDelivery<UnixStream, SignalOnly>,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Operator for Signals {
+impl FleetConfig for Signals {
     fn orders(&mut self) -> Vec<Order> {
         let came: Vec<_> = self.signals.pending().collect();
         let mut order = |signal| if signal == SIGHUP { self.reload() } else { Some(Order::Stop) };
--- a/crates/node/src/cli/together.rs
+++ b/crates/node/src/cli/together.rs
@@ -3,9 +3,9 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::{Path, PathBuf};
 
-use granitelb_control_plane::agent::{Courier, Renewal};
-use granitelb_control_plane::fleet_config::Operator;
-use granitelb_coordination::component::Help;
+use granitelb_control_plane::agent::{Agent, Renewal};
+use granitelb_control_plane::fleet_config::FleetConfig;
+use granitelb_coordination::component::Remediation;
 
 use super::config::{Config, NO_NAME};
 
@@ -15,12 +15,13 @@
     renewal: Renewal,
 }
 
-fn load(path: &Path) -> Result<Operator, String> {
-    Operator::load(path).map_err(|trouble| format!("operator's file, {trouble}. {}", trouble.help()))
+fn load(path: &Path) -> Result<FleetConfig, String> {
+    FleetConfig::load(path)
+        .map_err(|trouble| format!("operator's file, {trouble}. {}", trouble.remediation()))
 }
 
 /// A courier that is not on its way yet, and what renews it.
-pub fn prepare(path: PathBuf, config: &Config) -> Result<(Courier, Renewing), String> {
+pub fn prepare(path: PathBuf, config: &Config) -> Result<(Agent, Renewing), String> {
     let operator = load(&path)?;
     if config.name() == NO_NAME {
         // Planners tell forwarders apart by name: two of one name take each other's place.
@@ -31,7 +32,7 @@
         IpAddr::V4(address) => address,
         IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
     };
-    let courier = Courier::new(operator, config.name(), address);
+    let courier = Agent::new(operator, config.name(), address);
     let renewal = courier.renewal();
     Ok((courier, Renewing { path, renewal }))
 }
--- a/crates/node/src/proxy/clients.rs
+++ b/crates/node/src/proxy/clients.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::{Answer, ApiCall};
-use granitelb_balancer::ids::{ApiCallId, Key, ProductId};
+use granitelb_balancer::calls::{LocalReply, Request};
+use granitelb_balancer::ids::{Key, RequestClassId, RequestId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Names;
 
@@ -45,7 +45,7 @@
     /// Reads, or waits for, the next call.
     Reading,
     /// A call is out.
-    Waiting(ApiCallId),
+    Waiting(RequestId),
     /// Writes an answer.
     Answering { keep: bool },
     /// Has told what was wrong, and lets the client finish.
@@ -99,7 +99,7 @@
     many: usize,
     offer: Offer,
     /// When those beyond are told to come back; zero where they can't be told.
-    come_back: Span,
+    retry_after: Span,
     /// Once the node ends: by when every call has its answer.
     closing: Option<Time>,
     /// Whether connections between two calls are ended too.
@@ -118,20 +118,30 @@
         limits: Limits,
         names: Names,
         client_timeouts: Vec<Span>,
-        come_back: Span,
+        retry_after: Span,
     ) -> Clients {
         let offer = Offer { names, client_timeouts };
         let (clients, unwanted) = (BTreeMap::new(), TimeOrder::default());
         let (most, beyond, many, closing, idle_closed) = (0, 0, 0, None, false);
-        let mut clients =
-            Clients { owner, clients, unwanted, most, beyond, many, offer, come_back, closing, idle_closed };
+        let mut clients = Clients {
+            owner,
+            clients,
+            unwanted,
+            most,
+            beyond,
+            many,
+            offer,
+            retry_after,
+            closing,
+            idle_closed,
+        };
         clients.set_limits(limits);
         clients
     }
 
     /// Sets what can be asked for from now on.
-    pub fn set_offer(&mut self, names: Names, client_timeouts: Vec<Span>, come_back: Span) {
-        (self.offer, self.come_back) = (Offer { names, client_timeouts }, come_back);
+    pub fn set_offer(&mut self, names: Names, client_timeouts: Vec<Span>, retry_after: Span) {
+        (self.offer, self.retry_after) = (Offer { names, client_timeouts }, retry_after);
     }
 
     /// Sets of how much in all clients have their shares.
@@ -263,7 +273,7 @@
         transport: &mut Transport,
         exchanges: &mut Exchanges,
         now: Time,
-        (call, id): (ApiCallId, ConnId),
+        (call, id): (RequestId, ConnId),
         answer: &FinalAnswer,
     ) {
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -274,8 +284,10 @@
         let output = &mut client.connection.output;
         match answer {
             FinalAnswer::Fulfilled(message) => write_answer(output, message, keep),
-            FinalAnswer::Own(Answer::RateLimited { come_back }) => write_own(output, 429, *come_back, keep),
-            FinalAnswer::Own(Answer::Errored) => write_plain(output, 502, &[], keep),
+            FinalAnswer::Own(LocalReply::RateLimited { retry_after }) => {
+                write_own(output, 429, *retry_after, keep)
+            }
+            FinalAnswer::Own(LocalReply::Errored) => write_plain(output, 502, &[], keep),
             FinalAnswer::ClientLeft => return,
         }
         client.doing = Doing::Answering { keep };
@@ -413,7 +425,7 @@
     fn refuse_late(&mut self, transport: &mut Transport, now: Time, id: ConnId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let keep = client.keeps && self.closing.is_none();
-        write_own(&mut client.connection.output, 503, self.come_back, keep);
+        write_own(&mut client.connection.output, 503, self.retry_after, keep);
         client.doing = Doing::Answering { keep };
         transport.timers.set(id, now + STALL);
     }
@@ -423,7 +435,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         log::debug!("turned a client away: {status}");
         // Only for want of room is there a time to come back at: the rest would be no better then.
-        let advised = if status == 503 { self.come_back } else { Span::ZERO };
+        let advised = if status == 503 { self.retry_after } else { Span::ZERO };
         write_own(&mut client.connection.output, status, advised, false);
         client.doing = Doing::Answering { keep: false };
         client.is_new = false;
@@ -444,15 +456,15 @@
 }
 
 /// Writes an answer of the node's own, with advice on when to come back where there is any.
-fn write_own(output: &mut Ring, status: u16, come_back: Span, keep: bool) {
-    let seconds = format!("{:.3}", come_back.as_secs_f64());
+fn write_own(output: &mut Ring, status: u16, retry_after: Span, keep: bool) {
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     let advice = [("Retry-After", seconds.as_bytes())];
-    write_plain(output, status, if come_back > Span::ZERO { &advice } else { &[] }, keep);
+    write_plain(output, status, if retry_after > Span::ZERO { &advice } else { &[] }, keep);
 }
 
 impl Offer {
     /// What a message asks for, and what its client calls it; else the status that tells what is wrong with it.
-    fn read_call(&self, head: &Head) -> Result<(ApiCall, Box<str>), u16> {
+    fn read_call(&self, head: &Head) -> Result<(Request, Box<str>), u16> {
         let bad = Fault::Malformed.status();
         let only = |name| head.only(name).map_err(Fault::status);
         let write = match head.method.as_str() {
@@ -463,7 +475,7 @@
         let number = |text: &str| text.trim().parse::<u64>().map_err(|_| bad);
         // Caches go by the path: a product that only a header names would be turned away there.
         let class = head.path().next().ok_or(404u16)?;
-        let product = self.names.products.iter().position(|p| p == class).ok_or(404u16)?;
+        let request_class = self.names.request_classes.iter().position(|p| p == class).ok_or(404u16)?;
         if only("x-priority-class")?.is_some_and(|named| named != class) {
             return Err(bad);
         }
@@ -475,9 +487,9 @@
         }
         let timeout = timeout.map(|ms| Span(ms.saturating_mul(1000)));
         // No client waits for longer than its product's timeout, whatever it says of one try.
-        let longest = self.client_timeouts[product];
-        let call = ApiCall {
-            product: ProductId(product as u16),
+        let longest = self.client_timeouts[request_class];
+        let call = Request {
+            request_class: RequestClassId(request_class as u16),
             key: Key(stable_hash(head.path().next_back().unwrap_or_default().as_bytes())),
             budget: timeout.map_or(longest, |t| t.min(longest)),
             // Only a hint: one that can't be read is none.
--- a/crates/node/src/proxy/driver.rs
+++ b/crates/node/src/proxy/driver.rs
@@ -3,33 +3,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb_balancer::balancer::{Brain, REMEMBERED};
-use granitelb_balancer::calls::Listing;
-use granitelb_balancer::ids::{CacheId, CellId, KindId, ZoneId};
+use granitelb_balancer::balancer::{Balancer, REMEMBERED};
+use granitelb_balancer::calls::EndpointUpdate;
+use granitelb_balancer::ids::{CellId, EndpointId, KindId, ZoneId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Names;
 
 use super::clients::{Clients, stable_hash};
-use super::exchange::{EndedShot, Exchanges, FinalAnswer};
+use super::exchange::{Exchanges, FinalAnswer, FinishedAttempt};
 use super::servers::Servers;
 use super::watch::{Heard, Watch};
-use super::witness::Witness;
+use super::witness::ObservationRecorder;
 use crate::http::{Entry, Listings, State};
 use crate::transport::Transport;
 
 pub struct Driver {
-    brain: Brain,
+    balancer: Balancer,
     names: Names,
     /// The caches that may get shots, and where they are.
-    placed: BTreeMap<CacheId, (SocketAddr, Listing)>,
+    placed: BTreeMap<EndpointId, (SocketAddr, EndpointUpdate)>,
     /// Since when the list lacks some of them, where only draining binds: the decisions may doubt it.
-    dropped: BTreeMap<CacheId, Time>,
+    dropped: BTreeMap<EndpointId, Time>,
     only_draining_binds: bool,
     /// How many caches and origins could get shots when the log last told.
     ready: usize,
     /// Where the node is one of a fleet that decides together.
-    witness: Option<Witness>,
+    witness: Option<ObservationRecorder>,
 }
 
 /// Everything that decisions are carried out on.
@@ -42,9 +42,14 @@
 }
 
 impl Driver {
-    pub fn new(brain: Brain, names: Names, only_draining_binds: bool, witness: Option<Witness>) -> Driver {
+    pub fn new(
+        balancer: Balancer,
+        names: Names,
+        only_draining_binds: bool,
+        witness: Option<ObservationRecorder>,
+    ) -> Driver {
         let (placed, dropped) = (BTreeMap::new(), BTreeMap::new());
-        Driver { brain, names, placed, dropped, only_draining_binds, ready: 0, witness }
+        Driver { balancer, names, placed, dropped, only_draining_binds, ready: 0, witness }
     }
 
     /// Goes on under other settings.
@@ -53,25 +58,25 @@
             witness.move_to(settings.clone());
         }
         self.only_draining_binds = settings.only_draining_binds;
-        self.brain.settings_changed(now, settings);
+        self.balancer.on_settings_update(now, settings);
         self.names = names;
     }
 
     /// The list as an earlier life of this node had it.
     pub fn remembered(&mut self, sides: &mut Sides<'_>, now: Time, known: &Listings) {
         let listings = self.listings(sides, now, known);
-        self.brain.caches_remembered(now, &listings);
+        self.balancer.on_endpoints_restored(now, &listings);
     }
 
     /// Has the list told from the start where nobody has to ask for it: on sockets a watch is how it is told. The
     /// decisions ask for one only where the list comes on request, or once one is lost.
     pub fn watch_unasked(&mut self, sides: &mut Sides<'_>, now: Time) {
         if let Some(heard) = sides.watch.ask(sides.transport, now) {
-            self.heard(sides, now, &heard);
+            self.on_message(sides, now, &heard);
         }
     }
 
-    pub fn heard(&mut self, sides: &mut Sides<'_>, now: Time, heard: &Heard) {
+    pub fn on_message(&mut self, sides: &mut Sides<'_>, now: Time, heard: &Heard) {
         match heard {
             Heard::Listed(list) => {
                 let listings = self.listings(sides, now, list);
@@ -82,24 +87,24 @@
                         "the list at revision {}: {ready} caches may get shots", list.revision
                     );
                 }
-                self.brain.caches_listed(now, &listings, list.complete);
+                self.balancer.on_endpoints_update(now, &listings, list.complete);
             }
-            Heard::Lost => self.brain.list_failed(now),
+            Heard::Lost => self.balancer.on_endpoints_watch_failed(now),
         }
     }
 
     /// Tells the server side where the caches are, and puts them in the module's words.
-    fn listings(&mut self, sides: &mut Sides<'_>, now: Time, list: &Listings) -> Vec<Listing> {
+    fn listings(&mut self, sides: &mut Sides<'_>, now: Time, list: &Listings) -> Vec<EndpointUpdate> {
         let Sides { transport, exchanges, servers, .. } = sides;
         let told: Vec<_> = list.entries.iter().map(|entry| (entry.endpoint, self.listing(entry))).collect();
         let mut listings = Vec::with_capacity(told.len());
         for (endpoint, listing) in &told {
             // One that takes over an address ends whoever had it: its shots would go to a cache that is not meant.
             let takes_over =
-                |id: &CacheId, at: SocketAddr| listing.ready && at == *endpoint && *id != listing.cache;
+                |id: &EndpointId, at: SocketAddr| listing.ready && at == *endpoint && *id != listing.cache;
             for (_, (_, gone)) in self.placed.extract_if(.., |id, (at, _)| takes_over(id, *at)) {
                 // Its place is another's: whatever the list is worth, nothing may go there for it.
-                listings.push(Listing { ready: false, draining: true, ..gone });
+                listings.push(EndpointUpdate { ready: false, draining: true, ..gone });
             }
             let keeps = self.only_draining_binds && !listing.draining;
             let before = match listing.ready {
@@ -115,7 +120,7 @@
             listings.push(*listing);
         }
         // A cache that was replaced under its name is named twice, with its end and its start: the last word holds.
-        let named = |id: &CacheId| told.iter().rfind(|(_, l)| l.cache == *id).map(|(_, l)| l.ready);
+        let named = |id: &EndpointId| told.iter().rfind(|(_, l)| l.cache == *id).map(|(_, l)| l.ready);
         for id in self.placed.keys() {
             match named(id) {
                 Some(true) => drop(self.dropped.remove(id)),
@@ -124,7 +129,7 @@
             }
         }
         let keeps = if self.only_draining_binds { REMEMBERED } else { Span::ZERO };
-        let over = |id: &CacheId| self.dropped.get(id).is_some_and(|at| now - *at >= keeps);
+        let over = |id: &EndpointId| self.dropped.get(id).is_some_and(|at| now - *at >= keeps);
         self.placed.retain(|id, _| !over(id));
         self.dropped.retain(|id, _| self.placed.contains_key(id));
         servers.place_all(transport, exchanges, now, &self.placed);
@@ -135,7 +140,7 @@
     }
 
     /// An entry in the module's words.
-    fn listing(&self, entry: &Entry) -> Listing {
+    fn listing(&self, entry: &Entry) -> EndpointUpdate {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         // Under one number zones that the settings don't name would count as one, and a call that may be repeated within
         // a zone alone would run again in another. Where none is told, nothing is known to be in the same.
@@ -145,8 +150,8 @@
             None if entry.zone.is_empty() => apart(&entry.uid),
             None => apart(&entry.zone),
         };
-        Listing {
-            cache: CacheId(stable_hash(entry.uid.as_bytes())),
+        EndpointUpdate {
+            cache: EndpointId(stable_hash(entry.uid.as_bytes())),
             kind: KindId(place(&self.names.kinds, &entry.kind).unwrap_or(usize::MAX) as u16),
             size: entry.size,
             zone: ZoneId(zone),
@@ -160,7 +165,7 @@
     /// Tells what has happened and carries out what is decided, until nothing is left of either.
     pub fn settle(&mut self, sides: &mut Sides<'_>, now: Time) {
         if let Some(advice) = self.witness.as_mut().and_then(|w| w.begin_turn(now)) {
-            self.brain.plan_heard(now, &advice);
+            self.balancer.on_control_plane_update(now, &advice);
         }
         loop {
             let told = self.tell(sides, now);
@@ -177,22 +182,22 @@
     fn tell(&mut self, sides: &mut Sides<'_>, now: Time) -> bool {
         let exchanges = &mut *sides.exchanges;
         let mut told = false;
-        while let Some(EndedShot { call, end, bytes, report }) = exchanges.next_ended() {
+        while let Some(FinishedAttempt { call, end, bytes, report }) = exchanges.next_ended() {
             if let Some(report) = report {
-                self.brain.load_reported(now, end.cache, &report);
+                self.balancer.on_load_report(now, end.cache, &report);
             }
-            self.brain.shot_ended(now, call, &end);
+            self.balancer.on_attempt_finished(now, call, &end);
             if let Some(witness) = &mut self.witness {
                 witness.ended(now, call, &end, bytes);
             }
             told = true;
         }
         while let Some((id, call)) = exchanges.next_arrived() {
-            self.brain.api_call(now, id, call);
+            self.balancer.on_request(now, id, call);
             told = true;
         }
         while let Some(id) = exchanges.next_left() {
-            self.brain.client_left(now, id);
+            self.balancer.on_client_disconnect(now, id);
             told = true;
         }
         told
@@ -201,16 +206,16 @@
     fn carry_out(&mut self, sides: &mut Sides<'_>, now: Time) -> bool {
         let Sides { transport, exchanges, clients, servers, watch } = sides;
         let mut done = false;
-        while let Some(shot) = self.brain.next_shot(now) {
-            if let Some(number) = exchanges.shoot(shot.api_call) {
+        while let Some(shot) = self.balancer.poll_attempt(now) {
+            if let Some(number) = exchanges.shoot(shot.request) {
                 if let Some(witness) = &mut self.witness {
-                    witness.sent(now, &self.brain, exchanges, &shot, number);
+                    witness.sent(now, &self.balancer, exchanges, &shot, number);
                 }
                 servers.send(transport, exchanges, now, &shot, number);
             }
             done = true;
         }
-        while let Some((id, answer)) = self.brain.next_answer(now) {
+        while let Some((id, answer)) = self.balancer.poll_response(now) {
             if let Some(witness) = &mut self.witness {
                 witness.answered(now, exchanges, id, &answer);
             }
@@ -219,19 +224,19 @@
         }
         // After the shots and answers: asking for these is what has the decisions look at the time, and call shots off by it.
         // One that was left until something else happens would be called off too late where little does.
-        while let Some((id, number)) = self.brain.next_recall() {
+        while let Some((id, number)) = self.balancer.poll_cancellation() {
             servers.recall(transport, exchanges, now, id, number);
             done = true;
         }
-        while let Some((call, client, answer)) = exchanges.next_answer() {
+        while let Some((call, client, answer)) = exchanges.poll_response() {
             clients.answer(transport, exchanges, now, (call, client), &answer);
             done = true;
         }
-        if self.brain.wants_watch(now)
+        if self.balancer.poll_watch_request(now)
             && let Some(heard) = watch.ask(transport, now)
         {
             let mut sides = Sides { transport, exchanges, clients, servers, watch };
-            self.heard(&mut sides, now, &heard);
+            self.on_message(&mut sides, now, &heard);
             done = true;
         }
         done
@@ -245,7 +250,7 @@
     }
 
     /// When to settle again if nothing happens before.
-    pub fn next_wake(&self, now: Time) -> Option<Time> {
-        self.brain.next_wake(now)
+    pub fn poll_timeout(&self, now: Time) -> Option<Time> {
+        self.balancer.poll_timeout(now)
     }
 }
--- a/crates/node/src/proxy/exchange.rs
+++ b/crates/node/src/proxy/exchange.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use granitelb_balancer::calls::{Answer, ApiCall, Outcome, Report, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, LoadReport, LocalReply, Request};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::Span;
 
 use super::outcome::{ShotFate, load_report};
@@ -16,14 +16,14 @@
     /// What a cache or the origin made for it.
     Fulfilled(Message),
     /// What the decisions say instead.
-    Own(Answer),
+    Own(LocalReply),
     /// Nobody waits for one.
     ClientLeft,
 }
 
 pub struct Exchange {
     pub client: ConnId,
-    pub call: ApiCall,
+    pub call: Request,
     /// What goes on to the caches.
     pub message: Message,
     /// What its client calls it.
@@ -37,25 +37,25 @@
 }
 
 /// A shot that has ended, for the decisions.
-pub struct EndedShot {
-    pub call: ApiCallId,
-    pub end: ShotEnd,
+pub struct FinishedAttempt {
+    pub call: RequestId,
+    pub end: AttemptResult,
     /// Of the answer's body.
     pub bytes: u32,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// All exchanges, and what happened in them that the driver or a side has yet to take up.
 #[derive(Default)]
 pub struct Exchanges {
-    open: HashMap<ApiCallId, Exchange>,
+    open: HashMap<RequestId, Exchange>,
     /// The names of calls that wait for their answer.
     waiting: HashSet<Box<str>>,
     last: u64,
-    arrived: VecDeque<ApiCallId>,
-    left: VecDeque<ApiCallId>,
-    ended: VecDeque<EndedShot>,
-    answered: VecDeque<ApiCallId>,
+    arrived: VecDeque<RequestId>,
+    left: VecDeque<RequestId>,
+    ended: VecDeque<FinishedAttempt>,
+    answered: VecDeque<RequestId>,
     /// The header that load reports come in.
     load_header: Option<Box<str>>,
     tally: Tally,
@@ -68,15 +68,15 @@
     pub fn take(
         &mut self,
         client: ConnId,
-        call: ApiCall,
+        call: Request,
         name: Box<str>,
         message: Message,
-    ) -> Option<ApiCallId> {
+    ) -> Option<RequestId> {
         if !self.waiting.insert(name.clone()) {
             return None;
         }
         self.last += 1;
-        let id = ApiCallId(self.last);
+        let id = RequestId(self.last);
         let (shots, out, lacked, answer, answered) = (0, 0, false, None, false);
         let exchange = Exchange { client, call, message, name, shots, out, lacked, answer, answered };
         self.open.insert(id, exchange);
@@ -85,14 +85,14 @@
     }
 
     /// The client is gone: no answer is owed any more.
-    pub fn leave(&mut self, id: ApiCallId) {
+    pub fn leave(&mut self, id: RequestId) {
         if self.settle(id, FinalAnswer::ClientLeft) {
             self.left.push_back(id);
         }
     }
 
     /// The next answer to give, and to whom.
-    pub fn next_answer(&mut self) -> Option<(ApiCallId, ConnId, FinalAnswer)> {
+    pub fn poll_response(&mut self) -> Option<(RequestId, ConnId, FinalAnswer)> {
         loop {
             let id = self.answered.pop_front()?;
             let taken = self.open.get_mut(&id).and_then(|e| Some((e.client, e.answer.take()?)));
@@ -106,21 +106,21 @@
 
 /// The server side's part.
 impl Exchanges {
-    pub fn message(&self, id: ApiCallId) -> Option<&Message> {
+    pub fn message(&self, id: RequestId) -> Option<&Message> {
         self.open.get(&id).map(|e| &e.message)
     }
 
     /// Whether the call waits for its answer.
-    pub fn is_waiting(&self, id: ApiCallId) -> bool {
+    pub fn is_waiting(&self, id: RequestId) -> bool {
         self.open.get(&id).is_some_and(|e| !e.answered)
     }
 
     /// A shot has ended, with the answer to the call if it brought one.
-    pub fn shot_ended(
+    pub fn on_attempt_finished(
         &mut self,
-        id: ApiCallId,
-        number: ShotNumber,
-        cache: CacheId,
+        id: RequestId,
+        number: AttemptNumber,
+        cache: EndpointId,
         fate: ShotFate,
         latency: Span,
     ) {
@@ -137,9 +137,9 @@
         self.tally.count_shot(outcome);
         let Some(exchange) = self.open.get_mut(&id) else { return };
         exchange.out = exchange.out.saturating_sub(1);
-        exchange.lacked |= outcome == Outcome::Lacking;
-        let end = ShotEnd { number, cache, outcome, latency, answered: exchange.answered };
-        self.ended.push_back(EndedShot { call: id, end, bytes, report });
+        exchange.lacked |= outcome == AttemptOutcome::CacheMiss;
+        let end = AttemptResult { number, cache, outcome, latency, answered: exchange.answered };
+        self.ended.push_back(FinishedAttempt { call: id, end, bytes, report });
         self.clear(id);
     }
 }
@@ -150,7 +150,7 @@
         self.load_header = name;
     }
 
-    pub fn next_arrived(&mut self) -> Option<(ApiCallId, ApiCall)> {
+    pub fn next_arrived(&mut self) -> Option<(RequestId, Request)> {
         loop {
             let id = self.arrived.pop_front()?;
             // One whose client left again at once may be over: those behind it are not.
@@ -160,35 +160,35 @@
         }
     }
 
-    pub fn next_left(&mut self) -> Option<ApiCallId> {
+    pub fn next_left(&mut self) -> Option<RequestId> {
         self.left.pop_front()
     }
 
-    pub fn next_ended(&mut self) -> Option<EndedShot> {
+    pub fn next_ended(&mut self) -> Option<FinishedAttempt> {
         self.ended.pop_front()
     }
 
     /// Whether a call is a read that a cache lacked.
-    pub fn lacked(&self, id: ApiCallId) -> bool {
+    pub fn lacked(&self, id: RequestId) -> bool {
         self.open.get(&id).is_some_and(|e| e.lacked && !e.call.write)
     }
 
     /// What a call is named, and what it asks for.
-    pub fn asked(&self, id: ApiCallId) -> Option<(&str, &ApiCall, &Message)> {
+    pub fn asked(&self, id: RequestId) -> Option<(&str, &Request, &Message)> {
         self.open.get(&id).map(|e| (&*e.name, &e.call, &e.message))
     }
 
     /// The gate of every shot: its number, unless the call has its answer.
-    pub fn shoot(&mut self, id: ApiCallId) -> Option<ShotNumber> {
+    pub fn shoot(&mut self, id: RequestId) -> Option<AttemptNumber> {
         let exchange = self.open.get_mut(&id).filter(|e| !e.answered)?;
-        let number = ShotNumber(exchange.shots);
+        let number = AttemptNumber(exchange.shots);
         exchange.shots += 1;
         exchange.out += 1;
         Some(number)
     }
 
     /// The gate of every final answer: the first one stands.
-    pub fn settle(&mut self, id: ApiCallId, answer: FinalAnswer) -> bool {
+    pub fn settle(&mut self, id: RequestId, answer: FinalAnswer) -> bool {
         let Some(exchange) = self.open.get_mut(&id).filter(|e| !e.answered) else { return false };
         self.tally.count_answer(&answer);
         exchange.answered = true;
@@ -208,7 +208,7 @@
         std::mem::take(&mut self.tally)
     }
 
-    fn clear(&mut self, id: ApiCallId) {
+    fn clear(&mut self, id: RequestId) {
         if self.open.get(&id).is_some_and(|e| e.answered && e.answer.is_none() && e.out == 0) {
             self.open.remove(&id);
         }
--- a/crates/node/src/proxy/mod.rs
+++ b/crates/node/src/proxy/mod.rs
@@ -1,6 +1,6 @@
 //! The layer that joins clients, caches and discovery to the decisions. Nothing is decided here: the client side
 //! and the server side know only the exchanges between them, and the driver carries what happened to the
-//! [`Brain`](granitelb_balancer::balancer::Brain) and what it decides back.
+//! [`Balancer`](granitelb_balancer::balancer::Brain) and what it decides back.
 
 mod arrivals;
 mod clients;
@@ -15,6 +15,6 @@
 mod witness;
 
 pub use exchange::{Exchanges, FinalAnswer};
-pub use node::{Live, Node, Operator, Order, Setup};
+pub use node::{FleetConfig, Live, Node, Order, Setup};
 pub use outcome::{ShotFate, load_report};
 pub use servers::Servers;
--- a/crates/node/src/proxy/node.rs
+++ b/crates/node/src/proxy/node.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::net::SocketAddr;
 
-use granitelb_balancer::balancer::Brain;
+use granitelb_balancer::balancer::Balancer;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_control_plane::agent::Courier;
+use granitelb_control_plane::agent::Agent;
 use granitelb_settings::Decoded;
 use rustix::fd::AsFd;
 
@@ -14,7 +14,7 @@
 use super::exchange::Exchanges;
 use super::servers::Servers;
 use super::watch::{Heard, Watch};
-use super::witness::Witness;
+use super::witness::ObservationRecorder;
 use crate::http::Listings;
 use crate::transport::{ConnId, Event, Listener, Owner, Transport};
 
@@ -55,7 +55,7 @@
     pub settings: Decoded,
     pub live: Live,
     /// For a node of a fleet that decides together.
-    pub courier: Option<Courier>,
+    pub courier: Option<Agent>,
 }
 
 /// What a running node can take up anew.
@@ -80,7 +80,7 @@
 }
 
 /// Whoever gives the orders; its descriptor can be read from when there are some.
-pub trait Operator: AsFd {
+pub trait FleetConfig: AsFd {
     fn orders(&mut self) -> Vec<Order>;
 }
 
@@ -126,19 +126,19 @@
         let Decoded { decisions, names, client_timeouts, .. } = setup.settings;
         let longest_call = client_timeouts.iter().copied().max().unwrap_or_default();
         let unasked = !decisions.list_on_request;
-        let (come_back, only_draining_binds) = (decisions.max_come_back, decisions.only_draining_binds);
+        let (retry_after, only_draining_binds) = (decisions.max_retry_after, decisions.only_draining_binds);
         let clock = transport.clock();
         let desk = setup.courier.map(|courier| courier.start(move || clock.now())).transpose()?;
-        let witness = desk.map(|desk| Witness::new(desk, decisions.clone()));
-        let brain = Brain::new(decisions, setup.seed, now);
+        let witness = desk.map(|desk| ObservationRecorder::new(desk, decisions.clone()));
+        let balancer = Balancer::new(decisions, setup.seed, now);
         let mut exchanges = Exchanges::default();
         exchanges.set_load_header(live.load_header);
         let revision = setup.known.as_ref().map(|k| k.revision);
         let mut node = Node {
-            clients: Clients::new(CLIENTS, limits, names.clone(), client_timeouts, come_back),
+            clients: Clients::new(CLIENTS, limits, names.clone(), client_timeouts, retry_after),
             servers: Servers::new(SERVERS, live.connect_limit, live.keepalive),
             watch: Watch::new(DISCOVERY, live.discovery, live.connect_limit, revision),
-            driver: Driver::new(brain, names, only_draining_binds, witness),
+            driver: Driver::new(balancer, names, only_draining_binds, witness),
             exchanges,
             listener: Some(listener),
             transport,
@@ -165,7 +165,7 @@
     }
 
     /// Serves until it is told to stop, and then until what was taken is answered.
-    pub fn serve(mut self, mut operator: impl Operator) -> io::Result<()> {
+    pub fn serve(mut self, mut operator: impl FleetConfig) -> io::Result<()> {
         self.transport.tell(&operator, OPERATOR)?;
         let mut now = self.transport.now();
         loop {
@@ -176,7 +176,7 @@
                 self.log_tally();
                 return Ok(());
             }
-            let until = self.next_wake(now);
+            let until = self.poll_timeout(now);
             let events = self.transport.wait(until)?;
             now = self.transport.now();
             if events.iter().any(|e| e.id.owner() == OPERATOR) {
@@ -220,7 +220,7 @@
         log::info!(event = "moved"; "settings taken up; calls that are open keep their terms");
         // Those of former products, whose calls may be open still, are among them.
         self.longest_call = client_timeouts.iter().copied().max().unwrap_or_default();
-        self.clients.set_offer(names.clone(), client_timeouts, decisions.max_come_back);
+        self.clients.set_offer(names.clone(), client_timeouts, decisions.max_retry_after);
         self.driver.move_to(now, decisions, names);
     }
 
@@ -281,7 +281,7 @@
 
     fn hear(&mut self, now: Time, heard: &[Heard]) {
         let (driver, mut sides) = self.parts();
-        heard.iter().for_each(|h| driver.heard(&mut sides, now, h));
+        heard.iter().for_each(|h| driver.on_message(&mut sides, now, h));
     }
 
     /// Takes in those who have come, as far as there is room; whether more may have come than it takes at once.
@@ -345,7 +345,7 @@
         }
     }
 
-    fn next_wake(&self, now: Time) -> Option<Time> {
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
         let step = match (&self.listener, self.idle_closed) {
             (Some(_), _) => COMING,
             (None, false) => COMING + LAST_BYTES,
@@ -353,7 +353,7 @@
         };
         let stopping = self.stopping.map(|at| at + step);
         let wakes = [
-            self.driver.next_wake(now),
+            self.driver.poll_timeout(now),
             self.transport.timers.first().map(|t| t.0),
             stopping,
             self.full_until,
--- a/crates/node/src/proxy/outcome.rs
+++ b/crates/node/src/proxy/outcome.rs
@@ -1,6 +1,6 @@
 //! The one place where what became of a shot is put in the module's words.
 
-use granitelb_balancer::calls::{Outcome, Report};
+use granitelb_balancer::calls::{AttemptOutcome, LoadReport};
 use granitelb_settings::Column;
 
 use crate::http::Message;
@@ -32,11 +32,11 @@
     }
 
     /// What the decisions hear of it, and the answer for the client, if it is one.
-    pub fn into_outcome(self) -> (Outcome, Option<Message>) {
+    pub fn into_outcome(self) -> (AttemptOutcome, Option<Message>) {
         match self {
             ShotFate::Answered(message) => {
                 let outcome = of_answer(&message);
-                let fulfilled = outcome == Outcome::Fulfilled;
+                let fulfilled = outcome == AttemptOutcome::Fulfilled;
                 (outcome, fulfilled.then_some(message))
             }
             ShotFate::Lost { end, whole } => (of_end(end, whole), None),
@@ -44,35 +44,35 @@
     }
 }
 
-fn of_answer(answer: &Message) -> Outcome {
+fn of_answer(answer: &Message) -> AttemptOutcome {
     let unseen = answer.head.text("x-not-processed") == Some("1");
     match answer.head.status {
-        200 => Outcome::Fulfilled,
-        404 => Outcome::Lacking,
-        503 | 504 if unseen => Outcome::Full,
+        200 => AttemptOutcome::Fulfilled,
+        404 => AttemptOutcome::CacheMiss,
+        503 | 504 if unseen => AttemptOutcome::Rejected,
         // It was not said that nothing was done.
-        _ => Outcome::Errored,
+        _ => AttemptOutcome::Errored,
     }
 }
 
-fn of_end(end: End, whole: bool) -> Outcome {
+fn of_end(end: End, whole: bool) -> AttemptOutcome {
     match end {
         // Not for want of the cache: nothing is learnt of it.
-        End::NoDescriptor => Outcome::Moot,
-        End::Done if !whole => Outcome::Moot,
-        End::Recalled => Outcome::Recalled,
-        End::GivenUp | End::Silent => Outcome::TimedOut,
+        End::NoDescriptor => AttemptOutcome::NotSent,
+        End::Done if !whole => AttemptOutcome::NotSent,
+        End::Recalled => AttemptOutcome::Cancelled,
+        End::GivenUp | End::Silent => AttemptOutcome::TimedOut,
         // A shot that was not written to its end never runs.
-        End::Refused | End::NeverUp => Outcome::Unreachable,
-        _ if !whole => Outcome::Unreachable,
-        End::Malformed => Outcome::Errored,
-        End::Closed | End::Broken | End::Done => Outcome::Reset,
+        End::Refused | End::NeverUp => AttemptOutcome::Unreachable,
+        _ if !whole => AttemptOutcome::Unreachable,
+        End::Malformed => AttemptOutcome::Errored,
+        End::Closed | End::Broken | End::Done => AttemptOutcome::Reset,
     }
 }
 
 /// A load report as ORCA's text form has it (`TEXT named_metrics.backlog=3, rps_fractional=20`): metrics go by the
 /// names of the settings' columns, others are skipped. None where it is not of that form or tells nothing that is known.
-pub fn load_report(text: &str) -> Option<Report> {
+pub fn load_report(text: &str) -> Option<LoadReport> {
     let metrics = text.trim().strip_prefix("TEXT ")?;
     let mut figures = Vec::new();
     for metric in metrics.split(',') {
@@ -83,5 +83,5 @@
         };
         figures.push((column, figure.trim().parse::<f64>().ok()?));
     }
-    Some(granitelb_settings::report(figures)).filter(|report| *report != Report::default())
+    Some(granitelb_settings::report(figures)).filter(|report| *report != LoadReport::default())
 }
--- a/crates/node/src/proxy/servers.rs
+++ b/crates/node/src/proxy/servers.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb_balancer::calls::{Listing, Shot};
-use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::calls::{Attempt, EndpointUpdate};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::{Span, Time};
 
 use super::copies::{Given, Telling};
@@ -85,8 +85,8 @@
 
 /// The shot that a connection is for.
 struct Carried {
-    call: ApiCallId,
-    number: ShotNumber,
+    call: RequestId,
+    number: AttemptNumber,
     sent: Time,
     /// When its connection has to be up.
     up_by: Time,
@@ -109,7 +109,7 @@
 struct Link {
     connection: Connection,
     answers: Assembler,
-    cache: CacheId,
+    cache: EndpointId,
     endpoint: SocketAddr,
     shot: Option<Carried>,
     given: Given,
@@ -132,9 +132,9 @@
 
 pub struct Servers {
     owner: Owner,
-    places: BTreeMap<CacheId, Place>,
+    places: BTreeMap<EndpointId, Place>,
     links: BTreeMap<ConnId, Link>,
-    carriers: BTreeMap<(ApiCallId, ShotNumber), ConnId>,
+    carriers: BTreeMap<(RequestId, AttemptNumber), ConnId>,
     connect_limit: Span,
     keepalive: Span,
     /// Of reads, and of writes.
@@ -165,9 +165,10 @@
         transport: &mut Transport,
         exchanges: &mut Exchanges,
         now: Time,
-        placed: &BTreeMap<CacheId, (SocketAddr, Listing)>,
+        placed: &BTreeMap<EndpointId, (SocketAddr, EndpointUpdate)>,
     ) {
-        let stays = |cache: &CacheId, place: &Place| placed.get(cache).is_some_and(|p| p.0 == place.endpoint);
+        let stays =
+            |cache: &EndpointId, place: &Place| placed.get(cache).is_some_and(|p| p.0 == place.endpoint);
         let gone: Vec<_> = self.places.iter().filter(|(c, p)| !stays(c, p)).map(|(c, _)| *c).collect();
         gone.into_iter().for_each(|cache| self.forget(transport, exchanges, now, cache));
         for (cache, (endpoint, _)) in placed {
@@ -177,7 +178,7 @@
 
     /// Nothing new goes to this cache: what was not begun is not sent, what is idle is closed, and connections
     /// with a shot out end with its answer.
-    fn forget(&mut self, transport: &mut Transport, exchanges: &mut Exchanges, now: Time, cache: CacheId) {
+    fn forget(&mut self, transport: &mut Transport, exchanges: &mut Exchanges, now: Time, cache: EndpointId) {
         let Some(place) = self.places.remove(&cache) else { return };
         for id in place.on_their_way.into_iter().chain(place.idle) {
             self.end(transport, exchanges, now, id, End::Done);
@@ -190,12 +191,12 @@
         transport: &mut Transport,
         exchanges: &mut Exchanges,
         now: Time,
-        shot: &Shot,
-        number: ShotNumber,
+        shot: &Attempt,
+        number: AttemptNumber,
     ) {
         let fail = |exchanges: &mut Exchanges, end| {
             let fate = ShotFate::Lost { end, whole: false };
-            exchanges.shot_ended(shot.api_call, number, shot.cache, fate, Span::ZERO);
+            exchanges.on_attempt_finished(shot.request, number, shot.cache, fate, Span::ZERO);
         };
         let id = match self.live_link(transport, now, shot.cache) {
             Some(id) => id,
@@ -206,7 +207,7 @@
         };
         let (give_up, up_by, begin_by) =
             (now + shot.give_up_after, now + self.connect_limit, now + shot.begin_within);
-        let (call, sent, length, early) = (shot.api_call, now, None, false);
+        let (call, sent, length, early) = (shot.request, now, None, false);
         let carried = Carried { call, number, sent, up_by, begin_by, give_up, length, early };
         self.carry(transport, exchanges, now, id, carried);
     }
@@ -233,7 +234,7 @@
     }
 
     /// Begins a connection to a cache that has a place. Until a shot waits for it, it is a spare.
-    fn begin(&mut self, transport: &mut Transport, now: Time, cache: CacheId) -> Result<ConnId, End> {
+    fn begin(&mut self, transport: &mut Transport, now: Time, cache: EndpointId) -> Result<ConnId, End> {
         let place = self.places.get_mut(&cache).ok_or(End::Done)?;
         if transport.room() <= LEFT_FOR_LIST {
             return Err(End::NoDescriptor);
@@ -268,7 +269,7 @@
     }
 
     /// How many connections to a cache are on their way that no shot waits for.
-    fn spares(&self, cache: CacheId) -> usize {
+    fn spares(&self, cache: EndpointId) -> usize {
         let is_spare = |id: &&ConnId| self.links.get(id).is_some_and(|l| l.shot.is_none());
         self.places.get(&cache).map_or(0, |p| p.on_their_way.iter().filter(is_spare).count())
     }
@@ -305,7 +306,7 @@
     }
 
     /// An idle connection that the cache has not ended meanwhile: what is written to one that it has is lost.
-    fn live_link(&mut self, transport: &mut Transport, now: Time, cache: CacheId) -> Option<ConnId> {
+    fn live_link(&mut self, transport: &mut Transport, now: Time, cache: EndpointId) -> Option<ConnId> {
         loop {
             let place = self.places.get_mut(&cache)?;
             // They stand in the order in which they came to rest.
@@ -330,7 +331,7 @@
     }
 
     /// Notes that a cache has sent what nobody asked for.
-    fn doubt(&mut self, now: Time, cache: CacheId) {
+    fn doubt(&mut self, now: Time, cache: EndpointId) {
         if let Some(place) = self.places.get_mut(&cache) {
             place.doubted_until = now + DOUBT;
         }
@@ -342,8 +343,8 @@
         transport: &mut Transport,
         exchanges: &mut Exchanges,
         now: Time,
-        call: ApiCallId,
-        number: ShotNumber,
+        call: RequestId,
+        number: AttemptNumber,
     ) {
         let Some(id) = self.carriers.get(&(call, number)).copied() else { return };
         if self.links.get(&id).is_some_and(Link::has_begun) {
@@ -468,7 +469,7 @@
             let clean = answer.head.keeps && !shot.early && connection.input.is_empty();
             let usable = clean && connection.ended().is_none() && written.is_ok();
             let fate = ShotFate::Answered(answer);
-            exchanges.shot_ended(shot.call, shot.number, link.cache, fate, now - shot.sent);
+            exchanges.on_attempt_finished(shot.call, shot.number, link.cache, fate, now - shot.sent);
             link.since = now;
             if let Some(place) = place.as_mut().filter(|_| !connection.input.is_empty()) {
                 place.doubted_until = now + DOUBT;
@@ -533,7 +534,7 @@
         self.carriers.remove(&(shot.call, shot.number));
         link.connection.output.clear();
         let fate = ShotFate::Lost { end, whole: false };
-        exchanges.shot_ended(shot.call, shot.number, link.cache, fate, now - shot.sent);
+        exchanges.on_attempt_finished(shot.call, shot.number, link.cache, fate, now - shot.sent);
         if !link.connection.is_up() {
             let cache = link.cache;
             transport.timers.set(id, now + SPARE_STAYS);
@@ -559,7 +560,7 @@
         if let Some(shot) = link.shot.take() {
             self.carriers.remove(&(shot.call, shot.number));
             let fate = ShotFate::Lost { end, whole };
-            exchanges.shot_ended(shot.call, shot.number, link.cache, fate, now - shot.sent);
+            exchanges.on_attempt_finished(shot.call, shot.number, link.cache, fate, now - shot.sent);
         } else if let Some(place) = self.places.get_mut(&link.cache) {
             place.idle.retain(|i| *i != id);
         }
--- a/crates/node/src/proxy/tally.rs
+++ b/crates/node/src/proxy/tally.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use granitelb_balancer::calls::{Answer, Outcome};
+use granitelb_balancer::calls::{AttemptOutcome, LocalReply};
 
 use super::exchange::FinalAnswer;
 
@@ -22,23 +22,23 @@
     pub fn count_answer(&mut self, answer: &FinalAnswer) {
         *match answer {
             FinalAnswer::Fulfilled(_) => &mut self.fulfilled,
-            FinalAnswer::Own(Answer::RateLimited { .. }) => &mut self.rate_limited,
-            FinalAnswer::Own(Answer::Errored) => &mut self.errored,
+            FinalAnswer::Own(LocalReply::RateLimited { .. }) => &mut self.rate_limited,
+            FinalAnswer::Own(LocalReply::Errored) => &mut self.errored,
             FinalAnswer::ClientLeft => &mut self.left,
         } += 1;
     }
 
-    pub fn count_shot(&mut self, outcome: Outcome) {
+    pub fn count_shot(&mut self, outcome: AttemptOutcome) {
         let word = match outcome {
-            Outcome::Fulfilled => "fulfilled",
-            Outcome::Lacking => "lacking",
-            Outcome::Full => "full",
-            Outcome::Unreachable => "unreachable",
-            Outcome::Moot => "never sent",
-            Outcome::TimedOut => "timed-out",
-            Outcome::Errored => "errored",
-            Outcome::Reset => "reset",
-            Outcome::Recalled => "recalled",
+            AttemptOutcome::Fulfilled => "fulfilled",
+            AttemptOutcome::CacheMiss => "lacking",
+            AttemptOutcome::Rejected => "full",
+            AttemptOutcome::Unreachable => "unreachable",
+            AttemptOutcome::NotSent => "never sent",
+            AttemptOutcome::TimedOut => "timed-out",
+            AttemptOutcome::Errored => "errored",
+            AttemptOutcome::Reset => "reset",
+            AttemptOutcome::Cancelled => "recalled",
         };
         *self.shots.entry(word).or_default() += 1;
     }
--- a/crates/node/src/proxy/witness.rs
+++ b/crates/node/src/proxy/witness.rs
@@ -4,25 +4,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{Advice, Answer, Listing, Shot, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CacheId, ShotNumber};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{Attempt, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LocalReply};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_control_plane::agent::{Desk, Note, Sent, call_of};
+use granitelb_control_plane::agent::{AgentHandle, RawObservation, SentAttempt, call_of};
 use granitelb_coordination::counterfactual::is_sampled;
-use granitelb_coordination::observation::Server;
+use granitelb_coordination::observation::ObservedEndpoint;
 
 use super::exchange::Exchanges;
 
-pub struct Witness {
-    desk: Desk,
+pub struct ObservationRecorder {
+    desk: AgentHandle,
     settings: Settings,
 }
 
-impl Witness {
-    pub fn new(desk: Desk, settings: Settings) -> Witness {
-        Witness { desk, settings }
+impl ObservationRecorder {
+    pub fn new(desk: AgentHandle, settings: Settings) -> ObservationRecorder {
+        ObservationRecorder { desk, settings }
     }
 
     pub fn move_to(&mut self, settings: Settings) {
@@ -30,8 +30,8 @@
     }
 
     /// These may get shots from now on, and no others.
-    pub fn listed(&mut self, now: Time, placed: &BTreeMap<CacheId, (SocketAddr, Listing)>) {
-        let server = |listing: &Listing| Server {
+    pub fn listed(&mut self, now: Time, placed: &BTreeMap<EndpointId, (SocketAddr, EndpointUpdate)>) {
+        let server = |listing: &EndpointUpdate| ObservedEndpoint {
             cache: listing.cache,
             is_origin: Some(listing.kind) == self.settings.origin,
             // For an estimate alone, in which two unnamed zones may be mixed up.
@@ -41,41 +41,52 @@
             warm_after: self.settings.warm_after,
         };
         let servers = placed.values().map(|(_, listing)| server(listing)).collect();
-        self.desk.note(now, Note::Listed(servers));
+        self.desk.note(now, RawObservation::EndpointsChanged(servers));
     }
 
     /// A shot goes out.
-    pub fn sent(&mut self, now: Time, brain: &Brain, exchanges: &Exchanges, shot: &Shot, number: ShotNumber) {
-        let Some((name, asked, message)) = exchanges.asked(shot.api_call) else { return };
+    pub fn sent(
+        &mut self,
+        now: Time,
+        balancer: &Balancer,
+        exchanges: &Exchanges,
+        shot: &Attempt,
+        number: AttemptNumber,
+    ) {
+        let Some((name, asked, message)) = exchanges.asked(shot.request) else { return };
         let call = call_of(name);
-        let mut ranked = if is_sampled(call) { brain.ranked(asked.key) } else { Vec::new() }.into_iter();
-        let sent = Sent {
-            api_call: shot.api_call,
+        let mut ranked = if is_sampled(call) { balancer.ranked(asked.key) } else { Vec::new() }.into_iter();
+        let sent = SentAttempt {
+            request: shot.request,
             number,
             cache: shot.cache,
             call,
             asked: *asked,
             bytes: u32::try_from(message.body.len()).unwrap_or(u32::MAX),
-            slo: self.settings.products.get(usize::from(asked.product.0)).map_or(Span::ZERO, |p| p.slo),
+            slo: self
+                .settings
+                .request_classes
+                .get(usize::from(asked.request_class.0))
+                .map_or(Span::ZERO, |p| p.slo),
             candidates: [ranked.next(), ranked.next(), ranked.next()],
         };
-        self.desk.note(now, Note::Sent(sent));
+        self.desk.note(now, RawObservation::AttemptSent(sent));
     }
 
     /// A shot has ended; `bytes` is the length of the answer's body.
-    pub fn ended(&mut self, now: Time, api_call: ApiCallId, end: &ShotEnd, bytes: u32) {
-        self.desk.note(now, Note::Ended { api_call, end: *end, bytes });
+    pub fn ended(&mut self, now: Time, request: RequestId, end: &AttemptResult, bytes: u32) {
+        self.desk.note(now, RawObservation::AttemptFinished { request, end: *end, bytes });
     }
 
     /// The node answers a call by itself.
-    pub fn answered(&mut self, now: Time, exchanges: &Exchanges, call: ApiCallId, answer: &Answer) {
-        if matches!(answer, Answer::RateLimited { .. }) && exchanges.lacked(call) {
-            self.desk.note(now, Note::Denied);
+    pub fn answered(&mut self, now: Time, exchanges: &Exchanges, call: RequestId, answer: &LocalReply) {
+        if matches!(answer, LocalReply::RateLimited { .. }) && exchanges.lacked(call) {
+            self.desk.note(now, RawObservation::FetchDenied);
         }
     }
 
     /// A turn begins: what planners say, where there is news.
-    pub fn begin_turn(&mut self, now: Time) -> Option<Advice> {
+    pub fn begin_turn(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
         self.desk.begin_turn(now)
     }
 
--- a/crates/node/tests/scenarios/stage/clients.rs
+++ b/crates/node/tests/scenarios/stage/clients.rs
@@ -11,14 +11,14 @@
     /// Plays the verbs for clients; whether the line is one of these.
     pub(super) fn play_clients(&mut self, line: &str, words: &[&str]) -> bool {
         match *words {
-            ["call", client, product, key, ref options @ ..] => {
+            ["call", client, request_class, key, ref options @ ..] => {
                 let body = option(options, "put");
                 let id = option(options, "id").expect("an id");
                 let timeout = option(options, "timeout").unwrap_or("1200");
                 let (method, body) = body.map_or(("GET", Vec::new()), |b| ("PUT", bytes(b)));
                 let close = if options.contains(&"close") { "Connection: close\r\n" } else { "" };
                 let head = format!(
-                    "{method} /{product}/{key} HTTP/1.1\r\nHost: n\r\nX-Request-ID: {id}\r\nX-Priority-Class: {product}\r\n\
+                    "{method} /{request_class}/{key} HTTP/1.1\r\nHost: n\r\nX-Request-ID: {id}\r\nX-Priority-Class: {request_class}\r\n\
                      X-Timeout-Ms: {timeout}\r\nX-Cost: 1000\r\n{close}Content-Length: {}\r\n\r\n",
                     body.len()
                 );
--- a/crates/node/tests/scenarios/stage/mod.rs
+++ b/crates/node/tests/scenarios/stage/mod.rs
@@ -55,7 +55,7 @@
         static LAST: AtomicU8 = AtomicU8::new(1);
         let address = format!("127.83.{}.1", LAST.fetch_add(1, Ordering::Relaxed));
         let discovery = free(&address);
-        let product = |name: &str, effect: &str| {
+        let request_class = |name: &str, effect: &str| {
             json!({"Name": name, "Effect": effect, "DedupScope": "all", "WindowUs": 3_000_000,
                 "LatencySloUs": 600_000, "ClientTimeoutUs": 1_200_000, "BilledValue": 1.0})
         };
@@ -63,8 +63,8 @@
             "Bounds": {"ConnectTimeoutUs": 250_000, "KeepaliveUs": 10_000_000, "MayCancel": true, "MostShots": 4,
                 "RetryAfter": true, "MaxRetryAfterUs": 1_500_000, "SecondCopies": false},
             "Discovery": "ask",
-            "Products": [product("read", "read_like"), product("post", "idempotency_key"),
-                product("once", "non_idempotent")],
+            "Products": [request_class("read", "read_like"), request_class("post", "idempotency_key"),
+                request_class("once", "non_idempotent")],
             "Rules": {"MustAskInUs": 10_000_000, "FallMultiple": 3.0, "FallUs": 2_000_000, "ColdFrom": 0.2,
                 "WarmAfterUs": 20_000_000},
             "Shapes": ["plain", "origin"], "Siblings": 1, "Zones": ["z"],
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -7,14 +7,16 @@
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use granitelb_balancer::calls::{ApiCall, Listing, Outcome, Shot};
-use granitelb_balancer::ids::{ApiCallId, CacheId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::calls::{Attempt, AttemptOutcome, EndpointUpdate, Request};
+use granitelb_balancer::ids::{
+    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
+};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_node::http::{Head, Message};
 use granitelb_node::proxy::{Exchanges, FinalAnswer, Servers};
 use granitelb_node::transport::{ConnId, Event, Owner, Transport};
 
-const CACHE: CacheId = CacheId(7);
+const CACHE: EndpointId = EndpointId(7);
 const CONNECT_LIMIT: Span = Span::from_millis(5000);
 const KEEPALIVE: Span = Span::from_millis(60_000);
 const TIMEOUT: Span = Span::from_millis(1200);
@@ -55,7 +57,7 @@
 
     /// The list has the cache, or has it no more.
     fn list(&mut self, listed: bool) {
-        let listing = Listing {
+        let listing = EndpointUpdate {
             cache: CACHE,
             kind: KindId(0),
             size: 1.0,
@@ -71,12 +73,12 @@
     }
 
     /// A call comes, and is sent to the cache.
-    fn send(&mut self, method: &str, body: Vec<u8>) -> (ApiCallId, ShotNumber) {
+    fn send(&mut self, method: &str, body: Vec<u8>) -> (RequestId, AttemptNumber) {
         self.send_within(TIMEOUT, method, body)
     }
 
     /// The same, by a shot that may begin for so long.
-    fn send_within(&mut self, begin_within: Span, method: &str, body: Vec<u8>) -> (ApiCallId, ShotNumber) {
+    fn send_within(&mut self, begin_within: Span, method: &str, body: Vec<u8>) -> (RequestId, AttemptNumber) {
         self.calls += 1;
         let head = Head {
             method: method.into(),
@@ -84,17 +86,17 @@
             headers: vec![("Host".into(), b"n".to_vec())],
             ..Head::default()
         };
-        let (product, key) = (ProductId(0), Key(self.calls));
-        let call = ApiCall { product, key, budget: TIMEOUT, work: None, write: method != "GET" };
+        let (request_class, key) = (RequestClassId(0), Key(self.calls));
+        let call = Request { request_class, key, budget: TIMEOUT, work: None, write: method != "GET" };
         let (name, message) = (format!("r{}", self.calls).into(), Message { head, body });
         let id = self.exchanges.take(self.client, call, name, message).expect("a new name");
         let number = self.exchanges.shoot(id).expect("a call that waits");
-        let shot = Shot { api_call: id, cache: CACHE, give_up_after: TIMEOUT, begin_within };
+        let shot = Attempt { request: id, cache: CACHE, give_up_after: TIMEOUT, begin_within };
         self.servers.send(&mut self.transport, &mut self.exchanges, self.now, &shot, number);
         (id, number)
     }
 
-    fn read(&mut self) -> ApiCallId {
+    fn read(&mut self) -> RequestId {
         self.send("GET", Vec::new()).0
     }
 
@@ -193,7 +195,7 @@
             self.turn();
             head(cache).expect("a message");
             write(cache, &answer(&format!("before-{n}")));
-            assert_eq!(self.fate(call), Outcome::Fulfilled);
+            assert_eq!(self.fate(call), AttemptOutcome::Fulfilled);
             self.given(call);
             self.pass(300);
         }
@@ -201,15 +203,15 @@
     }
 
     /// How a shot ended, once it has.
-    fn fate(&mut self, of: ApiCallId) -> Outcome {
+    fn fate(&mut self, of: RequestId) -> AttemptOutcome {
         let ended = self.until("a shot's end", |s| s.exchanges.next_ended());
         assert_eq!(ended.call, of);
         ended.end.outcome
     }
 
     /// What was given to a call from a cache's answer, if it was given one.
-    fn given(&mut self, to: ApiCallId) -> Option<Vec<u8>> {
-        match self.exchanges.next_answer() {
+    fn given(&mut self, to: RequestId) -> Option<Vec<u8>> {
+        match self.exchanges.poll_response() {
             Some((id, _, FinalAnswer::Fulfilled(message))) if id == to => Some(message.body),
             Some(_) => panic!("an answer for another call, or of another kind"),
             None => None,
@@ -275,7 +277,7 @@
     let mut cache = stage.accept();
     stage.pass(1200);
     // The two in one turn: that it is up is seen first.
-    assert_eq!(stage.fate(call), Outcome::TimedOut);
+    assert_eq!(stage.fate(call), AttemptOutcome::TimedOut);
     assert!(is_silent(&mut cache));
 }
 
@@ -285,7 +287,7 @@
     let left = stage.read();
     let mut cache = stage.accept();
     stage.exchanges.leave(left);
-    assert_eq!(stage.fate(left), Outcome::Moot);
+    assert_eq!(stage.fate(left), AttemptOutcome::NotSent);
     assert!(is_silent(&mut cache));
     stage.pass(100);
     stage.read();
@@ -299,7 +301,7 @@
     let (call, number) = stage.send("GET", Vec::new());
     let mut cache = stage.accept();
     stage.servers.recall(&mut stage.transport, &mut stage.exchanges, stage.now, call, number);
-    assert_eq!(stage.fate(call), Outcome::Recalled);
+    assert_eq!(stage.fate(call), AttemptOutcome::Cancelled);
     stage.turn();
     stage.pass(100);
     stage.read();
@@ -325,12 +327,12 @@
     for event in events {
         stage.servers.event(&mut stage.transport, &mut stage.exchanges, stage.now, event);
     }
-    assert_eq!(stage.fate(first), Outcome::Fulfilled);
+    assert_eq!(stage.fate(first), AttemptOutcome::Fulfilled);
     assert_eq!(stage.given(first), Some(b"one".to_vec()));
     stage.exchanges.leave(second);
     stage.pass(1000);
     stage.timers();
-    assert_eq!(stage.fate(second), Outcome::Moot);
+    assert_eq!(stage.fate(second), AttemptOutcome::NotSent);
     assert!(is_silent(&mut cache), "the idle connection was ended");
     stage.read();
     assert!(!stage.knocks());
@@ -349,7 +351,7 @@
     for event in events {
         stage.servers.event(&mut stage.transport, &mut stage.exchanges, stage.now, event);
     }
-    assert_eq!(stage.fate(call), Outcome::Moot);
+    assert_eq!(stage.fate(call), AttemptOutcome::NotSent);
     assert_eq!(head(&mut cache), None);
 }
 
@@ -362,7 +364,7 @@
         let first = stage.read();
         head(&mut cache).expect("a message");
         write(&mut cache, &answer("one"));
-        assert_eq!(stage.fate(first), Outcome::Fulfilled);
+        assert_eq!(stage.fate(first), AttemptOutcome::Fulfilled);
         assert_eq!(stage.given(first), Some(b"one".to_vec()));
         // Its only connection, and it hasn't rested.
         stage.pass(1);
@@ -376,7 +378,7 @@
         } else {
             write(&mut cache, &format!("{}{}", answer("one"), answer("two")));
         }
-        assert_eq!(stage.fate(second), Outcome::Fulfilled);
+        assert_eq!(stage.fate(second), AttemptOutcome::Fulfilled);
         assert_eq!(stage.given(second), Some(b"two".to_vec()));
     }
 }
@@ -393,7 +395,7 @@
             write(&mut cache, &answer("one"));
         }
         write(&mut cache, &answer(body));
-        assert_eq!(stage.fate(call), Outcome::Fulfilled);
+        assert_eq!(stage.fate(call), AttemptOutcome::Fulfilled);
         assert_eq!(stage.given(call), Some(body.into()));
         stage.pass(2);
     }
@@ -407,27 +409,27 @@
     let first = stage.read();
     head(&mut cache).expect("a message");
     write(&mut cache, &answer("ok"));
-    assert_eq!(stage.fate(first), Outcome::Fulfilled);
+    assert_eq!(stage.fate(first), AttemptOutcome::Fulfilled);
     assert_eq!(stage.given(first), Some(b"ok".to_vec()));
     let second = stage.read();
     head(&mut cache).expect("a message");
     write(&mut cache, &answer("ok"));
     stage.sees_a_copy();
     stage.pass(300);
-    assert_eq!(stage.fate(second), Outcome::Errored);
+    assert_eq!(stage.fate(second), AttemptOutcome::Errored);
     assert_eq!(stage.given(second), None);
     let third = stage.read();
     let mut cache = stage.accept();
     stage.turn();
     head(&mut cache).expect("a message");
     write(&mut cache, &answer("ok"));
-    assert_eq!(stage.fate(third), Outcome::Fulfilled);
+    assert_eq!(stage.fate(third), AttemptOutcome::Fulfilled);
     assert_eq!(stage.given(third), Some(b"ok".to_vec()));
     stage.pass(30);
     let fourth = stage.read();
     head(&mut cache).expect("a message");
     write(&mut cache, &answer("ok"));
-    assert_eq!(stage.fate(fourth), Outcome::Fulfilled);
+    assert_eq!(stage.fate(fourth), AttemptOutcome::Fulfilled);
     assert_eq!(stage.given(fourth), Some(b"ok".to_vec()));
 }
 
@@ -441,7 +443,7 @@
         head(&mut cache).expect("a message");
         cache.read_exact(&mut [0; 5]).expect("a body");
         write(&mut cache, &answer("ok"));
-        assert_eq!(stage.fate(call), Outcome::Fulfilled);
+        assert_eq!(stage.fate(call), AttemptOutcome::Fulfilled);
         assert_eq!(stage.given(call), Some(b"ok".to_vec()));
     }
 }
@@ -452,7 +454,7 @@
     let mut stage = Stage::new();
     let (call, _) = stage.send("PUT", b"value".to_vec());
     drop(stage.accept());
-    assert_eq!(stage.fate(call), Outcome::Unreachable);
+    assert_eq!(stage.fate(call), AttemptOutcome::Unreachable);
 
     // Nor the rest of one that was begun.
     let mut stage = Stage::new();
@@ -460,7 +462,7 @@
     let cache = stage.accept();
     stage.turn();
     rustix::net::shutdown(&cache, rustix::net::Shutdown::Write).expect("a connection");
-    assert_eq!(stage.fate(call), Outcome::Unreachable);
+    assert_eq!(stage.fate(call), AttemptOutcome::Unreachable);
 }
 
 /// An answer that was there before the message was written, and one that came before its last byte: neither was made for it.
@@ -470,7 +472,7 @@
     let call = stage.read();
     let mut cache = stage.accept();
     write(&mut cache, &answer("stale"));
-    assert_eq!(stage.fate(call), Outcome::Unreachable);
+    assert_eq!(stage.fate(call), AttemptOutcome::Unreachable);
     assert_eq!(stage.given(call), None);
     assert_eq!(head(&mut cache), None);
 
@@ -480,7 +482,7 @@
     stage.turn();
     head(&mut cache).expect("a message");
     write(&mut cache, &answer("stale"));
-    assert_eq!(stage.fate(call), Outcome::Unreachable);
+    assert_eq!(stage.fate(call), AttemptOutcome::Unreachable);
     assert_eq!(stage.given(call), None);
 
     // Nor one whose first bytes came before, and the rest after: it may have run by then.
@@ -497,7 +499,7 @@
         write(&mut cache, &stale[20..]);
         cache
     });
-    assert_eq!(stage.fate(call), Outcome::Errored);
+    assert_eq!(stage.fate(call), AttemptOutcome::Errored);
     assert_eq!(stage.given(call), None);
     drop(cache.join());
 }
@@ -517,7 +519,7 @@
         write(&mut cache, &answer("done"));
         cache
     });
-    assert_eq!(stage.fate(call), Outcome::Fulfilled);
+    assert_eq!(stage.fate(call), AttemptOutcome::Fulfilled);
     assert_eq!(stage.given(call), Some(b"done".to_vec()));
     drop(cache.join());
 }
@@ -529,7 +531,7 @@
     let call = stage.read();
     let mut cache = stage.accept();
     write(&mut cache, "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(stage.fate(call), Outcome::Full);
+    assert_eq!(stage.fate(call), AttemptOutcome::Rejected);
     assert_eq!(head(&mut cache), None);
 }
 
@@ -538,13 +540,13 @@
 fn a_reset_or_an_early_end_makes_no_answer_whole() {
     let start = "HTTP/1.1 200 OK\r\n";
     let cases = [
-        ("\r\nall", false, Outcome::Fulfilled),
-        ("\r\nall", true, Outcome::Reset),
-        ("\r\n", true, Outcome::Reset),
-        ("Content-Length: 4\r\n\r\nall", false, Outcome::Reset),
-        ("Transfer-Encoding: chunked\r\n\r\n3\r\nall\r\n", false, Outcome::Reset),
-        ("Transfer-Encoding: chunked\r\n\r\n3\r\nall\r\n0\r\n", false, Outcome::Reset),
-        ("Content-Le", false, Outcome::Reset),
+        ("\r\nall", false, AttemptOutcome::Fulfilled),
+        ("\r\nall", true, AttemptOutcome::Reset),
+        ("\r\n", true, AttemptOutcome::Reset),
+        ("Content-Length: 4\r\n\r\nall", false, AttemptOutcome::Reset),
+        ("Transfer-Encoding: chunked\r\n\r\n3\r\nall\r\n", false, AttemptOutcome::Reset),
+        ("Transfer-Encoding: chunked\r\n\r\n3\r\nall\r\n0\r\n", false, AttemptOutcome::Reset),
+        ("Content-Le", false, AttemptOutcome::Reset),
     ];
     for (rest, torn, expected) in cases {
         let mut stage = Stage::new();
@@ -560,7 +562,7 @@
             drop(cache);
         }
         assert_eq!(stage.fate(call), expected, "{rest:?}, torn: {torn}");
-        let served = expected == Outcome::Fulfilled;
+        let served = expected == AttemptOutcome::Fulfilled;
         assert_eq!(stage.given(call), served.then_some(b"all".to_vec()), "{rest:?}, torn: {torn}");
     }
 }
@@ -577,7 +579,7 @@
             assert!(head(&mut cache).expect("a message").starts_with("PUT "));
         } else {
             // Its connection's coming up and the end of its time are seen in one turn.
-            assert_eq!(stage.fate(call), Outcome::Moot);
+            assert_eq!(stage.fate(call), AttemptOutcome::NotSent);
             assert!(is_silent(&mut cache));
         }
     }
@@ -590,7 +592,7 @@
     stage.pass(200);
     stage.timers();
     let ended = stage.exchanges.next_ended().expect("it has ended");
-    assert_eq!((ended.call, ended.end.outcome), (call, Outcome::Moot));
+    assert_eq!((ended.call, ended.end.outcome), (call, AttemptOutcome::NotSent));
     // Its connection stays for the next call.
     let mut cache = stage.accept();
     stage.turn();
@@ -606,6 +608,6 @@
     }
     assert_eq!(stage.transport.room(), 2);
     let refused = stage.read();
-    assert_eq!(stage.fate(refused), Outcome::Moot);
+    assert_eq!(stage.fate(refused), AttemptOutcome::NotSent);
     assert_eq!(stage.transport.room(), 2);
 }
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -66,7 +66,7 @@
     let kinds = tier("kind").as_array().cloned().unwrap_or_default();
     let mut shapes: Vec<_> = kinds.iter().map(|k| k["name"].clone()).collect();
     shapes.push(json!("origin"));
-    let products = list("/class").into_iter().map(|class| {
+    let request_classes = list("/class").into_iter().map(|class| {
         let effects = [("safe", "read_like"), ("keyed", "idempotency_key"), ("unsafe", "non_idempotent")];
         without_null(json!({
             "Name": class["name"],
@@ -93,7 +93,7 @@
             "SecondCopies": allow("second_copies"),
         })),
         "Discovery": at(site, "/discovery/mode"),
-        "Products": products.collect::<Vec<_>>(),
+        "Products": request_classes.collect::<Vec<_>>(),
         "Rules": without_null(json!({
             "ColdFrom": lowest(&cache["cold_from"]),
             "WarmAfterUs": time(&highest(&cache["cold_s"]), 1e6),
@@ -161,8 +161,8 @@
             decode(settings(&site).to_string().as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"));
         let decisions = &decoded.decisions;
         let classes = site["class"].as_array().expect("classes");
-        assert_eq!(decisions.products.len(), classes.len(), "{name}");
-        for (n, (class, product)) in classes.iter().zip(&decisions.products).enumerate() {
+        assert_eq!(decisions.request_classes.len(), classes.len(), "{name}");
+        for (n, (class, request_class)) in classes.iter().zip(&decisions.request_classes).enumerate() {
             let whose = format!("{name}, {}", class["name"]);
             let scope = match class["group"].as_str() {
                 Some("all") => DedupScope::All,
@@ -174,20 +174,20 @@
                 Some("keyed") => Effect::Deduplicated { scope, window: us(&class["window_ms"], 1e3) },
                 _ => Effect::NonIdempotent,
             };
-            assert_eq!(product.effect, effect, "{whose}");
-            assert_eq!(product.slo, us(&class["aim_ms"], 1e3), "{whose}");
+            assert_eq!(request_class.effect, effect, "{whose}");
+            assert_eq!(request_class.slo, us(&class["aim_ms"], 1e3), "{whose}");
             assert_eq!(decoded.client_timeouts[n], us(&class["deadline_ms"], 1e3), "{whose}");
-            assert_eq!(Some(product.billed_value), class["worth"].as_f64(), "{whose}");
-            assert_eq!(Some(product.late_value), class["late_worth"].as_f64(), "{whose}");
-            assert_eq!(decoded.names.products[n], class["name"].as_str().expect("a name"), "{whose}");
+            assert_eq!(Some(request_class.billed_value), class["worth"].as_f64(), "{whose}");
+            assert_eq!(Some(request_class.value_after_slo), class["late_worth"].as_f64(), "{whose}");
+            assert_eq!(decoded.names.request_classes[n], class["name"].as_str().expect("a name"), "{whose}");
             // An SLO beyond the client timeout could never be missed.
-            assert!(product.slo <= decoded.client_timeouts[n], "{whose}");
+            assert!(request_class.slo <= decoded.client_timeouts[n], "{whose}");
         }
         let (allow, tier, rules) = (&site["allow"], &site["tier"][0], &site["rules"]);
-        assert_eq!(Some(decisions.may_recall), allow["cancel"].as_bool(), "{name}");
-        assert_eq!(Some(decisions.second_copies), allow["second_copies"].as_bool(), "{name}");
-        assert_eq!(Some(u64::from(decisions.max_shots)), allow["max_attempts"].as_u64(), "{name}");
-        assert_eq!(decisions.max_come_back, us(&site["clients"]["max_retry_after_ms"], 1e3), "{name}");
+        assert_eq!(Some(decisions.may_cancel), allow["cancel"].as_bool(), "{name}");
+        assert_eq!(Some(decisions.hedged_requests), allow["second_copies"].as_bool(), "{name}");
+        assert_eq!(Some(u64::from(decisions.max_attempts)), allow["max_attempts"].as_u64(), "{name}");
+        assert_eq!(decisions.max_retry_after, us(&site["clients"]["max_retry_after_ms"], 1e3), "{name}");
         assert_eq!(decoded.connect_limit, us(&tier["conn"]["connect_timeout_ms"], 1e3), "{name}");
         assert_eq!(decoded.keepalive, us(&tier["conn"]["idle_s"], 1e6), "{name}");
         assert_eq!(Some(decisions.fall_multiple), rules["fall_multiple"].as_f64(), "{name}");
--- a/crates/node/tests/together.rs
+++ b/crates/node/tests/together.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::message::Letter;
+use granitelb_coordination::message::Message;
 use granitelb_coordination::{ForwarderId, Member, Sender, endpoint_health, leases, membership};
 use rustix::process::Signal;
 use stage::{Client, Stage};
@@ -32,7 +32,7 @@
 }
 
 /// The next letter of the node's.
-fn heard_by(stage: &mut Stage) -> (Sender, Letter) {
+fn heard_by(stage: &mut Stage) -> (Sender, Message) {
     let until = Instant::now() + Duration::from_secs(8);
     loop {
         assert!(Instant::now() < until, "no letter: {}", stage.log());
@@ -71,15 +71,15 @@
     // Each call had an answer of its cache. A planner is told once it has been heard.
     while beats < 2 || answered < 20.0 {
         if numbers.len() == 1 {
-            stage.planner.say(&Letter::Members(membership::Message::Beat));
+            stage.planner.say(&Message::Membership(membership::MembershipMessage::Beat));
         }
         assert!(Instant::now() < until, "{beats} beats, {answered} answers told");
         let Some((from, letter)) = stage.planner.hear() else { continue };
         assert_eq!(from.member, Member::Forwarder(ForwarderId::of_name("n")));
         assert!(numbers.insert(from.number), "a number that came before");
         match letter {
-            Letter::Members(membership::Message::Beat) => beats += 1,
-            Letter::Verdicts(endpoint_health::Message::Report(report)) => {
+            Message::Membership(membership::MembershipMessage::Beat) => beats += 1,
+            Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)) => {
                 beats += 1;
                 answered += report.caches.iter().map(|c| c.answered).sum::<f64>();
             }
@@ -118,7 +118,7 @@
     stage.signal(Signal::HUP);
     until_said(&stage, "was read again", 1);
     // Other figures: what was granted under those before counts no more.
-    while heard_by(&mut stage).0.life == from.life {}
+    while heard_by(&mut stage).0.incarnation == from.incarnation {}
     assert_eq!(Client::new(stage.node).ask("k"), 200);
 }
 
@@ -148,12 +148,12 @@
                 (stage.fetches.load(Ordering::Relaxed), Instant::now() + Duration::from_millis(ms));
             while Instant::now() < until {
                 let Some((_, letter)) = stage.planner.hear() else { continue };
-                stage.planner.say(&Letter::Members(membership::Message::Beat));
-                let Letter::Leases(leases::Message::Ask { ask, .. }) = letter else { continue };
+                stage.planner.say(&Message::Membership(membership::MembershipMessage::Beat));
+                let Message::Leases(leases::LeaseMessage::Ask { ask, .. }) = letter else { continue };
                 if grants {
                     let granted = vec![(leases::Resource::Origin, 40_000)];
-                    let grant = leases::Message::Grant { ask, granted, lasts: 1_000_000 };
-                    stage.planner.say(&Letter::Leases(grant));
+                    let grant = leases::LeaseMessage::Grant { ask, granted, lasts: 1_000_000 };
+                    stage.planner.say(&Message::Leases(grant));
                 }
             }
             stage.fetches.load(Ordering::Relaxed) - before
--- a/crates/node/tests/together/flood.rs
+++ b/crates/node/tests/together/flood.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::message::{self, Letter, Secret, Secrets};
-use granitelb_coordination::{ForwarderId, Life, Member, PlannerId, Sender, leases, membership};
+use granitelb_coordination::message::{self, Message, Secret, Secrets};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender, leases, membership};
 
 use super::fleet::SECRET;
 
@@ -25,17 +25,18 @@
 /// A name that no node has.
 pub const WILD: ForwarderId = ForwarderId(0xf100d);
 
-fn sealed(member: Member, life: u64, number: u64) -> Vec<u8> {
+fn sealed(member: Member, incarnation: u64, number: u64) -> Vec<u8> {
     let secrets = Secrets::one(Secret::new(&hex(SECRET)).expect("a secret"));
     let letter = match (member, number) {
         (Member::Forwarder(_), 1..) => {
             let resource = leases::Resource::Origin;
             let need = leases::Need { resource, amount: 1, using: 0, heads: 1, has: 0 };
-            Letter::Leases(leases::Message::Ask { ask: number, needs: vec![need] })
+            Message::Leases(leases::LeaseMessage::Ask { ask: number, needs: vec![need] })
         }
-        _ => Letter::Members(membership::Message::Beat),
+        _ => Message::Membership(membership::MembershipMessage::Beat),
     };
-    message::seal(Sender { member, life: Life(life), number }, &letter, &secrets).expect("a letter")
+    message::seal(Sender { member, incarnation: Incarnation(incarnation), number }, &letter, &secrets)
+        .expect("a letter")
 }
 
 fn hex(text: &str) -> Vec<u8> {
--- a/crates/node/tests/together/stage.rs
+++ b/crates/node/tests/together/stage.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::message::{self, Letter, Secret, Secrets};
-use granitelb_coordination::{Life, Member, PlannerId, Sender};
+use granitelb_coordination::message::{self, Message, Secret, Secrets};
+use granitelb_coordination::{Incarnation, Member, PlannerId, Sender};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
 
@@ -39,7 +39,7 @@
     socket: UdpSocket,
     secrets: Secrets,
     number: u64,
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Where the node's letters come from.
     pub node: Option<SocketAddr>,
 }
@@ -50,20 +50,24 @@
         socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a socket");
         let bytes: Vec<u8> = (0..16).collect();
         let secrets = Secrets::one(Secret::new(&bytes).expect("a secret"));
-        Planner { socket, secrets, number: 0, life: Life(7), node: None }
+        Planner { socket, secrets, number: 0, incarnation: Incarnation(7), node: None }
     }
 
     /// The next letter that comes soon, if one does.
-    pub fn hear(&mut self) -> Option<(Sender, Letter)> {
+    pub fn hear(&mut self) -> Option<(Sender, Message)> {
         let mut bytes = [0; 2048];
         let (read, from) = self.socket.recv_from(&mut bytes).ok()?;
         self.node = Some(from);
         Some(message::open(&bytes[..read], &self.secrets).expect("a letter"))
     }
 
-    pub fn say(&mut self, letter: &Letter) {
+    pub fn say(&mut self, letter: &Message) {
         self.number += 1;
-        let sender = Sender { member: Member::Planner(PlannerId(1)), life: self.life, number: self.number };
+        let sender = Sender {
+            member: Member::Planner(PlannerId(1)),
+            incarnation: self.incarnation,
+            number: self.number,
+        };
         let bytes = message::seal(sender, letter, &self.secrets).expect("a letter");
         self.send(&bytes);
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,9 +3,9 @@
 
 use std::fmt;
 
-use granitelb_balancer::calls::Report;
+use granitelb_balancer::calls::LoadReport;
 use granitelb_balancer::ids::KindId;
-use granitelb_balancer::settings::{DedupScope, Effect, Product, Settings};
+use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
 use granitelb_balancer::time::Span;
 use serde::Deserialize;
 
@@ -48,8 +48,8 @@
 }
 
 /// A load report from its figures; one that is negative or no number counts as not told.
-pub fn report(figures: impl IntoIterator<Item = (Column, f64)>) -> Report {
-    let mut report = Report::default();
+pub fn report(figures: impl IntoIterator<Item = (Column, f64)>) -> LoadReport {
+    let mut report = LoadReport::default();
     for (column, figure) in figures.into_iter().filter(|(_, f)| f.is_finite() && *f >= 0.0) {
         match column {
             Column::Held => report.held = Some(figure),
@@ -65,7 +65,7 @@
 /// Names by the numbers that stand for them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    pub products: Vec<String>,
+    pub request_classes: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
@@ -125,7 +125,8 @@
     shapes: Vec<String>,
     #[serde(default)]
     zones: Vec<String>,
-    products: Vec<ProductParams>,
+    #[serde(rename = "Products")]
+    request_classes: Vec<RequestClassParams>,
     rules: Rules,
     #[serde(default = "one")]
     siblings: u32,
@@ -144,7 +145,8 @@
     may_cancel: bool,
     most_shots: u8,
     retry_after: bool,
-    second_copies: bool,
+    #[serde(rename = "SecondCopies")]
+    hedged_requests: bool,
 }
 
 impl Default for Bounds {
@@ -157,14 +159,14 @@
             may_cancel: false,
             most_shots: 1,
             retry_after: false,
-            second_copies: false,
+            hedged_requests: false,
         }
     }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct ProductParams {
+struct RequestClassParams {
     #[serde(default = "one_f")]
     billed_value: f64,
     client_timeout_us: u64,
@@ -213,7 +215,7 @@
 }
 
 /// More products than this since a node's start, and it has to be started anew.
-const MOST_PRODUCTS: usize = 256;
+const MAX_REQUEST_CLASSES: usize = 256;
 /// Stands before the name of a product that can't be asked for any more; no path has it.
 const NOT_OFFERED: char = '\n';
 
@@ -235,35 +237,41 @@
             }
         }
         let mut merged = Decoded {
-            decisions: Settings { products: old.products.clone(), ..new.clone() },
-            names: Names { products: running.names.products.clone(), ..self.names.clone() },
+            decisions: Settings { request_classes: old.request_classes.clone(), ..new.clone() },
+            names: Names { request_classes: running.names.request_classes.clone(), ..self.names.clone() },
             client_timeouts: running.client_timeouts.clone(),
             ..self.clone()
         };
-        merged.decisions.products.iter_mut().for_each(|p| p.offered = false);
-        merged.names.products.iter_mut().for_each(|name| *name = name.trim_start_matches(NOT_OFFERED).into());
-        let known = merged.names.products.clone();
-        for (n, product) in new.products.iter().enumerate() {
-            let (name, timeout) = (&self.names.products[n], self.client_timeouts[n]);
+        merged.decisions.request_classes.iter_mut().for_each(|p| p.offered = false);
+        merged
+            .names
+            .request_classes
+            .iter_mut()
+            .for_each(|name| *name = name.trim_start_matches(NOT_OFFERED).into());
+        let known = merged.names.request_classes.clone();
+        for (n, request_class) in new.request_classes.iter().enumerate() {
+            let (name, timeout) = (&self.names.request_classes[n], self.client_timeouts[n]);
             let same = |at: &usize| {
-                let mut held = old.products[*at].clone();
+                let mut held = old.request_classes[*at].clone();
                 held.offered = true;
-                held == *product && running.client_timeouts[*at] == timeout && known[*at] == *name
+                held == *request_class && running.client_timeouts[*at] == timeout && known[*at] == *name
             };
-            match (0..old.products.len()).find(same) {
-                Some(at) => merged.decisions.products[at].offered = true,
+            match (0..old.request_classes.len()).find(same) {
+                Some(at) => merged.decisions.request_classes[at].offered = true,
                 None => {
-                    merged.decisions.products.push(product.clone());
-                    merged.names.products.push(name.clone());
+                    merged.decisions.request_classes.push(request_class.clone());
+                    merged.names.request_classes.push(name.clone());
                     merged.client_timeouts.push(timeout);
                 }
             }
         }
-        if merged.decisions.products.len() > MOST_PRODUCTS {
+        if merged.decisions.request_classes.len() > MAX_REQUEST_CLASSES {
             return Err(fault("Products", "too many changed since the start"));
         }
-        for (name, product) in merged.names.products.iter_mut().zip(&merged.decisions.products) {
-            if !product.offered {
+        for (name, request_class) in
+            merged.names.request_classes.iter_mut().zip(&merged.decisions.request_classes)
+        {
+            if !request_class.offered {
                 name.insert(0, NOT_OFFERED);
             }
         }
@@ -279,9 +287,9 @@
         share("Rules.ColdFrom", params.rules.cold_from),
         least("Rules.FallMultiple", params.rules.fall_multiple),
     ];
-    for (n, product) in params.products.iter().enumerate() {
-        figures.push(share(&format!("Products[{n}].TardyBilledValue"), product.tardy_billed_value));
-        figures.push(least(&format!("Products[{n}].BilledValue"), product.billed_value));
+    for (n, request_class) in params.request_classes.iter().enumerate() {
+        figures.push(share(&format!("Products[{n}].TardyBilledValue"), request_class.tardy_billed_value));
+        figures.push(least(&format!("Products[{n}].BilledValue"), request_class.billed_value));
     }
     match figures.into_iter().find(|(_, value, range)| !range.contains(value)) {
         Some((key, value, range)) => {
@@ -315,46 +323,46 @@
     let rules = params.rules;
     let decisions = Settings {
         origin,
-        products: params.products.iter().map(product).collect(),
+        request_classes: params.request_classes.iter().map(request_class).collect(),
         nodes: f64::from(params.siblings.max(1)),
         list_on_request: params.discovery == "ask",
-        must_ask_in: Span(rules.must_ask_in_us),
+        max_poll_interval: Span(rules.must_ask_in_us),
         only_draining_binds: rules.only_draining_binds,
         cold_from: rules.cold_from,
         warm_after: Span(rules.warm_after_us),
         fall_multiple: rules.fall_multiple,
         fall_window: Span(rules.fall_us),
-        max_shots: bounds.most_shots,
-        second_copies: bounds.second_copies,
-        may_recall: bounds.may_cancel,
-        max_come_back: Span(if bounds.retry_after { bounds.max_retry_after_us } else { 0 }),
+        max_attempts: bounds.most_shots,
+        hedged_requests: bounds.hedged_requests,
+        may_cancel: bounds.may_cancel,
+        max_retry_after: Span(if bounds.retry_after { bounds.max_retry_after_us } else { 0 }),
         value_by_work: params.billed_value_per == "work",
         steady_sizes: matches!(params.weight_kind.as_str(), "nominal" | "rough"),
     };
     Ok(Decoded {
         decisions,
-        client_timeouts: params.products.iter().map(|p| Span(p.client_timeout_us)).collect(),
+        client_timeouts: params.request_classes.iter().map(|p| Span(p.client_timeout_us)).collect(),
         connect_limit: Span(bounds.connect_timeout_us),
         keepalive: Span(bounds.keepalive_us),
         columns: params.load_info.columns.iter().map(|name| Column::of_name(name)).collect(),
         names: Names {
-            products: params.products.into_iter().map(|p| p.name).collect(),
+            request_classes: params.request_classes.into_iter().map(|p| p.name).collect(),
             zones: params.zones,
             kinds: params.shapes,
         },
     })
 }
 
-fn product(params: &ProductParams) -> Product {
+fn request_class(params: &RequestClassParams) -> RequestClass {
     let scope = match params.dedup_scope.as_str() {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         _ => DedupScope::Cell,
     };
-    Product {
+    RequestClass {
         slo: Span(params.latency_slo_us),
         billed_value: params.billed_value,
-        late_value: params.tardy_billed_value,
+        value_after_slo: params.tardy_billed_value,
         offered: true,
         effect: match params.effect.as_str() {
             "read_like" => Effect::Idempotent,
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read};
 use std::ops::Range;
 
-use granitelb_balancer::ids::CacheId;
+use granitelb_balancer::ids::EndpointId;
 
 const EVENT_BYTES: usize = 48;
 const ACTION_BYTES: usize = 24;
@@ -120,8 +120,8 @@
     }
 
     /// Four bytes of address and a port.
-    pub fn cache(self, at: usize) -> CacheId {
-        CacheId(u64::from(self.u32(at)) << 16 | u64::from(self.u16(at + 4)))
+    pub fn cache(self, at: usize) -> EndpointId {
+        EndpointId(u64::from(self.u32(at)) << 16 | u64::from(self.u16(at + 4)))
     }
 }
 
@@ -152,7 +152,7 @@
     }
 }
 
-pub fn cache_bytes(cache: CacheId) -> [u8; 6] {
+pub fn cache_bytes(cache: EndpointId) -> [u8; 6] {
     let mut bytes = [0; 6];
     bytes.copy_from_slice(&cache.0.to_be_bytes()[2..]);
     bytes
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::balancer::Brain;
-use granitelb_balancer::calls::{Answer, ApiCall, Listing, Outcome, ShotEnd};
-use granitelb_balancer::ids::{ApiCallId, CellId, Key, KindId, ProductId, ShotNumber, ZoneId};
+use granitelb_balancer::balancer::Balancer;
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
+use granitelb_balancer::ids::{AttemptNumber, CellId, Key, KindId, RequestClassId, RequestId, ZoneId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Column;
 
@@ -16,11 +16,11 @@
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
     /// Lists by number; the wire sends each once for all instances.
-    sheets: BTreeMap<u32, Vec<Listing>>,
+    sheets: BTreeMap<u32, Vec<EndpointUpdate>>,
 }
 
 struct Instance {
-    brain: Brain,
+    balancer: Balancer,
     columns: Vec<Column>,
     /// When the timer that is set comes due.
     wake: Option<Time>,
@@ -62,8 +62,8 @@
             let decoded = granitelb_settings::decode(params)
                 .map_err(|e| Malformed(format!("record {}: unreadable settings: {e}", record.at)))?;
             let (settings, columns) = (decoded.decisions, decoded.columns);
-            let brain = Brain::new(settings, record.u64(4), now);
-            self.instances.insert(node, Instance { brain, columns, wake: None });
+            let balancer = Balancer::new(settings, record.u64(4), now);
+            self.instances.insert(node, Instance { balancer, columns, wake: None });
             return Ok(Some(node));
         }
         if code == 11 {
@@ -73,14 +73,14 @@
         let Some(instance) = self.instances.get_mut(&node) else {
             return Ok(None);
         };
-        let brain = &mut instance.brain;
+        let balancer = &mut instance.balancer;
         match code {
             // One timer is meant at a time; others are ones that no longer matter.
             1 if instance.wake.is_some_and(|w| w.0 == record.u64(4)) => instance.wake = None,
             2 => {
                 let scope = record.u8(4);
                 if scope == 3 {
-                    brain.list_failed(now);
+                    balancer.on_endpoints_watch_failed(now);
                     return Ok(Some(node));
                 }
                 let sheet = record.u32(9);
@@ -91,11 +91,11 @@
                     )));
                 };
                 match scope {
-                    2 => brain.caches_remembered(now, listings),
-                    _ => brain.caches_listed(now, listings, scope == 1),
+                    2 => balancer.on_endpoints_restored(now, listings),
+                    _ => balancer.on_endpoints_update(now, listings, scope == 1),
                 }
             }
-            5 => brain.client_left(now, ApiCallId(record.u64(4))),
+            5 => balancer.on_client_disconnect(now, RequestId(record.u64(4))),
             6 => {
                 let Some(outcome) = outcome(record.u8(19)) else {
                     return Err(Malformed(format!(
@@ -104,8 +104,8 @@
                         record.u8(19)
                     )));
                 };
-                let end = ShotEnd {
-                    number: ShotNumber(record.u8(12)),
+                let end = AttemptResult {
+                    number: AttemptNumber(record.u8(12)),
                     cache: record.cache(13),
                     outcome,
                     latency: Span(u64::from(record.u32(20))),
@@ -115,20 +115,20 @@
                 if told > 0 {
                     let figures = (0..told).map(|n| f64::from(record.f32(27 + 4 * n)));
                     let report = granitelb_settings::report(instance.columns.iter().copied().zip(figures));
-                    brain.load_reported(now, end.cache, &report);
+                    balancer.on_load_report(now, end.cache, &report);
                 }
-                brain.shot_ended(now, ApiCallId(record.u64(4)), &end);
+                balancer.on_attempt_finished(now, RequestId(record.u64(4)), &end);
             }
             9 => {
                 let flags = record.u8(38);
-                let call = ApiCall {
-                    product: ProductId(record.u16(12)),
+                let call = Request {
+                    request_class: RequestClassId(record.u16(12)),
                     key: Key(record.u64(18)),
                     budget: Span(u64::from(record.u32(26))),
                     work: (flags & 1 != 0).then(|| Span(u64::from(record.u32(30)))),
                     write: flags & 4 != 0,
                 };
-                brain.api_call(now, ApiCallId(record.u64(4)), call);
+                balancer.on_request(now, RequestId(record.u64(4)), call);
             }
             _ => {}
         }
@@ -138,41 +138,43 @@
 
 impl Instance {
     fn decide(&mut self, node: u16, now: Time, reply: &mut Reply) {
-        let brain = &mut self.brain;
-        recall(brain, node, reply);
-        while let Some(shot) = brain.next_shot(now) {
-            let id = shot.api_call.0.to_be_bytes();
+        let balancer = &mut self.balancer;
+        recall(balancer, node, reply);
+        while let Some(shot) = balancer.poll_attempt(now) {
+            let id = shot.request.0.to_be_bytes();
             reply.push(2, node, &[&id, &cache_bytes(shot.cache), &span_bytes(shot.give_up_after)]);
         }
-        while let Some((id, answer)) = brain.next_answer(now) {
+        while let Some((id, answer)) = balancer.poll_response(now) {
             match answer {
-                Answer::RateLimited { come_back } => {
-                    reply.push(7, node, &[&id.0.to_be_bytes(), &span_bytes(come_back)]);
+                LocalReply::RateLimited { retry_after } => {
+                    reply.push(7, node, &[&id.0.to_be_bytes(), &span_bytes(retry_after)]);
                 }
-                Answer::Errored => reply.push(10, node, &[&id.0.to_be_bytes()]),
+                LocalReply::Errored => reply.push(10, node, &[&id.0.to_be_bytes()]),
             }
         }
         // What the answers left behind.
-        recall(brain, node, reply);
-        if brain.wants_watch(now) {
+        recall(balancer, node, reply);
+        if balancer.poll_watch_request(now) {
             reply.push(12, node, &[&[1]]);
         }
-        if let Some(at) = brain.next_wake(now).filter(|at| self.wake.is_none_or(|w| *at < w || w <= now)) {
+        if let Some(at) =
+            balancer.poll_timeout(now).filter(|at| self.wake.is_none_or(|w| *at < w || w <= now))
+        {
             self.wake = Some(at);
             reply.push(3, node, &[&at.0.to_be_bytes(), &at.0.to_be_bytes()]);
         }
     }
 }
 
-fn recall(brain: &mut Brain, node: u16, reply: &mut Reply) {
-    while let Some((id, number)) = brain.next_recall() {
+fn recall(balancer: &mut Balancer, node: u16, reply: &mut Reply) {
+    while let Some((id, number)) = balancer.poll_cancellation() {
         reply.push(11, node, &[&id.0.to_be_bytes(), &[number.0]]);
     }
 }
 
-fn listing(entry: Record<'_>) -> Listing {
+fn listing(entry: Record<'_>) -> EndpointUpdate {
     let started = entry.u64(15);
-    Listing {
+    EndpointUpdate {
         cache: entry.cache(9),
         kind: KindId(entry.u16(0)),
         size: f64::from(entry.f32(2)),
@@ -184,17 +186,17 @@
     }
 }
 
-fn outcome(code: u8) -> Option<Outcome> {
+fn outcome(code: u8) -> Option<AttemptOutcome> {
     Some(match code {
-        0 => Outcome::Fulfilled,
-        1 => Outcome::Recalled,
-        4 => Outcome::TimedOut,
-        5 => Outcome::Lacking,
-        8 => Outcome::Full,
-        9 => Outcome::Moot,
-        10 => Outcome::Reset,
-        13 => Outcome::Errored,
-        14 => Outcome::Unreachable,
+        0 => AttemptOutcome::Fulfilled,
+        1 => AttemptOutcome::Cancelled,
+        4 => AttemptOutcome::TimedOut,
+        5 => AttemptOutcome::CacheMiss,
+        8 => AttemptOutcome::Rejected,
+        9 => AttemptOutcome::NotSent,
+        10 => AttemptOutcome::Reset,
+        13 => AttemptOutcome::Errored,
+        14 => AttemptOutcome::Unreachable,
         _ => return None,
     })
 }
