--- a/crates/plan/tests/main.rs
+++ b/crates/plan/tests/main.rs
@@ -13,6 +13,7 @@
 mod members;
 mod planning;
 mod turns;
+mod wire_format;
 
 /// A file that is not a module here would not be run.
 #[test]
