--- a/crates/together/tests/main.rs
+++ b/crates/together/tests/main.rs
@@ -11,6 +11,7 @@
 mod holders;
 mod planners;
 mod store;
+mod store_format;
 mod support;
 mod zombies;
 
