--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -9,16 +9,18 @@
 use std::fs;
 use std::path::Path;
 
-use granitelb::units::{Span, Time};
-use granitelb_plan::faculty::Faculty;
-use granitelb_plan::growth::agree::{Ballot, Kept, Vote};
-use granitelb_plan::growth::form::{Form, FormVersion, ShardForm, Step};
-use granitelb_plan::growth::sketch::{Day, Shard};
-use granitelb_plan::growth::{self, Archive, Calendar};
-use granitelb_plan::leases::{self, Need, Resource};
-use granitelb_plan::letters::Kind;
-use granitelb_plan::{ForwarderId, Life, Member, PlannerId, Sender, hindsight, verdicts};
-use granitelb_together::store::{Fault, Keeper, Opened, open};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_control_plane::storage::{Opened, StorageWriter, StoreError, open};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::message::ComponentKind;
+use granitelb_coordination::shard_growth::agree::{Ballot, Kept, Vote};
+use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
+use granitelb_coordination::shard_growth::sketch::{Day, Shard};
+use granitelb_coordination::shard_growth::{self, Archive, Calendar};
+use granitelb_coordination::{
+    ForwarderId, Incarnation, Member, PlannerId, Sender, counterfactual, endpoint_health,
+};
 use tempfile::TempDir;
 
 use crate::support::Fleet;
@@ -28,7 +30,7 @@
 
 const ME: PlannerId = PlannerId(3);
 /// The life in which the store was written: far ahead of any clock, so that a later one is the next.
-const LIFE: Life = Life(5_000_000_000_000_001);
+const LIFE: Incarnation = Incarnation(5_000_000_000_000_001);
 const NOW: Time = Time(1_764_000_000_000_000);
 
 /// The store's bytes. The fixture has its size, then lines of a place, a count, and bytes in hex that stand there so many
@@ -72,20 +74,21 @@
     open(folder, ME).unwrap_or_else(|fault| panic!("it can't be opened: {fault}"))
 }
 
-fn planner(number: u8, life: u64) -> Sender {
-    Sender { member: Member::Planner(PlannerId(number)), life: Life(life), number: 1 }
+fn planner(number: u8, incarnation: u64) -> Sender {
+    Sender { member: Member::Planner(PlannerId(number)), incarnation: Incarnation(incarnation), number: 1 }
 }
 
 fn forwarder() -> Sender {
-    Sender { member: Member::Forwarder(ForwarderId(77)), life: Life(1), number: 1 }
+    Sender { member: Member::Forwarder(ForwarderId(77)), incarnation: Incarnation(1), number: 1 }
 }
 
 /// Growth at this planner of three, with what was kept.
-fn growth_of(life: Life, kept: Option<&[u8]>) -> growth::AtPlanner {
+fn growth_of(incarnation: Incarnation, kept: Option<&[u8]>) -> shard_growth::PlannerComponent {
     let planners = [1, 2, 3].map(PlannerId).into();
-    let settings = growth::Settings { planners, ..growth::Settings::default() };
+    let settings = shard_growth::Settings { planners, ..shard_growth::Settings::default() };
     let calendar = Calendar { at: NOW, day: Day(20_000), into: Span::ZERO };
-    growth::AtPlanner::new(settings, ME, life, NOW, calendar, kept).expect("what was kept can be read")
+    shard_growth::PlannerComponent::new(settings, ME, incarnation, NOW, calendar, kept)
+        .expect("what was kept can be read")
 }
 
 /// A form with a shard that has settled and one in the middle of a split.
@@ -96,7 +99,7 @@
 }
 
 fn ballot(round: u64, planner: u8) -> Ballot {
-    Ballot { round, planner, life: 100 + u64::from(planner) }
+    Ballot { round, planner, incarnation: 100 + u64::from(planner) }
 }
 
 fn prepare(round: u64, planner: u8) -> Vote {
@@ -107,22 +110,22 @@
     vec![(Day(19_900), 1234.5, 67.25), (Day(19_902), 2345.5, 78.25)]
 }
 
-fn hear_vote(faculty: &mut growth::AtPlanner, from: u8, vote: Vote) {
-    let message = growth::Message::Vote(vote);
-    faculty.heard(NOW, planner(from, 100 + u64::from(from)), message).expect("it is heard");
+fn hear_vote(faculty: &mut shard_growth::PlannerComponent, from: u8, vote: Vote) {
+    let message = shard_growth::GrowthMessage::Vote(vote);
+    faculty.on_message(NOW, planner(from, 100 + u64::from(from)), message).expect("it is heard");
 }
 
 /// Growth as it was when the store was written: it knows form 40 to be decided, took form 41 from planner 1 by ballot 9, and
 /// promised ballot 12 to planner 2.
-fn growth_that_voted() -> growth::AtPlanner {
+fn growth_that_voted() -> shard_growth::PlannerComponent {
     let mut faculty = growth_of(LIFE, None);
     for other in [1, 2] {
         let (decided, promised) = (FormVersion(0), Ballot::default());
         hear_vote(&mut faculty, other, Vote::Here { to_life: LIFE.0, decided, promised, took: None });
     }
     hear_vote(&mut faculty, 1, Vote::Decided { form: form(40, 5) });
-    let ended = growth::Message::Ended { shard: Shard(17), days: days() };
-    faculty.heard(NOW, planner(2, 102), ended).expect("it is heard");
+    let ended = shard_growth::GrowthMessage::Ended { shard: Shard(17), days: days() };
+    faculty.on_message(NOW, planner(2, 102), ended).expect("it is heard");
     hear_vote(&mut faculty, 1, prepare(9, 1));
     hear_vote(&mut faculty, 1, Vote::Accept { ballot: ballot(9, 1), form: form(41, 6) });
     hear_vote(&mut faculty, 2, prepare(12, 2));
@@ -134,10 +137,14 @@
 }
 
 /// What it answers to a vote, once it has kept what that answer rests on.
-fn answer(faculty: &mut growth::AtPlanner, from: u8, vote: Vote) -> Option<(Member, growth::Message)> {
+fn answer(
+    faculty: &mut shard_growth::PlannerComponent,
+    from: u8,
+    vote: Vote,
+) -> Option<(Member, shard_growth::GrowthMessage)> {
     hear_vote(faculty, from, vote);
-    faculty.to_keep();
-    faculty.next_letter(NOW)
+    faculty.poll_snapshot();
+    faculty.poll_message(NOW)
 }
 
 #[test]
@@ -145,11 +152,11 @@
     let folder = folder_with(&store_bytes());
     let opened = opened(folder.path());
     assert!(opened.refused.is_none(), "refused: {:?}", opened.refused);
-    let (keeper, thread) = Keeper::start(opened.shelf, || Err(Fault::Ended)).expect("a thread");
+    let (keeper, thread) = StorageWriter::start(opened.shelf, || Err(StoreError::Ended)).expect("a thread");
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let known = kept_states();
     assert_eq!(known.keys().copied().collect::<Vec<_>>(), ["growth", "members"]);
-    for kind in Kind::ALL {
+    for kind in ComponentKind::ALL {
         let found = runtime.block_on(keeper.read(kind)).expect("it can be read");
         assert_eq!(found.as_ref(), known.get(kind.name()), "the state of {kind}");
     }
@@ -159,7 +166,7 @@
 
 #[test]
 fn growth_that_voted_the_same_keeps_the_same_bytes() {
-    let kept = growth_that_voted().to_keep().expect("its votes");
+    let kept = growth_that_voted().poll_snapshot().expect("its votes");
     assert_eq!(hex::encode(kept), hex::encode(&kept_states()["growth"]));
 }
 
@@ -172,10 +179,11 @@
 #[test]
 fn growth_goes_on_by_the_votes_that_were_kept() {
     let state = &kept_states()["growth"];
-    let mut faculty = growth_of(Life(LIFE.0 + 1), Some(state));
+    let mut faculty = growth_of(Incarnation(LIFE.0 + 1), Some(state));
     assert_eq!(faculty.form(), &form(40, 5));
     let refused = Vote::Refused { version: FormVersion(41), promised: ballot(12, 2) };
-    let to_planner = |number, vote| Some((Member::Planner(PlannerId(number)), growth::Message::Vote(vote)));
+    let to_planner =
+        |number, vote| Some((Member::Planner(PlannerId(number)), shard_growth::GrowthMessage::Vote(vote)));
     assert_eq!(answer(&mut faculty, 1, prepare(10, 1)), to_planner(1, refused));
     let took = Some((ballot(9, 1), form(41, 6)));
     let promise = Vote::Promise { version: FormVersion(41), ballot: ballot(20, 2), took };
@@ -185,11 +193,11 @@
 #[test]
 fn growth_keeps_the_same_bytes_again_after_a_restart() {
     let state = &kept_states()["growth"];
-    let mut faculty = growth_of(Life(LIFE.0 + 1), Some(state));
-    assert_eq!(faculty.to_keep(), None, "nothing is new");
+    let mut faculty = growth_of(Incarnation(LIFE.0 + 1), Some(state));
+    assert_eq!(faculty.poll_snapshot(), None, "nothing is new");
     // The same promise once more.
     hear_vote(&mut faculty, 2, prepare(12, 2));
-    let again = faculty.to_keep().expect("a promise is kept each time");
+    let again = faculty.poll_snapshot().expect("a promise is kept each time");
     assert_eq!(hex::encode(&again), hex::encode(state));
 }
 
@@ -207,16 +215,20 @@
     planner.kill();
     let shelf = opened(folder).shelf;
     let state = |kind| shelf.read(kind).expect("it can be read");
-    assert_eq!(state(Kind::Members), Some((LIFE.0 + 1).to_be_bytes().to_vec()));
-    assert_eq!(state(Kind::Growth).as_ref(), kept_states().get("growth"), "nobody has voted since");
+    assert_eq!(state(ComponentKind::Membership), Some((LIFE.0 + 1).to_be_bytes().to_vec()));
+    assert_eq!(
+        state(ComponentKind::ShardGrowth).as_ref(),
+        kept_states().get("growth"),
+        "nobody has voted since"
+    );
 }
 
 /// What is granted of the origin's fetches to an ask for far more than there is.
-fn granted(faculty: &mut leases::AtPlanner, now: Time, ask: u64) -> u32 {
+fn granted(faculty: &mut leases::PlannerComponent, now: Time, ask: u64) -> u32 {
     let need = Need { resource: Resource::Origin, amount: 1_000_000, using: ask, heads: 1, has: 0 };
-    let message = leases::Message::Ask { ask, needs: vec![need] };
-    faculty.heard(now, forwarder(), message).expect("it is heard");
-    let Some((_, leases::Message::Grant { granted, .. })) = faculty.next_letter(now) else {
+    let message = leases::LeaseMessage::Ask { ask, needs: vec![need] };
+    faculty.on_message(now, forwarder(), message).expect("it is heard");
+    let Some((_, leases::LeaseMessage::Grant { granted, .. })) = faculty.poll_message(now) else {
         panic!("no grant answers ask {ask}");
     };
     granted.iter().map(|(_, amount)| amount).sum()
@@ -226,12 +238,12 @@
 #[test]
 fn leases_grant_nothing_until_what_an_earlier_life_granted_has_ended() {
     let settings = leases::Settings { planners: [ME].into(), ..leases::Settings::default() };
-    let mut earlier = leases::AtPlanner::new(settings.clone(), ME, LIFE, Time(0));
+    let mut earlier = leases::PlannerComponent::new(settings.clone(), ME, LIFE, Time(0));
     assert!(granted(&mut earlier, NOW, 1) > 0, "the earlier life grants");
-    assert_eq!(earlier.to_keep(), None, "leases keep nothing");
+    assert_eq!(earlier.poll_snapshot(), None, "leases keep nothing");
 
     let start = NOW + Span::from_millis(1);
-    let mut faculty = leases::AtPlanner::new(settings.clone(), ME, Life(LIFE.0 + 1), start);
+    let mut faculty = leases::PlannerComponent::new(settings.clone(), ME, Incarnation(LIFE.0 + 1), start);
     let waits = settings.hold(settings.longest);
     assert_eq!(waits, Span::from_millis(5100));
     for (ms, ask) in (0..waits.0 / 1000).step_by(100).zip(2..) {
@@ -243,13 +255,20 @@
 
 #[test]
 fn verdicts_and_hindsight_keep_nothing() {
-    let mut verdicts = verdicts::AtPlanner::new(verdicts::Settings::default(), ME, LIFE, NOW);
-    let report = verdicts::Report { number: 1, part: verdicts::Part::WHOLE, caches: Vec::new() };
-    verdicts.heard(NOW, forwarder(), verdicts::Message::Report(report)).expect("it is heard");
-    assert_eq!(verdicts.to_keep(), None);
-    let mut hindsight = hindsight::AtPlanner::new(hindsight::Settings::default(), ME, LIFE, NOW);
-    hindsight.heard(NOW, forwarder(), hindsight::Message::Started(vec![(1, 2)])).expect("it is heard");
-    assert_eq!(hindsight.to_keep(), None);
+    let mut verdicts =
+        endpoint_health::PlannerComponent::new(endpoint_health::Settings::default(), ME, LIFE, NOW);
+    let report =
+        endpoint_health::Report { number: 1, part: endpoint_health::Part::WHOLE, caches: Vec::new() };
+    verdicts
+        .on_message(NOW, forwarder(), endpoint_health::HealthMessage::Report(report))
+        .expect("it is heard");
+    assert_eq!(verdicts.poll_snapshot(), None);
+    let mut hindsight =
+        counterfactual::PlannerComponent::new(counterfactual::Settings::default(), ME, LIFE, NOW);
+    hindsight
+        .on_message(NOW, forwarder(), counterfactual::CounterfactualMessage::Started(vec![(1, 2)]))
+        .expect("it is heard");
+    assert_eq!(hindsight.poll_snapshot(), None);
 }
 
 /// Opens a store with these bytes, and checks that it is put aside as torn and one without states begun.
@@ -257,9 +276,9 @@
     let folder = folder_with(bytes);
     let opened = opened(folder.path());
     let (fault, aside) = opened.refused.expect("it is refused");
-    assert!(matches!(fault, Fault::Torn(_)), "{fault}");
+    assert!(matches!(fault, StoreError::Torn(_)), "{fault}");
     assert!(aside.exists());
-    assert_eq!(opened.shelf.read(Kind::Members).expect("it can be read"), None);
+    assert_eq!(opened.shelf.read(ComponentKind::Membership).expect("it can be read"), None);
 }
 
 #[test]
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -8,18 +8,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use granitelb::ids::CacheId;
-use granitelb::units::Span;
-use granitelb_plan::growth::agree::{Ballot, Vote};
-use granitelb_plan::growth::form::{Form, FormVersion, ShardForm, Step};
-use granitelb_plan::growth::listing::Listed;
-use granitelb_plan::growth::sketch::{Counts, Day, Of, Shard};
-use granitelb_plan::hindsight::{How, Observation, Said, Standing};
-use granitelb_plan::leases::{Need, Resource};
-use granitelb_plan::letters::{Kind, Letter, Secret, Secrets, open, seal};
-use granitelb_plan::verdicts::{Part, Plan, Report, Seen, Verdict};
-use granitelb_plan::{
-    ForwarderId, Life, Member, PlannerId, Sender, Version, growth, hindsight, leases, members, verdicts,
+use granitelb_balancer::ids::EndpointId;
+use granitelb_balancer::time::Span;
+use granitelb_coordination::counterfactual::{How, Said, SampledRequest, Standing};
+use granitelb_coordination::endpoint_health::{HealthStatus, Part, Plan, Report, Seen};
+use granitelb_coordination::leases::{Need, Resource};
+use granitelb_coordination::message::{ComponentKind, Message, Secret, Secrets, open, seal};
+use granitelb_coordination::shard_growth::agree::{Ballot, Vote};
+use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
+use granitelb_coordination::shard_growth::listing::Listed;
+use granitelb_coordination::shard_growth::sketch::{Counts, Day, Of, Shard};
+use granitelb_coordination::{
+    ForwarderId, Incarnation, Member, PlannerId, Sender, Version, counterfactual, endpoint_health, leases,
+    membership, shard_growth,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -35,33 +36,40 @@
 
 fn from_forwarder() -> Sender {
     let member = Member::Forwarder(ForwarderId(0x0123_4567_89ab_cdef));
-    Sender { member, life: Life(1_764_000_000_000_001), number: 70_001 }
+    Sender { member, incarnation: Incarnation(1_764_000_000_000_001), number: 70_001 }
 }
 
 fn from_planner() -> Sender {
-    Sender { member: Member::Planner(PlannerId(3)), life: Life(1_764_000_000_000_002), number: 70_002 }
+    Sender {
+        member: Member::Planner(PlannerId(3)),
+        incarnation: Incarnation(1_764_000_000_000_002),
+        number: 70_002,
+    }
 }
 
-fn members_messages() -> Vec<Named<members::Message>> {
-    use members::Message;
+fn members_messages() -> Vec<Named<membership::MembershipMessage>> {
+    use membership::MembershipMessage;
     vec![
-        ("members.beat", Message::Beat),
-        ("members.you_were_gone", Message::YouWereGone { life: Life(301) }),
-        ("members.you_were_succeeded", Message::YouWereSucceeded { life: Life(302), by: Life(303) }),
+        ("members.beat", MembershipMessage::Beat),
+        ("members.you_were_gone", MembershipMessage::YouWereGone { incarnation: Incarnation(301) }),
+        (
+            "members.you_were_succeeded",
+            MembershipMessage::YouWereSucceeded { incarnation: Incarnation(302), by: Incarnation(303) },
+        ),
     ]
 }
 
-fn all_verdicts() -> [Verdict; 3] {
+fn all_verdicts() -> [HealthStatus; 3] {
     [
-        Verdict::Fails { ago: Span::from_millis(401) },
-        Verdict::Try { ago: Span::from_millis(402) },
-        Verdict::Answers { ago: Span::from_millis(403) },
+        HealthStatus::Failing { ago: Span::from_millis(401) },
+        HealthStatus::Probe { ago: Span::from_millis(402) },
+        HealthStatus::Recovered { ago: Span::from_millis(403) },
     ]
 }
 
-fn verdicts_messages() -> Vec<Named<verdicts::Message>> {
+fn verdicts_messages() -> Vec<Named<endpoint_health::HealthMessage>> {
     let seen = |cache, answered| Seen {
-        cache: CacheId(cache),
+        cache: EndpointId(cache),
         answered,
         failed: answered + 1.25,
         out: answered + 2.5,
@@ -71,31 +79,32 @@
         part: Part { index: 2, of: 5 },
         caches: vec![seen(0xfedc_ba98_7654_3210, 10.5), seen(502, 20.5)],
     };
-    let verdicts = (601..).map(CacheId).zip(all_verdicts()).collect();
+    let verdicts = (601..).map(EndpointId).zip(all_verdicts()).collect();
     let plan = Plan { version: Version(503), part: Part { index: 3, of: 7 }, forwarders: 504, verdicts };
     vec![
-        ("verdicts.report", verdicts::Message::Report(report)),
-        ("verdicts.plan", verdicts::Message::Plan(plan)),
+        ("verdicts.report", endpoint_health::HealthMessage::Report(report)),
+        ("verdicts.plan", endpoint_health::HealthMessage::Plan(plan)),
     ]
 }
 
 fn all_resources() -> [Resource; 2] {
-    [Resource::Origin, Resource::Cold(CacheId(701))]
+    [Resource::Origin, Resource::Cold(EndpointId(701))]
 }
 
-fn leases_messages() -> Vec<Named<leases::Message>> {
-    use leases::Message;
+fn leases_messages() -> Vec<Named<leases::LeaseMessage>> {
+    use leases::LeaseMessage;
     let need = |(resource, n)| Need { resource, amount: n, using: 811, heads: n + 1, has: n + 2 };
     let needs = all_resources().into_iter().zip([1001, 2001]).map(need).collect();
     let granted = all_resources().into_iter().zip([3001, 4001]).collect();
-    let standing_ask = Message::AskStanding { ask: 804, need: 805, using: 806, to: Life(807), has: 808 };
+    let standing_ask =
+        LeaseMessage::AskStanding { ask: 804, need: 805, using: 806, to: Incarnation(807), has: 808 };
     vec![
-        ("leases.ask", Message::Ask { ask: 801, needs }),
-        ("leases.grant", Message::Grant { ask: 802, granted, lasts: 2_000_001 }),
-        ("leases.return", Message::Return { ask: 803 }),
+        ("leases.ask", LeaseMessage::Ask { ask: 801, needs }),
+        ("leases.grant", LeaseMessage::Grant { ask: 802, granted, lasts: 2_000_001 }),
+        ("leases.return", LeaseMessage::Return { ask: 803 }),
         ("leases.ask_standing", standing_ask),
-        ("leases.standing", Message::Standing { ask: 809, amount: 810, lasts: 20_000_001 }),
-        ("leases.return_standing", Message::ReturnStanding { ask: 812 }),
+        ("leases.standing", LeaseMessage::Standing { ask: 809, amount: 810, lasts: 20_000_001 }),
+        ("leases.return_standing", LeaseMessage::ReturnStanding { ask: 812 }),
     ]
 }
 
@@ -112,7 +121,7 @@
 }
 
 fn ballot(n: u64) -> Ballot {
-    Ballot { round: n, planner: 5, life: n + 1000 }
+    Ballot { round: n, planner: 5, incarnation: n + 1000 }
 }
 
 fn votes() -> Vec<Named<Vote>> {
@@ -127,35 +136,35 @@
         ("growth.vote.took", Vote::Took { version, ballot: ballot(907) }),
         ("growth.vote.refused", Vote::Refused { version, promised: ballot(908) }),
         ("growth.vote.decided", Vote::Decided { form: form(909) }),
-        ("growth.vote.where", Vote::Where { life: 910 }),
+        ("growth.vote.where", Vote::Where { incarnation: 910 }),
         ("growth.vote.here", here(took)),
         ("growth.vote.here_with_none", here(None)),
     ]
 }
 
-fn growth_messages() -> Vec<Named<growth::Message>> {
-    use growth::Message;
+fn growth_messages() -> Vec<Named<shard_growth::GrowthMessage>> {
+    use shard_growth::GrowthMessage;
     let (day, shard) = (Day(20_001), Shard(201));
-    let sketch = |of| Message::Sketch { day, shard, of, registers: vec![(1001, 12), (1002, 13)] };
+    let sketch = |of| GrowthMessage::Sketch { day, shard, of, registers: vec![(1001, 12), (1002, 13)] };
     let counts = |n| Counts { reads: n, writes: n + 1, bytes: n + 2, sized: n + 3, evicted: n + 4 };
     let counts = vec![(Shard(202), counts(30_001)), (Shard(203), counts(40_001))];
     let listed = vec![
-        Listed { cache: CacheId(1101), size: 1.5, cold: true },
-        Listed { cache: CacheId(1102), size: 2.25, cold: false },
+        Listed { cache: EndpointId(1101), size: 1.5, cold: true },
+        Listed { cache: EndpointId(1102), size: 2.25, cold: false },
     ];
     let days = vec![(Day(20_002), 1000.5, 17.25), (Day(20_003), 2000.5, 18.25)];
     let mut messages = vec![
         ("growth.sketch_read", sketch(Of::Read)),
         ("growth.sketch_written", sketch(Of::Written)),
-        ("growth.counted", Message::Counted { day, counts }),
-        ("growth.holds", Message::Holds { version: FormVersion(1103) }),
-        ("growth.today", Message::Today { day: Day(20_004) }),
-        ("growth.table", Message::Table { form: form(1104) }),
-        ("growth.caches", Message::Caches { listed }),
-        ("growth.ended", Message::Ended { shard: Shard(204), days }),
-        ("growth.origin_slow", Message::OriginSlow),
+        ("growth.counted", GrowthMessage::Counted { day, counts }),
+        ("growth.holds", GrowthMessage::Holds { version: FormVersion(1103) }),
+        ("growth.today", GrowthMessage::Today { day: Day(20_004) }),
+        ("growth.table", GrowthMessage::Table { form: form(1104) }),
+        ("growth.caches", GrowthMessage::Caches { listed }),
+        ("growth.ended", GrowthMessage::Ended { shard: Shard(204), days }),
+        ("growth.origin_slow", GrowthMessage::OriginSlow),
     ];
-    messages.extend(votes().into_iter().map(|(name, vote)| (name, Message::Vote(vote))));
+    messages.extend(votes().into_iter().map(|(name, vote)| (name, GrowthMessage::Vote(vote))));
     messages
 }
 
@@ -167,12 +176,12 @@
     [Standing::NoSupport, Standing::AsGood, Standing::Worse, Standing::Better]
 }
 
-fn hindsight_messages() -> Vec<Named<hindsight::Message>> {
-    use hindsight::Message;
-    let observation = |(how, n): (How, u32)| Observation {
+fn hindsight_messages() -> Vec<Named<counterfactual::CounterfactualMessage>> {
+    use counterfactual::CounterfactualMessage;
+    let observation = |(how, n): (How, u32)| SampledRequest {
         call: u64::from(n) + 0xabcd_0000_0000,
         key: n + 1,
-        product: 1201,
+        request_class: 1201,
         class: 3,
         candidates: vec![1202, 1203, 1204],
         place: 2,
@@ -186,7 +195,7 @@
     let said = |first: u16| {
         let said = move |(standing, n): (Standing, u16)| Said {
             cache: u64::from(n) + 0x1234_0000_0000,
-            product: n,
+            request_class: n,
             standing,
             more: f32::from(n) + 0.5,
             low: f32::from(n) - 0.25,
@@ -195,28 +204,32 @@
         all_standings().into_iter().zip(first..).map(said).collect()
     };
     vec![
-        ("hindsight.seen", Message::Seen(seen)),
-        ("hindsight.started", Message::Started(vec![(1205, 1206), (1207, 1208)])),
-        ("hindsight.standing", Message::Standing(said(1301))),
-        ("hindsight.times", Message::Times(said(1401))),
+        ("hindsight.seen", CounterfactualMessage::Seen(seen)),
+        ("hindsight.started", CounterfactualMessage::Started(vec![(1205, 1206), (1207, 1208)])),
+        ("hindsight.standing", CounterfactualMessage::Standing(said(1301))),
+        ("hindsight.times", CounterfactualMessage::Times(said(1401))),
     ]
 }
 
 /// Every message with its sender: forwarders sent them all, and a planner one.
-fn all_messages() -> Vec<(&'static str, Sender, Letter)> {
-    fn of<M>(messages: Vec<Named<M>>, wrap: fn(M) -> Letter) -> Vec<Named<Letter>> {
+fn all_messages() -> Vec<(&'static str, Sender, Message)> {
+    fn of<M>(messages: Vec<Named<M>>, wrap: fn(M) -> Message) -> Vec<Named<Message>> {
         messages.into_iter().map(|(name, message)| (name, wrap(message))).collect()
     }
     let by_forwarder = [
-        of(members_messages(), Letter::Members),
-        of(verdicts_messages(), Letter::Verdicts),
-        of(leases_messages(), Letter::Leases),
-        of(growth_messages(), Letter::Growth),
-        of(hindsight_messages(), Letter::Hindsight),
+        of(members_messages(), Message::Membership),
+        of(verdicts_messages(), Message::EndpointHealth),
+        of(leases_messages(), Message::Leases),
+        of(growth_messages(), Message::ShardGrowth),
+        of(hindsight_messages(), Message::Counterfactual),
     ];
     let mut all: Vec<_> =
         by_forwarder.into_iter().flatten().map(|(name, letter)| (name, from_forwarder(), letter)).collect();
-    all.push(("members.beat_of_planner", from_planner(), Letter::Members(members::Message::Beat)));
+    all.push((
+        "members.beat_of_planner",
+        from_planner(),
+        Message::Membership(membership::MembershipMessage::Beat),
+    ));
     all
 }
 
@@ -301,7 +314,7 @@
 /// The store and the operator's log go by these names, the wire by these numbers.
 #[test]
 fn each_kind_has_the_name_and_the_number_that_it_had() {
-    let kinds = Kind::ALL.map(|kind| (kind as u8, kind.name()));
+    let kinds = ComponentKind::ALL.map(|kind| (kind as u8, kind.name()));
     let expected = [(1, "members"), (2, "verdicts"), (3, "leases"), (4, "growth"), (5, "hindsight")];
     assert_eq!(kinds, expected);
     let first_bytes = |name| fixture()[name][..4].to_vec();
