--- a/crates/node/src/program/config.rs
+++ b/crates/node/src/cli/config.rs
@@ -13,8 +13,8 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-use crate::protocol::Listings;
-use crate::routing::{Live, Setup};
+use crate::http::Listings;
+use crate::proxy::{Live, Setup};
 
 /// Where nothing says how many descriptors there are.
 const DESCRIPTORS: u64 = 1024;
@@ -84,7 +84,9 @@
         };
         let settings = granitelb_settings::decode(file.settings.get().as_bytes())
             .map_err(|fault| fault.under("settings"))?;
-        if settings.names.products.iter().any(String::is_empty) || settings.names.products.is_empty() {
+        if settings.names.request_classes.iter().any(String::is_empty)
+            || settings.names.request_classes.is_empty()
+        {
             return Err(fault("settings.Products", "each product needs a name, and there must be one"));
         }
         let is_name =
@@ -185,7 +187,7 @@
             self.listen,
             self.discovery,
             self.descriptors,
-            self.settings.names.products.join(", ")
+            self.settings.names.request_classes.join(", ")
         )
     }
 }
