--- a/crates/testbed/src/audit/bars.rs
+++ b/crates/testbed/src/audit/expectations.rs
@@ -8,14 +8,14 @@
 
 /// A bar that was not reached.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Shortfall {
+pub struct UnmetExpectation {
     /// As the experiment's file names it.
     pub bar: &'static str,
     pub asked: f64,
     pub measured: f64,
 }
 
-pub fn hold(experiment: &Experiment, figures: &Figures) -> Vec<Shortfall> {
+pub fn hold(experiment: &Experiment, figures: &Figures) -> Vec<UnmetExpectation> {
     let (expect, together) = (&experiment.expect, &figures.fleet);
     let tries = figures.tries.max(1) as f64;
     // What never came about was measured as endless.
@@ -49,7 +49,7 @@
     let short = short.filter_map(|(bar, asked, measured, least)| {
         let asked = asked?;
         let holds = if least { measured >= asked } else { measured <= asked };
-        (!holds).then_some(Shortfall { bar, asked, measured })
+        (!holds).then_some(UnmetExpectation { bar, asked, measured })
     });
     short.collect()
 }
--- a/crates/testbed/src/audit/figures.rs
+++ b/crates/testbed/src/audit/figures.rs
@@ -9,7 +9,9 @@
 use super::growth::GrowthFigures;
 use super::leaving::Leaving;
 use super::rules;
-use crate::book::{Book, BoxId, Event, Listed, Moment, ShotEnd, TryEnd, Version};
+use crate::event_log::{
+    ClientAttemptEnd, Event, EventLog, Listed, ServerAttemptEnd, ServerId, Timestamp, Version,
+};
 use crate::experiment::{Experiment, Fault};
 use crate::schedule::Schedule;
 
@@ -88,11 +90,11 @@
 }
 
 impl Figures {
-    pub fn measure(experiment: &Experiment, schedule: &Schedule, book: &Book) -> Figures {
+    pub fn measure(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Figures {
         let mut figures =
-            Figures { calls: schedule.calls.len(), tries: book.tries.len(), ..Figures::default() };
-        figures.count_ends(book);
-        figures.seconds = seconds(experiment, schedule, book);
+            Figures { calls: schedule.calls.len(), tries: event_log.tries.len(), ..Figures::default() };
+        figures.count_ends(event_log);
+        figures.seconds = seconds(experiment, schedule, event_log);
         let total = |s: &[Second]| (s.iter().map(|s| s.served).sum::<f64>(), s.iter().map(|s| s.asked).sum());
         let share = |(served, asked): (f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         figures.service = share(total(&figures.seconds));
@@ -102,45 +104,45 @@
         figures.service_after =
             last.and_then(|end| figures.seconds.get(end.ceil() as usize..)).map(|s| share(total(s)));
         let mut latencies = histogram();
-        for (_, ms) in fulfilled(book) {
+        for (_, ms) in fulfilled(event_log) {
             latencies.saturating_record((ms * 1000.0) as u64);
         }
         figures.p50_ms = latencies.value_at_quantile(0.5) as f64 / 1000.0;
         figures.p99_ms = latencies.value_at_quantile(0.99) as f64 / 1000.0;
-        figures.load_by_cache(book);
+        figures.load_by_cache(event_log);
         let busiest = figures.seconds.iter().map(|s| s.fetches).max().unwrap_or(0);
         figures.origin_fetches = busiest as f64 / experiment.world.origin.capacity();
-        for stop in rules::stops(book) {
+        for stop in rules::stops(event_log) {
             let last = stop.shots.iter().map(|s| s.arrived.ms_since(stop.told)).fold(0.0, f64::max);
             figures.drain_stop_ms = figures.drain_stop_ms.max(last);
             figures.drains += 1;
         }
-        figures.fleet = FleetFigures::measure(experiment, schedule, book, &figures.seconds);
-        figures.leaving = Leaving::measure(book, rules::delay_ms(experiment));
-        figures.stale_reads = stale_reads(experiment, book);
-        figures.use_of_system(book);
+        figures.fleet = FleetFigures::measure(experiment, schedule, event_log, &figures.seconds);
+        figures.leaving = Leaving::measure(event_log, rules::delay_ms(experiment));
+        figures.stale_reads = stale_reads(experiment, event_log);
+        figures.use_of_system(event_log);
         let mut lateness = histogram();
-        book.lateness.iter().for_each(|us| lateness.saturating_record(*us));
-        figures.rig_stalled_ms = book.stalled as f64 / 1000.0;
+        event_log.lateness.iter().for_each(|us| lateness.saturating_record(*us));
+        figures.rig_stalled_ms = event_log.stalled as f64 / 1000.0;
         figures.rig_late_ms = lateness.value_at_quantile(0.999) as f64 / 1000.0;
         figures
     }
 
-    fn count_ends(&mut self, book: &Book) {
-        for t in &book.tries {
+    fn count_ends(&mut self, event_log: &EventLog) {
+        for t in &event_log.tries {
             match &t.end {
-                TryEnd::Fulfilled { .. } => self.fulfilled += 1,
-                TryEnd::RateLimited { come_back } => {
+                ClientAttemptEnd::Fulfilled { .. } => self.fulfilled += 1,
+                ClientAttemptEnd::RateLimited { come_back } => {
                     self.rate_limited += 1;
                     self.told_when += usize::from(come_back.is_some());
                 }
-                TryEnd::Errored { .. } => self.errored += 1,
+                ClientAttemptEnd::Errored { .. } => self.errored += 1,
                 // Counted by itself.
-                TryEnd::Left => {}
+                ClientAttemptEnd::Left => {}
                 _ => self.lost += 1,
             }
         }
-        let met = book.events.iter().filter_map(|(_, e)| match e {
+        let met = event_log.events.iter().filter_map(|(_, e)| match e {
             Event::BadClient { met, .. } => Some(*met),
             _ => None,
         });
@@ -150,14 +152,18 @@
             if met.is_empty() { 1.0 } else { met.iter().filter(|m| **m).count() as f64 / met.len() as f64 };
     }
 
-    fn load_by_cache(&mut self, book: &Book) {
-        let mut answered: BTreeMap<BoxId, usize> = BTreeMap::new();
-        for shot in book.shots.iter().filter(|s| matches!(s.end, ShotEnd::Answered | ShotEnd::Lacked)) {
+    fn load_by_cache(&mut self, event_log: &EventLog) {
+        let mut answered: BTreeMap<ServerId, usize> = BTreeMap::new();
+        for shot in event_log
+            .shots
+            .iter()
+            .filter(|s| matches!(s.end, ServerAttemptEnd::Answered | ServerAttemptEnd::Lacked))
+        {
             *answered.entry(shot.server).or_default() += 1;
         }
-        let served_all_the_time = |id: &BoxId| {
-            let info = &book.servers[id.0];
-            let left = book.told.iter().any(|t| t.server == *id && t.listed != Listed::Ready);
+        let served_all_the_time = |id: &ServerId| {
+            let info = &event_log.servers[id.0];
+            let left = event_log.told.iter().any(|t| t.server == *id && t.listed != Listed::Ready);
             info.seat.is_some() && info.started.is_none() && !left
         };
         let steady: Vec<usize> =
@@ -165,20 +171,20 @@
         let mean = steady.iter().sum::<usize>() as f64 / steady.len().max(1) as f64;
         let most = steady.iter().copied().max().unwrap_or(0) as f64;
         self.max_over_mean = if mean > 0.0 { most / mean } else { 1.0 };
-        self.load = answered.iter().map(|(id, n)| (book.servers[id.0].name.clone(), *n)).collect();
+        self.load = answered.iter().map(|(id, n)| (event_log.servers[id.0].name.clone(), *n)).collect();
     }
 
-    fn use_of_system(&mut self, book: &Book) {
-        self.memory_mb = book.usage.iter().map(|u| u.memory_mb).fold(0.0, f64::max);
-        self.descriptors = book.usage.iter().map(|u| u.descriptors).max().unwrap_or(0);
+    fn use_of_system(&mut self, event_log: &EventLog) {
+        self.memory_mb = event_log.usage.iter().map(|u| u.memory_mb).fold(0.0, f64::max);
+        self.descriptors = event_log.usage.iter().map(|u| u.descriptors).max().unwrap_or(0);
         // A node that starts again counts from nothing: each rise counts by itself.
         let mut cpu = 0.0;
         let mut last = BTreeMap::new();
-        for usage in &book.usage {
+        for usage in &event_log.usage {
             let before = last.insert(usage.node, usage.cpu_s).unwrap_or(0.0);
             cpu += if usage.cpu_s >= before { usage.cpu_s - before } else { usage.cpu_s };
         }
-        self.cpu_us_a_call = cpu * 1e6 / (book.tries.len().max(1) as f64);
+        self.cpu_us_a_call = cpu * 1e6 / (event_log.tries.len().max(1) as f64);
     }
 
     /// The longest of all recoveries; none where one did not come about.
@@ -193,18 +199,18 @@
 }
 
 /// The fulfilled tries: when each was due, and what it took in milliseconds.
-fn fulfilled(book: &Book) -> impl Iterator<Item = (Moment, f64)> {
-    let fulfilled = book.tries.iter().filter(|t| matches!(t.end, TryEnd::Fulfilled { .. }));
+fn fulfilled(event_log: &EventLog) -> impl Iterator<Item = (Timestamp, f64)> {
+    let fulfilled = event_log.tries.iter().filter(|t| matches!(t.end, ClientAttemptEnd::Fulfilled { .. }));
     fulfilled.map(|t| (t.due, t.ended.ms_since(t.sent)))
 }
 
 /// What each call came to: fulfilled in its SLO, reckoned from when it was first asked, by any of its tries.
-pub fn served_calls(experiment: &Experiment, schedule: &Schedule, book: &Book) -> Vec<bool> {
+pub fn served_calls(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Vec<bool> {
     let mut served = vec![false; schedule.calls.len()];
-    for t in book
+    for t in event_log
         .tries
         .iter()
-        .filter(|t| matches!(&t.end, TryEnd::Fulfilled { made_for, .. } if *made_for == t.id))
+        .filter(|t| matches!(&t.end, ClientAttemptEnd::Fulfilled { made_for, .. } if *made_for == t.id))
     {
         let slo = experiment.product[t.product].slo_ms as f64;
         served[t.call.0] |= t.ended.ms_since(t.due) <= slo;
@@ -212,22 +218,22 @@
     served
 }
 
-fn seconds(experiment: &Experiment, schedule: &Schedule, book: &Book) -> Vec<Second> {
+fn seconds(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Vec<Second> {
     let count = experiment.seconds.ceil() as usize;
     let mut seconds = vec![Second::default(); count];
-    let place = |at: Moment| (at.seconds().max(0.0) as usize).min(count - 1);
-    let served = served_calls(experiment, schedule, book);
+    let place = |at: Timestamp| (at.seconds().max(0.0) as usize).min(count - 1);
+    let served = served_calls(experiment, schedule, event_log);
     for (call, served) in schedule.calls.iter().zip(served) {
         let second = &mut seconds[place(call.due())];
         let value = experiment.product[call.product].value;
         second.asked += value;
         second.served += if served { value } else { 0.0 };
     }
-    for fetch in book.fetches.iter().filter(|f| f.at.seconds() < count as f64) {
+    for fetch in event_log.fetches.iter().filter(|f| f.at.seconds() < count as f64) {
         seconds[place(fetch.at)].fetches += 1;
     }
     let mut latencies: Vec<Histogram<u64>> = (0..count).map(|_| histogram()).collect();
-    for (due, ms) in fulfilled(book) {
+    for (due, ms) in fulfilled(event_log) {
         latencies[place(due)].saturating_record((ms * 1000.0) as u64);
     }
     for (second, latencies) in seconds.iter_mut().zip(latencies) {
@@ -260,21 +266,21 @@
 }
 
 /// Reads that brought a version which a write, answered before they were sent, had replaced.
-fn stale_reads(experiment: &Experiment, book: &Book) -> usize {
-    let version = |end: &TryEnd| match end {
-        TryEnd::Fulfilled { version, .. } => *version,
+fn stale_reads(experiment: &Experiment, event_log: &EventLog) -> usize {
+    let version = |end: &ClientAttemptEnd| match end {
+        ClientAttemptEnd::Fulfilled { version, .. } => *version,
         _ => None,
     };
-    let mut written: BTreeMap<u64, Vec<(Moment, Version)>> = BTreeMap::new();
-    for t in book.tries.iter().filter(|t| experiment.product[t.product].writes()) {
+    let mut written: BTreeMap<u64, Vec<(Timestamp, Version)>> = BTreeMap::new();
+    for t in event_log.tries.iter().filter(|t| experiment.product[t.product].writes()) {
         if let Some(version) = version(&t.end) {
             written.entry(t.key).or_default().push((t.ended, version));
         }
     }
-    let reads = book.tries.iter().filter(|t| !experiment.product[t.product].writes());
+    let reads = event_log.tries.iter().filter(|t| !experiment.product[t.product].writes());
     let stale = reads.filter(|t| {
         let newer =
-            |(at, v): &(Moment, Version)| *at < t.sent && version(&t.end).is_some_and(|read| *v > read);
+            |(at, v): &(Timestamp, Version)| *at < t.sent && version(&t.end).is_some_and(|read| *v > read);
         written.get(&t.key).is_some_and(|w| w.iter().any(newer))
     });
     stale.count()
--- a/crates/testbed/src/audit/fleet.rs
+++ b/crates/testbed/src/audit/fleet.rs
@@ -5,9 +5,9 @@
 use serde::Serialize;
 
 use super::figures::{Second, served_calls};
-use crate::book::{Book, Carried, Event, Member, Moment};
+use crate::event_log::{Event, EventLog, Member, RelayedMessage, Timestamp};
 use crate::experiment::{Experiment, FaultKind, LeasesForm, Lie};
-use crate::letters::{self, Hindsight, Lease, Resource, Standing};
+use crate::message_reference::{self, Hindsight, Lease, Resource, Standing};
 use crate::schedule::Schedule;
 
 /// Trials of a cache that hangs are counted from so long after it began: until then nobody can know.
@@ -45,25 +45,25 @@
     pub fn measure(
         experiment: &Experiment,
         schedule: &Schedule,
-        book: &Book,
+        event_log: &EventLog,
         seconds: &[Second],
     ) -> FleetFigures {
         let form = experiment.fleet.as_ref().and_then(|f| f.leases.clone());
-        let leases = Leases::read(book);
-        let bytes: usize = book.letters.iter().map(|l| l.bytes.len()).sum();
-        let named = named(experiment, book);
-        let crashed = book.events.iter().filter(|(_, e)| matches!(e, Event::PlannerCrashed { .. }));
+        let leases = Leases::read(event_log);
+        let bytes: usize = event_log.letters.iter().map(|l| l.bytes.len()).sum();
+        let named = named(experiment, event_log);
+        let crashed = event_log.events.iter().filter(|(_, e)| matches!(e, Event::PlannerCrashed { .. }));
         FleetFigures {
-            letters: book.letters.len(),
-            letters_lost: book.letters.iter().filter(|l| l.passed.is_empty()).count(),
-            letters_changed: book.letters.iter().filter(|l| l.changed).count(),
+            letters: event_log.letters.len(),
+            letters_lost: event_log.letters.iter().filter(|l| l.passed.is_empty()).count(),
+            letters_changed: event_log.letters.iter().filter(|l| l.changed).count(),
             bytes_per_s: bytes as f64 / experiment.seconds,
             grants: leases.held.values().map(Vec::len).sum(),
             leases: form.as_ref().map_or(0.0, |f| leases.over_whole(f, experiment.world.nodes)),
-            origin_over_whole: form.as_ref().map_or(0.0, |f| origin_over_whole(f, experiment, book)),
-            cold_over_whole: form.as_ref().map_or(0.0, |f| cold_over_whole(f, experiment, book)),
-            sick_trials: sick_trials(experiment, book),
-            fairness: fairness(experiment, schedule, book),
+            origin_over_whole: form.as_ref().map_or(0.0, |f| origin_over_whole(f, experiment, event_log)),
+            cold_over_whole: form.as_ref().map_or(0.0, |f| cold_over_whole(f, experiment, event_log)),
+            sick_trials: sick_trials(experiment, event_log),
+            fairness: fairness(experiment, schedule, event_log),
             step: step(experiment, seconds),
             loss: None,
             named: named.0,
@@ -83,9 +83,9 @@
 /// A grant at its holder, who counts it from when it sent the ask: the relay took that no earlier.
 struct Held {
     life: u64,
-    asked: Moment,
-    from: Moment,
-    to: Moment,
+    asked: Timestamp,
+    from: Timestamp,
+    to: Timestamp,
     amount: u32,
 }
 
@@ -104,21 +104,22 @@
 }
 
 impl Leases {
-    fn read(book: &Book) -> Leases {
-        let mut asks: BTreeMap<(usize, usize, Lasting, u64), (Moment, u64)> = BTreeMap::new();
+    fn read(event_log: &EventLog) -> Leases {
+        let mut asks: BTreeMap<(usize, usize, Lasting, u64), (Timestamp, u64)> = BTreeMap::new();
         let mut lives: BTreeMap<usize, u64> = BTreeMap::new();
         let mut held = Books::new();
-        let mut letters: Vec<&Carried> = book.letters.iter().filter(|l| !l.changed).collect();
+        let mut letters: Vec<&RelayedMessage> = event_log.letters.iter().filter(|l| !l.changed).collect();
         letters.sort_by_key(|l| l.taken);
         for letter in letters {
             if let (Member::Node(node), Some(sender)) =
-                (letter.from, letters::sender(&book.secret, &letter.bytes))
+                (letter.from, message_reference::sender(&event_log.secret, &letter.bytes))
                 && lives.insert(node, sender.life).is_some_and(|before| before < sender.life)
             {
                 // What an earlier life held went with it.
                 end_all(&mut held, node, None, letter.taken, |h| h.life < sender.life);
             }
-            let lease = letters::read::<Lease>(&book.secret, letters::LEASES, &letter.bytes);
+            let lease =
+                message_reference::read::<Lease>(&event_log.secret, message_reference::LEASES, &letter.bytes);
             let life = lease.as_ref().map_or(0, |(sender, _)| sender.life);
             let Some((_, message)) = lease else { continue };
             match (letter.from, letter.to) {
@@ -150,7 +151,7 @@
                     // A node that starts anew counts its asks anew: the last one of that number is meant.
                     let asked = asks.get(&(node, planner, lasting, ask)).copied();
                     let Some((asked, life)) = asked else { continue };
-                    let to = Moment(asked.0 + i64::from(lasts));
+                    let to = Timestamp(asked.0 + i64::from(lasts));
                     for passed in &letter.passed {
                         for (resource, amount) in &granted {
                             let grant = Held { life, asked, from: *passed, to, amount: *amount };
@@ -167,7 +168,7 @@
 
     /// The most that was held at a moment, with the parts that are each node's for ever.
     fn over_whole(&self, form: &LeasesForm, nodes: usize) -> f64 {
-        let mut changes: BTreeMap<Resource, Vec<(Moment, i64)>> = BTreeMap::new();
+        let mut changes: BTreeMap<Resource, Vec<(Timestamp, i64)>> = BTreeMap::new();
         for ((_, _, resource, _), grants) in &self.held {
             let changes = changes.entry(*resource).or_default();
             let mut last: Option<&Held> = None;
@@ -211,7 +212,7 @@
     held: &mut Books,
     node: usize,
     giver: Option<(usize, Lasting)>,
-    at: Moment,
+    at: Timestamp,
     which: impl Fn(&Held) -> bool,
 ) {
     let meant =
@@ -222,7 +223,7 @@
 }
 
 /// The most of what came, by its weight, within any second.
-fn busiest(mut came: Vec<(Moment, f64)>) -> f64 {
+fn busiest(mut came: Vec<(Timestamp, f64)>) -> f64 {
     came.sort_by_key(|c| c.0);
     let (mut first, mut sum, mut most) = (0, 0.0, 0.0_f64);
     for (at, weight) in &came {
@@ -236,22 +237,22 @@
     most
 }
 
-fn origin_over_whole(form: &LeasesForm, experiment: &Experiment, book: &Book) -> f64 {
-    let reads: std::collections::HashSet<&str> = book
+fn origin_over_whole(form: &LeasesForm, experiment: &Experiment, event_log: &EventLog) -> f64 {
+    let reads: std::collections::HashSet<&str> = event_log
         .tries
         .iter()
         .filter(|t| !experiment.product[t.product].writes())
         .map(|t| t.id.as_str())
         .collect();
-    let at_origin = |s: &&crate::book::Shot| book.servers[s.server.0].seat.is_none();
-    let came = book.shots.iter().filter(at_origin).filter(|s| reads.contains(s.id.as_str()));
+    let at_origin = |s: &&crate::event_log::ServerAttempt| event_log.servers[s.server.0].seat.is_none();
+    let came = event_log.shots.iter().filter(at_origin).filter(|s| reads.contains(s.id.as_str()));
     busiest(came.map(|s| (s.arrived, 1.0)).collect()) / form.origin_per_s
 }
 
-fn cold_over_whole(form: &LeasesForm, experiment: &Experiment, book: &Book) -> f64 {
-    let mut came: BTreeMap<usize, Vec<(Moment, f64)>> = BTreeMap::new();
-    for shot in &book.shots {
-        let Some(started) = book.servers[shot.server.0].started else { continue };
+fn cold_over_whole(form: &LeasesForm, experiment: &Experiment, event_log: &EventLog) -> f64 {
+    let mut came: BTreeMap<usize, Vec<(Timestamp, f64)>> = BTreeMap::new();
+    for shot in &event_log.shots {
+        let Some(started) = event_log.servers[shot.server.0].started else { continue };
         if shot.arrived.ms_since(started) < experiment.world.cache.warm_after_s * 1000.0 {
             came.entry(shot.server.0).or_default().push((shot.arrived, shot.work));
         }
@@ -259,7 +260,7 @@
     came.into_values().map(busiest).fold(0.0, f64::max) / form.cold_work
 }
 
-fn sick_trials(experiment: &Experiment, book: &Book) -> f64 {
+fn sick_trials(experiment: &Experiment, event_log: &EventLog) -> f64 {
     let mut most = 0.0_f64;
     for fault in experiment.faults().iter().filter(|f| f.kind == FaultKind::Hang) {
         let (from, to) = (fault.at_s + KNOWN_S, fault.at_s + fault.for_s);
@@ -267,9 +268,10 @@
             continue;
         }
         for cache in fault.named(experiment) {
-            let there = |s: &&crate::book::Shot| book.servers[s.server.0].seat == Some(cache);
-            let within = |s: &&crate::book::Shot| (from..to).contains(&s.arrived.seconds());
-            let count = book.shots.iter().filter(there).filter(within).count();
+            let there =
+                |s: &&crate::event_log::ServerAttempt| event_log.servers[s.server.0].seat == Some(cache);
+            let within = |s: &&crate::event_log::ServerAttempt| (from..to).contains(&s.arrived.seconds());
+            let count = event_log.shots.iter().filter(there).filter(within).count();
             most = most.max(count as f64 / (to - from));
         }
     }
@@ -277,10 +279,14 @@
 }
 
 /// How many slow caches were said to be worse than others, and how many that are not slow.
-fn named(experiment: &Experiment, book: &Book) -> (usize, usize) {
+fn named(experiment: &Experiment, event_log: &EventLog) -> (usize, usize) {
     let mut said = BTreeSet::new();
-    for letter in book.letters.iter().filter(|l| matches!(l.from, Member::Planner(_)) && !l.changed) {
-        let read = letters::read::<Hindsight>(&book.secret, letters::HINDSIGHT, &letter.bytes);
+    for letter in event_log.letters.iter().filter(|l| matches!(l.from, Member::Planner(_)) && !l.changed) {
+        let read = message_reference::read::<Hindsight>(
+            &event_log.secret,
+            message_reference::HINDSIGHT,
+            &letter.bytes,
+        );
         let Some((_, Hindsight::Standing(all) | Hindsight::Times(all))) = read else { continue };
         said.extend(all.iter().filter(|s| s.standing == Standing::Worse).map(|s| s.cache));
     }
@@ -288,16 +294,18 @@
     let slow = faults.iter().filter(|f| f.kind == FaultKind::Slow).flat_map(|f| f.named(experiment));
     let slow: BTreeSet<usize> = slow.collect();
     let (mut right, mut wrong) = (0, 0);
-    for server in book.servers.iter().filter(|s| said.contains(&letters::cache_number(&s.name))) {
+    for server in
+        event_log.servers.iter().filter(|s| said.contains(&message_reference::cache_number(&s.name)))
+    {
         let is_slow = server.seat.is_some_and(|s| slow.contains(&s));
         *if is_slow { &mut right } else { &mut wrong } += 1;
     }
     (right, wrong)
 }
 
-fn fairness(experiment: &Experiment, schedule: &Schedule, book: &Book) -> f64 {
+fn fairness(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> f64 {
     let mut nodes: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
-    for (call, served) in schedule.calls.iter().zip(served_calls(experiment, schedule, book)) {
+    for (call, served) in schedule.calls.iter().zip(served_calls(experiment, schedule, event_log)) {
         let node = nodes.entry(call.node).or_default();
         node.0 += usize::from(served);
         node.1 += 1;
--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::letters::{LEASES, Need, Sender, Signer};
+use crate::message_reference::{LEASES, Need, Sender, Signer};
 
 const SECRET: &[u8] = b"a secret of sixteen or more";
 
-fn letter(from: Member, to: Member, at: i64, message: &Lease) -> Carried {
+fn letter(from: Member, to: Member, at: i64, message: &Lease) -> RelayedMessage {
     let sender = Sender { member: Signer::Planner(1), life: 1, number: at as u64 };
-    let bytes = letters::write(SECRET, LEASES, sender, message).expect("a letter");
-    let (taken, passed) = (Moment(at), vec![Moment(at)]);
-    Carried { from, to, taken, passed, changed: false, bytes }
+    let bytes = message_reference::write(SECRET, LEASES, sender, message).expect("a letter");
+    let (taken, passed) = (Timestamp(at), vec![Timestamp(at)]);
+    RelayedMessage { from, to, taken, passed, changed: false, bytes }
 }
 
 /// Two nodes get 60 of 100 from a planner, each for 2 s, the second one so long after the first.
@@ -16,14 +16,14 @@
     let ask = Lease::Ask { ask: 1, needs: vec![need] };
     let grant = Lease::Grant { ask: 1, granted: vec![(Resource::Origin, 60_000)], lasts: 2_000_000 };
     let planner = Member::Planner(0);
-    let mut book = Book { secret: SECRET.into(), ..Book::default() };
+    let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     for (node, at) in [(0, 0), (1, second_after)] {
         let node = Member::Node(node);
-        book.letters.push(letter(node, planner, at, &ask));
-        book.letters.push(letter(planner, node, at + 500, &grant));
+        event_log.letters.push(letter(node, planner, at, &ask));
+        event_log.letters.push(letter(planner, node, at + 500, &grant));
     }
     let form = LeasesForm { origin_per_s: 100.0, reserve: 0.2, ..LeasesForm::default() };
-    Leases::read(&book).over_whole(&form, 2)
+    Leases::read(&event_log).over_whole(&form, 2)
 }
 
 #[test]
@@ -45,21 +45,22 @@
         [[fault]]\nkind = \"slow\"\nat_s = 1\nfor_s = 6\nfactor = 3\ncaches = [1]\n";
     let experiment = Experiment::read(std::path::Path::new("x.toml"), text).expect("a sound experiment");
     let said = |name: &str, standing| {
-        let cache = letters::cache_number(name);
-        letters::Said { cache, product: 0, standing, more: 0.1, low: 0.0, high: 0.2 }
+        let cache = message_reference::cache_number(name);
+        message_reference::Said { cache, product: 0, standing, more: 0.1, low: 0.0, high: 0.2 }
     };
     let all = [("a", Standing::AsGood), ("b", Standing::Worse), ("c", Standing::Worse)];
     let message = Hindsight::Standing(all.iter().map(|(n, s)| said(n, *s)).collect());
     let sender = Sender { member: Signer::Planner(1), life: 1, number: 1 };
-    let bytes = letters::write(SECRET, letters::HINDSIGHT, sender, &message).expect("a letter");
-    let mut book = Book { secret: SECRET.into(), ..Book::default() };
-    let (from, to, taken) = (Member::Planner(0), Member::Node(0), Moment(5));
-    book.letters.push(Carried { from, to, taken, passed: vec![taken], changed: false, bytes });
+    let bytes =
+        message_reference::write(SECRET, message_reference::HINDSIGHT, sender, &message).expect("a letter");
+    let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
+    let (from, to, taken) = (Member::Planner(0), Member::Node(0), Timestamp(5));
+    event_log.letters.push(RelayedMessage { from, to, taken, passed: vec![taken], changed: false, bytes });
     for (seat, name) in ["a", "b", "c"].into_iter().enumerate() {
-        let server = crate::book::ServerInfo { name: name.into(), seat: Some(seat), started: None };
-        book.servers.push(server);
+        let server = crate::event_log::ServerInfo { name: name.into(), seat: Some(seat), started: None };
+        event_log.servers.push(server);
     }
-    assert_eq!(named(&experiment, &book), (1, 1));
+    assert_eq!(named(&experiment, &event_log), (1, 1));
 }
 
 /// A node has a lease and a standing part of one planner, and then a lesser standing part.
@@ -70,16 +71,16 @@
     let ask_standing = |ask| Lease::AskStanding { ask, need: 1, using: 0, to: 1, has: 0 };
     let standing = |ask, amount| Lease::Standing { ask, amount, lasts: 20_000_000 };
     let most = |second: u32| {
-        let mut book = Book { secret: SECRET.into(), ..Book::default() };
+        let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
         let grant = Lease::Grant { ask: 1, granted: vec![(Resource::Origin, 40_000)], lasts: 2_000_000 };
         let lasting = [ask_standing(1), standing(1, 50_000), ask_standing(2), standing(2, second)];
         let all = lasting.into_iter().chain([Lease::Ask { ask: 1, needs: vec![need] }, grant]);
         for (n, message) in all.enumerate() {
             let (from, to) = if n % 2 == 0 { (node, planner) } else { (planner, node) };
-            book.letters.push(letter(from, to, n as i64, &message));
+            event_log.letters.push(letter(from, to, n as i64, &message));
         }
         let form = LeasesForm { origin_per_s: 100.0, reserve: 0.2, ..LeasesForm::default() };
-        Leases::read(&book).over_whole(&form, 2)
+        Leases::read(&event_log).over_whole(&form, 2)
     };
     assert!((most(50_000) - 1.1).abs() < 1e-9 && (most(30_000) - 0.9).abs() < 1e-9);
 }
--- a/crates/testbed/src/audit/growth.rs
+++ b/crates/testbed/src/audit/growth.rs
@@ -5,12 +5,12 @@
 
 use serde::Serialize;
 
-use super::bars::Shortfall;
-use super::rules::{self, Breach, Found, Rule};
-use crate::book::{Book, Event, Member, Moment, Shot, ShotEnd, Try};
+use super::expectations::UnmetExpectation;
+use super::rules::{self, Found, Rule, RuleViolation};
+use crate::event_log::{ClientAttempt, Event, EventLog, Member, ServerAttempt, ServerAttemptEnd, Timestamp};
 use crate::experiment::{Experiment, GrowthExpect, GrowthForm};
-use crate::forms::{Form, GROWTH, Growth, Places, ShardForm, Step, shard_of};
-use crate::letters;
+use crate::message_reference;
+use crate::shard_map_reference::{Form, GROWTH, Growth, Places, ShardForm, Step, shard_of};
 
 /// Until the origin's slowness can be known. In trials nodes remember fetches for 3 s: after 2.1 s of slow ones those are
 /// half; a fetch that is slow itself, a beat, and one whose letters are lost come on top.
@@ -91,7 +91,7 @@
 
 impl GrowthFigures {
     /// What falls short of the bars.
-    pub fn hold(&self, expect: &GrowthExpect) -> Vec<Shortfall> {
+    pub fn hold(&self, expect: &GrowthExpect) -> Vec<UnmetExpectation> {
         let some = |n: Option<usize>| n.map(|n| n as f64);
         let old_first = if self.at_origin > 0 { self.old_first as f64 / self.at_origin as f64 } else { 1.0 };
         let at_least = [
@@ -111,28 +111,34 @@
         let low = at_least.into_iter().filter(|(_, asked, m)| asked.is_some_and(|a| *m < a));
         let high = at_most.into_iter().filter(|(_, asked, m)| asked.is_some_and(|a| *m > a));
         low.chain(high)
-            .map(|(bar, asked, measured)| Shortfall { bar, asked: asked.unwrap_or_default(), measured })
+            .map(|(bar, asked, measured)| UnmetExpectation {
+                bar,
+                asked: asked.unwrap_or_default(),
+                measured,
+            })
             .collect()
     }
 }
 
 /// Forms that nodes were told of.
 #[derive(Default)]
-struct Told {
+struct EndpointNotification {
     /// By version: who told it first, and when.
-    first: BTreeMap<u64, (Moment, usize, Form)>,
+    first: BTreeMap<u64, (Timestamp, usize, Form)>,
     /// When a node was told of each.
-    nodes: BTreeMap<usize, Vec<(Moment, u64)>>,
+    nodes: BTreeMap<usize, Vec<(Timestamp, u64)>>,
     /// The last that each node said it goes by, after the life in which it said so.
     held: BTreeMap<usize, (u64, u64)>,
 }
 
-impl Told {
-    fn read(book: &Book, found: &mut Found) -> Told {
-        let mut told = Told::default();
+impl EndpointNotification {
+    fn read(event_log: &EventLog, found: &mut Found) -> EndpointNotification {
+        let mut told = EndpointNotification::default();
         let mut lives: BTreeMap<(usize, usize), (u64, u64)> = BTreeMap::new();
-        for letter in book.letters.iter().filter(|l| !l.changed) {
-            let Some((sender, message)) = letters::read::<Growth>(&book.secret, GROWTH, &letter.bytes) else {
+        for letter in event_log.letters.iter().filter(|l| !l.changed) {
+            let Some((sender, message)) =
+                message_reference::read::<Growth>(&event_log.secret, GROWTH, &letter.bytes)
+            else {
                 continue;
             };
             match (letter.from, letter.to, message) {
@@ -166,31 +172,35 @@
     }
 
     /// The form that a node went by for all of a time, as far as it is known.
-    fn held(&self, node: usize, from: Moment, to: Moment) -> Option<&Form> {
+    fn held(&self, node: usize, from: Timestamp, to: Timestamp) -> Option<&Form> {
         let all = self.nodes.get(&node)?;
-        let sure = Moment(from.0 - (TAKEN_S * 1e6) as i64);
-        let best = |until: Moment| all.iter().filter(|(at, _)| *at <= until).map(|(_, v)| *v).max();
+        let sure = Timestamp(from.0 - (TAKEN_S * 1e6) as i64);
+        let best = |until: Timestamp| all.iter().filter(|(at, _)| *at <= until).map(|(_, v)| *v).max();
         let version = best(sure).filter(|v| best(to) == Some(*v))?;
         self.first.get(&version).map(|(_, _, form)| form)
     }
 }
 
 /// The figures, and what was broken.
-pub fn judge(experiment: &Experiment, form: &GrowthForm, book: &Book) -> (GrowthFigures, Vec<Breach>) {
+pub fn judge(
+    experiment: &Experiment,
+    form: &GrowthForm,
+    event_log: &EventLog,
+) -> (GrowthFigures, Vec<RuleViolation>) {
     let mut found = Found::new();
-    let told = Told::read(book, &mut found);
+    let told = EndpointNotification::read(event_log, &mut found);
     let mut figures = GrowthFigures { forms: told.first.len(), ..GrowthFigures::default() };
-    let names = book.servers.iter().filter(|s| s.seat.is_some()).map(|s| s.name.as_str());
+    let names = event_log.servers.iter().filter(|s| s.seat.is_some()).map(|s| s.name.as_str());
     let places = Places::of(names);
     check_steps(&told, &places, &mut figures, &mut found);
-    figures.steps_while_slow = steps_while_slow(&told, book);
-    (figures.kills, figures.gone_on) = gone_on(&told, book);
-    let downs = book.events.iter().filter(|(_, e)| matches!(e, Event::PlannerDown { .. }));
-    let stood = |at: Moment| told.first.values().rfind(|(then, _, _)| *then < at);
+    figures.steps_while_slow = steps_while_slow(&told, event_log);
+    (figures.kills, figures.gone_on) = gone_on(&told, event_log);
+    let downs = event_log.events.iter().filter(|(_, e)| matches!(e, Event::PlannerDown { .. }));
+    let stood = |at: Timestamp| told.first.values().rfind(|(then, _, _)| *then < at);
     let all = downs.filter_map(|(at, _)| stood(*at)).flat_map(|(_, _, form)| form.shards.values().copied());
     figures.killed_at = all.collect();
-    both_read(experiment, form, book, &told, &places, &mut figures);
-    let began = book.events.iter().filter(|(_, e)| matches!(e, Event::FaultBegan { .. })).count();
+    both_read(experiment, form, event_log, &told, &places, &mut figures);
+    let began = event_log.events.iter().filter(|(_, e)| matches!(e, Event::FaultBegan { .. })).count();
     figures.faults_missing = experiment.faults().len().saturating_sub(began);
     let last = told.first.keys().last().copied().unwrap_or(0);
     // One that was told in the last moment need not have said so.
@@ -218,7 +228,7 @@
     to.bits == from.bits && (on || back)
 }
 
-fn check_steps(told: &Told, places: &Places, figures: &mut GrowthFigures, found: &mut Found) {
+fn check_steps(told: &EndpointNotification, places: &Places, figures: &mut GrowthFigures, found: &mut Found) {
     let mut before = Form::default();
     for (version, (at, _, form)) in &told.first {
         let shards: BTreeSet<u8> = before.shards.keys().chain(form.shards.keys()).copied().collect();
@@ -261,12 +271,12 @@
 }
 
 /// Steps on of splits that move keys, while the origin was slow for long enough to be known.
-fn steps_while_slow(told: &Told, book: &Book) -> usize {
+fn steps_while_slow(told: &EndpointNotification, event_log: &EventLog) -> usize {
     let named = |e: &Event| match e {
         Event::FaultBegan { what } | Event::FaultEnded { what } => what.starts_with("OriginSlow"),
         _ => false,
     };
-    let all: Vec<_> = book.events.iter().filter(|(_, e)| named(e)).collect();
+    let all: Vec<_> = event_log.events.iter().filter(|(_, e)| named(e)).collect();
     let mut steps = 0;
     for (at, _) in all.iter().filter(|(_, e)| matches!(e, Event::FaultBegan { .. })) {
         let from = at.seconds() + KNOWN_S;
@@ -278,7 +288,7 @@
     steps
 }
 
-fn steps_on(told: &Told, form: &Form) -> bool {
+fn steps_on(told: &EndpointNotification, form: &Form) -> bool {
     let Some((_, _, before)) = told.first.get(&form.version.wrapping_sub(1)) else { return false };
     form.shards.iter().any(|(shard, to)| {
         let place = |s: ShardForm| s.step.and_then(Step::place);
@@ -288,15 +298,15 @@
 }
 
 /// Planners that went down, and those in whose absence another one told of a new form.
-fn gone_on(told: &Told, book: &Book) -> (usize, usize) {
+fn gone_on(told: &EndpointNotification, event_log: &EventLog) -> (usize, usize) {
     let (mut kills, mut gone_on) = (0, 0);
-    for (at, event) in &book.events {
+    for (at, event) in &event_log.events {
         let Event::PlannerDown { planner } = event else { continue };
         kills += 1;
-        let up = |(then, e): &&(Moment, Event)| {
+        let up = |(then, e): &&(Timestamp, Event)| {
             then > at && matches!(e, Event::PlannerUp { planner: p } if p == planner)
         };
-        let back = book.events.iter().find(up).map_or(Moment(i64::MAX), |(then, _)| *then);
+        let back = event_log.events.iter().find(up).map_or(Timestamp(i64::MAX), |(then, _)| *then);
         let next = told.first.values().any(|(then, by, _)| then > at && *then < back && by != planner);
         gone_on += usize::from(next);
     }
@@ -305,14 +315,14 @@
 
 /// A read at a node whose form puts its key elsewhere than the newest that any node was told of, or at one that holds that.
 fn reads_behind(
-    book: &Book,
-    told: &Told,
+    event_log: &EventLog,
+    told: &EndpointNotification,
     places: &Places,
-    read: &Try,
-    shots: Option<&Vec<&Shot>>,
+    read: &ClientAttempt,
+    shots: Option<&Vec<&ServerAttempt>>,
     figures: &mut GrowthFigures,
 ) {
-    let sure = Moment(read.sent.0 - (TAKEN_S * 1e6) as i64);
+    let sure = Timestamp(read.sent.0 - (TAKEN_S * 1e6) as i64);
     let newest = told.first.values().rfind(|(at, _, _)| *at < sure);
     let Some(newest) = newest.map(|(_, _, form)| form.of(shard_of(read.key))) else { return };
     // Bits by which all its keys are told apart.
@@ -333,7 +343,7 @@
     let of = held.of(shard_of(read.key));
     let old_bits = whole(of).unwrap_or(of.bits);
     let [first, old, new] = [0, old_bits, bits].map(|bits| places.place(read.key, bits));
-    let at_origin = shots.is_some_and(|all| all.iter().any(|s| book.servers[s.server.0].seat.is_none()));
+    let at_origin = shots.is_some_and(|all| all.iter().any(|s| event_log.servers[s.server.0].seat.is_none()));
     if old != new && matches!(of.step, None | Some(Step::Foreseen | Step::Planned)) {
         figures.behind += 1;
         figures.behind_at_origin += usize::from(at_origin);
@@ -346,19 +356,19 @@
 fn both_read(
     experiment: &Experiment,
     growth: &GrowthForm,
-    book: &Book,
-    told: &Told,
+    event_log: &EventLog,
+    told: &EndpointNotification,
     places: &Places,
     figures: &mut GrowthFigures,
 ) {
-    let mut shots: HashMap<&str, Vec<&Shot>> = HashMap::new();
-    book.shots.iter().for_each(|shot| shots.entry(&shot.id).or_default().push(shot));
-    let seat = |shot: &Shot| book.servers[shot.server.0].seat;
-    for read in book.tries.iter().filter(|t| !experiment.product[t.product].writes()) {
-        if read.key < crate::forms::FIRST_KEY || !growth.shards.contains(&shard_of(read.key)) {
+    let mut shots: HashMap<&str, Vec<&ServerAttempt>> = HashMap::new();
+    event_log.shots.iter().for_each(|shot| shots.entry(&shot.id).or_default().push(shot));
+    let seat = |shot: &ServerAttempt| event_log.servers[shot.server.0].seat;
+    for read in event_log.tries.iter().filter(|t| !experiment.product[t.product].writes()) {
+        if read.key < crate::shard_map_reference::FIRST_KEY || !growth.shards.contains(&shard_of(read.key)) {
             continue;
         }
-        reads_behind(book, told, places, read, shots.get(read.id.as_str()), figures);
+        reads_behind(event_log, told, places, read, shots.get(read.id.as_str()), figures);
         let Some(form) = told.held(read.node.0, read.sent, read.ended) else { continue };
         let of = form.of(shard_of(read.key));
         if of.step != Some(Step::BothRead) {
@@ -368,13 +378,13 @@
         let Some(all) = shots.get(read.id.as_str()).filter(|_| old != new) else { continue };
         let mut all = all.clone();
         all.sort_by_key(|s| s.arrived);
-        let lacked = |s: &&Shot| seat(s) == new && s.end == ShotEnd::Lacked;
+        let lacked = |s: &&ServerAttempt| seat(s) == new && s.end == ServerAttemptEnd::Lacked;
         if !all.first().is_some_and(lacked) {
             continue;
         }
         figures.missed += 1;
         let at_old = all.iter().position(|s| seat(s) == old);
-        figures.spared += usize::from(at_old.is_some_and(|n| all[n].end == ShotEnd::Answered));
+        figures.spared += usize::from(at_old.is_some_and(|n| all[n].end == ServerAttemptEnd::Answered));
         if let Some(at_origin) = all.iter().position(|s| seat(s).is_none()) {
             figures.at_origin += 1;
             figures.old_first += usize::from(at_old.is_some_and(|n| n < at_origin));
--- a/crates/testbed/src/audit/growth/tests.rs
+++ b/crates/testbed/src/audit/growth/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::book::{BoxId, CallId, Carried, NodeId, ServerInfo, TryEnd, Version};
-use crate::forms::keys_of;
-use crate::letters::{Sender, Signer};
+use crate::event_log::{ClientAttemptEnd, NodeId, RelayedMessage, RequestId, ServerId, ServerInfo, Version};
+use crate::message_reference::{Sender, Signer};
+use crate::shard_map_reference::keys_of;
 
 const SECRET: &[u8] = b"a secret of sixteen or more";
 const SHARD: u8 = 17;
@@ -13,50 +13,50 @@
 }
 
 /// Twelve caches and the origin.
-fn book() -> Book {
-    let mut book = Book { secret: SECRET.into(), ..Book::default() };
+fn event_log() -> EventLog {
+    let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     for seat in 0..12 {
-        book.servers.push(ServerInfo { name: format!("box-{seat}.0"), seat: Some(seat), started: None });
+        event_log.servers.push(ServerInfo { name: format!("box-{seat}.0"), seat: Some(seat), started: None });
     }
-    book.servers.push(ServerInfo { name: "origin".into(), seat: None, started: None });
-    book
+    event_log.servers.push(ServerInfo { name: "origin".into(), seat: None, started: None });
+    event_log
 }
 
-fn letter(book: &mut Book, from: Member, to: Member, at_s: f64, message: &Growth) {
+fn letter(event_log: &mut EventLog, from: Member, to: Member, at_s: f64, message: &Growth) {
     let signer = match from {
         Member::Planner(p) => Signer::Planner(p as u8 + 1),
         Member::Node(n) => Signer::Forwarder(n as u64),
     };
-    let taken = Moment::from_s(at_s);
+    let taken = Timestamp::from_s(at_s);
     let sender = Sender { member: signer, life: 1, number: taken.0 as u64 };
-    let bytes = letters::write(SECRET, GROWTH, sender, message).expect("a letter");
-    book.letters.push(Carried { from, to, taken, passed: vec![taken], changed: false, bytes });
+    let bytes = message_reference::write(SECRET, GROWTH, sender, message).expect("a letter");
+    event_log.letters.push(RelayedMessage { from, to, taken, passed: vec![taken], changed: false, bytes });
 }
 
-fn tells(book: &mut Book, at_s: f64, version: u64, shards: &[(u8, u8, Option<Step>)]) {
+fn tells(event_log: &mut EventLog, at_s: f64, version: u64, shards: &[(u8, u8, Option<Step>)]) {
     let shards = shards.iter().map(|(shard, bits, step)| (*shard, ShardForm { bits: *bits, step: *step }));
     let form = Form { version, shards: shards.collect() };
-    letter(book, Member::Planner(0), Member::Node(0), at_s, &Growth::Table { form });
+    letter(event_log, Member::Planner(0), Member::Node(0), at_s, &Growth::Table { form });
 }
 
-fn judged(book: &Book) -> (GrowthFigures, Vec<&'static str>) {
+fn judged(event_log: &EventLog) -> (GrowthFigures, Vec<&'static str>) {
     let experiment = experiment();
-    let (figures, found) = judge(&experiment, experiment.growth.as_ref().expect("it has"), book);
+    let (figures, found) = judge(&experiment, experiment.growth.as_ref().expect("it has"), event_log);
     (figures, found.iter().map(|b| b.kind).collect())
 }
 
 #[test]
 fn a_split_that_goes_its_way_breaks_nothing() {
-    let mut book = book();
+    let mut event_log = event_log();
     let copied = (1..=16).map(|n| Some(Step::Copying(n)));
     let steps = [Some(Step::Foreseen), Some(Step::Planned)].into_iter().chain(copied);
     let steps = steps.chain([Some(Step::BothRead), Some(Step::Switched)]);
     for (n, step) in steps.enumerate() {
-        tells(&mut book, n as f64 / 10.0, n as u64 + 1, &[(SHARD, 0, step)]);
+        tells(&mut event_log, n as f64 / 10.0, n as u64 + 1, &[(SHARD, 0, step)]);
     }
-    tells(&mut book, 9.0, 21, &[(SHARD, 1, None)]);
-    letter(&mut book, Member::Node(0), Member::Planner(0), 9.1, &Growth::Holds { version: 21 });
-    let (figures, kinds) = judged(&book);
+    tells(&mut event_log, 9.0, 21, &[(SHARD, 1, None)]);
+    letter(&mut event_log, Member::Node(0), Member::Planner(0), 9.1, &Growth::Holds { version: 21 });
+    let (figures, kinds) = judged(&event_log);
     assert_eq!((kinds, figures.settled, figures.withdrawn, figures.nodes_behind), (vec![], 1, 0, 0));
 }
 
@@ -73,32 +73,32 @@
         ),
     ];
     for (before, after, kind) in leaps {
-        let mut book = book();
-        tells(&mut book, 1.0, 8, before);
-        tells(&mut book, 2.0, 9, after);
-        assert_eq!(judged(&book).1, [kind]);
+        let mut event_log = event_log();
+        tells(&mut event_log, 1.0, 8, before);
+        tells(&mut event_log, 2.0, 9, after);
+        assert_eq!(judged(&event_log).1, [kind]);
     }
-    let mut book = book();
-    tells(&mut book, 1.0, 1, &[(SHARD, 0, Some(Step::Foreseen))]);
-    tells(&mut book, 2.0, 1, &[(90, 0, Some(Step::Foreseen))]);
+    let mut event_log = event_log();
+    tells(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(Step::Foreseen))]);
+    tells(&mut event_log, 2.0, 1, &[(90, 0, Some(Step::Foreseen))]);
     for (at, version) in [(2.0, 4), (3.0, 3)] {
-        letter(&mut book, Member::Node(0), Member::Planner(0), at, &Growth::Holds { version });
+        letter(&mut event_log, Member::Node(0), Member::Planner(0), at, &Growth::Holds { version });
     }
-    assert_eq!(judged(&book).1, ["two forms of one version", "a node went back to an older form"]);
+    assert_eq!(judged(&event_log).1, ["two forms of one version", "a node went back to an older form"]);
 }
 
 #[test]
 fn steps_while_the_origin_is_slow_and_kills_that_nobody_goes_on_from_are_counted() {
-    let mut book = book();
-    let event = |at, e| (Moment::from_s(at), e);
-    book.events.push(event(1.0, Event::FaultBegan { what: "OriginSlow".into() }));
-    book.events.push(event(1.0, Event::PlannerDown { planner: 0 }));
+    let mut event_log = event_log();
+    let event = |at, e| (Timestamp::from_s(at), e);
+    event_log.events.push(event(1.0, Event::FaultBegan { what: "OriginSlow".into() }));
+    event_log.events.push(event(1.0, Event::PlannerDown { planner: 0 }));
     for (at, n) in [(0.5, 1), (2.0, 2), (5.0, 3), (9.0, 4)] {
-        tells(&mut book, at, u64::from(n), &[(SHARD, 0, Some(Step::Copying(n)))]);
+        tells(&mut event_log, at, u64::from(n), &[(SHARD, 0, Some(Step::Copying(n)))]);
     }
-    book.events.push(event(8.0, Event::FaultEnded { what: "OriginSlow".into() }));
-    book.events.push(event(8.0, Event::PlannerUp { planner: 0 }));
-    let figures = judged(&book).0;
+    event_log.events.push(event(8.0, Event::FaultEnded { what: "OriginSlow".into() }));
+    event_log.events.push(event(8.0, Event::PlannerUp { planner: 0 }));
+    let figures = judged(&event_log).0;
     assert_eq!((figures.steps_while_slow, figures.kills, figures.gone_on), (1, 1, 0));
     let expect = GrowthExpect { gone_on: Some(1), steps_while_slow: Some(0), ..GrowthExpect::default() };
     let short: Vec<_> = figures.hold(&expect).iter().map(|s| s.bar).collect();
@@ -107,31 +107,47 @@
 
 /// A read of a key that moves misses at its new place while both are read.
 fn missed(old_first: bool) -> GrowthFigures {
-    let mut book = book();
-    tells(&mut book, 1.0, 1, &[(SHARD, 0, Some(Step::BothRead))]);
+    let mut event_log = event_log();
+    tells(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(Step::BothRead))]);
     let names: Vec<String> = (0..12).map(|seat| format!("box-{seat}.0")).collect();
     let places = Places::of(names.iter().map(String::as_str));
     let moves = |key: &&u64| places.place(**key, 0) != places.place(**key, 1);
     let key = *keys_of(SHARD, 40).iter().find(moves).expect("half of them");
     let [old, new] = [0, 1].map(|bits| places.place(key, bits).expect("a place"));
-    let mut ways = vec![(new, ShotEnd::Lacked), (old, ShotEnd::Lacked), (12, ShotEnd::Answered)];
+    let mut ways = vec![
+        (new, ServerAttemptEnd::Lacked),
+        (old, ServerAttemptEnd::Lacked),
+        (12, ServerAttemptEnd::Answered),
+    ];
     if !old_first {
         ways.remove(1);
     }
-    let at = Moment::from_s(5.0);
+    let at = Timestamp::from_s(5.0);
     for (n, (server, end)) in ways.into_iter().enumerate() {
-        let arrived = Moment(at.0 + n as i64 * 1000);
-        let (server, node) = (BoxId(server), NodeId(0));
-        let shot = Shot { server, node, id: "r".into(), arrived, ended: Some(arrived), end, work: 0.0 };
-        book.shots.push(shot);
+        let arrived = Timestamp(at.0 + n as i64 * 1000);
+        let (server, node) = (ServerId(server), NodeId(0));
+        let shot =
+            ServerAttempt { server, node, id: "r".into(), arrived, ended: Some(arrived), end, work: 0.0 };
+        event_log.shots.push(shot);
     }
-    let end = TryEnd::Fulfilled { made_for: "r".into(), version: Some(Version(0)) };
-    let (call, node, ended) = (CallId(0), NodeId(0), Moment(at.0 + 9000));
+    let end = ClientAttemptEnd::Fulfilled { made_for: "r".into(), version: Some(Version(0)) };
+    let (call, node, ended) = (RequestId(0), NodeId(0), Timestamp(at.0 + 9000));
     let id = String::from("r");
-    let read =
-        Try { call, nth: 0, id, idempotency_key: None, node, product: 0, key, due: at, sent: at, ended, end };
-    book.tries.push(read);
-    judged(&book).0
+    let read = ClientAttempt {
+        call,
+        nth: 0,
+        id,
+        idempotency_key: None,
+        node,
+        product: 0,
+        key,
+        due: at,
+        sent: at,
+        ended,
+        end,
+    };
+    event_log.tries.push(read);
+    judged(&event_log).0
 }
 
 #[test]
--- a/crates/testbed/src/audit/leaving.rs
+++ b/crates/testbed/src/audit/leaving.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::rules::{GRACE_MS, SLACK_MS};
-use crate::book::{Book, Moment, Shot, TryEnd};
+use crate::event_log::{ClientAttemptEnd, EventLog, ServerAttempt, Timestamp};
 
 /// So many late ones are never a breach.
 const FEW: usize = 5;
@@ -23,14 +23,14 @@
 }
 
 impl Leaving {
-    pub fn measure(book: &Book, delay_ms: f64) -> Leaving {
-        let mut first: HashMap<&str, Moment> = HashMap::new();
-        for Shot { id, arrived, .. } in &book.shots {
+    pub fn measure(event_log: &EventLog, delay_ms: f64) -> Leaving {
+        let mut first: HashMap<&str, Timestamp> = HashMap::new();
+        for ServerAttempt { id, arrived, .. } in &event_log.shots {
             let known = first.entry(id).or_insert(*arrived);
             *known = (*known).min(*arrived);
         }
         let mut leaving = Leaving::default();
-        for t in book.tries.iter().filter(|t| t.end == TryEnd::Left) {
+        for t in event_log.tries.iter().filter(|t| t.end == ClientAttemptEnd::Left) {
             leaving.left += 1;
             let after = first.get(t.id.as_str()).map(|at| at.ms_since(t.ended));
             if after.is_none_or(|ms| ms > 0.0) {
--- a/crates/testbed/src/audit/rules.rs
+++ b/crates/testbed/src/audit/rules.rs
@@ -5,7 +5,10 @@
 use serde::Serialize;
 
 use super::leaving::Leaving;
-use crate::book::{Book, BoxId, Event, Listed, Moment, NodeId, Shot, ShotEnd, Try, TryEnd};
+use crate::event_log::{
+    ClientAttempt, ClientAttemptEnd, Event, EventLog, Listed, NodeId, ServerAttempt, ServerAttemptEnd,
+    ServerId, Timestamp,
+};
 use crate::experiment::{Experiment, FaultKind, ProductEffect};
 
 /// What clocks and loopback may add to any time that a rule names, in milliseconds.
@@ -31,7 +34,7 @@
 
 /// A rule broken.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct RuleViolation {
     pub rule: Rule,
     /// The kind of breach, the same for all alike.
     pub kind: &'static str,
@@ -43,13 +46,13 @@
 /// The book with its records found by name.
 struct Records<'a> {
     experiment: &'a Experiment,
-    book: &'a Book,
-    tries: HashMap<&'a str, &'a Try>,
-    shots: HashMap<&'a str, Vec<&'a Shot>>,
+    event_log: &'a EventLog,
+    tries: HashMap<&'a str, &'a ClientAttempt>,
+    shots: HashMap<&'a str, Vec<&'a ServerAttempt>>,
     /// When each node could not be expected to answer.
-    down: BTreeMap<NodeId, Vec<(Moment, Moment)>>,
+    down: BTreeMap<NodeId, Vec<(Timestamp, Timestamp)>>,
     /// When each took nothing new, though it owed answers.
-    stopping: BTreeMap<NodeId, Vec<(Moment, Moment)>>,
+    stopping: BTreeMap<NodeId, Vec<(Timestamp, Timestamp)>>,
     /// What links on purpose add to a shot's way, in milliseconds.
     delay_ms: f64,
 }
@@ -66,8 +69,8 @@
 
 pub type Found = Vec<(Rule, &'static str, String)>;
 
-pub fn check(experiment: &Experiment, book: &Book) -> Vec<Breach> {
-    let records = Records::new(experiment, book);
+pub fn check(experiment: &Experiment, event_log: &EventLog) -> Vec<RuleViolation> {
+    let records = Records::new(experiment, event_log);
     let mut found = Vec::new();
     records.one_answer(&mut found);
     records.nothing_after(&mut found);
@@ -79,11 +82,11 @@
 }
 
 /// Breaches by their kind.
-pub fn gather(found: Found) -> Vec<Breach> {
-    let mut breaches: Vec<Breach> = Vec::new();
+pub fn gather(found: Found) -> Vec<RuleViolation> {
+    let mut breaches: Vec<RuleViolation> = Vec::new();
     for (rule, kind, example) in found {
         let at = breaches.iter().position(|b| b.kind == kind).unwrap_or_else(|| {
-            breaches.push(Breach { rule, kind, count: 0, examples: Vec::new() });
+            breaches.push(RuleViolation { rule, kind, count: 0, examples: Vec::new() });
             breaches.len() - 1
         });
         breaches[at].count += 1;
@@ -95,17 +98,19 @@
 }
 
 impl<'a> Records<'a> {
-    fn new(experiment: &'a Experiment, book: &'a Book) -> Records<'a> {
-        let mut shots: HashMap<&str, Vec<&Shot>> = HashMap::new();
-        for shot in &book.shots {
+    fn new(experiment: &'a Experiment, event_log: &'a EventLog) -> Records<'a> {
+        let mut shots: HashMap<&str, Vec<&ServerAttempt>> = HashMap::new();
+        for shot in &event_log.shots {
             shots.entry(&shot.id).or_default().push(shot);
         }
-        let mut down: BTreeMap<NodeId, Vec<(Moment, Moment)>> = BTreeMap::new();
+        let mut down: BTreeMap<NodeId, Vec<(Timestamp, Timestamp)>> = BTreeMap::new();
         let mut stopping = down.clone();
-        for (at, event) in &book.events {
+        for (at, event) in &event_log.events {
             match event {
-                Event::NodeDown { node } => down.entry(*node).or_default().push((*at, Moment(i64::MAX))),
-                Event::NodeStops { node } => stopping.entry(*node).or_default().push((*at, Moment(i64::MAX))),
+                Event::NodeDown { node } => down.entry(*node).or_default().push((*at, Timestamp(i64::MAX))),
+                Event::NodeStops { node } => {
+                    stopping.entry(*node).or_default().push((*at, Timestamp(i64::MAX)))
+                }
                 Event::NodeUp { node } => {
                     let last = [&mut down, &mut stopping].map(|d| d.get_mut(node).and_then(|d| d.last_mut()));
                     last.into_iter().flatten().for_each(|d| d.1 = d.1.min(*at));
@@ -115,8 +120,8 @@
         }
         Records {
             experiment,
-            book,
-            tries: book.tries.iter().map(|t| (t.id.as_str(), t)).collect(),
+            event_log,
+            tries: event_log.tries.iter().map(|t| (t.id.as_str(), t)).collect(),
             shots,
             down,
             stopping,
@@ -124,18 +129,18 @@
         }
     }
 
-    fn effect(&self, t: &Try) -> ProductEffect {
+    fn effect(&self, t: &ClientAttempt) -> ProductEffect {
         self.experiment.product[t.product].effect
     }
 
-    fn shots_of(&self, id: &str) -> &[&'a Shot] {
+    fn shots_of(&self, id: &str) -> &[&'a ServerAttempt] {
         self.shots.get(id).map_or(&[], Vec::as_slice)
     }
 
-    fn is_excused(&self, t: &Try) -> bool {
+    fn is_excused(&self, t: &ClientAttempt) -> bool {
         // What found no connection was not taken, unless a shot was sent for it: its client had asked on a kept
         // connection, which ended, and then once more.
-        let untaken = t.end == TryEnd::Unreached && self.shots_of(&t.id).is_empty();
+        let untaken = t.end == ClientAttemptEnd::Unreached && self.shots_of(&t.id).is_empty();
         let stopping = self.stopping.get(&t.node).filter(|_| untaken);
         let down = self.down.get(&t.node).into_iter().chain(stopping).flatten();
         down.into_iter().any(|(from, to)| t.sent <= *to && t.ended >= *from)
@@ -143,41 +148,41 @@
 
     /// Whether the link that a shot came on was silent at some time of its life, so that the server could not
     /// see what the node did.
-    fn was_cut_off(&self, shot: &Shot) -> bool {
-        let Some(seat) = self.book.servers.get(shot.server.0).and_then(|s| s.seat) else { return false };
+    fn was_cut_off(&self, shot: &ServerAttempt) -> bool {
+        let Some(seat) = self.event_log.servers.get(shot.server.0).and_then(|s| s.seat) else { return false };
         self.experiment.faults().iter().any(|f| {
             let meant = f.kind == FaultKind::LinkSilent && f.named(self.experiment).contains(&seat);
             let from_node = f.nodes.is_empty() || f.nodes.contains(&shot.node.0);
-            let (from, to) = (Moment::from_s(f.at_s), Moment::from_s(f.end_s()));
+            let (from, to) = (Timestamp::from_s(f.at_s), Timestamp::from_s(f.end_s()));
             meant && from_node && shot.arrived <= to && shot.ended.is_none_or(|e| e >= from)
         })
     }
 
     fn one_answer(&self, found: &mut Found) {
-        for t in &self.book.tries {
+        for t in &self.event_log.tries {
             let timeout = self.experiment.product[t.product].timeout_ms as f64;
             let took = t.ended.ms_since(t.sent);
             let kind = match &t.end {
                 _ if self.is_excused(t) => None,
-                TryEnd::Left => None,
-                TryEnd::Unanswered => Some("no final answer"),
+                ClientAttemptEnd::Left => None,
+                ClientAttemptEnd::Unanswered => Some("no final answer"),
                 // Closed while the call was on its way, unread: it was not accepted.
-                TryEnd::Torn { used_before: true } if self.shots_of(&t.id).is_empty() => None,
-                TryEnd::Torn { .. } => Some("connection ended without an answer"),
-                TryEnd::Fulfilled { made_for, .. } if *made_for != t.id => {
+                ClientAttemptEnd::Torn { used_before: true } if self.shots_of(&t.id).is_empty() => None,
+                ClientAttemptEnd::Torn { .. } => Some("connection ended without an answer"),
+                ClientAttemptEnd::Fulfilled { made_for, .. } if *made_for != t.id => {
                     Some("answer not made for the call")
                 }
-                TryEnd::Unreached if !self.shots_of(&t.id).is_empty() => {
+                ClientAttemptEnd::Unreached if !self.shots_of(&t.id).is_empty() => {
                     Some("connection ended without an answer")
                 }
-                TryEnd::Unreached => Some("node not reached"),
+                ClientAttemptEnd::Unreached => Some("node not reached"),
                 _ if took > timeout + SLACK_MS => Some("final answer after the client timeout"),
                 _ => None,
             };
             let what = || format!("try {} at {:.3} s, {took:.0} ms", t.id, t.sent.seconds());
             found.extend(kind.map(|kind| (Rule::OneAnswer, kind, what())));
         }
-        for (at, event) in &self.book.events {
+        for (at, event) in &self.event_log.events {
             let seconds = at.seconds();
             match event {
                 Event::Stray { node } => {
@@ -198,12 +203,12 @@
     }
 
     fn nothing_after(&self, found: &mut Found) {
-        for shot in &self.book.shots {
+        for shot in &self.event_log.shots {
             let Some(t) = self.tries.get(shot.id.as_str()) else {
                 found.push((Rule::OneAnswer, "a shot that no client asked for", shot.id.clone()));
                 continue;
             };
-            if t.end == TryEnd::Left {
+            if t.end == ClientAttemptEnd::Left {
                 continue;
             }
             let after = shot.arrived.ms_since(t.ended);
@@ -212,7 +217,7 @@
                 found.push((Rule::OneAnswer, "sent after the final answer", what));
             }
         }
-        let leaving = Leaving::measure(self.book, self.delay_ms);
+        let leaving = Leaving::measure(self.event_log, self.delay_ms);
         if leaving.breaks() {
             found.push((Rule::OneAnswer, "sent on for clients that had left", format!("{leaving:?}")));
         }
@@ -221,7 +226,7 @@
     fn no_effect_twice(&self, found: &mut Found) {
         let mut by_id: BTreeMap<&str, usize> = BTreeMap::new();
         let mut by_key: BTreeMap<&str, usize> = BTreeMap::new();
-        for effect in &self.book.effects {
+        for effect in &self.event_log.effects {
             *by_id.entry(&effect.id).or_default() += 1;
             if let Some(key) = &effect.idempotency_key {
                 *by_key.entry(key).or_default() += 1;
@@ -231,18 +236,19 @@
             let what = format!("key {key}, {count} times");
             found.push((Rule::NoEffectTwice, "a deduplicated effect twice", what));
         }
-        for t in self.book.tries.iter().filter(|t| self.effect(t) == ProductEffect::NonIdempotent) {
+        for t in self.event_log.tries.iter().filter(|t| self.effect(t) == ProductEffect::NonIdempotent) {
             let ran = by_id.get(t.id.as_str()).copied().unwrap_or(0);
             let what = || format!("try {} at {:.3} s", t.id, t.sent.seconds());
             if ran > 1 {
                 found.push((Rule::NoEffectTwice, "a non-idempotent effect twice", what()));
             }
-            if ran > 0 && matches!(t.end, TryEnd::RateLimited { .. }) {
+            if ran > 0 && matches!(t.end, ClientAttemptEnd::RateLimited { .. }) {
                 found.push((Rule::NoEffectTwice, "rate-limited, though it ran", what()));
             }
             let mut shots: Vec<_> = self.shots_of(&t.id).to_vec();
             shots.sort_by_key(|s| s.arrived);
-            let harmless = |s: &Shot| matches!(s.end, ShotEnd::TurnedAway | ShotEnd::Lacked);
+            let harmless =
+                |s: &ServerAttempt| matches!(s.end, ServerAttemptEnd::TurnedAway | ServerAttemptEnd::Lacked);
             let risky = shots.iter().position(|s| !harmless(s));
             if risky.is_some_and(|n| n + 1 < shots.len()) {
                 found.push((Rule::NoEffectTwice, "sent again, though it may have run", what()));
@@ -268,11 +274,11 @@
     }
 
     fn drains(&self, found: &mut Found) {
-        for stop in stops(self.book) {
+        for stop in stops(self.event_log) {
             for shot in stop.shots.iter().filter(|s| !self.was_cut_off(s)) {
                 let after = shot.arrived.ms_since(stop.told);
                 if after > GRACE_MS + SLACK_MS + self.delay_ms {
-                    let name = &self.book.servers[stop.server.0].name;
+                    let name = &self.event_log.servers[stop.server.0].name;
                     let what = format!("node {} to {name}, {after:.0} ms after", stop.node.0);
                     found.push((Rule::Drains, "a new shot to a draining or gone cache", what));
                 }
@@ -281,27 +287,34 @@
     }
 
     /// Whether over two thirds of what pushed a cache over came from nodes that had been told of its start.
-    fn fell_by_the_told(&self, server: BoxId, at: Moment) -> bool {
+    fn fell_by_the_told(&self, server: ServerId, at: Timestamp) -> bool {
         let span = self.experiment.world.cache.fall_s;
         let is_start = |e: &Event| *e == Event::ColdStart { server };
-        let starts = self.book.events.iter().filter(|(then, e)| *then <= at && is_start(e));
-        let start = starts.map(|(then, _)| *then).max().unwrap_or(Moment(i64::MIN));
-        let within =
-            |s: &&Shot| s.server == server && s.arrived <= at && at.ms_since(s.arrived) <= span * 1e3;
-        let told = |s: &Shot| {
-            let of_start = |t: &&crate::book::Told| t.node == s.node && t.server == server && t.at >= start;
-            self.book.told.iter().filter(of_start).any(|t| t.listed == Listed::Ready && t.at <= s.arrived)
+        let starts = self.event_log.events.iter().filter(|(then, e)| *then <= at && is_start(e));
+        let start = starts.map(|(then, _)| *then).max().unwrap_or(Timestamp(i64::MIN));
+        let within = |s: &&ServerAttempt| {
+            s.server == server && s.arrived <= at && at.ms_since(s.arrived) <= span * 1e3
+        };
+        let told = |s: &ServerAttempt| {
+            let of_start = |t: &&crate::event_log::EndpointNotification| {
+                t.node == s.node && t.server == server && t.at >= start
+            };
+            self.event_log
+                .told
+                .iter()
+                .filter(of_start)
+                .any(|t| t.listed == Listed::Ready && t.at <= s.arrived)
         };
-        let shots: Vec<_> = self.book.shots.iter().filter(within).collect();
+        let shots: Vec<_> = self.event_log.shots.iter().filter(within).collect();
         3 * shots.iter().filter(|s| told(s)).count() > 2 * shots.len()
     }
 
     fn cold(&self, found: &mut Found) {
-        for (at, event) in &self.book.events {
+        for (at, event) in &self.event_log.events {
             let seconds = at.seconds();
             match event {
                 Event::FellOver { server } if self.fell_by_the_told(*server, *at) => {
-                    let what = format!("{} at {seconds:.3} s", self.book.servers[server.0].name);
+                    let what = format!("{} at {seconds:.3} s", self.event_log.servers[server.0].name);
                     found.push((Rule::Cold, "a cold cache pushed over", what));
                 }
                 Event::OriginOverrun => {
@@ -316,33 +329,33 @@
 /// The new shots of a node to a cache from when it was told that the cache is draining or gone.
 pub struct Stop<'a> {
     pub node: NodeId,
-    pub server: BoxId,
-    pub told: Moment,
-    pub shots: Vec<&'a Shot>,
+    pub server: ServerId,
+    pub told: Timestamp,
+    pub shots: Vec<&'a ServerAttempt>,
 }
 
-pub fn stops(book: &Book) -> Vec<Stop<'_>> {
-    let mut told: Vec<_> = book.told.iter().collect();
+pub fn stops(event_log: &EventLog) -> Vec<Stop<'_>> {
+    let mut told: Vec<_> = event_log.told.iter().collect();
     told.sort_by_key(|t| t.at);
     // From when to when each pair was told not to send.
-    let mut spans: BTreeMap<(NodeId, BoxId), Vec<(Moment, Moment)>> = BTreeMap::new();
+    let mut spans: BTreeMap<(NodeId, ServerId), Vec<(Timestamp, Timestamp)>> = BTreeMap::new();
     for t in told {
         let known = spans.entry((t.node, t.server)).or_default();
-        let barred = known.last_mut().filter(|s| s.1 == Moment(i64::MAX));
+        let barred = known.last_mut().filter(|s| s.1 == Timestamp(i64::MAX));
         match (t.listed, barred) {
             (Listed::Ready, Some(span)) => span.1 = t.at,
-            (Listed::Draining | Listed::Gone, None) => known.push((t.at, Moment(i64::MAX))),
+            (Listed::Draining | Listed::Gone, None) => known.push((t.at, Timestamp(i64::MAX))),
             _ => {}
         }
     }
-    let mut shots: HashMap<(NodeId, BoxId), Vec<&Shot>> = HashMap::new();
-    for shot in &book.shots {
+    let mut shots: HashMap<(NodeId, ServerId), Vec<&ServerAttempt>> = HashMap::new();
+    for shot in &event_log.shots {
         shots.entry((shot.node, shot.server)).or_default().push(shot);
     }
     let mut stops = Vec::new();
     for ((node, server), spans) in spans {
         for (from, to) in spans {
-            let within = |s: &&&Shot| s.arrived > from && s.arrived <= to;
+            let within = |s: &&&ServerAttempt| s.arrived > from && s.arrived <= to;
             let shots = shots.get(&(node, server)).into_iter().flatten().filter(within).copied().collect();
             stops.push(Stop { node, server, told: from, shots });
         }
--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -7,14 +7,14 @@
 use bpaf::{Parser, construct, long, positional};
 
 use crate::experiment::Experiment;
+use crate::faulty_node::{self, InjectedViolation};
 use crate::hunt::{self as search, Hunt};
-use crate::played::ON_TIME_MS;
 use crate::report;
+use crate::run_result::ON_TIME_MS;
 use crate::runs::{Ended, Options};
 use crate::schedule::Schedule;
-use crate::standin::{self, Vice};
 use crate::throughput;
-use crate::{compare as comparison, played, program, recording as recordings, runs};
+use crate::{compare as comparison, program, recording as recordings, run_result, runs};
 
 #[derive(Clone, Debug)]
 enum Command {
@@ -27,7 +27,7 @@
     Hunt { hunt: Hunt, node: Option<PathBuf> },
     Throughput { node: Option<PathBuf>, seconds: f64 },
     Relay { listen: SocketAddr, to: SocketAddr },
-    StandIn { vice: Vice, config: PathBuf },
+    StandIn { vice: InjectedViolation, config: PathBuf },
 }
 
 /// The two builds of a comparison.
@@ -42,12 +42,12 @@
     let repeat = long("repeat").help("Play each seed so often").argument("N").fallback(1);
     let node = node();
     let report = long("report").help("Write reports to this folder").argument::<PathBuf>("DIR").optional();
-    let book = long("book").help("With each report, write every record that it rests on").switch();
+    let event_log = long("book").help("With each report, write every record that it rests on").switch();
     let jobs = long("jobs").help("Play so many at a time").argument("N").fallback(1);
     let late_ms = long("late")
         .help("A rig later than this, in ms, says nothing: on a busy machine rules can still be judged");
     let late_ms = late_ms.argument("MS").fallback(ON_TIME_MS);
-    construct!(Options { seed, repeat, node, report, book, jobs, late_ms })
+    construct!(Options { seed, repeat, node, report, event_log, jobs, late_ms })
 }
 
 fn files() -> impl Parser<Vec<PathBuf>> {
@@ -159,7 +159,7 @@
 }
 
 fn stand_in() -> impl Parser<Command> {
-    let vice = long("vice").help("What it does wrong").argument::<Vice>("VICE");
+    let vice = long("vice").help("What it does wrong").argument::<InjectedViolation>("VICE");
     let config = long("config").help("As the program's").argument::<PathBuf>("FILE");
     let operator =
         long("operator").help("As the program's; it is not read").argument::<PathBuf>("FILE").optional();
@@ -184,7 +184,7 @@
         }
         Command::Throughput { node, seconds } => measure_throughput(node.as_deref(), seconds),
         Command::Relay { listen, to } => throughput::relay(listen, to).map(|()| Ended::Held),
-        Command::StandIn { vice, config } => standin::serve(vice, &config).map(|()| Ended::Held),
+        Command::StandIn { vice, config } => faulty_node::serve(vice, &config).map(|()| Ended::Held),
     };
     match ended {
         Ok(Ended::Held) => ExitCode::SUCCESS,
@@ -249,10 +249,10 @@
     let experiment = Experiment::load(file).map_err(|t| t.to_string())?;
     let node = program::node(node)?;
     let schedule = Schedule::draw(&experiment, seed);
-    let played = played::play_schedule(&experiment, &schedule, seed, &node)?;
-    let text = recordings::record(&experiment, &schedule, &played.book);
+    let played = run_result::play_schedule(&experiment, &schedule, seed, &node)?;
+    let text = recordings::record(&experiment, &schedule, &played.event_log);
     std::fs::write(out, &text).map_err(|e| format!("{}: {e}", out.display()))?;
-    let repeats = played.book.tries.len() - schedule.calls.len();
+    let repeats = played.event_log.tries.len() - schedule.calls.len();
     println!("{}: {} calls and {repeats} repeats of clients", out.display(), schedule.calls.len());
     Ok(Ended::Held)
 }
@@ -263,11 +263,11 @@
     let text = std::fs::read_to_string(recording).map_err(|e| format!("{}: {e}", recording.display()))?;
     let schedule = recordings::read(recording, &text, &experiment)?;
     let seed = options.seed.unwrap_or(experiment.seeds[0]);
-    let played = played::play_schedule(&experiment, &schedule, seed, &node)?;
+    let played = run_result::play_schedule(&experiment, &schedule, seed, &node)?;
     println!("{}", report::summary(&format!("{} replayed", experiment.name), &played.verdict));
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-replayed", experiment.name));
-        report::write(&file, &experiment, seed, &played, options.book)?;
+        report::write(&file, &experiment, seed, &played, options.event_log)?;
     }
     Ok(if played.verdict.holds() { Ended::Held } else { Ended::FellShort })
 }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -4,9 +4,9 @@
 
 use serde::Serialize;
 
-use crate::audit::Verdict;
+use crate::audit::AuditResult;
 use crate::experiment::Experiment;
-use crate::played::{ON_TIME_MS, Played, play};
+use crate::run_result::{ON_TIME_MS, RunResult, play};
 use crate::stats::{Interval, difference_of_ratios};
 
 /// Seconds that are drawn together: a fault's effect spans more than one.
@@ -43,7 +43,7 @@
     repeat: usize,
     nodes: [&Path; 2],
 ) -> Result<Comparison, String> {
-    let mut pairs: Vec<[Verdict; 2]> = Vec::new();
+    let mut pairs: Vec<[AuditResult; 2]> = Vec::new();
     for (n, seed) in seeds.iter().flat_map(|s| std::iter::repeat_n(*s, repeat.max(1))).enumerate() {
         // Which goes first changes, lest a drift of the machine's favour one.
         let (first, second) = (n % 2, 1 - n % 2);
@@ -54,7 +54,7 @@
     Ok(summed(experiment, &pairs))
 }
 
-fn on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<Played, String> {
+fn on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, String> {
     for _ in 0..AGAIN {
         let played = play(experiment, seed, node)?;
         if played.verdict.figures.rig_late_ms <= ON_TIME_MS {
@@ -64,7 +64,7 @@
     Err(format!("{} seed {seed}: the rig was late {AGAIN} times: this machine is too busy", experiment.name))
 }
 
-fn summed(experiment: &Experiment, pairs: &[[Verdict; 2]]) -> Comparison {
+fn summed(experiment: &Experiment, pairs: &[[AuditResult; 2]]) -> Comparison {
     let faults = experiment.faults();
     let from = faults.iter().map(|f| f.at_s).fold(f64::INFINITY, f64::min);
     let to = faults.iter().map(|f| f.end_s() + 5.0).fold(0.0, f64::max);
@@ -81,13 +81,16 @@
         }
         blocks
     };
-    let of =
-        |figure: &dyn Fn(&Verdict) -> f64| [0, 1].map(|s: usize| pairs.iter().map(|p| figure(&p[s])).sum());
-    let mean = |figure: &dyn Fn(&Verdict) -> f64| of(figure).map(|sum: f64| sum / pairs.len().max(1) as f64);
+    let of = |figure: &dyn Fn(&AuditResult) -> f64| {
+        [0, 1].map(|s: usize| pairs.iter().map(|p| figure(&p[s])).sum())
+    };
+    let mean =
+        |figure: &dyn Fn(&AuditResult) -> f64| of(figure).map(|sum: f64| sum / pairs.len().max(1) as f64);
     let recovery = |side: usize| {
         pairs.iter().try_fold(0.0, |most: f64, p| Some(most.max(p[side].figures.longest_recovery()?)))
     };
-    let failed = |v: &Verdict| (v.figures.errored + v.figures.lost) as f64 / v.figures.tries.max(1) as f64;
+    let failed =
+        |v: &AuditResult| (v.figures.errored + v.figures.lost) as f64 / v.figures.tries.max(1) as f64;
     Comparison {
         experiment: experiment.name.clone(),
         pairs: pairs.len(),
--- a/crates/testbed/src/book.rs
+++ b/crates/testbed/src/event_log.rs
@@ -8,30 +8,30 @@
 
 /// Microseconds since the first call was due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Moment(pub i64);
+pub struct Timestamp(pub i64);
 
-impl Moment {
-    pub fn from_s(seconds: f64) -> Moment {
-        Moment((seconds * 1e6) as i64)
+impl Timestamp {
+    pub fn from_s(seconds: f64) -> Timestamp {
+        Timestamp((seconds * 1e6) as i64)
     }
 
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    pub fn plus(self, span: Duration) -> Moment {
-        Moment(self.0 + span.as_micros() as i64)
+    pub fn plus(self, span: Duration) -> Timestamp {
+        Timestamp(self.0 + span.as_micros() as i64)
     }
 
     /// Milliseconds since `earlier`.
-    pub fn ms_since(self, earlier: Moment) -> f64 {
+    pub fn ms_since(self, earlier: Timestamp) -> f64 {
         (self.0 - earlier.0) as f64 / 1e3
     }
 }
 
 /// A server by its name in the list: one that comes back under a new name is another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct BoxId(pub usize);
+pub struct ServerId(pub usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct NodeId(pub usize);
@@ -45,12 +45,12 @@
 
 /// A letter that the relay took from a member.
 #[derive(Clone, Debug, Serialize)]
-pub struct Carried {
+pub struct RelayedMessage {
     pub from: Member,
     pub to: Member,
-    pub taken: Moment,
+    pub taken: Timestamp,
     /// When each copy of it was passed on.
-    pub passed: Vec<Moment>,
+    pub passed: Vec<Timestamp>,
     pub changed: bool,
     /// As it was passed on.
     #[serde(skip)]
@@ -59,14 +59,14 @@
 
 /// A call as its user means it; its tries share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct CallId(pub usize);
+pub struct RequestId(pub usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Version(pub u64);
 
 /// How a try ended for its client.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum TryEnd {
+pub enum ClientAttemptEnd {
     /// Whose answer it says it is, by the server's word, and which version.
     Fulfilled {
         made_for: String,
@@ -93,8 +93,8 @@
 
 /// One try of a client's.
 #[derive(Clone, Debug, Serialize)]
-pub struct Try {
-    pub call: CallId,
+pub struct ClientAttempt {
+    pub call: RequestId,
     /// From 0; later ones are the client's own repeats.
     pub nth: u8,
     pub id: String,
@@ -102,15 +102,15 @@
     pub node: NodeId,
     pub product: usize,
     pub key: u64,
-    pub due: Moment,
-    pub sent: Moment,
-    pub ended: Moment,
-    pub end: TryEnd,
+    pub due: Timestamp,
+    pub sent: Timestamp,
+    pub ended: Timestamp,
+    pub end: ClientAttemptEnd,
 }
 
 /// How a server ended a shot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum ShotEnd {
+pub enum ServerAttemptEnd {
     Answered,
     Lacked,
     /// Turned away unseen.
@@ -122,14 +122,14 @@
 
 /// A shot as the server saw it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Shot {
-    pub server: BoxId,
+pub struct ServerAttempt {
+    pub server: ServerId,
     pub node: NodeId,
     pub id: String,
     /// When its last byte had come.
-    pub arrived: Moment,
-    pub ended: Option<Moment>,
-    pub end: ShotEnd,
+    pub arrived: Timestamp,
+    pub ended: Option<Timestamp>,
+    pub end: ServerAttemptEnd,
     /// What it takes of the server, in seconds of a core when warm.
     pub work: f64,
 }
@@ -140,14 +140,14 @@
     pub id: String,
     pub idempotency_key: Option<String>,
     pub key: u64,
-    pub at: Moment,
+    pub at: Timestamp,
     pub version: Version,
 }
 
 /// A read that the origin ran.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fetch {
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -159,11 +159,11 @@
 
 /// What discovery wrote to a node.
 #[derive(Clone, Debug, Serialize)]
-pub struct Told {
+pub struct EndpointNotification {
     pub node: NodeId,
-    pub server: BoxId,
+    pub server: ServerId,
     pub listed: Listed,
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 /// A server that the world had.
@@ -173,14 +173,14 @@
     /// Where it stands; the origin stands nowhere.
     pub seat: Option<usize>,
     /// When it started cold, if within memory.
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
 }
 
 /// What a node used, by the system's account.
 #[derive(Clone, Debug, Serialize)]
 pub struct Usage {
     pub node: NodeId,
-    pub at: Moment,
+    pub at: Timestamp,
     pub memory_mb: f64,
     pub descriptors: usize,
     pub cpu_s: f64,
@@ -224,11 +224,11 @@
     },
     /// A cache is back cold, under its name.
     ColdStart {
-        server: BoxId,
+        server: ServerId,
     },
     /// A cold cache was pushed over.
     FellOver {
-        server: BoxId,
+        server: ServerId,
     },
     /// The origin stopped for being asked too much.
     OriginOverrun,
@@ -245,16 +245,16 @@
 
 /// All records of a run.
 #[derive(Debug, Default, Serialize)]
-pub struct Book {
+pub struct EventLog {
     pub servers: Vec<ServerInfo>,
-    pub tries: Vec<Try>,
-    pub shots: Vec<Shot>,
+    pub tries: Vec<ClientAttempt>,
+    pub shots: Vec<ServerAttempt>,
     pub effects: Vec<Effect>,
     pub fetches: Vec<Fetch>,
-    pub told: Vec<Told>,
+    pub told: Vec<EndpointNotification>,
     pub usage: Vec<Usage>,
-    pub events: Vec<(Moment, Event)>,
-    pub letters: Vec<Carried>,
+    pub events: Vec<(Timestamp, Event)>,
+    pub letters: Vec<RelayedMessage>,
     /// What letters are signed with.
     #[serde(skip)]
     pub secret: Vec<u8>,
@@ -266,30 +266,30 @@
 
 /// The book while it is written, and the clock that all its writers go by.
 #[derive(Clone)]
-pub struct Scribe {
+pub struct EventLogWriter {
     start: Instant,
     /// Unix time then, in milliseconds.
     pub unix_start_ms: u64,
-    book: Arc<Mutex<Book>>,
+    event_log: Arc<Mutex<EventLog>>,
 }
 
-impl Scribe {
+impl EventLogWriter {
     /// The first call is due at `start`, which may lie ahead.
-    pub fn new(start: Instant) -> Scribe {
+    pub fn new(start: Instant) -> EventLogWriter {
         let unix = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
         let ahead = start.saturating_duration_since(Instant::now());
-        Scribe { start, unix_start_ms: (unix + ahead).as_millis() as u64, book: Arc::default() }
+        EventLogWriter { start, unix_start_ms: (unix + ahead).as_millis() as u64, event_log: Arc::default() }
     }
 
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         let now = Instant::now();
         match now.checked_duration_since(self.start) {
-            Some(since) => Moment(since.as_micros() as i64),
-            None => Moment(-((self.start - now).as_micros() as i64)),
+            Some(since) => Timestamp(since.as_micros() as i64),
+            None => Timestamp(-((self.start - now).as_micros() as i64)),
         }
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
+    pub fn instant(&self, at: Timestamp) -> Instant {
         if at.0 >= 0 {
             self.start + Duration::from_micros(at.0 as u64)
         } else {
@@ -298,8 +298,8 @@
     }
 
     /// A writer that panicked leaves records that are whole.
-    pub fn write<T>(&self, what: impl FnOnce(&mut Book) -> T) -> T {
-        what(&mut self.book.lock().unwrap_or_else(PoisonError::into_inner))
+    pub fn write<T>(&self, what: impl FnOnce(&mut EventLog) -> T) -> T {
+        what(&mut self.event_log.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     pub fn event(&self, event: Event) {
@@ -308,16 +308,24 @@
     }
 
     /// A shot has come; its end is written under the number that this gives.
-    pub fn shot(&self, server: BoxId, node: NodeId, id: &str, work: f64) -> usize {
+    pub fn shot(&self, server: ServerId, node: NodeId, id: &str, work: f64) -> usize {
         let arrived = self.now();
-        let shot = Shot { server, node, id: id.into(), arrived, ended: None, end: ShotEnd::Dropped, work };
+        let shot = ServerAttempt {
+            server,
+            node,
+            id: id.into(),
+            arrived,
+            ended: None,
+            end: ServerAttemptEnd::Dropped,
+            work,
+        };
         self.write(|b| {
             b.shots.push(shot);
             b.shots.len() - 1
         })
     }
 
-    pub fn shot_ended(&self, number: usize, end: ShotEnd) {
+    pub fn shot_ended(&self, number: usize, end: ServerAttemptEnd) {
         let now = self.now();
         self.write(|b| {
             if let Some(shot) = b.shots.get_mut(number) {
@@ -327,7 +335,7 @@
     }
 
     /// Takes the book away; what is written later is lost.
-    pub fn close(&self) -> Book {
+    pub fn close(&self) -> EventLog {
         self.write(std::mem::take)
     }
 }
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 
 use super::Experiment;
-use crate::forms::Step;
+use crate::shard_map_reference::Step;
 
 /// What breaks. Each says which of the fault's keys it heeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
--- a/crates/testbed/src/standin.rs
+++ b/crates/testbed/src/faulty_node.rs
@@ -17,7 +17,7 @@
 /// What it does wrong, to every so many calls that give it the chance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Vice {
+pub enum InjectedViolation {
     /// Nothing: the control.
     None,
     /// Leaves calls without an answer.
@@ -52,11 +52,11 @@
     Favour,
 }
 
-impl std::str::FromStr for Vice {
+impl std::str::FromStr for InjectedViolation {
     type Err = serde::de::value::Error;
 
-    fn from_str(word: &str) -> Result<Vice, serde::de::value::Error> {
-        Vice::deserialize(word.into_deserializer())
+    fn from_str(word: &str) -> Result<InjectedViolation, serde::de::value::Error> {
+        InjectedViolation::deserialize(word.into_deserializer())
     }
 }
 
@@ -64,7 +64,7 @@
 const EVERY: usize = 9;
 
 struct Node {
-    vice: Vice,
+    vice: InjectedViolation,
     name: String,
     listen: SocketAddr,
     /// Ready caches by name, in the order they were listed in; and the origin.
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// What kept it from serving.
-pub fn serve(vice: Vice, config: &Path) -> Result<(), String> {
+pub fn serve(vice: InjectedViolation, config: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(config).map_err(|e| e.to_string())?;
     let config: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
     let address = |key: &str| -> Result<SocketAddr, String> {
@@ -150,7 +150,7 @@
             }
             let mut caches = node.caches.lock().ok()?;
             let name = text("uid");
-            if node.vice != Vice::Undrained {
+            if node.vice != InjectedViolation::Undrained {
                 caches.retain(|(n, _)| *n != name);
             }
             if text("state") == "active" {
@@ -192,15 +192,15 @@
         let turn = self.calls.fetch_add(1, Ordering::Relaxed) % EVERY == EVERY - 1;
         let origin = (*self.origin.lock().ok()?)?;
         match self.vice {
-            Vice::Mute if turn => std::future::pending().await,
-            Vice::Close if turn => return None,
-            Vice::Favour if self.name != "node-0" => return Some(whole(429, "")),
-            Vice::Unheeding => tokio::time::sleep(Duration::from_millis(550)).await,
-            Vice::Late if turn => tokio::time::sleep(Duration::from_millis(1070)).await,
+            InjectedViolation::Mute if turn => std::future::pending().await,
+            InjectedViolation::Close if turn => return None,
+            InjectedViolation::Favour if self.name != "node-0" => return Some(whole(429, "")),
+            InjectedViolation::Unheeding => tokio::time::sleep(Duration::from_millis(550)).await,
+            InjectedViolation::Late if turn => tokio::time::sleep(Duration::from_millis(1070)).await,
             _ => {}
         }
         let cache = self.cache(&key);
-        if self.vice == Vice::SecondCopy
+        if self.vice == InjectedViolation::SecondCopy
             && !write
             && turn
             && let Some((first, second)) = cache.zip(self.cache(&format!("{key}x")))
@@ -208,7 +208,7 @@
             let (answer, _) = tokio::join!(shoot(first, call), shoot(second, call));
             return answer.map(|(status, body)| whole(status, &body));
         }
-        let mut answer = match cache.filter(|_| !write && self.vice != Vice::Stampede) {
+        let mut answer = match cache.filter(|_| !write && self.vice != InjectedViolation::Stampede) {
             Some(cache) => shoot(cache, call).await.filter(|(status, _)| *status == 200),
             None => None,
         };
@@ -218,23 +218,26 @@
         let (status, body) = answer.unwrap_or((502, String::new()));
         let answer = whole(status, &body);
         match self.vice {
-            Vice::Resend if write && once => {
+            InjectedViolation::Resend if write && once => {
                 shoot(origin, call).await;
             }
-            Vice::RateLimitRan if write && once && turn => return Some(whole(429, "")),
-            Vice::SecondAnswer if turn => return Some(format!("{answer}{answer}")),
-            Vice::ShotAfter if turn && !write => {
+            InjectedViolation::RateLimitRan if write && once && turn => return Some(whole(429, "")),
+            InjectedViolation::SecondAnswer if turn => return Some(format!("{answer}{answer}")),
+            InjectedViolation::ShotAfter if turn && !write => {
                 let (at, call) = (cache.unwrap_or(origin), Message { body: Vec::new(), ..call.copy() });
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(200)).await;
                     shoot(at, &call).await;
                 });
             }
-            Vice::Stale | Vice::Another if !write => {
+            InjectedViolation::Stale | InjectedViolation::Another if !write => {
                 let mut kept = self.kept.lock().ok()?;
                 let (from, body) = kept.entry(key).or_insert((id.clone(), body));
-                let said =
-                    if self.vice == Vice::Stale { body.replace(from.as_str(), &id) } else { body.clone() };
+                let said = if self.vice == InjectedViolation::Stale {
+                    body.replace(from.as_str(), &id)
+                } else {
+                    body.clone()
+                };
                 return Some(whole(200, &said));
             }
             _ => {}
@@ -246,7 +249,7 @@
         let caches = self.caches.lock().ok()?;
         let number = key.bytes().fold(7usize, |n, b| n.wrapping_mul(31).wrapping_add(usize::from(b)));
         match self.vice {
-            Vice::ColdRush => caches.last().map(|c| c.1),
+            InjectedViolation::ColdRush => caches.last().map(|c| c.1),
             _ if caches.is_empty() => None,
             _ => Some(caches[number % caches.len()].1),
         }
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::audit::Verdict;
+use crate::audit::AuditResult;
 use crate::experiment::Experiment;
-use crate::played;
+use crate::run_result;
 use crate::runs::Ended;
 
 const NODES: usize = 6;
@@ -180,7 +180,7 @@
 }
 
 /// What a timeline broke: the kinds of breaches, and the sum of leases.
-pub fn broke(verdict: &Verdict) -> Vec<String> {
+pub fn broke(verdict: &AuditResult) -> Vec<String> {
     let mut broke: Vec<String> = verdict
         .breaches
         .iter()
@@ -195,10 +195,10 @@
 ///
 /// # Errors
 /// What kept it from being played, or that the rig was late each time.
-pub fn play(timeline: &Timeline, node: &Path) -> Result<Verdict, String> {
+pub fn play(timeline: &Timeline, node: &Path) -> Result<AuditResult, String> {
     let experiment = timeline.experiment()?;
     for _ in 0..=AGAIN {
-        let verdict = played::play(&experiment, timeline.seed, node)?.verdict;
+        let verdict = run_result::play(&experiment, timeline.seed, node)?.verdict;
         let figures = &verdict.figures;
         if figures.rig_late_ms <= LATE_MS && figures.rig_stalled_ms <= STALLED_MS {
             return Ok(verdict);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,21 +2,21 @@
 //! faults, and an auditor that judges from the stand-ins' books alone. It shares no code with the program.
 
 pub mod audit;
-pub mod book;
 pub mod command;
 pub mod compare;
+pub mod event_log;
 pub mod experiment;
-pub mod forms;
-pub mod growing;
+pub mod faulty_node;
 pub mod hunt;
-pub mod letters;
-pub mod played;
+pub mod message_reference;
 pub mod program;
 pub mod recording;
 pub mod report;
+pub mod run_result;
 pub mod runs;
 pub mod schedule;
-pub mod standin;
+pub mod shard_map_reference;
+pub mod shard_workload;
 pub mod stats;
 pub mod throughput;
 pub mod world;
--- a/crates/testbed/src/letters.rs
+++ b/crates/testbed/src/message_reference.rs
@@ -65,16 +65,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum AuditResult {
     Fails { ago: u64 },
-    Try { ago: u64 },
+    ClientAttempt { ago: u64 },
     Answers { ago: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Health {
     Report { number: u64, part: Part, caches: Vec<Seen> },
-    Plan { version: u64, part: Part, forwarders: u64, verdicts: Vec<(u64, Verdict)> },
+    Plan { version: u64, part: Part, forwarders: u64, verdicts: Vec<(u64, AuditResult)> },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::book::Book;
+use crate::event_log::EventLog;
 use crate::experiment::Experiment;
 use crate::schedule::{Planned, Schedule};
 
@@ -35,9 +35,9 @@
 }
 
 /// The recording of a run, in order of time.
-pub fn record(experiment: &Experiment, schedule: &Schedule, book: &Book) -> String {
+pub fn record(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> String {
     let mut lines: Vec<Line> = Vec::new();
-    for t in &book.tries {
+    for t in &event_log.tries {
         let call = schedule.call(t.call);
         lines.push(Line {
             // A first try came when it was due; the rig's lateness is no part of the traffic.
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -7,12 +7,12 @@
 
 use serde_json::json;
 
-use crate::audit::Verdict;
+use crate::audit::AuditResult;
 use crate::experiment::Experiment;
-use crate::played::Played;
+use crate::run_result::RunResult;
 
 /// A line, and one more for each thing that did not hold.
-pub fn summary(name: &str, verdict: &Verdict) -> String {
+pub fn summary(name: &str, verdict: &AuditResult) -> String {
     let f = &verdict.figures;
     let word = if verdict.holds() { "held" } else { "FELL SHORT" };
     let recovery = match (f.recoveries.is_empty(), f.longest_recovery()) {
@@ -81,7 +81,7 @@
     file: &Path,
     experiment: &Experiment,
     seed: u64,
-    played: &Played,
+    played: &RunResult,
     whole_book: bool,
 ) -> Result<(), String> {
     let told = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
@@ -90,15 +90,15 @@
     }
     let report = json!({
         "experiment": experiment.name, "about": experiment.about, "seed": seed, "verdict": played.verdict,
-        "events": played.book.events, "holds": played.verdict.holds(),
+        "events": played.event_log.events, "holds": played.verdict.holds(),
     });
     let path = file.with_extension("json");
     std::fs::write(&path, format!("{report:#}")).map_err(|e| told(&path, e))?;
     if whole_book {
         let path = file.with_extension("book.json");
-        std::fs::write(&path, json!(played.book).to_string()).map_err(|e| told(&path, e))?;
+        std::fs::write(&path, json!(played.event_log).to_string()).map_err(|e| told(&path, e))?;
     }
-    let page = page::page(experiment, seed, &played.verdict, &played.book.events)?;
+    let page = page::page(experiment, seed, &played.verdict, &played.event_log.events)?;
     let path = file.with_extension("html");
     std::fs::write(&path, page).map_err(|e| told(&path, e))
 }
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write as _;
 
 use super::plots;
-use crate::audit::Verdict;
-use crate::book::{Event, Moment};
+use crate::audit::AuditResult;
+use crate::event_log::{Event, Timestamp};
 use crate::experiment::Experiment;
 
 fn escaped(text: &str) -> String {
@@ -18,8 +18,8 @@
 pub fn page(
     experiment: &Experiment,
     seed: u64,
-    verdict: &Verdict,
-    events: &[(Moment, Event)],
+    verdict: &AuditResult,
+    events: &[(Timestamp, Event)],
 ) -> Result<String, String> {
     let mut page = String::new();
     let f = &verdict.figures;
--- a/crates/testbed/src/played.rs
+++ b/crates/testbed/src/run_result.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use crate::audit::{self, Verdict};
-use crate::book::Book;
+use crate::audit::{self, AuditResult};
+use crate::event_log::EventLog;
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
 use crate::world::{self, Front, Run};
@@ -12,16 +12,16 @@
 pub const ON_TIME_MS: f64 = 2.0;
 
 /// One experiment played with one seed.
-pub struct Played {
-    pub verdict: Verdict,
-    pub book: Book,
+pub struct RunResult {
+    pub verdict: AuditResult,
+    pub event_log: EventLog,
 }
 
 /// Plays an experiment with a seed and judges it.
 ///
 /// # Errors
 /// Whatever kept it from being played.
-pub fn play(experiment: &Experiment, seed: u64, node: &Path) -> Result<Played, String> {
+pub fn play(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, String> {
     let schedule = Schedule::draw(experiment, seed);
     play_schedule(experiment, &schedule, seed, node)
 }
@@ -35,26 +35,28 @@
     schedule: &Schedule,
     seed: u64,
     node: &Path,
-) -> Result<Played, String> {
+) -> Result<RunResult, String> {
     let folder = world::scratch(&experiment.name, seed);
-    let book = world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
+    let event_log =
+        world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
     let undisturbed = match experiment.expect.loss {
         Some(_) => Some(undisturbed(experiment, schedule, seed, node)?),
         None => None,
     };
-    let verdict = audit::judge_beside(experiment, schedule, &book, undisturbed);
+    let verdict = audit::judge_beside(experiment, schedule, &event_log, undisturbed);
     if verdict.holds() {
         // What nodes logged is kept only where something is to be looked into.
         let _ = std::fs::remove_dir_all(&folder);
     }
-    Ok(Played { verdict, book })
+    Ok(RunResult { verdict, event_log })
 }
 
 /// The service on the same calls with nothing befalling planners and letters.
 fn undisturbed(experiment: &Experiment, schedule: &Schedule, seed: u64, node: &Path) -> Result<f64, String> {
     let experiment = &experiment.without_planners_faults();
     let folder = world::scratch(&experiment.name, seed);
-    let book = world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
+    let event_log =
+        world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
     let _ = std::fs::remove_dir_all(&folder);
-    Ok(audit::judge(experiment, schedule, &book).figures.service)
+    Ok(audit::judge(experiment, schedule, &event_log).figures.service)
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -7,7 +7,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 
 use crate::experiment::Experiment;
-use crate::played::play;
+use crate::run_result::play;
 use crate::{report, world};
 
 /// A run for which the rig was late is played again so often.
@@ -28,7 +28,7 @@
     pub repeat: usize,
     pub node: Option<PathBuf>,
     pub report: Option<PathBuf>,
-    pub book: bool,
+    pub event_log: bool,
     pub jobs: usize,
     /// A rig that began its calls later than this, in milliseconds, says nothing.
     pub late_ms: f64,
@@ -88,7 +88,7 @@
     let mut text = report::summary(&name, &played.verdict);
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-{seed}-{n}", experiment.name));
-        if let Err(trouble) = report::write(&file, experiment, seed, &played, options.book) {
+        if let Err(trouble) = report::write(&file, experiment, seed, &played, options.event_log) {
             return (format!("{name}: {trouble}"), Ended::CouldNotRun);
         }
     }
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -7,9 +7,9 @@
 use rand_distr::{Distribution, Exp1, Zipf};
 use serde::{Deserialize, Serialize};
 
-use crate::book::{CallId, Moment, NodeId};
+use crate::event_log::{NodeId, RequestId, Timestamp};
 use crate::experiment::{Experiment, Load};
-use crate::growing;
+use crate::shard_workload;
 
 /// A call as it is to be asked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,8 +35,8 @@
 }
 
 impl Planned {
-    pub fn due(&self) -> Moment {
-        Moment(self.at_us)
+    pub fn due(&self) -> Timestamp {
+        Timestamp(self.at_us)
     }
 
     pub fn node(&self) -> NodeId {
@@ -100,7 +100,7 @@
                 calls.extend(kept.then_some(call));
             }
         }
-        calls.extend(growing::calls(experiment, seed));
+        calls.extend(shard_workload::calls(experiment, seed));
         // Stable: without shards that grow nothing changes.
         calls.sort_by_key(|c| c.at_us);
         Schedule { calls }
@@ -112,7 +112,7 @@
         self.calls.iter().map(line).collect()
     }
 
-    pub fn call(&self, id: CallId) -> &Planned {
+    pub fn call(&self, id: RequestId) -> &Planned {
         &self.calls[id.0]
     }
 }
--- a/crates/testbed/src/forms.rs
+++ b/crates/testbed/src/shard_map_reference.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::letters::cache_number;
+use crate::message_reference::cache_number;
 
 /// Among letters.
 pub const GROWTH: u8 = 4;
--- a/crates/testbed/src/growing.rs
+++ b/crates/testbed/src/shard_workload.rs
@@ -6,8 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::experiment::{Experiment, GrowthForm, ProductEffect};
-use crate::forms::{FIRST_KEY, VALUE_BYTES, keys_of};
 use crate::schedule::{Planned, mixed};
+use crate::shard_map_reference::{FIRST_KEY, VALUE_BYTES, keys_of};
 
 /// Beside what is in an answer anyway, about a hundred bytes.
 pub fn pad(key: u64) -> String {
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -8,9 +8,9 @@
 use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::book::{Book, TryEnd};
+use crate::event_log::{ClientAttemptEnd, EventLog};
 use crate::experiment::Experiment;
-use crate::played::ON_TIME_MS;
+use crate::run_result::ON_TIME_MS;
 use crate::schedule::Schedule;
 use crate::world::{self, Front, Run};
 
@@ -55,22 +55,22 @@
     Experiment::read(Path::new("throughput"), &text).map_err(|t| t.to_string())
 }
 
-fn measure(book: &Book, rate: f64) -> Point {
+fn measure(event_log: &EventLog, rate: f64) -> Point {
     let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
-    let counted: Vec<_> = book.tries.iter().filter(|t| t.due.seconds() >= LEARNS_S).collect();
+    let counted: Vec<_> = event_log.tries.iter().filter(|t| t.due.seconds() >= LEARNS_S).collect();
     let fulfilled: Vec<_> =
-        counted.iter().filter(|t| matches!(t.end, TryEnd::Fulfilled { .. })).copied().collect();
+        counted.iter().filter(|t| matches!(t.end, ClientAttemptEnd::Fulfilled { .. })).copied().collect();
     for t in &fulfilled {
         latencies.saturating_record((t.ended.ms_since(t.sent) * 1000.0) as u64);
     }
     let mut late = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
-    book.lateness.iter().for_each(|us| late.saturating_record(*us));
-    let cpu = book.usage.last().map_or(0.0, |u| u.cpu_s);
+    event_log.lateness.iter().for_each(|us| late.saturating_record(*us));
+    let cpu = event_log.usage.last().map_or(0.0, |u| u.cpu_s);
     Point {
         rate,
         p50_ms: latencies.value_at_quantile(0.5) as f64 / 1000.0,
         p99_ms: latencies.value_at_quantile(0.99) as f64 / 1000.0,
-        cpu_us_a_call: cpu * 1e6 / book.tries.len().max(1) as f64,
+        cpu_us_a_call: cpu * 1e6 / event_log.tries.len().max(1) as f64,
         fulfilled: fulfilled.len() as f64 / counted.len().max(1) as f64,
         rig_late_ms: late.value_at_quantile(0.999) as f64 / 1000.0,
     }
@@ -81,9 +81,9 @@
     let schedule = Schedule::draw(&experiment, seed);
     let folder = world::scratch("throughput", seed);
     let run = Run { experiment: &experiment, schedule: &schedule, seed, front, folder: &folder };
-    let book = world::play(&run)?;
+    let event_log = world::play(&run)?;
     let _ = std::fs::remove_dir_all(&folder);
-    Ok(measure(&book, rate))
+    Ok(measure(&event_log, rate))
 }
 
 /// The best of a few runs for which the rig was on time; none where it was late in all.
--- a/crates/testbed/src/world/liar.rs
+++ b/crates/testbed/src/world/byzantine_planner.rs
@@ -8,7 +8,9 @@
 
 use super::planner::number_of;
 use crate::experiment::Lie;
-use crate::letters::{self, Beat, Health, Hindsight, Lease, Part, Said, Sender, Signer, Standing, Verdict};
+use crate::message_reference::{
+    self, AuditResult, Beat, Health, Hindsight, Lease, Part, Said, Sender, Signer, Standing,
+};
 
 const BEATS: Duration = Duration::from_millis(300);
 /// More members than a world has are none of it.
@@ -33,18 +35,18 @@
         tokio::select! {
             _ = beat.tick() => {
                 for to in &heard {
-                    let letter = letters::write(&secret, letters::MEMBERS, sender(), &Beat::Beat);
+                    let letter = message_reference::write(&secret, message_reference::MEMBERS, sender(), &Beat::Beat);
                     let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     version += 1;
-                    let verdicts = caches.iter().map(|c| (*c, Verdict::Fails { ago: 0 })).collect();
+                    let verdicts = caches.iter().map(|c| (*c, AuditResult::Fails { ago: 0 })).collect();
                     let plan = Health::Plan { version, part: Part(0, 1), forwarders: 99, verdicts };
-                    let letter = letters::write(&secret, letters::VERDICTS, sender(), &plan);
+                    let letter = message_reference::write(&secret, message_reference::VERDICTS, sender(), &plan);
                     if lie == Lie::Verdicts {
                         let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     }
                     let worse = |c: &u64| Said { cache: *c, product: 0, standing: Standing::Worse, more: 3.0, low: 2.0, high: 4.0 };
                     let said = Hindsight::Times(caches.iter().map(worse).collect());
-                    let letter = letters::write(&secret, letters::HINDSIGHT, sender(), &said);
+                    let letter = message_reference::write(&secret, message_reference::HINDSIGHT, sender(), &said);
                     if lie == Lie::Standings {
                         let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     }
@@ -56,16 +58,16 @@
                     heard.insert(from);
                 }
                 if let Some((_, Health::Report { caches: seen, .. })) =
-                    letters::read(&secret, letters::VERDICTS, &bytes[..count])
+                    message_reference::read(&secret, message_reference::VERDICTS, &bytes[..count])
                 {
                     caches.extend(seen.iter().map(|s| s.cache).take(NAMED - caches.len().min(NAMED)));
                 }
-                let read = letters::read::<Lease>(&secret, letters::LEASES, &bytes[..count]);
+                let read = message_reference::read::<Lease>(&secret, message_reference::LEASES, &bytes[..count]);
                 let (Some((_, Lease::Ask { ask, needs })), Lie::Grants) = (read, lie) else { continue };
-                let all = |r| whole[usize::from(r != letters::Resource::Origin)];
+                let all = |r| whole[usize::from(r != message_reference::Resource::Origin)];
                 let granted = needs.iter().map(|n| (n.resource, all(n.resource))).collect();
                 let grant = Lease::Grant { ask, granted, lasts };
-                let letter = letters::write(&secret, letters::LEASES, sender(), &grant);
+                let letter = message_reference::write(&secret, message_reference::LEASES, sender(), &grant);
                 let _ = socket.send_to(&letter.unwrap_or_default(), from).await;
             }
         }
--- a/crates/testbed/src/world/cache.rs
+++ b/crates/testbed/src/world/cache.rs
@@ -10,11 +10,11 @@
 use lru::LruCache;
 use tokio::sync::watch;
 
-use super::bench::{Bench, Window};
-use super::door::{Answers, Door, Peer, Reply, Stance};
+use super::listener::{Answers, Door, Peer, Reply, Stance};
 use super::origin::{Origin, Recorded, Spoilt, answer_or_spoil};
+use super::service_queue::{Bench, Window};
 use super::wire::{self, Call};
-use crate::book::{BoxId, Event, Moment, Scribe, ShotEnd, Version};
+use crate::event_log::{Event, EventLogWriter, ServerAttemptEnd, ServerId, Timestamp, Version};
 use crate::experiment::CacheForm;
 
 /// A box that fell over is back after this, cold.
@@ -22,8 +22,8 @@
 
 /// What stands at a seat until it goes or loses its memory.
 struct Standing {
-    id: BoxId,
-    started: Option<Moment>,
+    id: ServerId,
+    started: Option<Timestamp>,
     values: Mutex<LruCache<u64, Version>>,
     bench: Bench,
     work: Window,
@@ -34,7 +34,7 @@
 pub struct Seat {
     pub number: usize,
     form: CacheForm,
-    scribe: Scribe,
+    event_log: EventLogWriter,
     origin: Arc<Origin>,
     standing: Mutex<Arc<Standing>>,
     pub doors: OnceLock<Vec<Door>>,
@@ -44,7 +44,7 @@
 }
 
 impl Standing {
-    fn new(form: &CacheForm, id: BoxId, started: Option<Moment>) -> Arc<Standing> {
+    fn new(form: &CacheForm, id: ServerId, started: Option<Timestamp>) -> Arc<Standing> {
         let values = NonZeroUsize::new(form.values).unwrap_or(NonZeroUsize::MIN);
         Arc::new(Standing {
             id,
@@ -58,7 +58,7 @@
     }
 
     /// The share of its speed that it has.
-    fn warmth(&self, form: &CacheForm, now: Moment) -> f64 {
+    fn warmth(&self, form: &CacheForm, now: Timestamp) -> f64 {
         let age = self.started.map_or(f64::INFINITY, |s| now.ms_since(s) / 1e3);
         form.cold_from + (1.0 - form.cold_from) * (age / form.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
     }
@@ -68,16 +68,16 @@
     pub fn new(
         number: usize,
         form: CacheForm,
-        scribe: Scribe,
+        event_log: EventLogWriter,
         origin: Arc<Origin>,
-        id: BoxId,
-        started: Option<Moment>,
+        id: ServerId,
+        started: Option<Timestamp>,
     ) -> Seat {
         let standing = Mutex::new(Standing::new(&form, id, started));
         Seat {
             number,
             form,
-            scribe,
+            event_log,
             origin,
             standing,
             doors: OnceLock::new(),
@@ -91,18 +91,18 @@
         self.standing.lock().expect("no holder panics").clone()
     }
 
-    pub fn id(&self) -> BoxId {
+    pub fn id(&self) -> ServerId {
         self.standing().id
     }
 
-    pub fn started(&self) -> Option<Moment> {
+    pub fn started(&self) -> Option<Timestamp> {
         self.standing().started
     }
 
     /// A new box, or the same one come back cold, stands here from now on.
-    pub fn stand(&self, id: BoxId, started: Option<Moment>) {
+    pub fn stand(&self, id: ServerId, started: Option<Timestamp>) {
         if started.is_some() {
-            self.scribe.event(Event::ColdStart { server: id });
+            self.event_log.event(Event::ColdStart { server: id });
         }
         *self.standing.lock().expect("no holder panics") = Standing::new(&self.form, id, started);
     }
@@ -144,12 +144,12 @@
             Err(status) => return Ok(wire::plain(status)),
         };
         let standing = self.standing();
-        let shot = Recorded::new(&self.scribe, standing.id, &peer, &call, self.form.hit_ms / 1000.0);
+        let shot = Recorded::new(&self.event_log, standing.id, &peer, &call, self.form.hit_ms / 1000.0);
         if peer.calls.fetch_add(1, Ordering::Relaxed) == 0 && self.form.connect_ms > 0.0 {
             tokio::time::sleep(Duration::from_secs_f64(self.form.connect_ms / 1000.0)).await;
         }
         if standing.draining.load(Ordering::Relaxed) {
-            shot.end(ShotEnd::TurnedAway);
+            shot.end(ServerAttemptEnd::TurnedAway);
             return Ok(wire::turned_away());
         }
         self.weigh(&standing);
@@ -157,10 +157,10 @@
         let span = || {
             let slowed = self.slowed.load(Ordering::Relaxed) as f64 / 1000.0;
             let ms = self.form.hit_ms * slowed * (0.5 + wire::chance_of(&call.id, 5));
-            Duration::from_secs_f64(ms / 1000.0 / standing.warmth(&self.form, self.scribe.now()))
+            Duration::from_secs_f64(ms / 1000.0 / standing.warmth(&self.form, self.event_log.now()))
         };
         if standing.bench.run(span).await.is_err() {
-            shot.end(ShotEnd::TurnedAway);
+            shot.end(ServerAttemptEnd::TurnedAway);
             return Ok(wire::turned_away());
         }
         // Hung in the midst of it, it keeps its answers too.
@@ -174,7 +174,7 @@
                 if !call.write {
                     self.origin.note_missed(&call.id, &self);
                 }
-                shot.end(ShotEnd::Lacked);
+                shot.end(ServerAttemptEnd::Lacked);
                 Ok(wire::plain(404))
             }
         }
@@ -182,7 +182,7 @@
 
     /// Weighs what a cold box is sent; too much pushes it over.
     fn weigh(self: &Arc<Self>, standing: &Arc<Standing>) {
-        let now = self.scribe.now();
+        let now = self.event_log.now();
         let warmth = standing.warmth(&self.form, now);
         let sent = standing.work.add(now.0, self.form.hit_ms / 1000.0);
         let mut stands = self.form.fall_multiple * self.form.cores as f64 * warmth * self.form.fall_s;
@@ -193,12 +193,12 @@
         if warmth >= 1.0 || sent <= stands || standing.fallen.swap(true, Ordering::Relaxed) {
             return;
         }
-        self.scribe.event(Event::FellOver { server: standing.id });
+        self.event_log.event(Event::FellOver { server: standing.id });
         let (seat, id) = (self.clone(), standing.id);
         tokio::spawn(async move {
             seat.set_doors(Stance::Refusing);
             tokio::time::sleep(FALLEN).await;
-            seat.stand(id, Some(seat.scribe.now()));
+            seat.stand(id, Some(seat.event_log.now()));
             seat.set_doors(Stance::Open);
         });
     }
--- a/crates/testbed/src/world/clients.rs
+++ b/crates/testbed/src/world/clients.rs
@@ -13,11 +13,11 @@
 use tokio::sync::{mpsc, watch};
 
 use super::wire::{self, Value};
-use crate::book::{CallId, Event, NodeId, Scribe, Try, TryEnd, Version};
+use crate::event_log::{ClientAttempt, ClientAttemptEnd, Event, EventLogWriter, NodeId, RequestId, Version};
 use crate::experiment::Experiment;
 use crate::experiment::ProductEffect::{Deduplicated, NonIdempotent};
-use crate::growing;
 use crate::schedule::{Planned, Schedule};
+use crate::shard_workload;
 
 /// An answer is waited for so much past the client's timeout, so that a late one can be told from none.
 const LATE: Duration = Duration::from_millis(150);
@@ -36,7 +36,7 @@
 pub struct Clients {
     experiment: Arc<Experiment>,
     schedule: Arc<Schedule>,
-    scribe: Scribe,
+    event_log: EventLogWriter,
     pools: Vec<Pool>,
     leave: watch::Receiver<Leave>,
 }
@@ -53,12 +53,12 @@
     pub fn new(
         experiment: Arc<Experiment>,
         schedule: Arc<Schedule>,
-        scribe: Scribe,
+        event_log: EventLogWriter,
         nodes: &[SocketAddr],
         leave: watch::Receiver<Leave>,
     ) -> Arc<Clients> {
         let pools = nodes.iter().map(|a| Pool { address: *a, idle: Mutex::default() }).collect();
-        Arc::new(Clients { experiment, schedule, scribe, pools, leave })
+        Arc::new(Clients { experiment, schedule, event_log, pools, leave })
     }
 
     /// Asks every call of the schedule at its time, and returns when all have ended.
@@ -68,17 +68,17 @@
         // A thread of its own: the runtime's timers go by the millisecond.
         let clock = std::thread::spawn(move || {
             for (n, call) in clients.schedule.calls.iter().enumerate() {
-                sleep_until(clients.scribe.instant(call.due()));
-                if due.send(CallId(n)).is_err() {
+                sleep_until(clients.event_log.instant(call.due()));
+                if due.send(RequestId(n)).is_err() {
                     return;
                 }
             }
         });
         let mut calls = tokio::task::JoinSet::new();
         while let Some(id) = arrivals.recv().await {
-            let now = self.scribe.now();
+            let now = self.event_log.now();
             let late = (now.0 - self.schedule.call(id).at_us).max(0) as u64;
-            self.scribe.write(|b| b.lateness.push(late));
+            self.event_log.write(|b| b.lateness.push(late));
             calls.spawn(self.clone().call(id));
             while calls.try_join_next().is_some() {}
         }
@@ -87,19 +87,19 @@
     }
 
     /// One call with its client's own repeats.
-    async fn call(self: Arc<Self>, id: CallId) {
+    async fn call(self: Arc<Self>, id: RequestId) {
         let planned = self.schedule.call(id);
         for nth in 0u8.. {
             let end = self.one_try(id, nth).await;
             let product = &self.experiment.product[planned.product];
             let again = match &end {
-                TryEnd::Fulfilled { .. } => return,
-                TryEnd::RateLimited { .. } | TryEnd::Unreached => true,
+                ClientAttemptEnd::Fulfilled { .. } => return,
+                ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::Unreached => true,
                 // Nobody repeats what may have run unless that does no harm.
                 _ => product.effect != NonIdempotent,
             };
             let Some(mut wait) = planned.wait(nth).filter(|_| again) else { return };
-            if let TryEnd::RateLimited { come_back: Some(advised) } = end
+            if let ClientAttemptEnd::RateLimited { come_back: Some(advised) } = end
                 && planned.heeds
             {
                 wait = wait.max(advised);
@@ -108,7 +108,7 @@
         }
     }
 
-    async fn one_try(&self, id: CallId, nth: u8) -> TryEnd {
+    async fn one_try(&self, id: RequestId, nth: u8) -> ClientAttemptEnd {
         let planned = self.schedule.call(id);
         let product = &self.experiment.product[planned.product];
         let timeout = Duration::from_millis(product.timeout_ms);
@@ -116,13 +116,13 @@
         let write = product.writes();
         let deduplicated = product.effect == Deduplicated;
         let idempotency_key = deduplicated.then(|| planned.idempotency_key());
-        let sent = self.scribe.now();
+        let sent = self.event_log.now();
         let asked = self.ask(&name, idempotency_key.as_deref(), planned, nth, write);
         let end = tokio::select! {
-            end = tokio::time::timeout(timeout + LATE, asked) => end.unwrap_or(TryEnd::Unanswered),
-            () = self.leaves(&name, planned.node) => TryEnd::Left,
+            end = tokio::time::timeout(timeout + LATE, asked) => end.unwrap_or(ClientAttemptEnd::Unanswered),
+            () = self.leaves(&name, planned.node) => ClientAttemptEnd::Left,
         };
-        let record = Try {
+        let record = ClientAttempt {
             call: id,
             nth,
             id: name,
@@ -132,10 +132,10 @@
             key: planned.key,
             due: planned.due(),
             sent,
-            ended: self.scribe.now(),
+            ended: self.event_log.now(),
             end: end.clone(),
         };
-        self.scribe.write(|b| b.tries.push(record));
+        self.event_log.write(|b| b.tries.push(record));
         end
     }
 
@@ -174,7 +174,7 @@
         planned: &Planned,
         nth: u8,
         write: bool,
-    ) -> TryEnd {
+    ) -> ClientAttemptEnd {
         let product = &self.experiment.product[planned.product];
         let pool = &self.pools[planned.node];
         let call = || {
@@ -195,7 +195,7 @@
             if nth > 0 && self.experiment.load.clients.marks {
                 call = call.header("X-Retried", "1");
             }
-            let body = if write { growing::written(planned.key) } else { Bytes::new() };
+            let body = if write { shard_workload::written(planned.key) } else { Bytes::new() };
             call.body(Full::new(body)).expect("a call is well formed")
         };
         let kept = if planned.once { None } else { pool.take() };
@@ -206,15 +206,15 @@
                 // The node closed it before it read this: the client asks once more on a new one, where that is
                 // harmless if it was read after all.
                 Err(fault) if fault.is_incomplete_message() && product.effect != NonIdempotent => {}
-                Err(_) => return TryEnd::Torn { used_before: true },
+                Err(_) => return ClientAttemptEnd::Torn { used_before: true },
             }
         }
         let Ok(mut sender) = self.connect(pool.address, planned.node()).await else {
-            return TryEnd::Unreached;
+            return ClientAttemptEnd::Unreached;
         };
         match sender.send_request(call()).await {
             Ok(answer) => self.read(answer, sender, planned).await,
-            Err(_) => TryEnd::Torn { used_before: false },
+            Err(_) => ClientAttemptEnd::Torn { used_before: false },
         }
     }
 
@@ -222,38 +222,39 @@
         let stream = TcpStream::connect(address).await.map_err(|_| ())?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| ())?;
-        let scribe = self.scribe.clone();
+        let event_log = self.event_log.clone();
         tokio::spawn(async move {
             if let Err(fault) = connection.await
                 && fault.to_string().contains("unexpected message")
             {
-                scribe.event(Event::Stray { node });
+                event_log.event(Event::Stray { node });
             }
         });
         Ok(sender)
     }
 
-    async fn read(&self, answer: Response<Incoming>, sender: Sender, planned: &Planned) -> TryEnd {
+    async fn read(&self, answer: Response<Incoming>, sender: Sender, planned: &Planned) -> ClientAttemptEnd {
         let (head, body) = answer.into_parts();
         let Ok(body) = Limited::new(body, 1 << 20).collect().await else {
-            return TryEnd::Torn { used_before: false };
+            return ClientAttemptEnd::Torn { used_before: false };
         };
         if !planned.once {
             self.pools[planned.node].keep(sender);
         }
         match head.status.as_u16() {
             200 => match serde_json::from_slice::<Value>(&body.to_bytes()) {
-                Ok(value) => {
-                    TryEnd::Fulfilled { made_for: value.made_for, version: Some(Version(value.version)) }
-                }
-                Err(_) => TryEnd::Fulfilled { made_for: String::new(), version: None },
+                Ok(value) => ClientAttemptEnd::Fulfilled {
+                    made_for: value.made_for,
+                    version: Some(Version(value.version)),
+                },
+                Err(_) => ClientAttemptEnd::Fulfilled { made_for: String::new(), version: None },
             },
             429 | 503 => {
                 let advised = head.headers.get("retry-after").and_then(|v| v.to_str().ok());
                 let seconds = advised.and_then(|v| v.parse::<f64>().ok()).filter(|s| (0.0..1e4).contains(s));
-                TryEnd::RateLimited { come_back: seconds.map(Duration::from_secs_f64) }
+                ClientAttemptEnd::RateLimited { come_back: seconds.map(Duration::from_secs_f64) }
             }
-            status => TryEnd::Errored { status },
+            status => ClientAttemptEnd::Errored { status },
         }
     }
 }
--- a/crates/testbed/src/world/discovery.rs
+++ b/crates/testbed/src/world/discovery.rs
@@ -15,9 +15,9 @@
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 
-use super::door::{Answers, Broken, Door, Peer, Reply, Stance};
+use super::listener::{Answers, Broken, Door, Peer, Reply, Stance};
 use super::wire;
-use crate::book::{BoxId, Listed, Moment, NodeId, Scribe, Told};
+use crate::event_log::{EndpointNotification, EventLogWriter, Listed, NodeId, ServerId, Timestamp};
 
 /// An empty line comes so often while nothing changes.
 const BEAT: Duration = Duration::from_secs(2);
@@ -28,7 +28,7 @@
 /// One server as it is listed.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub id: BoxId,
+    pub id: ServerId,
     pub uid: String,
     /// Its address for each node.
     pub endpoints: Vec<std::net::SocketAddr>,
@@ -48,11 +48,11 @@
     /// Nothing before this revision is known.
     from: u64,
     /// The names that ever were.
-    known: Vec<BoxId>,
+    known: Vec<ServerId>,
 }
 
 pub struct Discovery {
-    scribe: Scribe,
+    event_log: EventLogWriter,
     list: Mutex<List>,
     /// The list as it goes on being told while it is stale.
     stale: Mutex<Option<List>>,
@@ -64,10 +64,10 @@
 }
 
 impl Discovery {
-    pub fn new(scribe: Scribe) -> Discovery {
+    pub fn new(event_log: EventLogWriter) -> Discovery {
         let list = List { revision: 1, from: 1, ..List::default() };
         Discovery {
-            scribe,
+            event_log,
             list: Mutex::new(list),
             stale: Mutex::default(),
             changed: watch::Sender::new(0),
@@ -118,7 +118,7 @@
             changed.borrow_and_update();
             if let Some((revision, _, told)) = self.news(node, after) {
                 after = Some(revision);
-                self.scribe.write(|b| b.told.extend(told));
+                self.event_log.write(|b| b.told.extend(told));
             }
             // And whatever changes while the node goes on waiting for it to speak.
             tokio::select! {
@@ -170,11 +170,11 @@
     }
 
     /// What a watch that has heard all up to `after` is told next, if anything, and up to where it has heard then.
-    fn news(&self, node: NodeId, after: Option<u64>) -> Option<(u64, String, Vec<Told>)> {
+    fn news(&self, node: NodeId, after: Option<u64>) -> Option<(u64, String, Vec<EndpointNotification>)> {
         let stale = self.stale.lock().expect("no holder panics").clone();
         let list = stale.unwrap_or_else(|| self.list.lock().expect("no holder panics").clone());
-        let at = self.scribe.now();
-        let told = |server, listed| Told { node, server, listed, at };
+        let at = self.event_log.now();
+        let told = |server, listed| EndpointNotification { node, server, listed, at };
         let whole = after.is_none_or(|a| a < list.from || a > list.revision);
         let (targets, told): (Vec<_>, Vec<_>) = if whole {
             let gone = list.known.iter().filter(|k| list.entries.iter().all(|e| e.id != **k));
@@ -201,7 +201,7 @@
         let named = |name| query.split('&').find_map(|p| p.split_once('=').filter(|(n, _)| *n == name));
         if named("watch").is_none() {
             let (_, text, told) = self.news(node, None).ok_or(Broken)?;
-            self.scribe.write(|b| b.told.extend(told));
+            self.event_log.write(|b| b.told.extend(told));
             return Ok(Response::new(wire::body(text)));
         }
         let after = named("after").and_then(|(_, n)| n.parse().ok());
@@ -228,7 +228,7 @@
             if let Some((revision, text, told)) = self.news(node, after) {
                 after = Some(revision);
                 line = text;
-                self.scribe.write(|b| b.told.extend(told));
+                self.event_log.write(|b| b.told.extend(told));
             }
             line.push('\n');
             if lines.send(Bytes::from(line)).await.is_err() {
@@ -292,6 +292,6 @@
 }
 
 /// A server's start as lists word it.
-pub fn boot_ms(started: Option<Moment>, unix_start_ms: u64) -> u64 {
+pub fn boot_ms(started: Option<Timestamp>, unix_start_ms: u64) -> u64 {
     started.map_or(0, |s| (unix_start_ms as i64 + s.0 / 1000).max(1) as u64)
 }
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -6,14 +6,14 @@
 use rustix::process::Signal;
 
 use super::World;
+use super::byzantine_planner;
 use super::clients::Leave;
-use super::door::Stance;
 use super::growth;
-use super::liar;
 use super::link::{LinkState, Way};
+use super::listener::Stance;
+use super::malformed_clients;
 use super::origin::Spoilt;
-use super::rude;
-use crate::book::{Event, Listed, Moment, NodeId};
+use crate::event_log::{Event, Listed, NodeId, Timestamp};
 use crate::experiment::{Fault, FaultKind, Toward};
 
 /// Between two resets of a cache's connections.
@@ -30,7 +30,7 @@
 }
 
 async fn until(world: &World, seconds: f64) {
-    tokio::time::sleep_until(world.scribe.instant(Moment::from_s(seconds)).into()).await;
+    tokio::time::sleep_until(world.event_log.instant(Timestamp::from_s(seconds)).into()).await;
 }
 
 async fn one(world: Arc<World>, id: usize, fault: Fault) {
@@ -39,7 +39,7 @@
     use FaultKind::{PlannerFreeze, PlannerKill, PlannerLies, PlannerRestart};
     let what = describe(&fault, &caches);
     let Some(fault) = growth::awaits_step(&world, fault).await else { return };
-    world.scribe.event(Event::FaultBegan { what: what.clone() });
+    world.event_log.event(Event::FaultBegan { what: what.clone() });
     let mut parts = tokio::task::JoinSet::new();
     if on_each_cache(fault.kind) {
         for (n, cache) in caches.into_iter().enumerate() {
@@ -83,7 +83,7 @@
         at_world(&world, &fault, &caches, &nodes, false).await;
     }
     while parts.join_next().await.is_some() {}
-    world.scribe.event(Event::FaultEnded { what });
+    world.event_log.event(Event::FaultEnded { what });
 }
 
 fn named_or_all(named: &[usize], count: usize) -> Vec<usize> {
@@ -120,7 +120,7 @@
         (FaultKind::Reset, true) => loop {
             seat.reset_connections();
             tokio::time::sleep(RESETS).await;
-            if world.scribe.now() >= Moment::from_s(fault.at_s + fault.for_s) {
+            if world.event_log.now() >= Timestamp::from_s(fault.at_s + fault.for_s) {
                 break;
             }
         },
@@ -128,7 +128,7 @@
         (FaultKind::KnockLate, false) => seat.set_doors(Stance::Open),
         (FaultKind::Crash, true) => seat.set_doors(Stance::Refusing),
         (FaultKind::Crash, false) => {
-            seat.stand(seat.id(), Some(world.scribe.now()));
+            seat.stand(seat.id(), Some(world.event_log.now()));
             seat.set_doors(Stance::Open);
             world.list(number, Listed::Ready);
         }
@@ -153,7 +153,7 @@
 async fn at_node(world: &World, fault: &Fault, number: usize) {
     let id = NodeId(number);
     let down = |down: bool| {
-        world.scribe.event(if down { Event::NodeDown { node: id } } else { Event::NodeUp { node: id } });
+        world.event_log.event(if down { Event::NodeDown { node: id } } else { Event::NodeUp { node: id } });
     };
     let node = &world.nodes[number];
     match fault.kind {
@@ -185,8 +185,13 @@
             }
         }
         FaultKind::BadClients => {
-            rude::come(world.node_addresses[number], world.scribe.clone(), fault, world.experiment.as_ref())
-                .await;
+            malformed_clients::come(
+                world.node_addresses[number],
+                world.event_log.clone(),
+                fault,
+                world.experiment.as_ref(),
+            )
+            .await;
         }
         _ => {}
     }
@@ -196,7 +201,11 @@
     let mut planner = world.planners[number].lock().await;
     let down = |down: bool| {
         let planner = number;
-        world.scribe.event(if down { Event::PlannerDown { planner } } else { Event::PlannerUp { planner } });
+        world.event_log.event(if down {
+            Event::PlannerDown { planner }
+        } else {
+            Event::PlannerUp { planner }
+        });
     };
     down(true);
     match fault.kind {
@@ -215,7 +224,7 @@
             let whole = [leases.origin_per_s * 1e3, leases.cold_work * 1e6].map(|whole| whole as u32);
             let secret = world.secret.clone();
             let lasts = leases.lasts_ms as u32 * 1000;
-            let lies = liar::stand(number, planner.address, secret, lie, whole, lasts);
+            let lies = byzantine_planner::stand(number, planner.address, secret, lie, whole, lasts);
             tokio::select! {
                 () = lies => {}
                 () = until(world, fault.end_s()) => {}
@@ -225,7 +234,7 @@
     }
     let treated = planner.treat(fault.store).map_err(|e| e.to_string());
     if let Err(how) = treated.and_then(|()| planner.start()) {
-        world.scribe.event(Event::PlannerCrashed { planner: number, how });
+        world.event_log.event(Event::PlannerCrashed { planner: number, how });
     }
     down(false);
 }
@@ -236,11 +245,11 @@
     let mut node = world.nodes[number].lock().await;
     if starts {
         start_again(world, &mut node, None).await;
-        world.scribe.event(Event::NodeUp { node: node.id });
+        world.event_log.event(Event::NodeUp { node: node.id });
         return;
     }
     let longest = world.experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
-    world.scribe.event(Event::NodeStops { node: node.id });
+    world.event_log.event(Event::NodeStops { node: node.id });
     node.stop(Duration::from_millis(longest)).await;
 }
 
@@ -248,15 +257,15 @@
 async fn restart(world: &World, node: &mut super::Node) {
     let known = world.discovery.known_to(node.id);
     let longest = world.experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
-    world.scribe.event(Event::NodeStops { node: node.id });
+    world.event_log.event(Event::NodeStops { node: node.id });
     node.stop(Duration::from_millis(longest)).await;
     start_again(world, node, Some(known)).await;
-    world.scribe.event(Event::NodeUp { node: node.id });
+    world.event_log.event(Event::NodeUp { node: node.id });
 }
 
 async fn start_again(world: &World, node: &mut super::Node, known: Option<serde_json::Value>) {
     if let Err(how) = node.start(known).await {
-        world.scribe.event(Event::NodeCrashed { node: node.id, how });
+        world.event_log.event(Event::NodeCrashed { node: node.id, how });
     }
 }
 
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -9,11 +9,11 @@
 use super::World;
 use super::cache::Seat;
 use super::planner::number_of;
-use crate::book::{Member, Moment, Scribe, Version};
+use crate::event_log::{EventLogWriter, Member, Timestamp, Version};
 use crate::experiment::{Experiment, Fault, GrowthForm};
-use crate::forms::{GROWTH, Growth, KnownDay, Places, Step, keys_of};
-use crate::letters::{self, Sender, Signer};
+use crate::message_reference::{self, Sender, Signer};
 use crate::schedule::mixed;
+use crate::shard_map_reference::{GROWTH, Growth, KnownDay, Places, Step, keys_of};
 
 /// A planner that has not taken the days by then is not going to.
 const TAKES: Duration = Duration::from_secs(4);
@@ -30,11 +30,11 @@
 }
 
 /// The keys that there are at first, each where it stands by the table.
-pub fn preload(of: &Experiment, seats: &[Arc<Seat>], scribe: &Scribe) {
+pub fn preload(of: &Experiment, seats: &[Arc<Seat>], event_log: &EventLogWriter) {
     let Some(form) = &of.growth else { return };
     let there = &seats[..of.world.caches];
     let names: Vec<String> =
-        scribe.write(|b| there.iter().map(|seat| b.servers[seat.id().0].name.clone()).collect());
+        event_log.write(|b| there.iter().map(|seat| b.servers[seat.id().0].name.clone()).collect());
     let places = Places::of(names.iter().map(String::as_str));
     for key in form.shards.iter().flat_map(|shard| keys_of(*shard, form.keys as usize)) {
         if let Some(place) = places.place(key, 0) {
@@ -44,9 +44,9 @@
 }
 
 /// The days before the run: what a shard kept on each, give or take half a part of a hundred.
-fn known(form: &GrowthForm, of: &Experiment, scribe: &Scribe, shard: u8) -> Vec<KnownDay> {
+fn known(form: &GrowthForm, of: &Experiment, event_log: &EventLogWriter, shard: u8) -> Vec<KnownDay> {
     let day_ms = 1000.0 / of.days_at(1.0).max(1e-9);
-    let start = scribe.unix_start_ms as f64 / day_ms;
+    let start = event_log.unix_start_ms as f64 / day_ms;
     let today = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as f64 / day_ms;
     // Two of the last may be counted still.
     let last = today as u32 - 2;
@@ -54,7 +54,7 @@
     days.map(|day| {
         let drawn = (mixed(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
         let keys = form.keys_on(f64::from(day) - start) * (0.995 + 0.01 * drawn);
-        (day, (keys * crate::forms::VALUE_BYTES as f64) as f32, keys as f32)
+        (day, (keys * crate::shard_map_reference::VALUE_BYTES as f64) as f32, keys as f32)
     })
     .collect()
 }
@@ -73,19 +73,21 @@
     let mut number = 0;
     while began.elapsed() < TAKES {
         for shard in &form.shards {
-            for days in known(form, &world.experiment, &world.scribe, *shard).chunks(IN_A_LETTER) {
+            for days in known(form, &world.experiment, &world.event_log, *shard).chunks(IN_A_LETTER) {
                 number += 1;
                 let sender = Sender { member: Signer::Planner(number_of(1)), life: 1, number };
                 let message = Growth::Ended { shard: *shard, days: days.to_vec() };
-                let letter = letters::write(secret, GROWTH, sender, &message).unwrap_or_default();
+                let letter = message_reference::write(secret, GROWTH, sender, &message).unwrap_or_default();
                 let _ = socket.send_to(&letter, address).await;
             }
         }
         tokio::time::sleep(AGAIN).await;
         // What it tells the others it has.
-        let told = world.scribe.write(|b| {
-            let from = |l: &&crate::book::Carried| l.from == Member::Planner(0);
-            let read = |l: &crate::book::Carried| letters::read::<Growth>(secret, GROWTH, &l.bytes);
+        let told = world.event_log.write(|b| {
+            let from = |l: &&crate::event_log::RelayedMessage| l.from == Member::Planner(0);
+            let read = |l: &crate::event_log::RelayedMessage| {
+                message_reference::read::<Growth>(secret, GROWTH, &l.bytes)
+            };
             let told = b.letters.iter().filter(from).filter_map(read);
             let shards = told
                 .filter_map(|(_, m)| if let Growth::Ended { shard, .. } = m { Some(shard) } else { None });
@@ -101,15 +103,15 @@
 /// The fault with the time at which it comes about: at its own, or when a node is told of its step after that. None where
 /// that never was.
 pub async fn awaits_step(world: &World, mut fault: Fault) -> Option<Fault> {
-    tokio::time::sleep_until(world.scribe.instant(Moment::from_s(fault.at_s)).into()).await;
+    tokio::time::sleep_until(world.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
     let Some(step) = fault.at_step else { return Some(fault) };
     let mut seen = 0;
     loop {
-        let now = world.scribe.now().seconds();
+        let now = world.event_log.now().seconds();
         if now + fault.for_s > world.experiment.seconds {
             return None;
         }
-        let told = world.scribe.write(|b| {
+        let told = world.event_log.write(|b| {
             let new = b.letters[seen.min(b.letters.len())..].iter();
             let to_node = new.filter(|l| matches!(l.to, Member::Node(_))).map(|l| l.bytes.clone());
             let letters: Vec<Vec<u8>> = to_node.collect();
@@ -125,7 +127,7 @@
 }
 
 fn tells_of(secret: &[u8], letter: &[u8], step: Step) -> bool {
-    let Some((_, Growth::Table { form })) = letters::read::<Growth>(secret, GROWTH, letter) else {
+    let Some((_, Growth::Table { form })) = message_reference::read::<Growth>(secret, GROWTH, letter) else {
         return false;
     };
     form.shards.values().any(|s| s.step == Some(step))
--- a/crates/testbed/src/world/door.rs
+++ b/crates/testbed/src/world/listener.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, watch};
 
 use super::link::{self, Link, LinkState, Rough};
-use crate::book::NodeId;
+use crate::event_log::NodeId;
 
 pub type Reply = Result<Response<BoxBody<Bytes, Infallible>>, Broken>;
 
--- a/crates/testbed/src/world/rude.rs
+++ b/crates/testbed/src/world/malformed_clients.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::book::{Event, Scribe};
+use crate::event_log::{Event, EventLogWriter};
 use crate::experiment::{Experiment, Fault};
 
 /// A bad client is met if it has an error or a close by then.
@@ -32,15 +32,15 @@
     ]
 }
 
-pub async fn come(node: SocketAddr, scribe: Scribe, fault: &Fault, of: &Experiment) {
+pub async fn come(node: SocketAddr, event_log: EventLogWriter, fault: &Fault, of: &Experiment) {
     let texts = texts(&of.product[0].name);
     let mut clients = tokio::task::JoinSet::new();
     for n in 0..fault.count {
         let (what, text) = texts[n % texts.len()].clone();
-        let scribe = scribe.clone();
+        let event_log = event_log.clone();
         clients.spawn(async move {
             let met = tokio::time::timeout(OWED, one(node, &text)).await.unwrap_or(false);
-            scribe.event(Event::BadClient { met, what: what.into() });
+            event_log.event(Event::BadClient { met, what: what.into() });
         });
     }
     while clients.join_next().await.is_some() {}
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -1,19 +1,19 @@
 //! A world: stand-ins for caches, origin, discovery and clients around real nodes, on loopback.
 
-mod bench;
+mod byzantine_planner;
 mod cache;
 mod clients;
 mod discovery;
-mod door;
 mod faults;
 mod growth;
-mod liar;
 mod link;
+mod listener;
+mod malformed_clients;
 mod node;
 mod origin;
 mod planner;
 mod relay;
-mod rude;
+mod service_queue;
 mod wire;
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,13 +24,15 @@
 
 use tokio::sync::Mutex;
 
-use crate::book::{Book, BoxId, Event, Listed, Member, Moment, NodeId, Scribe, ServerInfo};
+use crate::event_log::{
+    Event, EventLog, EventLogWriter, Listed, Member, NodeId, ServerId, ServerInfo, Timestamp,
+};
 use crate::experiment::Experiment;
 use crate::schedule::{Schedule, mixed};
 use cache::Seat;
 use clients::{Clients, Leave};
 use discovery::{Discovery, Entry};
-use door::{Door, Stance};
+use listener::{Door, Stance};
 use node::{Node, Program};
 use origin::Origin;
 use planner::Planner;
@@ -67,7 +69,7 @@
 /// Everything that stands in a world.
 pub struct World {
     experiment: Arc<Experiment>,
-    scribe: Scribe,
+    event_log: EventLogWriter,
     origin: Arc<Origin>,
     origin_doors: Vec<Door>,
     seats: Vec<Arc<Seat>>,
@@ -86,23 +88,23 @@
 ///
 /// # Errors
 /// Whatever kept it from being played.
-pub fn play(run: &Run<'_>) -> Result<Book, String> {
+pub fn play(run: &Run<'_>) -> Result<EventLog, String> {
     // The stand-ins get threads of their own, however many runs go side by side.
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
-    let book = runtime.block_on(play_in(run));
+    let event_log = runtime.block_on(play_in(run));
     runtime.shutdown_timeout(Duration::from_millis(200));
-    book
+    event_log
 }
 
-async fn play_in(run: &Run<'_>) -> Result<Book, String> {
+async fn play_in(run: &Run<'_>) -> Result<EventLog, String> {
     std::fs::create_dir_all(run.folder).map_err(|e| format!("{}: {e}", run.folder.display()))?;
     let experiment = Arc::new(run.experiment.clone());
     let schedule = Arc::new(run.schedule.clone());
     // The start is known before anything stands, so that boxes can be as old as they are to be.
     let lead = Duration::from_millis(300 + 60 * experiment.world.nodes as u64) + SETTLES;
-    let scribe = Scribe::new(Instant::now() + lead + growth::lead(&experiment));
-    let world = World::build(&experiment, run, scribe.clone()).await.map_err(|e| e.to_string())?;
+    let event_log = EventLogWriter::new(Instant::now() + lead + growth::lead(&experiment));
+    let world = World::build(&experiment, run, event_log.clone()).await.map_err(|e| e.to_string())?;
     let world = Arc::new(world);
     growth::teach(&world).await?;
     for planner in &world.planners {
@@ -118,16 +120,16 @@
         started?;
     }
     for late in world.nodes.iter().skip(experiment.begins_with()) {
-        scribe.event(Event::NodeStops { node: late.lock().await.id });
+        event_log.event(Event::NodeStops { node: late.lock().await.id });
     }
-    if scribe.now() > Moment(0) {
+    if event_log.now() > Timestamp(0) {
         return Err("the nodes took too long to start: this machine is too busy to judge them".into());
     }
     let looks = tokio::spawn(look(world.clone()));
-    let pulse = tokio::spawn(pulse(scribe.clone()));
+    let pulse = tokio::spawn(pulse(event_log.clone()));
     let faults = tokio::spawn(faults::carry_out(world.clone()));
     let leave = world.leave.subscribe();
-    let clients = Clients::new(experiment.clone(), schedule, scribe.clone(), &world.node_addresses, leave);
+    let clients = Clients::new(experiment.clone(), schedule, event_log.clone(), &world.node_addresses, leave);
     clients.run().await;
     let _ = faults.await;
     looks.abort();
@@ -144,8 +146,8 @@
         planner.look();
         planner.stop().await;
     }
-    scribe.write(|b| b.secret.clone_from(&world.secret));
-    Ok(scribe.close())
+    event_log.write(|b| b.secret.clone_from(&world.secret));
+    Ok(event_log.close())
 }
 
 /// A few at a time.
@@ -155,13 +157,13 @@
 }
 
 /// Notes by how much this runtime, and so each stand-in, stands still.
-async fn pulse(scribe: Scribe) {
+async fn pulse(event_log: EventLogWriter) {
     loop {
         let before = Instant::now();
         tokio::time::sleep(PULSE).await;
         let late = before.elapsed().saturating_sub(PULSE).as_micros() as u64;
-        if scribe.now() > Moment(0) {
-            scribe.write(|b| b.stalled = b.stalled.max(late));
+        if event_log.now() > Timestamp(0) {
+            event_log.write(|b| b.stalled = b.stalled.max(late));
         }
     }
 }
@@ -218,13 +220,17 @@
 }
 
 impl World {
-    async fn build(experiment: &Arc<Experiment>, run: &Run<'_>, scribe: Scribe) -> std::io::Result<World> {
+    async fn build(
+        experiment: &Arc<Experiment>,
+        run: &Run<'_>,
+        event_log: EventLogWriter,
+    ) -> std::io::Result<World> {
         static RUNS: AtomicU8 = AtomicU8::new(0);
         let number = RUNS.fetch_add(1, Ordering::Relaxed);
         let form = &experiment.world;
         let nodes = 0..form.nodes;
-        let origin_id = note_server(&scribe, "origin".into(), None, None);
-        let origin = Arc::new(Origin::new(origin_id, form.origin.clone(), scribe.clone()));
+        let origin_id = note_server(&event_log, "origin".into(), None, None);
+        let origin = Arc::new(Origin::new(origin_id, form.origin.clone(), event_log.clone()));
         let mut origin_doors = Vec::new();
         for node in nodes.clone() {
             let ip = address(number, node, ORIGIN_AT);
@@ -233,9 +239,9 @@
         let mut seats = Vec::new();
         for seat in 0..experiment.seats() {
             let there = seat < form.caches;
-            let id = note_server(&scribe, name(seat, 0), Some(seat), None);
-            let (form, scribe, origin) = (form.cache.clone(), scribe.clone(), origin.clone());
-            let seat = Arc::new(Seat::new(seat, form, scribe, origin, id, None));
+            let id = note_server(&event_log, name(seat, 0), Some(seat), None);
+            let (form, event_log, origin) = (form.cache.clone(), event_log.clone(), origin.clone());
+            let seat = Arc::new(Seat::new(seat, form, event_log, origin, id, None));
             let mut doors = Vec::new();
             for node in nodes.clone() {
                 let ip = address(number, node, seat.number + 1);
@@ -246,19 +252,19 @@
             if there && experiment.load.preloaded {
                 // The most popular ones last, lest they go first.
                 let keys = experiment.load.keys.min(experiment.world.cache.values as u64);
-                let zero = crate::book::Version(0);
+                let zero = crate::event_log::Version(0);
                 (0..keys).rev().for_each(|key| seat.store(key, zero, zero));
             }
             seats.push(seat);
         }
         let _ = origin.seats.set(seats.clone());
-        growth::preload(experiment, &seats, &scribe);
-        let discovery = Arc::new(Discovery::new(scribe.clone()));
+        growth::preload(experiment, &seats, &event_log);
+        let discovery = Arc::new(Discovery::new(event_log.clone()));
         let discovery_at: Vec<_> = nodes.clone().map(|n| address(number, n, DISCOVERY_AT)).collect();
         let discovery_doors = discovery.open(&discovery_at, Duration::ZERO).await?;
         let mut world = World {
             experiment: experiment.clone(),
-            scribe: scribe.clone(),
+            event_log: event_log.clone(),
             origin,
             origin_doors,
             seats,
@@ -290,7 +296,8 @@
                 (Front::None, _) => continue,
             };
             let operator = world.operators_file(Member::Node(node));
-            let node = Node::new(NodeId(node), listen, program, run.folder, config, operator, scribe.clone());
+            let node =
+                Node::new(NodeId(node), listen, program, run.folder, config, operator, event_log.clone());
             world.node_addresses.push(listen);
             world.nodes.push(Mutex::new(node));
         }
@@ -306,13 +313,13 @@
         }
         let nodes = self.experiment.world.nodes;
         let place = |member, other| relay_address(number, member, other);
-        let relay = Relay::open(nodes, &addresses, place, run.seed, self.scribe.clone()).await?;
+        let relay = Relay::open(nodes, &addresses, place, run.seed, self.event_log.clone()).await?;
         self.relay = Some(relay);
         let forgetful = self.experiment.fleet.as_ref().is_some_and(|f| f.forgetful);
         for (p, at) in addresses.iter().enumerate() {
             let operator = self.operators_file_with(Member::Planner(p), &addresses).unwrap_or_default();
-            let scribe = self.scribe.clone();
-            let planner = Planner::new(p, *at, program, run.folder, &operator, forgetful, scribe)?;
+            let event_log = self.event_log.clone();
+            let planner = Planner::new(p, *at, program, run.folder, &operator, forgetful, event_log)?;
             self.planners.push(Mutex::new(planner));
         }
         Ok(())
@@ -346,7 +353,7 @@
     fn list(&self, seat: usize, listed: Listed) {
         let seat = &self.seats[seat];
         let id = seat.id();
-        let uid = self.scribe.write(|b| b.servers[id.0].name.clone());
+        let uid = self.event_log.write(|b| b.servers[id.0].name.clone());
         let zones = &self.experiment.world.zones;
         self.discovery.put(Entry {
             id,
@@ -355,15 +362,15 @@
             zone: zones[seat.number % zones.len()].clone(),
             kind: "plain",
             listed,
-            boot_ms: discovery::boot_ms(seat.started(), self.scribe.unix_start_ms),
+            boot_ms: discovery::boot_ms(seat.started(), self.event_log.unix_start_ms),
         });
     }
 
     /// A new box under a new name stands at a seat, cold.
     fn renew(&self, seat: usize) {
-        let now = self.scribe.now();
-        let generation = self.scribe.write(|b| b.servers.iter().filter(|s| s.seat == Some(seat)).count());
-        let id = note_server(&self.scribe, name(seat, generation), Some(seat), Some(now));
+        let now = self.event_log.now();
+        let generation = self.event_log.write(|b| b.servers.iter().filter(|s| s.seat == Some(seat)).count());
+        let id = note_server(&self.event_log, name(seat, generation), Some(seat), Some(now));
         self.seats[seat].stand(id, Some(now));
     }
 }
@@ -372,10 +379,15 @@
     format!("box-{seat}.{generation}")
 }
 
-fn note_server(scribe: &Scribe, name: String, seat: Option<usize>, started: Option<Moment>) -> BoxId {
-    scribe.write(|b| {
+fn note_server(
+    event_log: &EventLogWriter,
+    name: String,
+    seat: Option<usize>,
+    started: Option<Timestamp>,
+) -> ServerId {
+    event_log.write(|b| {
         b.servers.push(ServerInfo { name, seat, started });
-        BoxId(b.servers.len() - 1)
+        ServerId(b.servers.len() - 1)
     })
 }
 
--- a/crates/testbed/src/world/node.rs
+++ b/crates/testbed/src/world/node.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-use crate::book::{Event, NodeId, Scribe, Usage};
+use crate::event_log::{Event, EventLogWriter, NodeId, Usage};
 use crate::experiment::{Experiment, ProductEffect};
 
 /// A node that is not ready by then is not going to be.
@@ -47,7 +47,7 @@
     log: PathBuf,
     operator: Option<PathBuf>,
     child: Option<Child>,
-    scribe: Scribe,
+    event_log: EventLogWriter,
 }
 
 /// The configuration of a node, by the deployment page.
@@ -91,7 +91,7 @@
         folder: &Path,
         config: Value,
         operator: Option<String>,
-        scribe: Scribe,
+        event_log: EventLogWriter,
     ) -> Node {
         let file = folder.join(format!("node-{}.json", id.0));
         let log = folder.join(format!("node-{}.log", id.0));
@@ -99,7 +99,7 @@
             let place = folder.join(format!("node-{}.operator.toml", id.0));
             std::fs::write(&place, text).ok().map(|()| place)
         });
-        Node { id, address, program, config, file, log, operator, child: None, scribe }
+        Node { id, address, program, config, file, log, operator, child: None, event_log }
     }
 
     /// Starts the program and waits until it says that it is ready.
@@ -189,11 +189,11 @@
         {
             self.child = None;
             let how = status.to_string();
-            self.scribe.event(Event::NodeCrashed { node: self.id, how });
+            self.event_log.event(Event::NodeCrashed { node: self.id, how });
         }
         let Some(pid) = self.pid() else { return };
-        if let Some(usage) = usage(pid, self.id, &self.scribe) {
-            self.scribe.write(|b| b.usage.push(usage));
+        if let Some(usage) = usage(pid, self.id, &self.event_log) {
+            self.event_log.write(|b| b.usage.push(usage));
         }
     }
 }
@@ -227,7 +227,7 @@
 }
 
 /// What a process uses, as the system tells it.
-pub fn usage(pid: Pid, node: NodeId, scribe: &Scribe) -> Option<Usage> {
+pub fn usage(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<Usage> {
     let folder = format!("/proc/{}", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(format!("{folder}/stat")).ok()?;
     // After the name, which may hold anything: state, then the 14th and 15th field are ticks in user and system.
@@ -238,5 +238,5 @@
     let descriptors = std::fs::read_dir(format!("{folder}/fd")).ok()?.count();
     let memory_mb = pages * rustix::param::page_size() as f64 / (1024.0 * 1024.0);
     let cpu_s = ticks as f64 / rustix::param::clock_ticks_per_second() as f64;
-    Some(Usage { node, at: scribe.now(), memory_mb, descriptors, cpu_s })
+    Some(Usage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
 }
--- a/crates/testbed/src/world/origin.rs
+++ b/crates/testbed/src/world/origin.rs
@@ -9,12 +9,14 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use super::bench::{Bench, Full, Window};
 use super::cache::Seat;
-use super::door::{Answers, Broken, Peer, Reply};
 use super::link::Rough;
+use super::listener::{Answers, Broken, Peer, Reply};
+use super::service_queue::{Bench, Full, Window};
 use super::wire::{self, Call};
-use crate::book::{BoxId, Effect, Event, Fetch, Moment, Scribe, ShotEnd, Version};
+use crate::event_log::{
+    Effect, Event, EventLogWriter, Fetch, ServerAttemptEnd, ServerId, Timestamp, Version,
+};
 use crate::experiment::{OriginForm, Spoil};
 
 /// Answers are spoilt: a share of them, how, and how late what comes after them.
@@ -29,12 +31,12 @@
 const MISS_LASTS: i64 = 5_000_000;
 
 /// Since when, and which caches lacked a key.
-type Missed = (Moment, Vec<Weak<Seat>>);
+type Missed = (Timestamp, Vec<Weak<Seat>>);
 
 pub struct Origin {
-    pub id: BoxId,
+    pub id: ServerId,
     form: OriginForm,
-    scribe: Scribe,
+    event_log: EventLogWriter,
     bench: Bench,
     asked: Window,
     /// In thousandths: how many times as long everything takes.
@@ -43,7 +45,7 @@
     /// Set while it has stopped for being overrun.
     overrun: AtomicBool,
     versions: Mutex<HashMap<u64, Version>>,
-    repeats: Mutex<HashMap<String, (Moment, Version)>>,
+    repeats: Mutex<HashMap<String, (Timestamp, Version)>>,
     /// The caches that lacked a key, by the call that was told so.
     missed: Mutex<HashMap<String, Missed>>,
     pub seats: OnceLock<Vec<Arc<Seat>>>,
@@ -51,7 +53,7 @@
 }
 
 impl Origin {
-    pub fn new(id: BoxId, form: OriginForm, scribe: Scribe) -> Origin {
+    pub fn new(id: ServerId, form: OriginForm, event_log: EventLogWriter) -> Origin {
         Origin {
             id,
             bench: Bench::new(form.cores, form.queue),
@@ -65,7 +67,7 @@
             seats: OnceLock::new(),
             spoil: Mutex::default(),
             form,
-            scribe,
+            event_log,
         }
     }
 
@@ -78,7 +80,7 @@
     }
 
     pub fn note_missed(&self, id: &str, seat: &Arc<Seat>) {
-        let now = self.scribe.now();
+        let now = self.event_log.now();
         let mut missed = self.missed.lock().expect("no holder panics");
         if missed.len() > 10_000 {
             missed.retain(|_, (at, _)| now.0 - at.0 < MISS_LASTS);
@@ -97,19 +99,19 @@
     /// # Errors
     /// [`Full`] where it was turned away unseen.
     pub async fn read(&self, key: u64, id: &str) -> Result<Version, Full> {
-        let now = self.scribe.now();
+        let now = self.event_log.now();
         let mut ms = self.form.read_ms;
         let asked = self.asked.add(now.0, 1.0) / self.form.capacity();
         if asked > self.form.degrade_multiple {
             ms *= 2.0;
         }
         if asked > 2.0 * self.form.degrade_multiple && !self.overrun.swap(true, Ordering::Relaxed) {
-            self.scribe.event(Event::OriginOverrun);
+            self.event_log.event(Event::OriginOverrun);
         }
         self.wait_while_stopped().await;
         self.bench.run(|| self.span(ms, id)).await?;
-        let at = self.scribe.now();
-        self.scribe.write(|b| b.fetches.push(Fetch { at }));
+        let at = self.event_log.now();
+        self.event_log.write(|b| b.fetches.push(Fetch { at }));
         Ok(self.version(key))
     }
 
@@ -121,7 +123,7 @@
         self.wait_while_stopped().await;
         self.bench.run(|| self.span(self.form.write_ms, &call.id)).await?;
         // From here on it has run, whatever becomes of its answer.
-        let at = self.scribe.now();
+        let at = self.event_log.now();
         if let Some(key) = &call.idempotency_key {
             let lasts = (self.form.repeats_s * 1e6) as i64;
             let mut repeats = self.repeats.lock().expect("no holder panics");
@@ -145,7 +147,7 @@
             at,
             version,
         };
-        self.scribe.write(|b| b.effects.push(effect));
+        self.event_log.write(|b| b.effects.push(effect));
         Ok(version)
     }
 
@@ -164,10 +166,10 @@
             Err(status) => return Ok(wire::plain(status)),
         };
         let work = if call.write { self.form.write_ms } else { self.form.read_ms } / 1000.0;
-        let shot = Recorded::new(&self.scribe, self.id, &peer, &call, work);
+        let shot = Recorded::new(&self.event_log, self.id, &peer, &call, work);
         let result = if call.write { self.write(&call).await } else { self.read(call.key, &call.id).await };
         let Ok(version) = result else {
-            shot.end(ShotEnd::TurnedAway);
+            shot.end(ServerAttemptEnd::TurnedAway);
             return Ok(wire::turned_away());
         };
         let lacked = self.missed.lock().expect("no holder panics").remove(&call.id);
@@ -201,18 +203,24 @@
 
 /// A shot in the book; one that is not ended by the time it goes away was dropped.
 pub struct Recorded<'a> {
-    scribe: &'a Scribe,
+    event_log: &'a EventLogWriter,
     number: usize,
     ended: bool,
 }
 
 impl<'a> Recorded<'a> {
-    pub fn new(scribe: &'a Scribe, server: BoxId, peer: &Peer, call: &Call, work: f64) -> Recorded<'a> {
-        Recorded { scribe, number: scribe.shot(server, peer.node, &call.id, work), ended: false }
+    pub fn new(
+        event_log: &'a EventLogWriter,
+        server: ServerId,
+        peer: &Peer,
+        call: &Call,
+        work: f64,
+    ) -> Recorded<'a> {
+        Recorded { event_log, number: event_log.shot(server, peer.node, &call.id, work), ended: false }
     }
 
-    pub fn end(mut self, end: ShotEnd) {
-        self.scribe.shot_ended(self.number, end);
+    pub fn end(mut self, end: ServerAttemptEnd) {
+        self.event_log.shot_ended(self.number, end);
         self.ended = true;
     }
 }
@@ -220,7 +228,7 @@
 impl Drop for Recorded<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.scribe.shot_ended(self.number, ShotEnd::Dropped);
+            self.event_log.shot_ended(self.number, ServerAttemptEnd::Dropped);
         }
     }
 }
@@ -236,21 +244,21 @@
 ) -> Reply {
     let spoil = spoil.filter(|s| wire::chance_of(&call.id, 11) < s.share);
     let Some(Spoilt { how, late, .. }) = spoil else {
-        shot.end(ShotEnd::Answered);
+        shot.end(ServerAttemptEnd::Answered);
         return Ok(wire::value(call, version, word));
     };
     if how == Spoil::Error {
-        shot.end(ShotEnd::Failed);
+        shot.end(ServerAttemptEnd::Failed);
         return Ok(wire::plain(500));
     }
     if let Some(bytes) = wire::after(how, call, version, word) {
-        shot.end(ShotEnd::Answered);
+        shot.end(ServerAttemptEnd::Answered);
         // By chance of its name half of the time or half as long again.
         peer.break_with(Rough::Also { bytes, late: late.mul_f64(0.5 + wire::chance_of(&call.id, 13)) });
         return Ok(wire::value(call, version, word));
     }
     peer.break_with(wire::spoilt(how));
-    shot.end(ShotEnd::Failed);
+    shot.end(ServerAttemptEnd::Failed);
     // The connection is carried past the library from here on, until the node ends it.
     std::future::pending::<()>().await;
     Err(Broken)
--- a/crates/testbed/src/world/planner.rs
+++ b/crates/testbed/src/world/planner.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, Command};
 
-use crate::book::{Event, Scribe};
+use crate::event_log::{Event, EventLogWriter};
 use crate::experiment::{Experiment, Store};
 
 /// A planner told to stop ends by then.
@@ -23,7 +23,7 @@
     log: PathBuf,
     state: PathBuf,
     child: Option<Child>,
-    scribe: Scribe,
+    event_log: EventLogWriter,
 }
 
 /// What all members agree on, with the planners where this member finds them.
@@ -68,7 +68,7 @@
         folder: &Path,
         operator: &str,
         forgetful: bool,
-        scribe: Scribe,
+        event_log: EventLogWriter,
     ) -> std::io::Result<Planner> {
         let place = |end: &str| folder.join(format!("planner-{number}{end}"));
         let state = place(".state");
@@ -92,7 +92,7 @@
             log: place(".log"),
             state,
             child: None,
-            scribe,
+            event_log,
         })
     }
 
@@ -138,7 +138,7 @@
             && tokio::time::timeout(STOPS, child.wait()).await.is_err()
         {
             let how = format!("it went on for {STOPS:?} after it was told to stop");
-            self.scribe.event(Event::PlannerCrashed { planner: self.number, how });
+            self.event_log.event(Event::PlannerCrashed { planner: self.number, how });
             let _ = child.kill().await;
         }
     }
@@ -169,7 +169,7 @@
             self.child = None;
             let last = std::fs::read_to_string(&self.log).unwrap_or_default();
             let how = format!("{status}, {}", last.lines().last().unwrap_or("it logged nothing"));
-            self.scribe.event(Event::PlannerCrashed { planner: self.number, how });
+            self.event_log.event(Event::PlannerCrashed { planner: self.number, how });
         }
     }
 }
--- a/crates/testbed/src/world/relay.rs
+++ b/crates/testbed/src/world/relay.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::net::UdpSocket;
 
-use crate::book::{Carried, Member, Scribe};
+use crate::event_log::{EventLogWriter, Member, RelayedMessage};
 use crate::experiment::{Fault, FaultKind, Toward};
 use crate::schedule::mixed;
 
@@ -30,7 +30,7 @@
     troubles: Mutex<Vec<(usize, Arc<Fault>)>>,
     chance: Mutex<BTreeMap<Way, ChaCha8Rng>>,
     on_the_way: tokio::sync::Semaphore,
-    scribe: Scribe,
+    event_log: EventLogWriter,
 }
 
 impl Relay {
@@ -44,7 +44,7 @@
         planners: &[SocketAddr],
         place: impl Fn(Member, Member) -> IpAddr,
         seed: u64,
-        scribe: Scribe,
+        event_log: EventLogWriter,
     ) -> std::io::Result<Arc<Relay>> {
         let planner_numbers = || (0..planners.len()).map(Member::Planner);
         let mut ways: Vec<Way> = Vec::new();
@@ -70,7 +70,7 @@
             troubles: Mutex::default(),
             chance: Mutex::new(chance),
             on_the_way: tokio::sync::Semaphore::new(ON_THE_WAY),
-            scribe,
+            event_log,
         });
         for way in relay.sockets.keys() {
             tokio::spawn(relay.clone().attend(*way));
@@ -132,11 +132,11 @@
     }
 
     fn carry(self: Arc<Self>, way: Way, mut bytes: Vec<u8>) {
-        let taken = self.scribe.now();
+        let taken = self.event_log.now();
         let (copies, changed) = self.fate(way, &mut bytes);
         let (from, to) = way;
-        let record = Carried { from, to, taken, passed: Vec::new(), changed, bytes: bytes.clone() };
-        let number = self.scribe.write(|b| {
+        let record = RelayedMessage { from, to, taken, passed: Vec::new(), changed, bytes: bytes.clone() };
+        let number = self.event_log.write(|b| {
             b.letters.push(record);
             b.letters.len() - 1
         });
@@ -157,9 +157,9 @@
     fn pass(&self, (from, to): Way, number: usize, bytes: &[u8]) {
         let home = self.homes.lock().expect("no holder panics").get(&(to, from)).copied();
         let Some(home) = home else { return };
-        let now = self.scribe.now();
+        let now = self.event_log.now();
         if self.sockets[&(to, from)].try_send_to(bytes, home).is_ok() {
-            self.scribe.write(|b| b.letters.get_mut(number).into_iter().for_each(|l| l.passed.push(now)));
+            self.event_log.write(|b| b.letters.get_mut(number).into_iter().for_each(|l| l.passed.push(now)));
         }
     }
 }
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-use granitelb_testbed::audit::Verdict;
+use granitelb_testbed::audit::AuditResult;
 use granitelb_testbed::experiment::Experiment;
 use support::play;
 use test_case::test_case;
@@ -101,7 +101,7 @@
     path
 }
 
-fn judged(vice: &str, faults: &str) -> Verdict {
+fn judged(vice: &str, faults: &str) -> AuditResult {
     // Each world its own name: two tests have one vice, and with one name for both, the node of one read the other's
     // configuration and found its address in use, or its program while that was written.
     static WORLDS: AtomicU8 = AtomicU8::new(0);
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -19,17 +19,17 @@
 fn rules_hold_and_nothing_adds_up_wrong(name: &str) {
     let experiment = Experiment::load(&file(&format!("together-{name}"))).expect("a sound experiment");
     let played = play(&experiment, experiment.seeds[0], &program::node(None).expect("the program"));
-    let (verdict, book) = (played.verdict, played.book);
+    let (verdict, event_log) = (played.verdict, played.event_log);
     let figures = &verdict.figures;
     let together = &figures.fleet;
     println!("{name}: service {:.4}, {together:?}", figures.service);
     println!("rig late {:.1} ms, stalled {:.1} ms", figures.rig_late_ms, figures.rig_stalled_ms);
     assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
     // Letters went both ways: a fleet of lone nodes would hold to all else.
-    let heard = |l: &&granitelb_testbed::book::Carried| {
-        matches!(l.from, granitelb_testbed::book::Member::Planner(_)) && !l.passed.is_empty()
+    let heard = |l: &&granitelb_testbed::event_log::RelayedMessage| {
+        matches!(l.from, granitelb_testbed::event_log::Member::Planner(_)) && !l.passed.is_empty()
     };
-    assert!(book.letters.iter().filter(heard).count() > 100, "{together:?}");
+    assert!(event_log.letters.iter().filter(heard).count() > 100, "{together:?}");
     let fell = verdict
         .shortfalls
         .iter()
--- a/crates/testbed/tests/hindsight.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -6,7 +6,7 @@
 
 use std::path::Path;
 
-use granitelb_testbed::audit::Verdict;
+use granitelb_testbed::audit::AuditResult;
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::program;
 use support::play;
@@ -64,7 +64,7 @@
 for_s = 23
 "#;
 
-fn judged(experiment: &Experiment) -> Verdict {
+fn judged(experiment: &Experiment) -> AuditResult {
     play(experiment, 1, &program::node(None).expect("the program")).verdict
 }
 
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -5,10 +5,10 @@
 
 use std::path::Path;
 
-use granitelb_testbed::book::{Moment, Shot};
+use granitelb_testbed::event_log::{ServerAttempt, Timestamp};
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::schedule::Schedule;
-use granitelb_testbed::{played, program, recording, stats};
+use granitelb_testbed::{program, recording, run_result, stats};
 use support::{Turn, file, play};
 use test_case::test_case;
 
@@ -49,23 +49,23 @@
     let _turn = Turn::wait();
     let [switch, fresh] = [text, fresh.replace("name = \"", "name = \"fresh-")].map(|text| {
         let experiment = Experiment::read(&path, &text).expect("a sound experiment");
-        let played = played::play(&experiment, 1, &node).expect("a run");
+        let played = run_result::play(&experiment, 1, &node).expect("a run");
         // A node that stops may reset a connection that it has not taken yet; that is not what is asked here.
         let starts_anew = experiment.name.starts_with("fresh-");
         assert!(starts_anew || played.verdict.breaches.is_empty(), "{:#?}", played.verdict.breaches);
-        let book = played.book;
+        let event_log = played.event_log;
         let seats = |wanted: &[usize]| -> Vec<usize> {
-            let latest = |seat: &usize| book.servers.iter().rposition(|s| s.seat == Some(*seat));
+            let latest = |seat: &usize| event_log.servers.iter().rposition(|s| s.seat == Some(*seat));
             wanted.iter().filter_map(latest).collect()
         };
         let [hung, cold] = [seats(&[3]), seats(&[6, 7])];
         [4.0..6.0, 6.0..8.0].map(|span| {
-            let within = |at: Moment| span.contains(&at.seconds());
+            let within = |at: Timestamp| span.contains(&at.seconds());
             let to = |servers: &[usize]| {
-                let meant = |s: &&Shot| within(s.arrived) && servers.contains(&s.server.0);
-                book.shots.iter().filter(meant).count()
+                let meant = |s: &&ServerAttempt| within(s.arrived) && servers.contains(&s.server.0);
+                event_log.shots.iter().filter(meant).count()
             };
-            (book.fetches.iter().filter(|f| within(f.at)).count(), to(&hung), to(&cold))
+            (event_log.fetches.iter().filter(|f| within(f.at)).count(), to(&hung), to(&cold))
         })
     });
     println!("before and after, in service {switch:?}, by a fresh start {fresh:?}");
@@ -146,11 +146,11 @@
     let drawn = Schedule::draw(&experiment, 3);
     let played = {
         let _turn = Turn::wait();
-        played::play_schedule(&experiment, &drawn, 3, &node).expect("a run")
+        run_result::play_schedule(&experiment, &drawn, 3, &node).expect("a run")
     };
-    assert!(played.book.tries.len() > drawn.calls.len(), "no client repeated anything");
-    let text = recording::record(&experiment, &drawn, &played.book);
-    assert_eq!(text.lines().count(), played.book.tries.len());
+    assert!(played.event_log.tries.len() > drawn.calls.len(), "no client repeated anything");
+    let text = recording::record(&experiment, &drawn, &played.event_log);
+    assert_eq!(text.lines().count(), played.event_log.tries.len());
     let replayed = recording::read(Path::new("recorded"), &text, &experiment).expect("a sound recording");
     assert_eq!(replayed.text(), drawn.text());
 }
--- a/crates/testbed/tests/growth.rs
+++ b/crates/testbed/tests/shard_growth.rs
@@ -35,8 +35,9 @@
     let (service, late, stalled) = (figures.service, figures.rig_late_ms, figures.rig_stalled_ms);
     println!("{name}: service {service:.4}, late {late:.1} ms, stalled {stalled:.1} ms, {growth}");
     assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
-    let grew =
-        |s: &&granitelb_testbed::audit::Shortfall| s.bar.starts_with("growth") || s.bar == "stale_reads";
+    let grew = |s: &&granitelb_testbed::audit::UnmetExpectation| {
+        s.bar.starts_with("growth") || s.bar == "stale_reads"
+    };
     assert_eq!(verdict.shortfalls.iter().find(grew), None, "{growth}");
     assert!(service > 0.8, "{service:.4}");
 }
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
-use granitelb_testbed::audit::Verdict;
+use granitelb_testbed::audit::AuditResult;
 use granitelb_testbed::experiment::Experiment;
-use granitelb_testbed::played::{self, Played};
+use granitelb_testbed::run_result::{self, RunResult};
 
 /// So many at a time leave each of them cores enough. With three on six cores one answer came 4 ms past its time; that the
 /// number was the cause is not shown.
@@ -44,18 +44,18 @@
 }
 
 /// Plays an experiment until the rig was on time.
-pub fn play(experiment: &Experiment, seed: u64, program: &Path) -> Played {
+pub fn play(experiment: &Experiment, seed: u64, program: &Path) -> RunResult {
     play_strictly(experiment, seed, program, STALLED)
 }
 
 /// The same, with stand-ins that may stand still for so many milliseconds. A machine too busy to start a fleet in time
 /// says nothing either.
-pub fn play_strictly(experiment: &Experiment, seed: u64, program: &Path, stalled: f64) -> Played {
-    let on_time = |v: &Verdict| v.figures.rig_late_ms <= LATE && v.figures.rig_stalled_ms <= stalled;
+pub fn play_strictly(experiment: &Experiment, seed: u64, program: &Path, stalled: f64) -> RunResult {
+    let on_time = |v: &AuditResult| v.figures.rig_late_ms <= LATE && v.figures.rig_stalled_ms <= stalled;
     let _turn = Turn::wait();
     let mut again = 0;
     loop {
-        let played = played::play(experiment, seed, program);
+        let played = run_result::play(experiment, seed, program);
         if again == AGAIN || played.as_ref().is_ok_and(|p| on_time(&p.verdict)) {
             return played.expect("a run");
         }
