--- /dev/null
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -0,0 +1,240 @@
+//! Dispatch: finds an available endpoint for a waiting request and sends an attempt there.
+
+use crate::attempt::Attempt;
+use crate::endpoint::EndpointRole;
+use crate::ids::{AttemptNumber, EndpointId, RequestId};
+use crate::pending_request::{InFlightAttempt, PendingRequest};
+use crate::settings::Effect;
+use crate::time::{Span, Time};
+
+use super::endpoint_list::Endpoint;
+use super::permission::PermissionGate;
+use super::warmup::WarmupGate;
+use super::{Balancer, SLOW_SLO_SHARE};
+
+/// Reads that caches rejected may fill this share of the origin's limit; misses and writes may fill all of it.
+const REJECTED_READS_LIMIT_SHARE: f64 = 0.5;
+
+impl Balancer {
+    /// Sends an attempt of a waiting request, if possible. Otherwise the request is rejected or goes on waiting.
+    pub(super) fn dispatch(&mut self, now: Time, id: RequestId) -> Option<Attempt> {
+        let request = self.requests.get(id)?;
+        self.selection.store_ranking(request.request.key);
+        let needs_origin = self.needs_origin(now, request);
+        let role = if needs_origin { EndpointRole::Origin } else { EndpointRole::Cache };
+        let expected = self.response_times.expected(now, request.request.request_class, role);
+        if self.is_hopeless(now, request, expected) {
+            self.reject(id);
+            return None;
+        }
+        if self.join_fetch(id) {
+            return None;
+        }
+        let request = self.requests.get(id)?;
+        let is_late = now + expected > request.slo_deadline;
+        let Some(target) = self.find_target(now, request, needs_origin, is_late) else {
+            if is_late || now >= request.queue_deadline && request.attempts.is_empty() {
+                self.reject(id);
+            }
+            return None;
+        };
+        self.send(now, id, target)
+    }
+
+    /// Whether only the origin can serve the request: it is a write, or it missed where it should be cached.
+    fn needs_origin(&self, now: Time, request: &PendingRequest) -> bool {
+        let is_origin_write = request.request.write && self.settings.is_cache_aside();
+        is_origin_write || request.missed_in_cache && self.previous_endpoint(now, request).is_none()
+    }
+
+    /// Whether no further attempt can be of value, or none is allowed. A request that may have been executed and must
+    /// not be repeated anywhere is not kept waiting.
+    fn is_hopeless(&self, now: Time, request: &PendingRequest, expected: Span) -> bool {
+        now + expected > request.value_deadline
+            || request.attempts.len() >= request.max_attempts
+            || request.may_have_executed.is_some() && !self.can_repeat_anywhere(now, request)
+    }
+
+    fn can_repeat_anywhere(&self, now: Time, request: &PendingRequest) -> bool {
+        let gate = self.permission_gate(now);
+        self.endpoints.iter().any(|endpoint| {
+            !request.excluded_endpoints.contains(&endpoint.id()) && gate.may_repeat(request, endpoint)
+        })
+    }
+
+    /// Lets a read wait for another request's fetch of its key, if there is one.
+    fn join_fetch(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        if request.request.write || !self.fetches.join(request.request.key, id) {
+            return false;
+        }
+        let slo_deadline = request.slo_deadline;
+        self.requests.clear_waiting(request.priority);
+        // A request whose fetch takes long is rejected at its latency objective.
+        self.requests.add_deadline(slo_deadline, id);
+        true
+    }
+
+    /// The endpoint that the next attempt goes to, if one is available.
+    fn find_target(
+        &self,
+        now: Time,
+        request: &PendingRequest,
+        needs_origin: bool,
+        is_late: bool,
+    ) -> Option<EndpointId> {
+        // A read that was rejected everywhere has its last attempt where it can't meet one more congested cache.
+        let is_last_attempt = self.settings.is_cache_aside()
+            && !request.attempts.is_empty()
+            && request.attempts.len() + 1 == request.max_attempts;
+        if needs_origin || is_last_attempt {
+            let share = if needs_origin && !is_late { 1.0 } else { REJECTED_READS_LIMIT_SHARE };
+            let origin = self.available_origin(now, request, share);
+            if origin.is_some() {
+                return origin;
+            }
+        }
+        if !needs_origin {
+            let candidate = self.best_candidate(now, request);
+            if candidate.is_some() {
+                return candidate;
+            }
+        }
+        if self.have_all_candidates_failed(now, request) {
+            return self.available_origin(now, request, 1.0);
+        }
+        None
+    }
+
+    /// The available candidate of the highest weight.
+    fn best_candidate(&self, now: Time, request: &PendingRequest) -> Option<EndpointId> {
+        if request.missed_in_cache {
+            return self.previous_endpoint(now, request);
+        }
+        let ranked = self.selection.ranked(request.request.key);
+        ranked.into_iter().find(|id| self.is_available(now, request, *id))
+    }
+
+    /// Where a read that missed may still find its key while its shard migrates, with one attempt left for the origin.
+    fn previous_endpoint(&self, now: Time, request: &PendingRequest) -> Option<EndpointId> {
+        if request.attempts.len() + 1 >= request.max_attempts {
+            return None;
+        }
+        let previous = self.selection.previous_endpoint(request.request.key)?;
+        self.is_available(now, request, previous).then_some(previous)
+    }
+
+    /// The origin, if this share of its limit has capacity.
+    fn available_origin(&self, now: Time, request: &PendingRequest, share: f64) -> Option<EndpointId> {
+        let mut origins = self
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.is_origin() && endpoint.limit.has_capacity_within(share));
+        let available = origins.find(|origin| self.is_available(now, request, origin.id()));
+        available.map(Endpoint::id)
+    }
+
+    /// Whether all candidates of a read fail or failed it, so that the origin alone is left.
+    fn have_all_candidates_failed(&self, now: Time, request: &PendingRequest) -> bool {
+        if !self.settings.is_cache_aside() {
+            return false;
+        }
+        let ranked = self.selection.ranked(request.request.key);
+        !ranked.is_empty() && ranked.iter().all(|id| self.has_failed(now, request, *id))
+    }
+
+    fn has_failed(&self, now: Time, request: &PendingRequest, id: EndpointId) -> bool {
+        if request.excluded_endpoints.contains(&id) {
+            return true;
+        }
+        self.endpoints.get(id).is_some_and(|endpoint| {
+            endpoint.health.is_ejected() || !self.zones.is_attempt_allowed(now, endpoint.zone())
+        })
+    }
+
+    /// Whether the rules permit an attempt at the endpoint, and it has capacity.
+    fn is_available(&self, now: Time, request: &PendingRequest, id: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get(id) else { return false };
+        self.permission_gate(now).is_permitted(request, endpoint) && self.has_capacity(now, request, id)
+    }
+
+    /// Whether health and the concurrency limit leave room for an attempt.
+    pub(super) fn has_capacity(&self, now: Time, request: &PendingRequest, id: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get(id) else { return false };
+        // Only what may run again is risked as a probe of an ejected endpoint or of an unresponsive zone.
+        let effect = self.settings.request_class(request.request.request_class).effect;
+        let may_probe = effect == Effect::Idempotent;
+        let is_probe = may_probe && endpoint.limit.in_flight() < 1.0 && endpoint.health.is_probe_due(now);
+        let is_healthy = !endpoint.health.is_ejected() || is_probe;
+        let is_excluded = request.excluded_endpoints.contains(&id);
+        let is_zone_usable = endpoint.is_origin()
+            || may_probe && self.zones.is_attempt_allowed(now, endpoint.zone())
+            || !self.zones.is_unresponsive(endpoint.zone());
+        !is_excluded && is_healthy && is_zone_usable && endpoint.limit.has_capacity(now)
+    }
+
+    pub(super) fn permission_gate(&self, now: Time) -> PermissionGate<'_> {
+        PermissionGate {
+            now,
+            settings: &self.settings,
+            endpoints: &self.endpoints,
+            warmup: self.warmup_gate(now),
+        }
+    }
+
+    fn warmup_gate(&self, now: Time) -> WarmupGate<'_> {
+        WarmupGate {
+            now,
+            settings: &self.settings,
+            traffic: &self.warmup_traffic,
+            response_times: &self.response_times,
+        }
+    }
+
+    /// Sends an attempt to an endpoint that is available.
+    fn send(&mut self, now: Time, id: RequestId, target: EndpointId) -> Option<Attempt> {
+        let begin_deadline = self.permission_gate(now).begin_deadline(self.requests.get(id)?);
+        let pending = self.requests.get_mut(id)?;
+        let request = pending.request;
+        let sent = InFlightAttempt { request, endpoint: target, sent_at: now, in_flight: true };
+        let number = AttemptNumber(pending.attempts.len() as u8);
+        pending.attempts.push(sent);
+        let priority = pending.priority;
+        let attempt = Attempt {
+            request: id,
+            cache: target,
+            give_up_after: pending.client_deadline - now,
+            begin_within: begin_deadline - now,
+        };
+        self.attempts.insert(id, number, sent);
+        self.requests.clear_waiting(priority);
+        if self.endpoints.role(target) == EndpointRole::Origin && !request.write {
+            self.fetches.start(request.key, id);
+        }
+        self.account_for_attempt(now, &sent);
+        let slo = self.settings.request_class(request.request_class).slo;
+        self.requests.add_deadline(now + slo.scaled(SLOW_SLO_SHARE), id);
+        Some(attempt)
+    }
+
+    /// Updates the state of the endpoint that an attempt goes to.
+    fn account_for_attempt(&mut self, now: Time, sent: &InFlightAttempt) {
+        let required_share = self.random.next_unit();
+        let work = self.response_times.work(now, &sent.request);
+        let gate = self.warmup_gate(now);
+        let Some(endpoint) = self.endpoints.get(sent.endpoint) else { return };
+        let cost = gate.cost(endpoint, &sent.request);
+        let remaining = gate.available(endpoint, cost) - cost;
+        let Some(endpoint) = self.endpoints.get_mut(sent.endpoint) else { return };
+        endpoint.warmup_budget.set(now, remaining, required_share);
+        endpoint.limit.on_attempt_sent();
+        endpoint.own_load.step_by(now, 1.0);
+        endpoint.health.on_attempt_sent(now);
+        if endpoint.is_origin() {
+            self.warmup_traffic.on_work_sent(now, 0.0);
+        } else {
+            self.warmup_traffic.on_work_sent(now, work);
+            self.zones.on_attempt_sent(now, endpoint.zone());
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -0,0 +1,221 @@
+//! The endpoint list, and what the balancer knows of each endpoint.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::control_plane::Lease;
+use crate::decaying::DecayingLevel;
+use crate::endpoint::{EndpointRole, EndpointUpdate};
+use crate::ids::{EndpointId, ZoneId};
+use crate::seeded_hash::SeededRandom;
+use crate::settings::Settings;
+use crate::time::{Span, Time};
+
+use super::MINORITY;
+use super::concurrency_limit::ConcurrencyLimit;
+use super::load_reports::{ReceivedLoadReport, USAGE_MEMORY};
+use super::outlier_detection::EndpointHealth;
+use super::warmup::{WarmupBudget, warmup_factor};
+
+/// Where only draining binds, an endpoint that the list dropped is remembered for this time.
+pub const REMOVED_ENDPOINT_TTL: Span = Span::from_millis(60_000);
+/// The least size that usage and ranking are related to.
+const MIN_SIZE: f64 = 1e-3;
+/// Longer than any response: no response was seen yet.
+const NO_RESPONSE_TIME: Span = Span(1 << 40);
+
+/// What the balancer knows of one endpoint.
+pub(super) struct Endpoint {
+    pub listed: EndpointUpdate,
+    pub role: EndpointRole,
+    pub health: EndpointHealth,
+    pub limit: ConcurrencyLimit,
+    /// The node's own attempts in flight there.
+    pub own_load: DecayingLevel,
+    pub warmup_budget: WarmupBudget,
+    pub lease: Option<Lease>,
+    /// The paper's push b\[n\] (equation 8).
+    pub push: f64,
+    /// The fastest recent response; it grows slowly until a faster one comes.
+    pub fastest_response: Span,
+    /// When the latest of the attempts was sent that had a prompt answer.
+    pub last_prompt_attempt_at: Time,
+    /// When any response came last.
+    pub last_response_at: Time,
+    pub last_load_report: Option<ReceivedLoadReport>,
+    /// When the list dropped the endpoint without having listed it as draining.
+    pub removed_at: Option<Time>,
+}
+
+impl Endpoint {
+    /// An endpoint that starts, with attempts that are in flight there already.
+    fn new(
+        listed: EndpointUpdate,
+        settings: &Settings,
+        required_warmup_share: f64,
+        in_flight: f64,
+        now: Time,
+    ) -> Endpoint {
+        let is_origin = Some(listed.kind) == settings.origin;
+        Endpoint {
+            listed,
+            role: if is_origin { EndpointRole::Origin } else { EndpointRole::Cache },
+            health: EndpointHealth::new(),
+            limit: ConcurrencyLimit::new(settings.nodes, in_flight, now),
+            own_load: DecayingLevel::at(in_flight, USAGE_MEMORY, now),
+            warmup_budget: WarmupBudget::new(required_warmup_share, now),
+            lease: None,
+            push: 0.0,
+            fastest_response: NO_RESPONSE_TIME,
+            last_prompt_attempt_at: now,
+            last_response_at: now,
+            last_load_report: None,
+            removed_at: None,
+        }
+    }
+
+    pub fn id(&self) -> EndpointId {
+        self.listed.cache
+    }
+
+    pub fn zone(&self) -> ZoneId {
+        self.listed.zone
+    }
+
+    pub fn is_origin(&self) -> bool {
+        self.role == EndpointRole::Origin
+    }
+
+    /// Whether it is a candidate of keys.
+    pub fn is_serving(&self) -> bool {
+        self.listed.ready && !self.is_origin()
+    }
+
+    /// Its size where sizes are capacities, else one.
+    pub fn size(&self, settings: &Settings) -> f64 {
+        if settings.steady_sizes { self.listed.size.max(MIN_SIZE) } else { 1.0 }
+    }
+
+    pub fn warmup_factor(&self, now: Time, settings: &Settings) -> f64 {
+        warmup_factor(now, self.listed.started, settings)
+    }
+
+    /// Takes it out of service. Where only draining binds, it is noted that a ready endpoint was dropped.
+    fn remove(&mut self, now: Time, only_draining_binds: bool) {
+        if self.removed_at.is_none() && self.listed.ready && only_draining_binds {
+            self.removed_at = Some(now);
+        }
+        self.listed.ready = false;
+    }
+
+    /// Whether the list has it in service, or dropped it only recently.
+    fn is_retained(&self, now: Time) -> bool {
+        match self.removed_at {
+            Some(removed_at) => now - removed_at < REMOVED_ENDPOINT_TTL,
+            None => self.listed.ready,
+        }
+    }
+}
+
+/// All known endpoints, in the order of their ids.
+#[derive(Default)]
+pub(super) struct EndpointList {
+    endpoints: BTreeMap<EndpointId, Endpoint>,
+}
+
+impl EndpointList {
+    pub fn len(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+        self.endpoints.get_mut(&id)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.values()
+    }
+
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.endpoints.values_mut()
+    }
+
+    /// The role of an endpoint; unknown ones count as caches.
+    pub fn role(&self, id: EndpointId) -> EndpointRole {
+        self.get(id).map_or(EndpointRole::Cache, |endpoint| endpoint.role)
+    }
+
+    pub fn zones(&self) -> BTreeSet<ZoneId> {
+        self.iter().map(Endpoint::zone).collect()
+    }
+
+    /// Applies changed entries; endpoints that a complete list does not name are removed.
+    pub fn apply(
+        &mut self,
+        now: Time,
+        updates: &[EndpointUpdate],
+        complete: bool,
+        settings: &Settings,
+        random: &mut SeededRandom,
+    ) {
+        if complete {
+            self.remove_unlisted(now, updates, settings.only_draining_binds);
+        }
+        for update in updates {
+            // Drawn for each entry, also where it is not used: later draws depend on the number of draws.
+            let required_warmup_share = random.next_unit();
+            self.apply_update(now, update, settings, required_warmup_share);
+        }
+    }
+
+    fn remove_unlisted(&mut self, now: Time, updates: &[EndpointUpdate], only_draining_binds: bool) {
+        let listed: BTreeSet<EndpointId> = updates.iter().map(|update| update.cache).collect();
+        for endpoint in self.endpoints.values_mut() {
+            if !listed.contains(&endpoint.id()) {
+                endpoint.remove(now, only_draining_binds);
+            }
+        }
+    }
+
+    fn apply_update(
+        &mut self,
+        now: Time,
+        update: &EndpointUpdate,
+        settings: &Settings,
+        required_warmup_share: f64,
+    ) {
+        let mut in_flight = 0.0;
+        if let Some(endpoint) = self.endpoints.get_mut(&update.cache) {
+            if !update.ready && !update.draining {
+                return endpoint.remove(now, settings.only_draining_binds);
+            }
+            if endpoint.listed.started == update.started {
+                endpoint.listed = *update;
+                endpoint.removed_at = None;
+                return;
+            }
+            // A restart under the same id: the endpoint warms up again, and nothing that was known holds.
+            in_flight = endpoint.limit.in_flight();
+        }
+        let endpoint = Endpoint::new(*update, settings, required_warmup_share, in_flight, now);
+        self.endpoints.insert(update.cache, endpoint);
+    }
+
+    /// Decides which removed endpoints stay in service. A list that drops the origin or more than a minority of the
+    /// caches is doubted where only draining binds: they stay in service and are judged by their responses. If they
+    /// were gone indeed, probes would cost attempts until [`REMOVED_ENDPOINT_TTL`] has passed.
+    pub fn settle_removals(&mut self, now: Time) {
+        self.endpoints.retain(|_, endpoint| endpoint.is_retained(now) || endpoint.limit.in_flight() > 0.0);
+        let caches: Vec<&Endpoint> = self.iter().filter(|endpoint| !endpoint.is_origin()).collect();
+        let removed = caches.iter().filter(|cache| cache.removed_at.is_some()).count();
+        let is_doubted = removed as f64 > caches.len() as f64 * MINORITY;
+        for endpoint in self.endpoints.values_mut() {
+            if endpoint.removed_at.is_some() {
+                endpoint.listed.ready = (is_doubted || endpoint.is_origin()) && endpoint.is_retained(now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/load_reports.rs
@@ -0,0 +1,124 @@
+//! Load reports of endpoints, and the usage figures that follow from them.
+
+use crate::endpoint::LoadReport;
+use crate::ids::EndpointId;
+use crate::settings::Settings;
+use crate::time::{Span, Time};
+
+use super::endpoint_list::{Endpoint, EndpointList};
+
+/// How long usage is remembered: a few learning steps, many requests.
+pub(super) const USAGE_MEMORY: Span = Span::from_millis(3000);
+
+/// An endpoint's last load report.
+#[derive(Clone, Copy)]
+pub(super) struct ReceivedLoadReport {
+    pub received_at: Time,
+    pub report: LoadReport,
+}
+
+impl ReceivedLoadReport {
+    /// The queueing time in seconds, where the report shows it: by Little's law the requests held over the rate are
+    /// the time that a request spends there. An outdated report shows nothing, or it would make a queue look like
+    /// long work.
+    pub fn queueing_seconds(&self, now: Time) -> Option<f64> {
+        if now - self.received_at > USAGE_MEMORY {
+            return None;
+        }
+        let rate = self.report.per_s.filter(|rate| *rate > 0.0)?;
+        Some(self.report.held? / rate - self.report.service?.as_secs_f64())
+    }
+}
+
+/// A reported figure per unit of size, and how much it still counts.
+struct WeightedFigure {
+    value: f64,
+    weight: f64,
+}
+
+/// The sums of what endpoints report to hold.
+struct HeldTotals {
+    weighted_sum: f64,
+    weight: f64,
+}
+
+impl HeldTotals {
+    /// The weighted mean; undefined where all reports are too old to count at all.
+    fn mean(&self) -> f64 {
+        self.weighted_sum / self.weight
+    }
+}
+
+/// The usage of an endpoint.
+pub(super) struct EndpointUsage {
+    pub endpoint: EndpointId,
+    pub usage: f64,
+}
+
+/// Computes the usage of all serving caches at one moment: the requests they report to hold, per unit of size. The
+/// weight of an old report shifts to the mean of all endpoints. Where no endpoint reports what it holds, usage is the
+/// node's own attempts in flight there.
+pub(super) struct UsageEstimator<'a> {
+    pub now: Time,
+    pub settings: &'a Settings,
+}
+
+impl UsageEstimator<'_> {
+    pub fn usages(&self, endpoints: &EndpointList) -> Vec<EndpointUsage> {
+        let totals = self.held_totals(endpoints);
+        let serving = endpoints.iter().filter(|endpoint| endpoint.is_serving());
+        serving
+            .map(|endpoint| EndpointUsage { endpoint: endpoint.id(), usage: self.usage(endpoint, &totals) })
+            .collect()
+    }
+
+    fn usage(&self, endpoint: &Endpoint, totals: &HeldTotals) -> f64 {
+        match self.held(endpoint) {
+            Some(held) => totals.mean() * (1.0 - held.weight) + held.value * held.weight,
+            None if totals.weight > 0.0 => totals.mean(),
+            None => self.own_usage(endpoint),
+        }
+    }
+
+    /// The node's own attempts in flight. Requests that only wait are no load in flight; the node's part of them
+    /// adds to its own.
+    fn own_usage(&self, endpoint: &Endpoint) -> f64 {
+        let own = endpoint.own_load.read(self.now) / endpoint.size(self.settings);
+        let waiting = match self.waiting(endpoint) {
+            Some(waiting) => waiting.value * waiting.weight / self.settings.nodes,
+            None => 0.0,
+        };
+        own + waiting
+    }
+
+    /// Sums up what serving caches report to hold.
+    fn held_totals(&self, endpoints: &EndpointList) -> HeldTotals {
+        let mut totals = HeldTotals { weighted_sum: 0.0, weight: 0.0 };
+        for endpoint in endpoints.iter().filter(|endpoint| endpoint.is_serving()) {
+            if let Some(held) = self.held(endpoint) {
+                totals.weighted_sum += held.value * held.weight;
+                totals.weight += held.weight;
+            }
+        }
+        totals
+    }
+
+    fn held(&self, endpoint: &Endpoint) -> Option<WeightedFigure> {
+        self.weighted(endpoint, |report| report.held)
+    }
+
+    fn waiting(&self, endpoint: &Endpoint) -> Option<WeightedFigure> {
+        self.weighted(endpoint, |report| report.waiting)
+    }
+
+    fn weighted(
+        &self,
+        endpoint: &Endpoint,
+        figure: fn(&LoadReport) -> Option<f64>,
+    ) -> Option<WeightedFigure> {
+        let last = endpoint.last_load_report?;
+        let age = (self.now - last.received_at).as_secs_f64();
+        let value = figure(&last.report)? / endpoint.size(self.settings);
+        Some(WeightedFigure { value, weight: (-age / USAGE_MEMORY.as_secs_f64()).exp() })
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/outlier_detection.rs
@@ -0,0 +1,105 @@
+//! Outlier detection for single endpoints: an endpoint whose attempts fail is ejected, and probed with a growing
+//! backoff until a probe succeeds.
+
+use crate::time::{Span, Time};
+
+/// An endpoint is healthy while this many of the recorded outcomes are successes.
+const MIN_SUCCESSES: u32 = 3;
+/// Wait before the first probe of an ejected endpoint.
+const PROBE_BACKOFF_INITIAL: Span = Span::from_millis(1000);
+/// The wait doubles with each probe up to this one.
+const PROBE_BACKOFF_MAX: Span = Span::from_millis(8000);
+
+/// The last five outcomes, one bit each: successes are ones, the latest is the lowest bit.
+#[derive(Clone, Copy)]
+struct OutcomeHistory(u32);
+
+impl OutcomeHistory {
+    const ALL_SUCCESSES: OutcomeHistory = OutcomeHistory(0b11111);
+
+    fn record(&mut self, success: bool) {
+        self.0 = (self.0 << 1 | u32::from(success)) & OutcomeHistory::ALL_SUCCESSES.0;
+    }
+
+    fn is_healthy(self) -> bool {
+        self.0.count_ones() >= MIN_SUCCESSES
+    }
+}
+
+/// The state of an ejected endpoint.
+#[derive(Clone, Copy)]
+struct Ejection {
+    next_probe_at: Time,
+    /// The wait that follows the next probe.
+    backoff: Span,
+}
+
+impl Ejection {
+    fn new(now: Time) -> Ejection {
+        Ejection { next_probe_at: now + PROBE_BACKOFF_INITIAL, backoff: PROBE_BACKOFF_INITIAL }
+    }
+}
+
+/// The health of an endpoint as its outcomes show it.
+pub(super) struct EndpointHealth {
+    outcomes: OutcomeHistory,
+    ejection: Option<Ejection>,
+}
+
+impl EndpointHealth {
+    /// The health of an endpoint that nothing is known of.
+    pub fn new() -> EndpointHealth {
+        EndpointHealth { outcomes: OutcomeHistory::ALL_SUCCESSES, ejection: None }
+    }
+
+    pub fn is_ejected(&self) -> bool {
+        self.ejection.is_some()
+    }
+
+    /// Whether the endpoint is ejected and a probe is due.
+    pub fn is_probe_due(&self, now: Time) -> bool {
+        self.ejection.is_some_and(|ejection| ejection.next_probe_at <= now)
+    }
+
+    /// Records an outcome of the origin, which is never ejected: nothing could take its place.
+    pub fn record_without_ejection(&mut self, success: bool) {
+        self.outcomes.record(success);
+    }
+
+    /// Records an outcome of a cache. Too many failures eject it; one success of a probe brings it back.
+    pub fn record(&mut self, now: Time, success: bool) {
+        self.outcomes.record(success);
+        if self.ejection.is_some() {
+            if success {
+                *self = EndpointHealth::new();
+            }
+        } else if !self.outcomes.is_healthy() {
+            self.ejection = Some(Ejection::new(now));
+        }
+    }
+
+    /// An attempt was sent; while the endpoint is ejected it is a probe.
+    pub fn on_attempt_sent(&mut self, now: Time) {
+        if let Some(ejection) = &mut self.ejection {
+            ejection.next_probe_at = now + ejection.backoff;
+            ejection.backoff = Span(ejection.backoff.0 * 2).min(PROBE_BACKOFF_MAX);
+        }
+    }
+
+    /// Other nodes see the endpoint fail: ejects it, or puts off its next probe.
+    pub fn on_reported_failing(&mut self, now: Time) {
+        let initial = Ejection::new(now);
+        match &mut self.ejection {
+            Some(ejection) => ejection.next_probe_at = ejection.next_probe_at.max(initial.next_probe_at),
+            None => self.ejection = Some(initial),
+        }
+    }
+
+    /// Other nodes see the endpoint answer again: a probe is due at once.
+    pub fn on_reported_answering(&mut self, now: Time) {
+        if let Some(ejection) = &mut self.ejection {
+            ejection.next_probe_at = ejection.next_probe_at.min(now);
+            ejection.backoff = PROBE_BACKOFF_INITIAL;
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/request_queue.rs
@@ -0,0 +1,105 @@
+//! Requests without a final response: those that wait for an attempt, in order of priority, and their deadlines.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::ops::Bound::{Excluded, Unbounded};
+
+use crate::ids::RequestId;
+use crate::pending_request::{PendingRequest, RequestPriority};
+use crate::time::Time;
+
+/// A time at which a request must be looked at again.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Deadline {
+    pub at: Time,
+    pub id: RequestId,
+}
+
+#[derive(Default)]
+pub(super) struct RequestQueue {
+    pending: HashMap<RequestId, PendingRequest>,
+    waiting: BTreeMap<RequestPriority, RequestId>,
+    /// The last waiting request that was looked at in this round.
+    cursor: Option<RequestPriority>,
+    deadlines: BTreeSet<Deadline>,
+    accepted: u64,
+}
+
+impl RequestQueue {
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.pending.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.pending.get_mut(&id)
+    }
+
+    /// The number of entries in all collections.
+    pub fn entries(&self) -> usize {
+        self.pending.len() + self.waiting.len() + self.deadlines.len()
+    }
+
+    /// The priority of a new request of this value, which must not be negative.
+    pub fn next_priority(&mut self, value: f64) -> RequestPriority {
+        self.accepted += 1;
+        RequestPriority { inverted_value: u64::MAX - value.to_bits(), sequence: self.accepted }
+    }
+
+    /// Adds a request, which waits for its first attempt.
+    pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
+        self.waiting.insert(request.priority, id);
+        self.deadlines.insert(Deadline { at: request.client_deadline, id });
+        self.pending.insert(id, request);
+    }
+
+    pub fn remove(&mut self, id: RequestId) {
+        let Some(request) = self.pending.remove(&id) else { return };
+        self.waiting.remove(&request.priority);
+        self.deadlines.remove(&Deadline { at: request.client_deadline, id });
+    }
+
+    /// Lets a request wait for another attempt, if it is still pending.
+    pub fn set_waiting(&mut self, id: RequestId) {
+        if let Some(request) = self.pending.get(&id) {
+            self.waiting.insert(request.priority, id);
+        }
+    }
+
+    pub fn clear_waiting(&mut self, priority: RequestPriority) {
+        self.waiting.remove(&priority);
+    }
+
+    pub fn has_waiting(&self) -> bool {
+        !self.waiting.is_empty()
+    }
+
+    /// Begins a new round over the waiting requests.
+    pub fn restart_round(&mut self) {
+        self.cursor = None;
+    }
+
+    /// The next waiting request of this round.
+    pub fn next_waiting(&mut self) -> Option<RequestId> {
+        let after = self.cursor.map_or(Unbounded, Excluded);
+        let (&priority, &id) = self.waiting.range((after, Unbounded)).next()?;
+        self.cursor = Some(priority);
+        Some(id)
+    }
+
+    pub fn add_deadline(&mut self, at: Time, id: RequestId) {
+        self.deadlines.insert(Deadline { at, id });
+    }
+
+    pub fn next_deadline(&self) -> Option<Time> {
+        self.deadlines.first().map(|deadline| deadline.at)
+    }
+
+    /// Takes the earliest deadline, if it has passed.
+    pub fn pop_due_deadline(&mut self, now: Time) -> Option<Deadline> {
+        let deadline = *self.deadlines.first()?;
+        if deadline.at > now {
+            return None;
+        }
+        self.deadlines.remove(&deadline);
+        Some(deadline)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -0,0 +1,179 @@
+//! Budgets for endpoints that are warming up (slow start), and for leases of the origin.
+//!
+//! Each endpoint has a token bucket of work. A node refills it at its own part of what the endpoint can take, so
+//! that all nodes together stay below the load under which an endpoint in warm-up fails.
+
+use crate::decaying::{DecayingMean, DecayingSum};
+use crate::endpoint::EndpointRole;
+use crate::request::Request;
+use crate::settings::Settings;
+use crate::time::{Span, Time};
+
+use super::endpoint_list::Endpoint;
+use super::endpoint_selection::LEARNING_INTERVAL;
+use super::response_times::ResponseTimes;
+
+/// Endpoints in warm-up receive at most this multiple of the recent work per unit of warm size, where requests ask
+/// for more.
+const MAX_DEMAND_GROWTH: f64 = 1.5;
+/// A bucket holds the refill of this share of the fall window.
+const CAPACITY_WINDOW_SHARE: f64 = 0.5;
+/// Attempts may by chance arrive at twice a node's part; if even that would make the endpoint fail, the part is
+/// reduced.
+const BURST_ALLOWANCE: f64 = 0.5;
+/// The least warm size that demand is related to.
+const MIN_WARM_SIZE: f64 = 1e-9;
+
+/// The token bucket of one endpoint. Its unit is a second of work; for a leased origin, a fetch.
+pub(super) struct WarmupBudget {
+    tokens: f64,
+    refilled_at: Time,
+    /// The share of an attempt's cost that must be available, drawn at random for each attempt: a bucket refills far
+    /// less than one attempt at each of many nodes, and so neither do all of them wait nor all send at once.
+    required_share: f64,
+}
+
+impl WarmupBudget {
+    pub fn new(required_share: f64, now: Time) -> WarmupBudget {
+        WarmupBudget { tokens: 0.0, refilled_at: now, required_share }
+    }
+
+    /// Restarts the refill from now on: the time until now must not count at a rate that holds later.
+    pub fn restart_refill(&mut self, now: Time) {
+        self.refilled_at = now;
+    }
+
+    fn available(&self, now: Time, rate: f64, capacity: f64) -> f64 {
+        (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(capacity)
+    }
+
+    /// Sets what is left after an attempt, and the share that the next one needs.
+    pub fn set(&mut self, now: Time, tokens: f64, required_share: f64) {
+        self.tokens = tokens;
+        self.refilled_at = now;
+        self.required_share = required_share;
+    }
+}
+
+/// The work that this node sends, from which the buckets' refill rates follow.
+pub(super) struct WarmupTraffic {
+    /// Work sent to caches during the fall window.
+    sent_work: DecayingSum,
+    /// `sent_work` per unit of warm size, averaged over the time of a warm-up.
+    sent_per_size: DecayingMean,
+    /// Work that requests ask of caches during the fall window.
+    requested_work: DecayingSum,
+    /// The warm size of all serving caches at the last learning step.
+    warm_size: f64,
+}
+
+impl WarmupTraffic {
+    pub fn new(settings: &Settings, now: Time) -> WarmupTraffic {
+        let window = settings.fall_window.max(LEARNING_INTERVAL);
+        let warmup = settings.warm_after.max(LEARNING_INTERVAL);
+        WarmupTraffic {
+            sent_work: DecayingSum::new(window, now),
+            sent_per_size: DecayingMean::new(warmup, now, 0.0),
+            requested_work: DecayingSum::new(window, now),
+            warm_size: 0.0,
+        }
+    }
+
+    /// Drops the sums if they mean something else under new settings: sums over other windows, or by other sizes,
+    /// would grant endpoints in warm-up work that they can't take.
+    pub fn on_settings_update(&mut self, old: &Settings, new: &Settings, now: Time) {
+        let is_unchanged = old.fall_window == new.fall_window
+            && old.warm_after == new.warm_after
+            && old.steady_sizes == new.steady_sizes;
+        if !is_unchanged {
+            *self = WarmupTraffic { warm_size: self.warm_size, ..WarmupTraffic::new(new, now) };
+        }
+    }
+
+    pub fn on_work_requested(&mut self, now: Time, work: f64) {
+        self.requested_work.add(now, work);
+    }
+
+    pub fn on_work_sent(&mut self, now: Time, work: f64) {
+        self.sent_work.add(now, work);
+    }
+
+    /// Updates the average. Without a serving cache nothing is carried; related to almost no size, the work would
+    /// grant endpoints in warm-up any amount.
+    pub fn on_learning_step(&mut self, now: Time, warm_size: f64) {
+        if warm_size > 0.0 {
+            self.sent_per_size.add(now, self.sent_work.read(now) / warm_size);
+        }
+        self.warm_size = warm_size;
+    }
+
+    /// The work per unit of warm size that the fall window carries. Where the fleet becomes colder, the same
+    /// requests fall to less warm size and the average would refuse them; then demand counts, within a limit.
+    fn work_per_size(&self, now: Time) -> f64 {
+        let sent = self.sent_per_size.read(now);
+        let requested = self.requested_work.read(now) / self.warm_size.max(MIN_WARM_SIZE);
+        requested.min(sent * MAX_DEMAND_GROWTH).max(sent)
+    }
+}
+
+/// Decides whether endpoints' budgets permit attempts, at one moment.
+pub(super) struct WarmupGate<'a> {
+    pub now: Time,
+    pub settings: &'a Settings,
+    pub traffic: &'a WarmupTraffic,
+    pub response_times: &'a ResponseTimes,
+}
+
+impl WarmupGate<'_> {
+    /// Whether the endpoint's budget permits an attempt.
+    pub fn is_permitted(&self, endpoint: &Endpoint, request: &Request) -> bool {
+        let cost = self.cost(endpoint, request);
+        cost == 0.0 || self.available(endpoint, cost) >= endpoint.warmup_budget.required_share * cost
+    }
+
+    /// What an attempt takes out of the endpoint's budget. Writes can go to the origin alone, so its lease does not
+    /// bind them.
+    pub fn cost(&self, endpoint: &Endpoint, request: &Request) -> f64 {
+        if endpoint.lease.is_some() && endpoint.role == EndpointRole::Origin {
+            return if request.write { 0.0 } else { 1.0 };
+        }
+        if endpoint.warmup_factor(self.now, self.settings) >= 1.0 {
+            return 0.0;
+        }
+        self.response_times.work(self.now, request)
+    }
+
+    /// What is in the bucket; it always holds at least one attempt of this cost.
+    pub fn available(&self, endpoint: &Endpoint, cost: f64) -> f64 {
+        let rate = self.refill_rate(endpoint);
+        let capacity = (rate * self.settings.fall_window.as_secs_f64() * CAPACITY_WINDOW_SHARE).max(cost);
+        endpoint.warmup_budget.available(self.now, rate, capacity)
+    }
+
+    /// The work per second that this node may send the endpoint: by its size and warm-up, its part of what caches
+    /// received from the node, so that all nodes together stay near the endpoint's part of the load. It is at least
+    /// one attempt at a time from all nodes together; otherwise nobody would find out that an endpoint works in a
+    /// fleet that warms up as a whole. A lease only lowers the rate of a cache.
+    fn refill_rate(&self, endpoint: &Endpoint) -> f64 {
+        let warmup_factor = endpoint.warmup_factor(self.now, self.settings);
+        let burst_factor = (self.settings.fall_multiple * BURST_ALLOWANCE).min(1.0);
+        let part = burst_factor / self.settings.fall_window.as_secs_f64();
+        let work = self.traffic.work_per_size(self.now) * endpoint.size(self.settings) * part;
+        let own_rate = work.max(1.0 / self.settings.nodes) * warmup_factor;
+        match (endpoint.lease, endpoint.role) {
+            (None, _) => own_rate,
+            (Some(lease), EndpointRole::Origin) => lease.at(self.now),
+            (Some(lease), EndpointRole::Cache) => own_rate.min(lease.at(self.now) * warmup_factor),
+        }
+    }
+}
+
+/// The part of its capacity that an endpoint has at least, by its age: it grows linearly until it is warm.
+pub(super) fn warmup_factor(now: Time, started: Option<Time>, settings: &Settings) -> f64 {
+    let Some(started) = started else { return 1.0 };
+    if settings.warm_after == Span::ZERO {
+        return 1.0;
+    }
+    let age = (now - started).as_secs_f64() / settings.warm_after.as_secs_f64();
+    settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0)
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/zone_outliers.rs
@@ -0,0 +1,86 @@
+//! Outlier detection for whole zones.
+//!
+//! A node that rarely calls each endpoint meets every endpoint of a lost zone anew. The detector combines the
+//! evidence of a zone's endpoints, so that the node notices the loss after a few attempts.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::ids::{EndpointId, ZoneId};
+use crate::time::{Span, Time};
+
+/// A zone is unresponsive when this many endpoints in a row gave no response and no other endpoint of the zone did in
+/// between. One or two failed endpoints are no zone failure.
+const MIN_UNRESPONSIVE_ENDPOINTS: usize = 3;
+/// Interval of probes to an unresponsive zone; less often than its endpoints would be probed one by one.
+const PROBE_INTERVAL: Span = Span::from_millis(1000);
+
+#[derive(Default)]
+struct ZoneState {
+    /// The endpoints without a response since the zone's last one, each once, up to the minimum that counts.
+    unresponsive: Vec<EndpointId>,
+    unresponsive_since: Time,
+    last_response_at: Time,
+    next_probe_at: Time,
+}
+
+/// Tracks responses by zone, for the zones of the endpoint list.
+#[derive(Default)]
+pub(super) struct ZoneOutlierDetector {
+    zones: BTreeMap<ZoneId, ZoneState>,
+}
+
+impl ZoneOutlierDetector {
+    /// Drops the state of all other zones. A list may name new zones for as long as the node runs.
+    pub fn retain_zones(&mut self, listed: &BTreeSet<ZoneId>) {
+        self.zones.retain(|zone, _| listed.contains(zone));
+    }
+
+    /// An endpoint of the zone responded in any way.
+    pub fn on_response(&mut self, now: Time, zone: ZoneId) {
+        let state = self.zones.entry(zone).or_default();
+        state.last_response_at = now;
+        state.unresponsive.clear();
+    }
+
+    /// An attempt at an endpoint of the zone had no response, or no connection was established.
+    pub fn on_no_response(&mut self, now: Time, zone: ZoneId, endpoint: EndpointId) {
+        let state = self.zones.entry(zone).or_default();
+        if state.unresponsive.is_empty() {
+            state.unresponsive_since = now;
+        }
+        let counts_already = state.unresponsive.contains(&endpoint);
+        if state.unresponsive.len() < MIN_UNRESPONSIVE_ENDPOINTS && !counts_already {
+            state.unresponsive.push(endpoint);
+            state.next_probe_at = now + PROBE_INTERVAL;
+        }
+    }
+
+    /// Whether the zone does not respond while another zone has. If no zone responds, the node itself is cut off or
+    /// all zones fail, and leaving out all of them would help nobody.
+    pub fn is_unresponsive(&self, zone: ZoneId) -> bool {
+        let Some(state) = self.zones.get(&zone) else { return false };
+        if state.unresponsive.len() < MIN_UNRESPONSIVE_ENDPOINTS {
+            return false;
+        }
+        let mut others = self.zones.iter().filter(|(id, _)| **id != zone);
+        others.any(|(_, other)| other.last_response_at >= state.unresponsive_since)
+    }
+
+    /// Whether an attempt may be sent there: the zone responds, or a probe of it is due.
+    pub fn is_attempt_allowed(&self, now: Time, zone: ZoneId) -> bool {
+        if !self.is_unresponsive(zone) {
+            return true;
+        }
+        self.zones.get(&zone).is_none_or(|state| state.next_probe_at <= now)
+    }
+
+    /// An attempt was sent there. While the zone is unresponsive the attempt is a probe and puts off the next one.
+    pub fn on_attempt_sent(&mut self, now: Time, zone: ZoneId) {
+        if let Some(state) = self.zones.get_mut(&zone) {
+            state.next_probe_at = state.next_probe_at.max(now + PROBE_INTERVAL);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/decaying.rs
+++ b/crates/balancer/src/decaying.rs
@@ -1,80 +1,91 @@
-//! Sums and averages that forget, brought up to date when they are read.
+//! Sums and averages with exponential decay. Values decay when they are read, so no timer is needed.
 
 use crate::time::{Span, Time};
 
-/// A sum whose parts fade by a factor e in each `memory`.
+/// A sum whose terms decay by a factor of e in each `memory`.
 #[derive(Clone, Copy, Debug)]
-pub struct FadingSum {
+pub struct DecayingSum {
     sum: f64,
-    at: Time,
+    updated_at: Time,
     memory: Span,
 }
 
-impl FadingSum {
-    pub fn new(memory: Span, now: Time) -> FadingSum {
-        FadingSum { sum: 0.0, at: now, memory }
+/// The former name of [`DecayingSum`], for crates that still import it.
+pub type FadingSum = DecayingSum;
+
+impl DecayingSum {
+    /// An empty sum.
+    pub fn new(memory: Span, now: Time) -> DecayingSum {
+        DecayingSum { sum: 0.0, updated_at: now, memory }
     }
 
+    /// Adds a term.
     pub fn add(&mut self, now: Time, amount: f64) {
         self.sum = self.read(now) + amount;
-        self.at = now;
+        self.updated_at = now;
     }
 
+    /// The sum at the time `now`.
     pub fn read(&self, now: Time) -> f64 {
-        self.sum * fade(now - self.at, self.memory)
+        self.sum * decay(now - self.updated_at, self.memory)
     }
 }
 
-/// The average over time of a level that moves in steps, such as a count of what is in flight.
+/// The decaying time average of a level that changes in steps, such as the number of attempts in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct FadingLevel {
+pub struct DecayingLevel {
     average: f64,
     level: f64,
-    at: Time,
+    updated_at: Time,
     memory: Span,
 }
 
-impl FadingLevel {
-    /// It steps from zero to this level now.
-    pub fn at(level: f64, memory: Span, now: Time) -> FadingLevel {
-        FadingLevel { average: 0.0, level, at: now, memory }
+impl DecayingLevel {
+    /// A level that was zero until now and is `level` from now on.
+    pub fn at(level: f64, memory: Span, now: Time) -> DecayingLevel {
+        DecayingLevel { average: 0.0, level, updated_at: now, memory }
     }
 
+    /// Changes the level.
     pub fn step_by(&mut self, now: Time, change: f64) {
         self.average = self.read(now);
-        self.at = now;
+        self.updated_at = now;
         self.level += change;
     }
 
+    /// The average at the time `now`.
     pub fn read(&self, now: Time) -> f64 {
-        self.level + (self.average - self.level) * fade(now - self.at, self.memory)
+        self.level + (self.average - self.level) * decay(now - self.updated_at, self.memory)
     }
 }
 
-/// The mean of samples, newer ones weighing more; `start` stands until the first.
+/// The mean of samples, where newer ones weigh more.
 #[derive(Clone, Copy, Debug)]
-pub struct FadingMean {
-    sum: FadingSum,
-    count: FadingSum,
-    start: f64,
+pub struct DecayingMean {
+    sum: DecayingSum,
+    count: DecayingSum,
+    initial: f64,
 }
 
-impl FadingMean {
-    pub fn new(memory: Span, now: Time, start: f64) -> FadingMean {
-        FadingMean { sum: FadingSum::new(memory, now), count: FadingSum::new(memory, now), start }
+impl DecayingMean {
+    /// A mean that reads `initial` until the first sample.
+    pub fn new(memory: Span, now: Time, initial: f64) -> DecayingMean {
+        DecayingMean { sum: DecayingSum::new(memory, now), count: DecayingSum::new(memory, now), initial }
     }
 
+    /// Adds a sample.
     pub fn add(&mut self, now: Time, sample: f64) {
         self.sum.add(now, sample);
         self.count.add(now, 1.0);
     }
 
-    /// The mean, with the start counted as one sample, so that few samples move it little.
+    /// The mean. The initial value counts as one sample that never decays, so few samples move it little.
     pub fn read(&self, now: Time) -> f64 {
-        (self.sum.read(now) + self.start) / (self.count.read(now) + 1.0)
+        (self.sum.read(now) + self.initial) / (self.count.read(now) + 1.0)
     }
 }
 
-fn fade(age: Span, memory: Span) -> f64 {
+/// The factor by which a value of this age has decayed.
+fn decay(age: Span, memory: Span) -> f64 {
     (-age.as_secs_f64() / memory.as_secs_f64()).exp()
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -1,4 +1,4 @@
-//! One type for each kind of id, so that none can stand in for another.
+//! One type for each kind of identifier, so that none can stand in for another.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
@@ -10,18 +10,20 @@
 }
 
 ids! {
-    /// A cache server, or the origin where the list names it.
+    /// A cache server, or the origin where it is listed.
     EndpointId(u64),
-    /// One API call; a client's repeat has a new one.
+    /// One request; a client's retry has a new one.
     RequestId(u64),
-    /// What an API call asks for.
+    /// The key that a request reads or writes.
     Key(u64),
-    /// The place of a product in the settings.
+    /// The position of a request class in the settings.
     RequestClassId(u16),
-    /// The place of a zone in the settings; of one that they don't name, a number beyond all places.
+    /// The position of a zone in the settings; for a zone that they don't name, a number beyond all positions.
     ZoneId(u32),
+    /// The position of an endpoint kind in the settings.
     KindId(u16),
+    /// A group of endpoints within which repeats are recognized.
     CellId(u32),
-    /// Counts the shots of one API call from 0.
+    /// Counts the attempts of one request from 0.
     AttemptNumber(u8),
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,11 +1,34 @@
-//! granitelb: which cache server gets which API call. Start reading at [`balancer`].
+//! granitelb's decision logic: which endpoint serves which request.
+//!
+//! The crate is sans-I/O and uses `std` only: it reads no clock, opens no socket and draws no random number
+//! except from the seed that it is given. A host reports what happens and carries out what is decided. Start
+//! reading at [`balancer`].
 
+#![warn(missing_docs)]
+
+pub mod attempt;
 pub mod balancer;
-pub mod calls;
+pub mod control_plane;
 pub mod decaying;
+pub mod endpoint;
 pub mod ids;
 mod pending_request;
+pub mod request;
 mod seeded_hash;
 pub mod settings;
 pub mod slot_table;
 pub mod time;
+
+pub use attempt::{Attempt, AttemptOutcome, AttemptResult};
+pub use balancer::Balancer;
+pub use control_plane::{ControlPlaneUpdate, Lease, MigrationPhase, ShardMap, ShardSplit};
+pub use endpoint::{EndpointRole, EndpointUpdate, LoadReport};
+pub use request::{LocalReply, Request};
+
+/// The border types under their former module, for crates that still import them from there.
+pub mod calls {
+    pub use crate::attempt::{Attempt, AttemptOutcome, AttemptResult};
+    pub use crate::control_plane::{ControlPlaneUpdate, Lease, MigrationPhase, ShardMap, ShardSplit};
+    pub use crate::endpoint::{EndpointUpdate, LoadReport};
+    pub use crate::request::{LocalReply, Request};
+}
--- a/crates/balancer/src/seeded_hash.rs
+++ b/crates/balancer/src/seeded_hash.rs
@@ -1,4 +1,4 @@
-//! Numbers that look drawn and are the same wherever they are asked for.
+//! Deterministic hashes, and a random number generator on top of them.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
@@ -7,7 +7,26 @@
     BuildHasherDefault::<DefaultHasher>::default().hash_one(parts)
 }
 
-/// A hash as a number from 0 to 1.
+/// Maps a hash to a number from 0 to 1.
 pub fn unit(hash: u64) -> f64 {
-    (hash >> 11) as f64 / (1u64 << 53) as f64
+    const MANTISSA_BITS: u32 = 53;
+    (hash >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
+}
+
+/// A random number generator whose draws follow from its seed alone.
+pub(crate) struct SeededRandom {
+    seed: u64,
+    draws: u64,
+}
+
+impl SeededRandom {
+    pub fn new(seed: u64) -> SeededRandom {
+        SeededRandom { seed, draws: 0 }
+    }
+
+    /// The next number from 0 to 1.
+    pub fn next_unit(&mut self) -> f64 {
+        self.draws += 1;
+        unit(hash_of((self.seed, self.draws)))
+    }
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,79 +1,108 @@
-//! What the host tells a [`Balancer`](crate::balancer::Brain) once, at its start.
+//! The settings that a host gives a [`Balancer`](crate::balancer::Balancer) at its start and on a reload.
 
-use crate::ids::KindId;
+use crate::ids::{KindId, RequestClassId};
 use crate::time::Span;
 
+/// The terms that a balancer works under.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The kind that the list names the origin by: a node asks it for what caches lack, and for writes. None where
-    /// caches fetch what they lack themselves.
+    /// The kind of the origin in the endpoint list: nodes ask it for cache misses and send it writes. `None` where
+    /// caches fetch by themselves what they miss.
     pub origin: Option<KindId>,
+    /// The request classes, in the order of their ids.
     pub request_classes: Vec<RequestClass>,
-    /// How many nodes there are, this one included.
+    /// The number of nodes, this one included.
     pub nodes: f64,
-    /// Whether the list of caches only comes when asked for.
+    /// Whether the endpoint list only comes on request.
     pub list_on_request: bool,
-    /// How long a node without a watch may go without asking.
+    /// The longest time that a node without a watch may go without asking for one; zero where none is set.
     pub max_poll_interval: Span,
-    /// Whether new work is barred only from caches that were listed as draining: the list's word that one is gone, or
-    /// its silence on one, proves nothing.
+    /// Whether only endpoints that were listed as draining are barred from new work: an entry that lists an endpoint
+    /// as gone, or a list without it, proves nothing.
     pub only_draining_binds: bool,
-    /// The share of its capacity that a cache starts with at least.
+    /// The share of its capacity that an endpoint has at least when it starts.
     pub cold_from: f64,
-    /// How long after its start a cache is warm at the latest.
+    /// The time after its start at which an endpoint is warm at the latest.
     pub warm_after: Span,
-    /// A cold cache sent this many times what it can do, for `fall_window`, falls over.
+    /// An endpoint in warm-up that receives this multiple of its capacity during `fall_window` fails.
     pub fall_multiple: f64,
+    /// See `fall_multiple`.
     pub fall_window: Span,
+    /// The most attempts of one request.
     pub max_attempts: u8,
+    /// Whether a request may have two attempts in flight at the same time.
     pub hedged_requests: bool,
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// The longest wait that clients heed; zero where they can't be told.
+    /// The longest `Retry-After` that clients respect; zero where they can't be given one.
     pub max_retry_after: Span,
-    /// Whether billed value counts per unit of work and not per API call.
+    /// Whether the billed value counts per unit of work and not per request.
     pub value_by_work: bool,
-    /// Whether listed sizes are capacities, not momentary figures.
+    /// Whether listed sizes are capacities and not momentary figures.
     pub steady_sizes: bool,
 }
 
 impl Settings {
-    /// Whether caches say what they lack and the node asks the origin, or they fetch it themselves.
+    /// Whether the node asks the origin for what a cache misses; otherwise caches fetch it by themselves.
     pub fn is_cache_aside(&self) -> bool {
         self.origin.is_some()
     }
 
-    /// The SLO of the product with the least time.
+    /// The shortest latency objective of the request classes on offer.
     pub fn tightest_slo(&self) -> Span {
-        self.request_classes.iter().filter(|p| p.offered).map(|p| p.slo).min().unwrap_or_default()
+        self.request_classes
+            .iter()
+            .filter(|class| class.offered)
+            .map(|class| class.slo)
+            .min()
+            .unwrap_or_default()
+    }
+
+    /// The terms of a request class.
+    pub(crate) fn request_class(&self, id: RequestClassId) -> &RequestClass {
+        &self.request_classes[usize::from(id.0)]
     }
 }
 
+/// The terms of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
+    /// The latency objective.
     pub slo: Span,
+    /// The value of an answer within the latency objective.
     pub billed_value: f64,
-    /// The part of it that an answer after the SLO is worth.
+    /// The share of the billed value that an answer after the latency objective has.
     pub value_after_slo: f64,
-    /// Whether it can be asked for: others stand for calls that were taken under former settings.
+    /// Whether clients can ask for it. Classes that are not on offer stand for requests that arrived under former
+    /// settings.
     pub offered: bool,
+    /// What executing a request twice would do.
     pub effect: Effect,
 }
 
-/// What running an API call twice would do.
+/// What executing a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// Nothing more than executing it once.
     Idempotent,
-    /// Repeats are dropped within the scope, for the window from the first shot that may have run.
+    /// Repeats are recognized and dropped.
     Deduplicated {
+        /// The endpoints among which a repeat is recognized.
         scope: DedupScope,
+        /// How long after the first attempt that may have executed the request.
         window: Span,
     },
+    /// Harm: the request must not be executed twice.
     NonIdempotent,
 }
 
+/// The endpoints among which a repeated request is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
+    /// All endpoints.
     All,
+    /// Those in the zone of the first attempt's endpoint.
     Zone,
+    /// Those in the cell of the first attempt's endpoint.
     Cell,
 }
--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -1,152 +1,177 @@
-//! The slot table: which caches stand first in each slot, by a hash of both, stretched by size. Built alike wherever the
-//! same caches and sizes are known, and few slots change when a cache comes or goes.
+//! The slot table: the endpoints that rank first in each slot.
 //!
-//! Where a shard of slots is split, its keys are told apart by more bits of their hash: those whose bits are not all
-//! zero stand in slots beyond the first 8,192, each of which has other candidates. Without a form there are none.
+//! The ranking follows from a hash of the endpoint and the slot, stretched by the endpoint's size (weighted
+//! rendezvous hashing). Every node that knows the same endpoints and sizes builds the same table, and few slots
+//! change when an endpoint comes or goes.
+//!
+//! The keys of a split shard are told apart by further bits of their hash. Those whose bits are not all zero fall
+//! to slots beyond the first 8,192, each with candidates of its own. Without a [`ShardMap`] there are no such slots.
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::calls::{MigrationPhase, ShardMap, ShardSplit};
+use crate::control_plane::{MigrationPhase, ShardMap, ShardSplit};
 use crate::ids::{EndpointId, Key};
 use crate::seeded_hash::{hash_of, unit};
 
-/// Some tens for each of hundreds of caches: with five each, their parts would differ by 0.44 of the mean (one over the
-/// root of five), with forty by 0.16.
+/// Slots of an unsplit table: some tens for each of hundreds of endpoints. With five each, their shares would deviate
+/// by 0.44 of the mean (one over the square root of five), with forty by 0.16.
 const SLOTS: u64 = 8192;
 /// Slots of one shard.
-const SHARD: u64 = 32;
-/// More bits than these would make more slots than are worth ranking.
-const MOST_BITS: u8 = 3;
+const SLOTS_PER_SHARD: u64 = 32;
+/// Further bits would make more slots than are worth ranking.
+const MAX_SPLIT_BITS: u8 = 3;
+
+/// Keeps the logarithm of a hash finite.
+const SMALLEST_UNIT: f64 = 1e-18;
 
-/// The shard that a key belongs to, whatever form the table has.
+/// The shard that a key belongs to, whatever the shard map.
 pub fn shard_of(key: Key) -> u8 {
-    shard(hash_of(key) % SLOTS)
+    shard_of_slot(hash_of(key) % SLOTS)
 }
 
-/// A hash of a key that is the same at every node of one build, to count distinct ones by.
+/// A hash of a key that is the same at every node of one build, for counting distinct keys.
 pub fn key_hash(key: Key) -> u64 {
     hash_of(key)
 }
 
-/// The caches that come first in a shard's slots by so many more bits, of these with their sizes.
-pub fn caches_of(shard: u8, bits: u8, caches: &[(EndpointId, f64)]) -> BTreeSet<EndpointId> {
+/// The endpoints that rank first in any slot of a shard that is split by `bits` further bits, among these endpoints
+/// with their sizes.
+pub fn caches_of(shard: u8, bits: u8, endpoints: &[(EndpointId, f64)]) -> BTreeSet<EndpointId> {
     let mut table = SlotTable::<1>::new();
-    table.renew(caches.to_vec());
+    table.set_endpoints(endpoints.to_vec());
     slots_of(shard, bits).filter_map(|slot| table.ranks(slot)[0]).collect()
 }
 
-/// The cache that comes first for a key in a form, and the one that a miss asks next while both places are read.
+/// The endpoint that ranks first for a key under a shard map, and the one that is asked after a miss during dual
+/// reads.
 pub fn place_of(
     key: Key,
-    form: &ShardMap,
-    caches: &[(EndpointId, f64)],
+    shard_map: &ShardMap,
+    endpoints: &[(EndpointId, f64)],
 ) -> Option<(EndpointId, Option<EndpointId>)> {
     let mut table = SlotTable::<1>::new();
-    table.renew(caches.to_vec());
-    table.reform(form);
-    let old = table.old_slot(hash_of(key)).and_then(|slot| table.ranks(slot)[0]);
-    Some((table.ranks(table.slot(hash_of(key)))[0]?, old))
+    table.set_endpoints(endpoints.to_vec());
+    table.set_shard_map(shard_map);
+    let previous = table.previous_slot(hash_of(key)).and_then(|slot| table.ranks(slot)[0]);
+    Some((table.ranks(table.slot(hash_of(key)))[0]?, previous))
 }
 
-/// The slots that a shard has by so many more bits.
+/// The slots of a shard that is split by `bits` further bits.
 fn slots_of(shard: u8, bits: u8) -> impl Iterator<Item = u64> {
-    let first = u64::from(shard) * SHARD;
-    (0..1 << bits.min(MOST_BITS)).flat_map(move |part| (first..first + SHARD).map(move |s| s + SLOTS * part))
+    let first = u64::from(shard) * SLOTS_PER_SHARD;
+    (0..1 << bits.min(MAX_SPLIT_BITS))
+        .flat_map(move |part| (first..first + SLOTS_PER_SHARD).map(move |s| s + SLOTS * part))
 }
 
-fn shard(slot: u64) -> u8 {
-    (slot / SHARD) as u8
+/// The shard that a slot of the unsplit table belongs to.
+fn shard_of_slot(slot: u64) -> u8 {
+    (slot / SLOTS_PER_SHARD) as u8
 }
 
-pub(crate) struct SlotTable<const PLACES: usize> {
-    caches: Vec<(EndpointId, f64)>,
-    /// Slots in use, of which there are no more than slots. Ranked when first used since the caches changed: ranking all at each change would cost a large fleet dearly.
-    ranked: HashMap<u64, [Option<EndpointId>; PLACES]>,
+/// The slot table with the first `CANDIDATES` endpoints of each slot.
+pub(crate) struct SlotTable<const CANDIDATES: usize> {
+    endpoints: Vec<(EndpointId, f64)>,
+    /// The rankings of slots in use, computed on first use after a change of the endpoints: ranking all slots at each
+    /// change would be expensive in a large fleet.
+    rankings: HashMap<u64, [Option<EndpointId>; CANDIDATES]>,
     version: u64,
-    form: ShardMap,
+    shard_map: ShardMap,
 }
 
-impl<const PLACES: usize> SlotTable<PLACES> {
-    pub fn new() -> SlotTable<PLACES> {
-        SlotTable { caches: Vec::new(), ranked: HashMap::new(), version: 0, form: ShardMap::default() }
+impl<const CANDIDATES: usize> SlotTable<CANDIDATES> {
+    pub fn new() -> SlotTable<CANDIDATES> {
+        SlotTable {
+            endpoints: Vec::new(),
+            rankings: HashMap::new(),
+            version: 0,
+            shard_map: ShardMap::default(),
+        }
     }
 
-    /// Takes the caches that stand in it, with their sizes; a change makes a new version.
-    pub fn renew(&mut self, caches: Vec<(EndpointId, f64)>) {
-        if caches != self.caches {
-            self.caches = caches;
-            self.ranked.clear();
+    /// Replaces the endpoints and their sizes; a change makes a new version.
+    pub fn set_endpoints(&mut self, endpoints: Vec<(EndpointId, f64)>) {
+        if endpoints != self.endpoints {
+            self.endpoints = endpoints;
+            self.rankings.clear();
             self.version += 1;
         }
     }
 
-    /// Takes a form that is newer than the one that is held. Slots keep their ranks; keys may stand in others.
-    pub fn reform(&mut self, form: &ShardMap) {
-        let sound =
-            |s: &ShardSplit| s.bits.saturating_add(u8::from(s.moving != MigrationPhase::Stable)) <= MOST_BITS;
-        if form.version > self.form.version && form.shards.values().all(sound) {
-            self.form = form.clone();
+    /// Takes over a valid shard map that is newer than the present one. Slots keep their rankings; keys may fall to
+    /// other slots.
+    pub fn set_shard_map(&mut self, shard_map: &ShardMap) {
+        let is_valid = |split: &ShardSplit| {
+            let migrating_bits = u8::from(split.moving != MigrationPhase::Stable);
+            split.bits.saturating_add(migrating_bits) <= MAX_SPLIT_BITS
+        };
+        if shard_map.version > self.shard_map.version && shard_map.shards.values().all(is_valid) {
+            self.shard_map = shard_map.clone();
             self.version += 1;
         }
     }
 
+    /// Changes whenever a key's candidates may have changed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How many caches stand in it.
+    /// The number of endpoints.
     pub fn len(&self) -> usize {
-        self.caches.len()
+        self.endpoints.len()
     }
 
     /// The slot that a hash falls to.
     pub fn slot(&self, hash: u64) -> u64 {
         let slot = hash % SLOTS;
-        let Some(split) = self.form.shards.get(&shard(slot)) else { return slot };
-        let moved = match split.moving {
+        let Some(split) = self.shard_map.shards.get(&shard_of_slot(slot)) else { return slot };
+        let has_migrated = match split.moving {
             MigrationPhase::Stable => false,
-            // By other bits than those that tell the places apart.
+            // These bits are independent of those that select the slot.
             MigrationPhase::Copying { sixteenths } => (hash >> 32) % 16 < u64::from(sixteenths),
             MigrationPhase::DualRead | MigrationPhase::Switched => true,
         };
-        part_of(hash, split.bits + u8::from(moved))
+        split_slot(hash, split.bits + u8::from(has_migrated))
     }
 
-    /// While both places of a split are read: the slot that the hash fell to before it, if that is another.
-    pub fn old_slot(&self, hash: u64) -> Option<u64> {
-        let split =
-            self.form.shards.get(&shard(hash % SLOTS)).filter(|s| s.moving == MigrationPhase::DualRead)?;
-        Some(part_of(hash, split.bits)).filter(|old| *old != part_of(hash, split.bits + 1))
+    /// During dual reads, the slot that a hash fell to before the split, if that is another one.
+    pub fn previous_slot(&self, hash: u64) -> Option<u64> {
+        let split = self.shard_map.shards.get(&shard_of_slot(hash % SLOTS))?;
+        if split.moving != MigrationPhase::DualRead {
+            return None;
+        }
+        let previous = split_slot(hash, split.bits);
+        (previous != split_slot(hash, split.bits + 1)).then_some(previous)
     }
 
-    /// Keeps the ranks of a slot that is in use.
-    pub fn use_slot(&mut self, slot: u64) {
-        if !self.ranked.contains_key(&slot) {
-            let ranks = self.ranks(slot);
-            self.ranked.insert(slot, ranks);
+    /// Stores the ranking of a slot that is in use.
+    pub fn store_ranking(&mut self, slot: u64) {
+        if !self.rankings.contains_key(&slot) {
+            let ranking = self.ranks(slot);
+            self.rankings.insert(slot, ranking);
         }
     }
 
-    /// The caches of highest rank in a slot, the first one first.
-    pub fn ranks(&self, slot: u64) -> [Option<EndpointId>; PLACES] {
-        if let Some(ranks) = self.ranked.get(&slot) {
-            return *ranks;
+    /// The endpoints of highest rank in a slot, the first one first.
+    pub fn ranks(&self, slot: u64) -> [Option<EndpointId>; CANDIDATES] {
+        if let Some(ranking) = self.rankings.get(&slot) {
+            return *ranking;
         }
-        let mut best = [(f64::INFINITY, None); PLACES];
-        for (cache, size) in &self.caches {
-            let mut next = (-unit(hash_of((slot, cache))).max(1e-18).ln() / size, Some(*cache));
-            for place in best.iter_mut() {
+        let mut best = [(f64::INFINITY, None); CANDIDATES];
+        for (endpoint, size) in &self.endpoints {
+            let score = -unit(hash_of((slot, endpoint))).max(SMALLEST_UNIT).ln() / size;
+            let mut next = (score, Some(*endpoint));
+            for place in &mut best {
                 if next.0 < place.0 {
                     std::mem::swap(place, &mut next);
                 }
             }
         }
-        best.map(|b| b.1)
+        best.map(|(_, endpoint)| endpoint)
     }
 }
 
-/// A hash's slot where its shard's keys are told apart by so many more bits.
-fn part_of(hash: u64, bits: u8) -> u64 {
+/// The slot of a hash whose shard is split by `bits` further bits.
+fn split_slot(hash: u64, bits: u8) -> u64 {
     hash % SLOTS + SLOTS * ((hash / SLOTS) & ((1 << bits) - 1))
 }
 
--- a/crates/balancer/src/time.rs
+++ b/crates/balancer/src/time.rs
@@ -1,4 +1,7 @@
-//! Points in time and lengths of time, which can't be mixed up.
+//! Points in time and lengths of time as distinct types.
+//!
+//! They differ from `std::time`: [`Time`] counts from the host's epoch and can be compared with times from the
+//! wire, arithmetic saturates, and both have a resolution of one microsecond.
 
 use std::ops::{Add, Sub};
 
@@ -12,21 +15,25 @@
 pub struct Span(pub u64);
 
 impl Span {
+    /// No time at all.
     pub const ZERO: Span = Span(0);
 
+    /// A span of this many milliseconds.
     pub const fn from_millis(ms: u64) -> Span {
         Span(ms * 1000)
     }
 
+    /// A span of this many seconds, rounded down to microseconds; negative and undefined numbers give zero.
     pub fn from_secs_f64(seconds: f64) -> Span {
         Span((seconds.max(0.0) * 1e6) as u64)
     }
 
+    /// The span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// This span times `factor`; a negative or undefined product is no time at all.
+    /// This span times `factor`; a negative or undefined product gives zero.
     pub fn scaled(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor) as u64)
     }
@@ -51,7 +58,7 @@
 impl Sub for Time {
     type Output = Span;
 
-    /// The span since `earlier`, or none when `earlier` lies ahead.
+    /// The span since `earlier`, or zero when `earlier` lies ahead.
     fn sub(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
