--- /dev/null
+++ b/crates/settings/src/decode.rs
@@ -0,0 +1,145 @@
+//! Decoding and checking a settings text.
+
+use granitelb_balancer::ids::KindId;
+use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
+use granitelb_balancer::time::Span;
+use serde::Deserialize;
+
+use crate::error::SettingsError;
+use crate::load_report::Column;
+use crate::params::{Params, RequestClassParams, Specifics};
+use crate::{DecodedSettings, Names};
+
+/// Reads a JSON text.
+///
+/// # Errors
+///
+/// Names the key at which the text is not what `T` expects, or that the text is no JSON at all.
+pub fn read<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, SettingsError> {
+    let mut json = serde_json::Deserializer::from_slice(text);
+    let value = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        let path = error.path().to_string();
+        let cause = error.inner();
+        let key = match path.as_str() {
+            "." if cause.is_syntax() || cause.is_eof() => "the whole text",
+            "." => "",
+            path => path,
+        };
+        SettingsError::new(key, cause.to_string())
+    })?;
+    json.end().map_err(|error| SettingsError::new("after the text", error.to_string()))?;
+    Ok(value)
+}
+
+/// Decodes a settings text.
+///
+/// # Errors
+///
+/// Names the key that is missing, is of the wrong type, or has a value that can't be served.
+pub fn decode(text: &[u8]) -> Result<DecodedSettings, SettingsError> {
+    let params: Params = read(text)?;
+    check_ranges(&params)?;
+    let origin = origin(&params.specifics)?;
+    if params.weight_kind == "live" {
+        let reason = "sizes that follow the load are not served; load comes with reports";
+        return Err(SettingsError::new("WeightKind", reason));
+    }
+    Ok(DecodedSettings {
+        decisions: balancer_settings(&params, origin),
+        client_timeouts: params.request_classes.iter().map(|class| Span(class.client_timeout_us)).collect(),
+        connect_limit: Span(params.bounds.connect_timeout_us),
+        keepalive: Span(params.bounds.keepalive_us),
+        columns: params.load_info.columns.iter().map(|name| Column::of_name(name)).collect(),
+        names: Names {
+            request_classes: params.request_classes.into_iter().map(|class| class.name).collect(),
+            zones: params.zones,
+            kinds: params.shapes,
+        },
+    })
+}
+
+fn balancer_settings(params: &Params, origin: Option<KindId>) -> Settings {
+    let bounds = &params.bounds;
+    let rules = &params.rules;
+    Settings {
+        origin,
+        request_classes: params.request_classes.iter().map(request_class).collect(),
+        nodes: f64::from(params.nodes.max(1)),
+        list_on_request: params.discovery == "ask",
+        max_poll_interval: Span(rules.max_poll_interval_us),
+        only_draining_binds: rules.only_draining_binds,
+        cold_from: rules.cold_from,
+        warm_after: Span(rules.warm_after_us),
+        fall_multiple: rules.fall_multiple,
+        fall_window: Span(rules.fall_us),
+        max_attempts: bounds.max_attempts,
+        hedged_requests: bounds.hedged_requests,
+        may_cancel: bounds.may_cancel,
+        max_retry_after: if bounds.retry_after { Span(bounds.max_retry_after_us) } else { Span::ZERO },
+        value_by_work: params.billed_value_per == "work",
+        steady_sizes: matches!(params.weight_kind.as_str(), "nominal" | "rough"),
+    }
+}
+
+/// The kind of the origin; none where caches fetch by themselves.
+fn origin(specifics: &Specifics) -> Result<Option<KindId>, SettingsError> {
+    match specifics.mode.as_str() {
+        "through" => Ok(None),
+        "aside" => match u16::try_from(specifics.origin_kind) {
+            Ok(kind) => Ok(Some(KindId(kind))),
+            Err(_) => {
+                let reason = format!("{} is no place in Shapes", specifics.origin_kind);
+                Err(SettingsError::new("Specifics.OriginKind", reason))
+            }
+        },
+        other => {
+            let reason = format!("{other:?} is neither \"aside\" nor \"through\"");
+            Err(SettingsError::new("Specifics.Mode", reason))
+        }
+    }
+}
+
+fn request_class(params: &RequestClassParams) -> RequestClass {
+    let scope = match params.dedup_scope.as_str() {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::Cell,
+    };
+    RequestClass {
+        slo: Span(params.latency_slo_us),
+        billed_value: params.billed_value,
+        value_after_slo: params.value_after_slo,
+        offered: true,
+        effect: match params.effect.as_str() {
+            "read_like" => Effect::Idempotent,
+            "idempotency_key" => Effect::Deduplicated { scope, window: Span(params.window_us) },
+            // An effect that is not known to be harmless counts as harmful.
+            _ => Effect::NonIdempotent,
+        },
+    }
+}
+
+/// Checks the figures that must lie within a range.
+fn check_ranges(params: &Params) -> Result<(), SettingsError> {
+    check_share("Rules.ColdFrom", params.rules.cold_from)?;
+    check_not_negative("Rules.FallMultiple", params.rules.fall_multiple)?;
+    for (index, class) in params.request_classes.iter().enumerate() {
+        check_share(&format!("Products[{index}].TardyBilledValue"), class.value_after_slo)?;
+        check_not_negative(&format!("Products[{index}].BilledValue"), class.billed_value)?;
+    }
+    Ok(())
+}
+
+fn check_share(key: &str, value: f64) -> Result<(), SettingsError> {
+    if (0.0..=1.0).contains(&value) {
+        return Ok(());
+    }
+    Err(SettingsError::new(key, format!("{value} is not between 0 and 1")))
+}
+
+fn check_not_negative(key: &str, value: f64) -> Result<(), SettingsError> {
+    if (0.0..=f64::MAX).contains(&value) {
+        return Ok(());
+    }
+    Err(SettingsError::new(key, format!("{value} is not 0 or more")))
+}
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,27 +1,33 @@
-use super::*;
+use granitelb_balancer::ids::KindId;
+use granitelb_balancer::settings::Settings;
 
-fn decoded(rules: &str, specifics: &str) -> Result<Settings, Fault> {
+use super::{SettingsError, decode};
+
+fn decode_with(rules: &str, specifics: &str) -> Result<Settings, SettingsError> {
     let text =
         format!("{{\"Bounds\":{{}},\"Products\":[],\"Rules\":{{{rules}}},\"Specifics\":{{{specifics}}}}}");
-    decode(text.as_bytes()).map(|d| d.decisions)
+    decode(text.as_bytes()).map(|decoded| decoded.decisions)
 }
 
 #[test]
-fn only_draining_binds_where_it_is_said() {
-    let said =
-        |rules| decoded(rules, "\"Mode\":\"through\",\"OriginKind\":-1").map(|s| s.only_draining_binds);
-    assert!(!said("").expect("settings"));
-    assert!(said("\"OnlyDrainingBinds\":true").expect("settings"));
-    assert_eq!(said("\"OnlyDrainingBinds\":1").expect_err("no yes or no").key, "Rules.OnlyDrainingBinds");
+fn only_draining_binds_follows_its_key() {
+    let only_draining_binds = |rules| {
+        let settings = decode_with(rules, "\"Mode\":\"through\",\"OriginKind\":-1");
+        settings.map(|settings| settings.only_draining_binds)
+    };
+    assert!(!only_draining_binds("").expect("settings"));
+    assert!(only_draining_binds("\"OnlyDrainingBinds\":true").expect("settings"));
+    let error = only_draining_binds("\"OnlyDrainingBinds\":1").expect_err("not a boolean");
+    assert_eq!(error.key, "Rules.OnlyDrainingBinds");
 }
 
 #[test]
-fn an_origin_is_named_where_caches_do_not_fetch() {
-    let origin = |specifics| decoded("", specifics).map(|s| s.origin);
+fn origin_kind_is_required_in_cache_aside_mode_only() {
+    let origin = |specifics| decode_with("", specifics).map(|settings| settings.origin);
     assert_eq!(origin("\"Mode\":\"through\",\"OriginKind\":-1").expect("settings"), None);
     assert_eq!(origin("\"Mode\":\"aside\",\"OriginKind\":1").expect("settings"), Some(KindId(1)));
     assert_eq!(
-        origin("\"Mode\":\"aside\",\"OriginKind\":-1").expect_err("no place").key,
+        origin("\"Mode\":\"aside\",\"OriginKind\":-1").expect_err("no position").key,
         "Specifics.OriginKind"
     );
     assert_eq!(origin("\"Mode\":\"beside\"").expect_err("no mode").key, "Specifics.Mode");
