--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,202 +1,205 @@
-//! Hosts the instances: decodes each event into a call, then pulls and encodes what is decided.
+//! Hosts the balancers of all nodes: decodes each event into a call, then polls and encodes what is decided.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
-use granitelb_balancer::ids::{AttemptNumber, CellId, Key, KindId, RequestClassId, RequestId, ZoneId};
-use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::time::Time;
+use granitelb_balancer::{Balancer, EndpointUpdate, LocalReply};
 use granitelb_settings::Column;
 
-use crate::frame::{Batch, Malformed, Record, Reply, cache_bytes, span_bytes};
-
-const ENTRY_BYTES: usize = 25;
+use crate::error::AdapterError;
+use crate::frame::{Batch, Record, Reply, endpoint_bytes, span_bytes};
+use crate::wire::{self, EventKind, ListScope, action};
 
+/// The balancers of all nodes, by the nodes' numbers.
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u16, Instance>,
-    /// Lists by number; the wire sends each once for all instances.
-    sheets: BTreeMap<u32, Vec<EndpointUpdate>>,
+    nodes: BTreeMap<u16, Node>,
+    /// Endpoint lists by number: the wire sends each once for all nodes.
+    lists: BTreeMap<u32, Vec<EndpointUpdate>>,
 }
 
-struct Instance {
+struct Node {
     balancer: Balancer,
-    columns: Vec<Column>,
+    load_columns: Vec<Column>,
     /// When the timer that is set comes due.
-    wake: Option<Time>,
+    timer: Option<Time>,
 }
 
 impl Host {
-    /// Takes a batch in and returns the reply to it.
-    pub fn answer(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Malformed> {
+    /// Processes a batch of events and returns the reply to it.
+    ///
+    /// # Errors
+    ///
+    /// The batch does not follow the wire format.
+    pub fn on_batch(&mut self, bytes: &[u8]) -> Result<Vec<u8>, AdapterError> {
         let batch = Batch::split(bytes)?;
         let now = Time(batch.clock);
-        let mut touched = BTreeSet::new();
+        let mut nodes_with_events = BTreeSet::new();
         for record in batch.records() {
-            if let Some(node) = self.take(&batch, record, now)? {
-                touched.insert(node);
+            if let Some(number) = self.on_event(&batch, record, now)? {
+                nodes_with_events.insert(number);
             }
         }
         let mut reply = Reply::default();
-        for node in touched {
-            if let Some(instance) = self.instances.get_mut(&node) {
-                instance.decide(node, now, &mut reply);
+        for number in nodes_with_events {
+            if let Some(node) = self.nodes.get_mut(&number) {
+                node.poll(number, now, &mut reply);
             }
         }
         Ok(reply.encode())
     }
 
-    /// Decodes one event, and names the instance that it was for.
-    fn take(&mut self, batch: &Batch<'_>, record: Record<'_>, now: Time) -> Result<Option<u16>, Malformed> {
-        let code = record.u16(0);
-        if code == 7 {
-            let rows = batch.tail(record, 6, ENTRY_BYTES)?;
-            let listings =
-                rows.chunks_exact(ENTRY_BYTES).map(|bytes| listing(Record { bytes, at: record.at }));
-            self.sheets.insert(record.u32(2), listings.collect());
+    /// Processes one event, and returns the number of the node that it was for, if that node runs.
+    fn on_event(
+        &mut self,
+        batch: &Batch<'_>,
+        record: Record<'_>,
+        now: Time,
+    ) -> Result<Option<u16>, AdapterError> {
+        let kind = EventKind::of(record);
+        if kind == EventKind::ListDefinition {
+            self.define_list(batch, record)?;
             return Ok(None);
         }
-        let node = record.u16(2);
-        if code == 10 {
-            let params = batch.tail(record, 12, 1)?;
-            let decoded = granitelb_settings::decode(params)
-                .map_err(|e| Malformed(format!("record {}: unreadable settings: {e}", record.at)))?;
-            let (settings, columns) = (decoded.decisions, decoded.columns);
-            let balancer = Balancer::new(settings, record.u64(4), now);
-            self.instances.insert(node, Instance { balancer, columns, wake: None });
-            return Ok(Some(node));
-        }
-        if code == 11 {
-            self.instances.remove(&node);
-            return Ok(None);
-        }
-        let Some(instance) = self.instances.get_mut(&node) else {
-            return Ok(None);
-        };
-        let balancer = &mut instance.balancer;
-        match code {
-            // One timer is meant at a time; others are ones that no longer matter.
-            1 if instance.wake.is_some_and(|w| w.0 == record.u64(4)) => instance.wake = None,
-            2 => {
-                let scope = record.u8(4);
-                if scope == 3 {
-                    balancer.on_endpoints_watch_failed(now);
-                    return Ok(Some(node));
-                }
-                let sheet = record.u32(9);
-                let Some(listings) = self.sheets.get(&sheet) else {
-                    return Err(Malformed(format!(
-                        "record {} names list {sheet}, which was never sent",
-                        record.at
-                    )));
-                };
-                match scope {
-                    2 => balancer.on_endpoints_restored(now, listings),
-                    _ => balancer.on_endpoints_update(now, listings, scope == 1),
-                }
-            }
-            5 => balancer.on_client_disconnect(now, RequestId(record.u64(4))),
-            6 => {
-                let Some(outcome) = outcome(record.u8(19)) else {
-                    return Err(Malformed(format!(
-                        "record {}: unknown outcome {}",
-                        record.at,
-                        record.u8(19)
-                    )));
-                };
-                let end = AttemptResult {
-                    number: AttemptNumber(record.u8(12)),
-                    cache: record.cache(13),
-                    outcome,
-                    latency: Span(u64::from(record.u32(20))),
-                    answered: record.u8(24) != 0,
-                };
-                let told = usize::from(record.u8(26).min(4));
-                if told > 0 {
-                    let figures = (0..told).map(|n| f64::from(record.f32(27 + 4 * n)));
-                    let report = granitelb_settings::report(instance.columns.iter().copied().zip(figures));
-                    balancer.on_load_report(now, end.cache, &report);
-                }
-                balancer.on_attempt_finished(now, RequestId(record.u64(4)), &end);
+        let number = record.u16(2);
+        match kind {
+            EventKind::NodeStart => {
+                self.nodes.insert(number, Node::start(batch, record, now)?);
+                return Ok(Some(number));
             }
-            9 => {
-                let flags = record.u8(38);
-                let call = Request {
-                    request_class: RequestClassId(record.u16(12)),
-                    key: Key(record.u64(18)),
-                    budget: Span(u64::from(record.u32(26))),
-                    work: (flags & 1 != 0).then(|| Span(u64::from(record.u32(30)))),
-                    write: flags & 4 != 0,
-                };
-                balancer.on_request(now, RequestId(record.u64(4)), call);
+            EventKind::NodeStop => {
+                self.nodes.remove(&number);
+                return Ok(None);
             }
             _ => {}
         }
-        Ok(Some(node))
+        let Some(node) = self.nodes.get_mut(&number) else { return Ok(None) };
+        node.on_event(kind, record, now, &self.lists)?;
+        Ok(Some(number))
+    }
+
+    fn define_list(&mut self, batch: &Batch<'_>, record: Record<'_>) -> Result<(), AdapterError> {
+        let entries = batch.tail(record, 6, wire::LIST_ENTRY_BYTES)?;
+        let entries = entries.chunks_exact(wire::LIST_ENTRY_BYTES);
+        let list = entries.map(|bytes| wire::endpoint_update(Record { bytes, position: record.position }));
+        self.lists.insert(record.u32(2), list.collect());
+        Ok(())
     }
 }
 
-impl Instance {
-    fn decide(&mut self, node: u16, now: Time, reply: &mut Reply) {
-        let balancer = &mut self.balancer;
-        recall(balancer, node, reply);
-        while let Some(shot) = balancer.poll_attempt(now) {
-            let id = shot.request.0.to_be_bytes();
-            reply.push(2, node, &[&id, &cache_bytes(shot.cache), &span_bytes(shot.give_up_after)]);
+impl Node {
+    fn start(batch: &Batch<'_>, record: Record<'_>, now: Time) -> Result<Node, AdapterError> {
+        let text = batch.tail(record, 12, 1)?;
+        let decoded = granitelb_settings::decode(text)
+            .map_err(|error| AdapterError::Settings { record: record.position, error })?;
+        let seed = record.u64(4);
+        let balancer = Balancer::new(decoded.decisions, seed, now);
+        Ok(Node { balancer, load_columns: decoded.columns, timer: None })
+    }
+
+    fn on_event(
+        &mut self,
+        kind: EventKind,
+        record: Record<'_>,
+        now: Time,
+        lists: &BTreeMap<u32, Vec<EndpointUpdate>>,
+    ) -> Result<(), AdapterError> {
+        match kind {
+            EventKind::Timer => self.on_timer(Time(record.u64(4))),
+            EventKind::Endpoints => self.on_endpoints(record, now, lists)?,
+            EventKind::ClientDisconnect => {
+                self.balancer.on_client_disconnect(now, wire::request_id(record));
+            }
+            EventKind::AttemptFinished => self.on_attempt_finished(record, now)?,
+            EventKind::Request => {
+                self.balancer.on_request(now, wire::request_id(record), wire::request(record));
+            }
+            EventKind::ListDefinition | EventKind::NodeStart | EventKind::NodeStop | EventKind::Other => {}
+        }
+        Ok(())
+    }
+
+    /// A timer is due. One timer counts at a time; all others are outdated.
+    fn on_timer(&mut self, due_at: Time) {
+        if self.timer == Some(due_at) {
+            self.timer = None;
         }
-        while let Some((id, answer)) = balancer.poll_response(now) {
-            match answer {
+    }
+
+    fn on_endpoints(
+        &mut self,
+        record: Record<'_>,
+        now: Time,
+        lists: &BTreeMap<u32, Vec<EndpointUpdate>>,
+    ) -> Result<(), AdapterError> {
+        let scope = ListScope::of(record);
+        if scope == ListScope::Failed {
+            self.balancer.on_endpoints_watch_failed(now);
+            return Ok(());
+        }
+        let number = record.u32(9);
+        let Some(list) = lists.get(&number) else {
+            return Err(AdapterError::UnknownList { record: record.position, list: number });
+        };
+        match scope {
+            ListScope::Restored => self.balancer.on_endpoints_restored(now, list),
+            ListScope::Complete => self.balancer.on_endpoints_update(now, list, true),
+            ListScope::Changes | ListScope::Failed => self.balancer.on_endpoints_update(now, list, false),
+        }
+        Ok(())
+    }
+
+    fn on_attempt_finished(&mut self, record: Record<'_>, now: Time) -> Result<(), AdapterError> {
+        let result = wire::attempt_result(record)?;
+        let figures = wire::load_figures(record);
+        if !figures.is_empty() {
+            let columns = self.load_columns.iter().copied();
+            let report = granitelb_settings::report(columns.zip(figures));
+            self.balancer.on_load_report(now, result.cache, &report);
+        }
+        self.balancer.on_attempt_finished(now, wire::request_id(record), &result);
+        Ok(())
+    }
+
+    /// Encodes all that the balancer has decided.
+    fn poll(&mut self, number: u16, now: Time, reply: &mut Reply) {
+        self.poll_cancellations(number, reply);
+        while let Some(attempt) = self.balancer.poll_attempt(now) {
+            let id = attempt.request.0.to_be_bytes();
+            let endpoint = endpoint_bytes(attempt.cache);
+            reply.push(action::SEND_ATTEMPT, number, &[&id, &endpoint, &span_bytes(attempt.give_up_after)]);
+        }
+        while let Some((id, response)) = self.balancer.poll_response(now) {
+            let id = id.0.to_be_bytes();
+            match response {
                 LocalReply::RateLimited { retry_after } => {
-                    reply.push(7, node, &[&id.0.to_be_bytes(), &span_bytes(retry_after)]);
+                    reply.push(action::RATE_LIMIT, number, &[&id, &span_bytes(retry_after)]);
                 }
-                LocalReply::Errored => reply.push(10, node, &[&id.0.to_be_bytes()]),
+                LocalReply::Errored => reply.push(action::FAIL_REQUEST, number, &[&id]),
             }
         }
-        // What the answers left behind.
-        recall(balancer, node, reply);
-        if balancer.poll_watch_request(now) {
-            reply.push(12, node, &[&[1]]);
-        }
-        if let Some(at) =
-            balancer.poll_timeout(now).filter(|at| self.wake.is_none_or(|w| *at < w || w <= now))
-        {
-            self.wake = Some(at);
-            reply.push(3, node, &[&at.0.to_be_bytes(), &at.0.to_be_bytes()]);
+        // The attempts of requests that have just had their responses.
+        self.poll_cancellations(number, reply);
+        if self.balancer.poll_watch_request(now) {
+            reply.push(action::WATCH_ENDPOINTS, number, &[&[1]]);
         }
+        self.set_timer(number, now, reply);
     }
-}
 
-fn recall(balancer: &mut Balancer, node: u16, reply: &mut Reply) {
-    while let Some((id, number)) = balancer.poll_cancellation() {
-        reply.push(11, node, &[&id.0.to_be_bytes(), &[number.0]]);
+    fn poll_cancellations(&mut self, number: u16, reply: &mut Reply) {
+        while let Some((id, attempt)) = self.balancer.poll_cancellation() {
+            reply.push(action::CANCEL_ATTEMPT, number, &[&id.0.to_be_bytes(), &[attempt.0]]);
+        }
     }
-}
 
-fn listing(entry: Record<'_>) -> EndpointUpdate {
-    let started = entry.u64(15);
-    EndpointUpdate {
-        cache: entry.cache(9),
-        kind: KindId(entry.u16(0)),
-        size: f64::from(entry.f32(2)),
-        zone: ZoneId(u32::from(entry.u16(6))),
-        cell: CellId(u32::from(entry.u16(23))),
-        ready: entry.u8(8) == 1,
-        draining: entry.u8(8) == 2,
-        started: (started != 0).then_some(Time(started)),
+    /// Sets the timer, unless it is set to an earlier time that has not passed.
+    fn set_timer(&mut self, number: u16, now: Time, reply: &mut Reply) {
+        let Some(timeout) = self.balancer.poll_timeout(now) else { return };
+        let is_needed = self.timer.is_none_or(|timer| timeout < timer || timer <= now);
+        if is_needed {
+            self.timer = Some(timeout);
+            let earliest = timeout.0.to_be_bytes();
+            reply.push(action::SET_TIMER, number, &[&earliest, &earliest]);
+        }
     }
 }
-
-fn outcome(code: u8) -> Option<AttemptOutcome> {
-    Some(match code {
-        0 => AttemptOutcome::Fulfilled,
-        1 => AttemptOutcome::Cancelled,
-        4 => AttemptOutcome::TimedOut,
-        5 => AttemptOutcome::CacheMiss,
-        8 => AttemptOutcome::Rejected,
-        9 => AttemptOutcome::NotSent,
-        10 => AttemptOutcome::Reset,
-        13 => AttemptOutcome::Errored,
-        14 => AttemptOutcome::Unreachable,
-        _ => return None,
-    })
-}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,27 +1,33 @@
-//! Joins the decision module to the simulator's wire: batches of events on standard input, one reply
-//! to each on standard output. Nothing is decided here, and the instances share nothing.
+//! Joins the balancer to the simulator's wire: batches of events on standard input, one reply to each on standard
+//! output. Nothing is decided here, and the nodes' instances share no state.
 
+#![warn(missing_docs)]
+
+mod error;
 mod frame;
 mod host;
+mod wire;
 
 use std::io::{self, BufWriter, Read, Write};
 use std::process::ExitCode;
 
+use crate::error::AdapterError;
+
 fn main() -> ExitCode {
     match serve(&mut io::stdin().lock(), &mut BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("granitelb-adapter: {trouble}");
+        Err(error) => {
+            eprintln!("granitelb-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Answers batches until the input ends between two of them.
-fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), Box<dyn std::error::Error>> {
+/// Replies to batches until the input ends between two of them.
+fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = host::Host::default();
-    while let Some(bytes) = frame::read(input)? {
-        output.write_all(&host.answer(&bytes)?)?;
+    while let Some(batch) = frame::read(input)? {
+        output.write_all(&host.on_batch(&batch)?)?;
         output.flush()?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -12,20 +12,20 @@
     [&length.to_be_bytes(), &1u32.to_be_bytes(), &7u64.to_be_bytes()[..], &record, tail].concat()
 }
 
-fn play(input: &[u8]) -> Result<Vec<u8>, String> {
+fn reply_to(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
     serve(&mut &input[..], &mut output).map(|()| output).map_err(|e| e.to_string())
 }
 
 #[test]
-fn empty_batches_and_events_for_strangers_get_empty_replies() {
-    let stranger = one_record(11, &[0, 3], &[]);
-    assert_eq!(play(&[&EMPTY[..], &stranger, &EMPTY].concat()), Ok(REPLY.repeat(3)));
-    assert_eq!(play(&[]), Ok(Vec::new()));
+fn empty_batches_and_events_for_unknown_nodes_get_empty_replies() {
+    let unknown_node = one_record(11, &[0, 3], &[]);
+    assert_eq!(reply_to(&[&EMPTY[..], &unknown_node, &EMPTY].concat()), Ok(REPLY.repeat(3)));
+    assert_eq!(reply_to(&[]), Ok(Vec::new()));
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line() {
+fn malformed_input_fails_with_a_one_line_error() {
     let outside = one_record(7, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9], &[]);
     let settings = one_record(10, &[0, 3, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2], b"{]");
     for (input, word) in [
@@ -36,23 +36,23 @@
         (&outside, "tail"),
         (&settings, "settings"),
     ] {
-        let trouble = play(input).expect_err(word);
-        assert!(trouble.contains(word) && !trouble.contains('\n'), "{trouble}");
+        let error = reply_to(input).expect_err(word);
+        assert!(error.contains(word) && !error.contains('\n'), "{error}");
     }
 }
 
-/// No input makes the decoder panic: every byte of a small frame is bent in turn, and cut.
+/// No input makes the decoder panic: every byte of small frames is corrupted in turn, and the frames are truncated.
 #[test]
-fn bent_frames_never_panic() {
+fn corrupted_frames_never_panic() {
     let frames = (0..=14).map(|code| one_record(code, &[1; 40], &[2; 60]));
     for mut frame in frames.chain([EMPTY.to_vec()]) {
         for at in 4..frame.len() {
-            for bend in [1u8, 0x80, 0xff] {
-                frame[at] ^= bend;
-                let _ = play(&frame);
-                frame[at] ^= bend;
+            for flipped_bits in [1u8, 0x80, 0xff] {
+                frame[at] ^= flipped_bits;
+                let _ = reply_to(&frame);
+                frame[at] ^= flipped_bits;
             }
-            let _ = play(&frame[..at]);
+            let _ = reply_to(&frame[..at]);
         }
     }
 }
