--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -1,168 +1,192 @@
-//! Leases of the origin's fetches and of cold caches' work at the module's door: they bind, end by themselves, and never
-//! raise what a node sends by itself.
+//! Leases of the origin's fetches and of the work of endpoints in warm-up: they bind, expire by themselves, and never
+//! raise what a node sends without them.
 
-use std::collections::VecDeque;
+mod support;
 
-use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::{
-    AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, Lease, LocalReply, Request,
-};
-use granitelb_balancer::ids::{
-    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
-};
-use granitelb_balancer::settings::{Effect, RequestClass, Settings};
+use std::collections::{BTreeMap, VecDeque};
+
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, Key, RequestClassId, RequestId};
+use granitelb_balancer::settings::{Effect, Settings};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{
+    AttemptOutcome, AttemptResult, Balancer, ControlPlaneUpdate, EndpointUpdate, Lease, LocalReply, Request,
+};
+use support::{CACHE_KIND, ORIGIN_KIND, listed, request_class, settings};
 
 const ORIGIN: EndpointId = EndpointId(9);
 const COLD: EndpointId = EndpointId(3);
 const START: Time = Time(1_000_000_000);
+/// How long the origin takes for an attempt, in milliseconds.
+const ORIGIN_LATENCY_MS: u64 = 10;
 
 fn at(ms: u64) -> Time {
     START + Span::from_millis(ms)
 }
 
-/// One node before two warm caches that lack every key, an origin that has all, and a cold cache if asked for.
+/// An attempt in flight at the origin.
+struct OriginAttempt {
+    ends_at_ms: u64,
+    id: RequestId,
+    number: u8,
+}
+
+/// How many attempts went where.
+struct AttemptCounts {
+    origin: usize,
+    cold: usize,
+}
+
+/// One node before two warm caches that miss every key, an origin that has all, and a cold cache if asked for.
 struct World {
     balancer: Balancer,
-    now: u64,
-    calls: u64,
-    /// Shots out at the origin: when each ends, its call and its number.
-    out: VecDeque<(u64, RequestId, u8)>,
-    /// Shots of each call are counted here, by call.
-    shots: std::collections::BTreeMap<RequestId, u8>,
-    limited: usize,
+    now_ms: u64,
+    requests: u64,
+    at_origin: VecDeque<OriginAttempt>,
+    /// The number of attempts of each request.
+    attempts: BTreeMap<RequestId, u8>,
+    rate_limited: usize,
 }
 
 impl World {
-    fn new(nodes: f64, cold_at: Option<u64>) -> World {
-        let request_class = |effect| RequestClass {
-            slo: Span::from_millis(200),
-            billed_value: 1.0,
-            value_after_slo: 0.0,
-            offered: true,
-            effect,
-        };
-        let settings = Settings {
-            origin: Some(KindId(1)),
-            request_classes: vec![request_class(Effect::Idempotent), request_class(Effect::NonIdempotent)],
-            nodes,
-            list_on_request: false,
-            max_poll_interval: Span::from_millis(10_000),
-            only_draining_binds: false,
-            cold_from: 0.2,
-            warm_after: Span::from_millis(20_000),
-            fall_multiple: 3.0,
-            fall_window: Span::from_millis(2000),
-            max_attempts: 3,
-            hedged_requests: false,
-            may_cancel: true,
-            max_retry_after: Span::from_millis(1500),
-            value_by_work: false,
-            steady_sizes: false,
-        };
-        let listing = |cache: EndpointId, started: Option<Time>| EndpointUpdate {
-            cache,
-            kind: KindId(u16::from(cache == ORIGIN)),
-            size: 1.0,
-            zone: ZoneId(0),
-            cell: CellId(0),
-            ready: true,
-            draining: false,
-            started,
-        };
-        let mut list: Vec<_> = [EndpointId(1), EndpointId(2), ORIGIN].map(|c| listing(c, None)).into();
-        list.extend(cold_at.map(|ms| listing(COLD, Some(at(ms)))));
+    fn new(nodes: f64, cold_since_ms: Option<u64>) -> World {
+        let slo = Span::from_millis(200);
+        let classes = vec![request_class(slo, Effect::Idempotent), request_class(slo, Effect::NonIdempotent)];
+        let settings = Settings { nodes, ..settings(classes) };
+        let mut list = vec![
+            listed(EndpointId(1), CACHE_KIND),
+            listed(EndpointId(2), CACHE_KIND),
+            listed(ORIGIN, ORIGIN_KIND),
+        ];
+        if let Some(ms) = cold_since_ms {
+            list.push(EndpointUpdate { started: Some(at(ms)), ..listed(COLD, CACHE_KIND) });
+        }
         let mut balancer = Balancer::new(settings, 7, START);
         balancer.on_endpoints_update(START, &list, true);
-        World { balancer, now: 0, calls: 0, out: VecDeque::new(), shots: Default::default(), limited: 0 }
+        World {
+            balancer,
+            now_ms: 0,
+            requests: 0,
+            at_origin: VecDeque::new(),
+            attempts: BTreeMap::new(),
+            rate_limited: 0,
+        }
     }
 
-    fn lease(&mut self, cache: EndpointId, most: f64, for_ms: u64, then: f64) {
-        let leases = vec![(cache, Lease { most, until: at(self.now + for_ms), then })];
-        self.balancer.on_control_plane_update(
-            at(self.now),
-            &ControlPlaneUpdate { leases, ..ControlPlaneUpdate::default() },
-        );
+    fn lease(&mut self, endpoint: EndpointId, most: f64, for_ms: u64, then: f64) {
+        let leases = vec![(endpoint, Lease { most, until: at(self.now_ms + for_ms), then })];
+        let update = ControlPlaneUpdate { leases, ..ControlPlaneUpdate::default() };
+        self.balancer.on_control_plane_update(at(self.now_ms), &update);
     }
 
-    /// A call every `every` ms until then; how many shots went to the origin and to the cold cache.
-    fn play(&mut self, until: u64, every: u64, write: bool) -> (usize, usize) {
-        let mut sent = (0, 0);
-        while self.now < until {
-            self.now += 1;
-            while self.out.front().is_some_and(|o| o.0 <= self.now) {
-                let (_, id, number) = self.out.pop_front().expect("looked at");
-                self.end(id, number, ORIGIN, AttemptOutcome::Fulfilled, 10);
+    /// Runs until `until_ms` with a request every `every_ms`, and counts the attempts sent.
+    fn run(&mut self, until_ms: u64, every_ms: u64, write: bool) -> AttemptCounts {
+        let mut sent = AttemptCounts { origin: 0, cold: 0 };
+        while self.now_ms < until_ms {
+            self.now_ms += 1;
+            self.finish_due_at_origin();
+            if self.now_ms.is_multiple_of(every_ms) {
+                self.request(write);
             }
-            if self.now.is_multiple_of(every) {
-                self.calls += 1;
-                let (request_class, key) = (RequestClassId(u16::from(write)), Key(self.calls));
-                let budget = Span::from_millis(500);
-                let call = Request { request_class, key, budget, work: Some(Span::from_millis(4)), write };
-                self.balancer.on_request(at(self.now), RequestId(self.calls), call);
-            }
-            while let Some(shot) = self.balancer.poll_attempt(at(self.now)) {
-                let count = self.shots.entry(shot.request).or_default();
-                let number = std::mem::replace(count, *count + 1);
-                if shot.cache == ORIGIN {
-                    sent.0 += 1;
-                    self.out.push_back((self.now + 10, shot.request, number));
-                } else {
-                    sent.1 += usize::from(shot.cache == COLD);
-                    self.end(shot.request, number, shot.cache, AttemptOutcome::CacheMiss, 0);
-                }
-            }
-            while let Some((_, answer)) = self.balancer.poll_response(at(self.now)) {
-                self.limited += usize::from(matches!(answer, LocalReply::RateLimited { .. }));
+            self.poll_attempts(&mut sent);
+            while let Some((_, reply)) = self.balancer.poll_response(at(self.now_ms)) {
+                self.rate_limited += usize::from(matches!(reply, LocalReply::RateLimited { .. }));
             }
         }
         sent
     }
 
-    fn end(&mut self, id: RequestId, number: u8, cache: EndpointId, outcome: AttemptOutcome, ms: u64) {
-        let (latency, answered) = (Span::from_millis(ms), outcome == AttemptOutcome::Fulfilled);
-        let end = AttemptResult { number: AttemptNumber(number), cache, outcome, latency, answered };
-        self.balancer.on_attempt_finished(at(self.now), id, &end);
+    fn finish_due_at_origin(&mut self) {
+        while self.at_origin.front().is_some_and(|attempt| attempt.ends_at_ms <= self.now_ms) {
+            let attempt = self.at_origin.pop_front().expect("there is a front");
+            let outcome = AttemptOutcome::Fulfilled;
+            self.finish(attempt.id, attempt.number, ORIGIN, outcome, ORIGIN_LATENCY_MS);
+        }
+    }
+
+    fn request(&mut self, write: bool) {
+        self.requests += 1;
+        let request = Request {
+            request_class: RequestClassId(u16::from(write)),
+            key: Key(self.requests),
+            budget: Span::from_millis(500),
+            work: Some(Span::from_millis(4)),
+            write,
+        };
+        self.balancer.on_request(at(self.now_ms), RequestId(self.requests), request);
+    }
+
+    fn poll_attempts(&mut self, sent: &mut AttemptCounts) {
+        while let Some(attempt) = self.balancer.poll_attempt(at(self.now_ms)) {
+            let count = self.attempts.entry(attempt.request).or_default();
+            let number = *count;
+            *count += 1;
+            if attempt.cache == ORIGIN {
+                sent.origin += 1;
+                let ends_at_ms = self.now_ms + ORIGIN_LATENCY_MS;
+                self.at_origin.push_back(OriginAttempt { ends_at_ms, id: attempt.request, number });
+            } else {
+                sent.cold += usize::from(attempt.cache == COLD);
+                self.finish(attempt.request, number, attempt.cache, AttemptOutcome::CacheMiss, 0);
+            }
+        }
+    }
+
+    fn finish(
+        &mut self,
+        id: RequestId,
+        number: u8,
+        endpoint: EndpointId,
+        outcome: AttemptOutcome,
+        latency_ms: u64,
+    ) {
+        let result = AttemptResult {
+            number: AttemptNumber(number),
+            cache: endpoint,
+            outcome,
+            latency: Span::from_millis(latency_ms),
+            answered: outcome == AttemptOutcome::Fulfilled,
+        };
+        self.balancer.on_attempt_finished(at(self.now_ms), id, &result);
     }
 }
 
 #[test]
-fn an_origins_lease_binds_reads_and_ends_by_itself() {
+fn origin_lease_limits_reads_and_expires_by_itself() {
     let mut world = World::new(1.0, None);
-    let free = world.play(2_000, 10, false).0;
-    assert!(free > 190, "{free} of 200 without a lease");
+    let without_lease = world.run(2_000, 10, false).origin;
+    assert!(without_lease > 190, "{without_lease} of 200 without a lease");
     world.lease(ORIGIN, 10.0, 4_000, 1.0);
-    let leased = world.play(5_000, 10, false).0;
-    // Ten a second for three seconds, and what a second saves up.
+    let leased = world.run(5_000, 10, false).origin;
+    // Ten a second for three seconds, and what the budget holds after a second.
     assert!((20..=41).contains(&leased), "{leased}");
-    assert!(world.limited > 150, "{} told when to come back", world.limited);
-    // Nobody takes it back, and nobody renews it: its last part eases it down, and then what is the node's own is left.
-    world.play(7_000, 10, false);
-    let left = world.play(17_000, 10, false).0;
-    assert!((5..=11).contains(&left), "{left} in ten seconds");
+    assert!(world.rate_limited > 150, "{} rate-limited", world.rate_limited);
+    // Nobody revokes or renews the lease: its last part lowers the quota, then the quota without a lease is left.
+    world.run(7_000, 10, false);
+    let expired = world.run(17_000, 10, false).origin;
+    assert!((5..=11).contains(&expired), "{expired} in ten seconds");
 }
 
 #[test]
-fn writes_have_nowhere_else_to_go_and_are_not_leased() {
+fn writes_are_not_limited_by_the_origin_lease() {
     let mut world = World::new(1.0, None);
     world.lease(ORIGIN, 1.0, 60_000, 1.0);
-    assert_eq!(world.play(2_000, 20, true).0, 100);
-    // Nor do they use up what reads have.
-    assert!(world.play(6_000, 20, false).0 >= 3);
+    assert_eq!(world.run(2_000, 20, true).origin, 100);
+    // Nor do they use up the quota of reads.
+    assert!(world.run(6_000, 20, false).origin >= 3);
 }
 
 #[test]
-fn a_cold_caches_lease_lowers_and_never_raises() {
+fn lease_of_cold_cache_only_lowers_what_is_sent() {
     let sent = |lease: Option<f64>| {
         let mut world = World::new(1.0, Some(0));
         if let Some(most) = lease {
             world.lease(COLD, most, 60_000, most);
         }
-        world.play(6_000, 2, false).1
+        world.run(6_000, 2, false).cold
     };
-    let free = sent(None);
-    assert_eq!(sent(Some(1e9)), free, "planners that lie raise nothing");
-    let bound = sent(Some(0.05));
-    // Six seconds at 0.2 to 0.44 of 0.05 s a second, at 4 ms each, and what half a window saves up.
-    assert!(bound * 2 < free && bound <= 40, "{bound} beside {free}");
+    let without_lease = sent(None);
+    assert_eq!(sent(Some(1e9)), without_lease, "a false planner raises nothing");
+    let leased = sent(Some(0.05));
+    // Six seconds at 0.2 to 0.44 of 0.05 s per second, at 4 ms each, and what half a window holds.
+    assert!(leased * 2 < without_lease && leased <= 40, "{leased} beside {without_lease}");
 }
--- /dev/null
+++ b/crates/balancer/tests/request_terms.rs
@@ -0,0 +1,77 @@
+//! A request keeps the terms that it arrived under, whatever settings follow while it is pending.
+
+mod support;
+
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, Key, RequestClassId, RequestId};
+use granitelb_balancer::settings::{DedupScope, Effect, Settings};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, AttemptResult, Balancer, LocalReply, Request};
+use support::{CACHE_KIND, listed, request_class};
+
+const START: Time = Time(1_000_000_000);
+
+fn at(ms: u64) -> Time {
+    START + Span::from_millis(ms)
+}
+
+fn settings(max_retry_after: Span) -> Settings {
+    let class = request_class(Span::from_millis(200), Effect::Idempotent);
+    Settings { max_retry_after, ..support::settings(vec![class]) }
+}
+
+fn read() -> Request {
+    Request {
+        request_class: RequestClassId(0),
+        key: Key(1),
+        budget: Span::from_millis(400),
+        work: None,
+        write: false,
+    }
+}
+
+/// The response to a request that there is no cache for, if the longest Retry-After changes while it waits.
+fn response_after_change(before: Span, after: Span) -> Option<LocalReply> {
+    let mut balancer = Balancer::new(settings(before), 7, START);
+    balancer.on_request(START, RequestId(1), read());
+    assert!(balancer.poll_attempt(START).is_none());
+    assert!(balancer.poll_response(START).is_none(), "it waits first");
+    balancer.on_settings_update(at(10), settings(after));
+    let later = at(190);
+    assert!(balancer.poll_attempt(later).is_none());
+    balancer.poll_response(later).map(|(_, reply)| reply)
+}
+
+#[test]
+fn rejected_client_gets_retry_after_of_its_own_terms() {
+    let (short, long) = (Span::from_millis(100), Span::from_millis(700));
+    let limited = |retry_after| Some(LocalReply::RateLimited { retry_after });
+    assert_eq!(response_after_change(short, long), limited(short));
+    assert_eq!(response_after_change(long, short), limited(long));
+    assert_eq!(response_after_change(Span::ZERO, long), limited(Span::ZERO));
+}
+
+/// A repeat of a deduplicated request may begin in half of its window from the first attempt that may have executed it,
+/// however long its connection takes to be established.
+#[test]
+fn repeat_states_until_when_it_may_begin() {
+    let window = Span::from_millis(300);
+    let mut settings = settings(Span::ZERO);
+    settings.request_classes[0].effect = Effect::Deduplicated { scope: DedupScope::All, window };
+    let mut balancer = Balancer::new(settings, 7, START);
+    let list = [listed(EndpointId(1), CACHE_KIND), listed(EndpointId(2), CACHE_KIND)];
+    balancer.on_endpoints_update(START, &list, true);
+    balancer.on_request(START, RequestId(1), read());
+    let first = balancer.poll_attempt(START).expect("an attempt");
+    assert_eq!(first.begin_within, first.give_up_after, "it repeats nothing");
+    let result = AttemptResult {
+        number: AttemptNumber(0),
+        cache: first.cache,
+        outcome: AttemptOutcome::Reset,
+        latency: Span::from_millis(60),
+        answered: false,
+    };
+    balancer.on_attempt_finished(at(60), RequestId(1), &result);
+    let repeat = balancer.poll_attempt(at(60)).expect("a repeat");
+    assert_eq!(repeat.begin_within, Span::from_millis(90));
+    assert_eq!(repeat.give_up_after, Span::from_millis(340));
+}
