--- a/crates/balancer/src/balancer/concurrency_limit.rs
+++ b/crates/balancer/src/balancer/concurrency_limit.rs
@@ -88,3 +88,6 @@
         self.paused_until = self.paused_until.max(time);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/endpoint_watch.rs
+++ b/crates/balancer/src/balancer/endpoint_watch.rs
@@ -64,3 +64,6 @@
         self.next_request.as_ref().map(|request| request.due_at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/outlier_detection.rs
+++ b/crates/balancer/src/balancer/outlier_detection.rs
@@ -103,3 +103,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/request_coalescing.rs
+++ b/crates/balancer/src/balancer/request_coalescing.rs
@@ -46,3 +46,6 @@
         self.by_key.remove(&key).map(|fetch| fetch.followers).unwrap_or_default()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/request_queue.rs
+++ b/crates/balancer/src/balancer/request_queue.rs
@@ -103,3 +103,6 @@
         Some(deadline)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/control_plane.rs
+++ b/crates/balancer/src/control_plane.rs
@@ -86,3 +86,6 @@
         self.most * remaining + self.then * (1.0 - remaining)
     }
 }
+
+#[cfg(test)]
+mod tests;
