--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,7 +1,7 @@
 use granitelb_balancer::ids::KindId;
 use granitelb_balancer::settings::Settings;
 
-use super::{SettingsError, decode};
+use super::{DecodedSettings, SettingsError, decode};
 
 fn decode_with(rules: &str, specifics: &str) -> Result<Settings, SettingsError> {
     let text =
@@ -32,3 +32,61 @@
     );
     assert_eq!(origin("\"Mode\":\"beside\"").expect_err("no mode").key, "Specifics.Mode");
 }
+
+/// Settings with request classes of these names and latency objectives in microseconds.
+fn with_classes(classes: &[(&str, u64)], zones: &str) -> DecodedSettings {
+    let classes: Vec<String> = classes
+        .iter()
+        .map(|(name, slo)| {
+            format!(
+                "{{\"Name\":\"{name}\",\"Effect\":\"read_like\",\"LatencySloUs\":{slo},\"ClientTimeoutUs\":9}}"
+            )
+        })
+        .collect();
+    let text = format!(
+        "{{\"Bounds\":{{}},\"Products\":[{}],\"Rules\":{{}},\"Specifics\":{{\"Mode\":\"through\"}},\"Zones\":[{zones}]}}",
+        classes.join(",")
+    );
+    decode(text.as_bytes()).expect("settings")
+}
+
+fn offered(settings: &DecodedSettings) -> Vec<bool> {
+    settings.decisions.request_classes.iter().map(|class| class.offered).collect()
+}
+
+#[test]
+fn reload_keeps_positions_and_adds_changed_classes_as_new_ones() {
+    let running = with_classes(&[("a", 1), ("b", 2)], "");
+    let merged = with_classes(&[("b", 3), ("a", 1)], "").after(&running).expect("reloadable");
+    assert_eq!(merged.names.request_classes, ["a", "\nb", "b"]);
+    assert_eq!(offered(&merged), [true, false, true]);
+    let back = with_classes(&[("b", 2)], "").after(&merged).expect("reloadable");
+    assert_eq!(back.names.request_classes, ["\na", "b", "\nb"]);
+    assert_eq!(offered(&back), [false, true, false]);
+    assert_eq!(back.client_timeouts.len(), 3);
+}
+
+#[test]
+fn reload_names_the_key_that_needs_a_restart() {
+    let running = with_classes(&[("a", 1)], "\"x\",\"y\"");
+    let error = with_classes(&[("a", 1)], "\"y\"").after(&running).expect_err("zones changed places");
+    assert_eq!(error.key, "Zones");
+    assert!(with_classes(&[("a", 1)], "\"x\",\"y\",\"z\"").after(&running).is_ok());
+}
+
+#[test]
+fn reload_has_a_limit_of_request_classes() {
+    let mut running = with_classes(&[("a", 0)], "");
+    for slo in 1..256 {
+        running = with_classes(&[("a", slo)], "").after(&running).expect("reloadable");
+    }
+    assert_eq!(with_classes(&[("a", 256)], "").after(&running).expect_err("too many").key, "Products");
+    assert!(with_classes(&[("a", 7)], "").after(&running).is_ok(), "a known class takes no new position");
+}
+
+#[test]
+fn figures_out_of_range_are_named_by_their_key() {
+    let key = |rules| decode_with(rules, "\"Mode\":\"through\"").expect_err("out of range").to_string();
+    assert_eq!(key("\"ColdFrom\":1.5"), "Rules.ColdFrom: 1.5 is not between 0 and 1");
+    assert_eq!(key("\"FallMultiple\":-1"), "Rules.FallMultiple: -1 is not 0 or more");
+}
