--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -29,6 +29,8 @@
 mod request_coalescing;
 mod request_queue;
 mod response_times;
+#[cfg(test)]
+mod test_support;
 mod warmup;
 mod zone_outliers;
 
--- a/crates/balancer/src/balancer/attempt_tracking.rs
+++ b/crates/balancer/src/balancer/attempt_tracking.rs
@@ -75,3 +75,6 @@
         | AttemptOutcome::Errored => true,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -219,3 +219,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -265,3 +265,6 @@
         Some(known.copied().unwrap_or(candidate))
     })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/load_reports.rs
+++ b/crates/balancer/src/balancer/load_reports.rs
@@ -122,3 +122,6 @@
         Some(WeightedFigure { value, weight: (-age / USAGE_MEMORY.as_secs_f64()).exp() })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/balancer/load_reports/tests.rs
@@ -0,0 +1,72 @@
+use super::{ReceivedLoadReport, UsageEstimator};
+use crate::balancer::endpoint_list::EndpointList;
+use crate::balancer::test_support::{at, endpoints, settings};
+use crate::endpoint::LoadReport;
+use crate::ids::EndpointId;
+use crate::settings::Effect;
+use crate::time::Span;
+
+fn report_at_zero(report: LoadReport) -> ReceivedLoadReport {
+    ReceivedLoadReport { received_at: at(0), report }
+}
+
+fn set_report(list: &mut EndpointList, endpoint: u64, report: LoadReport) {
+    let endpoint = list.get_mut(EndpointId(endpoint)).expect("listed");
+    endpoint.last_load_report = Some(report_at_zero(report));
+}
+
+/// The usages of all caches at a time.
+fn usages(list: &EndpointList, ms: u64, nodes: f64) -> Vec<f64> {
+    let mut settings = settings(Effect::Idempotent);
+    settings.nodes = nodes;
+    let usages = UsageEstimator { now: at(ms), settings: &settings }.usages(list);
+    usages.into_iter().map(|usage| usage.usage).collect()
+}
+
+#[test]
+fn queueing_time_follows_from_littles_law_while_the_report_is_recent() {
+    let full = LoadReport {
+        held: Some(12.0),
+        per_s: Some(20.0),
+        service: Some(Span::from_millis(200)),
+        waiting: None,
+    };
+    let queueing = report_at_zero(full).queueing_seconds(at(3000)).expect("a full report");
+    assert!((queueing - 0.4).abs() < 1e-9, "{queueing}");
+    assert_eq!(report_at_zero(full).queueing_seconds(at(3001)), None, "outdated");
+    for partial in [
+        LoadReport { held: None, ..full },
+        LoadReport { per_s: Some(0.0), ..full },
+        LoadReport { service: None, ..full },
+    ] {
+        assert_eq!(report_at_zero(partial).queueing_seconds(at(0)), None);
+    }
+}
+
+#[test]
+fn usage_is_what_caches_report_to_hold() {
+    let mut list = endpoints(3, &settings(Effect::Idempotent));
+    set_report(&mut list, 0, LoadReport { held: Some(9.0), ..LoadReport::default() });
+    set_report(&mut list, 1, LoadReport { held: Some(3.0), ..LoadReport::default() });
+    assert_eq!(usages(&list, 0, 1.0), [9.0, 3.0, 6.0], "who has sent none counts at the mean");
+}
+
+#[test]
+fn old_reports_fade_to_the_mean() {
+    let mut list = endpoints(2, &settings(Effect::Idempotent));
+    set_report(&mut list, 0, LoadReport { held: Some(10.0), ..LoadReport::default() });
+    set_report(&mut list, 1, LoadReport { held: Some(0.0), ..LoadReport::default() });
+    let [high, low] = usages(&list, 9000, 1.0)[..] else { panic!("two caches") };
+    assert!(high < 5.5 && low > 4.5 && high > low, "{high} {low}");
+}
+
+#[test]
+fn without_reports_usage_is_the_own_load_and_the_part_of_reported_queues() {
+    let mut list = endpoints(2, &settings(Effect::Idempotent));
+    list.get_mut(EndpointId(0)).expect("listed").own_load.step_by(at(0), 2.0);
+    set_report(&mut list, 1, LoadReport { waiting: Some(40.0), ..LoadReport::default() });
+    let [own, queue] = usages(&list, 0, 10.0)[..] else { panic!("two caches") };
+    assert_eq!((own, queue), (0.0, 4.0), "own load is an average over time");
+    let [own, _] = usages(&list, 60_000, 10.0)[..] else { panic!("two caches") };
+    assert!((own - 2.0).abs() < 1e-6, "{own}");
+}
--- a/crates/balancer/src/balancer/permission.rs
+++ b/crates/balancer/src/balancer/permission.rs
@@ -71,3 +71,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -177,3 +177,6 @@
     let age = (now - started).as_secs_f64() / settings.warm_after.as_secs_f64();
     settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/balancer/warmup/tests.rs
@@ -0,0 +1,68 @@
+use super::{WarmupBudget, WarmupTraffic, warmup_factor};
+use crate::balancer::test_support::{at, settings};
+use crate::settings::Effect;
+use crate::time::Span;
+
+#[test]
+fn warmup_factor_grows_linearly_until_the_endpoint_is_warm() {
+    let mut settings = settings(Effect::Idempotent);
+    let factor = |started, now_ms, settings: &_| warmup_factor(at(now_ms), started, settings);
+    assert_eq!(factor(None, 0, &settings), 1.0);
+    assert_eq!(factor(Some(at(0)), 0, &settings), 0.2);
+    assert!((factor(Some(at(0)), 10_000, &settings) - 0.6).abs() < 1e-9);
+    assert_eq!(factor(Some(at(0)), 20_000, &settings), 1.0);
+    assert_eq!(factor(Some(at(0)), 90_000, &settings), 1.0);
+    settings.warm_after = Span::ZERO;
+    assert_eq!(factor(Some(at(0)), 0, &settings), 1.0);
+}
+
+#[test]
+fn bucket_refills_at_its_rate_up_to_its_capacity() {
+    let mut budget = WarmupBudget::new(0.5, at(0));
+    assert_eq!(budget.available(at(0), 2.0, 5.0), 0.0);
+    assert_eq!(budget.available(at(1000), 2.0, 5.0), 2.0);
+    assert_eq!(budget.available(at(9000), 2.0, 5.0), 5.0);
+    budget.set(at(9000), -1.0, 0.5);
+    assert_eq!(budget.available(at(10_000), 2.0, 5.0), 1.0);
+    budget.restart_refill(at(20_000));
+    assert_eq!(budget.available(at(20_000), 2.0, 5.0), -1.0);
+}
+
+#[test]
+fn demand_raises_the_work_per_size_within_a_limit() {
+    let settings = settings(Effect::Idempotent);
+    let mut traffic = WarmupTraffic::new(&settings, at(0));
+    traffic.on_work_sent(at(0), 8.0);
+    traffic.on_learning_step(at(0), 2.0);
+    // The mean of 4 per unit of size and of the initial zero.
+    assert_eq!(traffic.work_per_size(at(0)), 2.0);
+    traffic.on_work_requested(at(0), 5.0);
+    assert_eq!(traffic.work_per_size(at(0)), 2.5);
+    traffic.on_work_requested(at(0), 95.0);
+    assert_eq!(traffic.work_per_size(at(0)), 3.0);
+}
+
+#[test]
+fn traffic_is_dropped_only_when_it_would_mean_something_else() {
+    let old = settings(Effect::Idempotent);
+    let mut traffic = WarmupTraffic::new(&old, at(0));
+    traffic.on_work_sent(at(0), 8.0);
+    traffic.on_learning_step(at(0), 2.0);
+    let mut new = old.clone();
+    new.nodes = 5.0;
+    traffic.on_settings_update(&old, &new, at(0));
+    assert_eq!(traffic.work_per_size(at(0)), 2.0);
+    new.steady_sizes = true;
+    traffic.on_settings_update(&old, &new, at(0));
+    assert_eq!(traffic.work_per_size(at(0)), 0.0);
+}
+
+#[test]
+fn without_a_serving_cache_the_average_stays() {
+    let settings = settings(Effect::Idempotent);
+    let mut traffic = WarmupTraffic::new(&settings, at(0));
+    traffic.on_work_sent(at(0), 8.0);
+    traffic.on_learning_step(at(0), 2.0);
+    traffic.on_learning_step(at(0), 0.0);
+    assert_eq!(traffic.work_per_size(at(0)), 2.0);
+}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decodes the settings text, for the simulator's adapter and for the node alike.
 //!
-//! [`decode`] turns a JSON text into [`DecodedSettings`]: the balancer's [`Settings`](granitelb_balancer::settings::Settings)
-//! and what a host needs beside them. Keys that are not known are skipped. [`DecodedSettings::after`] merges new
-//! settings into those of a running node. Errors name the key that they are at.
+//! [`decode()`] turns a JSON text into [`DecodedSettings`]: the balancer's [`Settings`] and what a host needs beside them.
+//! Keys that are not known are skipped. [`DecodedSettings::after`] merges new settings into those of a running node.
+//! Errors name the key that they are at.
 
 #![warn(missing_docs)]
 
