--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,28 +1,92 @@
-use super::*;
+use granitelb_balancer::ids::KindId;
+use granitelb_balancer::settings::Settings;
 
-fn decoded(rules: &str, specifics: &str) -> Result<Settings, Fault> {
+use super::{DecodedSettings, SettingsError, decode};
+
+fn decode_with(rules: &str, specifics: &str) -> Result<Settings, SettingsError> {
     let text =
         format!("{{\"Bounds\":{{}},\"Products\":[],\"Rules\":{{{rules}}},\"Specifics\":{{{specifics}}}}}");
-    decode(text.as_bytes()).map(|d| d.decisions)
+    decode(text.as_bytes()).map(|decoded| decoded.decisions)
 }
 
 #[test]
-fn only_draining_binds_where_it_is_said() {
-    let said =
-        |rules| decoded(rules, "\"Mode\":\"through\",\"OriginKind\":-1").map(|s| s.only_draining_binds);
-    assert!(!said("").expect("settings"));
-    assert!(said("\"OnlyDrainingBinds\":true").expect("settings"));
-    assert_eq!(said("\"OnlyDrainingBinds\":1").expect_err("no yes or no").key, "Rules.OnlyDrainingBinds");
+fn only_draining_binds_follows_its_key() {
+    let only_draining_binds = |rules| {
+        let settings = decode_with(rules, "\"Mode\":\"through\",\"OriginKind\":-1");
+        settings.map(|settings| settings.only_draining_binds)
+    };
+    assert!(!only_draining_binds("").expect("settings"));
+    assert!(only_draining_binds("\"OnlyDrainingBinds\":true").expect("settings"));
+    let error = only_draining_binds("\"OnlyDrainingBinds\":1").expect_err("not a boolean");
+    assert_eq!(error.key, "Rules.OnlyDrainingBinds");
 }
 
 #[test]
-fn an_origin_is_named_where_caches_do_not_fetch() {
-    let origin = |specifics| decoded("", specifics).map(|s| s.origin);
+fn origin_kind_is_required_in_cache_aside_mode_only() {
+    let origin = |specifics| decode_with("", specifics).map(|settings| settings.origin);
     assert_eq!(origin("\"Mode\":\"through\",\"OriginKind\":-1").expect("settings"), None);
     assert_eq!(origin("\"Mode\":\"aside\",\"OriginKind\":1").expect("settings"), Some(KindId(1)));
     assert_eq!(
-        origin("\"Mode\":\"aside\",\"OriginKind\":-1").expect_err("no place").key,
+        origin("\"Mode\":\"aside\",\"OriginKind\":-1").expect_err("no position").key,
         "Specifics.OriginKind"
     );
     assert_eq!(origin("\"Mode\":\"beside\"").expect_err("no mode").key, "Specifics.Mode");
 }
+
+/// Settings with request classes of these names and latency objectives in microseconds.
+fn with_classes(classes: &[(&str, u64)], zones: &str) -> DecodedSettings {
+    let classes: Vec<String> = classes
+        .iter()
+        .map(|(name, slo)| {
+            format!(
+                "{{\"Name\":\"{name}\",\"Effect\":\"read_like\",\"LatencySloUs\":{slo},\"ClientTimeoutUs\":9}}"
+            )
+        })
+        .collect();
+    let text = format!(
+        "{{\"Bounds\":{{}},\"Products\":[{}],\"Rules\":{{}},\"Specifics\":{{\"Mode\":\"through\"}},\"Zones\":[{zones}]}}",
+        classes.join(",")
+    );
+    decode(text.as_bytes()).expect("settings")
+}
+
+fn offered(settings: &DecodedSettings) -> Vec<bool> {
+    settings.decisions.request_classes.iter().map(|class| class.offered).collect()
+}
+
+#[test]
+fn reload_keeps_positions_and_adds_changed_classes_as_new_ones() {
+    let running = with_classes(&[("a", 1), ("b", 2)], "");
+    let merged = with_classes(&[("b", 3), ("a", 1)], "").after(&running).expect("reloadable");
+    assert_eq!(merged.names.request_classes, ["a", "\nb", "b"]);
+    assert_eq!(offered(&merged), [true, false, true]);
+    let back = with_classes(&[("b", 2)], "").after(&merged).expect("reloadable");
+    assert_eq!(back.names.request_classes, ["\na", "b", "\nb"]);
+    assert_eq!(offered(&back), [false, true, false]);
+    assert_eq!(back.client_timeouts.len(), 3);
+}
+
+#[test]
+fn reload_names_the_key_that_needs_a_restart() {
+    let running = with_classes(&[("a", 1)], "\"x\",\"y\"");
+    let error = with_classes(&[("a", 1)], "\"y\"").after(&running).expect_err("zones changed places");
+    assert_eq!(error.key, "Zones");
+    assert!(with_classes(&[("a", 1)], "\"x\",\"y\",\"z\"").after(&running).is_ok());
+}
+
+#[test]
+fn reload_has_a_limit_of_request_classes() {
+    let mut running = with_classes(&[("a", 0)], "");
+    for slo in 1..256 {
+        running = with_classes(&[("a", slo)], "").after(&running).expect("reloadable");
+    }
+    assert_eq!(with_classes(&[("a", 256)], "").after(&running).expect_err("too many").key, "Products");
+    assert!(with_classes(&[("a", 7)], "").after(&running).is_ok(), "a known class takes no new position");
+}
+
+#[test]
+fn figures_out_of_range_are_named_by_their_key() {
+    let key = |rules| decode_with(rules, "\"Mode\":\"through\"").expect_err("out of range").to_string();
+    assert_eq!(key("\"ColdFrom\":1.5"), "Rules.ColdFrom: 1.5 is not between 0 and 1");
+    assert_eq!(key("\"FallMultiple\":-1"), "Rules.FallMultiple: -1 is not 0 or more");
+}
