--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use granitelb_balancer::ids::EndpointId;
-use granitelb_coordination::endpoint_health::{self, Fragment, HealthReport, EndpointCounts};
+use granitelb_coordination::endpoint_health::{self, EndpointCounts, Fragment, HealthReport};
 use granitelb_coordination::leases::{Need, Resource};
 use granitelb_coordination::message::{Message, Secret, Secrets, seal};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender, leases};
@@ -66,8 +66,9 @@
             let letters = letters(n, round);
             for (k, letter) in letters.iter().enumerate() {
                 let number = round * letters.len() as u64 + k as u64;
-                let bytes = seal(Sender { member, incarnation: Incarnation(1), sequence: number }, letter, &secrets)
-                    .expect("a letter");
+                let bytes =
+                    seal(Sender { member, incarnation: Incarnation(1), sequence: number }, letter, &secrets)
+                        .expect("a letter");
                 let socket = &sockets[n as usize % sockets.len()];
                 sent += socket.send(&bytes).unwrap_or(0);
             }
@@ -93,7 +94,11 @@
         let ill = f64::from(u8::from(cache == 0));
         EndpointCounts { endpoint: EndpointId(cache), answered: 1.0 - ill, failed: ill, in_flight: 0.0 }
     };
-    let report = HealthReport { sequence: round + 1, fragment: Fragment::SINGLE, endpoints: (0..5).map(seen).collect() };
+    let report = HealthReport {
+        sequence: round + 1,
+        fragment: Fragment::SINGLE,
+        endpoints: (0..5).map(seen).collect(),
+    };
     let needs = vec![Need { resource: Resource::Origin, amount: 500, using: round, heads: 1, has: 0 }];
     vec![
         Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)),
--- a/crates/control-plane/src/agent/notes.rs
+++ b/crates/control-plane/src/agent/notes.rs
@@ -76,7 +76,7 @@
                 self.ended(sent.cache);
                 let asked = sent.asked;
                 Some(Observation::AttemptFinished(Box::new(FinishedAttempt {
-                    call: sent.call,
+                    request_hash: sent.call,
                     number: end.number.0,
                     key: asked.key,
                     request_class: asked.request_class,
@@ -88,7 +88,7 @@
                     outcome: end.outcome,
                     latency: end.latency,
                     bytes: if asked.write { sent.bytes } else { bytes },
-                    out_then,
+                    in_flight_at_send: out_then,
                     slo: sent.slo,
                 })))
             }
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -94,7 +94,7 @@
         let end = AttemptResult { number, cache, outcome, latency, answered: false };
         match accounts.sight(RawObservation::AttemptFinished { request: RequestId(n), end, bytes: 3 }) {
             Some(Observation::AttemptFinished(ended)) => {
-                Some((ended.call, ended.out_then, ended.candidates, ended.bytes))
+                Some((ended.request_hash, ended.in_flight_at_send, ended.candidates, ended.bytes))
             }
             _ => None,
         }
--- a/crates/control-plane/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -21,7 +21,12 @@
 use crate::storage::StateFile;
 
 fn letter(from: Member, number: u64) -> (Sender, Message) {
-    let plan = HealthUpdate { version: Version(number), fragment: Fragment::SINGLE, forwarders: 0, statuses: Vec::new() };
+    let plan = HealthUpdate {
+        version: Version(number),
+        fragment: Fragment::SINGLE,
+        forwarders: 0,
+        statuses: Vec::new(),
+    };
     (
         Sender { member: from, incarnation: Incarnation(1), sequence: number },
         Message::EndpointHealth(endpoint_health::HealthMessage::Update(plan)),
--- a/crates/control-plane/tests/growth.rs
+++ b/crates/control-plane/tests/growth.rs
@@ -6,7 +6,7 @@
 
 use crate::growing::{GROW, Growing, caches, place};
 use granitelb_balancer::slot_table::caches_of;
-use granitelb_coordination::endpoint_health::{self, Fragment, HealthReport, EndpointCounts};
+use granitelb_coordination::endpoint_health::{self, EndpointCounts, Fragment, HealthReport};
 use granitelb_coordination::leases::{self, Need, Resource};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::{Form, Step};
--- a/crates/control-plane/tests/hindsight.rs
+++ b/crates/control-plane/tests/hindsight.rs
@@ -26,7 +26,7 @@
     let noise = Span((n * 7919 % 101) * 100);
     let longer = if slow == Some(cache.0) { LONGER } else { Span::ZERO };
     FinishedAttempt {
-        call: (n * 64..).find(|c| is_sampled(*c)).expect("one in two"),
+        request_hash: (n * 64..).find(|c| is_sampled(*c)).expect("one in two"),
         number: 0,
         key: Key(n),
         request_class: RequestClassId(0),
@@ -38,7 +38,7 @@
         outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(10) + noise + longer,
         bytes: 1000,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(50),
     }
 }
--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -257,8 +257,11 @@
 fn verdicts_and_hindsight_keep_nothing() {
     let mut verdicts =
         endpoint_health::PlannerComponent::new(endpoint_health::Settings::default(), ME, LIFE, NOW);
-    let report =
-        endpoint_health::HealthReport { sequence: 1, fragment: endpoint_health::Fragment::SINGLE, endpoints: Vec::new() };
+    let report = endpoint_health::HealthReport {
+        sequence: 1,
+        fragment: endpoint_health::Fragment::SINGLE,
+        endpoints: Vec::new(),
+    };
     verdicts
         .on_message(NOW, forwarder(), endpoint_health::HealthMessage::Report(report))
         .expect("it is heard");
--- a/crates/control-plane/tests/support/growing.rs
+++ b/crates/control-plane/tests/support/growing.rs
@@ -103,7 +103,8 @@
 
     fn send(&mut self, to: SocketAddr, letter: &Message, times: usize) {
         self.number += 1;
-        let sender = Sender { member: self.me, incarnation: self.members.incarnation(), sequence: self.number };
+        let sender =
+            Sender { member: self.me, incarnation: self.members.incarnation(), sequence: self.number };
         let bytes = message::seal(sender, letter, &secrets(OURS)).expect("a letter");
         for _ in 0..times {
             let _ = self.socket.send_to(&bytes, to);
@@ -345,7 +346,7 @@
         let count = keys((day - self.first_day) as f64) as usize;
         for key in self.keys.values().flat_map(|keys| keys.iter().take(count)) {
             let ended = FinishedAttempt {
-                call: *key,
+                request_hash: *key,
                 number: 0,
                 key: Key(*key),
                 request_class: RequestClassId(0),
@@ -357,7 +358,7 @@
                 outcome: AttemptOutcome::Fulfilled,
                 latency: Span::from_millis(5),
                 bytes: 1000,
-                out_then: 0,
+                in_flight_at_send: 0,
                 slo: Span::from_millis(500),
             };
             let node = &mut self.nodes[(*key % FORWARDERS as u64) as usize];
--- a/crates/coordination/examples/growth_bytes.rs
+++ b/crates/coordination/examples/growth_bytes.rs
@@ -59,7 +59,7 @@
                 let drawn =
                     xxh3_64_with_seed(&(f << 40 | tick << 10 | n).to_le_bytes(), 1) as f64 / u64::MAX as f64;
                 let ended = FinishedAttempt {
-                    call: n,
+                    request_hash: n,
                     number: 0,
                     key: Key((drawn * drawn * 1e6) as u64),
                     request_class: RequestClassId(0),
@@ -71,7 +71,7 @@
                     outcome: AttemptOutcome::Fulfilled,
                     latency: Span::from_millis(5),
                     bytes: 1000,
-                    out_then: 0,
+                    in_flight_at_send: 0,
                     slo: Span::from_millis(500),
                 };
                 forwarder.seen(now, &Observation::AttemptFinished(Box::new(ended)));
--- a/crates/coordination/src/counterfactual/forwarder.rs
+++ b/crates/coordination/src/counterfactual/forwarder.rs
@@ -108,13 +108,13 @@
     }
 
     fn ended(&mut self, now: Time, ended: &FinishedAttempt) {
-        if ended.write || ended.outcome == AttemptOutcome::NotSent || !is_sampled(ended.call) {
+        if ended.write || ended.outcome == AttemptOutcome::NotSent || !is_sampled(ended.request_hash) {
             return;
         }
-        if let Some(missed) = self.missed.get_mut(&ended.call) {
+        if let Some(missed) = self.missed.get_mut(&ended.request_hash) {
             missed.seen = now;
             if ended.outcome == AttemptOutcome::Fulfilled {
-                self.answered(ended.call, How::Miss);
+                self.answered(ended.request_hash, How::Miss);
             }
             return;
         }
@@ -131,7 +131,7 @@
             AttemptOutcome::NotSent => return,
         };
         let observation = SampledRequest {
-            call: ended.call,
+            call: ended.request_hash,
             key: rank(ended.key.0) as u32,
             request_class: ended.request_class.0,
             class: class_of(ended.work),
@@ -140,7 +140,7 @@
             how,
             took: tenths(ended.latency),
             slo: tenths(ended.slo),
-            out: u8::try_from(ended.out_then).unwrap_or(u8::MAX),
+            out: u8::try_from(ended.in_flight_at_send).unwrap_or(u8::MAX),
             ago: 0,
         };
         if !observation.is_sound() {
@@ -153,8 +153,8 @@
             self.give_up_oldest();
         }
         let sent = Time(now.0.saturating_sub(ended.latency.0));
-        self.missed.insert(ended.call, Missed { observation, sent, seen: now });
-        self.order.push_back((now + self.settings.waits, ended.call));
+        self.missed.insert(ended.request_hash, Missed { observation, sent, seen: now });
+        self.order.push_back((now + self.settings.waits, ended.request_hash));
     }
 
     /// A missed call is done with: it was answered, or nothing more is heard of it.
--- a/crates/coordination/src/observation.rs
+++ b/crates/coordination/src/observation.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedAttempt {
     /// A hash of the identifier that the client gave to its request; the same at all nodes.
-    pub call: u64,
+    pub request_hash: u64,
     /// The attempt's index among the attempts of its request, from 0.
     pub number: u8,
     /// The requested key.
@@ -73,7 +73,7 @@
     /// The size in bytes of the response's body, or of the value that was written.
     pub bytes: u32,
     /// The number of attempts that this node had in flight at the endpoint when it sent this one.
-    pub out_then: u16,
+    pub in_flight_at_send: u16,
     /// The latency objective of the request's class.
     pub slo: Span,
 }
--- a/crates/coordination/tests/growth_faculty.rs
+++ b/crates/coordination/tests/growth_faculty.rs
@@ -31,7 +31,7 @@
 
 fn read(key: u64) -> FinishedAttempt {
     FinishedAttempt {
-        call: key,
+        request_hash: key,
         number: 0,
         key: Key(key),
         request_class: RequestClassId(0),
@@ -43,7 +43,7 @@
         outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(5),
         bytes: 1000,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(500),
     }
 }
@@ -188,7 +188,8 @@
                     }
                     break;
                 };
-                let from = Sender { member: Member::Planner(*id), incarnation: Incarnation(1), sequence: number };
+                let from =
+                    Sender { member: Member::Planner(*id), incarnation: Incarnation(1), sequence: number };
                 number += 1;
                 self.letters.push((from, to, message));
             }
@@ -198,7 +199,8 @@
         }
         for (id, forwarder) in &mut self.forwarders {
             while let Some((to, message)) = forwarder.poll_message(now) {
-                let from = Sender { member: Member::Forwarder(*id), incarnation: Incarnation(1), sequence: 0 };
+                let from =
+                    Sender { member: Member::Forwarder(*id), incarnation: Incarnation(1), sequence: 0 };
                 self.letters.push((from, to, message));
             }
         }
--- a/crates/coordination/tests/hindsight.rs
+++ b/crates/coordination/tests/hindsight.rs
@@ -138,7 +138,7 @@
 
 fn ended(n: u64, number: u8, outcome: AttemptOutcome, cache: u64) -> FinishedAttempt {
     FinishedAttempt {
-        call: name(n % 1_000_000_000),
+        request_hash: name(n % 1_000_000_000),
         number,
         key: Key(n),
         request_class: RequestClassId(0),
@@ -150,7 +150,7 @@
         outcome,
         latency: Span::from_millis(5),
         bytes: 0,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(50),
     }
 }
@@ -180,7 +180,7 @@
     let second = ended(2, 1, AttemptOutcome::Fulfilled, 2);
     let write = FinishedAttempt { write: true, ..ended(3, 0, AttemptOutcome::Fulfilled, 0) };
     let other = (0..).find(|c| !is_sampled(*c)).expect("one in two");
-    let unsampled = FinishedAttempt { call: other, ..ended(4, 0, AttemptOutcome::Fulfilled, 0) };
+    let unsampled = FinishedAttempt { request_hash: other, ..ended(4, 0, AttemptOutcome::Fulfilled, 0) };
     assert_eq!(told(&[(10, second), (11, write), (12, unsampled)]), []);
 }
 
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -172,8 +172,12 @@
             }
         }
         while let Some((_, message)) = planner.poll_message(at(ms)) {
-            side.on_message(at(ms), Sender { member: Member::Planner(ME), incarnation, sequence: 0 }, message)
-                .unwrap();
+            side.on_message(
+                at(ms),
+                Sender { member: Member::Planner(ME), incarnation, sequence: 0 },
+                message,
+            )
+            .unwrap();
         }
         may.push(side.advice(at(ms))[0].1.most);
     }
--- a/crates/fleet-simulator/examples/turns.rs
+++ b/crates/fleet-simulator/examples/turns.rs
@@ -64,7 +64,8 @@
     (0..n).map(move |gone| {
         let mut rest = all.clone();
         rest.remove(gone);
-        let moves = pairs.iter().zip(&before).filter(|((d, w), b)| assignees(*d, *w, &rest, 1) != **b).count();
+        let moves =
+            pairs.iter().zip(&before).filter(|((d, w), b)| assignees(*d, *w, &rest, 1) != **b).count();
         moves as f64 / pairs.len() as f64 * n as f64
     })
 }
--- a/crates/fleet-simulator/src/hindsight/told.rs
+++ b/crates/fleet-simulator/src/hindsight/told.rs
@@ -38,7 +38,7 @@
     latency: Span,
 ) -> FinishedAttempt {
     FinishedAttempt {
-        call: call.name,
+        request_hash: call.name,
         number,
         key: call.key,
         request_class: RequestClassId(0),
@@ -50,7 +50,7 @@
         outcome,
         latency,
         bytes: 1000,
-        out_then: call.out[call.place],
+        in_flight_at_send: call.out[call.place],
         slo: SLO,
     }
 }
--- a/crates/fleet-simulator/src/two_levels/mod.rs
+++ b/crates/fleet-simulator/src/two_levels/mod.rs
@@ -477,7 +477,7 @@
 /// What the forwarder's loop tells of a shot that has ended.
 fn ended(shot: ShotOut, outcome: AttemptOutcome, latency: Span, play: &Play) -> Observation {
     Observation::AttemptFinished(Box::new(FinishedAttempt {
-        call: shot.call,
+        request_hash: shot.call,
         number: shot.number,
         key: Key(0),
         request_class: RequestClassId(0),
@@ -489,7 +489,7 @@
         outcome,
         latency,
         bytes: 0,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: SLO,
     }))
 }
--- a/crates/fleet-simulator/src/world/talk.rs
+++ b/crates/fleet-simulator/src/world/talk.rs
@@ -106,7 +106,7 @@
         let latency = self.now - shot.at;
         self.saw(job.node, |world| {
             Observation::AttemptFinished(Box::new(FinishedAttempt {
-                call: job.call,
+                request_hash: job.call,
                 number: job.number,
                 key: job.key,
                 request_class: RequestClassId(u16::from(job.write)),
@@ -118,7 +118,7 @@
                 outcome,
                 latency,
                 bytes: 0,
-                out_then: 0,
+                in_flight_at_send: 0,
                 slo: SLO,
             }))
         });
--- a/crates/node/tests/together/flood.rs
+++ b/crates/node/tests/together/flood.rs
@@ -35,8 +35,12 @@
         }
         _ => Message::Membership(membership::MembershipMessage::Heartbeat),
     };
-    message::seal(Sender { member, incarnation: Incarnation(incarnation), sequence: number }, &letter, &secrets)
-        .expect("a letter")
+    message::seal(
+        Sender { member, incarnation: Incarnation(incarnation), sequence: number },
+        &letter,
+        &secrets,
+    )
+    .expect("a letter")
 }
 
 fn hex(text: &str) -> Vec<u8> {
