--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -67,7 +67,7 @@
     let one = heard(&first, &before, |_| true);
     assert_eq!(one.member, Member::Forwarder(ForwarderId::of_name("n")));
     let two = heard(&first, &before, |sender| sender.incarnation > one.incarnation);
-    assert!(asked.load(Ordering::Relaxed) > 100 && two.number > one.number);
+    assert!(asked.load(Ordering::Relaxed) > 100 && two.sequence > one.sequence);
     // Other secrets and addresses: the same life, so that what was granted to it stands.
     renewal.renew(after.clone());
     assert_eq!(heard(&second, &after, |_| true).incarnation, two.incarnation);
@@ -94,7 +94,7 @@
         let end = AttemptResult { number, cache, outcome, latency, answered: false };
         match accounts.sight(RawObservation::AttemptFinished { request: RequestId(n), end, bytes: 3 }) {
             Some(Observation::AttemptFinished(ended)) => {
-                Some((ended.call, ended.out_then, ended.candidates, ended.bytes))
+                Some((ended.request_hash, ended.in_flight_at_send, ended.candidates, ended.bytes))
             }
             _ => None,
         }
@@ -141,9 +141,9 @@
     let sender = |incarnation, number| Sender {
         member: Member::Planner(PlannerId(1)),
         incarnation: Incarnation(incarnation),
-        number,
+        sequence: number,
     };
-    let beat = || Message::Membership(membership::MembershipMessage::Beat);
+    let beat = || Message::Membership(membership::MembershipMessage::Heartbeat);
     assert_eq!(sides.on_message(now, sender(2, 1), beat()), Ok(()));
     let mut tally = Tally::default();
     for (incarnation, number) in [(2, 1), (1, 9)] {
