--- /dev/null
+++ b/crates/control-plane/src/agent/components.rs
@@ -0,0 +1,334 @@
+//! The forwarder's side of all coordination components, behind one interface.
+//!
+//! A received message goes to the component that it is for, an observation goes to all of them, and what they have to
+//! tell the balancer is merged into one [`ControlPlaneUpdate`]. Membership is always there; any other component runs if
+//! the fleet configuration enables it, and messages for one that does not run are rejected.
+
+use std::collections::BTreeMap;
+
+use granitelb_balancer::calls::{ControlPlaneUpdate, Lease};
+use granitelb_balancer::ids::EndpointId;
+use granitelb_balancer::time::Time;
+use granitelb_coordination::component::{Component, Event};
+use granitelb_coordination::membership::Members;
+use granitelb_coordination::message::{ComponentKind, Message};
+use granitelb_coordination::observation::Observation;
+use granitelb_coordination::{
+    ForwarderId, Incarnation, Member, Sender, counterfactual, endpoint_health, leases, shard_growth,
+};
+
+use super::metrics::RejectedMessage;
+use crate::fleet_config::FleetConfig;
+
+/// What an agent needs of a component beyond [`Component`].
+trait ForwarderComponent: Component {
+    /// Wraps one of the component's messages for sending.
+    fn wrap(message: Self::Message) -> Message;
+
+    /// Unwraps a received message; `None` if it is another component's.
+    fn unwrap(message: Message) -> Option<Self::Message>;
+
+    fn on_observation(&mut self, now: Time, observation: &Observation);
+
+    /// Adds what the balancer is to apply now.
+    fn add_to_update(&mut self, _now: Time, _update: &mut ControlPlaneUpdate) {}
+
+    /// Prepares the last messages. The event loop sends no more attempts.
+    fn shut_down(&mut self) {}
+}
+
+impl ForwarderComponent for endpoint_health::ForwarderComponent {
+    fn wrap(message: Self::Message) -> Message {
+        Message::EndpointHealth(message)
+    }
+
+    fn unwrap(message: Message) -> Option<Self::Message> {
+        match message {
+            Message::EndpointHealth(message) => Some(message),
+            _ => None,
+        }
+    }
+
+    fn on_observation(&mut self, now: Time, observation: &Observation) {
+        self.seen(now, observation);
+    }
+
+    fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
+        let health = self.advice(now);
+        update.failing = health.failing;
+        update.answering = health.answering;
+    }
+}
+
+impl ForwarderComponent for leases::ForwarderComponent {
+    fn wrap(message: Self::Message) -> Message {
+        Message::Leases(message)
+    }
+
+    fn unwrap(message: Message) -> Option<Self::Message> {
+        match message {
+            Message::Leases(message) => Some(message),
+            _ => None,
+        }
+    }
+
+    fn on_observation(&mut self, now: Time, observation: &Observation) {
+        self.seen(now, observation);
+    }
+
+    fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
+        update.leases = self.advice(now);
+    }
+
+    fn shut_down(&mut self) {
+        self.leave();
+    }
+}
+
+impl ForwarderComponent for shard_growth::ForwarderComponent {
+    fn wrap(message: Self::Message) -> Message {
+        Message::ShardGrowth(message)
+    }
+
+    fn unwrap(message: Message) -> Option<Self::Message> {
+        match message {
+            Message::ShardGrowth(message) => Some(message),
+            _ => None,
+        }
+    }
+
+    fn on_observation(&mut self, now: Time, observation: &Observation) {
+        self.seen(now, observation);
+    }
+
+    fn add_to_update(&mut self, _now: Time, update: &mut ControlPlaneUpdate) {
+        update.table = self.advice();
+    }
+}
+
+impl ForwarderComponent for counterfactual::ForwarderComponent {
+    fn wrap(message: Self::Message) -> Message {
+        Message::Counterfactual(message)
+    }
+
+    fn unwrap(message: Message) -> Option<Self::Message> {
+        match message {
+            Message::Counterfactual(message) => Some(message),
+            _ => None,
+        }
+    }
+
+    fn on_observation(&mut self, now: Time, observation: &Observation) {
+        self.seen(now, observation);
+    }
+}
+
+/// A [`ForwarderComponent`] without its associated types, so that different ones can be stored together.
+trait AnyComponent {
+    fn on_observation(&mut self, now: Time, observation: &Observation);
+    fn on_message(&mut self, now: Time, from: Sender, message: Message) -> Result<(), RejectedMessage>;
+    fn on_membership_change(&mut self, now: Time, alive: &[Member]);
+    fn poll_message(&mut self, now: Time) -> Option<(Member, Message)>;
+    fn poll_event(&mut self) -> Option<Event>;
+    fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate);
+    fn shut_down(&mut self);
+}
+
+impl<C: ForwarderComponent> AnyComponent for C {
+    fn on_observation(&mut self, now: Time, observation: &Observation) {
+        ForwarderComponent::on_observation(self, now, observation);
+    }
+
+    fn on_message(&mut self, now: Time, from: Sender, message: Message) -> Result<(), RejectedMessage> {
+        let message = C::unwrap(message).ok_or(RejectedMessage::ComponentDisabled)?;
+        Component::on_message(self, now, from, message).map_err(|error| RejectedMessage::by_component(&error))
+    }
+
+    fn on_membership_change(&mut self, now: Time, alive: &[Member]) {
+        Component::on_membership_change(self, now, alive);
+    }
+
+    fn poll_message(&mut self, now: Time) -> Option<(Member, Message)> {
+        let (to, message) = Component::poll_message(self, now)?;
+        Some((to, C::wrap(message)))
+    }
+
+    fn poll_event(&mut self) -> Option<Event> {
+        Component::poll_event(self)
+    }
+
+    fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
+        ForwarderComponent::add_to_update(self, now, update);
+    }
+
+    fn shut_down(&mut self) {
+        ForwarderComponent::shut_down(self);
+    }
+}
+
+type ComponentMap = BTreeMap<ComponentKind, Box<dyn AnyComponent>>;
+
+/// Creates the components that the fleet configuration enables.
+fn enabled_components(
+    config: &FleetConfig,
+    forwarder: ForwarderId,
+    incarnation: Incarnation,
+    now: Time,
+) -> ComponentMap {
+    let mut components = ComponentMap::new();
+    let health =
+        endpoint_health::ForwarderComponent::new(config.health_settings(), forwarder, incarnation, now);
+    components.insert(ComponentKind::EndpointHealth, Box::new(health));
+    if let Some(settings) = config.lease_settings() {
+        let leases = leases::ForwarderComponent::new(settings, forwarder, incarnation, now);
+        components.insert(ComponentKind::Leases, Box::new(leases));
+    }
+    if let Some(settings) = config.growth_forwarder_settings() {
+        let growth = shard_growth::ForwarderComponent::new(settings, forwarder, incarnation, now);
+        components.insert(ComponentKind::ShardGrowth, Box::new(growth));
+    }
+    if let Some(settings) = config.counterfactual_settings() {
+        let counterfactual = counterfactual::ForwarderComponent::new(settings, forwarder, incarnation, now);
+        components.insert(ComponentKind::Counterfactual, Box::new(counterfactual));
+    }
+    components
+}
+
+/// The lease that lifts an endpoint's limit: more than any node sends.
+const UNLIMITED_LEASE: Lease = Lease { most: 1e9, until: Time(0), then: 1e9 };
+
+/// All components of one forwarder.
+pub(super) struct Components {
+    forwarder: ForwarderId,
+    members: Members,
+    enabled: ComponentMap,
+    /// Endpoints with a lease in the latest update.
+    leased: Vec<EndpointId>,
+    /// Endpoints that had a lease when leases were disabled.
+    unlimited: Vec<EndpointId>,
+}
+
+impl Components {
+    /// Creates the components of a forwarder that starts with this incarnation.
+    pub fn new(
+        config: &FleetConfig,
+        forwarder: ForwarderId,
+        incarnation: Incarnation,
+        now: Time,
+    ) -> Components {
+        let mut members = Members::new(Member::Forwarder(forwarder), incarnation, now);
+        members.set_planners(now, config.planners.keys().copied());
+        Components {
+            forwarder,
+            members,
+            enabled: enabled_components(config, forwarder, incarnation, now),
+            leased: Vec::new(),
+            unlimited: Vec::new(),
+        }
+    }
+
+    /// Continues with a new incarnation and new components. Which members are alive, and which of their messages were
+    /// received before, stays known.
+    pub fn restart(&mut self, config: &FleetConfig, incarnation: Incarnation, now: Time) {
+        self.members.renewed(incarnation);
+        self.members.set_planners(now, config.planners.keys().copied());
+        self.enabled = enabled_components(config, self.forwarder, incarnation, now);
+        if self.enabled.contains_key(&ComponentKind::Leases) {
+            self.unlimited.clear();
+        } else {
+            self.unlimited.append(&mut self.leased);
+        }
+        let alive = self.members.alive(now);
+        self.notify_membership_change(now, &alive);
+    }
+
+    /// Passes an observation to all components.
+    pub fn on_observation(&mut self, now: Time, observation: &Observation) {
+        for component in self.enabled.values_mut() {
+            component.on_observation(now, observation);
+        }
+    }
+
+    /// Processes a message whose signature was verified.
+    pub fn on_message(&mut self, now: Time, from: Sender, message: Message) -> Result<(), RejectedMessage> {
+        self.members.take(now, from).map_err(RejectedMessage::Stale)?;
+        self.update_membership(now);
+        if let Message::Membership(message) = message {
+            let result = self.members.on_message(now, from, message);
+            return result.map_err(|error| RejectedMessage::by_component(&error));
+        }
+        let component = self.enabled.get_mut(&message.kind()).ok_or(RejectedMessage::ComponentDisabled)?;
+        component.on_message(now, from, message)
+    }
+
+    /// Notifies all components if the set of live members has changed.
+    pub fn update_membership(&mut self, now: Time) {
+        if let Some(alive) = self.members.changed(now) {
+            self.notify_membership_change(now, &alive);
+        }
+    }
+
+    fn notify_membership_change(&mut self, now: Time, alive: &[Member]) {
+        for component in self.enabled.values_mut() {
+            component.on_membership_change(now, alive);
+        }
+    }
+
+    /// Whether other members took this one for failed. It has to restart with a new incarnation, and nothing that was
+    /// granted to the current one is valid any more.
+    pub fn needs_restart(&self) -> bool {
+        self.members.must_be_new()
+    }
+
+    /// The lowest incarnation with which this member may restart.
+    pub fn min_incarnation(&self) -> Incarnation {
+        self.members.least_incarnation()
+    }
+
+    /// Prepares the last messages of all components. The event loop sends no more attempts.
+    pub fn shut_down(&mut self) {
+        for component in self.enabled.values_mut() {
+            component.shut_down();
+        }
+    }
+
+    /// The next message to send, and its receiver.
+    pub fn poll_message(&mut self, now: Time) -> Option<(Member, Message)> {
+        let (to, message) = self.next_message(now)?;
+        self.members.sent(now, to);
+        Some((to, message))
+    }
+
+    /// Heartbeats come last, since any other message counts as one.
+    fn next_message(&mut self, now: Time) -> Option<(Member, Message)> {
+        for component in self.enabled.values_mut() {
+            if let Some(next) = component.poll_message(now) {
+                return Some(next);
+            }
+        }
+        let (to, heartbeat) = self.members.poll_message(now)?;
+        Some((to, Message::Membership(heartbeat)))
+    }
+
+    /// The next event to log.
+    pub fn poll_event(&mut self) -> Option<Event> {
+        if let Some(event) = self.members.poll_event() {
+            return Some(event);
+        }
+        self.enabled.values_mut().find_map(|component| component.poll_event())
+    }
+
+    /// What the balancer is to apply now.
+    pub fn update(&mut self, now: Time) -> ControlPlaneUpdate {
+        let mut update = ControlPlaneUpdate::default();
+        for component in self.enabled.values_mut() {
+            component.add_to_update(now, &mut update);
+        }
+        self.leased = update.leases.iter().map(|(endpoint, _)| *endpoint).collect();
+        // The balancer keeps a lease until it gets another one, and the event loop may miss an update. Limits are
+        // therefore lifted in each update for as long as leases are disabled.
+        let unlimited = self.unlimited.iter().map(|endpoint| (*endpoint, UNLIMITED_LEASE));
+        update.leases.extend(unlimited);
+        update
+    }
+}
--- a/crates/control-plane/src/agent/handle.rs
+++ b/crates/control-plane/src/agent/handle.rs
@@ -1,16 +1,22 @@
-//! Where the loop and the courier meet. The loop writes down what it saw and takes the latest advice; neither waits for
-//! the other, whatever the other does:
+//! The exchange between the event loop and the agent's thread. Neither side ever waits for the other or wakes it:
 //!
-//! - the loop's way out is a ring of so many notes, set aside once. What finds no room is dropped and counted, but for
-//!   a list of servers, which is tried again at the end of each turn;
-//! - the way back is a slot that holds one advice, the last. The loop looks at a flag, and takes a lock only by trying.
+//! - Observations go to the agent through a bounded ring that is allocated once. An observation that does not fit is
+//!   dropped and counted, except for an endpoint list, which is kept and queued again at the end of each iteration.
+//! - Updates for the balancer come back through a slot that holds the latest one. The event loop checks a flag first and
+//!   only ever tries the slot's lock.
 //!
-//! Neither side wakes the other: the courier looks in by its own clock, the loop once a turn.
+//! The agent polls the ring at its own intervals; the event loop looks into the slot once an iteration.
 //!
-//! What the courier writes to planners may give up a lease, so the loop has to know of it before: no letter goes out
-//! while a turn is on that may have begun without the last advice. Turns are counted for that, odd while one is on. The
-//! loop counts and then looks into the slot, the courier lays out and then looks at the count, all in one order
-//! (`SeqCst`); so a turn that the courier does not see has its advice.
+//! # Invariant: an update is applied before messages that rely on it are sent
+//!
+//! A message to a planner may give up a lease, so the event loop must have stopped using that lease before. The agent
+//! sends nothing while an iteration is running that may have begun without the latest update. To tell, both sides share
+//! a counter that is incremented at the beginning and at the end of each iteration, so it is odd while one is running.
+//!
+//! The event loop increments the counter and then reads the flag; the agent sets the flag and then reads the counter.
+//! With `SeqCst` all four operations have a single total order. An iteration whose increment the agent does not see
+//! therefore sees the agent's flag and begins with its update. With acquire and release alone, both sides could read
+//! the old value.
 
 use std::cell::Cell;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,145 +29,178 @@
 use granitelb_coordination::observation::ObservedEndpoint;
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
 
-use super::notes::{Dated, RawObservation};
+use super::observations::{RawObservation, TimedObservation};
 
-/// Notes on the way: a third of a second of a node at its fastest, some 2.5 MB.
-const MOST_NOTES: usize = 16_384;
-/// What is said of caches is passed over when it lay for longer than this: a process that was stopped finds what was
-/// said before. Leases are not: they end by themselves, and the one before may be larger.
-const LASTS: Span = Span::from_millis(1000);
-/// The courier has so long for its last letters.
-const LEAVES: Duration = Duration::from_millis(60);
+/// The capacity of the ring: a third of a second of a node at its highest rate, about 2.5 MB.
+const MAX_QUEUED_OBSERVATIONS: usize = 16_384;
+/// The age from which an update's endpoint health is ignored: a process that was suspended finds an old update. Leases
+/// are used at any age, since they carry their own expiry and the lease held before may be the larger one.
+const UPDATE_MAX_AGE: Span = Span::from_millis(1000);
+/// How long the event loop waits on shutdown for the agent to send its last messages.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(60);
 
+/// The state that both sides share.
 #[derive(Default)]
-struct Slot {
-    news: AtomicBool,
-    advice: Mutex<Option<(Time, ControlPlaneUpdate)>>,
+struct Shared {
+    /// Whether `update` holds an update that was not taken.
+    has_update: AtomicBool,
+    update: Mutex<Option<TimedUpdate>>,
+    /// Observations that were dropped because the ring was full.
     dropped: AtomicU64,
-    turns: AtomicU64,
+    /// Incremented at the beginning and at the end of each iteration; see the module's invariant.
+    iteration_counter: AtomicU64,
+}
+
+/// An update with the time at which it was published.
+struct TimedUpdate {
+    at: Time,
+    update: ControlPlaneUpdate,
 }
 
-/// The loop's end.
+/// An endpoint list with the time at which it was recorded.
+struct TimedEndpoints {
+    at: Time,
+    endpoints: Vec<ObservedEndpoint>,
+}
+
+/// The event loop's end of the exchange with a running agent.
+///
+/// Each iteration of the loop calls [`begin_iteration`](AgentHandle::begin_iteration) first and
+/// [`end_iteration`](AgentHandle::end_iteration) last. No call blocks, except for [`close`](AgentHandle::close).
 pub struct AgentHandle {
-    notes: Producer<Dated>,
-    /// A list that found no room.
-    list: Option<(Time, Vec<ObservedEndpoint>)>,
-    slot: Arc<Slot>,
-    left: Receiver<Left>,
+    observations: Producer<TimedObservation>,
+    /// The latest endpoint list, if the ring had no space for it.
+    unqueued_endpoints: Option<TimedEndpoints>,
+    shared: Arc<Shared>,
+    /// Disconnects when the agent's thread has ended.
+    agent_ended: Receiver<()>,
 }
 
-/// The courier's end.
+/// The agent's end of the exchange.
 pub(super) struct AgentChannel {
-    notes: Consumer<Dated>,
-    slot: Arc<Slot>,
-    /// The turn in which advice was laid out that was not known to be taken yet.
-    untaken: Cell<Option<u64>>,
-    /// Ends with the courier.
-    _leaves: SyncSender<Left>,
+    observations: Consumer<TimedObservation>,
+    shared: Arc<Shared>,
+    /// The iteration counter after the latest update was published, until that update is known to be applied.
+    unconfirmed_since: Cell<Option<u64>>,
+    /// Dropped with the channel, which disconnects `agent_ended`.
+    _ended: SyncSender<()>,
 }
 
-/// The loop has ended.
+/// The event loop has dropped its handle, and all of its observations were received.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Left;
-
-pub(super) fn open() -> (AgentHandle, AgentChannel) {
-    let (write, read) = RingBuffer::new(MOST_NOTES);
-    let slot = Arc::new(Slot::default());
-    let (leaves, left) = sync_channel(1);
-    let desk = AgentHandle { notes: write, list: None, slot: slot.clone(), left };
-    (desk, AgentChannel { notes: read, slot, untaken: Cell::new(None), _leaves: leaves })
+pub(super) struct Disconnected;
+
+/// Creates the two ends of an exchange.
+pub(super) fn channel() -> (AgentHandle, AgentChannel) {
+    let (producer, consumer) = RingBuffer::new(MAX_QUEUED_OBSERVATIONS);
+    let shared = Arc::new(Shared::default());
+    let (ended, agent_ended) = sync_channel(1);
+    let handle =
+        AgentHandle { observations: producer, unqueued_endpoints: None, shared: shared.clone(), agent_ended };
+    let channel =
+        AgentChannel { observations: consumer, shared, unconfirmed_since: Cell::new(None), _ended: ended };
+    (handle, channel)
 }
 
 impl AgentHandle {
-    /// Writes down what is seen.
-    pub fn note(&mut self, now: Time, note: RawObservation) {
-        match self.notes.push((now, note)) {
+    /// Queues an observation for the agent. If the queue is full, the observation is dropped and counted; an endpoint
+    /// list is kept instead, in place of an older one.
+    pub fn record(&mut self, now: Time, observation: RawObservation) {
+        match self.observations.push(TimedObservation { at: now, observation }) {
             Ok(()) => {}
-            Err(PushError::Full((at, RawObservation::EndpointsChanged(servers)))) => {
-                self.list = Some((at, servers))
+            Err(PushError::Full(TimedObservation {
+                at,
+                observation: RawObservation::EndpointsChanged(endpoints),
+            })) => {
+                self.unqueued_endpoints = Some(TimedEndpoints { at, endpoints });
             }
             Err(PushError::Full(_)) => {
-                self.slot.dropped.fetch_add(1, Ordering::Relaxed);
+                self.shared.dropped.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 
-    /// Begins a turn: the latest advice, once.
-    pub fn begin_turn(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
-        self.slot.turns.fetch_add(1, Ordering::SeqCst);
-        self.take_advice(now)
+    /// Begins an iteration of the event loop. Returns the latest update if there is a new one; the loop must apply it
+    /// before it sends any attempt.
+    pub fn begin_iteration(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
+        self.shared.iteration_counter.fetch_add(1, Ordering::SeqCst);
+        self.take_update(now)
     }
 
-    pub fn end_turn(&mut self) {
-        if let Some((at, servers)) = self.list.take() {
-            self.note(at, RawObservation::EndpointsChanged(servers));
+    /// Ends an iteration of the event loop.
+    pub fn end_iteration(&mut self) {
+        if let Some(TimedEndpoints { at, endpoints }) = self.unqueued_endpoints.take() {
+            self.record(at, RawObservation::EndpointsChanged(endpoints));
         }
-        self.slot.turns.fetch_add(1, Ordering::SeqCst);
+        self.shared.iteration_counter.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn take_advice(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
-        if !self.slot.news.load(Ordering::SeqCst) {
+    fn take_update(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
+        if !self.shared.has_update.load(Ordering::SeqCst) {
             return None;
         }
-        let mut slot = match self.slot.advice.try_lock() {
+        let mut slot = match self.shared.update.try_lock() {
             Ok(slot) => slot,
-            Err(TryLockError::Poisoned(slot)) => slot.into_inner(),
-            // The courier is writing: in the next turn.
+            Err(TryLockError::Poisoned(poisoned)) => poisoned.into_inner(),
+            // The agent is publishing: the next iteration takes that update.
             Err(TryLockError::WouldBlock) => return None,
         };
-        self.slot.news.store(false, Ordering::SeqCst);
-        let (at, advice) = slot.take()?;
-        let old = now - at >= LASTS;
-        Some(if old {
-            ControlPlaneUpdate { leases: advice.leases, ..ControlPlaneUpdate::default() }
-        } else {
-            advice
-        })
+        self.shared.has_update.store(false, Ordering::SeqCst);
+        let TimedUpdate { at, update } = slot.take()?;
+        if now - at >= UPDATE_MAX_AGE {
+            return Some(ControlPlaneUpdate { leases: update.leases, ..ControlPlaneUpdate::default() });
+        }
+        Some(update)
     }
 
-    /// The loop sends nothing more: the courier gives back what was leased, for which it has a moment.
+    /// Closes the exchange after the last attempt was sent. The agent returns its leases to the planners; this waits up
+    /// to 60 ms for that.
     pub fn close(self) {
-        drop(self.notes);
-        // It ends by dropping its end; one that takes longer is left behind.
-        let _ = self.left.recv_timeout(LEAVES);
+        drop(self.observations);
+        // The agent's thread reports its end by disconnecting. One that takes longer is abandoned.
+        let _ = self.agent_ended.recv_timeout(SHUTDOWN_TIMEOUT);
     }
 }
 
 impl AgentChannel {
-    /// The next note, if there is one.
-    pub fn next(&mut self) -> Result<Option<Dated>, Left> {
-        // Asked first: what was written before the loop left is read still.
-        let left = self.notes.is_abandoned();
-        match self.notes.pop() {
-            Ok(note) => Ok(Some(note)),
-            Err(_) if left => Err(Left),
+    /// Receives the next observation; `None` if there is none now.
+    ///
+    /// # Errors
+    /// Returns [`Disconnected`] once the event loop has closed its end and its last observation was received.
+    pub fn try_recv(&mut self) -> Result<Option<TimedObservation>, Disconnected> {
+        // Checked before the read, so that what was queued before the loop closed is still received.
+        let is_closed = self.observations.is_abandoned();
+        match self.observations.pop() {
+            Ok(observation) => Ok(Some(observation)),
+            Err(_) if is_closed => Err(Disconnected),
             Err(_) => Ok(None),
         }
     }
 
-    /// Lays advice out in place of what lay there.
-    pub fn advise(&self, now: Time, advice: ControlPlaneUpdate) {
-        let mut slot = self.slot.advice.lock().unwrap_or_else(PoisonError::into_inner);
-        *slot = Some((now, advice));
-        self.slot.news.store(true, Ordering::SeqCst);
+    /// Publishes an update in place of the one before.
+    pub fn publish(&self, now: Time, update: ControlPlaneUpdate) {
+        let mut slot = self.shared.update.lock().unwrap_or_else(PoisonError::into_inner);
+        *slot = Some(TimedUpdate { at: now, update });
+        self.shared.has_update.store(true, Ordering::SeqCst);
         drop(slot);
-        self.untaken.set(Some(self.slot.turns.load(Ordering::SeqCst)));
+        self.unconfirmed_since.set(Some(self.shared.iteration_counter.load(Ordering::SeqCst)));
     }
 
-    /// Whether every shot from now on is sent with the last advice known.
-    pub fn is_taken(&self) -> bool {
-        let Some(then) = self.untaken.get() else { return true };
-        let between_turns = then.is_multiple_of(2);
-        let taken = between_turns || self.slot.turns.load(Ordering::SeqCst) != then;
-        if taken {
-            self.untaken.set(None);
+    /// Whether every attempt from now on is sent under the latest update; see the module's invariant.
+    pub fn is_update_applied(&self) -> bool {
+        let Some(published_at) = self.unconfirmed_since.get() else { return true };
+        let was_between_iterations = published_at.is_multiple_of(2);
+        let is_applied =
+            was_between_iterations || self.shared.iteration_counter.load(Ordering::SeqCst) != published_at;
+        if is_applied {
+            self.unconfirmed_since.set(None);
         }
-        taken
+        is_applied
     }
 
-    /// How many notes found no room since this was last asked.
+    /// The number of observations that were dropped since the last call.
     pub fn take_dropped(&self) -> u64 {
-        self.slot.dropped.swap(0, Ordering::Relaxed)
+        self.shared.dropped.swap(0, Ordering::Relaxed)
     }
 }
 
--- a/crates/control-plane/src/agent/handle/tests.rs
+++ b/crates/control-plane/src/agent/handle/tests.rs
@@ -1,58 +1,78 @@
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult};
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, ControlPlaneUpdate};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
+use granitelb_balancer::time::{Span, Time};
 
-use super::*;
+use super::super::observations::{RawObservation, TimedObservation};
+use super::{AgentChannel, Disconnected, UPDATE_MAX_AGE, channel};
 
-fn note(n: u64) -> RawObservation {
-    let (number, cache, outcome) = (AttemptNumber(0), EndpointId(1), AttemptOutcome::Fulfilled);
-    let end = AttemptResult { number, cache, outcome, latency: Span::ZERO, answered: true };
-    RawObservation::AttemptFinished { request: RequestId(n), end, bytes: 0 }
+fn finished_attempt(n: u64) -> RawObservation {
+    let result = AttemptResult {
+        number: AttemptNumber(0),
+        cache: EndpointId(1),
+        outcome: AttemptOutcome::Fulfilled,
+        latency: Span::ZERO,
+        answered: true,
+    };
+    RawObservation::AttemptFinished { request: RequestId(n), result, bytes: 0 }
+}
+
+/// What was received from the channel.
+#[derive(Default)]
+struct Received {
+    attempts: u64,
+    last_endpoints_at: u64,
+}
+
+impl Received {
+    fn drain(&mut self, channel: &mut AgentChannel) {
+        while let Ok(Some(TimedObservation { at, observation })) = channel.try_recv() {
+            if let RawObservation::EndpointsChanged(_) = observation {
+                self.last_endpoints_at = at.0;
+            } else {
+                self.attempts += 1;
+            }
+        }
+    }
 }
 
 #[test]
-fn a_courier_that_does_not_look_costs_notes_and_no_list() {
-    let (mut desk, mut hatch) = open();
+fn stalled_agent_loses_observations_but_no_endpoint_list() {
+    let (mut handle, mut channel) = channel();
     let all = 50_000;
     for n in 0..all {
-        desk.note(Time(n), note(n));
+        handle.record(Time(n), finished_attempt(n));
         if n % 100 == 0 {
-            desk.note(Time(n), RawObservation::EndpointsChanged(Vec::new()));
+            handle.record(Time(n), RawObservation::EndpointsChanged(Vec::new()));
         }
-        desk.end_turn();
+        handle.end_iteration();
     }
-    let (mut came, mut last_list) = (0, 0);
-    let mut read = |hatch: &mut AgentChannel, last: &mut u64| {
-        while let Ok(Some((at, note))) = hatch.next() {
-            came += u64::from(!matches!(note, RawObservation::EndpointsChanged(_)));
-            *last = if let RawObservation::EndpointsChanged(_) = note { at.0 } else { *last };
-        }
-    };
-    read(&mut hatch, &mut last_list);
-    desk.end_turn();
-    read(&mut hatch, &mut last_list);
-    assert_eq!(last_list, all - 100, "the last list");
-    assert_eq!(came + hatch.take_dropped(), all);
-    drop(desk);
-    assert!(hatch.next().is_err());
+    let mut received = Received::default();
+    received.drain(&mut channel);
+    handle.end_iteration();
+    received.drain(&mut channel);
+    assert_eq!(received.last_endpoints_at, all - 100, "the latest endpoint list");
+    assert_eq!(received.attempts + channel.take_dropped(), all);
+    drop(handle);
+    assert!(matches!(channel.try_recv(), Err(Disconnected)));
 }
 
 #[test]
-fn advice_is_the_last_one_given_once_and_not_when_it_is_old() {
-    let (mut desk, hatch) = open();
-    let of =
+fn latest_update_is_delivered_once_and_loses_endpoint_health_when_old() {
+    let (mut handle, channel) = channel();
+    let update =
         |n| ControlPlaneUpdate { failing: vec![(EndpointId(n), Time(0))], ..ControlPlaneUpdate::default() };
-    assert_eq!(desk.begin_turn(Time(0)), None);
-    hatch.advise(Time(0), of(1));
-    assert!(!hatch.is_taken(), "a turn is on that began without it");
-    hatch.advise(Time(5), of(2));
-    desk.end_turn();
-    assert!(hatch.is_taken(), "whatever turn is next begins with it");
-    assert_eq!(desk.begin_turn(Time(10)), Some(of(2)));
-    desk.end_turn();
-    assert_eq!(desk.begin_turn(Time(10)), None);
-    desk.end_turn();
-    hatch.advise(Time(10), of(3));
-    assert!(hatch.is_taken());
-    let old = desk.begin_turn(Time(10) + LASTS);
-    assert_eq!(old, Some(ControlPlaneUpdate::default()), "the process was stopped meanwhile");
+    assert_eq!(handle.begin_iteration(Time(0)), None);
+    channel.publish(Time(0), update(1));
+    assert!(!channel.is_update_applied(), "an iteration is running that began without it");
+    channel.publish(Time(5), update(2));
+    handle.end_iteration();
+    assert!(channel.is_update_applied(), "the next iteration begins with it");
+    assert_eq!(handle.begin_iteration(Time(10)), Some(update(2)));
+    handle.end_iteration();
+    assert_eq!(handle.begin_iteration(Time(10)), None);
+    handle.end_iteration();
+    channel.publish(Time(10), update(3));
+    assert!(channel.is_update_applied());
+    let old = handle.begin_iteration(Time(10) + UPDATE_MAX_AGE);
+    assert_eq!(old, Some(ControlPlaneUpdate::default()), "the process was suspended in between");
 }
--- a/crates/control-plane/src/config_error.rs
+++ b/crates/control-plane/src/config_error.rs
@@ -1,38 +1,51 @@
-//! Faults in files that people write: told by file, line and key, and with what to do.
+//! Errors in configuration files. Each names the file, the line and the key, and says what an operator can do.
 
+#![warn(missing_docs)]
+
+use std::io;
 use std::path::{Path, PathBuf};
 
 use granitelb_coordination::component::Remediation;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// What is wrong with a file, and where.
+/// What is wrong with a configuration file, and where.
 #[derive(Debug, Error)]
-#[error("{}{}: {fault}", file.display(), line.map(|l| format!(":{l}")).unwrap_or_default())]
+#[error("{}{}: {kind}", path.display(), line.map(|line| format!(":{line}")).unwrap_or_default())]
 pub struct ConfigError {
-    pub file: PathBuf,
-    /// Counted from 1, unless it is the file as a whole.
+    /// The file.
+    pub path: PathBuf,
+    /// The line, counted from 1; `None` if the error concerns the file as a whole.
     pub line: Option<usize>,
+    /// What is wrong.
     #[source]
-    pub fault: ConfigErrorKind,
+    pub kind: ConfigErrorKind,
 }
 
+/// What can be wrong with a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigErrorKind {
+    /// The system cannot read the file.
     #[error("it can't be read: {0}")]
-    Unread(#[source] std::io::Error),
-    /// Not TOML, a key that is not known, a missing one, or a value of another form.
-    #[error("{0}")]
-    Form(String),
-    #[error("{key}: {what}")]
-    Value { key: &'static str, what: String },
+    Unreadable(#[source] io::Error),
+    /// The file is not TOML, or has an unknown key, lacks a key, or has a value of the wrong type.
+    #[error("{}", .0.message().trim())]
+    Syntax(#[source] toml::de::Error),
+    /// A value is outside of what its key allows.
+    #[error("{key}: {reason}")]
+    Value {
+        /// The key, with its table's name before it.
+        key: &'static str,
+        /// Which values are allowed, or why this one is not.
+        reason: String,
+    },
 }
 
 impl Remediation for ConfigErrorKind {
     fn remediation(&self) -> &'static str {
         match self {
-            ConfigErrorKind::Unread(_) => "Name a file that this program may read.",
-            ConfigErrorKind::Form(_) => {
+            ConfigErrorKind::Unreadable(_) => "Name a file that this program may read.",
+            ConfigErrorKind::Syntax(_) => {
                 "Write that line as docs/configuration.md has it, and `granitelb check` the file."
             }
             ConfigErrorKind::Value { .. } => {
@@ -44,75 +57,100 @@
 
 impl Remediation for ConfigError {
     fn remediation(&self) -> &'static str {
-        self.fault.remediation()
+        self.kind.remediation()
     }
 }
 
-/// A value that is not allowed, by its key; what a check of a file gives.
+/// A value that its key does not allow. Validation returns it; [`ConfigSource::locate`] adds the file and the line.
 #[derive(Debug)]
 pub struct InvalidValue {
+    /// The key, with its table's name before it.
     pub key: &'static str,
-    pub what: String,
-    /// Where it stands, as far as the reader knows; else its key is looked for.
-    pub at: Option<usize>,
+    /// Which values are allowed, or why this one is not.
+    pub reason: String,
+    /// The byte offset of the value in the file, if the parser reported it. Otherwise the key is searched for.
+    pub offset: Option<usize>,
 }
 
 impl InvalidValue {
-    pub fn new(key: &'static str, what: impl Into<String>) -> InvalidValue {
-        InvalidValue { key, what: what.into(), at: None }
+    /// An invalid value whose place in the file is found by its key.
+    pub fn new(key: &'static str, reason: impl Into<String>) -> InvalidValue {
+        InvalidValue { key, reason: reason.into(), offset: None }
     }
 }
 
-/// A file of which faults can be told by line.
+/// The text of a configuration file, kept so that errors can name the line.
 pub struct ConfigSource {
-    pub file: PathBuf,
+    /// The file that the text was read from.
+    pub path: PathBuf,
+    /// The file's contents.
     pub text: String,
 }
 
 impl ConfigSource {
-    pub fn load(file: &Path) -> Result<ConfigSource, ConfigError> {
-        let text = std::fs::read_to_string(file).map_err(|e| ConfigError {
-            file: file.into(),
-            line: None,
-            fault: ConfigErrorKind::Unread(e),
-        })?;
-        Ok(ConfigSource { file: file.into(), text })
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// Returns [`ConfigErrorKind::Unreadable`] if the system cannot read it, or it is not UTF-8.
+    pub fn load(path: &Path) -> Result<ConfigSource, ConfigError> {
+        match std::fs::read_to_string(path) {
+            Ok(text) => Ok(ConfigSource { path: path.into(), text }),
+            Err(error) => {
+                let kind = ConfigErrorKind::Unreadable(error);
+                Err(ConfigError { path: path.into(), line: None, kind })
+            }
+        }
     }
 
-    pub fn read<T: DeserializeOwned>(&self) -> Result<T, ConfigError> {
-        toml::from_str(&self.text).map_err(|e| ConfigError {
-            file: self.file.clone(),
-            line: e.span().map(|s| self.line_of(s.start)),
-            fault: ConfigErrorKind::Form(e.message().trim().to_string()),
+    /// Parses the text as TOML.
+    ///
+    /// # Errors
+    /// Returns [`ConfigErrorKind::Syntax`] if the text is not a `T`.
+    pub fn parse<T: DeserializeOwned>(&self) -> Result<T, ConfigError> {
+        toml::from_str(&self.text).map_err(|error: toml::de::Error| ConfigError {
+            path: self.path.clone(),
+            line: error.span().map(|span| self.line_at(span.start)),
+            kind: ConfigErrorKind::Syntax(error),
         })
     }
 
-    pub fn wrong(&self, wrong: InvalidValue) -> ConfigError {
-        let line = wrong.at.map(|at| self.line_of(at)).or_else(|| self.line_with(wrong.key));
+    /// Turns an invalid value into an error with this file's path and the value's line.
+    pub fn locate(&self, invalid: InvalidValue) -> ConfigError {
+        let line = match invalid.offset {
+            Some(offset) => Some(self.line_at(offset)),
+            None => self.line_of_key(invalid.key),
+        };
         ConfigError {
-            file: self.file.clone(),
+            path: self.path.clone(),
             line,
-            fault: ConfigErrorKind::Value { key: wrong.key, what: wrong.what },
+            kind: ConfigErrorKind::Value { key: invalid.key, reason: invalid.reason },
         }
     }
 
-    fn line_of(&self, at: usize) -> usize {
-        self.text.bytes().take(at).filter(|b| *b == b'\n').count() + 1
+    fn line_at(&self, offset: usize) -> usize {
+        self.text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1
     }
 
-    /// The first line of `key`, looked for under its table's head where it has one.
-    fn line_with(&self, key: &str) -> Option<usize> {
-        let (table, leaf) = key.rsplit_once('.').map_or((None, key), |(t, l)| (Some(t), l));
-        let heads = |l: &str| table.is_some_and(|t| l.trim().trim_matches(['[', ']']) == t);
-        let lines = || self.text.lines().enumerate();
-        let from = lines().find(|(_, l)| heads(l)).map_or(0, |(n, _)| n);
-        let names = |l: &str| l.split_once('=').is_some_and(|(k, _)| k.trim() == leaf);
-        let own = lines().skip(from).find(|(_, l)| names(l));
-        own.or_else(|| lines().nth(from)).map(|(n, _)| n + 1)
+    /// The first line that sets `key`, searched for from its table's header on. A key that is not set stands for the
+    /// header's line, or the first one of a file without it.
+    fn line_of_key(&self, key: &str) -> Option<usize> {
+        let (table, name) = match key.rsplit_once('.') {
+            Some((table, name)) => (Some(table), name),
+            None => (None, key),
+        };
+        let is_header = |line: &str| table.is_some_and(|table| line.trim().trim_matches(['[', ']']) == table);
+        let sets_key = |line: &str| line.split_once('=').is_some_and(|(left, _)| left.trim() == name);
+        let header = self.text.lines().position(is_header).unwrap_or(0);
+        let below_header = self.text.lines().skip(header).position(sets_key);
+        match below_header {
+            Some(lines) => Some(header + lines + 1),
+            None if header < self.text.lines().count() => Some(header + 1),
+            None => None,
+        }
     }
 
-    /// A path that the file names, from the file's own folder.
-    pub fn beside(&self, path: &Path) -> PathBuf {
-        self.file.parent().unwrap_or(Path::new("")).join(path)
+    /// Resolves a path that the file names, relative to the file's own directory.
+    pub fn resolve(&self, path: &Path) -> PathBuf {
+        self.path.parent().unwrap_or(Path::new("")).join(path)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -0,0 +1,143 @@
+//! Converts the fleet configuration into the settings of the components.
+
+use granitelb_balancer::time::Span;
+use granitelb_coordination::{counterfactual, endpoint_health, leases, probe_scheduling, shard_growth};
+
+use super::FleetConfig;
+use super::sections::{DAY, DAY_MS, GrowthSection, LeaseSection};
+
+/// In short accounting days of tests, an interval shrinks to this part of its usual length at the least.
+const MIN_INTERVAL_SCALE: f64 = 0.05;
+/// In short accounting days, the part of a day between two rounds of a forwarder's reports: planners close a day when an
+/// eighth of the next one is over.
+const SHORT_DAY_ROUND_SCALE: f64 = 0.1;
+/// The length of a part of the copying, and the time to wait out a fault, relative to a given length of a step.
+const COPY_PART_SCALE: f64 = 0.25;
+const FAULT_PATIENCE_SCALE: f64 = 3.0;
+
+impl FleetConfig {
+    /// The settings of leases; `None` if they are disabled.
+    pub fn lease_settings(&self) -> Option<leases::Settings> {
+        let section = self.leases.as_ref()?;
+        Some(leases::Settings {
+            lease: section.duration(),
+            whole_origin: thousandths(section.origin_fetches_per_s),
+            whole_cold: (section.warmup_work * 1e6).round() as u32,
+            reserve: thousandths(section.reserved_share),
+            standing: thousandths(section.long_term_share),
+            forwarders: self.max_forwarders as u32,
+            planners: self.planners.keys().copied().collect(),
+            ..leases::Settings::default()
+        })
+    }
+
+    /// The settings of endpoint health.
+    pub fn health_settings(&self) -> endpoint_health::Settings {
+        let turns = probe_scheduling::Settings {
+            window: Span::from_millis(self.probes.window_ms),
+            wanted: self.probes.probes_per_window,
+            ..probe_scheduling::Settings::default()
+        };
+        endpoint_health::Settings { turns, ..endpoint_health::Settings::default() }
+    }
+
+    /// The settings of shard growth at a planner; `None` if it is disabled.
+    pub fn growth_settings(&self) -> Option<shard_growth::Settings> {
+        let section = self.shard_growth.as_ref()?;
+        let defaults = shard_growth::Settings::default();
+        Some(shard_growth::Settings {
+            beat: section.scale_interval(defaults.beat),
+            retry: section.scale_interval(defaults.retry),
+            listed: section.scale_interval(defaults.listed),
+            slow: section.scale_interval(defaults.slow),
+            planners: self.planners.keys().copied().collect(),
+            schedule: section.schedule(),
+            day: Span::from_millis(section.day_ms),
+            room: Some(section.shard_bytes as f64),
+            frozen: section.frozen_days.iter().copied().collect(),
+            ..defaults
+        })
+    }
+
+    /// The settings of shard growth at a forwarder; `None` if it is disabled.
+    pub fn growth_forwarder_settings(&self) -> Option<shard_growth::ForwarderSettings> {
+        let section = self.shard_growth.as_ref()?;
+        let defaults = shard_growth::ForwarderSettings::default();
+        let round = if section.has_short_days() {
+            Span::from_millis(section.day_ms).scaled(SHORT_DAY_ROUND_SCALE)
+        } else {
+            defaults.round
+        };
+        Some(shard_growth::ForwarderSettings {
+            round,
+            beat: section.scale_interval(defaults.beat),
+            lately: section.scale_to_day(defaults.lately),
+            lists: section.scale_interval(defaults.lists),
+            fetches: section.scale_interval(defaults.fetches),
+        })
+    }
+
+    /// The settings of the counterfactual comparison; `None` if it is disabled.
+    pub fn counterfactual_settings(&self) -> Option<counterfactual::Settings> {
+        let section = self.counterfactual.as_ref()?;
+        let judges_every = Span::from_millis(section.evaluation_interval_ms);
+        Some(counterfactual::Settings { judges_every, ..counterfactual::Settings::default() })
+    }
+}
+
+fn thousandths(value: f64) -> u32 {
+    (value * 1000.0).round() as u32
+}
+
+impl LeaseSection {
+    /// How long a lease lasts.
+    pub fn duration(&self) -> Span {
+        Span::from_millis(self.duration_ms)
+    }
+}
+
+impl GrowthSection {
+    /// Whether an accounting day is shorter than a day, as in tests.
+    fn has_short_days(&self) -> bool {
+        self.day_ms < DAY_MS
+    }
+
+    /// Scales a duration by the length of an accounting day.
+    fn scale_to_day(&self, duration: Span) -> Span {
+        duration.scaled(self.day_ms as f64 * 1000.0 / DAY.0 as f64)
+    }
+
+    /// Scales an interval at which a message is repeated. In short days it shrinks only as far as messages can still be
+    /// received; otherwise it stays.
+    fn scale_interval(&self, interval: Span) -> Span {
+        if self.has_short_days() {
+            self.scale_to_day(interval).max(interval.scaled(MIN_INTERVAL_SCALE))
+        } else {
+            interval
+        }
+    }
+
+    fn schedule(&self) -> shard_growth::schedule::Settings {
+        let defaults = shard_growth::schedule::Settings::default();
+        let schedule = shard_growth::schedule::Settings {
+            most: self.max_concurrent_splits,
+            part: self.scale_to_day(defaults.part),
+            planned: self.scale_to_day(defaults.planned),
+            both_read: self.scale_to_day(defaults.both_read),
+            watched: self.scale_to_day(defaults.watched),
+            patience: self.scale_to_day(defaults.patience),
+            rests: self.scale_to_day(defaults.rests),
+            ..defaults
+        };
+        let Some(step) = self.step_ms.map(Span::from_millis) else { return schedule };
+        shard_growth::schedule::Settings {
+            part: step.scaled(COPY_PART_SCALE),
+            patience: step.scaled(FAULT_PATIENCE_SCALE),
+            planned: step,
+            both_read: step,
+            watched: step,
+            rests: step,
+            ..schedule
+        }
+    }
+}
--- a/crates/control-plane/src/planner/faculties.rs
+++ b/crates/control-plane/src/planner/faculties.rs
@@ -86,7 +86,7 @@
         let mut counters = BTreeMap::new();
         let verdicts: Make<endpoint_health::PlannerComponent> =
             Box::new(move |operator, incarnation, now, _| {
-                Ok(endpoint_health::PlannerComponent::new(operator.verdicts(), me, incarnation, now))
+                Ok(endpoint_health::PlannerComponent::new(operator.health_settings(), me, incarnation, now))
             });
         let unwrap =
             |letter| if let Message::EndpointHealth(message) = letter { Some(message) } else { None };
@@ -101,7 +101,12 @@
         counters.insert(ways.kind, self.desk(crew, verdicts, ways)?);
 
         let leases: Make<leases::PlannerComponent> = Box::new(move |operator, incarnation, now, _| {
-            Ok(leases::PlannerComponent::new(operator.leases().ok_or_else(off)?, me, incarnation, now))
+            Ok(leases::PlannerComponent::new(
+                operator.lease_settings().ok_or_else(off)?,
+                me,
+                incarnation,
+                now,
+            ))
         });
         let unwrap = |letter| if let Message::Leases(message) = letter { Some(message) } else { None };
         let share: Share<leases::PlannerComponent> =
@@ -111,7 +116,7 @@
 
         let growth: Make<shard_growth::PlannerComponent> =
             Box::new(move |operator, incarnation, now, kept| {
-                let settings = operator.growth().ok_or_else(off)?;
+                let settings = operator.growth_settings().ok_or_else(off)?;
                 // The process's clock is Unix time: all planners are in the same day of the book, or soon will be.
                 let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
                 let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
@@ -121,7 +126,7 @@
             });
         let unwrap = |letter| if let Message::ShardGrowth(message) = letter { Some(message) } else { None };
         let share: Share<shard_growth::PlannerComponent> = Box::new(|faculty, now, operator, board| {
-            let figure = operator.growth.as_ref().and_then(|g| g.spare_per_s);
+            let figure = operator.shard_growth.as_ref().and_then(|g| g.spare_fetches_per_s);
             faculty.fleet(board.fleet(now, operator.leases.is_some(), figure));
             board.write_table(faculty.new_table());
         });
@@ -132,7 +137,7 @@
         let hindsight: Make<counterfactual::PlannerComponent> =
             Box::new(move |operator, incarnation, now, _| {
                 Ok(counterfactual::PlannerComponent::new(
-                    operator.hindsight().ok_or_else(off)?,
+                    operator.counterfactual_settings().ok_or_else(off)?,
                     me,
                     incarnation,
                     now,
--- a/crates/control-plane/src/planner/file.rs
+++ b/crates/control-plane/src/planner/file.rs
@@ -39,9 +39,9 @@
     /// Whatever is wrong with either file, by file, line and key.
     pub fn load(path: &Path) -> Result<PlannerConfig, ConfigError> {
         let source = ConfigSource::load(path)?;
-        let form: Form = source.read()?;
-        let operator = FleetConfig::load(&source.beside(&form.operator))?;
-        form.check(&source, operator).map_err(|wrong| source.wrong(wrong))
+        let form: Form = source.parse()?;
+        let operator = FleetConfig::load(&source.resolve(&form.operator))?;
+        form.check(&source, operator).map_err(|wrong| source.locate(wrong))
     }
 
     /// What differs in a way that a running planner can't take up.
@@ -70,7 +70,7 @@
             Some(SocketAddr::V4(listen)) => listen,
             Some(other) => return Err(InvalidValue::new("listen", format!("{other} is not of IPv4"))),
         };
-        if operator.growth.is_some() && self.state.is_none() {
+        if operator.shard_growth.is_some() && self.state.is_none() {
             // What it agreed to must outlive it, or two forms of the table could be agreed on.
             return Err(InvalidValue::new(
                 "state",
@@ -78,9 +78,9 @@
             ));
         }
         if let Some(trial) = &self.trial {
-            trial.check()?;
+            trial.validate()?;
         }
-        let state = self.state.map(|folder| source.beside(&folder));
+        let state = self.state.map(|folder| source.resolve(&folder));
         Ok(PlannerConfig { number, operator: Arc::new(operator), state, listen, trial: self.trial })
     }
 }
--- a/crates/control-plane/src/planner/post.rs
+++ b/crates/control-plane/src/planner/post.rs
@@ -248,7 +248,7 @@
     }
 
     fn reload(&mut self, operator: Arc<FleetConfig>) {
-        let anew = !operator.decides_as(&self.operator());
+        let anew = !operator.decides_like(&self.operator());
         self.members.set_planners(self.clock.now(), operator.planners.keys().copied());
         self.situation.send_modify(|s| s.operator = operator);
         if anew {
@@ -324,7 +324,7 @@
     }
 
     fn deliver(&mut self, letter: (Sender, Message)) {
-        let on = self.operator().has(letter.1.kind());
+        let on = self.operator().enables(letter.1.kind());
         let Some(counter) = self.counters.get(&letter.1.kind()).filter(|_| on) else {
             return self.tally.off(letter.1.kind());
         };
--- a/crates/control-plane/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -107,7 +107,7 @@
 
 fn bench(keeper: StorageWriter) -> Bench {
     let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n[[planner]]\nnumber = 1\nletters = \"127.0.0.1:1\"";
-    let operator = FleetConfig::read(&ConfigSource { file: "operator.toml".into(), text: text.into() });
+    let operator = FleetConfig::parse(&ConfigSource { path: "operator.toml".into(), text: text.into() });
     let situation = Situation {
         incarnation: Incarnation(1),
         alive: Arc::from([]),
@@ -266,7 +266,7 @@
     let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n\
         [[planner]]\nnumber = 1\nletters = \"127.0.0.1:9\"\n";
     let operator =
-        FleetConfig::read(&ConfigSource { file: "operator.toml".into(), text: text.into() }).expect("sound");
+        FleetConfig::parse(&ConfigSource { path: "operator.toml".into(), text: text.into() }).expect("sound");
     let seen_by = |planner: &mut PlannerComponent, call: u64, seconds: u64| {
         let at = now + Span::from_millis(seconds * 1000);
         let call = (call..).find(|c| is_sampled(*c)).expect("one in two");
--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -21,6 +21,10 @@
     std::io::Error::other("trouble")
 }
 
+fn syntax() -> toml::de::Error {
+    serde::de::Error::custom("x")
+}
+
 fn every_error() -> Vec<(&'static str, Box<dyn Remediation>)> {
     use config_error::{ConfigError, ConfigErrorKind as File};
     use counterfactual::CounterfactualError as Judged;
@@ -32,7 +36,7 @@
     use shard_growth::{GrowthError as Growth, SnapshotError};
     use storage::StoreError as Store;
     let address = "127.0.0.1:1".parse().expect("an address");
-    let file = || ConfigError { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
+    let file = || ConfigError { path: "f".into(), line: Some(1), kind: File::Syntax(syntax()) };
     [
         all!(Message:
             Message::ShortSecret => Message::ShortSecret, Message::Stranger => Message::Stranger,
@@ -44,8 +48,8 @@
             MembershipError::TooLate => MembershipError::TooLate, MembershipError::WasGone => MembershipError::WasGone, MembershipError::TooMany => MembershipError::TooMany,
             MembershipError::NotItsWord => MembershipError::NotItsWord),
         all!(File:
-            File::Unread(trouble()) => File::Unread(_), File::Form("x".into()) => File::Form(_),
-            File::Value { key: "k", what: "w".into() } => File::Value { .. }),
+            File::Unreadable(trouble()) => File::Unreadable(_), File::Syntax(syntax()) => File::Syntax(_),
+            File::Value { key: "k", reason: "w".into() } => File::Value { .. }),
         all!(Store:
             Store::Folder { folder: "f".into(), why: trouble() } => Store::Folder { .. }, Store::InUse => Store::InUse,
             Store::Torn("x".into()) => Store::Torn(_), Store::OtherVersion { found: 0 } => Store::OtherVersion { .. },
--- a/crates/control-plane/tests/support/growing.rs
+++ b/crates/control-plane/tests/support/growing.rs
@@ -87,8 +87,12 @@
         let (now, id) = (now(), ForwarderId(n as u64));
         let mut members = Members::new(Member::Forwarder(id), Incarnation(now.0), now);
         members.set_planners(now, (1..=PLANNERS as u8).map(PlannerId));
-        let mut growth =
-            ForwarderComponent::new(operator.growth_seen().expect("it is on"), id, Incarnation(now.0), now);
+        let mut growth = ForwarderComponent::new(
+            operator.growth_forwarder_settings().expect("it is on"),
+            id,
+            Incarnation(now.0),
+            now,
+        );
         let server = |cache| ObservedEndpoint {
             cache: EndpointId(cache),
             is_origin: false,
--- a/crates/node/src/cli/together.rs
+++ b/crates/node/src/cli/together.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::{Path, PathBuf};
 
-use granitelb_control_plane::agent::{Agent, Renewal};
+use granitelb_control_plane::agent::{Agent, ConfigReloadHandle};
 use granitelb_control_plane::fleet_config::FleetConfig;
 use granitelb_coordination::component::Remediation;
 
@@ -12,7 +12,7 @@
 /// Has the courier take up the file anew.
 pub struct Renewing {
     path: PathBuf,
-    renewal: Renewal,
+    renewal: ConfigReloadHandle,
 }
 
 fn load(path: &Path) -> Result<FleetConfig, String> {
@@ -33,7 +33,7 @@
         IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
     };
     let courier = Agent::new(operator, config.name(), address);
-    let renewal = courier.renewal();
+    let renewal = courier.reload_handle();
     Ok((courier, Renewing { path, renewal }))
 }
 
@@ -41,7 +41,7 @@
     /// Reads the file again; one with a fault changes nothing.
     pub fn renew(&self) {
         match load(&self.path) {
-            Ok(operator) => self.renewal.renew(operator),
+            Ok(operator) => self.renewal.reload(operator),
             Err(trouble) => {
                 log::error!(event = "operator_refused"; "{trouble} The file before it stays in force.");
             }
--- a/crates/node/src/proxy/witness.rs
+++ b/crates/node/src/proxy/witness.rs
@@ -9,7 +9,7 @@
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_control_plane::agent::{AgentHandle, RawObservation, SentAttempt, call_of};
+use granitelb_control_plane::agent::{AgentHandle, RawObservation, SentAttempt, hash_request_name};
 use granitelb_coordination::counterfactual::is_sampled;
 use granitelb_coordination::observation::ObservedEndpoint;
 
@@ -41,7 +41,7 @@
             warm_after: self.settings.warm_after,
         };
         let servers = placed.values().map(|(_, listing)| server(listing)).collect();
-        self.desk.note(now, RawObservation::EndpointsChanged(servers));
+        self.desk.record(now, RawObservation::EndpointsChanged(servers));
     }
 
     /// A shot goes out.
@@ -54,14 +54,14 @@
         number: AttemptNumber,
     ) {
         let Some((name, asked, message)) = exchanges.asked(shot.request) else { return };
-        let call = call_of(name);
+        let call = hash_request_name(name);
         let mut ranked = if is_sampled(call) { balancer.ranked(asked.key) } else { Vec::new() }.into_iter();
         let sent = SentAttempt {
             request: shot.request,
             number,
-            cache: shot.cache,
-            call,
-            asked: *asked,
+            endpoint: shot.cache,
+            name_hash: call,
+            requested: *asked,
             bytes: u32::try_from(message.body.len()).unwrap_or(u32::MAX),
             slo: self
                 .settings
@@ -70,28 +70,28 @@
                 .map_or(Span::ZERO, |p| p.slo),
             candidates: [ranked.next(), ranked.next(), ranked.next()],
         };
-        self.desk.note(now, RawObservation::AttemptSent(sent));
+        self.desk.record(now, RawObservation::AttemptSent(sent));
     }
 
     /// A shot has ended; `bytes` is the length of the answer's body.
     pub fn ended(&mut self, now: Time, request: RequestId, end: &AttemptResult, bytes: u32) {
-        self.desk.note(now, RawObservation::AttemptFinished { request, end: *end, bytes });
+        self.desk.record(now, RawObservation::AttemptFinished { request, result: *end, bytes });
     }
 
     /// The node answers a call by itself.
     pub fn answered(&mut self, now: Time, exchanges: &Exchanges, call: RequestId, answer: &LocalReply) {
         if matches!(answer, LocalReply::RateLimited { .. }) && exchanges.lacked(call) {
-            self.desk.note(now, RawObservation::FetchDenied);
+            self.desk.record(now, RawObservation::FetchDenied);
         }
     }
 
     /// A turn begins: what planners say, where there is news.
     pub fn begin_turn(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
-        self.desk.begin_turn(now)
+        self.desk.begin_iteration(now)
     }
 
     pub fn end_turn(&mut self) {
-        self.desk.end_turn();
+        self.desk.end_iteration();
     }
 
     /// Nothing is sent any more.
--- a/crates/node/tests/together.rs
+++ b/crates/node/tests/together.rs
@@ -103,7 +103,7 @@
         flooding.store(false, Ordering::Relaxed);
         assert!(took.elapsed() < Duration::from_secs(5), "{:?}", took.elapsed());
     });
-    assert!(!stage.log().contains("courier_"), "{}", stage.log());
+    assert!(!stage.log().contains("control_plane_agent_"), "{}", stage.log());
 }
 
 #[test]
