--- a/crates/node/src/cli/log_format.rs
+++ b/crates/node/src/cli/log_format.rs
@@ -1,49 +1,59 @@
-//! How the log is written: a line of text for people, or a JSON object a line for programs.
+//! The output of the log: lines of text for people, or one JSON object a line for programs.
 
-use std::io::Write;
+use std::io::{self, Write};
 
+use env_logger::fmt::Formatter;
 use env_logger::{Builder, Env};
+use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::Map;
 
-use super::command::LogFormat;
+use super::arguments::LogFormat;
 
-/// Starts the log; `RUST_LOG` says what is in it.
+const DEFAULT_FILTER: &str = "info";
+
+/// Starts the log. The environment variable `RUST_LOG` filters it.
 pub fn start(format: LogFormat) {
-    let mut log = Builder::from_env(Env::default().default_filter_or("info"));
+    let mut builder = Builder::from_env(Env::default().default_filter_or(DEFAULT_FILTER));
     if format == LogFormat::Json {
-        log.format(|out, record| {
-            let mut fields = Fields(Map::new());
-            fields.put("time", out.timestamp_millis().to_string().into());
-            fields.put("level", record.level().as_str().to_lowercase().into());
-            fields.put("part", record.target().into());
-            fields.put("message", record.args().to_string().into());
-            // Visiting fails only where a field does, and none of these does.
-            let _ = record.key_values().visit(&mut fields);
-            writeln!(out, "{}", serde_json::Value::Object(fields.0))
-        });
+        builder.format(write_json);
     }
-    log.init();
+    builder.init();
+}
+
+/// Writes a record as a JSON object: `time` in milliseconds, `level`, `part`, `message`, and the record's own fields.
+fn write_json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
+    let mut fields = JsonFields(Map::new());
+    fields.insert("time", out.timestamp_millis().to_string().into());
+    fields.insert("level", record.level().as_str().to_lowercase().into());
+    fields.insert("part", record.target().into());
+    fields.insert("message", record.args().to_string().into());
+    // Visiting fails only if a visitor does, and this one never does.
+    let _ = record.key_values().visit(&mut fields);
+    writeln!(out, "{}", serde_json::Value::Object(fields.0))
 }
 
-/// The fields of a line, by name.
-struct Fields(Map<String, serde_json::Value>);
+/// The fields of one record by name.
+struct JsonFields(Map<String, serde_json::Value>);
 
-impl Fields {
-    fn put(&mut self, name: &str, value: serde_json::Value) {
+impl JsonFields {
+    fn insert(&mut self, name: &str, value: serde_json::Value) {
         self.0.insert(name.into(), value);
     }
 }
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for JsonFields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let json = match (value.to_u64(), value.to_f64(), value.to_bool()) {
-            (Some(number), _, _) => number.into(),
-            (_, Some(number), _) => number.into(),
-            (_, _, Some(truth)) => truth.into(),
-            _ => value.to_string().into(),
+        let json = if let Some(number) = value.to_u64() {
+            number.into()
+        } else if let Some(number) = value.to_f64() {
+            number.into()
+        } else if let Some(boolean) = value.to_bool() {
+            boolean.into()
+        } else {
+            value.to_string().into()
         };
-        self.put(key.as_str(), json);
+        self.insert(key.as_str(), json);
         Ok(())
     }
 }
--- a/crates/node/tests/together.rs
+++ b/crates/node/tests/together.rs
@@ -113,7 +113,7 @@
     let (from, _) = heard_by(&mut stage);
     std::fs::write(&stage.operator, text.replace("forwarders = 2", "forwarders = 0")).expect("a file");
     stage.signal(Signal::HUP);
-    until_said(&stage, "operator's file, ", 1);
+    until_said(&stage, "fleet configuration, ", 1);
     std::fs::write(&stage.operator, text.replace("forwarders = 2", "forwarders = 3")).expect("a file");
     stage.signal(Signal::HUP);
     until_said(&stage, "was read again", 1);
