--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -1,6 +1,6 @@
-//! Deployments other than the one that the node is measured on: each site file under `deploy/sites` is put into a node's
-//! configuration, which `granitelb check` has to take and has to read as it was meant; one with a wrong value has to be
-//! refused with the key named.
+//! Deployments other than the one that the node is measured on. Each site file under `deploy/sites` is converted into a
+//! node's configuration, which `granitelb check` has to accept and decode as intended. A wrong value has to be rejected
+//! with its key named.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,10 +12,10 @@
 use serde_json::{Value, json};
 use test_case::test_case;
 
-/// How long a node without a watch may go without asking, where lists come on request; site files don't say.
-const MUST_ASK_IN_US: u64 = 10_000_000;
+/// The longest time without a request for the endpoint list, where lists come on request. Site files do not set it.
+const MAX_LIST_REQUEST_INTERVAL_US: u64 = 10_000_000;
 
-fn sites() -> Vec<PathBuf> {
+fn site_files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites");
     let entries = fs::read_dir(folder).expect("a folder of sites").map(|e| e.expect("an entry").path());
     let mut sites: Vec<_> = entries.filter(|p| p.extension().is_some_and(|e| e == "toml")).collect();
@@ -32,33 +32,34 @@
     fs::read_to_string(site).expect("a site file")
 }
 
-/// The value at a path of keys and places; what isn't there is null.
+/// The value at a JSON pointer; null if there is none.
 fn at<'a>(site: &'a Value, path: &str) -> &'a Value {
     site.pointer(path).unwrap_or(&Value::Null)
 }
 
-/// A value that a range may stand for: its end that binds a node.
+/// The lower end of a range; a single value stands for both ends.
 fn lowest(value: &Value) -> Value {
     value.as_array().and_then(|r| r.first()).unwrap_or(value).clone()
 }
 
+/// The upper end of a range.
 fn highest(value: &Value) -> Value {
     value.as_array().and_then(|r| r.last()).unwrap_or(value).clone()
 }
 
-/// A time in microseconds; what is no number is passed on as it stands, for the node to refuse.
-fn time(value: &Value, unit_us: f64) -> Value {
+/// A duration in microseconds. What is not a number stays as it is, for the node to reject.
+fn duration_us(value: &Value, unit_us: f64) -> Value {
     value.as_f64().map_or_else(|| value.clone(), |v| json!((v * unit_us).round() as i64))
 }
 
-/// A site's word for something in the words of the settings.
-fn word(value: &Value, words: &[(&str, &str)]) -> Value {
-    let found = words.iter().find(|(theirs, _)| value == theirs).map(|(_, ours)| *ours);
-    json!(found.unwrap_or_else(|| panic!("no word {value}")))
+/// Translates a site file's name for a choice into the settings' name.
+fn translate(value: &Value, names: &[(&str, &str)]) -> Value {
+    let found = names.iter().find(|(in_site, _)| value == in_site).map(|(_, in_settings)| *in_settings);
+    json!(found.unwrap_or_else(|| panic!("no setting for {value}")))
 }
 
-/// The settings by which the bench starts a node of this site, as far as a node reads them. A key that the site leaves out
-/// is left out.
+/// The settings with which the bench starts a node of this site, as far as a node reads them. Keys that the site leaves
+/// out are left out.
 fn settings(site: &Value) -> Value {
     let list = |path| at(site, path).as_array().cloned().unwrap_or_default();
     let allow = |key: &str| at(site, &format!("/allow/{key}")).clone();
@@ -70,23 +71,23 @@
         let effects = [("safe", "read_like"), ("keyed", "idempotency_key"), ("unsafe", "non_idempotent")];
         without_null(json!({
             "Name": class["name"],
-            "Effect": word(&class["effect"], &effects),
-            "LatencySloUs": time(&class["aim_ms"], 1e3),
-            "ClientTimeoutUs": time(&class["deadline_ms"], 1e3),
+            "Effect": translate(&class["effect"], &effects),
+            "LatencySloUs": duration_us(&class["aim_ms"], 1e3),
+            "ClientTimeoutUs": duration_us(&class["deadline_ms"], 1e3),
             "BilledValue": class["worth"],
             "TardyBilledValue": class["late_worth"],
             "DedupScope": class["group"],
-            "WindowUs": time(&class["window_ms"], 1e3),
+            "WindowUs": duration_us(&class["window_ms"], 1e3),
         }))
     });
-    let asked = at(site, "/discovery/mode") == "ask";
+    let lists_on_request = at(site, "/discovery/mode") == "ask";
     let cache = kinds.first().cloned().unwrap_or_default();
     json!({
         "BilledValuePer": at(site, "/load/worth_by"),
         "Bounds": without_null(json!({
-            "ConnectTimeoutUs": time(tier("conn/connect_timeout_ms"), 1e3),
-            "KeepaliveUs": time(tier("conn/idle_s"), 1e6),
-            "MaxRetryAfterUs": time(at(site, "/clients/max_retry_after_ms"), 1e3),
+            "ConnectTimeoutUs": duration_us(tier("conn/connect_timeout_ms"), 1e3),
+            "KeepaliveUs": duration_us(tier("conn/idle_s"), 1e6),
+            "MaxRetryAfterUs": duration_us(at(site, "/clients/max_retry_after_ms"), 1e3),
             "MayCancel": allow("cancel"),
             "MostShots": allow("max_attempts"),
             "RetryAfter": allow("retry_after"),
@@ -96,15 +97,15 @@
         "Products": request_classes.collect::<Vec<_>>(),
         "Rules": without_null(json!({
             "ColdFrom": lowest(&cache["cold_from"]),
-            "WarmAfterUs": time(&highest(&cache["cold_s"]), 1e6),
+            "WarmAfterUs": duration_us(&highest(&cache["cold_s"]), 1e6),
             "FallMultiple": at(site, "/rules/fall_multiple"),
-            "FallUs": time(at(site, "/rules/fall_ms"), 1e3),
-            "MustAskInUs": if asked { MUST_ASK_IN_US } else { 0 },
+            "FallUs": duration_us(at(site, "/rules/fall_ms"), 1e3),
+            "MustAskInUs": if lists_on_request { MAX_LIST_REQUEST_INTERVAL_US } else { 0 },
         })),
         "Shapes": shapes,
         "Siblings": highest(at(site, "/scale/balancers")),
         "Specifics": { "Mode": at(site, "/fam/mode"), "OriginKind": shapes.len() - 1 },
-        "WeightKind": word(tier("weights"), &[
+        "WeightKind": translate(tier("weights"), &[
             ("none", "silent"), ("nominal", "nominal"), ("rough", "rough"), ("live", "live"),
         ]),
         "Zones": at(site, "/net/zones"),
@@ -121,7 +122,7 @@
     serde_json::to_value(site).expect("JSON")
 }
 
-/// Runs `granitelb check` on a node's configuration with these settings.
+/// Runs `granitelb check` on a node configuration with these settings.
 fn check(name: &str, settings: &Value) -> Output {
     let config = json!({
         "name": name, "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500",
@@ -138,24 +139,24 @@
 }
 
 #[test]
-fn each_site_is_taken_by_the_check() {
-    for site in sites() {
+fn check_accepts_each_site() {
+    for site in site_files() {
         let name = name(&site);
         let site = parsed(&text(&site));
         let output = check(&name, &settings(&site));
-        let (said, wrong) =
+        let (stdout, stderr) =
             (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-        assert!(output.status.success(), "{name}: {wrong}");
+        assert!(output.status.success(), "{name}: {stderr}");
         let classes = site["class"].as_array().expect("classes");
         let names: Vec<_> = classes.iter().map(|c| c["name"].as_str().expect("a name")).collect();
-        assert!(said.trim_end().ends_with(&format!("serves {}", names.join(", "))), "{name}: {said}");
+        assert!(stdout.trim_end().ends_with(&format!("serves {}", names.join(", "))), "{name}: {stdout}");
     }
 }
 
-/// That the check takes a text says little of what it comes to: an effect that is not known, say, is held to be harmful.
+/// That the check accepts a file does not show how it is decoded: an unknown effect, for example, counts as unsafe.
 #[test]
-fn each_site_is_read_as_it_is_meant() {
-    for file in sites() {
+fn each_site_decodes_as_intended() {
+    for file in site_files() {
         let (name, site) = (name(&file), parsed(&text(&file)));
         let decoded =
             decode(settings(&site).to_string().as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -163,7 +164,7 @@
         let classes = site["class"].as_array().expect("classes");
         assert_eq!(decisions.request_classes.len(), classes.len(), "{name}");
         for (n, (class, request_class)) in classes.iter().zip(&decisions.request_classes).enumerate() {
-            let whose = format!("{name}, {}", class["name"]);
+            let context = format!("{name}, {}", class["name"]);
             let scope = match class["group"].as_str() {
                 Some("all") => DedupScope::All,
                 Some("zone") => DedupScope::Zone,
@@ -174,14 +175,18 @@
                 Some("keyed") => Effect::Deduplicated { scope, window: us(&class["window_ms"], 1e3) },
                 _ => Effect::NonIdempotent,
             };
-            assert_eq!(request_class.effect, effect, "{whose}");
-            assert_eq!(request_class.slo, us(&class["aim_ms"], 1e3), "{whose}");
-            assert_eq!(decoded.client_timeouts[n], us(&class["deadline_ms"], 1e3), "{whose}");
-            assert_eq!(Some(request_class.billed_value), class["worth"].as_f64(), "{whose}");
-            assert_eq!(Some(request_class.value_after_slo), class["late_worth"].as_f64(), "{whose}");
-            assert_eq!(decoded.names.request_classes[n], class["name"].as_str().expect("a name"), "{whose}");
+            assert_eq!(request_class.effect, effect, "{context}");
+            assert_eq!(request_class.slo, us(&class["aim_ms"], 1e3), "{context}");
+            assert_eq!(decoded.client_timeouts[n], us(&class["deadline_ms"], 1e3), "{context}");
+            assert_eq!(Some(request_class.billed_value), class["worth"].as_f64(), "{context}");
+            assert_eq!(Some(request_class.value_after_slo), class["late_worth"].as_f64(), "{context}");
+            assert_eq!(
+                decoded.names.request_classes[n],
+                class["name"].as_str().expect("a name"),
+                "{context}"
+            );
             // An SLO beyond the client timeout could never be missed.
-            assert!(request_class.slo <= decoded.client_timeouts[n], "{whose}");
+            assert!(request_class.slo <= decoded.client_timeouts[n], "{context}");
         }
         let (allow, tier, rules) = (&site["allow"], &site["tier"][0], &site["rules"]);
         assert_eq!(Some(decisions.may_cancel), allow["cancel"].as_bool(), "{name}");
@@ -202,7 +207,7 @@
     }
 }
 
-/// Each fault is made in the site file's text, so that it takes the same way as the values that are right.
+/// Each fault is made in the site file's text, so that it passes through the same conversion as correct values.
 #[test_case("late-worth", "late_worth = ", "1.5", "settings.Products[N].TardyBilledValue")]
 #[test_case("worth", "worth = ", "-1", "settings.Products[N].BilledValue")]
 #[test_case("aim", "aim_ms = ", "\"soon\"", "settings.Products[N].LatencySloUs")]
@@ -216,26 +221,29 @@
 #[test_case("mode", "mode = \"aside\"", "\nmode = \"beside\"", "settings.Specifics.Mode")]
 #[test_case("weights", "weights = ", "\"live\"", "settings.WeightKind")]
 #[test_case("zones", "zones = ", "\"everywhere\"", "settings.Zones")]
-fn a_fault_in_a_site_is_told_by_its_key(fault: &str, key: &str, value: &str, told: &str) {
-    for site in sites() {
-        let (name, right) = (name(&site), text(&site));
-        let mut lines: Vec<_> = right.lines().map(str::to_string).collect();
+fn fault_in_a_site_is_reported_by_its_key(fault: &str, key: &str, value: &str, reported_key: &str) {
+    for site in site_files() {
+        let (name, correct) = (name(&site), text(&site));
+        let mut lines: Vec<_> = correct.lines().map(str::to_string).collect();
         let line =
             lines.iter().position(|l| l.starts_with(key)).unwrap_or_else(|| panic!("{name} has no {key}"));
-        // A whole line takes the place of one whose key stands in several tables.
+        // A value that begins with a line break replaces the whole line, whose key occurs in several tables.
         lines[line] = value.strip_prefix('\n').map_or_else(|| format!("{key}{value}"), str::to_string);
         let class = lines[..line].iter().filter(|l| *l == "[[class]]").count().saturating_sub(1);
-        let told = told.replace("[N]", &format!("[{class}]"));
+        let reported_key = reported_key.replace("[N]", &format!("[{class}]"));
         let output = check(&format!("{name}-{fault}"), &settings(&parsed(&lines.join("\n"))));
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success(), "{name}: taken with {key}{value}");
-        assert!(said.contains(&format!("configuration, {told}:")), "{name}, {told}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success(), "{name}: accepted with {key}{value}");
+        assert!(
+            stderr.contains(&format!("configuration, {reported_key}:")),
+            "{name}, {reported_key}: {stderr}"
+        );
     }
 }
 
 #[test]
-#[should_panic(expected = "no word \"harmless\"")]
-fn an_effect_that_is_not_known_is_no_site() {
-    let wrong = text(&sites()[0]).replacen("effect = \"safe\"", "effect = \"harmless\"", 1);
-    settings(&parsed(&wrong));
+#[should_panic(expected = "no setting for \"harmless\"")]
+fn unknown_effect_is_rejected() {
+    let faulty = text(&site_files()[0]).replacen("effect = \"safe\"", "effect = \"harmless\"", 1);
+    settings(&parsed(&faulty));
 }
