--- a/crates/control-plane/src/agent/worker.rs
+++ b/crates/control-plane/src/agent/worker.rs
@@ -130,35 +130,44 @@
         let mut schedule =
             Schedule { publish_at: now, log_metrics_at: now + METRICS_INTERVAL, read_common_at: now };
         loop {
-            let received = match self.receive_messages(&sockets, &mut components, &mut schedule) {
-                Ok(received) => received,
-                Err(error) => return Stopped::SocketError(error),
-            };
-            if let Err(Disconnected) = self.take_observations(&mut components) {
-                components.shut_down();
-                self.send_messages(&sockets, &mut components);
-                return Stopped::Disconnected;
-            }
-            let now = (self.clock)();
-            if received == Received::Messages {
-                schedule.publish_at = now;
-            }
-            components.update_membership(now);
-            self.restart_if_needed(&mut sockets, &mut components, now);
-            if self.channel.is_update_applied() {
-                self.send_messages(&sockets, &mut components);
-                self.publish_if_due(&mut components, &mut schedule, now);
-            }
-            while let Some(event) = components.poll_event() {
-                log_event(&event);
-            }
-            if schedule.log_metrics_at <= now {
-                schedule.log_metrics_at = now + METRICS_INTERVAL;
-                self.metrics.log();
+            if let Err(stopped) = self.run_round(&mut sockets, &mut components, &mut schedule) {
+                return stopped;
             }
         }
     }
 
+    fn run_round(
+        &mut self,
+        sockets: &mut Sockets,
+        components: &mut Components,
+        schedule: &mut Schedule,
+    ) -> Result<(), Stopped> {
+        let received = self.receive_messages(sockets, components, schedule).map_err(Stopped::SocketError)?;
+        if let Err(Disconnected) = self.take_observations(components) {
+            components.shut_down();
+            self.send_messages(sockets, components);
+            return Err(Stopped::Disconnected);
+        }
+        let now = (self.clock)();
+        if received == Received::Messages {
+            schedule.publish_at = now;
+        }
+        components.update_membership(now);
+        self.restart_if_needed(sockets, components, now);
+        if self.channel.is_update_applied() {
+            self.send_messages(sockets, components);
+            self.publish_if_due(components, schedule, now);
+        }
+        while let Some(event) = components.poll_event() {
+            log_event(&event);
+        }
+        if schedule.log_metrics_at <= now {
+            schedule.log_metrics_at = now + METRICS_INTERVAL;
+            self.metrics.log();
+        }
+        Ok(())
+    }
+
     fn log_start(&self, sockets: &Sockets) {
         let planners = self.config.planners.len();
         match sockets.local_address() {
--- a/crates/control-plane/src/fleet_config/mod.rs
+++ b/crates/control-plane/src/fleet_config/mod.rs
@@ -2,7 +2,7 @@
 //! the same file. It names the planners and the secrets that sign messages, and sets the limits for the whole fleet. A
 //! component whose table is left out is disabled.
 //!
-//! [`sections`] has the file's tables, [`validation`] checks them, and [`settings`] converts them into the settings of
+//! `sections` has the file's tables, `validation` checks them, and `settings` converts them into the settings of
 //! the components.
 
 #![warn(missing_docs)]
