--- a/crates/control-plane/src/planner/post.rs
+++ b/crates/control-plane/src/planner/post.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::component::Component;
-use granitelb_coordination::membership::{Acceptance, Membership, MembershipError};
-use granitelb_coordination::message::{self, ComponentKind, MAX_DATAGRAM_BYTES, Message};
+use granitelb_coordination::component::{Component, Remediation};
+use granitelb_coordination::membership::{Members, MembershipError};
+use granitelb_coordination::message::{self, ComponentKind, MOST_BYTES, Message};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
@@ -55,7 +55,7 @@
     me: PlannerId,
     socket: UdpSocket,
     clock: Clock,
-    members: Membership,
+    members: Members,
     incarnation: Incarnation,
     number: u64,
     /// Where forwarders wrote from last; of those that live.
@@ -94,7 +94,7 @@
     ) -> Post {
         let now = clock.now();
         let (incarnation, operator) = (situation.borrow().incarnation, situation.borrow().operator.clone());
-        let mut members = Membership::new(Member::Planner(me), incarnation, now);
+        let mut members = Members::new(Member::Planner(me), incarnation, now);
         members.set_planners(now, operator.planners.keys().copied());
         Post {
             me,
@@ -171,7 +171,7 @@
     pub fn reset(&mut self) {
         let now = self.clock.now();
         self.held = None;
-        self.members = Membership::new(Member::Planner(self.me), self.incarnation, now);
+        self.members = Members::new(Member::Planner(self.me), self.incarnation, now);
         let operator = self.operator();
         self.members.set_planners(now, operator.planners.keys().copied());
         self.renew();
@@ -188,7 +188,7 @@
             let Some((to, message)) = self.members.poll_message(now) else { break };
             self.send(to, &Message::Membership(message));
         }
-        let changed = who_lives.then(|| self.members.poll_change(now)).flatten();
+        let changed = who_lives.then(|| self.members.changed(now)).flatten();
         if who_lives {
             self.look_at = now + LOOKS;
             self.look_at_desks(now);
@@ -197,7 +197,7 @@
             self.forwarders.retain(|id, _| alive.binary_search(&Member::Forwarder(*id)).is_ok());
             self.situation.send_modify(|s| s.alive = alive.into());
         }
-        if self.members.needs_new_incarnation() {
+        if self.members.must_be_new() {
             self.renew();
         }
         while let Some(remark) = self.members.poll_event() {
@@ -238,8 +238,8 @@
 
     /// Goes on under a greater life: all faculties are made anew.
     fn renew(&mut self) {
-        self.incarnation = Incarnation(self.clock.now().0).max(self.members.min_next_incarnation());
-        self.members.renew(self.incarnation);
+        self.incarnation = Incarnation(self.clock.now().0).max(self.members.least_incarnation());
+        self.members.renewed(self.incarnation);
         log::warn!(event = "new_life", incarnation = self.incarnation.0; "goes on as a new planner, under life {}", self.incarnation.0);
         // Only a clock that is set back would make a use of it; nothing waits for it.
         let incarnation = self.incarnation;
@@ -248,7 +248,7 @@
     }
 
     fn reload(&mut self, operator: Arc<FleetConfig>) {
-        let anew = !operator.decides_as(&self.operator());
+        let anew = !operator.decides_like(&self.operator());
         self.members.set_planners(self.clock.now(), operator.planners.keys().copied());
         self.situation.send_modify(|s| s.operator = operator);
         if anew {
@@ -259,7 +259,7 @@
 
     /// Reads what has come, as far as it goes without waiting.
     fn read(&mut self) {
-        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
+        let mut bytes = [0; MOST_BYTES + 1];
         for _ in 0..BATCH {
             if self.held.is_some() {
                 return;
@@ -292,17 +292,17 @@
         {
             return self.tally.unlisted(id);
         }
-        let taken = self.members.accept(now, sender);
+        let taken = self.members.take(now, sender);
         // One that was silent was forgotten, and has to be found to be told that it was gone.
-        let is_found = matches!(taken, Ok(_) | Err(MembershipError::DeclaredFailed));
+        let is_found = matches!(taken, Ok(_) | Err(MembershipError::WasGone));
         if let (true, Member::Forwarder(id), SocketAddr::V4(from)) = (is_found, sender.member, from) {
             self.forwarders.insert(id, from);
         }
         let is_new = match taken {
-            Ok(acceptance) => acceptance == Acceptance::Joined,
+            Ok(is_new) => is_new,
             Err(stale) => {
-                if stale == MembershipError::StaleIncarnation
-                    && let Some(message) = self.members.superseded_notice(now, sender)
+                if stale == MembershipError::OlderLife
+                    && let Some(message) = self.members.tell_succeeded(now, sender)
                 {
                     self.send_to(from, &Message::Membership(message));
                 }
@@ -324,7 +324,7 @@
     }
 
     fn deliver(&mut self, letter: (Sender, Message)) {
-        let on = self.operator().has(letter.1.kind());
+        let on = self.operator().enables(letter.1.kind());
         let Some(counter) = self.counters.get(&letter.1.kind()).filter(|_| on) else {
             return self.tally.off(letter.1.kind());
         };
@@ -349,7 +349,7 @@
         };
         let Some(address) = address else { return self.tally.nowhere() };
         if self.send_to(SocketAddr::V4(address), letter) {
-            self.members.on_message_sent(self.clock.now(), to);
+            self.members.sent(self.clock.now(), to);
         }
     }
 
@@ -358,7 +358,7 @@
         let operator = self.operator();
         self.number += 1;
         let sender =
-            Sender { member: Member::Planner(self.me), incarnation: self.incarnation, sequence: self.number };
+            Sender { member: Member::Planner(self.me), incarnation: self.incarnation, number: self.number };
         let bytes = match message::seal(sender, letter, &operator.secrets) {
             Ok(bytes) => bytes,
             Err(fault) => {
@@ -387,7 +387,7 @@
                 let incarnation = *told.borrow_and_update();
                 let Err(lost) = super::store_incarnation(&keeper, incarnation).await else { break };
                 if !std::mem::replace(&mut said, true) {
-                    log::error!(event = "not_kept", task = "members"; "life {}: {} A restart with a clock that was set back may bear a lesser one until then, and be refused.", incarnation.0, lost.0);
+                    log::error!(event = "not_kept", task = "members"; "life {}: {lost}. {} A restart with a clock that was set back may bear a lesser one until then, and be refused.", incarnation.0, lost.remediation());
                 }
                 sleep(RETRY).await;
             }
--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -21,6 +21,10 @@
     std::io::Error::other("trouble")
 }
 
+fn syntax() -> Box<toml::de::Error> {
+    Box::new(serde::de::Error::custom("x"))
+}
+
 fn every_error() -> Vec<(&'static str, Box<dyn Remediation>)> {
     use config_error::{ConfigError, ConfigErrorKind as File};
     use counterfactual::CounterfactualError as Judged;
@@ -30,9 +34,9 @@
     use message::EnvelopeError as Message;
     use planner::{PlannerError as Planner, Refused, TooOften};
     use shard_growth::{GrowthError as Growth, SnapshotError};
-    use storage::StoreError as Store;
+    use storage::{PersistError, StorageError as Store};
     let address = "127.0.0.1:1".parse().expect("an address");
-    let file = || ConfigError { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
+    let file = || ConfigError { path: "f".into(), line: Some(1), kind: File::Syntax(syntax()) };
     [
         all!(Message:
             Message::ShortSecret => Message::ShortSecret, Message::UnknownProtocol => Message::UnknownProtocol,
@@ -44,14 +48,15 @@
             MembershipError::TooOld => MembershipError::TooOld, MembershipError::DeclaredFailed => MembershipError::DeclaredFailed, MembershipError::CapacityExceeded => MembershipError::CapacityExceeded,
             MembershipError::UnauthorizedSender => MembershipError::UnauthorizedSender),
         all!(File:
-            File::Unread(trouble()) => File::Unread(_), File::Form("x".into()) => File::Form(_),
-            File::Value { key: "k", what: "w".into() } => File::Value { .. }),
+            File::Unreadable(trouble()) => File::Unreadable(_), File::Syntax(syntax()) => File::Syntax(_),
+            File::Value { key: "k", reason: "w".into() } => File::Value { .. }),
         all!(Store:
-            Store::Folder { folder: "f".into(), why: trouble() } => Store::Folder { .. }, Store::InUse => Store::InUse,
-            Store::Torn("x".into()) => Store::Torn(_), Store::OtherVersion { found: 0 } => Store::OtherVersion { .. },
-            Store::Foreign { own: 1, what: "w".into() } => Store::Foreign { .. },
-            Store::Unwritten("x".into()) => Store::Unwritten(_),
-            Store::TakenAway { file: "f".into() } => Store::TakenAway { .. }, Store::Ended => Store::Ended),
+            Store::Directory { path: "f".into(), cause: trouble() } => Store::Directory { .. }, Store::InUse => Store::InUse,
+            Store::Corrupt("x".into()) => Store::Corrupt(_), Store::UnsupportedVersion { found: 0 } => Store::UnsupportedVersion { .. },
+            Store::WrongOwner { own: 1, reason: "w".into() } => Store::WrongOwner { .. },
+            Store::WriteFailed("x".into()) => Store::WriteFailed(_),
+            Store::Removed { path: "f".into() } => Store::Removed { .. }, Store::WriterEnded => Store::WriterEnded),
+        all!(PersistError: PersistError::from(Store::InUse) => _),
         all!(Planner:
             Planner::File(file()) => Planner::File(_),
             Planner::Address { address: "127.0.0.1:1".parse().expect("one"), why: trouble() } => Planner::Address { .. },
--- a/crates/node/tests/together.rs
+++ b/crates/node/tests/together.rs
@@ -103,7 +103,7 @@
         flooding.store(false, Ordering::Relaxed);
         assert!(took.elapsed() < Duration::from_secs(5), "{:?}", took.elapsed());
     });
-    assert!(!stage.log().contains("courier_"), "{}", stage.log());
+    assert!(!stage.log().contains("control_plane_agent_"), "{}", stage.log());
 }
 
 #[test]
@@ -113,7 +113,7 @@
     let (from, _) = heard_by(&mut stage);
     std::fs::write(&stage.operator, text.replace("forwarders = 2", "forwarders = 0")).expect("a file");
     stage.signal(Signal::HUP);
-    until_said(&stage, "operator's file, ", 1);
+    until_said(&stage, "fleet configuration, ", 1);
     std::fs::write(&stage.operator, text.replace("forwarders = 2", "forwarders = 3")).expect("a file");
     stage.signal(Signal::HUP);
     until_said(&stage, "was read again", 1);
