--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,38 +1,55 @@
-//! The process's own time: set by the Unix clock at the start, then it only goes forward, also while the process or its
-//! machine stands still. Whoever goes on after a pause must find that time has passed.
+//! The clock of a process. It is set by the Unix clock at the start and then only goes forward, also while the process or
+//! its machine is suspended: a process that resumes must find that time has passed.
+
+#![warn(missing_docs)]
 
 use granitelb_balancer::time::Time;
 use rustix::time::{ClockId, clock_gettime};
 
+const MICROS_PER_S: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1000;
+const MICROS_PER_MS: i64 = 1000;
+const NORMAL_RATE: f64 = 1.0;
+
+/// A clock that never goes back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// The Unix clock at the start, and the monotonic one.
-    unix: u64,
-    start: u64,
-    /// What passes here while a second passes: one, but in trials.
+    /// The Unix time at the start, in microseconds.
+    unix_start_us: u64,
+    /// The monotonic time at the start, in microseconds.
+    monotonic_start_us: u64,
+    /// The seconds that this clock advances in a second; other than 1 only under fault injection.
     rate: f64,
 }
 
 impl Clock {
+    /// Starts a clock at the Unix time of this machine.
     pub fn start() -> Clock {
-        Clock::for_trial(1.0, 0)
+        Clock::with_faults(NORMAL_RATE, 0)
     }
 
-    /// One that goes at another rate, and was set by a Unix clock that is ahead of this machine's.
-    pub fn for_trial(rate: f64, ahead_ms: i64) -> Clock {
-        let unix = std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
-        Clock { unix: unix.saturating_add_signed(ahead_ms.saturating_mul(1000)), start: monotonic(), rate }
+    /// Starts a clock that advances at another rate, and was set by a Unix clock that is ahead of this machine's.
+    pub fn with_faults(rate: f64, ahead_ms: i64) -> Clock {
+        let unix_us = std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
+        Clock {
+            unix_start_us: unix_us.saturating_add_signed(ahead_ms.saturating_mul(MICROS_PER_MS)),
+            monotonic_start_us: monotonic_us(),
+            rate,
+        }
     }
 
+    /// The time now.
     pub fn now(&self) -> Time {
-        let passed = monotonic() - self.start;
-        // By whole microseconds where nothing is amiss: nobody's figures hang on a float's.
-        let passed = if self.rate == 1.0 { passed } else { (passed as f64 * self.rate) as u64 };
-        Time(self.unix + passed)
+        let elapsed_us = monotonic_us() - self.monotonic_start_us;
+        // Without faults no floating-point rounding is involved.
+        let elapsed_us =
+            if self.rate == NORMAL_RATE { elapsed_us } else { (elapsed_us as f64 * self.rate) as u64 };
+        Time(self.unix_start_us + elapsed_us)
     }
 }
 
-fn monotonic() -> u64 {
+/// Microseconds of a clock that also advances while the machine is suspended.
+fn monotonic_us() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
-    now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
+    now.tv_sec as u64 * MICROS_PER_S + now.tv_nsec as u64 / NANOS_PER_MICRO
 }
--- a/crates/control-plane/src/fault_injection.rs
+++ b/crates/control-plane/src/fault_injection.rs
@@ -55,19 +55,19 @@
     }
 
     pub fn clock(&self) -> Clock {
-        Clock::for_trial(self.clock_rate, self.clock_ahead_ms)
+        Clock::with_faults(self.clock_rate, self.clock_ahead_ms)
     }
 
     pub fn hangs(&self, kind: ComponentKind) -> bool {
         self.hangs.as_deref() == Some(kind.name())
     }
 
-    pub(crate) fn patience(&self) -> crate::planner::Patience {
-        let usual = crate::planner::Patience::default();
+    pub(crate) fn liveness_timeouts(&self) -> crate::planner::LivenessTimeouts {
+        let usual = crate::planner::LivenessTimeouts::default();
         let or = |ms: Option<u64>, usual| ms.map_or(usual, Span::from_millis);
-        crate::planner::Patience {
-            named: or(self.hang_named_ms, usual.named),
-            ends: or(self.hang_ends_ms, usual.ends),
+        crate::planner::LivenessTimeouts {
+            unresponsive_after: or(self.hang_named_ms, usual.unresponsive_after),
+            fatal_after: or(self.hang_ends_ms, usual.fatal_after),
         }
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the fleet decides together, as processes: the operator's file, planners that talk by letters on sockets, and
-//! what they keep on disk. The decisions are in `granitelb-coordination`.
+//! The control plane of a fleet as processes: configuration files, planners that exchange messages on sockets, the agent
+//! of a node, and state on disk. The decisions are made in `granitelb-coordination`.
 
 pub mod agent;
 pub mod clock;
--- /dev/null
+++ b/crates/control-plane/src/planner/component_status/tests.rs
@@ -0,0 +1,25 @@
+use std::collections::BTreeSet;
+
+use granitelb_balancer::ids::EndpointId;
+use granitelb_balancer::time::Time;
+use granitelb_coordination::leases::Spare;
+
+use super::{ComponentStatus, STATUS_EXPIRY};
+
+#[test]
+fn fleet_is_unknown_while_a_component_that_it_depends_on_is_silent() {
+    let status = ComponentStatus::new();
+    let now = Time(1_000_000);
+    let spare = Spare { per_s: 50.0, short: false };
+    assert_eq!(status.fleet(now, true, Some(10.0)), None);
+    status.publish_failing_endpoints(now, BTreeSet::from([EndpointId(1)]));
+    assert_eq!(status.fleet(now, true, Some(10.0)), None, "the spare capacity is unknown");
+    assert_eq!(status.fleet(now, false, None), None);
+    assert_eq!(status.fleet(now, false, Some(10.0)).map(|f| f.spare_fetches), Some(10.0));
+    status.publish_spare_capacity(now, Some(spare));
+    assert_eq!(status.fleet(now, true, None).map(|f| f.spare_fetches), Some(50.0));
+    assert_eq!(status.fleet(now, true, Some(10.0)).map(|f| f.spare_fetches), Some(10.0));
+    assert_eq!(status.fleet(now + STATUS_EXPIRY, true, Some(10.0)), None, "the entries have expired");
+    status.publish_spare_capacity(now, None);
+    assert_eq!(status.fleet(now, true, None), None, "leases wait after a start");
+}
--- /dev/null
+++ b/crates/control-plane/src/planner/component_task/running.rs
@@ -0,0 +1,265 @@
+//! A component between its creation and its end: the loop that delivers messages, polls, persists and sends.
+//!
+//! If a snapshot can't be stored, the messages that depend on it are dropped, as if the network had lost them, and the
+//! snapshot is stored before anything else is sent.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::Incarnation;
+use granitelb_coordination::component::{Component, Remediation};
+use tokio::sync::watch;
+use tokio::time::sleep;
+
+use super::{ComponentTask, Exit, OutgoingMessage};
+use crate::fault_injection;
+use crate::fleet_config::FleetConfig;
+use crate::planner::component_status::STATUS_INTERVAL;
+use crate::planner::mailbox::ReceivedMessage;
+use crate::planner::shared_context::SharedContext;
+use crate::planner::{REPORT_INTERVAL, log_event};
+
+/// Messages that are delivered before polling, and polled before sending, so that neither side starves the other.
+const BATCH_SIZE: usize = 256;
+const STORE_RETRY_INTERVAL: Span = Span::from_millis(1000);
+/// A component that asks to be polled at once, over and over, leaves others their turn.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+
+fn to_duration(span: Span) -> Duration {
+    Duration::from_micros(span.0)
+}
+
+/// Whether the state of a component is stored.
+#[derive(PartialEq, Eq)]
+enum SnapshotState {
+    Durable,
+    /// It could not be stored, and messages that depend on it must not be sent.
+    Pending,
+}
+
+/// Whether the component has more messages to send.
+#[derive(PartialEq, Eq)]
+enum MessagesLeft {
+    None,
+    Maybe,
+}
+
+/// Messages that the component ignored since the last report.
+#[derive(Default)]
+struct IgnoredMessages {
+    count: u64,
+    last_error: Option<String>,
+}
+
+/// A component and what its task tracks of it.
+pub(super) struct RunningComponent<'a, C: Component> {
+    task: &'a ComponentTask<C>,
+    component: C,
+    /// The configuration with which the component was created.
+    fleet_config: Arc<FleetConfig>,
+    generation: u64,
+    /// The planner's incarnation, which messages carry.
+    incarnation: Incarnation,
+    /// The last snapshot, while it is not stored.
+    unsaved_snapshot: Option<Vec<u8>>,
+    /// After a failure the snapshot is not stored again before this.
+    store_retry_at: Time,
+    is_store_failure_logged: bool,
+    ignored: IgnoredMessages,
+    last_report_at: Time,
+    status_exchange_at: Time,
+}
+
+impl<'a, C> RunningComponent<'a, C>
+where
+    C: Component + Send,
+    C::Message: Send,
+    C::Error: Send,
+{
+    pub(super) fn new(task: &'a ComponentTask<C>, mut component: C, context: SharedContext) -> Self {
+        let now = task.handles.clock.now();
+        component.on_membership_change(now, &context.alive_members);
+        RunningComponent {
+            task,
+            component,
+            fleet_config: context.fleet_config,
+            generation: context.generation,
+            incarnation: context.incarnation,
+            unsaved_snapshot: None,
+            store_retry_at: now,
+            is_store_failure_logged: false,
+            ignored: IgnoredMessages::default(),
+            last_report_at: now,
+            status_exchange_at: now,
+        }
+    }
+
+    fn now(&self) -> Time {
+        self.task.handles.clock.now()
+    }
+
+    /// Runs until the component has to end.
+    pub(super) async fn run(mut self, mut context_updates: watch::Receiver<SharedContext>) -> Exit {
+        let mailbox = &self.task.mailbox;
+        loop {
+            self.exchange_status();
+            self.poll_and_send().await;
+            let wake = sleep_or_wait(self.time_to_wake());
+            tokio::select! {
+                // Changes of membership are delivered before the messages of new members.
+                biased;
+                changed = context_updates.changed() => {
+                    let context = context_updates.borrow_and_update().clone();
+                    if changed.is_err() || context.is_stopping {
+                        self.poll_and_send().await;
+                        return Exit::Stopping;
+                    }
+                    if context.generation != self.generation {
+                        return Exit::NewGeneration;
+                    }
+                    let now = self.now();
+                    self.component.on_membership_change(now, &context.alive_members);
+                }
+                first = mailbox.receive() => self.deliver_batch(first),
+                () = wake => {}
+            }
+            self.report();
+        }
+    }
+
+    /// How long to sleep if nothing else happens; `None` if there is nothing to wake for.
+    fn time_to_wake(&self) -> Option<Duration> {
+        let now = self.now();
+        let mut wake = self.component.poll_timeout(now).map(|at| to_duration(at - now));
+        if self.unsaved_snapshot.is_some() {
+            let retry = to_duration(STORE_RETRY_INTERVAL);
+            wake = Some(wake.unwrap_or(retry).max(retry));
+        }
+        if self.task.spec.exchange_status.is_some() {
+            let interval = to_duration(STATUS_INTERVAL);
+            wake = Some(wake.unwrap_or(interval).min(interval));
+        }
+        wake
+    }
+
+    fn exchange_status(&mut self) {
+        let Some(exchange_status) = &self.task.spec.exchange_status else { return };
+        let now = self.now();
+        if now < self.status_exchange_at {
+            return;
+        }
+        self.status_exchange_at = now + STATUS_INTERVAL;
+        exchange_status(&mut self.component, now, &self.fleet_config, &self.task.handles.status);
+    }
+
+    fn deliver_batch(&mut self, first: ReceivedMessage) {
+        self.deliver(first);
+        for _ in 1..BATCH_SIZE {
+            let Some(received) = self.task.mailbox.try_receive() else { return };
+            self.deliver(received);
+        }
+    }
+
+    fn deliver(&mut self, received: ReceivedMessage) {
+        let sender = received.sender;
+        let Some(message) = (self.task.spec.unwrap)(received.message) else { return };
+        if self.task.hangs_on_message {
+            fault_injection::hang();
+        }
+        let now = self.now();
+        if let Err(error) = self.component.on_message(now, sender, message) {
+            self.ignored.count += 1;
+            let task = self.task.spec.kind.name();
+            log::debug!(event = "message_ignored", task = task; "{}: {error}", sender.member);
+            self.ignored.last_error = Some(format!("{error}. {}", error.remediation()));
+        }
+    }
+
+    /// Polls all messages, and sends each batch once the state that it depends on is stored.
+    async fn poll_and_send(&mut self) {
+        while self.poll_and_send_batch().await == MessagesLeft::Maybe {}
+    }
+
+    async fn poll_and_send_batch(&mut self) -> MessagesLeft {
+        let snapshot_before = self.component.poll_snapshot();
+        let now = self.now();
+        let mut batch = Vec::new();
+        while batch.len() < BATCH_SIZE {
+            let Some(message) = self.component.poll_message(now) else { break };
+            batch.push(message);
+        }
+        // The latest snapshot supersedes earlier ones.
+        let snapshot_after = self.component.poll_snapshot();
+        self.unsaved_snapshot = snapshot_after.or(snapshot_before).or(self.unsaved_snapshot.take());
+        if self.store_snapshot().await == SnapshotState::Pending {
+            return MessagesLeft::None;
+        }
+        let messages_left = if batch.len() == BATCH_SIZE { MessagesLeft::Maybe } else { MessagesLeft::None };
+        for (to, message) in batch {
+            let message = (self.task.spec.wrap)(message);
+            let outgoing = OutgoingMessage { incarnation: self.incarnation, to, message };
+            // The router ends after all components; a message that it no longer takes counts as lost.
+            let _ = self.task.handles.outgoing.send(outgoing).await;
+        }
+        messages_left
+    }
+
+    async fn store_snapshot(&mut self) -> SnapshotState {
+        let Some(snapshot) = self.unsaved_snapshot.take() else { return SnapshotState::Durable };
+        if self.now() < self.store_retry_at {
+            // Not with each message: a store that failed is verified entirely before it is written again.
+            self.unsaved_snapshot = Some(snapshot);
+            return SnapshotState::Pending;
+        }
+        let kind = self.task.spec.kind;
+        let Err(lost) = self.task.handles.storage.keep(kind, snapshot.clone()).await else {
+            if self.is_store_failure_logged {
+                self.is_store_failure_logged = false;
+                log::info!(
+                    event = "snapshot_write_recovered", task = kind.name();
+                    "the state of {kind} is stored again"
+                );
+            }
+            return SnapshotState::Durable;
+        };
+        if !self.is_store_failure_logged {
+            self.is_store_failure_logged = true;
+            log::error!(
+                event = "snapshot_write_failed", task = kind.name();
+                "{kind}: {} No message of {kind} is sent until its state is stored.", lost.0
+            );
+        }
+        self.unsaved_snapshot = Some(snapshot);
+        self.store_retry_at = self.now() + STORE_RETRY_INTERVAL;
+        SnapshotState::Pending
+    }
+
+    /// Logs the component's events, and once a minute how many messages it ignored.
+    fn report(&mut self) {
+        let kind = self.task.spec.kind;
+        while let Some(event) = self.component.poll_event() {
+            log_event(kind.name(), &event);
+        }
+        let now = self.now();
+        if now - self.last_report_at < REPORT_INTERVAL {
+            return;
+        }
+        self.last_report_at = now;
+        let IgnoredMessages { count, last_error } = std::mem::take(&mut self.ignored);
+        if let Some(last_error) = last_error {
+            log::warn!(
+                event = "message_ignored", task = kind.name(), count = count;
+                "{kind} ignored {count} messages; the last one: {last_error}"
+            );
+        }
+    }
+}
+
+/// Sleeps for the time, or waits for ever if there is none.
+async fn sleep_or_wait(time: Option<Duration>) {
+    match time {
+        Some(time) => sleep(time.max(MIN_SLEEP)).await,
+        None => std::future::pending().await,
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/planner/ingress_limiter.rs
@@ -0,0 +1,178 @@
+//! Limits how many messages a planner reads from each sender.
+//!
+//! Handling a message is expensive: its authentication tag is computed, its component processes it, and a message that
+//! must not be shed delays those behind it. A flood from one sender must not keep others from being heard.
+//!
+//! - **Before authentication**, by source address: [`MEMBER_RATE_PER_S`] for an address from which a member was heard,
+//!   [`UNKNOWN_ADDRESS_RATE_PER_S`] for any other, and [`UNKNOWN_TOTAL_RATE_PER_S`] for all others together. A known
+//!   address has its own token bucket, which unknown senders can't drain.
+//! - **After authentication**, by the member that signed the message: [`MEMBER_RATE_PER_S`], from however many addresses
+//!   its messages come.
+//!
+//! Dropping the excess is equivalent to losing it in the network, which every component tolerates. An address becomes
+//! known only by a message that was signed and not seen before, so a replay makes no address known.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::Member;
+use granitelb_coordination::component::Remediation;
+use thiserror::Error;
+
+use super::token_bucket::TokenBucket;
+
+/// Messages a second, and the burst, of one member. A forwarder in a fleet of 2,000 cache servers sends some hundreds.
+const MEMBER_RATE_PER_S: f64 = 1000.0;
+/// Messages a second of an address from which no member was heard: enough for a new member to be heard once, even through
+/// a network that loses half of its messages.
+const UNKNOWN_ADDRESS_RATE_PER_S: f64 = 20.0;
+/// Messages a second of all unknown addresses together: all forwarders that a planner tracks may start at once.
+const UNKNOWN_TOTAL_RATE_PER_S: f64 = 5000.0;
+/// Unknown addresses with a bucket of their own; further ones are limited by the total alone.
+const MAX_UNKNOWN_ADDRESSES: usize = 1024;
+/// Known addresses, and members, that are tracked.
+const MAX_KNOWN: usize = 8192;
+/// An address from which no member was heard for this long is unknown again.
+const KNOWN_ADDRESS_EXPIRY: Span = Span::from_millis(10_000);
+const SWEEP_INTERVAL: Span = Span::from_millis(1000);
+/// A bucket that was not used for this long is full again, and need not be remembered.
+const BUCKET_REFILL_TIME: Span = Span::from_millis(1000);
+
+/// Why a message is dropped before it is processed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RateLimitError {
+    /// A known address sends more than a member does.
+    #[error("more messages in a second than a member sends, from {0}")]
+    Address(SocketAddr),
+    /// Addresses from which no member was heard send too much.
+    #[error("many messages from addresses from which no member was heard, the last {0}")]
+    UnknownAddresses(SocketAddr),
+    /// Messages that one member signed are too many, over all addresses.
+    #[error("more messages in a second than a member sends, signed by {0}")]
+    Member(Member),
+}
+
+impl RateLimitError {
+    /// The stable name under which the log counts this error.
+    pub fn name(&self) -> &'static str {
+        match self {
+            RateLimitError::Address(_) => "flood",
+            RateLimitError::UnknownAddresses(_) => "flood_of_strangers",
+            RateLimitError::Member(_) => "flood_of_member",
+        }
+    }
+}
+
+impl Remediation for RateLimitError {
+    fn remediation(&self) -> &'static str {
+        match self {
+            RateLimitError::Address(_) | RateLimitError::UnknownAddresses(_) => {
+                "Find out who sends there, and close the planner's port to all but members. Known members are not \
+                 affected; new ones may take some seconds to join."
+            }
+            RateLimitError::Member(_) => {
+                "Find the process that runs under this name and stop it; if it is no member of this fleet, rotate the \
+                 secret."
+            }
+        }
+    }
+}
+
+/// An address from which a member was heard.
+struct KnownAddress {
+    bucket: TokenBucket,
+    last_heard_at: Time,
+}
+
+/// The token buckets of a planner's socket.
+pub(super) struct IngressLimiter {
+    known_addresses: BTreeMap<SocketAddr, KnownAddress>,
+    unknown_addresses: BTreeMap<SocketAddr, TokenBucket>,
+    unknown_total: TokenBucket,
+    members: BTreeMap<Member, TokenBucket>,
+    last_sweep_at: Time,
+}
+
+impl IngressLimiter {
+    pub(super) fn new(now: Time) -> IngressLimiter {
+        IngressLimiter {
+            known_addresses: BTreeMap::new(),
+            unknown_addresses: BTreeMap::new(),
+            unknown_total: TokenBucket::full(now, UNKNOWN_TOTAL_RATE_PER_S),
+            members: BTreeMap::new(),
+            last_sweep_at: now,
+        }
+    }
+
+    /// Admits a datagram by its source address, before it is authenticated.
+    ///
+    /// # Errors
+    /// The limit that it exceeds.
+    pub(super) fn admit_address(&mut self, now: Time, from: SocketAddr) -> Result<(), RateLimitError> {
+        self.sweep(now);
+        if let Some(known) = self.known_addresses.get_mut(&from) {
+            if known.bucket.try_take(now) {
+                return Ok(());
+            }
+            return Err(RateLimitError::Address(from));
+        }
+        if self.admit_unknown_address(now, from) && self.unknown_total.try_take(now) {
+            return Ok(());
+        }
+        Err(RateLimitError::UnknownAddresses(from))
+    }
+
+    fn admit_unknown_address(&mut self, now: Time, from: SocketAddr) -> bool {
+        if let Some(bucket) = self.unknown_addresses.get_mut(&from) {
+            return bucket.try_take(now);
+        }
+        if self.unknown_addresses.len() >= MAX_UNKNOWN_ADDRESSES {
+            return true;
+        }
+        let mut bucket = TokenBucket::full(now, UNKNOWN_ADDRESS_RATE_PER_S);
+        let is_admitted = bucket.try_take(now);
+        self.unknown_addresses.insert(from, bucket);
+        is_admitted
+    }
+
+    /// Admits an authenticated message by the member that signed it.
+    ///
+    /// # Errors
+    /// The limit that it exceeds.
+    pub(super) fn admit_member(&mut self, now: Time, member: Member) -> Result<(), RateLimitError> {
+        if self.members.len() >= MAX_KNOWN && !self.members.contains_key(&member) {
+            // Membership has no capacity for so many members either, and reports that.
+            return Ok(());
+        }
+        let bucket = self.members.entry(member).or_insert_with(|| TokenBucket::full(now, MEMBER_RATE_PER_S));
+        if bucket.try_take(now) { Ok(()) } else { Err(RateLimitError::Member(member)) }
+    }
+
+    /// Marks an address as known: it sent an authentic message that was not seen before.
+    pub(super) fn on_message(&mut self, now: Time, from: SocketAddr) {
+        self.unknown_addresses.remove(&from);
+        if let Some(known) = self.known_addresses.get_mut(&from) {
+            known.last_heard_at = now;
+            return;
+        }
+        if self.known_addresses.len() < MAX_KNOWN {
+            let bucket = TokenBucket::full(now, MEMBER_RATE_PER_S);
+            self.known_addresses.insert(from, KnownAddress { bucket, last_heard_at: now });
+        }
+    }
+
+    /// Forgets addresses and members whose state equals that of new ones.
+    fn sweep(&mut self, now: Time) {
+        if now - self.last_sweep_at < SWEEP_INTERVAL {
+            return;
+        }
+        self.last_sweep_at = now;
+        self.unknown_addresses.retain(|_, bucket| now - bucket.last_used_at() < BUCKET_REFILL_TIME);
+        self.members.retain(|_, bucket| now - bucket.last_used_at() < BUCKET_REFILL_TIME);
+        self.known_addresses.retain(|_, known| now - known.last_heard_at < KNOWN_ADDRESS_EXPIRY);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/control-plane/src/planner/mailbox.rs
+++ b/crates/control-plane/src/planner/mailbox.rs
@@ -1,10 +1,11 @@
-//! Letters that wait for a faculty, in order and bounded. Where there is no room the oldest observation goes: the next
-//! one tells more. What is no observation, such as an ask for a lease or its return, is never shed; if nothing but such
-//! letters wait, whoever puts them in has to wait as well. One that is shut, since nobody comes to it, takes none and
-//! holds none.
+//! A bounded queue of messages for one component, in order.
 //!
-//! A channel of tokio's would keep the order but can't let go of its oldest entry, so this is one of our own: a queue
-//! under a lock that is held for a few steps and never over an await.
+//! When it is full the oldest observation is shed, since the next one tells more. Other messages, such as a request for a
+//! lease or its return, are never shed: if only such messages wait, the sender has to wait as well. A closed mailbox, whose
+//! component is unresponsive, holds nothing and drops what comes.
+//!
+//! A channel of tokio keeps the order but can't drop its oldest entry. This queue is behind a lock that is held for a few
+//! steps and never across an await.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,116 +14,146 @@
 use granitelb_coordination::{Member, Sender};
 use tokio::sync::Notify;
 
-pub struct Mailbox {
-    most: usize,
+/// A message that was authenticated and is not a duplicate.
+#[derive(Debug, PartialEq)]
+pub(super) struct ReceivedMessage {
+    pub(super) sender: Sender,
+    pub(super) message: Message,
+}
+
+impl ReceivedMessage {
+    /// Whether it is what a forwarder observed, which it reports repeatedly.
+    fn is_observation(&self) -> bool {
+        let is_of_observing_component = matches!(
+            self.message.kind(),
+            ComponentKind::EndpointHealth | ComponentKind::ShardGrowth | ComponentKind::Counterfactual
+        );
+        is_of_observing_component && matches!(self.sender.member, Member::Forwarder(_))
+    }
+}
+
+/// The mailbox is full and has nothing that may be shed; the message is returned.
+#[derive(Debug, PartialEq)]
+pub(super) struct MailboxFull(pub(super) Box<ReceivedMessage>);
+
+/// The queue between the message router and one component's task.
+pub(super) struct Mailbox {
+    capacity: usize,
     queue: Mutex<Queue>,
-    came: Notify,
-    went: Notify,
+    message_added: Notify,
+    message_removed: Notify,
 }
 
 #[derive(Default)]
 struct Queue {
-    letters: VecDeque<(Sender, Message)>,
+    messages: VecDeque<ReceivedMessage>,
     observations: usize,
-    shed: u64,
-    shut: bool,
+    shed_count: u64,
+    is_closed: bool,
 }
 
-/// What forwarders saw: it is said anew all the time.
-fn is_observation((from, letter): &(Sender, Message)) -> bool {
-    matches!(
-        letter.kind(),
-        ComponentKind::EndpointHealth | ComponentKind::ShardGrowth | ComponentKind::Counterfactual
-    ) && matches!(from.member, Member::Forwarder(_))
+impl Queue {
+    /// Removes the oldest observation, and returns whether there was one.
+    fn shed_oldest_observation(&mut self) -> bool {
+        if self.observations == 0 {
+            return false;
+        }
+        let Some(index) = self.messages.iter().position(ReceivedMessage::is_observation) else {
+            return false;
+        };
+        self.messages.remove(index);
+        self.observations -= 1;
+        self.shed_count += 1;
+        true
+    }
 }
 
-/// There is no room, and nothing that may be shed.
-#[derive(Debug, PartialEq)]
-pub struct Full(pub Box<(Sender, Message)>);
-
 impl Mailbox {
-    pub fn new(most: usize) -> Mailbox {
-        Mailbox { most, queue: Mutex::default(), came: Notify::new(), went: Notify::new() }
+    pub(super) fn new(capacity: usize) -> Mailbox {
+        Mailbox {
+            capacity,
+            queue: Mutex::default(),
+            message_added: Notify::new(),
+            message_removed: Notify::new(),
+        }
     }
 
-    fn queue(&self) -> MutexGuard<'_, Queue> {
-        // Whoever died with the lock had changed no more than one entry.
+    fn lock(&self) -> MutexGuard<'_, Queue> {
+        // A thread that panicked with the lock had changed at most one entry.
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Adds a message, and sheds one if that makes room for it.
+    ///
     /// # Errors
-    /// Gives the letter back where it has to wait until [`Mailbox::room`].
-    pub fn put(&self, letter: (Sender, Message)) -> Result<(), Full> {
-        let mut queue = self.queue();
-        if queue.shut {
-            queue.shed += 1;
+    /// Returns the message if it must not be shed and has to wait for [`Mailbox::wait_for_capacity`].
+    pub(super) fn push(&self, received: ReceivedMessage) -> Result<(), MailboxFull> {
+        let mut queue = self.lock();
+        if queue.is_closed {
+            queue.shed_count += 1;
             return Ok(());
         }
-        if queue.letters.len() >= self.most {
-            let oldest = Some(&queue.letters)
-                .filter(|_| queue.observations > 0)
-                .and_then(|l| l.iter().position(is_observation));
-            match oldest {
-                Some(at) => {
-                    queue.letters.remove(at);
-                    queue.observations -= 1;
-                    queue.shed += 1;
-                }
-                None if is_observation(&letter) => {
-                    queue.shed += 1;
-                    return Ok(());
-                }
-                None => return Err(Full(Box::new(letter))),
+        let is_observation = received.is_observation();
+        if queue.messages.len() >= self.capacity && !queue.shed_oldest_observation() {
+            if !is_observation {
+                return Err(MailboxFull(Box::new(received)));
             }
+            queue.shed_count += 1;
+            return Ok(());
         }
-        queue.observations += usize::from(is_observation(&letter));
-        queue.letters.push_back(letter);
+        queue.observations += usize::from(is_observation);
+        queue.messages.push_back(received);
         drop(queue);
-        self.came.notify_one();
+        self.message_added.notify_one();
         Ok(())
     }
 
-    pub fn try_take(&self) -> Option<(Sender, Message)> {
-        let mut queue = self.queue();
-        let letter = queue.letters.pop_front()?;
-        queue.observations -= usize::from(is_observation(&letter));
+    /// The next message, if there is one.
+    pub(super) fn try_receive(&self) -> Option<ReceivedMessage> {
+        let mut queue = self.lock();
+        let received = queue.messages.pop_front()?;
+        queue.observations -= usize::from(received.is_observation());
         drop(queue);
-        self.went.notify_one();
-        Some(letter)
+        self.message_removed.notify_one();
+        Some(received)
     }
 
-    /// The next letter, when there is one. It may be dropped before; no letter is lost by it.
-    pub async fn take(&self) -> (Sender, Message) {
+    /// Waits for the next message. Cancellation loses none.
+    pub(super) async fn receive(&self) -> ReceivedMessage {
         loop {
-            if let Some(letter) = self.try_take() {
-                return letter;
+            if let Some(received) = self.try_receive() {
+                return received;
             }
-            self.came.notified().await;
+            self.message_added.notified().await;
         }
     }
 
-    /// Waits until there may be room.
-    pub async fn room(&self) {
-        while self.queue().letters.len() >= self.most {
-            self.went.notified().await;
+    /// Waits until there may be room for a message.
+    pub(super) async fn wait_for_capacity(&self) {
+        while self.lock().messages.len() >= self.capacity {
+            self.message_removed.notified().await;
         }
     }
 
-    /// Lets go of all that waits, and of all that comes until it is opened again.
-    pub fn shut(&self, shut: bool) {
-        let mut queue = self.queue();
-        queue.shut = shut;
-        if shut {
-            queue.shed += queue.letters.len() as u64;
-            queue.letters.clear();
-            queue.observations = 0;
-        }
+    /// Drops all messages that wait, and all that come until [`Mailbox::reopen`].
+    pub(super) fn close(&self) {
+        let mut queue = self.lock();
+        queue.is_closed = true;
+        queue.shed_count += queue.messages.len() as u64;
+        queue.messages.clear();
+        queue.observations = 0;
         drop(queue);
-        self.went.notify_one();
+        self.message_removed.notify_one();
+    }
+
+    /// Accepts messages again.
+    pub(super) fn reopen(&self) {
+        self.lock().is_closed = false;
+        self.message_removed.notify_one();
     }
 
-    /// How many were shed since this was last asked.
-    pub fn take_shed(&self) -> u64 {
-        std::mem::take(&mut self.queue().shed)
+    /// How many messages were shed since this was last called.
+    pub(super) fn take_shed_count(&self) -> u64 {
+        std::mem::take(&mut self.lock().shed_count)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/planner/message_router/receiving.rs
@@ -0,0 +1,137 @@
+//! Reads datagrams, admits them, and delivers their messages to the components.
+
+use std::io;
+use std::net::SocketAddr;
+
+use granitelb_coordination::component::Component;
+use granitelb_coordination::membership::MembershipError;
+use granitelb_coordination::message::{self, MOST_BYTES, Message};
+use granitelb_coordination::{Member, Sender};
+
+use super::{BATCH_SIZE, MembershipCheck, MessageRouter};
+use crate::planner::mailbox::{MailboxFull, ReceivedMessage};
+use crate::planner::metrics::SocketOperation;
+
+impl MessageRouter {
+    /// Reads what the socket has, without waiting, until a message has to wait for its mailbox.
+    pub(super) fn read_socket(&mut self) {
+        // One byte more than a message has, so that a longer datagram is recognized.
+        let mut buffer = [0; MOST_BYTES + 1];
+        for _ in 0..BATCH_SIZE {
+            if self.blocked_message.is_some() {
+                return;
+            }
+            match self.socket.try_recv_from(&mut buffer) {
+                Ok((length, from)) => self.on_datagram(&buffer[..length], from),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                // A closed port at a receiver is reported here; datagrams of others can still be read.
+                Err(error) => self.metrics.count_socket_error(SocketOperation::Receive, &error),
+            }
+        }
+    }
+
+    fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
+        self.metrics.count_received();
+        let Some(received) = self.authenticate(bytes, from) else { return };
+        if !self.admit_sender(received.sender, from) {
+            return;
+        }
+        if let Message::Membership(message) = received.message {
+            let now = self.clock.now();
+            if let Err(error) = self.members.on_message(now, received.sender, message) {
+                self.metrics.count_membership_error(error);
+            }
+            return;
+        }
+        self.deliver(received);
+    }
+
+    /// Decodes a datagram if it is within the rate limits, signed, and of a member that may belong to the fleet.
+    fn authenticate(&mut self, bytes: &[u8], from: SocketAddr) -> Option<ReceivedMessage> {
+        let now = self.clock.now();
+        if let Err(error) = self.ingress_limiter.admit_address(now, from) {
+            self.metrics.count_rejected(error.name(), &error);
+            return None;
+        }
+        let fleet_config = self.fleet_config();
+        let (sender, message) = match message::open(bytes, &fleet_config.secrets) {
+            Ok(opened) => opened,
+            Err(error) => {
+                self.metrics.count_rejected(error.name(), &error);
+                return None;
+            }
+        };
+        if let Err(error) = self.ingress_limiter.admit_member(now, sender.member) {
+            self.metrics.count_rejected(error.name(), &error);
+            return None;
+        }
+        if let Member::Planner(id) = sender.member
+            && !fleet_config.planners.contains_key(&id)
+        {
+            self.metrics.count_unlisted_planner(id);
+            return None;
+        }
+        Some(ReceivedMessage { sender, message })
+    }
+
+    /// Has membership check the sender and the message's number, and returns whether the message counts.
+    fn admit_sender(&mut self, sender: Sender, from: SocketAddr) -> bool {
+        let now = self.clock.now();
+        let admission = self.members.take(now, sender);
+        // The address of a member that was taken for dead is needed to notify it of that.
+        if matches!(admission, Ok(_) | Err(MembershipError::WasGone)) {
+            self.remember_address(sender.member, from);
+        }
+        let is_new_member = match admission {
+            Ok(is_new_member) => is_new_member,
+            Err(error) => {
+                if error == MembershipError::OlderLife {
+                    self.notify_succeeded(sender, from);
+                }
+                self.metrics.count_membership_error(error);
+                return false;
+            }
+        };
+        self.ingress_limiter.on_message(now, from);
+        if is_new_member {
+            // A change of membership is published before the new member's messages.
+            self.advance(MembershipCheck::Immediate);
+        }
+        true
+    }
+
+    fn remember_address(&mut self, member: Member, from: SocketAddr) {
+        if let (Member::Forwarder(id), SocketAddr::V4(address)) = (member, from) {
+            self.forwarder_addresses.insert(id, address);
+        }
+    }
+
+    /// Notifies a sender of an older incarnation that a newer one has been heard.
+    fn notify_succeeded(&mut self, sender: Sender, from: SocketAddr) {
+        let now = self.clock.now();
+        if let Some(message) = self.members.tell_succeeded(now, sender) {
+            self.send_to_address(from, &Message::Membership(message));
+        }
+    }
+
+    /// Puts a message into its component's mailbox, or blocks reading until there is room for it.
+    fn deliver(&mut self, received: ReceivedMessage) {
+        let kind = received.message.kind();
+        let is_enabled = self.fleet_config().has(kind);
+        let Some(component) = self.components.get(&kind).filter(|_| is_enabled) else {
+            self.metrics.count_disabled_component(kind);
+            return;
+        };
+        if let Err(MailboxFull(received)) = component.mailbox.push(received) {
+            self.metrics.count_mailbox_full(kind);
+            self.blocked_message = Some(*received);
+        }
+    }
+
+    /// Delivers the message whose mailbox was full.
+    pub(super) fn deliver_blocked_message(&mut self) {
+        if let Some(received) = self.blocked_message.take() {
+            self.deliver(received);
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/planner/metrics.rs
@@ -0,0 +1,148 @@
+//! Counts of a planner's messages, logged once a minute and at the end.
+//!
+//! Each reason for which messages are rejected is logged with its last occurrence and what to do. The reasons are a fixed
+//! set of names, so the counts are bounded.
+
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::io;
+
+use granitelb_coordination::PlannerId;
+use granitelb_coordination::component::Remediation;
+use granitelb_coordination::membership::MembershipError;
+use granitelb_coordination::message::ComponentKind;
+
+const SAME_CONFIG_REMEDIATION: &str = "Give all members the same operator's file and send SIGHUP.";
+
+/// The operation of the socket that failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SocketOperation {
+    Receive,
+    Send,
+}
+
+impl SocketOperation {
+    /// The stable name under which the log counts its failures.
+    fn name(self) -> &'static str {
+        match self {
+            SocketOperation::Receive => "unread",
+            SocketOperation::Send => "unsent",
+        }
+    }
+}
+
+/// The stable name under which the log counts an error of membership.
+pub(super) fn membership_error_name(error: MembershipError) -> &'static str {
+    match error {
+        MembershipError::Mine => "own_name",
+        MembershipError::OlderLife => "older_life",
+        MembershipError::Twice => "twice",
+        MembershipError::TooLate => "too_late",
+        MembershipError::WasGone => "was_gone",
+        MembershipError::TooMany => "too_many",
+        MembershipError::NotItsWord => "not_its_word",
+    }
+}
+
+struct Rejections {
+    count: u64,
+    last_description: String,
+    remediation: &'static str,
+}
+
+/// Counts since the last report.
+#[derive(Default)]
+pub(super) struct MessageMetrics {
+    received: u64,
+    sent: u64,
+    rejections: BTreeMap<&'static str, Rejections>,
+}
+
+impl MessageMetrics {
+    pub(super) fn count_received(&mut self) {
+        self.received += 1;
+    }
+
+    pub(super) fn count_sent(&mut self) {
+        self.sent += 1;
+    }
+
+    /// Counts a message that is rejected with an error.
+    pub(super) fn count_rejected(&mut self, name: &'static str, error: &dyn Remediation) {
+        self.add(name, 1, error.to_string(), error.remediation());
+    }
+
+    pub(super) fn count_membership_error(&mut self, error: MembershipError) {
+        self.count_rejected(membership_error_name(error), &error);
+    }
+
+    pub(super) fn count_socket_error(&mut self, operation: SocketOperation, error: &io::Error) {
+        let remediation = "Look whether the members' addresses can be reached from here.";
+        self.add(operation.name(), 1, error.to_string(), remediation);
+    }
+
+    /// Counts a message of a planner that the fleet's configuration lacks.
+    pub(super) fn count_unlisted_planner(&mut self, id: PlannerId) {
+        let description = format!("planner {} is not in the operator's file", id.0);
+        self.add("unlisted", 1, description, SAME_CONFIG_REMEDIATION);
+    }
+
+    /// Counts a message for a component that is disabled here.
+    pub(super) fn count_disabled_component(&mut self, kind: ComponentKind) {
+        self.add("off", 1, format!("{kind} is disabled here"), SAME_CONFIG_REMEDIATION);
+    }
+
+    /// Counts a message that must not be shed and found its mailbox full; all behind it wait in the socket.
+    pub(super) fn count_mailbox_full(&mut self, kind: ComponentKind) {
+        let remediation =
+            "The planner is short of CPU or its disk is slow: give it more, or start more planners.";
+        self.add("full", 1, format!("messages wait for {kind}"), remediation);
+    }
+
+    /// Counts observations that a mailbox has shed.
+    pub(super) fn count_shed(&mut self, kind: ComponentKind, count: u64) {
+        if count > 0 {
+            let remediation = "The planner is short of CPU: give it more, or start more planners.";
+            self.add("shed", count, format!("observations for {kind}"), remediation);
+        }
+    }
+
+    /// Counts a message that can't be sent since its receiver's address is unknown.
+    pub(super) fn count_unknown_address(&mut self) {
+        let remediation = "Nothing, if a few: a forwarder has just left, or was not heard yet.";
+        self.add("nowhere", 1, "a message to a member of unknown address".into(), remediation);
+    }
+
+    fn add(&mut self, name: &'static str, count: u64, description: String, remediation: &'static str) {
+        let rejections = self.rejections.entry(name).or_insert_with(|| Rejections {
+            count: 0,
+            last_description: String::new(),
+            remediation,
+        });
+        rejections.count += count;
+        rejections.last_description = description;
+    }
+
+    /// Logs all counts, and starts again from zero.
+    pub(super) fn report(&mut self, alive_members: usize) {
+        let MessageMetrics { received, sent, rejections } = std::mem::take(self);
+        let mut summary = String::new();
+        let mut names = Vec::new();
+        for (name, rejected) in &rejections {
+            let _ = write!(summary, "; {} {name}", rejected.count);
+            names.push(format!("{name}={}", rejected.count));
+        }
+        let names = names.join(" ");
+        log::info!(
+            event = "message_metrics", read = received, sent = sent, alive = alive_members, refused = names.as_str();
+            "{received} messages received, {sent} sent, {alive_members} members alive{summary}"
+        );
+        for (name, rejected) in rejections {
+            log::warn!(
+                event = "messages_rejected", name = name, count = rejected.count;
+                "{name}, {} times, last: {}. {}",
+                rejected.count, rejected.last_description, rejected.remediation
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/planner/planner_config.rs
@@ -0,0 +1,118 @@
+//! A planner's own configuration file: its number in the fleet's configuration, and where it stores its state.
+
+use std::fmt;
+use std::net::{SocketAddr, SocketAddrV4};
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use granitelb_coordination::PlannerId;
+use serde::Deserialize;
+
+use crate::config_error::{ConfigError, ConfigSource, InvalidValue};
+use crate::fault_injection::FaultInjection;
+use crate::fleet_config::FleetConfig;
+
+/// The file as it is written.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct PlannerFile {
+    number: u8,
+    #[serde(rename = "operator")]
+    fleet_config: PathBuf,
+    #[serde(rename = "state")]
+    state_folder: Option<PathBuf>,
+    listen: Option<SocketAddr>,
+    #[serde(rename = "trial")]
+    fault_injection: Option<FaultInjection>,
+}
+
+/// A planner's file and the fleet's configuration that it names, both validated.
+#[derive(Clone, Debug)]
+pub struct PlannerConfig {
+    /// This planner's identity in the fleet's configuration.
+    pub id: PlannerId,
+    /// The configuration that all members share.
+    pub fleet_config: Arc<FleetConfig>,
+    /// The folder of its store; without one nothing is persisted.
+    pub state_folder: Option<PathBuf>,
+    /// The address of its socket: the one in the fleet's configuration, unless its machine knows that by another one.
+    pub listen: SocketAddrV4,
+    /// Faults to inject, for tests only.
+    pub fault_injection: Option<FaultInjection>,
+}
+
+impl PlannerConfig {
+    /// Reads and validates both files.
+    ///
+    /// # Errors
+    /// The first fault of either file, by file, line and key.
+    pub fn load(path: &Path) -> Result<PlannerConfig, ConfigError> {
+        let source = ConfigSource::load(path)?;
+        let file: PlannerFile = source.read()?;
+        let fleet_config = FleetConfig::load(&source.beside(&file.fleet_config))?;
+        file.validate(&source, fleet_config).map_err(|invalid| source.wrong(invalid))
+    }
+
+    /// The keys that differ from the running configuration and need a restart to apply.
+    pub fn keys_requiring_restart(&self, running: &PlannerConfig) -> Vec<&'static str> {
+        let mut keys = Vec::new();
+        if self.id != running.id {
+            keys.push("number");
+        }
+        if self.state_folder != running.state_folder {
+            keys.push("state");
+        }
+        if self.listen != running.listen {
+            keys.push("listen");
+        }
+        if self.fault_injection != running.fault_injection {
+            keys.push("trial");
+        }
+        keys
+    }
+}
+
+impl PlannerFile {
+    fn validate(
+        self,
+        source: &ConfigSource,
+        fleet_config: FleetConfig,
+    ) -> Result<PlannerConfig, InvalidValue> {
+        let id = PlannerId(self.number);
+        let Some(&listed_address) = fleet_config.planners.get(&id) else {
+            let what = format!("the operator's file has no planner {}", self.number);
+            return Err(InvalidValue::new("number", what));
+        };
+        let listen = match self.listen {
+            None => listed_address,
+            Some(SocketAddr::V4(listen)) => listen,
+            Some(other) => return Err(InvalidValue::new("listen", format!("{other} is not of IPv4"))),
+        };
+        if fleet_config.growth.is_some() && self.state_folder.is_none() {
+            // Votes must survive a restart, or two shard maps could be agreed on.
+            let what = "growth is on, and needs a folder to keep what was agreed on";
+            return Err(InvalidValue::new("state", what));
+        }
+        if let Some(fault_injection) = &self.fault_injection {
+            fault_injection.check()?;
+        }
+        Ok(PlannerConfig {
+            id,
+            fleet_config: Arc::new(fleet_config),
+            state_folder: self.state_folder.map(|folder| source.beside(&folder)),
+            listen,
+            fault_injection: self.fault_injection,
+        })
+    }
+}
+
+impl fmt::Display for PlannerConfig {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let planners = self.fleet_config.planners.len();
+        write!(f, "planner {} of {planners}, messages at {}, ", self.id.0, self.listen)?;
+        match &self.state_folder {
+            Some(folder) => write!(f, "stores its state in {}; {}", folder.display(), self.fleet_config),
+            None => write!(f, "stores no state; {}", self.fleet_config),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/planner/server.rs
@@ -0,0 +1,260 @@
+//! Starts a planner's threads, handles signals, and shuts down in order.
+//!
+//! Order of the shutdown: components end first and their last messages are sent; then the router ends; then the store's
+//! thread, whose last writer is dropped by then.
+
+use std::net::{SocketAddrV4, UdpSocket as StdUdpSocket};
+use std::panic::AssertUnwindSafe;
+use std::path::Path;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+use futures_util::FutureExt;
+use granitelb_coordination::component::Remediation;
+use granitelb_coordination::message::ComponentKind;
+use tokio::net::UdpSocket;
+use tokio::sync::{mpsc, watch};
+
+use super::PlannerError;
+use super::component_status::ComponentStatus;
+use super::component_task::TaskHandles;
+use super::components::{ComponentHandles, ComponentSpawner};
+use super::message_router::{self, MessageRouter, RouterCommand, RouterInbox, RouterParts};
+use super::planner_config::PlannerConfig;
+use super::shared_context::SharedContext;
+use super::signals::{SignalRequest, Signals};
+use super::state_store::{self, PlannerStore};
+use super::worker_threads::{ShutdownOutcome, WorkerThreads};
+use crate::clock::Clock;
+use crate::fault_injection::FaultInjection;
+use crate::fleet_config::FleetConfig;
+use crate::storage::StorageWriter;
+
+/// Messages that wait to be sent.
+const OUTGOING_CAPACITY: usize = 1024;
+const COMMAND_CAPACITY: usize = 4;
+/// How long components, and then the router, may take to end in order.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// The router is restarted this long after a panic.
+const ROUTER_RESTART_DELAY: Duration = Duration::from_millis(100);
+/// The socket's receive buffer, as far as the system allows it: a fifth of a second of a flood of 50,000 messages a second,
+/// during which this process may get no core.
+const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
+
+/// Serves as a planner until a stop signal.
+///
+/// # Errors
+/// What keeps the planner from serving.
+pub(super) async fn serve(path: &Path, config: PlannerConfig) -> Result<(), PlannerError> {
+    // Before anything is served: a signal without a handler ends the process.
+    let mut signals = Signals::install().map_err(PlannerError::SystemResources)?;
+    log::info!(event = "starting"; "{config}");
+    log_fault_injection(&config);
+    let mut planner = RunningPlanner::start(&config).await?;
+    log::info!(event = "ready"; "ready");
+    let result = planner.run_until_stopped(path, config, &mut signals).await;
+    log::info!(event = "stopping"; "stopping");
+    planner.shut_down().await;
+    if result.is_ok() {
+        log::info!(event = "stopped"; "stopped");
+    }
+    result
+}
+
+fn log_fault_injection(config: &PlannerConfig) {
+    if let Some(faults) = &config.fault_injection {
+        log::error!(
+            event = "fault_injection";
+            "this planner injects faults, by [trial] in its file: {faults:?}. Remove that section, unless this is a test."
+        );
+    }
+}
+
+/// The threads of a planner, and the channels to them.
+struct RunningPlanner {
+    component_threads: WorkerThreads,
+    router_thread: WorkerThreads,
+    store_thread: Option<JoinHandle<()>>,
+    commands: mpsc::Sender<RouterCommand>,
+    timed_out_components: mpsc::Receiver<ComponentKind>,
+}
+
+impl RunningPlanner {
+    async fn start(config: &PlannerConfig) -> Result<RunningPlanner, PlannerError> {
+        let fault_injection = config.fault_injection.clone().unwrap_or_default();
+        let clock = fault_injection.clock();
+        let socket = bind_socket(config.listen)?;
+        let PlannerStore { writer: storage, thread: store_thread } = state_store::open(config)?;
+        let first_context = SharedContext {
+            incarnation: state_store::first_incarnation(&storage, clock).await?,
+            alive_members: Arc::from([]),
+            fleet_config: config.fleet_config.clone(),
+            generation: 0,
+            is_stopping: false,
+        };
+        let (context, context_updates) = watch::channel(first_context);
+        let (outgoing_sender, outgoing) = mpsc::channel(OUTGOING_CAPACITY);
+        let (renewal_sender, renewal_requests) = mpsc::channel(1);
+        let (commands, command_receiver) = mpsc::channel(COMMAND_CAPACITY);
+        let (timed_out_sender, timed_out_components) = mpsc::channel(1);
+        let handles = TaskHandles {
+            status: ComponentStatus::new(),
+            context: context_updates,
+            outgoing: outgoing_sender,
+            renewal_requests: renewal_sender,
+            storage: storage.clone(),
+            clock,
+        };
+        let mut component_threads = WorkerThreads::new();
+        let components = spawn_components(config, handles, fault_injection, &mut component_threads)?;
+        let inbox = RouterInbox { outgoing, commands: command_receiver, renewal_requests };
+        let router = RouterStart {
+            config: config.clone(),
+            socket,
+            clock,
+            components,
+            timed_out_components: timed_out_sender,
+            context,
+            storage,
+        };
+        let mut router_thread = WorkerThreads::new();
+        let spawned = router_thread.spawn(message_router::TASK_NAME, router.run(inbox));
+        spawned.map_err(PlannerError::SystemResources)?;
+        Ok(RunningPlanner { component_threads, router_thread, store_thread, commands, timed_out_components })
+    }
+
+    /// Handles signals until one asks to stop, or until the planner can no longer serve.
+    async fn run_until_stopped(
+        &mut self,
+        path: &Path,
+        config: PlannerConfig,
+        signals: &mut Signals,
+    ) -> Result<(), PlannerError> {
+        let mut running = config;
+        loop {
+            tokio::select! {
+                request = signals.next() => match request {
+                    SignalRequest::Stop => return Ok(()),
+                    SignalRequest::Reload => {
+                        if let Some(fleet_config) = reload(path, &mut running) {
+                            let _ = self.commands.send(RouterCommand::Reload(fleet_config)).await;
+                        }
+                    }
+                },
+                // The router ends last, unless it can't receive at all.
+                timed_out = self.timed_out_components.recv() => return Err(match timed_out {
+                    Some(kind) => PlannerError::ComponentTimedOut(kind),
+                    None => PlannerError::RouterStopped,
+                }),
+            }
+        }
+    }
+
+    /// Ends all threads in order. A router that has already ended takes no commands, which is all right.
+    async fn shut_down(self) {
+        let _ = self.commands.send(RouterCommand::StopComponents).await;
+        let components = self.component_threads.join(SHUTDOWN_TIMEOUT).await;
+        if components == ShutdownOutcome::TimedOut {
+            log::warn!(event = "shutdown_timeout"; "not all tasks ended in order");
+        }
+        let _ = self.commands.send(RouterCommand::Shutdown).await;
+        self.router_thread.join(SHUTDOWN_TIMEOUT).await;
+        // With all writers dropped the store's thread ends after its last commit. A component that hangs still has one.
+        if let Some(thread) = self.store_thread
+            && components == ShutdownOutcome::Stopped
+        {
+            let _ = tokio::task::spawn_blocking(move || thread.join()).await;
+        }
+    }
+}
+
+fn spawn_components(
+    config: &PlannerConfig,
+    handles: TaskHandles,
+    fault_injection: FaultInjection,
+    threads: &mut WorkerThreads,
+) -> Result<ComponentHandles, PlannerError> {
+    let spawner = ComponentSpawner { me: config.id, handles, fault_injection };
+    spawner.spawn_all(threads).map_err(PlannerError::SystemResources)
+}
+
+fn bind_socket(address: SocketAddrV4) -> Result<StdUdpSocket, PlannerError> {
+    let failed = |source| PlannerError::Bind { address, source };
+    let socket = StdUdpSocket::bind(address).map_err(failed)?;
+    socket.set_nonblocking(true).map_err(failed)?;
+    // The system may allow less (`net.core.rmem_max`), and less is sufficient.
+    let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES);
+    Ok(socket)
+}
+
+/// What the router's thread starts with. The router itself is created on that thread, in its runtime.
+struct RouterStart {
+    config: PlannerConfig,
+    socket: StdUdpSocket,
+    clock: Clock,
+    components: ComponentHandles,
+    timed_out_components: mpsc::Sender<ComponentKind>,
+    context: watch::Sender<SharedContext>,
+    storage: StorageWriter,
+}
+
+impl RouterStart {
+    async fn run(self, inbox: RouterInbox) {
+        let socket = match UdpSocket::from_std(self.socket) {
+            Ok(socket) => socket,
+            Err(error) => {
+                log::error!(
+                    event = "task_failed", task = message_router::TASK_NAME;
+                    "messages can't be received: {error}. Raise the limit of descriptors."
+                );
+                return;
+            }
+        };
+        let router = MessageRouter::new(RouterParts {
+            me: self.config.id,
+            socket,
+            clock: self.clock,
+            components: self.components,
+            timed_out_components: self.timed_out_components,
+            context: self.context,
+            storage: self.storage,
+        });
+        supervise_router(router, inbox).await;
+    }
+}
+
+/// Runs the router. After a panic it continues as that of a new planner.
+async fn supervise_router(mut router: MessageRouter, mut inbox: RouterInbox) {
+    while AssertUnwindSafe(router.run(&mut inbox)).catch_unwind().await.is_err() {
+        log::error!(
+            event = "task_failed", task = message_router::TASK_NAME;
+            "the message router panicked and is restarted. Report the lines before this one."
+        );
+        tokio::time::sleep(ROUTER_RESTART_DELAY).await;
+        router.reset();
+    }
+}
+
+/// Reads the files again, and returns the fleet's configuration to apply. A fault in either file changes nothing.
+fn reload(path: &Path, running: &mut PlannerConfig) -> Option<Arc<FleetConfig>> {
+    let config = match PlannerConfig::load(path) {
+        Ok(config) => config,
+        Err(error) => {
+            log::error!(
+                event = "reload_refused";
+                "configuration, {error}; the files before it stay in force. {}", error.remediation()
+            );
+            return None;
+        }
+    };
+    log::info!(event = "reloaded"; "read again: {config}");
+    for key in config.keys_requiring_restart(running) {
+        log::warn!(
+            event = "reload_requires_restart", key = key;
+            "configuration, {key}: it differs, and applies at the next start only"
+        );
+    }
+    running.fleet_config = config.fleet_config.clone();
+    Some(config.fleet_config)
+}
--- a/crates/control-plane/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -1,89 +1,115 @@
-//! Mailboxes that are full, and desks whose faculty dies or whose state can't be kept.
+//! Full mailboxes, and tasks whose component panics or whose state can't be stored.
 
+use std::path::Path;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
-use granitelb_coordination::endpoint_health::{self, Part, Plan};
+use granitelb_coordination::counterfactual::{
+    CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
+};
+use granitelb_coordination::endpoint_health::{HealthMessage, Part, Plan};
+use granitelb_coordination::membership::MembershipError;
 use granitelb_coordination::message::{ComponentKind, Message};
-use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender, Version, membership};
+use granitelb_coordination::shard_growth::form::FormVersion;
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender, Version};
 use proptest::prelude::*;
 use redb::StorageBackend;
 use redb::backends::FileBackend;
-use tokio::sync::watch;
+use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-use super::desk::{Desk, Outgoing};
-use super::mailbox::{Full, Mailbox};
-use super::*;
+use super::component_status::ComponentStatus;
+use super::component_task::{ComponentSpec, ComponentTask, OutgoingMessage, TaskHandles};
+use super::components::forget_samples_of_old_shard_maps;
+use super::mailbox::{Mailbox, MailboxFull, ReceivedMessage};
+use super::shared_context::SharedContext;
+use crate::clock::Clock;
 use crate::config_error::ConfigSource;
 use crate::fleet_config::FleetConfig;
-use crate::storage::StateFile;
-
-fn letter(from: Member, number: u64) -> (Sender, Message) {
-    let plan = Plan { version: Version(number), part: Part::WHOLE, forwarders: 0, verdicts: Vec::new() };
-    (
-        Sender { member: from, incarnation: Incarnation(1), number },
-        Message::EndpointHealth(endpoint_health::HealthMessage::Plan(plan)),
-    )
+use crate::storage::{self, StateFile, StorageWriter, StoreError};
+
+const FORWARDER: Member = Member::Forwarder(ForwarderId(1));
+const PLANNER: Member = Member::Planner(PlannerId(2));
+
+fn health_message(number: u64) -> HealthMessage {
+    HealthMessage::Plan(Plan {
+        version: Version(number),
+        part: Part::WHOLE,
+        forwarders: 0,
+        verdicts: Vec::new(),
+    })
+}
+
+fn message_from(member: Member, number: u64) -> ReceivedMessage {
+    ReceivedMessage {
+        sender: Sender { member, incarnation: Incarnation(1), number },
+        message: Message::EndpointHealth(health_message(number)),
+    }
 }
 
-const SEES: Member = Member::Forwarder(ForwarderId(1));
-const PLANS: Member = Member::Planner(PlannerId(2));
+fn fleet_config() -> FleetConfig {
+    let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n[[planner]]\nnumber = 1\nletters = \"127.0.0.1:1\"";
+    let source = ConfigSource { file: "operator.toml".into(), text: text.into() };
+    FleetConfig::read(&source).expect("the configuration is valid")
+}
 
 proptest! {
     #[test]
-    fn a_full_mailbox_sheds_the_oldest_observations_and_nothing_else(
-        kinds in prop::collection::vec(any::<bool>(), 0..60), most in 1usize..20,
+    fn full_mailbox_sheds_the_oldest_observations_and_nothing_else(
+        observations in prop::collection::vec(any::<bool>(), 0..60), capacity in 1usize..20,
     ) {
-        let mailbox = Mailbox::new(most);
-        let mut held = None;
-        let mut put = 0;
-        for (number, sees) in kinds.iter().enumerate() {
-            put += 1;
-            if let Err(Full(full)) = mailbox.put(letter(if *sees { SEES } else { PLANS }, number as u64)) {
-                held = Some(full.0.number);
+        let mailbox = Mailbox::new(capacity);
+        let mut blocked = None;
+        let mut pushed = 0;
+        for (number, is_observation) in observations.iter().enumerate() {
+            pushed += 1;
+            let member = if *is_observation { FORWARDER } else { PLANNER };
+            if let Err(MailboxFull(full)) = mailbox.push(message_from(member, number as u64)) {
+                blocked = Some(full.sender.number);
                 break;
             }
         }
-        let came: Vec<_> = std::iter::from_fn(|| mailbox.try_take()).map(|(from, _)| from.number).collect();
-        prop_assert!(came.is_sorted() && came.len() <= most);
-        let (words, seen): (Vec<_>, Vec<_>) = (0..put as u64).filter(|n| Some(*n) != held).partition(|n| !kinds[*n as usize]);
-        prop_assert!(words.iter().all(|n| came.contains(n)), "a word is lost");
-        let left: Vec<_> = seen.iter().copied().filter(|n| came.contains(n)).collect();
-        let newest = &seen[seen.len() - left.len()..];
-        prop_assert!(held.is_some() || left == newest, "{left:?} of {seen:?}");
-        prop_assert_eq!(mailbox.take_shed() as usize, seen.len() - left.len());
+        let received: Vec<_> =
+            std::iter::from_fn(|| mailbox.try_receive()).map(|received| received.sender.number).collect();
+        prop_assert!(received.is_sorted() && received.len() <= capacity);
+        let accepted = (0..pushed as u64).filter(|n| Some(*n) != blocked);
+        let (commands, observed): (Vec<_>, Vec<_>) = accepted.partition(|n| !observations[*n as usize]);
+        prop_assert!(commands.iter().all(|n| received.contains(n)), "a message that must not be shed is lost");
+        let left: Vec<_> = observed.iter().copied().filter(|n| received.contains(n)).collect();
+        let newest = &observed[observed.len() - left.len()..];
+        prop_assert!(blocked.is_some() || left == newest, "{left:?} of {observed:?}");
+        prop_assert_eq!(mailbox.take_shed_count() as usize, observed.len() - left.len());
     }
 }
 
-/// Dies of every third letter; says how many it has heard since it was made, and keeps that.
-struct Mortal {
-    heard: u8,
-    changed: bool,
+/// Panics at every third message. It sends how many messages it got since it was first created, and persists that.
+struct PanickingComponent {
+    received: u8,
+    has_changed: bool,
 }
 
-impl Component for Mortal {
-    type Message = endpoint_health::HealthMessage;
-    type Error = membership::MembershipError;
-
-    fn on_message(
-        &mut self,
-        _: Time,
-        from: Sender,
-        _: endpoint_health::HealthMessage,
-    ) -> Result<(), membership::MembershipError> {
-        assert!(!from.number.is_multiple_of(3), "as it is meant to");
-        (self.heard, self.changed) = (self.heard + 1, true);
+impl Component for PanickingComponent {
+    type Message = HealthMessage;
+    type Error = MembershipError;
+
+    fn on_message(&mut self, _: Time, from: Sender, _: HealthMessage) -> Result<(), MembershipError> {
+        assert!(!from.number.is_multiple_of(3), "an intended panic");
+        self.received += 1;
+        self.has_changed = true;
         Ok(())
     }
 
     fn on_membership_change(&mut self, _: Time, _: &[Member]) {}
 
-    fn poll_message(&mut self, _: Time) -> Option<(Member, endpoint_health::HealthMessage)> {
-        let (_, said) = letter(PLANS, self.heard.into());
-        let Message::EndpointHealth(message) = said else { return None };
-        std::mem::take(&mut self.changed).then_some((PLANS, message))
+    fn poll_message(&mut self, _: Time) -> Option<(Member, HealthMessage)> {
+        if !self.has_changed {
+            return None;
+        }
+        self.has_changed = false;
+        Some((PLANNER, health_message(self.received.into())))
     }
 
     fn poll_timeout(&self, _: Time) -> Option<Time> {
@@ -91,7 +117,7 @@
     }
 
     fn poll_snapshot(&mut self) -> Option<Vec<u8>> {
-        self.changed.then(|| vec![self.heard])
+        if self.has_changed { Some(vec![self.received]) } else { None }
     }
 
     fn entries(&self) -> usize {
@@ -99,61 +125,71 @@
     }
 }
 
-struct Bench {
+/// A component's task, and the other ends of its channels.
+struct TaskFixture {
     mailbox: Arc<Mailbox>,
-    out: mpsc::Receiver<Outgoing>,
-    situation: watch::Sender<Situation>,
-}
-
-fn bench(keeper: StorageWriter) -> Bench {
-    let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n[[planner]]\nnumber = 1\nletters = \"127.0.0.1:1\"";
-    let operator = FleetConfig::read(&ConfigSource { file: "operator.toml".into(), text: text.into() });
-    let situation = Situation {
-        incarnation: Incarnation(1),
-        alive: Arc::from([]),
-        operator: Arc::new(operator.expect("an operator's file")),
-        made: 0,
-        stopping: false,
-    };
-    let (situation, told) = watch::channel(situation);
-    let (sent, out) = mpsc::channel(16);
-    let mailbox = Arc::new(Mailbox::new(16));
-    let desk: Desk<Mortal> = Desk {
-        kind: ComponentKind::EndpointHealth,
-        make: Box::new(|_, _, _, kept| Ok(Mortal { heard: kept.map_or(0, |k| k[0]), changed: false })),
-        wrap: Message::EndpointHealth,
-        unwrap: |letter| if let Message::EndpointHealth(message) = letter { Some(message) } else { None },
-        share: None,
-        board: board::Board::new(),
-        mailbox: mailbox.clone(),
-        situation: told,
-        out: sent,
-        renewal: mpsc::channel(1).0,
-        keeper,
-        clock: Clock::start(),
-        hangs: false,
-    };
-    tokio::spawn(desk.run());
-    Bench { mailbox, out, situation }
+    outgoing: mpsc::Receiver<OutgoingMessage>,
+    context: watch::Sender<SharedContext>,
 }
 
-impl Bench {
-    async fn says(&mut self) -> Option<u64> {
-        let said = timeout(Duration::from_millis(700), self.out.recv()).await.ok()??;
-        let Message::EndpointHealth(endpoint_health::HealthMessage::Plan(plan)) = said.letter else {
-            return None;
+impl TaskFixture {
+    fn spawn(storage: StorageWriter) -> TaskFixture {
+        let (context, context_updates) = watch::channel(SharedContext {
+            incarnation: Incarnation(1),
+            alive_members: Arc::from([]),
+            fleet_config: Arc::new(fleet_config()),
+            generation: 0,
+            is_stopping: false,
+        });
+        let (outgoing_sender, outgoing) = mpsc::channel(16);
+        let mailbox = Arc::new(Mailbox::new(16));
+        let spec = ComponentSpec {
+            kind: ComponentKind::EndpointHealth,
+            create: Box::new(|context| {
+                let received = context.snapshot.map_or(0, |snapshot| snapshot[0]);
+                Ok(PanickingComponent { received, has_changed: false })
+            }),
+            wrap: Message::EndpointHealth,
+            unwrap: |message| match message {
+                Message::EndpointHealth(message) => Some(message),
+                _ => None,
+            },
+            exchange_status: None,
+        };
+        let handles = TaskHandles {
+            status: ComponentStatus::new(),
+            context: context_updates,
+            outgoing: outgoing_sender,
+            renewal_requests: mpsc::channel(1).0,
+            storage,
+            clock: Clock::start(),
         };
-        Some(plan.version.0)
+        let task = ComponentTask { spec, handles, mailbox: mailbox.clone(), hangs_on_message: false };
+        tokio::spawn(task.run());
+        TaskFixture { mailbox, outgoing, context }
+    }
+
+    fn deliver(&self, number: u64) {
+        self.mailbox.push(message_from(FORWARDER, number)).expect("the mailbox has room");
+    }
+
+    /// The count in the next message, if one is sent soon.
+    async fn next_count(&mut self) -> Option<u64> {
+        let sent = timeout(Duration::from_millis(700), self.outgoing.recv()).await.ok()??;
+        match sent.message {
+            Message::EndpointHealth(HealthMessage::Plan(plan)) => Some(plan.version.0),
+            _ => None,
+        }
     }
 }
 
-static WORKS: AtomicBool = AtomicBool::new(true);
+static DISK_HAS_SPACE: AtomicBool = AtomicBool::new(true);
 
 /// A disk that is full at times.
 #[derive(Debug)]
-struct Flaky(FileBackend);
+struct FlakyDisk(FileBackend);
 
-impl StorageBackend for Flaky {
+impl StorageBackend for FlakyDisk {
     fn len(&self) -> std::io::Result<u64> {
         self.0.len()
     }
@@ -171,7 +207,7 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        if WORKS.load(Ordering::Relaxed) {
+        if DISK_HAS_SPACE.load(Ordering::Relaxed) {
             self.0.write(offset, data)
         } else {
             Err(std::io::ErrorKind::StorageFull.into())
@@ -179,119 +215,125 @@
     }
 }
 
-fn shelf(file: &Path) -> StateFile {
-    StateFile::open(file, PlannerId(1)).expect("a store")
+fn open_state_file(file: &Path) -> StateFile {
+    StateFile::open(file, PlannerId(1)).expect("the store opens")
 }
 
 #[tokio::test]
-async fn a_faculty_that_dies_goes_on_with_what_was_kept_of_it() {
-    let folder = tempfile::tempdir().expect("a folder");
+async fn panicking_component_resumes_from_its_last_snapshot() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("store");
-    let (keeper, _) =
-        StorageWriter::start(shelf(&file), || Err(storage::StoreError::Ended)).expect("a thread");
-    let mut bench = bench(keeper);
+    let (storage, _) =
+        StorageWriter::start(open_state_file(&file), || Err(StoreError::Ended)).expect("the thread starts");
+    let mut fixture = TaskFixture::spawn(storage);
     for number in [1, 2, 3] {
-        bench.mailbox.put(letter(SEES, number)).expect("room");
+        fixture.deliver(number);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!((bench.says().await, bench.says().await), (Some(1), Some(2)));
+    assert_eq!((fixture.next_count().await, fixture.next_count().await), (Some(1), Some(2)));
     tokio::time::sleep(Duration::from_millis(300)).await;
-    bench.mailbox.put(letter(SEES, 4)).expect("room");
-    assert_eq!(bench.says().await, Some(3), "two were kept before it died");
-    bench.situation.send_modify(|s| s.stopping = true);
-    assert!(bench.out.recv().await.is_none(), "it ends when it is told to");
+    fixture.deliver(4);
+    assert_eq!(fixture.next_count().await, Some(3), "two were stored before the panic");
+    fixture.context.send_modify(|context| context.is_stopping = true);
+    assert!(fixture.outgoing.recv().await.is_none(), "the task ends when the planner stops");
 }
 
 #[tokio::test]
-async fn nothing_goes_out_that_rests_on_what_is_not_kept() {
-    let folder = tempfile::tempdir().expect("a folder");
+async fn no_message_is_sent_while_the_snapshot_it_depends_on_is_not_stored() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("store");
     let open = move || {
         let file = std::fs::File::options().read(true).write(true).create(true).truncate(false).open(&file);
-        StateFile::on(Flaky(FileBackend::new(file.expect("a file")).expect("a store")), PlannerId(1))
+        let disk = FlakyDisk(FileBackend::new(file.expect("the file opens")).expect("the file is free"));
+        StateFile::on(disk, PlannerId(1))
     };
-    let (keeper, _) = StorageWriter::start(open().expect("a store"), open).expect("a thread");
-    WORKS.store(false, Ordering::Relaxed);
-    let mut bench = bench(keeper);
-    bench.mailbox.put(letter(SEES, 1)).expect("room");
-    assert_eq!(bench.says().await, None);
-    WORKS.store(true, Ordering::Relaxed);
+    let (storage, _) =
+        StorageWriter::start(open().expect("the store opens"), open).expect("the thread starts");
+    DISK_HAS_SPACE.store(false, Ordering::Relaxed);
+    let mut fixture = TaskFixture::spawn(storage);
+    fixture.deliver(1);
+    assert_eq!(fixture.next_count().await, None);
+    DISK_HAS_SPACE.store(true, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(1200)).await;
-    bench.mailbox.put(letter(SEES, 2)).expect("room");
-    assert_eq!(bench.says().await, Some(2), "the state is whole; the letter before is as good as lost");
+    fixture.deliver(2);
+    assert_eq!(
+        fixture.next_count().await,
+        Some(2),
+        "the state is complete; the message before counts as lost"
+    );
 }
 
 #[tokio::test]
-async fn a_store_that_is_taken_away_is_begun_anew_with_all_that_was_kept() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let place = folder.path().join("state");
-    let opened = storage::open(&place, PlannerId(1)).expect("a store");
-    let (at, file) = (place.clone(), opened.file.clone());
-    let reopen = move || storage::open(&at, PlannerId(1)).map(|opened| opened.shelf);
-    let (keeper, thread) = StorageWriter::start_at(Some(file), opened.shelf, reopen).expect("a thread");
-    keeper.keep(ComponentKind::Membership, vec![1]).await.expect("kept");
-    keeper.keep(ComponentKind::ShardGrowth, vec![2]).await.expect("kept");
-    std::fs::remove_dir_all(&place).expect("it was there");
-    // Something else stands in its place, too.
-    std::fs::write(&place, "no folder").expect("written");
+async fn removed_store_is_recreated_with_all_snapshots() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let state_folder = folder.path().join("state");
+    let opened = storage::open(&state_folder, PlannerId(1)).expect("the store opens");
+    let reopened_folder = state_folder.clone();
+    let reopen = move || storage::open(&reopened_folder, PlannerId(1)).map(|opened| opened.shelf);
+    let (writer, thread) =
+        StorageWriter::start_at(Some(opened.file), opened.shelf, reopen).expect("the thread starts");
+    writer.keep(ComponentKind::Membership, vec![1]).await.expect("the snapshot is stored");
+    writer.keep(ComponentKind::ShardGrowth, vec![2]).await.expect("the snapshot is stored");
+    std::fs::remove_dir_all(&state_folder).expect("the folder exists");
+    // A file in its place, too.
+    std::fs::write(&state_folder, "no folder").expect("the file is written");
     for _ in 0..2 {
-        assert!(keeper.keep(ComponentKind::ShardGrowth, vec![3]).await.is_err(), "it would outlast nothing");
+        let stored = writer.keep(ComponentKind::ShardGrowth, vec![3]).await;
+        assert!(stored.is_err(), "a removed file is not durable");
     }
     assert_eq!(
-        keeper.read(ComponentKind::ShardGrowth).await.expect("known"),
+        writer.read(ComponentKind::ShardGrowth).await.expect("the snapshot is known"),
         Some(vec![2]),
-        "the last that was kept"
+        "the last snapshot that was stored"
     );
-    std::fs::remove_file(&place).expect("it was there");
-    keeper.keep(ComponentKind::ShardGrowth, vec![3]).await.expect("kept again");
-    drop(keeper);
-    thread.join().expect("it ends");
-    let again = storage::open(&place, PlannerId(1)).expect("a store").shelf;
-    let read = |kind| again.read(kind).expect("whole");
+    std::fs::remove_file(&state_folder).expect("the file exists");
+    writer.keep(ComponentKind::ShardGrowth, vec![3]).await.expect("the snapshot is stored again");
+    drop(writer);
+    thread.join().expect("the thread ends");
+    let state_file = storage::open(&state_folder, PlannerId(1)).expect("the store opens").shelf;
+    let read = |kind| state_file.read(kind).expect("the store is intact");
     assert_eq!(
         (read(ComponentKind::Membership), read(ComponentKind::ShardGrowth)),
         (Some(vec![1]), Some(vec![3]))
     );
 }
 
+fn sampled_request(call: u64) -> SampledRequest {
+    SampledRequest {
+        call,
+        key: 1,
+        request_class: 0,
+        class: 0,
+        candidates: vec![1, 2, 3],
+        place: 0,
+        how: How::Hit,
+        took: 100,
+        slo: 500,
+        out: 0,
+        ago: 0,
+    }
+}
+
 #[test]
-fn hindsight_forgets_what_it_saw_at_each_new_table_once() {
-    use granitelb_coordination::counterfactual::{
-        CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
-    };
-    use granitelb_coordination::shard_growth::form::FormVersion;
-    let now = Time(1_000_000_000);
-    let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), now);
-    let (board, share) = (Board::new(), super::faculties::forgets_old_tables());
-    let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n\
-        [[planner]]\nnumber = 1\nletters = \"127.0.0.1:9\"\n";
-    let operator =
-        FleetConfig::read(&ConfigSource { file: "operator.toml".into(), text: text.into() }).expect("sound");
-    let seen_by = |planner: &mut PlannerComponent, call: u64, seconds: u64| {
-        let at = now + Span::from_millis(seconds * 1000);
-        let call = (call..).find(|c| is_sampled(*c)).expect("one in two");
-        let seen = SampledRequest {
-            call,
-            key: 1,
-            request_class: 0,
-            class: 0,
-            candidates: vec![1, 2, 3],
-            place: 0,
-            how: How::Hit,
-            took: 100,
-            slo: 500,
-            out: 0,
-            ago: 0,
-        };
-        let from = Sender { member: SEES, incarnation: Incarnation(1), number: call };
-        planner.on_message(at, from, CounterfactualMessage::Seen(vec![seen])).expect("sound");
-        share(planner, at, &operator, &board);
+fn counterfactual_component_forgets_its_samples_once_at_each_new_shard_map() {
+    let start = Time(1_000_000_000);
+    let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), start);
+    let status = ComponentStatus::new();
+    let exchange_status = forget_samples_of_old_shard_maps();
+    let fleet_config = fleet_config();
+    let samples_after = |planner: &mut PlannerComponent, first_call: u64, seconds: u64| {
+        let now = start + Span::from_millis(seconds * 1000);
+        let call = (first_call..).find(|call| is_sampled(*call)).expect("one of two is sampled");
+        let from = Sender { member: FORWARDER, incarnation: Incarnation(1), number: call };
+        let message = CounterfactualMessage::Seen(vec![sampled_request(call)]);
+        planner.on_message(now, from, message).expect("the message is valid");
+        exchange_status(planner, now, &fleet_config, &status);
         planner.support()
     };
-    assert_eq!(seen_by(&mut planner, 100, 1), 1, "growth says nothing");
-    board.write_table(FormVersion(0));
-    assert_eq!(seen_by(&mut planner, 200, 2), 2, "it has seen no new table");
-    board.write_table(FormVersion(7));
-    assert_eq!(seen_by(&mut planner, 300, 3), 0);
-    assert_eq!(seen_by(&mut planner, 400, 4), 1, "told once");
+    assert_eq!(samples_after(&mut planner, 100, 1), 1, "shard growth has published nothing");
+    status.publish_shard_map_version(FormVersion(0));
+    assert_eq!(samples_after(&mut planner, 200, 2), 2, "shard growth has seen no new map");
+    status.publish_shard_map_version(FormVersion(7));
+    assert_eq!(samples_after(&mut planner, 300, 3), 0);
+    assert_eq!(samples_after(&mut planner, 400, 4), 1, "a new map is notified once");
 }
--- a/crates/control-plane/tests/clocks.rs
+++ b/crates/control-plane/tests/clocks.rs
@@ -42,7 +42,7 @@
         let mut gone = planner.said("member_gone");
         gone.retain(|line| line["message"].as_str().is_some_and(|m| m.starts_with("planner")));
         assert!(gone.is_empty() && planner.said("stood_still").is_empty(), "{gone:#?}");
-        assert!(!planner.said("trial").is_empty(), "that it is a trial is said");
+        assert!(!planner.said("fault_injection").is_empty(), "that it is a trial is said");
     }
     println!("{planners:?}: {most} of {LEASED}, over {over} times");
     (most, over)
@@ -87,7 +87,7 @@
     let later = holders.ask(&fleet, 1, Duration::from_millis(6500));
     assert!(later.most > 0 && after.over + later.over == 0, "{after:?}, {later:?}");
     assert!(one.stop().success() && two.stop().success());
-    let refused = two.said("letters")[0]["refused"].as_str().map(str::to_string);
+    let refused = two.said("message_metrics")[0]["refused"].as_str().map(str::to_string);
     // Letters to it while it was down came back.
     assert!(refused.as_deref().is_some_and(|r| !r.contains("older_life")), "{refused:?}");
 }
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -37,11 +37,11 @@
     let at = |step| move |g: &Growing| place(g.auditor.last(GROW[0]).0) >= place(Some(step));
     growing.until("foreseen", LONG, at(Step::Foreseen));
     growing.planners[&2].room_for_files(Some(4096));
-    growing.until("not kept", LONG, |g| !g.planners[&2].said("not_kept").is_empty());
+    growing.until("not kept", LONG, |g| !g.planners[&2].said("snapshot_write_failed").is_empty());
     let told = growing.auditor.told.len();
     until_granted(&mut growing, 2);
     growing.until("gone on by the others", LONG, |g| g.auditor.told.len() >= told + 2);
-    let said = growing.planners[&2].said("not_kept");
+    let said = growing.planners[&2].said("snapshot_write_failed");
     assert_eq!(said.len(), 1, "named once: {said:#?}");
     let text = said[0]["message"].as_str().expect("a sentence");
     assert!(text.starts_with("growth: ") && text.contains("Make room on the disk"), "{text}");
@@ -50,7 +50,7 @@
         assert!(gone.is_empty(), "beats go out all the while: {gone:#?}");
     }
     growing.planners[&2].room_for_files(None);
-    growing.until("kept again", LONG, |g| !g.planners[&2].said("kept_again").is_empty());
+    growing.until("kept again", LONG, |g| !g.planners[&2].said("snapshot_write_recovered").is_empty());
     // Killed, it has a whole store; and the fleet goes on to the end.
     growing.planners.remove(&2).expect("it lives").kill();
     growing.start_planner(2);
@@ -66,8 +66,8 @@
     growing.until("foreseen", LONG, at(Step::Foreseen));
     let folder = growing.fleet.path("state-1");
     fs::remove_dir_all(&folder).expect("it had one");
-    growing.until("kept again", LONG, |g| !g.planners[&1].said("kept_again").is_empty());
-    let said = growing.planners[&1].said("not_kept");
+    growing.until("kept again", LONG, |g| !g.planners[&1].said("snapshot_write_recovered").is_empty());
+    let said = growing.planners[&1].said("snapshot_write_failed");
     assert!(said[0]["message"].as_str().is_some_and(|m| m.contains("was taken away")), "{said:#?}");
     growing.planners.remove(&1).expect("it lives").kill();
     growing.start_planner(1);
--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -5,6 +5,7 @@
 
 use granitelb_control_plane::{config_error, planner, storage};
 use granitelb_coordination::component::Remediation;
+use granitelb_coordination::{Member, PlannerId};
 use granitelb_coordination::{counterfactual, endpoint_health, leases, membership, message, shard_growth};
 
 /// All values of an error, by a match that a new one breaks: whoever adds one has to give it here as well.
@@ -28,7 +29,7 @@
     use leases::LeaseError as Leases;
     use membership::MembershipError;
     use message::EnvelopeError as Message;
-    use planner::{PlannerError as Planner, Refused, TooOften};
+    use planner::{ComponentCreateError, PlannerError as Planner, RateLimitError};
     use shard_growth::{GrowthError as Growth, SnapshotError};
     use storage::StoreError as Store;
     let address = "127.0.0.1:1".parse().expect("an address");
@@ -53,14 +54,17 @@
             Store::Unwritten("x".into()) => Store::Unwritten(_),
             Store::TakenAway { file: "f".into() } => Store::TakenAway { .. }, Store::Ended => Store::Ended),
         all!(Planner:
-            Planner::File(file()) => Planner::File(_),
-            Planner::Address { address: "127.0.0.1:1".parse().expect("one"), why: trouble() } => Planner::Address { .. },
-            Planner::Store(Store::InUse) => Planner::Store(_), Planner::System(trouble()) => Planner::System(_),
-            Planner::Hung(message::ComponentKind::ShardGrowth) => Planner::Hung(_), Planner::NoPost => Planner::NoPost),
-        all!(TooOften:
-            TooOften::Address(address) => TooOften::Address(_), TooOften::Strangers(address) => TooOften::Strangers(_),
-            TooOften::Member(granitelb_coordination::Member::Planner(granitelb_coordination::PlannerId(1))) => TooOften::Member(_)),
-        all!(Refused: Refused::Off => Refused::Off),
+            Planner::Config(file()) => Planner::Config(_),
+            Planner::Bind { address: "127.0.0.1:1".parse().expect("an address"), source: trouble() } => Planner::Bind { .. },
+            Planner::Store(Store::InUse) => Planner::Store(_),
+            Planner::SystemResources(trouble()) => Planner::SystemResources(_),
+            Planner::ComponentTimedOut(message::ComponentKind::ShardGrowth) => Planner::ComponentTimedOut(_),
+            Planner::RouterStopped => Planner::RouterStopped),
+        all!(RateLimitError:
+            RateLimitError::Address(address) => RateLimitError::Address(_),
+            RateLimitError::UnknownAddresses(address) => RateLimitError::UnknownAddresses(_),
+            RateLimitError::Member(Member::Planner(PlannerId(1))) => RateLimitError::Member(_)),
+        all!(ComponentCreateError: ComponentCreateError::Disabled => ComponentCreateError::Disabled),
         all!(ConfigError: file() => ConfigError { .. }),
         all!(counterfactual::NoSupport: counterfactual::NoSupport => counterfactual::NoSupport),
         all!(Verdicts:
--- a/crates/control-plane/tests/planners.rs
+++ b/crates/control-plane/tests/planners.rs
@@ -37,10 +37,10 @@
     forwarder.send(&last, fleet.addresses[0]);
     std::thread::sleep(Duration::from_millis(200));
     assert!(planner.stop().success());
-    let tally = &planner.said("letters")[0];
+    let tally = &planner.said("message_metrics")[0];
     assert_eq!(tally["read"], 7);
     assert_eq!(tally["refused"], "forged=2 other_version=1 stranger=1 twice=1");
-    assert_eq!(planner.said("ended").len(), 1);
+    assert_eq!(planner.said("stopped").len(), 1);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     planner.signal(Signal::STOP);
     std::thread::sleep(Duration::from_secs(3));
     planner.signal(Signal::CONT);
-    planner.wait_for("new_life");
+    planner.wait_for("incarnation_changed");
     let beat = forwarder.sealed(&HEARTBEAT_INTERVAL, OURS);
     forwarder.send(&beat, fleet.addresses[0]);
     let later = std::iter::from_fn(|| forwarder.receive(OURS, SOON)).map(|(from, _)| from.incarnation);
@@ -144,7 +144,7 @@
     forwarder.send(&beat, fleet.addresses[0]);
     assert!(forwarder.receive(THEIRS, SOON).is_some(), "sealed with the new one, opened with the former");
     assert!(planner.stop().success());
-    assert!(planner.said("new_life").is_empty(), "a secret is no reason to forget what was granted");
+    assert!(planner.said("incarnation_changed").is_empty(), "a secret is no reason to forget what was granted");
 }
 
 #[test]
@@ -196,7 +196,7 @@
     let text = "number = 1\noperator = \"operator.toml\"\nstate = \"state-1\"\n[trial]\nhangs = \"leases\"\nhang_named_ms = 1000\nhang_ends_ms = 6000\n";
     fs::write(fleet.path("planner-1.toml"), text).expect("written");
     let (mut one, two) = (fleet.start(1), fleet.start(2));
-    assert!(one.said("trial")[0]["message"].as_str().is_some_and(|m| m.contains("made to do amiss")));
+    assert!(one.said("fault_injection")[0]["message"].as_str().is_some_and(|m| m.contains("injects faults")));
     let mut forwarder = Forwarder::new("node-1");
     let mut say = |letter: &Message| {
         let bytes = forwarder.sealed(letter, OURS);
@@ -204,7 +204,7 @@
     };
     let ask = Message::Leases(leases::LeaseMessage::Ask { ask: 1, needs: Vec::new() });
     say(&ask);
-    one.wait_for("task_hangs");
+    one.wait_for("task_unresponsive");
     // More than a mailbox holds, and what comes after is heard all the same.
     let began = Instant::now();
     for n in 0..6000 {
@@ -219,7 +219,7 @@
     assert!(two.said("member_gone").is_empty(), "{:?}", two.said("member_gone"));
     let status = one.wait();
     assert_eq!(status.code(), Some(1), "a supervisor sees that it failed");
-    assert_eq!(one.said("task_hangs").len(), 1);
-    let shed = one.said("letters_refused").into_iter().find(|l| l["name"] == "shed").expect("told");
+    assert_eq!(one.said("task_unresponsive").len(), 1);
+    let shed = one.said("messages_rejected").into_iter().find(|l| l["name"] == "shed").expect("told");
     assert!(shed["count"].as_u64().is_some_and(|n| n > 0), "{shed}");
 }
--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -211,7 +211,7 @@
     fs::create_dir_all(folder).expect("a folder");
     fs::write(&store, store_bytes()).expect("written");
     let mut planner = fleet.start(3);
-    assert!(planner.said("store_refused").is_empty() && planner.said("task_off").is_empty());
+    assert!(planner.said("store_refused").is_empty() && planner.said("task_disabled").is_empty());
     planner.kill();
     let shelf = opened(folder).shelf;
     let state = |kind| shelf.read(kind).expect("it can be read");
--- a/crates/control-plane/tests/zombies.rs
+++ b/crates/control-plane/tests/zombies.rs
@@ -19,7 +19,7 @@
 /// What is refused of letters from planners.
 fn refused(planners: &mut [Planner]) -> Vec<String> {
     planners.iter_mut().for_each(|p| assert!(p.stop().success()));
-    let lines = planners.iter().flat_map(|p| p.said("letters"));
+    let lines = planners.iter().flat_map(|p| p.said("message_metrics"));
     lines.filter_map(|line| line["refused"].as_str().map(str::to_string)).filter(|r| !r.is_empty()).collect()
 }
 
@@ -115,7 +115,7 @@
     let greater = file.replace("origin_per_s = 100.0", "origin_per_s = 200.0");
     fs::write(fleet.path("operator.toml"), greater).expect("written");
     planners[0].signal(Signal::HUP);
-    planners[0].wait_for("new_life");
+    planners[0].wait_for("incarnation_changed");
     let mixed = holders.ask_each(secs(8.0), |n| Some((n % 3 + 1, fleet.addresses[n % 3])));
     assert_eq!(mixed.over, 0, "{mixed:?}");
     // A third of 150 and two thirds of 75.
