--- a/crates/control-plane/tests/main.rs
+++ b/crates/control-plane/tests/main.rs
@@ -1,25 +1,22 @@
-//! The tests of the program's side, many of them on processes: one program, so that they are linked once and run beside each other.
+//! Tests of the control plane, many of them on processes. They are one program, so that they are linked once and run beside
+//! each other.
 
-mod clocks;
-mod disk;
-#[path = "support/growing.rs"]
-mod growing;
-mod growth;
-mod help;
-mod hindsight;
-#[path = "support/holders.rs"]
-mod holders;
-mod planners;
+mod clock_skew;
+mod counterfactual;
+mod disk_failures;
+mod planner_process;
+mod remediation;
+mod shard_growth;
+mod stale_planners;
 mod store;
 mod store_format;
 mod support;
-mod zombies;
 
 /// A file that is not a module here would not be run.
 #[test]
-fn every_file_of_tests_is_a_module() {
+fn every_test_file_is_a_module() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
-    for entry in std::fs::read_dir(folder).expect("the tests") {
+    for entry in std::fs::read_dir(folder).expect("the tests' folder") {
         let path = entry.expect("a file").path();
         let stem = path.file_stem().and_then(|s| s.to_str()).expect("a name");
         if stem != "main" && path.extension().is_some_and(|e| e == "rs") {
--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/remediation.rs
@@ -1,4 +1,4 @@
-//! Every error of these crates says what an operator can do, in a sentence.
+//! Every error of these crates has a sentence that tells an operator what to do.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -8,21 +8,28 @@
 use granitelb_coordination::{Member, PlannerId};
 use granitelb_coordination::{counterfactual, endpoint_health, leases, membership, message, shard_growth};
 
-/// All values of an error, by a match that a new one breaks: whoever adds one has to give it here as well.
+/// All values of an error type. The match in it fails to compile when a variant is added, which has to be added here as
+/// well.
 macro_rules! all {
     ($type:ty: $($value:expr => $pattern:pat),+ $(,)?) => {{
-        let known = |fault: &$type| match fault { $($pattern => ()),+ };
-        let all: Vec<$type> = vec![$($value),+];
-        all.iter().for_each(known);
-        all.into_iter().map(|fault| (stringify!($type), Box::new(fault) as Box<dyn Remediation>)).collect::<Vec<_>>()
+        let is_listed = |error: &$type| match error { $($pattern => ()),+ };
+        let errors: Vec<$type> = vec![$($value),+];
+        errors.iter().for_each(is_listed);
+        let named = |error| NamedError { type_name: stringify!($type), error: Box::new(error) };
+        errors.into_iter().map(named).collect::<Vec<_>>()
     }};
 }
 
+struct NamedError {
+    type_name: &'static str,
+    error: Box<dyn Remediation>,
+}
+
 fn trouble() -> std::io::Error {
     std::io::Error::other("trouble")
 }
 
-fn every_error() -> Vec<(&'static str, Box<dyn Remediation>)> {
+fn every_error() -> Vec<NamedError> {
     use config_error::{ConfigError, ConfigErrorKind as File};
     use counterfactual::CounterfactualError as Judged;
     use endpoint_health::HealthError as Verdicts;
@@ -89,40 +96,45 @@
 }
 
 #[test]
-fn each_says_what_is_wrong_and_what_to_do() {
-    let all = every_error();
-    for (of, fault) in &all {
-        let (what, help) = (fault.to_string(), fault.remediation());
-        assert!(!what.is_empty() && !what.ends_with('.'), "{of}: {what:?}");
-        let sentence = help.len() > 10 && help.starts_with(char::is_uppercase) && help.ends_with('.');
-        assert!(sentence && help != what, "{of}, {what}: {help:?} is no sentence to an operator");
+fn every_error_has_a_description_and_a_remediation() {
+    for NamedError { type_name, error } in every_error() {
+        let (description, remediation) = (error.to_string(), error.remediation());
+        assert!(!description.is_empty() && !description.ends_with('.'), "{type_name}: {description:?}");
+        let is_sentence = remediation.len() > 10
+            && remediation.starts_with(char::is_uppercase)
+            && remediation.ends_with('.');
+        assert!(
+            is_sentence && remediation != description,
+            "{type_name}, {description}: {remediation:?} is no sentence to an operator"
+        );
     }
 }
 
-/// As many as the sources declare.
+/// The types above are as many as the sources declare.
 #[test]
-fn no_error_type_is_left_out() {
+fn every_error_type_is_listed() {
     let mut declared = Vec::new();
     for folder in ["../coordination/src", "src"] {
-        walk(&Path::new(env!("CARGO_MANIFEST_DIR")).join(folder), &mut declared);
+        find_error_types(&Path::new(env!("CARGO_MANIFEST_DIR")).join(folder), &mut declared);
     }
-    let given: BTreeSet<_> = every_error().into_iter().map(|(of, _)| of).collect();
-    assert_eq!(given.len(), declared.len(), "given: {given:#?}, declared in: {declared:#?}");
+    let listed: BTreeSet<_> = every_error().into_iter().map(|named| named.type_name).collect();
+    assert_eq!(listed.len(), declared.len(), "listed: {listed:#?}, declared in: {declared:#?}");
 }
 
-/// The files with an error type, each as often as it has one.
-fn walk(folder: &Path, declared: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
+/// Adds the files that declare an error type, each as often as it does.
+fn find_error_types(folder: &Path, declared: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("the folder is read").flatten() {
         let path = entry.path();
         if path.is_dir() {
-            walk(&path, declared);
+            find_error_types(&path, declared);
             continue;
         }
-        let text = std::fs::read_to_string(&path).expect("a source");
-        let is_error = |l: &&str| {
-            let derived = l.trim().strip_prefix("#[derive(").is_some_and(|d| d.contains("Error)"));
-            derived || l.contains("Error for ") && l.contains("impl std::error::")
-        };
-        declared.extend(text.lines().filter(is_error).map(|_| path.clone()));
+        let text = std::fs::read_to_string(&path).expect("the source is read");
+        declared.extend(text.lines().filter(|line| declares_error(line)).map(|_| path.clone()));
     }
 }
+
+fn declares_error(line: &str) -> bool {
+    let is_derived = line.trim().strip_prefix("#[derive(").is_some_and(|derive| derive.contains("Error)"));
+    is_derived || line.contains("Error for ") && line.contains("impl std::error::")
+}
--- /dev/null
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -0,0 +1,163 @@
+//! Splits of growing shards by processes, with days that pass quickly: planners are killed at each step, and the origin is
+//! slow during a split; messages are lost and duplicated all the while.
+
+use std::fs;
+use std::time::Duration;
+
+use granitelb_balancer::slot_table::caches_of;
+use granitelb_control_plane::clock::Clock;
+use granitelb_coordination::endpoint_health::{HealthMessage, Part, Report, Seen};
+use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::message::Message;
+use granitelb_coordination::shard_growth::form::{Form, Step};
+
+use crate::support::growing_fleet::{GROWING_SHARDS, GrowingFleet, caches, step_rank};
+
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(25);
+const SEND_INTERVAL: Duration = Duration::from_millis(200);
+const REPORTING_FORWARDERS: usize = 2;
+/// More than the origin's capacity, in thousandths of a fetch a second.
+const EXCESSIVE_AMOUNT: u32 = 90_000_000;
+
+fn current_rank(growing: &GrowingFleet) -> u8 {
+    step_rank(growing.auditor.latest(GROWING_SHARDS[0]).step)
+}
+
+/// Whether both shards were split once. They grow on, so that the next split may be foreseen already.
+fn are_all_split_once(growing: &GrowingFleet) -> bool {
+    GROWING_SHARDS.iter().all(|shard| growing.auditor.latest(*shard).splits == 1)
+}
+
+/// Whether all forwarders use the latest shard map.
+fn have_all_the_latest_map(growing: &GrowingFleet) -> bool {
+    let latest = growing.auditor.shard_maps.values().last().map(Form::for_module);
+    growing.nodes.iter().all(|node| node.shard_map() == latest)
+}
+
+/// Kills the leader, waits until another one has made a step, and restarts the killed one.
+fn fail_over(growing: &mut GrowingFleet, store: StoreAfterKill) {
+    let leader = growing.leader();
+    let latest = growing.auditor.latest(GROWING_SHARDS[0]);
+    println!("{:?}: killed planner {leader} at {latest:?}", growing.started_at.elapsed());
+    growing.kill_planner(leader);
+    let shard_maps = growing.auditor.shard_maps.len();
+    growing.run_until("continued", PROGRESS_TIMEOUT, |g| g.auditor.shard_maps.len() > shard_maps);
+    let latest = growing.auditor.latest(GROWING_SHARDS[0]);
+    println!("{:?}: then {latest:?}", growing.started_at.elapsed());
+    if store == StoreAfterKill::Lost {
+        let folder = growing.fleet.path(&format!("state-{leader}"));
+        fs::remove_dir_all(folder).expect("the folder exists");
+    }
+    growing.start_planner(leader);
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum StoreAfterKill {
+    Intact,
+    Lost,
+}
+
+#[test]
+fn another_planner_continues_when_the_leader_is_killed_at_any_step() {
+    let mut growing = GrowingFleet::start(300, "spare_per_s = 1000000.0\n");
+    let steps =
+        [Step::Foreseen, Step::Planned, Step::Copying(1), Step::Copying(9), Step::BothRead, Step::Switched];
+    for step in steps {
+        let rank = step_rank(Some(step));
+        growing.run_until(&format!("at {step:?}"), PROGRESS_TIMEOUT, |g| {
+            g.auditor.latest(GROWING_SHARDS[0]).splits == 1 || current_rank(g) >= rank
+        });
+        let is_store_lost = step == Step::Copying(9);
+        fail_over(&mut growing, if is_store_lost { StoreAfterKill::Lost } else { StoreAfterKill::Intact });
+    }
+    growing.run_until("split", PROGRESS_TIMEOUT, are_all_split_once);
+    growing.run_until("of one shard map", PROGRESS_TIMEOUT, have_all_the_latest_map);
+    growing.auditor.check_steps();
+    let is_withdrawn = |form: &Form| form.shards.values().any(|s| s.step == Some(Step::Withdrawn));
+    assert!(
+        !growing.auditor.shard_maps.values().any(is_withdrawn),
+        "killed planners are no reason to withdraw a split"
+    );
+}
+
+/// Creates a message from a number that increases.
+type CreateMessage = Box<dyn Fn(u64) -> Message>;
+
+/// Two forwarders send a message this often, each fifth of a second.
+fn send_repeatedly(growing: &mut GrowingFleet, times: u32, create: impl Fn(u64) -> Message) {
+    for _ in 0..times {
+        let number = Clock::start().now().0;
+        for node in 0..REPORTING_FORWARDERS {
+            growing.send_to_planners(node, &create(number));
+        }
+        growing.run_for(SEND_INTERVAL);
+    }
+}
+
+/// Requests this amount of the origin.
+fn lease_request(amount: u32) -> impl Fn(u64) -> Message {
+    move |ask| {
+        let needs = vec![Need { resource: Resource::Origin, amount, using: ask, heads: 1, has: 0 }];
+        Message::Leases(LeaseMessage::Ask { ask, needs })
+    }
+}
+
+/// Reports the results of attempts at one of the shard's caches.
+fn health_report(failed: f64, answered: f64) -> impl Fn(u64) -> Message {
+    let shard = GROWING_SHARDS[0];
+    let cache = *caches_of(shard.0, 1, &caches()).first().expect("the shard has caches");
+    let seen = Seen { cache, failed, answered, out: 0.0 };
+    move |number| {
+        let report = Report { number, part: Part::WHOLE, caches: vec![seen] };
+        Message::EndpointHealth(HealthMessage::Report(report))
+    }
+}
+
+/// A fault, as forwarders report it.
+struct ReportedFault {
+    begin: CreateMessage,
+    end: CreateMessage,
+}
+
+/// Reports a fault until the split has made no step for four messages in a row.
+fn report_until_paused(growing: &mut GrowingFleet, create: &CreateMessage, step: Step) {
+    // A part of the copying takes a quarter of a second.
+    let mut shard_maps = 0;
+    let mut unchanged = 0;
+    for _ in 0..10 {
+        send_repeatedly(growing, 1, create);
+        let is_unchanged = growing.auditor.shard_maps.len() == shard_maps;
+        unchanged = if is_unchanged { unchanged + 1 } else { 0 };
+        shard_maps = growing.auditor.shard_maps.len();
+        if unchanged == 4 {
+            return;
+        }
+    }
+    panic!("the split continues past {step:?}");
+}
+
+fn run_until_step(growing: &mut GrowingFleet, step: Step) {
+    let rank = step_rank(Some(step));
+    growing.run_until(&format!("at {step:?}"), PROGRESS_TIMEOUT, |g| current_rank(g) >= rank);
+}
+
+#[test]
+fn split_pauses_during_a_fault_and_is_withdrawn_if_the_fault_lasts() {
+    let mut growing = GrowingFleet::start(1000, "[leases]\norigin_per_s = 100000.0\n");
+    let slow_origin =
+        ReportedFault { begin: Box::new(lease_request(EXCESSIVE_AMOUNT)), end: Box::new(lease_request(0)) };
+    let failing_cache =
+        ReportedFault { begin: Box::new(health_report(5.0, 0.0)), end: Box::new(health_report(0.0, 5.0)) };
+    // Both last for less time than a split waits.
+    for (step, fault) in [(Step::Copying(2), slow_origin), (Step::Copying(7), failing_cache)] {
+        run_until_step(&mut growing, step);
+        report_until_paused(&mut growing, &fault.begin, step);
+        send_repeatedly(&mut growing, 2, &fault.end);
+    }
+    run_until_step(&mut growing, Step::Copying(11));
+    send_repeatedly(&mut growing, 25, lease_request(EXCESSIVE_AMOUNT));
+    let is_withdrawn = |form: &Form| form.of(GROWING_SHARDS[0]).step == Some(Step::Withdrawn);
+    let shard_maps = &growing.auditor.shard_maps;
+    assert!(shard_maps.values().any(is_withdrawn), "{:?}", shard_maps.values().last());
+    growing.auditor.check_steps();
+}
--- /dev/null
+++ b/crates/control-plane/tests/stale_planners.rs
@@ -0,0 +1,133 @@
+//! Planners that resume when others have taken over, two planners of one number, and configurations and secrets that
+//! differ between members. Planners are processes, forwarders hold leases, and an auditor sums up what all of them hold.
+
+use std::fs;
+use std::net::UdpSocket;
+use std::thread;
+use std::time::Duration;
+
+use rustix::process::Signal;
+
+use crate::support::lease_holders::LeaseHolders;
+use crate::support::{Fleet, OTHER_SECRET, Planner, SECRET};
+
+/// What is leased of 100 fetches a second, in thousandths: a quarter is the forwarders' own.
+const LEASABLE: u64 = 75_000;
+/// A planner that starts grants its first leases within this time.
+const FIRST_GRANTS: Duration = Duration::from_millis(6500);
+
+/// Stops planners, and returns the rejections that each has logged.
+fn stop_and_collect_rejections(planners: &mut [Planner]) -> Vec<String> {
+    let mut rejections = Vec::new();
+    for planner in planners {
+        assert!(planner.stop().success());
+        let lines = planner.events("message_metrics");
+        rejections.extend(lines.iter().filter_map(|line| line["refused"].as_str().map(str::to_string)));
+    }
+    rejections.retain(|names| !names.is_empty());
+    rejections
+}
+
+/// A third of the holders uses the planner that was suspended, a third its successor of the same number, and a third the
+/// other planner: each would have its whole part to grant.
+#[test]
+fn suspended_planner_grants_nothing_beside_its_successor_of_the_same_number() {
+    let mut fleet = Fleet::new(2);
+    let (suspended, two) = (fleet.start(1), fleet.start(2));
+    let first_address = fleet.addresses[0];
+    let mut holders = LeaseHolders::new(&[1.0; 6], LEASABLE);
+    let before = holders.request_of_planner(&fleet, 1, FIRST_GRANTS);
+    assert!(before.max_held > 0 && before.violations == 0, "{before:?}");
+    suspended.signal(Signal::STOP);
+
+    // Another process takes over the number, at another address.
+    let new_address = UdpSocket::bind("127.0.0.1:0").expect("a free port").local_addr().expect("an address");
+    fleet.addresses[0] = new_address;
+    fleet.write_fleet_config(&format!("secret = \"{SECRET}\""));
+    let text = "number = 1\noperator = \"operator.toml\"\nstate = \"state-1-new\"\n";
+    fs::write(fleet.path("planner-1-new.toml"), text).expect("the file is written");
+    two.signal(Signal::HUP);
+    two.wait_for_event("reloaded");
+    let successor = fleet.start_with_config(1, "planner-1-new.toml");
+    let alone = holders.request_of_planner(&fleet, 1, Duration::from_secs(7));
+    assert!(alone.max_held > 0 && alone.violations == 0, "{alone:?}");
+
+    suspended.signal(Signal::CONT);
+    let addresses = [(1, first_address), (1, new_address), (2, fleet.addresses[1])];
+    let both = holders.request_of_each(Duration::from_secs(8), |n| Some(addresses[n % 3]));
+    assert_eq!(both.violations, 0, "{both:?} of {LEASABLE}");
+    suspended.wait_for_event("stood_still");
+    let succeeded = successor.wait_for_event("succeeded");
+    assert!(succeeded["message"].as_str().is_some_and(|m| m.contains("two processes")), "{succeeded}");
+    // Both are stopped and one is restarted, since a forwarder may have heard an incarnation of the suspended planner that
+    // no planner has heard.
+    drop((suspended, successor));
+    let _successor = fleet.start_with_config(1, "planner-1-new.toml");
+    let after = holders.request_of_planner(&fleet, 1, Duration::from_secs(7));
+    assert!(
+        after.violations == 0 && holders.held_by(0) > 0,
+        "{after:?}: the planner that is left grants again"
+    );
+}
+
+#[test]
+fn forwarder_that_restarts_three_times_in_two_seconds_is_heard_at_once_and_counted_fully() {
+    let fleet = Fleet::new(1);
+    let _planner = fleet.start(1);
+    let mut holders = LeaseHolders::new(&[1.0; 3], LEASABLE);
+    holders.request_of_planner(&fleet, 1, FIRST_GRANTS);
+    assert!(holders.held_by(0) > 0);
+    let mut violations = 0;
+    for _ in 0..3 {
+        holders.restart(0);
+        violations += holders.request_of_planner(&fleet, 1, Duration::from_millis(600)).violations;
+    }
+    // Once the leases of its earlier incarnations have expired, it has its part again.
+    violations += holders.request_of_planner(&fleet, 1, Duration::from_millis(3200)).violations;
+    assert_eq!(violations, 0);
+    let held: Vec<_> = (0..3).map(|n| holders.held_by(n)).collect();
+    assert!(held[0] * 2 > held[1] && held[0] > 0, "{held:?}");
+}
+
+/// Three steps, each at one member after the other: all accept the new secret, all seal with it, none accepts the old one.
+#[test]
+fn secret_is_rotated_by_rolling_restarts_without_a_rejected_message() {
+    let fleet = Fleet::new(3);
+    let mut planners: Vec<_> = (1..=3).map(|n| fleet.start(n)).collect();
+    let steps = [
+        format!("secret = \"{SECRET}\"\nformer_secret = \"{OTHER_SECRET}\""),
+        format!("secret = \"{OTHER_SECRET}\"\nformer_secret = \"{SECRET}\""),
+        format!("secret = \"{OTHER_SECRET}\""),
+    ];
+    let mut rejections = Vec::new();
+    for step in steps {
+        fleet.write_fleet_config(&step);
+        for n in 0..3 {
+            rejections.extend(stop_and_collect_rejections(&mut planners[n..=n]));
+            planners[n] = fleet.start(n + 1);
+            thread::sleep(Duration::from_millis(600));
+        }
+    }
+    rejections.extend(stop_and_collect_rejections(&mut planners));
+    assert!(!rejections.iter().any(|names| names.contains("forged")), "{rejections:?}");
+}
+
+/// Two planners are configured with 100 fetches a second and one with 200: what is leased is at most the greater, and each
+/// planner's part is within its own configuration.
+#[test]
+fn differing_configurations_add_up_to_at_most_the_greater_one() {
+    let fleet = Fleet::new(3);
+    let planners: Vec<_> = (1..=3).map(|n| fleet.start(n)).collect();
+    let mut holders = LeaseHolders::new(&[1.0; 6], 2 * LEASABLE);
+    let planner_of = |n: usize| Some((n % 3 + 1, fleet.addresses[n % 3]));
+    holders.request_of_each(FIRST_GRANTS, planner_of);
+    let config = fs::read_to_string(fleet.path("operator.toml")).expect("the file is read");
+    let greater = config.replace("origin_per_s = 100.0", "origin_per_s = 200.0");
+    fs::write(fleet.path("operator.toml"), greater).expect("the file is written");
+    planners[0].signal(Signal::HUP);
+    planners[0].wait_for_event("incarnation_changed");
+    let mixed = holders.request_of_each(Duration::from_secs(8), planner_of);
+    assert_eq!(mixed.violations, 0, "{mixed:?}");
+    // A third of 150 and two thirds of 75.
+    assert!((LEASABLE..=100_000).contains(&mixed.max_held), "{mixed:?}");
+}
--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -206,12 +206,12 @@
     let known = &kept_states()["members"];
     assert_eq!(known[..], LIFE.0.to_be_bytes());
     let fleet = Fleet::new(3);
-    let store = fleet.store(3);
+    let store = fleet.store_file(3);
     let folder = store.parent().expect("a folder");
     fs::create_dir_all(folder).expect("a folder");
     fs::write(&store, store_bytes()).expect("written");
     let mut planner = fleet.start(3);
-    assert!(planner.said("store_refused").is_empty() && planner.said("task_disabled").is_empty());
+    assert!(planner.events("store_refused").is_empty() && planner.events("task_disabled").is_empty());
     planner.kill();
     let shelf = opened(folder).shelf;
     let state = |kind| shelf.read(kind).expect("it can be read");
--- /dev/null
+++ b/crates/control-plane/tests/support/lease_holders.rs
@@ -0,0 +1,192 @@
+//! Forwarders that request leases and hold them, each by a clock of its own, and an auditor of what all of them hold at
+//! each moment. The auditor uses the messages and the machine's own clock, and nothing of what planners or forwarders
+//! compute.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::message::{self, Message};
+use granitelb_coordination::{Incarnation, Member, PlannerId, Sender};
+
+use super::{Fleet, Forwarder, MAX_DATAGRAM_BYTES, SECRET, secrets};
+
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+const AUDIT_INTERVAL: Duration = Duration::from_millis(2);
+/// What each requests, in thousandths of a fetch a second; it is more than there is for each.
+const REQUESTED_AMOUNT: u32 = 60_000;
+
+/// A lease that was granted.
+struct Lease {
+    /// The request by which it was granted.
+    request: u64,
+    amount: u32,
+    expires_at: Instant,
+}
+
+/// A request that was not answered yet.
+struct PendingRequest {
+    planner: PlannerId,
+    sent_at: Instant,
+}
+
+struct LeaseHolder {
+    forwarder: Forwarder,
+    /// The seconds that its clock advances in a second.
+    clock_rate: f64,
+    last_request: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    leases: BTreeMap<(PlannerId, Incarnation), Lease>,
+    next_request_at: Instant,
+    /// The greatest incarnation of each planner that was heard.
+    incarnations: BTreeMap<PlannerId, Incarnation>,
+}
+
+impl LeaseHolder {
+    fn request(&mut self, planner: PlannerId, to: SocketAddr) {
+        self.last_request += 1;
+        self.pending.insert(self.last_request, PendingRequest { planner, sent_at: Instant::now() });
+        let leases_of_planner = self.leases.iter().filter(|((of, _), _)| *of == planner);
+        let using = leases_of_planner.map(|(_, lease)| lease.request).max().unwrap_or(0);
+        let need = Need { resource: Resource::Origin, amount: REQUESTED_AMOUNT, using, heads: 1, has: 0 };
+        let message = Message::Leases(LeaseMessage::Ask { ask: self.last_request, needs: vec![need] });
+        let bytes = self.forwarder.seal(&message, SECRET);
+        self.forwarder.send(&bytes, to);
+    }
+
+    /// Processes all messages that have come, and forgets leases that have expired.
+    fn receive_all(&mut self) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        while let Ok((length, _)) = self.forwarder.socket.recv_from(&mut buffer) {
+            if let Ok((from, message)) = message::open(&buffer[..length], &secrets(SECRET)) {
+                self.on_message(from, message);
+            }
+        }
+        let now = Instant::now();
+        self.leases.retain(|_, lease| lease.expires_at > now);
+    }
+
+    fn on_message(&mut self, from: Sender, message: Message) {
+        let Member::Planner(planner) = from.member else { return };
+        if !self.is_of_latest_incarnation(planner, from.incarnation) {
+            return;
+        }
+        let Message::Leases(LeaseMessage::Grant { ask, granted, lasts }) = message else { return };
+        let Some(request) = self.pending.remove(&ask).filter(|request| request.planner == planner) else {
+            return;
+        };
+        self.pending.retain(|_, other| other.planner != planner || other.sent_at >= request.sent_at);
+        let amount = granted.iter().find(|(of, _)| *of == Resource::Origin).map_or(0, |(_, n)| *n);
+        let duration = Duration::from_micros(u64::from(lasts)).div_f64(self.clock_rate);
+        let lease = Lease { request: ask, amount, expires_at: request.sent_at + duration };
+        self.leases.insert((planner, from.incarnation), lease);
+    }
+
+    /// Records an incarnation of a planner, and returns whether no greater one was heard.
+    fn is_of_latest_incarnation(&mut self, planner: PlannerId, incarnation: Incarnation) -> bool {
+        let latest = self.incarnations.entry(planner).or_insert(incarnation);
+        *latest = incarnation.max(*latest);
+        incarnation == *latest
+    }
+}
+
+/// What all holders held over a time.
+#[derive(Debug, Default)]
+pub struct AuditResult {
+    /// The maximum of the sum, in thousandths of a fetch a second.
+    pub max_held: u64,
+    /// How many audits found more than may be leased.
+    pub violations: u64,
+}
+
+pub struct LeaseHolders {
+    holders: Vec<LeaseHolder>,
+    /// The leases of earlier incarnations.
+    leases_before_restart: Vec<Lease>,
+    /// All that may be leased, in thousandths of a fetch a second.
+    capacity: u64,
+}
+
+impl LeaseHolders {
+    /// One holder for each rate of a clock.
+    pub fn new(clock_rates: &[f64], capacity: u64) -> LeaseHolders {
+        let holder = |(n, clock_rate): (usize, &f64)| {
+            let forwarder = Forwarder::new(&format!("holder-{n}"));
+            forwarder.socket.set_nonblocking(true).expect("the socket's mode is set");
+            LeaseHolder {
+                forwarder,
+                clock_rate: *clock_rate,
+                last_request: 0,
+                pending: BTreeMap::new(),
+                leases: BTreeMap::new(),
+                next_request_at: Instant::now()
+                    + REQUEST_INTERVAL.mul_f64(n as f64 / clock_rates.len() as f64),
+                incarnations: BTreeMap::new(),
+            }
+        };
+        LeaseHolders {
+            holders: clock_rates.iter().enumerate().map(holder).collect(),
+            leases_before_restart: Vec::new(),
+            capacity,
+        }
+    }
+
+    /// All request leases of one planner for this time.
+    pub fn request_of_planner(&mut self, fleet: &Fleet, planner: usize, time: Duration) -> AuditResult {
+        self.request_of_each(time, |_| Some((planner, fleet.addresses[planner - 1])))
+    }
+
+    /// Each requests leases of a planner at an address for this time, or is silent. All are audited every few milliseconds.
+    pub fn request_of_each(
+        &mut self,
+        time: Duration,
+        planner_of: impl Fn(usize) -> Option<(usize, SocketAddr)>,
+    ) -> AuditResult {
+        let deadline = Instant::now() + time;
+        let mut result = AuditResult::default();
+        while Instant::now() < deadline {
+            for (n, holder) in self.holders.iter_mut().enumerate() {
+                holder.receive_all();
+                if holder.next_request_at <= Instant::now() {
+                    holder.next_request_at = Instant::now() + REQUEST_INTERVAL;
+                    if let Some((planner, to)) = planner_of(n) {
+                        holder.request(PlannerId(planner as u8), to);
+                    }
+                }
+            }
+            let held = self.total_held();
+            result.max_held = result.max_held.max(held);
+            result.violations += u64::from(held > self.capacity);
+            thread::sleep(AUDIT_INTERVAL);
+        }
+        result
+    }
+
+    fn total_held(&self) -> u64 {
+        let now = Instant::now();
+        let leases =
+            self.holders.iter().flat_map(|holder| holder.leases.values()).chain(&self.leases_before_restart);
+        leases.filter(|lease| lease.expires_at > now).map(|lease| u64::from(lease.amount)).sum()
+    }
+
+    /// Starts a new incarnation of a holder. What it held is audited as if it were still in use.
+    pub fn restart(&mut self, n: usize) {
+        let holder = &mut self.holders[n];
+        holder.forwarder.incarnation.0 += 1;
+        holder.pending.clear();
+        let leases = std::mem::take(&mut holder.leases);
+        self.leases_before_restart.extend(leases.into_values());
+    }
+
+    /// What one holds now.
+    pub fn held_by(&self, n: usize) -> u64 {
+        self.holders[n].leases.values().map(|lease| u64::from(lease.amount)).sum()
+    }
+
+    /// The greatest incarnation of a planner that the first holder has heard.
+    pub fn incarnation_of(&self, planner: usize) -> Option<Incarnation> {
+        self.holders[0].incarnations.get(&PlannerId(planner as u8)).copied()
+    }
+}
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,13 +1,17 @@
-//! Planners as processes of the real program, and a forwarder that speaks letters.
+//! Planners as processes of the real program, and a forwarder that sends messages to them.
 
 // Each test uses a part of it.
 #![allow(dead_code)]
 
+pub mod growing_fleet;
+pub mod lease_holders;
+
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::OnceLock;
+use std::thread;
 use std::time::{Duration, Instant};
 
 use granitelb_coordination::message::{self, Message, Secret, Secrets};
@@ -15,16 +19,20 @@
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::Value;
 
-pub const OURS: &str = "000102030405060708090a0b0c0d0e0f";
-pub const THEIRS: &str = "f00102030405060708090a0b0c0d0e0f";
-const PATIENCE: Duration = Duration::from_secs(8);
+/// The secret of all members, unless a test says otherwise.
+pub const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
+pub const OTHER_SECRET: &str = "f00102030405060708090a0b0c0d0e0f";
+const EVENT_TIMEOUT: Duration = Duration::from_secs(8);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
+const MAX_DATAGRAM_BYTES: usize = 2000;
 
 /// The program, built beside these tests.
 fn program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
-        let own = std::env::current_exe().expect("a test has a place");
-        let folder = own.ancestors().nth(2).expect("two folders up").to_path_buf();
+        let test_program = std::env::current_exe().expect("the test's path");
+        let folder = test_program.ancestors().nth(2).expect("two folders up").to_path_buf();
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
         build.args(["build", "--quiet", "--locked", "-p", "granitelb-node", "--bin", "granitelb"]);
         if folder.ends_with("release") {
@@ -39,7 +47,7 @@
     Secrets::one(Secret::new(&hex::decode(hex).expect("hexadecimal")).expect("long enough"))
 }
 
-/// A folder with the files of a fleet of so many planners, at free ports.
+/// A folder with the files of a fleet, whose planners listen on free ports.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub addresses: Vec<SocketAddr>,
@@ -47,15 +55,14 @@
 
 impl Fleet {
     pub fn new(planners: usize) -> Fleet {
-        let free = |_| UdpSocket::bind("127.0.0.1:0").expect("a free port");
-        let sockets: Vec<_> = (0..planners).map(free).collect();
+        let bind = |_| UdpSocket::bind("127.0.0.1:0").expect("a free port");
+        // All are bound at once, so that their ports differ.
+        let sockets: Vec<_> = (0..planners).map(bind).collect();
         let addresses = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
         let fleet = Fleet { folder: tempfile::tempdir().expect("a folder"), addresses };
-        fleet.write_operator(&format!("secret = \"{OURS}\""));
+        fleet.write_fleet_config(&format!("secret = \"{SECRET}\""));
         for number in 1..=planners {
-            let text =
-                format!("number = {number}\noperator = \"operator.toml\"\nstate = \"state-{number}\"\n");
-            fs::write(fleet.path(&format!("planner-{number}.toml")), text).expect("written");
+            fleet.write_planner_config(number, "");
         }
         fleet
     }
@@ -64,93 +71,105 @@
         self.folder.path().join(name)
     }
 
-    pub fn write_operator(&self, secrets: &str) {
+    /// Writes the configuration that all members share, with the lines of its secrets.
+    pub fn write_fleet_config(&self, secrets: &str) {
         let mut text = format!("{secrets}\nforwarders = 10\n");
         for (n, address) in self.addresses.iter().enumerate() {
             text += &format!("[[planner]]\nnumber = {}\nletters = \"{address}\"\n", n + 1);
         }
         text += "[leases]\norigin_per_s = 100.0\n[growth]\nshard_bytes = 1000000\n[hindsight]\n";
-        fs::write(self.path("operator.toml"), text).expect("written");
+        fs::write(self.path("operator.toml"), text).expect("the file is written");
+    }
+
+    /// Writes a planner's own file, with further lines.
+    pub fn write_planner_config(&self, number: usize, further_lines: &str) {
+        let text = format!(
+            "number = {number}\noperator = \"operator.toml\"\nstate = \"state-{number}\"\n{further_lines}"
+        );
+        fs::write(self.path(&format!("planner-{number}.toml")), text).expect("the file is written");
     }
 
-    pub fn store(&self, number: usize) -> PathBuf {
+    pub fn store_file(&self, number: usize) -> PathBuf {
         self.path(&format!("state-{number}")).join("planner.redb")
     }
 
     /// Starts a planner, and waits until it is ready.
     pub fn start(&self, number: usize) -> Planner {
-        self.start_by(number, &format!("planner-{number}.toml"))
+        self.start_with_config(number, &format!("planner-{number}.toml"))
     }
 
-    /// By a file of another name.
-    pub fn start_by(&self, number: usize, own: &str) -> Planner {
-        let starts = fs::read_dir(self.folder.path()).expect("a folder").count();
-        let log = self.path(&format!("log-{number}-{starts}"));
-        let file = fs::File::create(&log).expect("a log");
+    /// Starts a planner with a file of another name.
+    pub fn start_with_config(&self, number: usize, config: &str) -> Planner {
+        let files = fs::read_dir(self.folder.path()).expect("the fleet's folder").count();
+        let log_path = self.path(&format!("log-{number}-{files}"));
+        let log_file = fs::File::create(&log_path).expect("the log is created");
         let mut command = Command::new(program());
-        command.arg("plan").arg("--config").arg(self.path(own));
-        let child = command.args(["--log-format", "json"]).stdin(Stdio::null()).stderr(file).spawn();
-        let planner = Planner { child: child.expect("it starts"), log };
-        planner.wait_for("ready");
+        command.arg("plan").arg("--config").arg(self.path(config));
+        let child = command.args(["--log-format", "json"]).stdin(Stdio::null()).stderr(log_file).spawn();
+        let planner = Planner { child: child.expect("the planner starts"), log_path };
+        planner.wait_for_event("ready");
         planner
     }
 }
 
+/// A running planner. It is killed when this is dropped.
 pub struct Planner {
     child: Child,
-    log: PathBuf,
+    log_path: PathBuf,
 }
 
 impl Planner {
     pub fn log(&self) -> String {
-        fs::read_to_string(&self.log).expect("a log")
+        fs::read_to_string(&self.log_path).expect("the log is read")
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.child), signal).expect("it is there");
+        kill_process(Pid::from_child(&self.child), signal).expect("the planner runs");
     }
 
     /// The lines of its log with this event.
-    pub fn said(&self, event: &str) -> Vec<Value> {
-        let text = fs::read_to_string(&self.log).expect("a log");
-        let lines = text.lines().filter_map(|l| serde_json::from_str::<Value>(l).ok());
-        lines.filter(|l| l["event"] == event).collect()
+    pub fn events(&self, event: &str) -> Vec<Value> {
+        let text = self.log();
+        let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
+        lines.filter(|line| line["event"] == event).collect()
     }
 
-    pub fn wait_for(&self, event: &str) -> Value {
-        self.wait_for_one(event, |_| true)
+    pub fn wait_for_event(&self, event: &str) -> Value {
+        self.wait_for_event_with(event, |_| true)
     }
 
-    pub fn wait_for_one(&self, event: &str, is: impl Fn(&Value) -> bool) -> Value {
-        let until = Instant::now() + PATIENCE;
+    /// Waits for a line with this event that meets a condition.
+    pub fn wait_for_event_with(&self, event: &str, is_expected: impl Fn(&Value) -> bool) -> Value {
+        let deadline = Instant::now() + EVENT_TIMEOUT;
         loop {
-            if let Some(line) = self.said(event).into_iter().find(|l| is(l)) {
+            if let Some(line) = self.events(event).into_iter().find(|line| is_expected(line)) {
                 return line;
             }
-            assert!(Instant::now() < until, "no {event} in:\n{}", self.log());
-            std::thread::sleep(Duration::from_millis(20));
+            assert!(Instant::now() < deadline, "no {event} in:\n{}", self.log());
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// No file of its grows past this, or none is bound.
-    pub fn room_for_files(&self, most: Option<u64>) {
-        let limit = Rlimit { current: most, maximum: None };
-        prlimit(Some(Pid::from_child(&self.child)), Resource::Fsize, limit).expect("it is there");
+    /// Limits the size of the files that it writes; `None` removes the limit.
+    pub fn limit_file_size(&self, max_bytes: Option<u64>) {
+        let limit = Rlimit { current: max_bytes, maximum: None };
+        prlimit(Some(Pid::from_child(&self.child)), Resource::Fsize, limit).expect("the planner runs");
     }
 
+    /// Asks it to stop, and waits for that.
     pub fn stop(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
-        self.child.wait().expect("it ends")
+        self.wait()
     }
 
-    /// How it ended by itself.
+    /// Waits until it exits by itself.
     pub fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the planner exits")
     }
 
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
-        self.child.wait().expect("it ends");
+        self.wait();
     }
 }
 
@@ -161,42 +180,43 @@
     }
 }
 
+/// A member that seals and opens messages, with no logic of its own.
 pub struct Forwarder {
     pub socket: UdpSocket,
     me: Member,
     pub incarnation: Incarnation,
-    number: u64,
+    last_number: u64,
 }
 
 impl Forwarder {
     pub fn new(name: &str) -> Forwarder {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-        socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
+        socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("the timeout is set");
         Forwarder {
             socket,
             me: Member::Forwarder(ForwarderId::of_name(name)),
             incarnation: Incarnation(1),
-            number: 0,
+            last_number: 0,
         }
     }
 
-    pub fn sealed(&mut self, letter: &Message, secret: &str) -> Vec<u8> {
-        self.number += 1;
-        let sender = Sender { member: self.me, incarnation: self.incarnation, number: self.number };
-        message::seal(sender, letter, &secrets(secret)).expect("a letter")
+    pub fn seal(&mut self, message: &Message, secret: &str) -> Vec<u8> {
+        self.last_number += 1;
+        let sender = Sender { member: self.me, incarnation: self.incarnation, number: self.last_number };
+        message::seal(sender, message, &secrets(secret)).expect("the message is sealed")
     }
 
     pub fn send(&self, bytes: &[u8], to: SocketAddr) {
-        self.socket.send_to(bytes, to).expect("sent");
+        self.socket.send_to(bytes, to).expect("the datagram is sent");
     }
 
-    /// The next letter that this secret opens, if one comes in a while.
-    pub fn receive(&self, secret: &str, patience: Duration) -> Option<(Sender, Message)> {
-        let until = Instant::now() + patience;
-        let mut bytes = [0; 2000];
-        while Instant::now() < until {
-            let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            if let Ok(opened) = message::open(&bytes[..length], &secrets(secret)) {
+    /// The next message that this secret opens, if one comes in time.
+    pub fn receive(&self, secret: &str, timeout: Duration) -> Option<(Sender, Message)> {
+        let deadline = Instant::now() + timeout;
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        while Instant::now() < deadline {
+            let Ok((length, _)) = self.socket.recv_from(&mut buffer) else { continue };
+            if let Ok(opened) = message::open(&buffer[..length], &secrets(secret)) {
                 return Some(opened);
             }
         }
@@ -204,8 +224,15 @@
     }
 }
 
-pub fn check(args: &[&str]) -> (bool, String) {
-    let output = Command::new(program()).arg("check").args(args).output().expect("it starts");
+/// The result of `granitelb check`.
+pub struct CheckResult {
+    pub is_valid: bool,
+    pub output: String,
+}
+
+/// Runs `granitelb check`.
+pub fn run_check(args: &[&str]) -> CheckResult {
+    let output = Command::new(program()).arg("check").args(args).output().expect("the program starts");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&text).into_owned())
+    CheckResult { is_valid: output.status.success(), output: String::from_utf8_lossy(&text).into_owned() }
 }
