--- a/crates/control-plane/src/planner/component_task/mod.rs
+++ b/crates/control-plane/src/planner/component_task/mod.rs
@@ -221,3 +221,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -183,7 +183,7 @@
 
 /// Notifies the counterfactual component once of each new shard map. Shard growth that has just started has seen no new
 /// map, and its version 0 is not one.
-pub(super) fn forget_samples_of_old_shard_maps() -> ExchangeStatus<counterfactual::PlannerComponent> {
+fn forget_samples_of_old_shard_maps() -> ExchangeStatus<counterfactual::PlannerComponent> {
     let known_version = AtomicU64::new(0);
     Box::new(move |component, now, _, status| {
         let Some(version) = status.shard_map_version() else { return };
@@ -195,3 +195,6 @@
         }
     })
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/control-plane/src/planner/components/tests.rs
@@ -0,0 +1,51 @@
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::Component;
+use granitelb_coordination::counterfactual::{
+    CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
+};
+use granitelb_coordination::shard_growth::form::FormVersion;
+use granitelb_coordination::{Incarnation, PlannerId, Sender};
+
+use super::forget_samples_of_old_shard_maps;
+use crate::planner::component_status::ComponentStatus;
+use crate::planner::test_support::{FORWARDER, fleet_config};
+
+fn sampled_request(call: u64) -> SampledRequest {
+    SampledRequest {
+        call,
+        key: 1,
+        request_class: 0,
+        class: 0,
+        candidates: vec![1, 2, 3],
+        place: 0,
+        how: How::Hit,
+        took: 100,
+        slo: 500,
+        out: 0,
+        ago: 0,
+    }
+}
+
+#[test]
+fn counterfactual_component_forgets_its_samples_once_at_each_new_shard_map() {
+    let start = Time(1_000_000_000);
+    let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), start);
+    let status = ComponentStatus::new();
+    let exchange_status = forget_samples_of_old_shard_maps();
+    let fleet_config = fleet_config();
+    let samples_after = |planner: &mut PlannerComponent, first_call: u64, seconds: u64| {
+        let now = start + Span::from_millis(seconds * 1000);
+        let call = (first_call..).find(|call| is_sampled(*call)).expect("one of two is sampled");
+        let from = Sender { member: FORWARDER, incarnation: Incarnation(1), number: call };
+        let message = CounterfactualMessage::Seen(vec![sampled_request(call)]);
+        planner.on_message(now, from, message).expect("the message is valid");
+        exchange_status(planner, now, &fleet_config, &status);
+        planner.support()
+    };
+    assert_eq!(samples_after(&mut planner, 100, 1), 1, "shard growth has published nothing");
+    status.publish_shard_map_version(FormVersion(0));
+    assert_eq!(samples_after(&mut planner, 200, 2), 2, "shard growth has seen no new map");
+    status.publish_shard_map_version(FormVersion(7));
+    assert_eq!(samples_after(&mut planner, 300, 3), 0);
+    assert_eq!(samples_after(&mut planner, 400, 4), 1, "a new map is notified once");
+}
--- a/crates/control-plane/src/planner/mailbox.rs
+++ b/crates/control-plane/src/planner/mailbox.rs
@@ -157,3 +157,6 @@
         std::mem::take(&mut self.lock().shed_count)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/control-plane/src/planner/message_router/mod.rs
+++ b/crates/control-plane/src/planner/message_router/mod.rs
@@ -16,10 +16,13 @@
 mod sending;
 
 use std::collections::BTreeMap;
-use std::net::SocketAddrV4;
+use std::io;
+use std::net::{SocketAddrV4, UdpSocket as StdUdpSocket};
+use std::panic::AssertUnwindSafe;
 use std::sync::Arc;
 use std::time::Duration;
 
+use futures_util::FutureExt;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
 use granitelb_coordination::membership::Members;
@@ -46,6 +49,8 @@
 /// How often all members are checked for those that have become silent; doing so with each message would cost too much.
 const MEMBERSHIP_CHECK_INTERVAL: Span = Span::from_millis(100);
 const MIN_SLEEP: Span = Span::from_millis(1);
+/// The router is restarted this long after a panic.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 /// The task's name in the log.
 pub(super) const TASK_NAME: &str = "message_router";
 const MEMBERSHIP_TASK_NAME: &str = "members";
@@ -70,7 +75,8 @@
 /// What a router is created from.
 pub(super) struct RouterParts {
     pub(super) me: PlannerId,
-    pub(super) socket: UdpSocket,
+    /// A socket that does not block.
+    pub(super) socket: StdUdpSocket,
     pub(super) clock: Clock,
     pub(super) components: ComponentHandles,
     /// Gets a component whose call has timed out.
@@ -79,6 +85,28 @@
     pub(super) storage: StorageWriter,
 }
 
+/// Runs the router until [`RouterCommand::Shutdown`]. After a panic it continues as that of a new planner.
+pub(super) async fn run(parts: RouterParts, mut inbox: RouterInbox) {
+    let mut router = match MessageRouter::new(parts) {
+        Ok(router) => router,
+        Err(error) => {
+            log::error!(
+                event = "task_failed", task = TASK_NAME;
+                "messages can't be received: {error}. Raise the limit of descriptors."
+            );
+            return;
+        }
+    };
+    while AssertUnwindSafe(router.run(&mut inbox)).catch_unwind().await.is_err() {
+        log::error!(
+            event = "task_failed", task = TASK_NAME;
+            "the message router panicked and is restarted. Report the lines before this one."
+        );
+        sleep(RESTART_DELAY).await;
+        router.reset();
+    }
+}
+
 /// When membership is to be checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MembershipCheck {
@@ -87,7 +115,7 @@
 }
 
 /// The state of the router's task.
-pub(super) struct MessageRouter {
+struct MessageRouter {
     me: PlannerId,
     socket: UdpSocket,
     clock: Clock,
@@ -112,14 +140,18 @@
 
 impl MessageRouter {
     /// Creates the router. It has to be called in the runtime that is to run it.
-    pub(super) fn new(parts: RouterParts) -> MessageRouter {
+    ///
+    /// # Errors
+    /// The runtime can't poll the socket.
+    fn new(parts: RouterParts) -> io::Result<MessageRouter> {
         let RouterParts { me, socket, clock, components, timed_out_components, context, storage } = parts;
+        let socket = UdpSocket::from_std(socket)?;
         let now = clock.now();
         let incarnation = context.borrow().incarnation;
         let fleet_config = context.borrow().fleet_config.clone();
         let mut members = Members::new(Member::Planner(me), incarnation, now);
         members.set_planners(now, fleet_config.planners.keys().copied());
-        MessageRouter {
+        Ok(MessageRouter {
             me,
             socket,
             clock,
@@ -136,11 +168,11 @@
             metrics: MessageMetrics::default(),
             last_report_at: now,
             next_membership_check: now,
-        }
+        })
     }
 
     /// Runs until [`RouterCommand::Shutdown`].
-    pub(super) async fn run(&mut self, inbox: &mut RouterInbox) {
+    async fn run(&mut self, inbox: &mut RouterInbox) {
         loop {
             self.advance(MembershipCheck::WhenDue);
             let wake = sleep(self.time_to_wake());
--- a/crates/control-plane/src/planner/message_router/renewal.rs
+++ b/crates/control-plane/src/planner/message_router/renewal.rs
@@ -19,7 +19,7 @@
 
 impl MessageRouter {
     /// Resets the router after a panic: its last step and all commitments are void.
-    pub(in crate::planner) fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         let now = self.clock.now();
         self.blocked_message = None;
         self.members = Members::new(Member::Planner(self.me), self.incarnation, now);
--- a/crates/control-plane/src/planner/mod.rs
+++ b/crates/control-plane/src/planner/mod.rs
@@ -22,7 +22,7 @@
 mod signals;
 mod state_store;
 #[cfg(test)]
-mod tests;
+mod test_support;
 mod token_bucket;
 mod worker_threads;
 
--- a/crates/control-plane/src/planner/server.rs
+++ b/crates/control-plane/src/planner/server.rs
@@ -3,31 +3,27 @@
 //! Order of the shutdown: components end first and their last messages are sent; then the router ends; then the store's
 //! thread, whose last writer is dropped by then.
 
-use std::net::{SocketAddrV4, UdpSocket as StdUdpSocket};
-use std::panic::AssertUnwindSafe;
+use std::net::{SocketAddrV4, UdpSocket};
 use std::path::Path;
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use futures_util::FutureExt;
 use granitelb_coordination::component::Remediation;
 use granitelb_coordination::message::ComponentKind;
-use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
 use super::PlannerError;
 use super::component_status::ComponentStatus;
 use super::component_task::TaskHandles;
-use super::components::{ComponentHandles, ComponentSpawner};
-use super::message_router::{self, MessageRouter, RouterCommand, RouterInbox, RouterParts};
+use super::components::ComponentSpawner;
+use super::message_router::{self, RouterCommand, RouterInbox, RouterParts};
 use super::planner_config::PlannerConfig;
 use super::shared_context::SharedContext;
 use super::signals::{SignalRequest, Signals};
-use super::state_store::{self, PlannerStore};
+use super::state_store;
 use super::worker_threads::{ShutdownOutcome, WorkerThreads};
 use crate::clock::Clock;
-use crate::fault_injection::FaultInjection;
 use crate::fleet_config::FleetConfig;
 use crate::storage::StorageWriter;
 
@@ -36,8 +32,6 @@
 const COMMAND_CAPACITY: usize = 4;
 /// How long components, and then the router, may take to end in order.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// The router is restarted this long after a panic.
-const ROUTER_RESTART_DELAY: Duration = Duration::from_millis(100);
 /// The socket's receive buffer, as far as the system allows it: a fifth of a second of a flood of 50,000 messages a second,
 /// during which this process may get no core.
 const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
@@ -85,14 +79,8 @@
         let fault_injection = config.fault_injection.clone().unwrap_or_default();
         let clock = fault_injection.clock();
         let socket = bind_socket(config.listen)?;
-        let PlannerStore { writer: storage, thread: store_thread } = state_store::open(config)?;
-        let first_context = SharedContext {
-            incarnation: state_store::first_incarnation(&storage, clock).await?,
-            alive_members: Arc::from([]),
-            fleet_config: config.fleet_config.clone(),
-            generation: 0,
-            is_stopping: false,
-        };
+        let store = state_store::open(config)?;
+        let first_context = first_context(config, &store.writer, clock).await?;
         let (context, context_updates) = watch::channel(first_context);
         let (outgoing_sender, outgoing) = mpsc::channel(OUTGOING_CAPACITY);
         let (renewal_sender, renewal_requests) = mpsc::channel(1);
@@ -103,25 +91,32 @@
             context: context_updates,
             outgoing: outgoing_sender,
             renewal_requests: renewal_sender,
-            storage: storage.clone(),
+            storage: store.writer.clone(),
             clock,
         };
         let mut component_threads = WorkerThreads::new();
-        let components = spawn_components(config, handles, fault_injection, &mut component_threads)?;
-        let inbox = RouterInbox { outgoing, commands: command_receiver, renewal_requests };
-        let router = RouterStart {
-            config: config.clone(),
+        let spawner = ComponentSpawner { me: config.id, handles, fault_injection };
+        let components = spawner.spawn_all(&mut component_threads).map_err(PlannerError::SystemResources)?;
+        let parts = RouterParts {
+            me: config.id,
             socket,
             clock,
             components,
             timed_out_components: timed_out_sender,
             context,
-            storage,
+            storage: store.writer,
         };
+        let inbox = RouterInbox { outgoing, commands: command_receiver, renewal_requests };
         let mut router_thread = WorkerThreads::new();
-        let spawned = router_thread.spawn(message_router::TASK_NAME, router.run(inbox));
+        let spawned = router_thread.spawn(message_router::TASK_NAME, message_router::run(parts, inbox));
         spawned.map_err(PlannerError::SystemResources)?;
-        Ok(RunningPlanner { component_threads, router_thread, store_thread, commands, timed_out_components })
+        Ok(RunningPlanner {
+            component_threads,
+            router_thread,
+            store_thread: store.thread,
+            commands,
+            timed_out_components,
+        })
     }
 
     /// Handles signals until one asks to stop, or until the planner can no longer serve.
@@ -169,73 +164,30 @@
     }
 }
 
-fn spawn_components(
+/// The context of a process that starts.
+async fn first_context(
     config: &PlannerConfig,
-    handles: TaskHandles,
-    fault_injection: FaultInjection,
-    threads: &mut WorkerThreads,
-) -> Result<ComponentHandles, PlannerError> {
-    let spawner = ComponentSpawner { me: config.id, handles, fault_injection };
-    spawner.spawn_all(threads).map_err(PlannerError::SystemResources)
+    storage: &StorageWriter,
+    clock: Clock,
+) -> Result<SharedContext, PlannerError> {
+    Ok(SharedContext {
+        incarnation: state_store::first_incarnation(storage, clock).await?,
+        alive_members: Arc::from([]),
+        fleet_config: config.fleet_config.clone(),
+        generation: 0,
+        is_stopping: false,
+    })
 }
 
-fn bind_socket(address: SocketAddrV4) -> Result<StdUdpSocket, PlannerError> {
+fn bind_socket(address: SocketAddrV4) -> Result<UdpSocket, PlannerError> {
     let failed = |source| PlannerError::Bind { address, source };
-    let socket = StdUdpSocket::bind(address).map_err(failed)?;
+    let socket = UdpSocket::bind(address).map_err(failed)?;
     socket.set_nonblocking(true).map_err(failed)?;
     // The system may allow less (`net.core.rmem_max`), and less is sufficient.
     let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES);
     Ok(socket)
 }
 
-/// What the router's thread starts with. The router itself is created on that thread, in its runtime.
-struct RouterStart {
-    config: PlannerConfig,
-    socket: StdUdpSocket,
-    clock: Clock,
-    components: ComponentHandles,
-    timed_out_components: mpsc::Sender<ComponentKind>,
-    context: watch::Sender<SharedContext>,
-    storage: StorageWriter,
-}
-
-impl RouterStart {
-    async fn run(self, inbox: RouterInbox) {
-        let socket = match UdpSocket::from_std(self.socket) {
-            Ok(socket) => socket,
-            Err(error) => {
-                log::error!(
-                    event = "task_failed", task = message_router::TASK_NAME;
-                    "messages can't be received: {error}. Raise the limit of descriptors."
-                );
-                return;
-            }
-        };
-        let router = MessageRouter::new(RouterParts {
-            me: self.config.id,
-            socket,
-            clock: self.clock,
-            components: self.components,
-            timed_out_components: self.timed_out_components,
-            context: self.context,
-            storage: self.storage,
-        });
-        supervise_router(router, inbox).await;
-    }
-}
-
-/// Runs the router. After a panic it continues as that of a new planner.
-async fn supervise_router(mut router: MessageRouter, mut inbox: RouterInbox) {
-    while AssertUnwindSafe(router.run(&mut inbox)).catch_unwind().await.is_err() {
-        log::error!(
-            event = "task_failed", task = message_router::TASK_NAME;
-            "the message router panicked and is restarted. Report the lines before this one."
-        );
-        tokio::time::sleep(ROUTER_RESTART_DELAY).await;
-        router.reset();
-    }
-}
-
 /// Reads the files again, and returns the fleet's configuration to apply. A fault in either file changes nothing.
 fn reload(path: &Path, running: &mut PlannerConfig) -> Option<Arc<FleetConfig>> {
     let config = match PlannerConfig::load(path) {
--- a/crates/control-plane/src/planner/state_store.rs
+++ b/crates/control-plane/src/planner/state_store.rs
@@ -75,3 +75,6 @@
 pub(super) async fn store_incarnation(storage: &StorageWriter, incarnation: Incarnation) -> Result<(), Lost> {
     storage.keep(ComponentKind::Membership, incarnation.0.to_be_bytes().to_vec()).await
 }
+
+#[cfg(test)]
+mod tests;
