--- /dev/null
+++ b/crates/control-plane/tests/remediation.rs
@@ -0,0 +1,140 @@
+//! Every error of these crates has a sentence that tells an operator what to do.
+
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+use granitelb_control_plane::{config_error, planner, storage};
+use granitelb_coordination::component::Remediation;
+use granitelb_coordination::{Member, PlannerId};
+use granitelb_coordination::{counterfactual, endpoint_health, leases, membership, message, shard_growth};
+
+/// All values of an error type. The match in it fails to compile when a variant is added, which has to be added here as
+/// well.
+macro_rules! all {
+    ($type:ty: $($value:expr => $pattern:pat),+ $(,)?) => {{
+        let is_listed = |error: &$type| match error { $($pattern => ()),+ };
+        let errors: Vec<$type> = vec![$($value),+];
+        errors.iter().for_each(is_listed);
+        let named = |error| NamedError { type_name: stringify!($type), error: Box::new(error) };
+        errors.into_iter().map(named).collect::<Vec<_>>()
+    }};
+}
+
+struct NamedError {
+    type_name: &'static str,
+    error: Box<dyn Remediation>,
+}
+
+fn trouble() -> std::io::Error {
+    std::io::Error::other("trouble")
+}
+
+fn every_error() -> Vec<NamedError> {
+    use config_error::{ConfigError, ConfigErrorKind as File};
+    use counterfactual::CounterfactualError as Judged;
+    use endpoint_health::HealthError as Verdicts;
+    use leases::LeaseError as Leases;
+    use membership::MembershipError;
+    use message::EnvelopeError as Message;
+    use planner::{ComponentCreateError, PlannerError as Planner, RateLimitError};
+    use shard_growth::{GrowthError as Growth, SnapshotError};
+    use storage::StoreError as Store;
+    let address = "127.0.0.1:1".parse().expect("an address");
+    let file = || ConfigError { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
+    [
+        all!(Message:
+            Message::ShortSecret => Message::ShortSecret, Message::Stranger => Message::Stranger,
+            Message::OtherVersion(1) => Message::OtherVersion(_), Message::Forged => Message::Forged,
+            Message::UnknownKind(9) => Message::UnknownKind(_), Message::Unreadable => Message::Unreadable,
+            Message::TooLong(9) => Message::TooLong(_)),
+        all!(MembershipError:
+            MembershipError::Mine => MembershipError::Mine, MembershipError::OlderLife => MembershipError::OlderLife, MembershipError::Twice => MembershipError::Twice,
+            MembershipError::TooLate => MembershipError::TooLate, MembershipError::WasGone => MembershipError::WasGone, MembershipError::TooMany => MembershipError::TooMany,
+            MembershipError::NotItsWord => MembershipError::NotItsWord),
+        all!(File:
+            File::Unread(trouble()) => File::Unread(_), File::Form("x".into()) => File::Form(_),
+            File::Value { key: "k", what: "w".into() } => File::Value { .. }),
+        all!(Store:
+            Store::Folder { folder: "f".into(), why: trouble() } => Store::Folder { .. }, Store::InUse => Store::InUse,
+            Store::Torn("x".into()) => Store::Torn(_), Store::OtherVersion { found: 0 } => Store::OtherVersion { .. },
+            Store::Foreign { own: 1, what: "w".into() } => Store::Foreign { .. },
+            Store::Unwritten("x".into()) => Store::Unwritten(_),
+            Store::TakenAway { file: "f".into() } => Store::TakenAway { .. }, Store::Ended => Store::Ended),
+        all!(Planner:
+            Planner::Config(file()) => Planner::Config(_),
+            Planner::Bind { address: "127.0.0.1:1".parse().expect("an address"), source: trouble() } => Planner::Bind { .. },
+            Planner::Store(Store::InUse) => Planner::Store(_),
+            Planner::SystemResources(trouble()) => Planner::SystemResources(_),
+            Planner::ComponentTimedOut(message::ComponentKind::ShardGrowth) => Planner::ComponentTimedOut(_),
+            Planner::RouterStopped => Planner::RouterStopped),
+        all!(RateLimitError:
+            RateLimitError::Address(address) => RateLimitError::Address(_),
+            RateLimitError::UnknownAddresses(address) => RateLimitError::UnknownAddresses(_),
+            RateLimitError::Member(Member::Planner(PlannerId(1))) => RateLimitError::Member(_)),
+        all!(ComponentCreateError: ComponentCreateError::Disabled => ComponentCreateError::Disabled),
+        all!(ConfigError: file() => ConfigError { .. }),
+        all!(counterfactual::NoSupport: counterfactual::NoSupport => counterfactual::NoSupport),
+        all!(Verdicts:
+            Verdicts::Figure => Verdicts::Figure, Verdicts::Old => Verdicts::Old, Verdicts::TooMany => Verdicts::TooMany,
+            Verdicts::Part => Verdicts::Part, Verdicts::NotItsWord => Verdicts::NotItsWord),
+        all!(Leases:
+            Leases::Old => Leases::Old, Leases::TooMany => Leases::TooMany, Leases::Stranger => Leases::Stranger,
+            Leases::Unasked => Leases::Unasked, Leases::NotForUs => Leases::NotForUs, Leases::Nobody => Leases::Nobody,
+            Leases::Reserve => Leases::Reserve, Leases::Lengths => Leases::Lengths),
+        all!(Growth:
+            Growth::Stranger => Growth::Stranger, Growth::Nonsense => Growth::Nonsense, Growth::OldDay => Growth::OldDay,
+            Growth::Full => Growth::Full),
+        all!(SnapshotError:
+            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Torn => SnapshotError::Torn),
+        all!(Judged:
+            Judged::Figure => Judged::Figure, Judged::NotSampled => Judged::NotSampled,
+            Judged::WrongSide => Judged::WrongSide),
+    ]
+    .into_iter()
+    .flatten()
+    .collect()
+}
+
+#[test]
+fn every_error_has_a_description_and_a_remediation() {
+    for NamedError { type_name, error } in every_error() {
+        let (description, remediation) = (error.to_string(), error.remediation());
+        assert!(!description.is_empty() && !description.ends_with('.'), "{type_name}: {description:?}");
+        let is_sentence = remediation.len() > 10
+            && remediation.starts_with(char::is_uppercase)
+            && remediation.ends_with('.');
+        assert!(
+            is_sentence && remediation != description,
+            "{type_name}, {description}: {remediation:?} is no sentence to an operator"
+        );
+    }
+}
+
+/// The types above are as many as the sources declare.
+#[test]
+fn every_error_type_is_listed() {
+    let mut declared = Vec::new();
+    for folder in ["../coordination/src", "src"] {
+        find_error_types(&Path::new(env!("CARGO_MANIFEST_DIR")).join(folder), &mut declared);
+    }
+    let listed: BTreeSet<_> = every_error().into_iter().map(|named| named.type_name).collect();
+    assert_eq!(listed.len(), declared.len(), "listed: {listed:#?}, declared in: {declared:#?}");
+}
+
+/// Adds the files that declare an error type, each as often as it does.
+fn find_error_types(folder: &Path, declared: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("the folder is read").flatten() {
+        let path = entry.path();
+        if path.is_dir() {
+            find_error_types(&path, declared);
+            continue;
+        }
+        let text = std::fs::read_to_string(&path).expect("the source is read");
+        declared.extend(text.lines().filter(|line| declares_error(line)).map(|_| path.clone()));
+    }
+}
+
+fn declares_error(line: &str) -> bool {
+    let is_derived = line.trim().strip_prefix("#[derive(").is_some_and(|derive| derive.contains("Error)"));
+    is_derived || line.contains("Error for ") && line.contains("impl std::error::")
+}
