--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use granitelb_balancer::ids::EndpointId;
-use granitelb_coordination::endpoint_health::{HealthMessage, Part, Report, Seen};
+use granitelb_coordination::endpoint_health::{HealthMessage, Fragment, HealthReport, EndpointCounts};
 use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
 use granitelb_coordination::message::{Message, Secret, Secrets, seal};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender};
@@ -94,7 +94,7 @@
 }
 
 fn play_forwarders(forwarders: u64, planner: SocketAddr, started_at: Instant) -> Traffic {
-    let secrets = Secrets::one(Secret::new(&SECRET).expect("long enough"));
+    let secrets = Secrets::single(Secret::new(&SECRET).expect("long enough"));
     // A few sockets serve all forwarders: the planner answers to the address that a forwarder sent from.
     let sockets: Vec<_> = (0..SOCKETS).map(|_| connect(planner)).collect();
     let mut traffic = Traffic::default();
@@ -118,7 +118,7 @@
     let mut sent_bytes = 0;
     for (k, message) in messages.iter().enumerate() {
         let number = round * messages.len() as u64 + k as u64;
-        let sender = Sender { member, incarnation: Incarnation(1), number };
+        let sender = Sender { member, incarnation: Incarnation(1), sequence: number };
         let bytes = seal(sender, message, secrets).expect("the message is sealed");
         sent_bytes += socket.send(&bytes).unwrap_or(0);
     }
@@ -138,10 +138,10 @@
     let seen = |k: u64| {
         let cache = (n + round + 14 * k) % CACHES;
         let failed = f64::from(u8::from(cache == FAILING_CACHE));
-        Seen { cache: EndpointId(cache), answered: 1.0 - failed, failed, out: 0.0 }
+        EndpointCounts { endpoint: EndpointId(cache), answered: 1.0 - failed, failed, in_flight: 0.0 }
     };
     let caches = (0..REPORTED_CACHES).map(seen).collect();
-    let report = Report { number: round + 1, part: Part::WHOLE, caches };
+    let report = HealthReport { number: round + 1, fragment: Fragment::SINGLE, endpoints: caches };
     let needs = vec![Need { resource: Resource::Origin, amount: 500, using: round, heads: 1, has: 0 }];
     vec![
         Message::EndpointHealth(HealthMessage::Report(report)),
--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -10,7 +10,7 @@
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Time;
 use granitelb_coordination::component::{Component, Event};
-use granitelb_coordination::membership::Members;
+use granitelb_coordination::membership::Membership;
 use granitelb_coordination::message::{ComponentKind, Message};
 use granitelb_coordination::observation::Observation;
 use granitelb_coordination::{
@@ -54,7 +54,7 @@
     }
 
     fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
-        let health = self.advice(now);
+        let health = self.control_plane_update(now);
         update.failing = health.failing;
         update.answering = health.answering;
     }
@@ -200,7 +200,7 @@
 /// All components of one forwarder.
 pub(super) struct Components {
     forwarder: ForwarderId,
-    members: Members,
+    members: Membership,
     enabled: ComponentMap,
     /// Endpoints with a lease in the latest update.
     leased: Vec<EndpointId>,
@@ -216,7 +216,7 @@
         incarnation: Incarnation,
         now: Time,
     ) -> Components {
-        let mut members = Members::new(Member::Forwarder(forwarder), incarnation, now);
+        let mut members = Membership::new(Member::Forwarder(forwarder), incarnation, now);
         members.set_planners(now, config.planners.keys().copied());
         Components {
             forwarder,
@@ -230,7 +230,7 @@
     /// Continues with a new incarnation and new components. Which members are alive, and which of their messages were
     /// received before, stays known.
     pub fn restart(&mut self, config: &FleetConfig, incarnation: Incarnation, now: Time) {
-        self.members.renewed(incarnation);
+        self.members.renew(incarnation);
         self.members.set_planners(now, config.planners.keys().copied());
         self.enabled = enabled_components(config, self.forwarder, incarnation, now);
         if self.enabled.contains_key(&ComponentKind::Leases) {
@@ -251,7 +251,7 @@
 
     /// Processes a message whose signature was verified.
     pub fn on_message(&mut self, now: Time, from: Sender, message: Message) -> Result<(), RejectedMessage> {
-        self.members.take(now, from).map_err(RejectedMessage::Stale)?;
+        self.members.accept(now, from).map_err(RejectedMessage::Stale)?;
         self.update_membership(now);
         if let Message::Membership(message) = message {
             let result = self.members.on_message(now, from, message);
@@ -263,7 +263,7 @@
 
     /// Notifies all components if the set of live members has changed.
     pub fn update_membership(&mut self, now: Time) {
-        if let Some(alive) = self.members.changed(now) {
+        if let Some(alive) = self.members.poll_change(now) {
             self.notify_membership_change(now, &alive);
         }
     }
@@ -277,12 +277,12 @@
     /// Whether other members took this one for failed. It has to restart with a new incarnation, and nothing that was
     /// granted to the current one is valid any more.
     pub fn needs_restart(&self) -> bool {
-        self.members.must_be_new()
+        self.members.needs_new_incarnation()
     }
 
     /// The lowest incarnation with which this member may restart.
     pub fn min_incarnation(&self) -> Incarnation {
-        self.members.least_incarnation()
+        self.members.min_next_incarnation()
     }
 
     /// Prepares the last messages of all components. The event loop sends no more attempts.
@@ -295,7 +295,7 @@
     /// The next message to send, and its receiver.
     pub fn poll_message(&mut self, now: Time) -> Option<(Member, Message)> {
         let (to, message) = self.next_message(now)?;
-        self.members.sent(now, to);
+        self.members.on_message_sent(now, to);
         Some((to, message))
     }
 
--- a/crates/control-plane/src/agent/observations.rs
+++ b/crates/control-plane/src/agent/observations.rs
@@ -121,7 +121,7 @@
         self.release(sent.endpoint);
         let requested = sent.requested;
         Some(Observation::AttemptFinished(Box::new(FinishedAttempt {
-            call: sent.name_hash,
+            request_hash: sent.name_hash,
             number: result.number.0,
             key: requested.key,
             request_class: requested.request_class,
@@ -133,7 +133,7 @@
             outcome: result.outcome,
             latency: result.latency,
             bytes: if requested.write { sent.bytes } else { response_bytes },
-            out_then: in_flight_at_send,
+            in_flight_at_send: in_flight_at_send,
             slo: sent.slo,
         })))
     }
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -77,7 +77,7 @@
     let one = receive(&first, &before, |_| true);
     assert_eq!(one.member, Member::Forwarder(ForwarderId::of_name("n")));
     let two = receive(&first, &before, |sender| sender.incarnation > one.incarnation);
-    assert!(clock_calls.load(Ordering::Relaxed) > CLOCK_CALL_THAT_PANICS && two.number > one.number);
+    assert!(clock_calls.load(Ordering::Relaxed) > CLOCK_CALL_THAT_PANICS && two.sequence > one.sequence);
     // Other secrets and addresses keep the incarnation, so that what was granted to it stays valid.
     reload_handle.reload(after.clone());
     assert_eq!(receive(&second, &after, |_| true).incarnation, two.incarnation);
@@ -129,8 +129,8 @@
     record_sent(&mut assembler, 1);
     record_sent(&mut assembler, 2);
     let second = record_finished(&mut assembler, 2).expect("its start is known");
-    assert_eq!(second.call, 2);
-    assert_eq!(second.out_then, 1);
+    assert_eq!(second.request_hash, 2);
+    assert_eq!(second.in_flight_at_send, 1);
     assert_eq!(second.candidates, vec![ENDPOINT]);
     assert_eq!(second.bytes, 3);
     assert_eq!(record_finished(&mut assembler, 3), None, "its start was lost");
@@ -140,7 +140,7 @@
         record_sent(&mut assembler, n);
     }
     assert_eq!(record_finished(&mut assembler, 1), None);
-    assert!(record_finished(&mut assembler, 59_999).is_some_and(|finished| finished.out_then <= 16_384));
+    assert!(record_finished(&mut assembler, 59_999).is_some_and(|finished| finished.in_flight_at_send <= 16_384));
 }
 
 /// The rate that each lease of an update allows now.
@@ -191,7 +191,7 @@
         incarnation: Incarnation(incarnation),
         number,
     };
-    let heartbeat = || Message::Membership(MembershipMessage::Beat);
+    let heartbeat = || Message::Membership(MembershipMessage::Heartbeat);
     assert_eq!(components.on_message(now, sender(2, 1), heartbeat()), Ok(()));
     let mut metrics = AgentMetrics::default();
     for (incarnation, number) in [(2, 1), (1, 9)] {
--- a/crates/control-plane/src/agent/worker.rs
+++ b/crates/control-plane/src/agent/worker.rs
@@ -8,7 +8,7 @@
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Event;
-use granitelb_coordination::message::{self, MOST_BYTES};
+use granitelb_coordination::message::{self, MAX_DATAGRAM_BYTES};
 use granitelb_coordination::observation::Observation;
 use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender};
 
@@ -33,7 +33,7 @@
 /// The pause before a failed agent is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(1000);
 /// The space for a received datagram. One byte more than a message may have, so that a longer one is recognized.
-const RECEIVE_BUFFER_BYTES: usize = MOST_BYTES + 1;
+const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
 /// What outlives a restart of the agent.
 pub(super) struct Worker {
@@ -233,7 +233,7 @@
             let sender = Sender {
                 member: Member::Forwarder(self.forwarder),
                 incarnation: self.incarnation,
-                number: self.message_number,
+                sequence: self.message_number,
             };
             match message::seal(sender, &message, &self.config.secrets) {
                 Ok(datagram) => {
--- a/crates/control-plane/src/fleet_config/mod.rs
+++ b/crates/control-plane/src/fleet_config/mod.rs
@@ -86,7 +86,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let enabled = ComponentKind::ALL.into_iter().filter(|kind| self.enables(*kind));
         let names: Vec<_> = enabled.map(ComponentKind::name).collect();
-        let rotation = if self.secrets.old.is_some() { ", a former secret too" } else { "" };
+        let rotation = if self.secrets.previous.is_some() { ", a former secret too" } else { "" };
         write!(
             f,
             "{} planners, at most {} forwarders, {}{rotation}",
--- a/crates/control-plane/src/fleet_config/sections.rs
+++ b/crates/control-plane/src/fleet_config/sections.rs
@@ -96,7 +96,7 @@
 impl Default for ProbeSection {
     fn default() -> ProbeSection {
         let defaults = probe_scheduling::Settings::default();
-        ProbeSection { probes_per_window: defaults.wanted, window_ms: defaults.window.0 / 1000 }
+        ProbeSection { probes_per_window: defaults.target_probes, window_ms: defaults.window.0 / 1000 }
     }
 }
 
--- a/crates/control-plane/src/fleet_config/settings.rs
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -35,10 +35,10 @@
     pub fn health_settings(&self) -> endpoint_health::Settings {
         let turns = probe_scheduling::Settings {
             window: Span::from_millis(self.probes.window_ms),
-            wanted: self.probes.probes_per_window,
+            target_probes: self.probes.probes_per_window,
             ..probe_scheduling::Settings::default()
         };
-        endpoint_health::Settings { turns, ..endpoint_health::Settings::default() }
+        endpoint_health::Settings { probes: turns, ..endpoint_health::Settings::default() }
     }
 
     /// The settings of shard growth at a planner; `None` if it is disabled.
--- a/crates/control-plane/src/fleet_config/validation.rs
+++ b/crates/control-plane/src/fleet_config/validation.rs
@@ -56,7 +56,7 @@
         counterfactual.validate()?;
     }
     Ok(FleetConfig {
-        secrets: Secrets { new, old },
+        secrets: Secrets { current: new, previous: old },
         planners: planner_addresses(&file.planners)?,
         max_forwarders: file.max_forwarders,
         leases: file.leases,
--- a/crates/control-plane/src/planner/component_task/running.rs
+++ b/crates/control-plane/src/planner/component_task/running.rs
@@ -213,7 +213,7 @@
             return SnapshotState::Pending;
         }
         let kind = self.task.spec.kind;
-        let Err(lost) = self.task.handles.storage.keep(kind, snapshot.clone()).await else {
+        let Err(lost) = self.task.handles.storage.persist(kind, snapshot.clone()).await else {
             if self.is_store_failure_logged {
                 self.is_store_failure_logged = false;
                 log::info!(
@@ -227,7 +227,7 @@
             self.is_store_failure_logged = true;
             log::error!(
                 event = "snapshot_write_failed", task = kind.name();
-                "{kind}: {} No message of {kind} is sent until its state is stored.", lost.0
+                "{kind}: {lost}. {} No message of {kind} is sent until its state is stored.", lost.remediation()
             );
         }
         self.unsaved_snapshot = Some(snapshot);
--- a/crates/control-plane/src/planner/component_task/tests.rs
+++ b/crates/control-plane/src/planner/component_task/tests.rs
@@ -22,7 +22,7 @@
 use crate::planner::mailbox::Mailbox;
 use crate::planner::shared_context::SharedContext;
 use crate::planner::test_support::{FORWARDER, PLANNER, fleet_config, health_message, message_from};
-use crate::storage::{StateFile, StorageWriter, StoreError};
+use crate::storage::{StateFile, StorageWriter, StorageError};
 
 /// Panics at every third message. It sends how many messages it got since it was first created, and persists that.
 struct PanickingComponent {
@@ -35,7 +35,7 @@
     type Error = MembershipError;
 
     fn on_message(&mut self, _: Time, from: Sender, _: HealthMessage) -> Result<(), MembershipError> {
-        assert!(!from.number.is_multiple_of(3), "an intended panic");
+        assert!(!from.sequence.is_multiple_of(3), "an intended panic");
         self.received += 1;
         self.has_changed = true;
         Ok(())
@@ -116,7 +116,7 @@
     async fn next_count(&mut self) -> Option<u64> {
         let sent = timeout(Duration::from_millis(700), self.outgoing.recv()).await.ok()??;
         match sent.message {
-            Message::EndpointHealth(HealthMessage::Plan(plan)) => Some(plan.version.0),
+            Message::EndpointHealth(HealthMessage::Update(plan)) => Some(plan.version.0),
             _ => None,
         }
     }
@@ -163,7 +163,7 @@
     let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("store");
     let (storage, _) =
-        StorageWriter::start(open_state_file(&file), || Err(StoreError::Ended)).expect("the thread starts");
+        StorageWriter::start(open_state_file(&file), || Err(StorageError::WriterEnded)).expect("the thread starts");
     let mut fixture = TaskFixture::spawn(storage);
     for number in [1, 2, 3] {
         fixture.deliver(number);
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -101,7 +101,7 @@
     ComponentSpec {
         kind: ComponentKind::EndpointHealth,
         create: Box::new(move |context| {
-            let settings = context.fleet_config.verdicts();
+            let settings = context.fleet_config.health_settings();
             Ok(endpoint_health::PlannerComponent::new(settings, me, context.incarnation, context.now))
         }),
         wrap: Message::EndpointHealth,
@@ -119,7 +119,7 @@
     ComponentSpec {
         kind: ComponentKind::Leases,
         create: Box::new(move |context| {
-            let settings = context.fleet_config.leases().ok_or_else(disabled)?;
+            let settings = context.fleet_config.lease_settings().ok_or_else(disabled)?;
             Ok(leases::PlannerComponent::new(settings, me, context.incarnation, context.now))
         }),
         wrap: Message::Leases,
@@ -138,7 +138,7 @@
         kind: ComponentKind::ShardGrowth,
         create: Box::new(move |context| {
             let now = context.now;
-            let settings = context.fleet_config.growth().ok_or_else(disabled)?;
+            let settings = context.fleet_config.growth_settings().ok_or_else(disabled)?;
             // The process's clock is Unix time, so all planners are on the same accounting day, or soon will be.
             let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
             let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
@@ -158,7 +158,7 @@
             _ => None,
         },
         exchange_status: Some(Box::new(|component, now, fleet_config, status| {
-            let configured_per_s = fleet_config.growth.as_ref().and_then(|growth| growth.spare_per_s);
+            let configured_per_s = fleet_config.shard_growth.as_ref().and_then(|growth| growth.spare_fetches_per_s);
             component.fleet(status.fleet(now, fleet_config.leases.is_some(), configured_per_s));
             status.publish_shard_map_version(component.new_table());
         })),
@@ -169,7 +169,7 @@
     ComponentSpec {
         kind: ComponentKind::Counterfactual,
         create: Box::new(move |context| {
-            let settings = context.fleet_config.hindsight().ok_or_else(disabled)?;
+            let settings = context.fleet_config.counterfactual_settings().ok_or_else(disabled)?;
             Ok(counterfactual::PlannerComponent::new(settings, me, context.incarnation, context.now))
         }),
         wrap: Message::Counterfactual,
--- a/crates/control-plane/src/planner/components/tests.rs
+++ b/crates/control-plane/src/planner/components/tests.rs
@@ -36,7 +36,7 @@
     let samples_after = |planner: &mut PlannerComponent, first_call: u64, seconds: u64| {
         let now = start + Span::from_millis(seconds * 1000);
         let call = (first_call..).find(|call| is_sampled(*call)).expect("one of two is sampled");
-        let from = Sender { member: FORWARDER, incarnation: Incarnation(1), number: call };
+        let from = Sender { member: FORWARDER, incarnation: Incarnation(1), sequence: call };
         let message = CounterfactualMessage::Seen(vec![sampled_request(call)]);
         planner.on_message(now, from, message).expect("the message is valid");
         exchange_status(planner, now, &fleet_config, &status);
--- a/crates/control-plane/src/planner/error.rs
+++ b/crates/control-plane/src/planner/error.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use crate::config_error::ConfigError;
-use crate::storage::StoreError;
+use crate::storage::StorageError;
 
 /// Why a planner can't serve.
 #[derive(Debug, Error)]
@@ -26,7 +26,7 @@
     },
     /// Its store can't be used.
     #[error("{0}")]
-    Store(#[from] StoreError),
+    Store(#[from] StorageError),
     /// The system provides no threads, descriptors or signal handlers.
     #[error("the system provides no threads or signal handlers: {0}")]
     SystemResources(io::Error),
--- a/crates/control-plane/src/planner/mailbox/tests.rs
+++ b/crates/control-plane/src/planner/mailbox/tests.rs
@@ -15,12 +15,12 @@
             pushed += 1;
             let member = if *is_observation { FORWARDER } else { PLANNER };
             if let Err(MailboxFull(full)) = mailbox.push(message_from(member, number as u64)) {
-                blocked = Some(full.sender.number);
+                blocked = Some(full.sender.sequence);
                 break;
             }
         }
         let received: Vec<_> =
-            std::iter::from_fn(|| mailbox.try_receive()).map(|received| received.sender.number).collect();
+            std::iter::from_fn(|| mailbox.try_receive()).map(|received| received.sender.sequence).collect();
         prop_assert!(received.is_sorted() && received.len() <= capacity);
         let accepted = (0..pushed as u64).filter(|n| Some(*n) != blocked);
         let (commands, observed): (Vec<_>, Vec<_>) = accepted.partition(|n| !observations[*n as usize]);
--- a/crates/control-plane/src/planner/message_router/mod.rs
+++ b/crates/control-plane/src/planner/message_router/mod.rs
@@ -25,7 +25,7 @@
 use futures_util::FutureExt;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
-use granitelb_coordination::membership::Members;
+use granitelb_coordination::membership::Membership;
 use granitelb_coordination::message::{ComponentKind, Message};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId};
 use tokio::net::UdpSocket;
@@ -119,7 +119,7 @@
     me: PlannerId,
     socket: UdpSocket,
     clock: Clock,
-    members: Members,
+    members: Membership,
     incarnation: Incarnation,
     /// The number of the last message that was sent.
     last_number: u64,
@@ -149,7 +149,7 @@
         let now = clock.now();
         let incarnation = context.borrow().incarnation;
         let fleet_config = context.borrow().fleet_config.clone();
-        let mut members = Members::new(Member::Planner(me), incarnation, now);
+        let mut members = Membership::new(Member::Planner(me), incarnation, now);
         members.set_planners(now, fleet_config.planners.keys().copied());
         Ok(MessageRouter {
             me,
@@ -226,7 +226,7 @@
         if check == MembershipCheck::Immediate || self.next_membership_check <= now {
             self.check_membership(now);
         }
-        if self.members.must_be_new() {
+        if self.members.needs_new_incarnation() {
             self.renew();
         }
         while let Some(event) = self.members.poll_event() {
@@ -246,7 +246,7 @@
 
     fn check_membership(&mut self, now: Time) {
         self.next_membership_check = now + MEMBERSHIP_CHECK_INTERVAL;
-        let changed = self.members.changed(now);
+        let changed = self.members.poll_change(now);
         self.check_components(now);
         let Some(alive) = changed else { return };
         self.forwarder_addresses.retain(|id, _| alive.binary_search(&Member::Forwarder(*id)).is_ok());
--- a/crates/control-plane/src/planner/message_router/receiving.rs
+++ b/crates/control-plane/src/planner/message_router/receiving.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use granitelb_coordination::component::Component;
-use granitelb_coordination::membership::MembershipError;
-use granitelb_coordination::message::{self, MOST_BYTES, Message};
+use granitelb_coordination::membership::{Acceptance, MembershipError};
+use granitelb_coordination::message::{self, MAX_DATAGRAM_BYTES, Message};
 use granitelb_coordination::{Member, Sender};
 
 use super::{BATCH_SIZE, MembershipCheck, MessageRouter};
@@ -16,7 +16,7 @@
     /// Reads what the socket has, without waiting, until a message has to wait for its mailbox.
     pub(super) fn read_socket(&mut self) {
         // One byte more than a message has, so that a longer datagram is recognized.
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..BATCH_SIZE {
             if self.blocked_message.is_some() {
                 return;
@@ -77,15 +77,15 @@
     /// Has membership check the sender and the message's number, and returns whether the message counts.
     fn admit_sender(&mut self, sender: Sender, from: SocketAddr) -> bool {
         let now = self.clock.now();
-        let admission = self.members.take(now, sender);
+        let admission = self.members.accept(now, sender);
         // The address of a member that was taken for dead is needed to notify it of that.
-        if matches!(admission, Ok(_) | Err(MembershipError::WasGone)) {
+        if matches!(admission, Ok(_) | Err(MembershipError::DeclaredFailed)) {
             self.remember_address(sender.member, from);
         }
         let is_new_member = match admission {
-            Ok(is_new_member) => is_new_member,
+            Ok(acceptance) => acceptance == Acceptance::Joined,
             Err(error) => {
-                if error == MembershipError::OlderLife {
+                if error == MembershipError::StaleIncarnation {
                     self.notify_succeeded(sender, from);
                 }
                 self.metrics.count_membership_error(error);
@@ -109,7 +109,7 @@
     /// Notifies a sender of an older incarnation that a newer one has been heard.
     fn notify_succeeded(&mut self, sender: Sender, from: SocketAddr) {
         let now = self.clock.now();
-        if let Some(message) = self.members.tell_succeeded(now, sender) {
+        if let Some(message) = self.members.superseded_notice(now, sender) {
             self.send_to_address(from, &Message::Membership(message));
         }
     }
@@ -117,7 +117,7 @@
     /// Puts a message into its component's mailbox, or blocks reading until there is room for it.
     fn deliver(&mut self, received: ReceivedMessage) {
         let kind = received.message.kind();
-        let is_enabled = self.fleet_config().has(kind);
+        let is_enabled = self.fleet_config().enables(kind);
         let Some(component) = self.components.get(&kind).filter(|_| is_enabled) else {
             self.metrics.count_disabled_component(kind);
             return;
--- a/crates/control-plane/src/planner/message_router/renewal.rs
+++ b/crates/control-plane/src/planner/message_router/renewal.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use granitelb_coordination::membership::Members;
+use granitelb_coordination::component::Remediation;
+use granitelb_coordination::membership::Membership;
 use granitelb_coordination::{Incarnation, Member};
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -22,7 +23,7 @@
     pub(super) fn reset(&mut self) {
         let now = self.clock.now();
         self.blocked_message = None;
-        self.members = Members::new(Member::Planner(self.me), self.incarnation, now);
+        self.members = Membership::new(Member::Planner(self.me), self.incarnation, now);
         let fleet_config = self.fleet_config();
         self.members.set_planners(now, fleet_config.planners.keys().copied());
         self.renew();
@@ -30,9 +31,9 @@
 
     /// Continues under a greater incarnation, with all components recreated.
     pub(super) fn renew(&mut self) {
-        let incarnation = Incarnation(self.clock.now().0).max(self.members.least_incarnation());
+        let incarnation = Incarnation(self.clock.now().0).max(self.members.min_next_incarnation());
         self.incarnation = incarnation;
-        self.members.renewed(incarnation);
+        self.members.renew(incarnation);
         log::warn!(
             event = "incarnation_changed", incarnation = incarnation.0;
             "continues as a new planner, under incarnation {}", incarnation.0
@@ -47,7 +48,7 @@
 
     /// Applies a new configuration of the fleet.
     pub(super) fn reload(&mut self, fleet_config: Arc<FleetConfig>) {
-        let has_other_decisions = !fleet_config.decides_as(&self.fleet_config());
+        let has_other_decisions = !fleet_config.decides_like(&self.fleet_config());
         self.members.set_planners(self.clock.now(), fleet_config.planners.keys().copied());
         self.context.send_modify(|context| context.fleet_config = fleet_config);
         if has_other_decisions {
@@ -82,9 +83,9 @@
             is_failure_logged = true;
             log::error!(
                 event = "snapshot_write_failed", task = MEMBERSHIP_TASK_NAME;
-                "incarnation {}: {} Until it is stored, a restart with a clock that was set back may use a lesser one, and \
+                "incarnation {}: {lost}. {} Until it is stored, a restart with a clock that was set back may use a lesser one, and \
                  be rejected.",
-                incarnation.0, lost.0
+                incarnation.0, lost.remediation()
             );
         }
         sleep(STORE_RETRY_INTERVAL).await;
--- a/crates/control-plane/src/planner/message_router/sending.rs
+++ b/crates/control-plane/src/planner/message_router/sending.rs
@@ -45,7 +45,7 @@
             return;
         };
         if self.send_to_address(SocketAddr::V4(address), message) {
-            self.members.sent(self.clock.now(), to);
+            self.members.on_message_sent(self.clock.now(), to);
         }
     }
 
@@ -56,7 +56,7 @@
         let sender = Sender {
             member: Member::Planner(self.me),
             incarnation: self.incarnation,
-            number: self.last_number,
+            sequence: self.last_number,
         };
         let bytes = match message::seal(sender, message, &fleet_config.secrets) {
             Ok(bytes) => bytes,
--- a/crates/control-plane/src/planner/metrics.rs
+++ b/crates/control-plane/src/planner/metrics.rs
@@ -34,13 +34,13 @@
 /// The stable name under which the log counts an error of membership.
 pub(super) fn membership_error_name(error: MembershipError) -> &'static str {
     match error {
-        MembershipError::Mine => "own_name",
-        MembershipError::OlderLife => "older_life",
-        MembershipError::Twice => "twice",
-        MembershipError::TooLate => "too_late",
-        MembershipError::WasGone => "was_gone",
-        MembershipError::TooMany => "too_many",
-        MembershipError::NotItsWord => "not_its_word",
+        MembershipError::OwnName => "own_name",
+        MembershipError::StaleIncarnation => "older_life",
+        MembershipError::Duplicate => "twice",
+        MembershipError::TooOld => "too_late",
+        MembershipError::DeclaredFailed => "was_gone",
+        MembershipError::CapacityExceeded => "too_many",
+        MembershipError::UnauthorizedSender => "not_its_word",
     }
 }
 
--- a/crates/control-plane/src/planner/planner_config.rs
+++ b/crates/control-plane/src/planner/planner_config.rs
@@ -48,9 +48,9 @@
     /// The first fault of either file, by file, line and key.
     pub fn load(path: &Path) -> Result<PlannerConfig, ConfigError> {
         let source = ConfigSource::load(path)?;
-        let file: PlannerFile = source.read()?;
-        let fleet_config = FleetConfig::load(&source.beside(&file.fleet_config))?;
-        file.validate(&source, fleet_config).map_err(|invalid| source.wrong(invalid))
+        let file: PlannerFile = source.parse()?;
+        let fleet_config = FleetConfig::load(&source.resolve(&file.fleet_config))?;
+        file.validate(&source, fleet_config).map_err(|invalid| source.locate(invalid))
     }
 
     /// The keys that differ from the running configuration and need a restart to apply.
@@ -88,18 +88,18 @@
             Some(SocketAddr::V4(listen)) => listen,
             Some(other) => return Err(InvalidValue::new("listen", format!("{other} is not of IPv4"))),
         };
-        if fleet_config.growth.is_some() && self.state_folder.is_none() {
+        if fleet_config.shard_growth.is_some() && self.state_folder.is_none() {
             // Votes must survive a restart, or two shard maps could be agreed on.
             let what = "growth is on, and needs a folder to keep what was agreed on";
             return Err(InvalidValue::new("state", what));
         }
         if let Some(fault_injection) = &self.fault_injection {
-            fault_injection.check()?;
+            fault_injection.validate()?;
         }
         Ok(PlannerConfig {
             id,
             fleet_config: Arc::new(fleet_config),
-            state_folder: self.state_folder.map(|folder| source.beside(&folder)),
+            state_folder: self.state_folder.map(|folder| source.resolve(&folder)),
             listen,
             fault_injection: self.fault_injection,
         })
--- a/crates/control-plane/src/planner/state_store.rs
+++ b/crates/control-plane/src/planner/state_store.rs
@@ -9,7 +9,7 @@
 use super::PlannerError;
 use super::planner_config::PlannerConfig;
 use crate::clock::Clock;
-use crate::storage::{self, Lost, Opened, StorageWriter, StoreError};
+use crate::storage::{self, OpenedStorage, PersistError, RejectedFile, StorageError, StorageWriter};
 
 /// The store of a running planner.
 pub(super) struct PlannerStore {
@@ -24,7 +24,7 @@
 /// The store can't be used, or the system provides no thread.
 pub(super) fn open(config: &PlannerConfig) -> Result<PlannerStore, PlannerError> {
     let Some(folder) = &config.state_folder else {
-        return Ok(PlannerStore { writer: StorageWriter::none(), thread: None });
+        return Ok(PlannerStore { writer: StorageWriter::disabled(), thread: None });
     };
     let opened = storage::open(folder, config.id)?;
     log_refused_store(&opened, "this planner starts without state");
@@ -34,15 +34,15 @@
     let reopen = move || {
         let opened = storage::open(&folder, id)?;
         log_refused_store(&opened, "all that was stored goes into a new one");
-        Ok(opened.shelf)
+        Ok(opened.state_file)
     };
-    let started = StorageWriter::start_at(Some(opened.file), opened.shelf, reopen);
+    let started = StorageWriter::start_at(Some(opened.path), opened.state_file, reopen);
     let (writer, thread) = started.map_err(PlannerError::SystemResources)?;
     Ok(PlannerStore { writer, thread: Some(thread) })
 }
 
-fn log_refused_store(opened: &Opened, consequence: &str) {
-    let Some((error, aside)) = &opened.refused else { return };
+fn log_refused_store(opened: &OpenedStorage, consequence: &str) {
+    let Some(RejectedFile { error, moved_to: aside }) = &opened.rejected else { return };
     let aside = aside.display().to_string();
     log::error!(
         event = "store_refused", aside = aside.as_str();
@@ -64,7 +64,7 @@
     let stored = storage.read(ComponentKind::Membership).await?;
     let last_incarnation = stored.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_be_bytes);
     let incarnation = Incarnation(clock.now().0.max(last_incarnation + 1));
-    store_incarnation(storage, incarnation).await.map_err(|lost| StoreError::Unwritten(lost.0))?;
+    store_incarnation(storage, incarnation).await.map_err(|lost| StorageError::WriteFailed(lost.to_string()))?;
     Ok(incarnation)
 }
 
@@ -72,8 +72,8 @@
 ///
 /// # Errors
 /// It is not durable.
-pub(super) async fn store_incarnation(storage: &StorageWriter, incarnation: Incarnation) -> Result<(), Lost> {
-    storage.keep(ComponentKind::Membership, incarnation.0.to_be_bytes().to_vec()).await
+pub(super) async fn store_incarnation(storage: &StorageWriter, incarnation: Incarnation) -> Result<(), PersistError> {
+    storage.persist(ComponentKind::Membership, incarnation.0.to_be_bytes().to_vec()).await
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/planner/test_support.rs
+++ b/crates/control-plane/src/planner/test_support.rs
@@ -1,6 +1,6 @@
 //! What several unit tests of the planner use.
 
-use granitelb_coordination::endpoint_health::{HealthMessage, Part, Plan};
+use granitelb_coordination::endpoint_health::{HealthMessage, Fragment, HealthUpdate};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender, Version};
 
@@ -12,23 +12,23 @@
 pub(super) const PLANNER: Member = Member::Planner(PlannerId(2));
 
 pub(super) fn health_message(number: u64) -> HealthMessage {
-    HealthMessage::Plan(Plan {
+    HealthMessage::Update(HealthUpdate {
         version: Version(number),
-        part: Part::WHOLE,
+        fragment: Fragment::SINGLE,
         forwarders: 0,
-        verdicts: Vec::new(),
+        statuses: Vec::new(),
     })
 }
 
 pub(super) fn message_from(member: Member, number: u64) -> ReceivedMessage {
     ReceivedMessage {
-        sender: Sender { member, incarnation: Incarnation(1), number },
+        sender: Sender { member, incarnation: Incarnation(1), sequence: number },
         message: Message::EndpointHealth(health_message(number)),
     }
 }
 
 pub(super) fn fleet_config() -> FleetConfig {
     let text = "secret = \"000102030405060708090a0b0c0d0e0f\"\nforwarders = 1\n[[planner]]\nnumber = 1\nletters = \"127.0.0.1:1\"";
-    let source = ConfigSource { file: "operator.toml".into(), text: text.into() };
-    FleetConfig::read(&source).expect("the configuration is valid")
+    let source = ConfigSource { path: "operator.toml".into(), text: text.into() };
+    FleetConfig::parse(&source).expect("the configuration is valid")
 }
--- a/crates/control-plane/tests/counterfactual.rs
+++ b/crates/control-plane/tests/counterfactual.rs
@@ -56,7 +56,7 @@
         outcome: AttemptOutcome::Fulfilled,
         latency: BASE_LATENCY + noise + extra_latency,
         bytes: 1000,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: SLO,
     }
 }
--- a/crates/control-plane/tests/main.rs
+++ b/crates/control-plane/tests/main.rs
@@ -8,8 +8,8 @@
 mod remediation;
 mod shard_growth;
 mod stale_planners;
-mod store;
-mod store_format;
+mod storage;
+mod storage_format;
 mod support;
 
 /// A file that is not a module here would not be run.
--- a/crates/control-plane/tests/planner_process.rs
+++ b/crates/control-plane/tests/planner_process.rs
@@ -14,7 +14,7 @@
 
 use crate::support::{Fleet, Forwarder, OTHER_SECRET, SECRET, run_check};
 
-const HEARTBEAT: Message = Message::Membership(MembershipMessage::Beat);
+const HEARTBEAT: Message = Message::Membership(MembershipMessage::Heartbeat);
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn send_heartbeat(forwarder: &mut Forwarder, to: SocketAddr) {
@@ -130,7 +130,7 @@
         send_heartbeat(&mut forwarder, fleet.addresses[0]);
         let mut messages = receive_all(&forwarder, Duration::from_millis(100)).take(8);
         let is_notice =
-            |message| matches!(message, Message::Membership(MembershipMessage::YouWereGone { .. }));
+            |message| matches!(message, Message::Membership(MembershipMessage::DeclaredFailed { .. }));
         if messages.any(|(_, message)| is_notice(message)) {
             return;
         }
--- a/crates/control-plane/tests/remediation.rs
+++ b/crates/control-plane/tests/remediation.rs
@@ -25,6 +25,10 @@
     error: Box<dyn Remediation>,
 }
 
+fn syntax_error() -> Box<toml::de::Error> {
+    Box::new(serde::de::Error::custom("x"))
+}
+
 fn trouble() -> std::io::Error {
     std::io::Error::other("trouble")
 }
@@ -38,28 +42,29 @@
     use message::EnvelopeError as Message;
     use planner::{ComponentCreateError, PlannerError as Planner, RateLimitError};
     use shard_growth::{GrowthError as Growth, SnapshotError};
-    use storage::StoreError as Store;
+    use storage::{PersistError, StorageError as Store};
     let address = "127.0.0.1:1".parse().expect("an address");
-    let file = || ConfigError { file: "f".into(), line: Some(1), fault: File::Form("x".into()) };
+    let file = || ConfigError { path: "f".into(), line: Some(1), kind: File::Syntax(syntax_error()) };
     [
         all!(Message:
-            Message::ShortSecret => Message::ShortSecret, Message::Stranger => Message::Stranger,
-            Message::OtherVersion(1) => Message::OtherVersion(_), Message::Forged => Message::Forged,
-            Message::UnknownKind(9) => Message::UnknownKind(_), Message::Unreadable => Message::Unreadable,
+            Message::ShortSecret => Message::ShortSecret, Message::UnknownProtocol => Message::UnknownProtocol,
+            Message::UnsupportedVersion(1) => Message::UnsupportedVersion(_), Message::InvalidSignature => Message::InvalidSignature,
+            Message::UnknownKind(9) => Message::UnknownKind(_), Message::Malformed => Message::Malformed,
             Message::TooLong(9) => Message::TooLong(_)),
         all!(MembershipError:
-            MembershipError::Mine => MembershipError::Mine, MembershipError::OlderLife => MembershipError::OlderLife, MembershipError::Twice => MembershipError::Twice,
-            MembershipError::TooLate => MembershipError::TooLate, MembershipError::WasGone => MembershipError::WasGone, MembershipError::TooMany => MembershipError::TooMany,
-            MembershipError::NotItsWord => MembershipError::NotItsWord),
+            MembershipError::OwnName => MembershipError::OwnName, MembershipError::StaleIncarnation => MembershipError::StaleIncarnation, MembershipError::Duplicate => MembershipError::Duplicate,
+            MembershipError::TooOld => MembershipError::TooOld, MembershipError::DeclaredFailed => MembershipError::DeclaredFailed, MembershipError::CapacityExceeded => MembershipError::CapacityExceeded,
+            MembershipError::UnauthorizedSender => MembershipError::UnauthorizedSender),
         all!(File:
-            File::Unread(trouble()) => File::Unread(_), File::Form("x".into()) => File::Form(_),
-            File::Value { key: "k", what: "w".into() } => File::Value { .. }),
+            File::Unreadable(trouble()) => File::Unreadable(_), File::Syntax(syntax_error()) => File::Syntax(_),
+            File::Value { key: "k", reason: "w".into() } => File::Value { .. }),
         all!(Store:
-            Store::Folder { folder: "f".into(), why: trouble() } => Store::Folder { .. }, Store::InUse => Store::InUse,
-            Store::Torn("x".into()) => Store::Torn(_), Store::OtherVersion { found: 0 } => Store::OtherVersion { .. },
-            Store::Foreign { own: 1, what: "w".into() } => Store::Foreign { .. },
-            Store::Unwritten("x".into()) => Store::Unwritten(_),
-            Store::TakenAway { file: "f".into() } => Store::TakenAway { .. }, Store::Ended => Store::Ended),
+            Store::Directory { path: "f".into(), cause: trouble() } => Store::Directory { .. }, Store::InUse => Store::InUse,
+            Store::Corrupt("x".into()) => Store::Corrupt(_), Store::UnsupportedVersion { found: 0 } => Store::UnsupportedVersion { .. },
+            Store::WrongOwner { own: 1, reason: "w".into() } => Store::WrongOwner { .. },
+            Store::WriteFailed("x".into()) => Store::WriteFailed(_),
+            Store::Removed { path: "f".into() } => Store::Removed { .. }, Store::WriterEnded => Store::WriterEnded),
+        all!(PersistError: PersistError::from(Store::InUse) => _),
         all!(Planner:
             Planner::Config(file()) => Planner::Config(_),
             Planner::Bind { address: "127.0.0.1:1".parse().expect("an address"), source: trouble() } => Planner::Bind { .. },
@@ -75,8 +80,8 @@
         all!(ConfigError: file() => ConfigError { .. }),
         all!(counterfactual::NoSupport: counterfactual::NoSupport => counterfactual::NoSupport),
         all!(Verdicts:
-            Verdicts::Figure => Verdicts::Figure, Verdicts::Old => Verdicts::Old, Verdicts::TooMany => Verdicts::TooMany,
-            Verdicts::Part => Verdicts::Part, Verdicts::NotItsWord => Verdicts::NotItsWord),
+            Verdicts::InvalidFigure => Verdicts::InvalidFigure, Verdicts::Stale => Verdicts::Stale, Verdicts::CapacityExceeded => Verdicts::CapacityExceeded,
+            Verdicts::InvalidFragment => Verdicts::InvalidFragment, Verdicts::UnauthorizedSender => Verdicts::UnauthorizedSender),
         all!(Leases:
             Leases::Old => Leases::Old, Leases::TooMany => Leases::TooMany, Leases::Stranger => Leases::Stranger,
             Leases::Unasked => Leases::Unasked, Leases::NotForUs => Leases::NotForUs, Leases::Nobody => Leases::Nobody,
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -74,11 +74,11 @@
 }
 
 fn planner(number: u8, incarnation: u64) -> Sender {
-    Sender { member: Member::Planner(PlannerId(number)), incarnation: Incarnation(incarnation), number: 1 }
+    Sender { member: Member::Planner(PlannerId(number)), incarnation: Incarnation(incarnation), sequence: 1 }
 }
 
 fn forwarder() -> Sender {
-    Sender { member: Member::Forwarder(ForwarderId(77)), incarnation: Incarnation(1), number: 1 }
+    Sender { member: Member::Forwarder(ForwarderId(77)), incarnation: Incarnation(1), sequence: 1 }
 }
 
 /// Shard growth at this planner of three, restored from a snapshot.
@@ -269,7 +269,7 @@
         NOW,
     );
     let report =
-        endpoint_health::Report { number: 1, part: endpoint_health::Part::WHOLE, caches: Vec::new() };
+        endpoint_health::HealthReport { number: 1, fragment: endpoint_health::Fragment::SINGLE, endpoints: Vec::new() };
     health
         .on_message(NOW, forwarder(), endpoint_health::HealthMessage::Report(report))
         .expect("it is accepted");
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -16,7 +16,7 @@
 use granitelb_control_plane::storage::StateFile;
 use granitelb_coordination::component::Component;
 use granitelb_coordination::leases::LeaseMessage;
-use granitelb_coordination::membership::Members;
+use granitelb_coordination::membership::Membership;
 use granitelb_coordination::message::{self, ComponentKind, Message};
 use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
 use granitelb_coordination::shard_growth::agree::Kept;
@@ -93,7 +93,7 @@
     socket: UdpSocket,
     me: Member,
     last_number: u64,
-    members: Members,
+    members: Membership,
     growth: ForwarderComponent,
 }
 
@@ -102,9 +102,9 @@
         let now = now();
         let id = ForwarderId(n as u64);
         let incarnation = Incarnation(now.0);
-        let mut members = Members::new(Member::Forwarder(id), incarnation, now);
+        let mut members = Membership::new(Member::Forwarder(id), incarnation, now);
         members.set_planners(now, (1..=PLANNERS as u8).map(PlannerId));
-        let settings = fleet_config.growth_seen().expect("shard growth is configured");
+        let settings = fleet_config.growth_forwarder_settings().expect("shard growth is configured");
         let mut growth = ForwarderComponent::new(settings, id, incarnation, now);
         let endpoint = |cache| ObservedEndpoint {
             cache: EndpointId(cache),
@@ -121,7 +121,7 @@
     fn send(&mut self, to: SocketAddr, message: &Message, copies: usize) {
         self.last_number += 1;
         let incarnation = self.members.incarnation();
-        let sender = Sender { member: self.me, incarnation, number: self.last_number };
+        let sender = Sender { member: self.me, incarnation, sequence: self.last_number };
         let bytes = message::seal(sender, message, &secrets(SECRET)).expect("the message is sealed");
         for _ in 0..copies {
             let _ = self.socket.send_to(&bytes, to);
@@ -130,7 +130,7 @@
 
     /// Processes a message of a planner. One that membership or the component rejects does not count.
     fn on_message(&mut self, now: Time, from: Sender, message: Message) {
-        if self.members.take(now, from).is_err() {
+        if self.members.accept(now, from).is_err() {
             return;
         }
         match message {
@@ -141,10 +141,10 @@
     }
 
     fn update_membership(&mut self, now: Time) {
-        if self.members.must_be_new() {
-            self.members.renewed(Incarnation(now.0));
+        if self.members.needs_new_incarnation() {
+            self.members.renew(Incarnation(now.0));
         }
-        if let Some(alive) = self.members.changed(now) {
+        if let Some(alive) = self.members.poll_change(now) {
             self.growth.on_membership_change(now, &alive);
         }
     }
@@ -158,7 +158,7 @@
             (to, Message::Membership(message))
         };
         let Member::Planner(planner) = to else { return None };
-        self.members.sent(now, to);
+        self.members.on_message_sent(now, to);
         Some((planner, message))
     }
 
@@ -457,7 +457,7 @@
         outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(5),
         bytes: VALUE_BYTES as u32,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(500),
     }
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -44,7 +44,7 @@
 }
 
 pub fn secrets(hex: &str) -> Secrets {
-    Secrets::one(Secret::new(&hex::decode(hex).expect("hexadecimal")).expect("long enough"))
+    Secrets::single(Secret::new(&hex::decode(hex).expect("hexadecimal")).expect("long enough"))
 }
 
 /// A folder with the files of a fleet, whose planners listen on free ports.
@@ -202,7 +202,7 @@
 
     pub fn seal(&mut self, message: &Message, secret: &str) -> Vec<u8> {
         self.last_number += 1;
-        let sender = Sender { member: self.me, incarnation: self.incarnation, number: self.last_number };
+        let sender = Sender { member: self.me, incarnation: self.incarnation, sequence: self.last_number };
         message::seal(sender, message, &secrets(secret)).expect("the message is sealed")
     }
 
