--- a/crates/control-plane/src/planner/message_router/mod.rs
+++ b/crates/control-plane/src/planner/message_router/mod.rs
@@ -194,7 +194,7 @@
                 () = wait_for_capacity(blocking_mailbox.as_deref()) => self.deliver_blocked_message(),
                 ready = self.socket.readable(), if self.blocked_message.is_none() => match ready {
                     Ok(()) => self.read_socket(),
-                    // An unconnected socket has no lasting errors; it is tried again at the next wake.
+                    // An unconnected socket has no lasting errors; it is read again at the next wake.
                     Err(error) => self.metrics.count_socket_error(SocketOperation::Receive, &error),
                 },
                 () = wake => {}
--- a/crates/control-plane/src/planner/planner_config.rs
+++ b/crates/control-plane/src/planner/planner_config.rs
@@ -90,7 +90,7 @@
         };
         if fleet_config.growth.is_some() && self.state_folder.is_none() {
             // Votes must survive a restart, or two shard maps could be agreed on.
-            let what = "growth is on, and needs a folder to keep what was agreed on";
+            let what = "growth is on, and needs a folder to store its votes";
             return Err(InvalidValue::new("state", what));
         }
         if let Some(fault_injection) = &self.fault_injection {
--- a/crates/control-plane/src/planner/server.rs
+++ b/crates/control-plane/src/planner/server.rs
@@ -107,12 +107,9 @@
             storage: store.writer,
         };
         let inbox = RouterInbox { outgoing, commands: command_receiver, renewal_requests };
-        let mut router_thread = WorkerThreads::new();
-        let spawned = router_thread.spawn(message_router::TASK_NAME, message_router::run(parts, inbox));
-        spawned.map_err(PlannerError::SystemResources)?;
         Ok(RunningPlanner {
             component_threads,
-            router_thread,
+            router_thread: spawn_router(parts, inbox)?,
             store_thread: store.thread,
             commands,
             timed_out_components,
@@ -179,6 +176,13 @@
     })
 }
 
+fn spawn_router(parts: RouterParts, inbox: RouterInbox) -> Result<WorkerThreads, PlannerError> {
+    let mut thread = WorkerThreads::new();
+    let spawned = thread.spawn(message_router::TASK_NAME, message_router::run(parts, inbox));
+    spawned.map_err(PlannerError::SystemResources)?;
+    Ok(thread)
+}
+
 fn bind_socket(address: SocketAddrV4) -> Result<UdpSocket, PlannerError> {
     let failed = |source| PlannerError::Bind { address, source };
     let socket = UdpSocket::bind(address).map_err(failed)?;
