--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use granitelb_balancer::ids::EndpointId;
-use granitelb_coordination::endpoint_health::{HealthMessage, Fragment, HealthReport, EndpointCounts};
+use granitelb_coordination::endpoint_health::{EndpointCounts, Fragment, HealthMessage, HealthReport};
 use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
 use granitelb_coordination::message::{Message, Secret, Secrets, seal};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender};
@@ -141,7 +141,7 @@
         EndpointCounts { endpoint: EndpointId(cache), answered: 1.0 - failed, failed, in_flight: 0.0 }
     };
     let caches = (0..REPORTED_CACHES).map(seen).collect();
-    let report = HealthReport { number: round + 1, fragment: Fragment::SINGLE, endpoints: caches };
+    let report = HealthReport { sequence: round + 1, fragment: Fragment::SINGLE, endpoints: caches };
     let needs = vec![Need { resource: Resource::Origin, amount: 500, using: round, heads: 1, has: 0 }];
     vec![
         Message::EndpointHealth(HealthMessage::Report(report)),
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -140,7 +140,9 @@
         record_sent(&mut assembler, n);
     }
     assert_eq!(record_finished(&mut assembler, 1), None);
-    assert!(record_finished(&mut assembler, 59_999).is_some_and(|finished| finished.in_flight_at_send <= 16_384));
+    assert!(
+        record_finished(&mut assembler, 59_999).is_some_and(|finished| finished.in_flight_at_send <= 16_384)
+    );
 }
 
 /// The rate that each lease of an update allows now.
@@ -189,7 +191,7 @@
     let sender = |incarnation, number| Sender {
         member: Member::Planner(PlannerId(1)),
         incarnation: Incarnation(incarnation),
-        number,
+        sequence: number,
     };
     let heartbeat = || Message::Membership(MembershipMessage::Heartbeat);
     assert_eq!(components.on_message(now, sender(2, 1), heartbeat()), Ok(()));
--- a/crates/control-plane/src/planner/component_task/tests.rs
+++ b/crates/control-plane/src/planner/component_task/tests.rs
@@ -22,7 +22,7 @@
 use crate::planner::mailbox::Mailbox;
 use crate::planner::shared_context::SharedContext;
 use crate::planner::test_support::{FORWARDER, PLANNER, fleet_config, health_message, message_from};
-use crate::storage::{StateFile, StorageWriter, StorageError};
+use crate::storage::{StateFile, StorageError, StorageWriter};
 
 /// Panics at every third message. It sends how many messages it got since it was first created, and persists that.
 struct PanickingComponent {
@@ -162,8 +162,8 @@
 async fn panicking_component_resumes_from_its_last_snapshot() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("store");
-    let (storage, _) =
-        StorageWriter::start(open_state_file(&file), || Err(StorageError::WriterEnded)).expect("the thread starts");
+    let (storage, _) = StorageWriter::start(open_state_file(&file), || Err(StorageError::WriterEnded))
+        .expect("the thread starts");
     let mut fixture = TaskFixture::spawn(storage);
     for number in [1, 2, 3] {
         fixture.deliver(number);
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -158,7 +158,8 @@
             _ => None,
         },
         exchange_status: Some(Box::new(|component, now, fleet_config, status| {
-            let configured_per_s = fleet_config.shard_growth.as_ref().and_then(|growth| growth.spare_fetches_per_s);
+            let configured_per_s =
+                fleet_config.shard_growth.as_ref().and_then(|growth| growth.spare_fetches_per_s);
             component.fleet(status.fleet(now, fleet_config.leases.is_some(), configured_per_s));
             status.publish_shard_map_version(component.new_table());
         })),
--- a/crates/control-plane/src/planner/state_store.rs
+++ b/crates/control-plane/src/planner/state_store.rs
@@ -64,7 +64,9 @@
     let stored = storage.read(ComponentKind::Membership).await?;
     let last_incarnation = stored.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_be_bytes);
     let incarnation = Incarnation(clock.now().0.max(last_incarnation + 1));
-    store_incarnation(storage, incarnation).await.map_err(|lost| StorageError::WriteFailed(lost.to_string()))?;
+    store_incarnation(storage, incarnation)
+        .await
+        .map_err(|lost| StorageError::WriteFailed(lost.to_string()))?;
     Ok(incarnation)
 }
 
@@ -72,7 +74,10 @@
 ///
 /// # Errors
 /// It is not durable.
-pub(super) async fn store_incarnation(storage: &StorageWriter, incarnation: Incarnation) -> Result<(), PersistError> {
+pub(super) async fn store_incarnation(
+    storage: &StorageWriter,
+    incarnation: Incarnation,
+) -> Result<(), PersistError> {
     storage.persist(ComponentKind::Membership, incarnation.0.to_be_bytes().to_vec()).await
 }
 
--- a/crates/control-plane/src/planner/test_support.rs
+++ b/crates/control-plane/src/planner/test_support.rs
@@ -1,6 +1,6 @@
 //! What several unit tests of the planner use.
 
-use granitelb_coordination::endpoint_health::{HealthMessage, Fragment, HealthUpdate};
+use granitelb_coordination::endpoint_health::{Fragment, HealthMessage, HealthUpdate};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender, Version};
 
--- a/crates/control-plane/tests/counterfactual.rs
+++ b/crates/control-plane/tests/counterfactual.rs
@@ -44,7 +44,7 @@
     let noise = Span((request * 7919 % 101) * 100);
     let extra_latency = if slow_cache == Some(cache.0) { SLOW_EXTRA_LATENCY } else { Span::ZERO };
     FinishedAttempt {
-        call: (request * 64..).find(|call| is_sampled(*call)).expect("one of two is sampled"),
+        request_hash: (request * 64..).find(|call| is_sampled(*call)).expect("one of two is sampled"),
         number: 0,
         key: Key(request),
         request_class: RequestClassId(0),
--- a/crates/control-plane/tests/shard_growth.rs
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -6,7 +6,7 @@
 
 use granitelb_balancer::slot_table::caches_of;
 use granitelb_control_plane::clock::Clock;
-use granitelb_coordination::endpoint_health::{HealthMessage, Fragment, HealthReport, EndpointCounts};
+use granitelb_coordination::endpoint_health::{EndpointCounts, Fragment, HealthMessage, HealthReport};
 use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::{Form, Step};
@@ -108,7 +108,7 @@
     let cache = *caches_of(shard.0, 1, &caches()).first().expect("the shard has caches");
     let seen = EndpointCounts { endpoint: cache, failed, answered, in_flight: 0.0 };
     move |number| {
-        let report = HealthReport { number, fragment: Fragment::SINGLE, endpoints: vec![seen] };
+        let report = HealthReport { sequence: number, fragment: Fragment::SINGLE, endpoints: vec![seen] };
         Message::EndpointHealth(HealthMessage::Report(report))
     }
 }
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -211,12 +211,12 @@
     let known = &snapshots()["members"];
     assert_eq!(known[..], INCARNATION.0.to_be_bytes());
     let fleet = Fleet::new(3);
-    let store = fleet.store(3);
+    let store = fleet.store_file(3);
     let directory = store.parent().expect("a directory");
     fs::create_dir_all(directory).expect("a directory");
     fs::write(&store, state_file_bytes()).expect("written");
     let mut planner = fleet.start(3);
-    assert!(planner.said("store_refused").is_empty() && planner.said("task_off").is_empty());
+    assert!(planner.events("store_refused").is_empty() && planner.events("task_off").is_empty());
     planner.kill();
     let state_file = opened(directory).state_file;
     let state = |kind| state_file.read(kind).expect("it can be read");
@@ -268,8 +268,11 @@
         INCARNATION,
         NOW,
     );
-    let report =
-        endpoint_health::HealthReport { number: 1, fragment: endpoint_health::Fragment::SINGLE, endpoints: Vec::new() };
+    let report = endpoint_health::HealthReport {
+        sequence: 1,
+        fragment: endpoint_health::Fragment::SINGLE,
+        endpoints: Vec::new(),
+    };
     health
         .on_message(NOW, forwarder(), endpoint_health::HealthMessage::Report(report))
         .expect("it is accepted");
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -445,7 +445,7 @@
 /// An attempt that read a key.
 fn read_of(key: u64) -> FinishedAttempt {
     FinishedAttempt {
-        call: key,
+        request_hash: key,
         number: 0,
         key: Key(key),
         request_class: RequestClassId(0),
