--- a/crates/node/src/cli/config.rs
+++ b/crates/node/src/cli/config.rs
@@ -13,8 +13,8 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-use crate::http::Listings;
-use crate::proxy::{Live, Setup};
+use crate::http::EndpointListUpdate;
+use crate::proxy::{NodeConfig, ReloadableConfig};
 
 /// Where nothing says how many descriptors there are.
 const DESCRIPTORS: u64 = 1024;
@@ -62,7 +62,7 @@
     descriptors: u64,
     /// In megabytes.
     memory: Option<u64>,
-    known: Option<Listings>,
+    known: Option<EndpointListUpdate>,
     load_header: Option<Box<str>>,
     settings: Decoded,
 }
@@ -94,7 +94,8 @@
         if let Some(name) = file.load_header.as_deref().filter(|name| !is_name(name)) {
             return Err(fault("load_header", format!("{name:?} is no name of a header")));
         }
-        let known = file.known.map(Listings::from_value).transpose().map_err(|e| fault("known", e))?;
+        let known =
+            file.known.map(EndpointListUpdate::from_value).transpose().map_err(|e| fault("known", e))?;
         // The limit that is told and the one that is in force: the lower one binds.
         let in_force = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         let descriptors = file.limits.sockets.unwrap_or(DESCRIPTORS).min(in_force);
@@ -117,14 +118,21 @@
         })
     }
 
-    pub fn setup(&self) -> Setup {
+    pub fn setup(&self) -> NodeConfig {
         let seed = self.seed.unwrap_or_else(|| {
             // A node alone on its machine differs from others by its number of process and its start.
             let start = std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_nanos() as u64;
             start ^ u64::from(std::process::id()) << 40
         });
         let (known, settings) = (self.known.clone(), self.settings.clone());
-        Setup { listen: self.listen, seed, known, settings, live: self.live(), courier: None }
+        NodeConfig {
+            listen: self.listen,
+            seed,
+            known,
+            settings,
+            reloadable: self.live(),
+            control_plane_agent: None,
+        }
     }
 
     pub fn name(&self) -> &str {
@@ -136,8 +144,8 @@
     }
 
     /// What a running node can take up.
-    pub fn live(&self) -> Live {
-        Live {
+    pub fn live(&self) -> ReloadableConfig {
+        ReloadableConfig {
             discovery: self.discovery,
             descriptors: self.descriptors as usize,
             memory: self.memory.map_or(usize::MAX, |mb| (mb as usize).saturating_mul(1024 * 1024)),
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -16,7 +16,7 @@
 use granitelb_coordination::component::Remediation;
 use signals::Signals;
 
-use crate::proxy::{Node, Setup};
+use crate::proxy::{Node, NodeConfig};
 
 pub fn run() -> ExitCode {
     match carry_out(command::parse()) {
@@ -78,9 +78,9 @@
     // Before anything is served: a signal that nobody heeds ends the program.
     let signals = Signals::heed(path, config, renewing)?;
     log::info!(event = "starting"; "{}", signals.config());
-    let node = Node::open(Setup { courier, ..signals.config().setup() })?;
+    let node = Node::open(NodeConfig { control_plane_agent: courier, ..signals.config().setup() })?;
     log::info!(event = "ready"; "ready");
     node.serve(signals)?;
-    log::info!(event = "ended"; "ended");
+    log::info!(event = "stopped"; "stopped");
     Ok(())
 }
--- a/crates/node/src/cli/signals.rs
+++ b/crates/node/src/cli/signals.rs
@@ -12,7 +12,7 @@
 use super::config::Config;
 use super::load;
 use super::together::Renewing;
-use crate::proxy::{FleetConfig, Live, Order};
+use crate::proxy::{CommandSource, NodeCommand, ReloadableConfig};
 
 pub struct Signals {
     signals: SignalDelivery<UnixStream, SignalOnly>,
@@ -37,7 +37,7 @@
     }
 
     /// Reads the configuration again; one with a fault changes nothing.
-    fn reload(&mut self) -> Option<Order> {
+    fn reload(&mut self) -> Option<NodeCommand> {
         if let Some(renewing) = &self.renewing {
             renewing.renew();
         }
@@ -53,7 +53,7 @@
                 });
                 let live = config.live();
                 self.running.take_settings(config);
-                Some(Order::Reload(Live { settings, ..live }))
+                Some(NodeCommand::Reload(ReloadableConfig { settings, ..live }))
             }
             Err(trouble) => {
                 log::error!(event = "reload_refused"; "{trouble}; the configuration before it stays in force");
@@ -69,10 +69,10 @@
     }
 }
 
-impl FleetConfig for Signals {
-    fn orders(&mut self) -> Vec<Order> {
+impl CommandSource for Signals {
+    fn poll_commands(&mut self) -> Vec<NodeCommand> {
         let came: Vec<_> = self.signals.pending().collect();
-        let mut order = |signal| if signal == SIGHUP { self.reload() } else { Some(Order::Stop) };
+        let mut order = |signal| if signal == SIGHUP { self.reload() } else { Some(NodeCommand::Shutdown) };
         came.into_iter().filter_map(&mut order).collect()
     }
 }
--- a/crates/node/src/http/message.rs
+++ b/crates/node/src/http/message.rs
@@ -1,99 +1,133 @@
-//! What a message is.
+//! The parts of an HTTP message.
 
-/// Which side's messages are read: those that ask, or those that answer.
+use std::fmt;
+
+/// Headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1), or that the node writes itself.
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "expect",
+    "content-length",
+    "x-timeout-ms",
+];
+
+/// Whether a message is a request or a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    Asking,
-    Answering,
+pub enum MessageKind {
+    /// A message from a client.
+    Request,
+    /// A message from a server.
+    Response,
 }
 
 /// A start line and the headers after it.
 #[derive(Clone, Debug, Default)]
-pub struct Head {
-    /// Of one that asks.
+pub struct MessageHead {
+    /// The method of a request; empty for a response.
     pub method: String,
+    /// The target of a request; empty for a response.
     pub target: String,
-    /// Of one that answers.
+    /// The status code of a response; 0 for a request.
     pub status: u16,
-    /// Whether the sender goes on with the connection afterwards.
-    pub keeps: bool,
+    /// Whether the sender keeps the connection open after this message.
+    pub keep_alive: bool,
+    /// The headers in their order.
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
-impl Head {
-    /// The first value under this name, where it is text.
+impl MessageHead {
+    /// The first value of a header, where it is UTF-8 text. Names match regardless of case.
     pub fn text(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
-        found.and_then(|(_, value)| std::str::from_utf8(value).ok())
+        let (_, value) = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
+        std::str::from_utf8(value).ok()
     }
 
-    /// The one value under this name. Where there are two, or one that is no text, each reader would go by another.
-    pub fn only(&self, name: &str) -> Result<Option<&str>, Fault> {
+    /// The value of a header that may occur once at most.
+    ///
+    /// # Errors
+    ///
+    /// [`ParseError::Malformed`] where it occurs twice or is not text: each hop would read another value.
+    pub fn single_value(&self, name: &str) -> Result<Option<&str>, ParseError> {
         match self.values(name).count() {
             0 => Ok(None),
-            1 => self.text(name).map(Some).ok_or(Fault::Malformed),
-            _ => Err(Fault::Malformed),
+            1 => self.text(name).map(Some).ok_or(ParseError::Malformed),
+            _ => Err(ParseError::Malformed),
         }
     }
 
+    /// All values of a header, in their order.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| &v[..])
     }
 
-    /// Whether a header that lists words names this one.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
-        let mut words = self.values(name).flat_map(|v| v.split(|b| *b == b','));
-        words.any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+    /// Whether a header whose value is a comma-separated list contains this token.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let mut tokens = self.values(name).flat_map(|value| value.split(|byte| *byte == b','));
+        tokens.any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// The parts of the path, without the query.
-    pub fn path(&self) -> impl DoubleEndedIterator<Item = &str> {
+    /// The non-empty segments of the target's path, without the query.
+    pub fn path_segments(&self) -> impl DoubleEndedIterator<Item = &str> {
         let path = self.target.split(['?', '#']).next().unwrap_or_default();
-        path.split('/').filter(|part| !part.is_empty())
+        path.split('/').filter(|segment| !segment.is_empty())
+    }
+
+    /// The headers that are forwarded: those meant for the final recipient rather than for the next hop.
+    pub fn end_to_end_headers(&self) -> impl Iterator<Item = (&str, &[u8])> {
+        let forwarded = self.headers.iter().filter(|(name, _)| !self.is_hop_by_hop(name));
+        forwarded.map(|(name, value)| (&name[..], &value[..]))
     }
 
-    /// The headers that are meant for whoever the message is for in the end, not for the next hop alone.
-    pub fn passed_on(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        const NEXT_HOP: [&str; 10] = [
-            "connection",
-            "keep-alive",
-            "proxy-connection",
-            "te",
-            "trailer",
-            "transfer-encoding",
-            "upgrade",
-            "expect",
-            "content-length",
-            "x-timeout-ms",
-        ];
-        let named = |n: &str| self.lists("connection", n);
-        let kept = move |n: &str| !NEXT_HOP.iter().any(|h| n.eq_ignore_ascii_case(h)) && !named(n);
-        self.headers.iter().filter(move |(n, _)| kept(n)).map(|(n, v)| (&n[..], &v[..]))
+    fn is_hop_by_hop(&self, name: &str) -> bool {
+        let is_known = HOP_BY_HOP_HEADERS.iter().any(|header| name.eq_ignore_ascii_case(header));
+        is_known || self.has_token("connection", name)
     }
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub head: Head,
+    /// The start line and headers.
+    pub head: MessageHead,
+    /// The body, with any transfer coding removed.
     pub body: Vec<u8>,
 }
 
-/// What is wrong with a message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ParseError {
+    /// It violates the syntax, or has two framings.
     Malformed,
-    HeadTooLong,
-    BodyTooLong,
+    /// The start line and headers exceed the limit on their size or number.
+    HeadTooLarge,
+    /// The body exceeds the limit on its size.
+    BodyTooLarge,
 }
 
-impl Fault {
-    /// The status that tells its sender.
+impl ParseError {
+    /// The status code that reports the error to the sender of a request.
     pub fn status(self) -> u16 {
         match self {
-            Fault::Malformed => 400,
-            Fault::BodyTooLong => 413,
-            Fault::HeadTooLong => 431,
+            ParseError::Malformed => 400,
+            ParseError::BodyTooLarge => 413,
+            ParseError::HeadTooLarge => 431,
         }
     }
 }
+
+impl fmt::Display for ParseError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ParseError::Malformed => "the message is malformed",
+            ParseError::HeadTooLarge => "the message's head is too large",
+            ParseError::BodyTooLarge => "the message's body is too large",
+        })
+    }
+}
+
+impl std::error::Error for ParseError {}
--- a/crates/node/src/http/mod.rs
+++ b/crates/node/src/http/mod.rs
@@ -1,12 +1,16 @@
-//! The middle layer's words: HTTP/1.1 messages and discovery's lists, read as they come in and written into
-//! ring buffers. It knows what a message says, and nothing of calls, shots or caches.
+//! The middle layer: HTTP/1.1 messages and discovery's endpoint lists.
+//!
+//! Messages are parsed from ring buffers as their bytes arrive, and written into ring buffers. This layer knows what
+//! a message contains; it knows nothing of requests in progress, attempts or endpoints.
 
-mod listing;
+mod endpoint_list;
 mod message;
-mod reader;
+mod message_decoder;
+mod parser;
 mod writer;
 
-pub use listing::{Entry, Listings, State};
-pub use message::{Fault, Head, Message, Side};
-pub use reader::{Assembler, Piece, Reader};
-pub use writer::{write_answer, write_call, write_plain};
+pub use endpoint_list::{EndpointEntry, EndpointListUpdate, EndpointState, SkippedEntry};
+pub use message::{Message, MessageHead, MessageKind, ParseError};
+pub use message_decoder::MessageDecoder;
+pub use parser::{MessagePart, Parser};
+pub use writer::{write_local_reply, write_request, write_response};
--- /dev/null
+++ b/crates/node/src/http/parser.rs
@@ -0,0 +1,382 @@
+//! An incremental parser of HTTP/1.1 messages, independent of how their bytes are split.
+//!
+//! Where messages of this kind leave a choice between readings (two framings, bare line feeds, conflicting
+//! lengths), the parser refuses the message: hops that read it differently are how requests are smuggled.
+
+use super::message::{MessageHead, MessageKind, ParseError};
+use crate::transport::RingBuffer;
+
+/// The start line and headers may take this many bytes together: a common limit, and less than the input buffer of
+/// a connection holds.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The number of headers that a message may have.
+const MAX_HEADERS: usize = 100;
+/// Bytes of the size line of a chunk, with its extensions.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 1024;
+/// Bytes returned at once of a body that lasts until the connection ends.
+const MAX_BODY_PART_BYTES: usize = 64 * 1024;
+/// Digits of a length without leading zeros: far more than any body needs, and no overflow.
+const MAX_LENGTH_DIGITS: usize = 15;
+/// Bytes of empty lines that a client may send before a request.
+const MAX_LEADING_BYTES: usize = 8;
+
+const DECIMAL: u32 = 10;
+const HEXADECIMAL: u32 = 16;
+
+/// A part of a message. Parts arrive in order: a head, body parts, an end.
+#[derive(Debug)]
+pub enum MessagePart {
+    /// The start line and headers.
+    Head(MessageHead),
+    /// Some bytes of the body.
+    Body(Vec<u8>),
+    /// The message is complete.
+    End,
+}
+
+/// What the parser reads next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    StartLine,
+    Headers,
+    /// A body with this many bytes left.
+    FixedLengthBody(usize),
+    /// A body that lasts until the connection ends.
+    BodyUntilClose,
+    ChunkSize,
+    /// A chunk with this many bytes left.
+    Chunk(usize),
+    ChunkEnd,
+    Trailers,
+}
+
+/// The result of one step of the parser.
+enum Step {
+    /// A part is complete.
+    Part(MessagePart),
+    /// The state has advanced; there is no part to return yet.
+    Advanced,
+    /// The input does not suffice to go on.
+    NeedsInput,
+}
+
+/// Parses the messages of one direction of a connection.
+pub struct Parser {
+    kind: MessageKind,
+    state: State,
+    /// How far the input was searched for the end of the current line.
+    searched: usize,
+    head: MessageHead,
+    /// Bytes of the current head, or trailers, that were consumed.
+    head_bytes: usize,
+    /// Whether the current message is of version 1.1 rather than 1.0.
+    is_http_1_1: bool,
+}
+
+impl Parser {
+    /// A parser of requests or of responses.
+    pub fn new(kind: MessageKind) -> Parser {
+        Parser {
+            kind,
+            state: State::StartLine,
+            searched: 0,
+            head: MessageHead::default(),
+            head_bytes: 0,
+            is_http_1_1: false,
+        }
+    }
+
+    /// Whether the parser is between two messages.
+    pub fn is_between_messages(&self) -> bool {
+        self.state == State::StartLine
+    }
+
+    /// Whether the end of the connection properly ends the current message.
+    pub fn ends_at_close(&self) -> bool {
+        self.state == State::BodyUntilClose
+    }
+
+    /// The next part, or `None` where more input is needed.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the input is malformed or exceeds a limit. The parser must not be used afterwards.
+    pub fn next(&mut self, input: &mut RingBuffer) -> Result<Option<MessagePart>, ParseError> {
+        loop {
+            match self.step(input)? {
+                Step::Part(part) => return Ok(Some(part)),
+                Step::Advanced => {}
+                Step::NeedsInput => return Ok(None),
+            }
+        }
+    }
+
+    fn step(&mut self, input: &mut RingBuffer) -> Result<Step, ParseError> {
+        match self.state {
+            State::StartLine => self.read_start_line(input),
+            State::Headers => self.read_header(input),
+            State::FixedLengthBody(0) => {
+                self.state = State::StartLine;
+                Ok(Step::Part(MessagePart::End))
+            }
+            State::FixedLengthBody(left) => Ok(self.read_fixed_length_body(input, left)),
+            State::BodyUntilClose => {
+                let part = take_bytes(input, MAX_BODY_PART_BYTES);
+                Ok(part.map_or(Step::NeedsInput, |bytes| Step::Part(MessagePart::Body(bytes))))
+            }
+            State::ChunkSize => self.read_chunk_size(input),
+            State::Chunk(left) => Ok(self.read_chunk(input, left)),
+            State::ChunkEnd => self.read_chunk_end(input),
+            State::Trailers => self.read_trailer(input),
+        }
+    }
+
+    fn read_start_line(&mut self, input: &mut RingBuffer) -> Result<Step, ParseError> {
+        let Some(line) = self.read_line(input, MAX_HEAD_BYTES, ParseError::HeadTooLarge)? else {
+            return Ok(Step::NeedsInput);
+        };
+        // A client may end a request with a superfluous line break.
+        if line.is_empty() && self.kind == MessageKind::Request && self.head_bytes < MAX_LEADING_BYTES {
+            return Ok(Step::Advanced);
+        }
+        self.head = MessageHead::default();
+        self.parse_start_line(&line)?;
+        self.state = State::Headers;
+        Ok(Step::Advanced)
+    }
+
+    fn read_header(&mut self, input: &mut RingBuffer) -> Result<Step, ParseError> {
+        let left = MAX_HEAD_BYTES.saturating_sub(self.head_bytes);
+        let Some(line) = self.read_line(input, left, ParseError::HeadTooLarge)? else {
+            return Ok(Step::NeedsInput);
+        };
+        if line.is_empty() {
+            self.state = self.parse_framing()?;
+            self.head_bytes = 0;
+            let head = std::mem::take(&mut self.head);
+            return Ok(Step::Part(MessagePart::Head(head)));
+        }
+        if self.head.headers.len() >= MAX_HEADERS {
+            return Err(ParseError::HeadTooLarge);
+        }
+        self.head.headers.push(parse_header(&line)?);
+        Ok(Step::Advanced)
+    }
+
+    fn read_fixed_length_body(&mut self, input: &mut RingBuffer, left: usize) -> Step {
+        let Some(bytes) = take_bytes(input, left) else { return Step::NeedsInput };
+        self.state = State::FixedLengthBody(left - bytes.len());
+        Step::Part(MessagePart::Body(bytes))
+    }
+
+    fn read_chunk_size(&mut self, input: &mut RingBuffer) -> Result<Step, ParseError> {
+        let Some(line) = self.read_line(input, MAX_CHUNK_SIZE_LINE_BYTES, ParseError::Malformed)? else {
+            return Ok(Step::NeedsInput);
+        };
+        self.head_bytes = 0;
+        self.state = match parse_chunk_size(&line)? {
+            0 => State::Trailers,
+            size => State::Chunk(size),
+        };
+        Ok(Step::Advanced)
+    }
+
+    fn read_chunk(&mut self, input: &mut RingBuffer, left: usize) -> Step {
+        let Some(bytes) = take_bytes(input, left) else { return Step::NeedsInput };
+        let left = left - bytes.len();
+        self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
+        Step::Part(MessagePart::Body(bytes))
+    }
+
+    fn read_chunk_end(&mut self, input: &mut RingBuffer) -> Result<Step, ParseError> {
+        let Some(line) = self.read_line(input, 0, ParseError::Malformed)? else {
+            return Ok(Step::NeedsInput);
+        };
+        if !line.is_empty() {
+            return Err(ParseError::Malformed);
+        }
+        self.state = State::ChunkSize;
+        Ok(Step::Advanced)
+    }
+
+    fn read_trailer(&mut self, input: &mut RingBuffer) -> Result<Step, ParseError> {
+        let left = MAX_HEAD_BYTES.saturating_sub(self.head_bytes);
+        let Some(line) = self.read_line(input, left, ParseError::HeadTooLarge)? else {
+            return Ok(Step::NeedsInput);
+        };
+        if line.is_empty() {
+            self.state = State::StartLine;
+            self.head_bytes = 0;
+            return Ok(Step::Part(MessagePart::End));
+        }
+        parse_header(&line)?;
+        Ok(Step::Advanced)
+    }
+
+    /// Consumes the next line and returns it without its line break, if it is complete and holds at most `max`
+    /// bytes.
+    fn read_line(
+        &mut self,
+        input: &mut RingBuffer,
+        max: usize,
+        too_long: ParseError,
+    ) -> Result<Option<Vec<u8>>, ParseError> {
+        // One more for the carriage return.
+        let max_with_return = max + 1;
+        let Some(end) = input.find(b'\n', self.searched) else {
+            self.searched = input.len();
+            return if input.len() > max_with_return { Err(too_long) } else { Ok(None) };
+        };
+        self.searched = 0;
+        if end > max_with_return {
+            return Err(too_long);
+        }
+        let mut line = Vec::with_capacity(end + 1);
+        input.drain_into(&mut line, end + 1);
+        self.head_bytes += line.len();
+        // Some hops accept a bare line feed as a line break and others do not.
+        let length = line.strip_suffix(b"\r\n").ok_or(ParseError::Malformed)?.len();
+        line.truncate(length);
+        if line.contains(&b'\r') || line.contains(&0) {
+            return Err(ParseError::Malformed);
+        }
+        Ok(Some(line))
+    }
+
+    fn parse_start_line(&mut self, line: &[u8]) -> Result<(), ParseError> {
+        let line = std::str::from_utf8(line).map_err(|_| ParseError::Malformed)?;
+        let mut words = line.splitn(3, ' ').map(|word| match word {
+            "" => Err(ParseError::Malformed),
+            word => Ok(word),
+        });
+        let mut next_word = || words.next().unwrap_or(Err(ParseError::Malformed));
+        let version = match self.kind {
+            MessageKind::Request => {
+                let method = next_word()?;
+                let target = next_word()?;
+                let version = next_word()?;
+                if !is_token(method.as_bytes()) || !is_target(target) {
+                    return Err(ParseError::Malformed);
+                }
+                self.head.method = method.to_string();
+                self.head.target = target.to_string();
+                version
+            }
+            MessageKind::Response => {
+                let version = next_word()?;
+                self.head.status = parse_status(next_word()?)?;
+                version
+            }
+        };
+        self.is_http_1_1 = match version {
+            "HTTP/1.1" => true,
+            "HTTP/1.0" => false,
+            _ => return Err(ParseError::Malformed),
+        };
+        Ok(())
+    }
+
+    /// Determines from the complete head how the body is delimited (RFC 9112, 6.3).
+    fn parse_framing(&mut self) -> Result<State, ParseError> {
+        let is_request = self.kind == MessageKind::Request;
+        let head = &mut self.head;
+        head.keep_alive = !head.has_token("connection", "close")
+            && (self.is_http_1_1 || head.has_token("connection", "keep-alive"));
+        if is_request && self.is_http_1_1 && head.values("host").count() != 1 {
+            return Err(ParseError::Malformed);
+        }
+        let content_length = parse_content_length(head)?;
+        if !is_request && has_no_body(head.status) {
+            return Ok(State::FixedLengthBody(0));
+        }
+        let codings: Vec<_> = head.values("transfer-encoding").collect();
+        match (&codings[..], content_length) {
+            // With two framings, whichever was meant, the other end of some hop reads the other one.
+            ([_, ..], Some(_)) => Err(ParseError::Malformed),
+            ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") && self.is_http_1_1 => {
+                Ok(State::ChunkSize)
+            }
+            ([_, ..], None) => Err(ParseError::Malformed),
+            ([], Some(length)) => Ok(State::FixedLengthBody(length)),
+            ([], None) if is_request => Ok(State::FixedLengthBody(0)),
+            ([], None) => {
+                head.keep_alive = false;
+                Ok(State::BodyUntilClose)
+            }
+        }
+    }
+}
+
+/// Whether responses with this status have no body, whatever their headers say.
+fn has_no_body(status: u16) -> bool {
+    status < 200 || status == 204 || status == 304
+}
+
+/// Takes up to `max` buffered bytes, if there are any.
+fn take_bytes(input: &mut RingBuffer, max: usize) -> Option<Vec<u8>> {
+    let mut bytes = Vec::new();
+    let count = input.drain_into(&mut bytes, max);
+    (count > 0).then_some(bytes)
+}
+
+fn is_token(text: &[u8]) -> bool {
+    !text.is_empty() && text.iter().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b))
+}
+
+fn is_target(target: &str) -> bool {
+    target.bytes().all(|b| b.is_ascii_graphic()) && target.starts_with(['/', '*'])
+}
+
+fn parse_status(text: &str) -> Result<u16, ParseError> {
+    let is_number = text.len() == 3 && text.bytes().all(|b| b.is_ascii_digit());
+    if !is_number {
+        return Err(ParseError::Malformed);
+    }
+    match text.parse() {
+        Ok(status) if status >= 100 => Ok(status),
+        _ => Err(ParseError::Malformed),
+    }
+}
+
+fn parse_header(line: &[u8]) -> Result<(String, Vec<u8>), ParseError> {
+    let colon = line.iter().position(|b| *b == b':').ok_or(ParseError::Malformed)?;
+    let name = &line[..colon];
+    let value = line[colon + 1..].trim_ascii();
+    let is_valid_value = value.iter().all(|b| *b == b'\t' || (*b >= b' ' && *b != 0x7f));
+    if !is_token(name) || !is_valid_value {
+        return Err(ParseError::Malformed);
+    }
+    Ok((String::from_utf8_lossy(name).into_owned(), value.to_vec()))
+}
+
+/// The length that the head announces. Several are accepted only where they agree.
+fn parse_content_length(head: &MessageHead) -> Result<Option<usize>, ParseError> {
+    let mut lengths = head.values("content-length").map(|value| parse_length(value, DECIMAL));
+    let first = lengths.next().transpose()?;
+    for other in lengths {
+        if Some(other?) != first {
+            return Err(ParseError::Malformed);
+        }
+    }
+    Ok(first)
+}
+
+fn parse_chunk_size(line: &[u8]) -> Result<usize, ParseError> {
+    let size = line.split(|b| *b == b';').next().unwrap_or_default();
+    parse_length(size.trim_ascii_end(), HEXADECIMAL)
+}
+
+/// Parses a length that consists of digits of this radix and nothing else.
+fn parse_length(digits: &[u8], radix: u32) -> Result<usize, ParseError> {
+    let text = std::str::from_utf8(digits).map_err(|_| ParseError::Malformed)?;
+    let is_number = !text.is_empty() && text.chars().all(|c| c.is_digit(radix));
+    if !is_number {
+        return Err(ParseError::Malformed);
+    }
+    let significant = text.trim_start_matches('0');
+    match significant.len() {
+        0 => Ok(0),
+        count if count > MAX_LENGTH_DIGITS => Err(ParseError::BodyTooLarge),
+        _ => usize::from_str_radix(significant, radix).map_err(|_| ParseError::Malformed),
+    }
+}
--- a/crates/node/src/http/writer.rs
+++ b/crates/node/src/http/writer.rs
@@ -1,63 +1,72 @@
-//! Writes messages.
-
-use std::fmt::Write as _;
+//! Writes messages into the output buffer of a connection.
 
 use super::message::Message;
-use crate::transport::Ring;
+use crate::transport::RingBuffer;
 
-fn head(output: &mut Ring, start: &str, headers: &[(&str, &[u8])], body: &[u8]) {
-    let mut text = Vec::with_capacity(start.len() + 64 * headers.len() + 64);
-    text.extend_from_slice(start.as_bytes());
-    for (name, value) in headers {
-        text.extend_from_slice(name.as_bytes());
-        text.extend_from_slice(b": ");
-        text.extend_from_slice(value);
-        text.extend_from_slice(b"\r\n");
-    }
-    text.extend_from_slice(b"\r\n");
-    output.push(&text);
-    output.push(body);
-}
+/// A header that is to be written.
+type Header<'a> = (&'a str, &'a [u8]);
+
+/// Bytes that are reserved for each header, and for the rest of the head.
+const TYPICAL_HEADER_BYTES: usize = 64;
 
-/// Passes a message that asks on, with the time that is left for it.
-pub fn write_call(output: &mut Ring, call: &Message, timeout_ms: u64) {
-    let start = format!("{} {} HTTP/1.1\r\n", call.head.method, call.head.target);
-    // No time at all would read as none being set.
-    let (timeout, length) = (timeout_ms.max(1).to_string(), call.body.len().to_string());
-    let mut headers: Vec<_> = call.head.passed_on().collect();
+/// Writes a request for the next hop, with the time that is left for it in milliseconds.
+pub fn write_request(output: &mut RingBuffer, request: &Message, timeout_ms: u64) {
+    let start_line = format!("{} {} HTTP/1.1\r\n", request.head.method, request.head.target);
+    // A time of zero would be read as none being set.
+    let timeout = timeout_ms.max(1).to_string();
+    let length = request.body.len().to_string();
+    let mut headers: Vec<_> = request.head.end_to_end_headers().collect();
     headers.push(("X-Timeout-Ms", timeout.as_bytes()));
-    if !call.body.is_empty() || call.head.method != "GET" {
+    if !request.body.is_empty() || request.head.method != "GET" {
         headers.push(("Content-Length", length.as_bytes()));
     }
-    head(output, &start, &headers, &call.body);
+    write_message(output, &start_line, &headers, &request.body);
 }
 
-/// Passes an answer back.
-pub fn write_answer(output: &mut Ring, answer: &Message, keep: bool) {
-    let start = format!("HTTP/1.1 {} {}\r\n", answer.head.status, reason(answer.head.status));
-    let length = answer.body.len().to_string();
-    let mut headers: Vec<_> = answer.head.passed_on().collect();
+/// Writes a response that came from a server.
+pub fn write_response(output: &mut RingBuffer, response: &Message, keep_alive: bool) {
+    let length = response.body.len().to_string();
+    let mut headers: Vec<_> = response.head.end_to_end_headers().collect();
     headers.push(("Content-Length", length.as_bytes()));
-    if !keep {
+    if !keep_alive {
         headers.push(("Connection", b"close"));
     }
-    head(output, &start, &headers, &answer.body);
+    write_message(output, &status_line(response.head.status), &headers, &response.body);
 }
 
-/// An answer of our own: a status, what comes with it, and a line of text.
-pub fn write_plain(output: &mut Ring, status: u16, headers: &[(&str, &[u8])], keep: bool) {
-    let mut text = String::new();
-    let _ = writeln!(text, "{}", reason(status));
-    let length = text.len().to_string();
-    let mut all = headers.to_vec();
-    all.extend([("Content-Type", &b"text/plain"[..]), ("Content-Length", length.as_bytes())]);
-    if !keep {
-        all.push(("Connection", b"close"));
+/// Writes a response of the node's own: a status, some headers, and the status as a line of text.
+pub fn write_local_reply(output: &mut RingBuffer, status: u16, headers: &[Header<'_>], keep_alive: bool) {
+    let body = format!("{}\n", reason_phrase(status));
+    let length = body.len().to_string();
+    let mut headers = headers.to_vec();
+    headers.push(("Content-Type", b"text/plain"));
+    headers.push(("Content-Length", length.as_bytes()));
+    if !keep_alive {
+        headers.push(("Connection", b"close"));
     }
-    head(output, &format!("HTTP/1.1 {status} {}\r\n", reason(status)), &all, text.as_bytes());
+    write_message(output, &status_line(status), &headers, body.as_bytes());
+}
+
+fn write_message(output: &mut RingBuffer, start_line: &str, headers: &[Header<'_>], body: &[u8]) {
+    let capacity = start_line.len() + TYPICAL_HEADER_BYTES * (headers.len() + 1);
+    let mut head = Vec::with_capacity(capacity);
+    head.extend_from_slice(start_line.as_bytes());
+    for (name, value) in headers {
+        head.extend_from_slice(name.as_bytes());
+        head.extend_from_slice(b": ");
+        head.extend_from_slice(value);
+        head.extend_from_slice(b"\r\n");
+    }
+    head.extend_from_slice(b"\r\n");
+    output.push(&head);
+    output.push(body);
+}
+
+fn status_line(status: u16) -> String {
+    format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status))
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,7 @@
-//! The binary; all of it is in the library beside it, so that tests can reach the parts.
+//! The `granitelb` binary. All of it is in the library, where tests can reach the parts.
 
-fn main() -> std::process::ExitCode {
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
     granitelb_node::cli::run()
 }
--- /dev/null
+++ b/crates/node/src/proxy/discovery_watch/mod.rs
@@ -0,0 +1,298 @@
+//! The watch on discovery's endpoint list.
+//!
+//! One watch request is current at a time. It has [`RESPONSE_TIMEOUT`] to be answered, and from its head on a time for
+//! each complete line. Beside it at most one former watch is still read, until the current one has sent a complete line.
+
+mod line_decoder;
+mod stream;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use granitelb_balancer::time::{Span, Time};
+
+use self::stream::WatchStream;
+use crate::http::{EndpointEntry, EndpointListUpdate, EndpointState};
+use crate::transport::{CloseReason, Connection, ConnectionId, Owner, ReadinessEvent, Transport};
+
+/// A request without a response head by then is abandoned, and another made at once: discovery rejects what would wait
+/// for over two seconds, and with a delay on top the other's response would come more than 6 s after discovery is
+/// back.
+const RESPONSE_TIMEOUT: Span = Span::from_millis(2500);
+/// Endpoints that a former watch reported as ended and that are remembered.
+const MAX_ENDED_ENDPOINTS: usize = 4096;
+
+/// What the watch reports.
+pub(super) enum WatchEvent {
+    /// A list was received.
+    Update(EndpointListUpdate),
+    /// The watch could not be opened, or is lost.
+    Failed,
+}
+
+/// An endpoint that accepts no new requests, and the revision at which a former watch reported that.
+struct EndedEndpoint {
+    revision: u64,
+    entry: EndpointEntry,
+}
+
+/// The watch on the endpoint list.
+pub(super) struct DiscoveryWatch {
+    owner: Owner,
+    discovery: SocketAddr,
+    connect_timeout: Span,
+    /// The last revision received at the current address.
+    revision: Option<u64>,
+    current: Option<WatchStream>,
+    /// The watch at a former address of discovery, or one that fell silent: it is read until another is established.
+    former: Option<WatchStream>,
+    /// The endpoints that a former watch at the same address has reported as ended since the current one was
+    /// requested, by their identity. Requests that are made later are answered later.
+    ended: BTreeMap<String, EndedEndpoint>,
+}
+
+impl DiscoveryWatch {
+    /// A watch that is not open. `revision` is that of the list that is known already.
+    pub(super) fn new(
+        owner: Owner,
+        discovery: SocketAddr,
+        connect_timeout: Span,
+        revision: Option<u64>,
+    ) -> DiscoveryWatch {
+        DiscoveryWatch {
+            owner,
+            discovery,
+            connect_timeout,
+            revision: revision.filter(|revision| *revision > 0),
+            current: None,
+            former: None,
+            ended: BTreeMap::new(),
+        }
+    }
+
+    /// Moves the watch to another address of discovery.
+    pub(super) fn set_discovery(
+        &mut self,
+        transport: &mut Transport,
+        now: Time,
+        discovery: SocketAddr,
+        connect_timeout: Span,
+    ) -> Option<WatchEvent> {
+        self.connect_timeout = connect_timeout;
+        if discovery == self.discovery {
+            return None;
+        }
+        log::info!(
+            event = "discovery_endpoint_changed";
+            "the watch on the endpoint list moves from {} to {discovery}", self.discovery
+        );
+        self.discovery = discovery;
+        // The new discovery may count revisions of its own: the complete list is requested. It changes only what
+        // differs.
+        self.revision = None;
+        if self.is_established() {
+            close(transport, &mut self.former, CloseReason::NoLongerNeeded);
+            self.former = self.current.take();
+        }
+        self.open(transport, now)
+    }
+
+    fn is_established(&self) -> bool {
+        self.current.as_ref().is_some_and(WatchStream::is_established)
+    }
+
+    fn is_former(&self, id: ConnectionId) -> bool {
+        self.former.as_ref().is_some_and(|stream| stream.connection.id() == id)
+    }
+
+    /// Requests a watch, unless one is established or may still be answered. Returns an event where that fails at
+    /// once.
+    pub(super) fn request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
+        let is_open =
+            self.current.as_ref().is_some_and(|stream| stream.is_established() || now < stream.deadline);
+        if is_open {
+            return None;
+        }
+        self.open(transport, now)
+    }
+
+    /// Requests a watch in place of one that is not established.
+    fn open(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
+        close(transport, &mut self.current, CloseReason::DeadlineExceeded);
+        self.ended.clear();
+        let mut connection = match Connection::connect(transport, self.discovery, self.owner) {
+            Ok(connection) => connection,
+            Err(reason) => {
+                log::warn!(event = "watch_lost", end:? = reason; "discovery can't be reached: {reason:?}");
+                return Some(WatchEvent::Failed);
+            }
+        };
+        let after = self.revision.map(|revision| format!("&after={revision}")).unwrap_or_default();
+        let host = self.discovery;
+        let request = format!("GET /registry/instances?watch=1{after} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+        connection.output.push(request.as_bytes());
+        let deadline = now + RESPONSE_TIMEOUT;
+        transport.timers.set(connection.id(), deadline.min(now + self.connect_timeout));
+        self.current = Some(WatchStream::new(self.discovery, connection, deadline));
+        None
+    }
+
+    /// Handles an event of a connection to discovery.
+    pub(super) fn on_event(
+        &mut self,
+        transport: &mut Transport,
+        now: Time,
+        event: ReadinessEvent,
+    ) -> Vec<WatchEvent> {
+        if self.is_former(event.id) {
+            self.on_former_event(transport, now, event)
+        } else {
+            self.on_current_event(transport, now, event)
+        }
+    }
+
+    fn on_former_event(
+        &mut self,
+        transport: &mut Transport,
+        now: Time,
+        event: ReadinessEvent,
+    ) -> Vec<WatchEvent> {
+        let mut events = Vec::new();
+        let Some(stream) = &mut self.former else { return events };
+        // At another address, revisions may be counted differently.
+        let is_same_discovery = stream.address == self.discovery;
+        let result = stream.on_event(transport, now, event, &mut events);
+        if is_same_discovery {
+            for list in lists(&events) {
+                record_ended(&mut self.ended, list);
+            }
+        }
+        let has_lists = lists(&events).next().is_some();
+        if let Err(reason) = result {
+            // Another watch is requested already.
+            close(transport, &mut self.former, reason);
+        } else if self.is_established() {
+            close(transport, &mut self.former, CloseReason::NoLongerNeeded);
+        }
+        // The balancer takes a list for a sign that the watch stands; without a current one it must request another.
+        if self.current.is_none() && has_lists {
+            events.push(WatchEvent::Failed);
+        }
+        events
+    }
+
+    fn on_current_event(
+        &mut self,
+        transport: &mut Transport,
+        now: Time,
+        event: ReadinessEvent,
+    ) -> Vec<WatchEvent> {
+        let mut events = Vec::new();
+        let Some(stream) = &mut self.current else { return events };
+        if stream.connection.id() != event.id {
+            return events;
+        }
+        let was_established = stream.is_established();
+        let result = stream.on_event(transport, now, event, &mut events);
+        let is_newly_established = !was_established && stream.is_established();
+        let revisions = || lists(&events).map(|list| list.revision).filter(|revision| *revision > 0);
+        let first_revision = revisions().min().unwrap_or(u64::MAX);
+        self.revision = revisions().last().or(self.revision);
+        if is_newly_established {
+            let later = self.take_ended_after(first_revision);
+            events.extend(later.map(WatchEvent::Update));
+        }
+        if let Err(reason) = result {
+            events.push(self.lose_current(transport, reason));
+        } else if self.is_established() {
+            close(transport, &mut self.former, CloseReason::NoLongerNeeded);
+        }
+        events
+    }
+
+    /// The endpoints that a former watch has reported as ended after this revision.
+    ///
+    /// The response to the current watch may have been written before those reports and arrive after them: an endpoint
+    /// that is known to drain would get requests again until the new watch reports it, too.
+    fn take_ended_after(&mut self, revision: u64) -> Option<EndpointListUpdate> {
+        let ended = std::mem::take(&mut self.ended);
+        let later = ended.into_values().filter(|ended| ended.revision > revision);
+        let entries: Vec<_> = later.map(|ended| ended.entry).collect();
+        if entries.is_empty() {
+            return None;
+        }
+        Some(EndpointListUpdate { revision, entries, ..EndpointListUpdate::default() })
+    }
+
+    /// Handles the timer of a connection to discovery: it was not established, was not answered, or sent no complete
+    /// line for too long.
+    pub(super) fn on_timer(&mut self, transport: &mut Transport, id: ConnectionId) -> Option<WatchEvent> {
+        if self.is_former(id) {
+            // Another watch is requested already.
+            return self.on_former_timer(transport);
+        }
+        if self.is_established() {
+            // It may only be slow: what it still reports counts, and another may be long in coming.
+            log::warn!(event = "watch_lost", end:? = CloseReason::PeerTimeout; "the watch on the endpoint list is silent");
+            close(transport, &mut self.former, CloseReason::PeerTimeout);
+            self.former = self.current.take();
+            return Some(WatchEvent::Failed);
+        }
+        let now = transport.now();
+        if self.has_unanswered_request(id, now) {
+            return self.repeat_request(transport, now);
+        }
+        Some(self.lose_current(transport, CloseReason::ConnectTimeout))
+    }
+
+    fn on_former_timer(&mut self, transport: &mut Transport) -> Option<WatchEvent> {
+        close(transport, &mut self.former, CloseReason::ConnectTimeout);
+        None
+    }
+
+    fn has_unanswered_request(&self, id: ConnectionId, now: Time) -> bool {
+        self.current.as_ref().is_some_and(|stream| stream.connection.id() == id && stream.deadline <= now)
+    }
+
+    /// Repeats a request that was not answered. It has had its wait already: with another one before the next request,
+    /// that one's response would come too late.
+    fn repeat_request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
+        log::warn!(
+            event = "watch_lost", end:? = CloseReason::PeerTimeout;
+            "the request for the endpoint list is not answered"
+        );
+        self.open(transport, now)
+    }
+
+    fn lose_current(&mut self, transport: &mut Transport, reason: CloseReason) -> WatchEvent {
+        log::warn!(event = "watch_lost", end:? = reason; "the watch on the endpoint list is lost: {reason:?}");
+        close(transport, &mut self.current, reason);
+        WatchEvent::Failed
+    }
+}
+
+fn lists(events: &[WatchEvent]) -> impl Iterator<Item = &EndpointListUpdate> {
+    events.iter().filter_map(|event| match event {
+        WatchEvent::Update(list) => Some(list),
+        WatchEvent::Failed => None,
+    })
+}
+
+fn close(transport: &mut Transport, stream: &mut Option<WatchStream>, reason: CloseReason) {
+    if let Some(stream) = stream.take() {
+        log::debug!("connection to discovery closed: {reason:?}");
+        stream.connection.close(transport);
+    }
+}
+
+/// Remembers the endpoints that a former watch reports as ended.
+fn record_ended(ended: &mut BTreeMap<String, EndedEndpoint>, list: &EndpointListUpdate) {
+    for entry in &list.entries {
+        if entry.state == EndpointState::Active {
+            ended.remove(&entry.uid);
+        } else if ended.len() < MAX_ENDED_ENDPOINTS {
+            let endpoint = EndedEndpoint { revision: list.revision, entry: entry.clone() };
+            ended.insert(entry.uid.clone(), endpoint);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/proxy/downstream/client.rs
@@ -0,0 +1,91 @@
+//! A client's connection and what is being done on it.
+
+use granitelb_balancer::ids::RequestId;
+use granitelb_balancer::time::Time;
+
+use crate::http::{MessageDecoder, MessageKind};
+use crate::proxy::arrival_times::ArrivalTimes;
+use crate::transport::Connection;
+
+/// What is being done on a client's connection.
+#[derive(Clone, Copy)]
+pub(super) enum ClientState {
+    /// Reading, or waiting for, the next request.
+    Reading,
+    /// A request is in progress.
+    AwaitingResponse(RequestId),
+    /// Writing a response.
+    WritingResponse {
+        /// Whether the connection goes on afterwards.
+        keep_alive: bool,
+    },
+    /// The last response was written, and the client may finish sending.
+    Lingering,
+}
+
+/// A client's connection.
+pub(super) struct Client {
+    pub(super) connection: Connection,
+    pub(super) decoder: MessageDecoder,
+    pub(super) arrivals: ArrivalTimes,
+    pub(super) state: ClientState,
+    /// Whether `100 Continue` was sent for the request that is being read.
+    pub(super) sent_continue: bool,
+    /// Whether the client keeps the connection open after its current request.
+    pub(super) keep_alive: bool,
+    /// Whether no complete message has arrived yet.
+    pub(super) is_new: bool,
+}
+
+impl Client {
+    /// A client that has connected just now.
+    pub(super) fn new(connection: Connection) -> Client {
+        Client {
+            connection,
+            decoder: MessageDecoder::new(MessageKind::Request),
+            arrivals: ArrivalTimes::default(),
+            state: ClientState::Reading,
+            sent_continue: false,
+            keep_alive: true,
+            is_new: true,
+        }
+    }
+
+    /// Whether the client is between two requests.
+    pub(super) fn is_idle(&self) -> bool {
+        matches!(self.state, ClientState::Reading)
+            && self.decoder.is_between_messages()
+            && self.connection.input.is_empty()
+    }
+
+    /// Whether a request is in progress.
+    pub(super) fn is_awaiting_response(&self) -> bool {
+        matches!(self.state, ClientState::AwaitingResponse(_))
+    }
+
+    /// Whether the last response was written.
+    pub(super) fn is_lingering(&self) -> bool {
+        matches!(self.state, ClientState::Lingering)
+    }
+
+    /// Receives data by `receive`, and returns whether any has arrived.
+    pub(super) fn receive(&mut self, now: Time, receive: impl FnOnce(&mut Connection)) -> bool {
+        let buffered = self.connection.input.len();
+        receive(&mut self.connection);
+        let arrived = self.connection.input.len() - buffered;
+        self.arrivals.record(arrived, now);
+        arrived > 0
+    }
+
+    /// Writes `100 Continue` where the client waits for it, and returns whether it did.
+    pub(super) fn send_continue_if_expected(&mut self) -> bool {
+        let head = self.decoder.head();
+        let is_expected = head.is_some_and(|head| head.has_token("expect", "100-continue"));
+        if !is_expected || self.sent_continue {
+            return false;
+        }
+        self.sent_continue = true;
+        self.connection.output.push(b"HTTP/1.1 100 Continue\r\n\r\n");
+        true
+    }
+}
--- /dev/null
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -0,0 +1,108 @@
+//! Reads from a message's head what the client asks for.
+
+use granitelb_balancer::calls::Request;
+use granitelb_balancer::ids::{Key, RequestClassId};
+use granitelb_balancer::time::Span;
+use granitelb_settings::Names;
+
+use crate::http::{MessageHead, ParseError};
+use crate::proxy::stable_hash::stable_hash;
+
+const MICROS_PER_MILLI: u64 = 1000;
+
+/// Why a message is not a request that the node serves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestError {
+    /// The method is neither GET nor PUT.
+    MethodNotAllowed,
+    /// The path does not begin with the name of a request class.
+    NotFound,
+    /// A header is missing, repeated, or has an invalid value.
+    Malformed,
+}
+
+impl From<ParseError> for RequestError {
+    fn from(_: ParseError) -> RequestError {
+        RequestError::Malformed
+    }
+}
+
+/// A request as its client sent it.
+pub(super) struct DecodedRequest {
+    pub(super) request: Request,
+    /// The client's identifier for it.
+    pub(super) client_request_id: Box<str>,
+}
+
+/// Decodes requests of the classes that the settings name.
+pub(super) struct RequestDecoder {
+    names: Names,
+    /// The longest time that a client waits, by request class.
+    client_timeouts: Vec<Span>,
+}
+
+impl RequestDecoder {
+    /// A decoder for these request classes.
+    pub(super) fn new(names: Names, client_timeouts: Vec<Span>) -> RequestDecoder {
+        RequestDecoder { names, client_timeouts }
+    }
+
+    /// Decodes a request.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the message is not a request that the node serves.
+    pub(super) fn decode(&self, head: &MessageHead) -> Result<DecodedRequest, RequestError> {
+        let write = match head.method.as_str() {
+            "GET" => false,
+            "PUT" => true,
+            _ => return Err(RequestError::MethodNotAllowed),
+        };
+        let request_class = self.decode_request_class(head)?;
+        let id = head.single_value("x-request-id")?.filter(|id| !id.is_empty());
+        let client_request_id = id.ok_or(RequestError::Malformed)?;
+        let timeout = decode_timeout(head)?;
+        // No client waits for longer than the timeout of its request class, whatever it says of one attempt.
+        let max_timeout = self.client_timeouts[request_class];
+        let key = head.path_segments().next_back().unwrap_or_default();
+        let request = Request {
+            request_class: RequestClassId(request_class as u16),
+            key: Key(stable_hash(key.as_bytes())),
+            budget: timeout.map_or(max_timeout, |timeout| timeout.min(max_timeout)),
+            work: decode_work_hint(head),
+            write,
+        };
+        Ok(DecodedRequest { request, client_request_id: client_request_id.into() })
+    }
+
+    /// The index of the request class. Cache servers go by the path: a class that only a header names would be
+    /// rejected there.
+    fn decode_request_class(&self, head: &MessageHead) -> Result<usize, RequestError> {
+        let class = head.path_segments().next().ok_or(RequestError::NotFound)?;
+        let index = self.names.request_classes.iter().position(|name| name == class);
+        let index = index.ok_or(RequestError::NotFound)?;
+        let named_by_header = head.single_value("x-priority-class")?;
+        if named_by_header.is_some_and(|named| named != class) {
+            return Err(RequestError::Malformed);
+        }
+        Ok(index)
+    }
+}
+
+/// The time that the client waits, if it says so. No response could arrive within a time of zero.
+fn decode_timeout(head: &MessageHead) -> Result<Option<Span>, RequestError> {
+    let Some(text) = head.single_value("x-timeout-ms")? else { return Ok(None) };
+    match parse_number(text) {
+        Some(0) | None => Err(RequestError::Malformed),
+        Some(ms) => Ok(Some(Span(ms.saturating_mul(MICROS_PER_MILLI)))),
+    }
+}
+
+/// The estimated work. It is only a hint: one that cannot be parsed counts as none.
+fn decode_work_hint(head: &MessageHead) -> Option<Span> {
+    head.text("x-cost").and_then(parse_number).map(Span)
+}
+
+fn parse_number(text: &str) -> Option<u64> {
+    text.trim().parse().ok()
+}
--- /dev/null
+++ b/crates/node/src/proxy/request_metrics.rs
@@ -0,0 +1,104 @@
+//! Counts requests and attempts by how they ended, for a line of the log a minute.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use granitelb_balancer::calls::{AttemptOutcome, LocalReply};
+
+use super::final_response::FinalResponse;
+
+/// Counts since the last log line.
+#[derive(Default)]
+pub(super) struct RequestMetrics {
+    fulfilled: u64,
+    rate_limited: u64,
+    errored: u64,
+    client_disconnected: u64,
+    /// Attempts by the name of their outcome.
+    attempts: BTreeMap<&'static str, u64>,
+    unreadable_load_reports: u64,
+}
+
+impl RequestMetrics {
+    /// Counts the final response to a request.
+    pub(super) fn count_response(&mut self, response: &FinalResponse) {
+        let counter = match response {
+            FinalResponse::Upstream(_) => &mut self.fulfilled,
+            FinalResponse::Local(LocalReply::RateLimited { .. }) => &mut self.rate_limited,
+            FinalResponse::Local(LocalReply::Errored) => &mut self.errored,
+            FinalResponse::ClientDisconnected => &mut self.client_disconnected,
+        };
+        *counter += 1;
+    }
+
+    /// Counts an attempt that has ended.
+    pub(super) fn count_attempt(&mut self, outcome: AttemptOutcome) {
+        *self.attempts.entry(outcome_name(outcome)).or_default() += 1;
+    }
+
+    /// Counts a load report that could not be parsed.
+    pub(super) fn count_unreadable_load_report(&mut self) {
+        self.unreadable_load_reports += 1;
+    }
+
+    /// Writes the counts to the log.
+    pub(super) fn log(&self) {
+        log::info!(
+            event = "request_metrics", fulfilled = self.fulfilled, rate_limited = self.rate_limited,
+            errored = self.errored, client_disconnected = self.client_disconnected,
+            attempts = self.total_attempts(), unreadable_load_reports = self.unreadable_load_reports;
+            "{self}"
+        );
+    }
+
+    /// Whether no request and no attempt was counted.
+    pub(super) fn is_empty(&self) -> bool {
+        self.total_requests() == 0 && self.attempts.is_empty()
+    }
+
+    fn total_requests(&self) -> u64 {
+        self.fulfilled + self.rate_limited + self.errored + self.client_disconnected
+    }
+
+    fn total_attempts(&self) -> u64 {
+        self.attempts.values().sum()
+    }
+}
+
+impl fmt::Display for RequestMetrics {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} requests: {} fulfilled, {} rate-limited, {} errored, {} client-disconnected; {} attempts",
+            self.total_requests(),
+            self.fulfilled,
+            self.rate_limited,
+            self.errored,
+            self.client_disconnected,
+            self.total_attempts(),
+        )?;
+        let mut separator = ":";
+        for (outcome, count) in &self.attempts {
+            write!(f, "{separator} {count} {outcome}")?;
+            separator = ",";
+        }
+        if self.unreadable_load_reports > 0 {
+            write!(f, "; {} unreadable load reports", self.unreadable_load_reports)?;
+        }
+        Ok(())
+    }
+}
+
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Fulfilled => "fulfilled",
+        AttemptOutcome::CacheMiss => "cache-miss",
+        AttemptOutcome::Rejected => "rejected",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::NotSent => "not-sent",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::Errored => "errored",
+        AttemptOutcome::Reset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+    }
+}
--- /dev/null
+++ b/crates/node/src/proxy/request_table.rs
@@ -0,0 +1,300 @@
+//! The requests in progress: where the downstream and the upstream side meet.
+//!
+//! Invariants: [`RequestTable::start_attempt`] admits every attempt and admits none for a request that has its final
+//! response; [`RequestTable::finish`] accepts the first final response of a request and no other. A request stays in
+//! the table until its response was collected and its last attempt has ended.
+
+use std::collections::{HashMap, HashSet, VecDeque};
+
+use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, LoadReport, Request};
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
+use granitelb_balancer::time::Span;
+
+use super::attempt_end::AttemptEnd;
+use super::final_response::FinalResponse;
+use super::load_report::parse_load_report;
+use super::request_metrics::RequestMetrics;
+use crate::http::Message;
+use crate::transport::ConnectionId;
+
+/// Whether a request has its final response.
+enum ResponseState {
+    /// The request waits for its final response.
+    Pending,
+    /// The final response is known and was not collected yet.
+    Ready(FinalResponse),
+    /// The final response was collected.
+    Collected,
+}
+
+/// A request in progress.
+pub struct ActiveRequest {
+    /// The client's connection.
+    client: ConnectionId,
+    request: Request,
+    /// What is forwarded to endpoints.
+    message: Message,
+    /// The client's identifier for the request.
+    client_request_id: Box<str>,
+    attempts_started: u8,
+    attempts_in_flight: usize,
+    missed_in_cache: bool,
+    response: ResponseState,
+}
+
+impl ActiveRequest {
+    /// What the client asks for.
+    pub fn request(&self) -> &Request {
+        &self.request
+    }
+
+    /// The message that is forwarded to endpoints.
+    pub fn message(&self) -> &Message {
+        &self.message
+    }
+
+    /// The client's identifier for the request.
+    pub fn client_request_id(&self) -> &str {
+        &self.client_request_id
+    }
+
+    /// Whether this is a read that a cache server did not have.
+    pub fn is_missed_read(&self) -> bool {
+        self.missed_in_cache && !self.request.write
+    }
+
+    fn is_pending(&self) -> bool {
+        matches!(self.response, ResponseState::Pending)
+    }
+
+    fn is_over(&self) -> bool {
+        matches!(self.response, ResponseState::Collected) && self.attempts_in_flight == 0
+    }
+}
+
+/// An attempt that has ended, as the balancer is told of it.
+pub struct FinishedAttempt {
+    /// The request that it belonged to.
+    pub request: RequestId,
+    /// How it ended.
+    pub result: AttemptResult,
+    /// The length of the response's body.
+    pub response_bytes: u32,
+    /// The load report that came with the response.
+    pub load_report: Option<LoadReport>,
+}
+
+/// A final response that is to be delivered to a client.
+pub struct UndeliveredResponse {
+    /// The request that it answers.
+    pub request: RequestId,
+    /// The connection of the client.
+    pub client: ConnectionId,
+    /// The response.
+    pub response: FinalResponse,
+}
+
+/// All requests in progress, with queues of what the driver and both sides have yet to handle.
+#[derive(Default)]
+pub struct RequestTable {
+    requests: HashMap<RequestId, ActiveRequest>,
+    /// The client's identifiers of the requests that wait for their final response.
+    pending_ids: HashSet<Box<str>>,
+    last_id: u64,
+    arrived: VecDeque<RequestId>,
+    disconnected: VecDeque<RequestId>,
+    finished_attempts: VecDeque<FinishedAttempt>,
+    undelivered: VecDeque<RequestId>,
+    /// The response header that carries load reports.
+    load_report_header: Option<Box<str>>,
+    metrics: RequestMetrics,
+}
+
+/// For the downstream side.
+impl RequestTable {
+    /// Adds a request, unless another one with the client's identifier is pending: endpoints could not tell the two
+    /// apart, and the earlier one would suffer for it.
+    pub fn insert(
+        &mut self,
+        client: ConnectionId,
+        request: Request,
+        client_request_id: Box<str>,
+        message: Message,
+    ) -> Option<RequestId> {
+        if !self.pending_ids.insert(client_request_id.clone()) {
+            return None;
+        }
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
+        let active = ActiveRequest {
+            client,
+            request,
+            message,
+            client_request_id,
+            attempts_started: 0,
+            attempts_in_flight: 0,
+            missed_in_cache: false,
+            response: ResponseState::Pending,
+        };
+        self.requests.insert(id, active);
+        self.arrived.push_back(id);
+        Some(id)
+    }
+
+    /// Records that the client has disconnected: no response is due any more.
+    pub fn on_client_disconnect(&mut self, id: RequestId) {
+        if self.finish(id, FinalResponse::ClientDisconnected) {
+            self.disconnected.push_back(id);
+        }
+    }
+
+    /// The next final response to deliver.
+    pub fn poll_response(&mut self) -> Option<UndeliveredResponse> {
+        loop {
+            let id = self.undelivered.pop_front()?;
+            let undelivered = self.collect_response(id);
+            self.remove_if_over(id);
+            if undelivered.is_some() {
+                return undelivered;
+            }
+        }
+    }
+
+    fn collect_response(&mut self, id: RequestId) -> Option<UndeliveredResponse> {
+        let active = self.requests.get_mut(&id)?;
+        if active.is_pending() {
+            return None;
+        }
+        match std::mem::replace(&mut active.response, ResponseState::Collected) {
+            ResponseState::Ready(response) => {
+                Some(UndeliveredResponse { request: id, client: active.client, response })
+            }
+            ResponseState::Pending | ResponseState::Collected => None,
+        }
+    }
+}
+
+/// For the upstream side.
+impl RequestTable {
+    /// A request in progress.
+    pub fn get(&self, id: RequestId) -> Option<&ActiveRequest> {
+        self.requests.get(&id)
+    }
+
+    /// Whether a request waits for its final response.
+    pub fn is_pending(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_some_and(ActiveRequest::is_pending)
+    }
+
+    /// Records the end of an attempt, and the final response if it brought one.
+    pub fn on_attempt_end(
+        &mut self,
+        id: RequestId,
+        number: AttemptNumber,
+        endpoint: EndpointId,
+        end: AttemptEnd,
+        latency: Span,
+    ) {
+        let load_report = self.read_load_report(&end);
+        let response_bytes = end.body_bytes();
+        let outcome = end.outcome();
+        if let Some(response) = end.into_final_response() {
+            self.finish(id, FinalResponse::Upstream(response));
+        }
+        self.metrics.count_attempt(outcome);
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        active.attempts_in_flight = active.attempts_in_flight.saturating_sub(1);
+        active.missed_in_cache |= outcome == AttemptOutcome::CacheMiss;
+        let answered = !active.is_pending();
+        let result = AttemptResult { number, cache: endpoint, outcome, latency, answered };
+        self.finished_attempts.push_back(FinishedAttempt {
+            request: id,
+            result,
+            response_bytes,
+            load_report,
+        });
+        self.remove_if_over(id);
+    }
+
+    fn read_load_report(&mut self, end: &AttemptEnd) -> Option<LoadReport> {
+        let header = self.load_report_header.as_ref()?;
+        let text = end.header(header)?;
+        let report = parse_load_report(text);
+        if report.is_none() {
+            self.metrics.count_unreadable_load_report();
+        }
+        report
+    }
+}
+
+/// For the balancer driver.
+impl RequestTable {
+    /// Sets the response header that carries load reports.
+    pub fn set_load_report_header(&mut self, name: Option<Box<str>>) {
+        self.load_report_header = name;
+    }
+
+    /// The next request that has arrived.
+    pub fn poll_arrived(&mut self) -> Option<(RequestId, Request)> {
+        loop {
+            let id = self.arrived.pop_front()?;
+            // A request whose client disconnected at once may be gone; those behind it are not.
+            if let Some(active) = self.requests.get(&id) {
+                return Some((id, active.request));
+            }
+        }
+    }
+
+    /// The next request whose client has disconnected.
+    pub fn poll_disconnected(&mut self) -> Option<RequestId> {
+        self.disconnected.pop_front()
+    }
+
+    /// The next attempt that has ended.
+    pub fn poll_finished_attempt(&mut self) -> Option<FinishedAttempt> {
+        self.finished_attempts.pop_front()
+    }
+
+    /// Admits an attempt and returns its number, unless the request has its final response. Every attempt passes
+    /// here.
+    pub fn start_attempt(&mut self, id: RequestId) -> Option<AttemptNumber> {
+        let active = self.requests.get_mut(&id)?;
+        if !active.is_pending() {
+            return None;
+        }
+        let number = AttemptNumber(active.attempts_started);
+        active.attempts_started += 1;
+        active.attempts_in_flight += 1;
+        Some(number)
+    }
+
+    /// Accepts the final response of a request, unless it has one, and returns whether it was accepted. Every final
+    /// response passes here.
+    pub fn finish(&mut self, id: RequestId, response: FinalResponse) -> bool {
+        let Some(active) = self.requests.get_mut(&id) else { return false };
+        if !active.is_pending() {
+            return false;
+        }
+        self.metrics.count_response(&response);
+        self.pending_ids.remove(&active.client_request_id);
+        active.response = ResponseState::Ready(response);
+        self.undelivered.push_back(id);
+        true
+    }
+
+    /// How many requests wait for their final response.
+    pub fn pending_count(&self) -> usize {
+        self.pending_ids.len()
+    }
+
+    /// Returns the counts since the last call.
+    pub(super) fn take_metrics(&mut self) -> RequestMetrics {
+        std::mem::take(&mut self.metrics)
+    }
+
+    fn remove_if_over(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(ActiveRequest::is_over) {
+            self.requests.remove(&id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/proxy/upstream/exchange.rs
@@ -0,0 +1,216 @@
+//! Writing requests to connections and reading the responses.
+
+use granitelb_balancer::time::{Span, Time};
+
+use super::Upstream;
+use super::connection::UpstreamConnection;
+use crate::http::{Message, write_request};
+use crate::proxy::attempt_end::AttemptEnd;
+use crate::proxy::duplicate_response::ResponseVariety;
+use crate::proxy::request_table::{ActiveRequest, RequestTable};
+use crate::proxy::turn_context::TurnContext;
+use crate::transport::{CloseReason, ConnectionId};
+
+/// After a supposed duplicate, the response to the request is waited for during this share of the time that the
+/// attempt has left.
+const DUPLICATE_WAIT_SHARE: f64 = 0.25;
+
+const MICROS_PER_MILLI: u64 = 1000;
+
+/// Tracks the variety of responses to reads and to writes separately.
+#[derive(Default)]
+pub(super) struct VarietyByMethod {
+    reads: ResponseVariety,
+    writes: ResponseVariety,
+}
+
+impl VarietyByMethod {
+    fn of_request(&mut self, request: Option<&ActiveRequest>) -> &mut ResponseVariety {
+        let is_write = request.is_some_and(|active| active.message().head.method != "GET");
+        if is_write { &mut self.writes } else { &mut self.reads }
+    }
+}
+
+/// Whether a connection goes on after a response was handled.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ConnectionFate {
+    Open,
+    Closed,
+}
+
+impl Upstream {
+    /// Writes what is to be written on a connection and handles what was received.
+    pub(super) fn advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
+        let Some(upstream) = self.connections.get(&id) else { return };
+        // No response is due on an idle connection. A part of one, once read, would precede the response to the next
+        // request, whose client would get a response that was made for no request of its own.
+        if upstream.attempt.is_none() && !upstream.connection.input.is_empty() {
+            let endpoint = upstream.endpoint;
+            self.mark_suspect(cx.now, endpoint);
+            return self.close(cx, id, CloseReason::ProtocolError);
+        }
+        if is_writing_for_finished_request(upstream, cx.requests) {
+            return self.close(cx, id, CloseReason::NoLongerNeeded);
+        }
+        if let Err(reason) = self.start_request(cx.requests, cx.now, id) {
+            return self.release(cx, id, reason);
+        }
+        let Some(upstream) = self.connections.get_mut(&id) else { return };
+        upstream.record_early_data();
+        let written = upstream.flush();
+        if self.read_responses(cx, id, written) == ConnectionFate::Closed {
+            return;
+        }
+        let Some(upstream) = self.connections.get_mut(&id) else { return };
+        upstream.forget_early_interim_response();
+        // Data that arrived before the request was written is no response to it.
+        let early_data = upstream.has_unwritten_attempt().then_some(CloseReason::ProtocolError);
+        let close_reason = upstream.connection.close_reason().or(written.err()).or(early_data);
+        match close_reason {
+            Some(reason) => self.close(cx, id, reason),
+            None => upstream.connection.update_interest(cx.transport),
+        }
+    }
+
+    /// Admits the first byte of every attempt: it is sent only while its request is pending, before its start
+    /// deadline, and to the current address of its endpoint.
+    ///
+    /// The request is written here, with the time that is left by now, since connecting may have taken long. Where
+    /// data or the end of the connection has arrived before, it is not written: that is handled first.
+    fn start_request(
+        &mut self,
+        requests: &RequestTable,
+        now: Time,
+        id: ConnectionId,
+    ) -> Result<(), CloseReason> {
+        let Some(upstream) = self.connections.get_mut(&id) else { return Ok(()) };
+        if !upstream.connection.is_connected() || upstream.has_started() {
+            return Ok(());
+        }
+        let is_clean = upstream.is_clean();
+        let Some(attempt) = &mut upstream.attempt else { return Ok(()) };
+        let pool = self.pools.get(&upstream.endpoint);
+        let is_current_address = pool.is_some_and(|pool| pool.address == upstream.address);
+        let is_pending = requests.is_pending(attempt.id.request);
+        let request = requests.get(attempt.id.request).filter(|_| is_current_address && is_pending);
+        let request = request.ok_or(CloseReason::NoLongerNeeded)?;
+        if attempt.response_deadline <= now {
+            return Err(CloseReason::DeadlineExceeded);
+        }
+        // A repeat that is sent later than this is no longer recognized as one.
+        if attempt.start_deadline <= now {
+            return Err(CloseReason::NoLongerNeeded);
+        }
+        if attempt.request_bytes.is_none() && is_clean {
+            let output = &mut upstream.connection.output;
+            let time_left_ms = (attempt.response_deadline - now).0 / MICROS_PER_MILLI;
+            write_request(output, request.message(), time_left_ms);
+            attempt.request_bytes = Some(output.len());
+        }
+        Ok(())
+    }
+
+    fn read_responses(
+        &mut self,
+        cx: &mut TurnContext<'_>,
+        id: ConnectionId,
+        written: Result<(), CloseReason>,
+    ) -> ConnectionFate {
+        loop {
+            let Some(upstream) = self.connections.get_mut(&id) else { return ConnectionFate::Closed };
+            let response = match upstream.next_response() {
+                Ok(Some(response)) => response,
+                Ok(None) => return ConnectionFate::Open,
+                Err(_) => {
+                    self.close(cx, id, CloseReason::ProtocolError);
+                    return ConnectionFate::Closed;
+                }
+            };
+            if upstream.attempt.is_none() {
+                return ConnectionFate::Open;
+            }
+            if self.on_response(cx, id, response, written) == ConnectionFate::Closed {
+                return ConnectionFate::Closed;
+            }
+        }
+    }
+
+    fn on_response(
+        &mut self,
+        cx: &mut TurnContext<'_>,
+        id: ConnectionId,
+        response: Message,
+        written: Result<(), CloseReason>,
+    ) -> ConnectionFate {
+        let Some(upstream) = self.connections.get(&id) else { return ConnectionFate::Closed };
+        let Some(attempt) = &upstream.attempt else { return ConnectionFate::Open };
+        let endpoint = upstream.endpoint;
+        // An endpoint begins with a request once it has all of it: this response was made for no pending request.
+        if response.head.status == 200 && attempt.has_early_data {
+            self.mark_suspect(cx.now, endpoint);
+            self.close(cx, id, CloseReason::ProtocolError);
+            return ConnectionFate::Closed;
+        }
+        let time_left = attempt.response_deadline - cx.now;
+        if self.is_duplicate(cx, id, &response) {
+            // The response to this request follows it.
+            self.mark_suspect(cx.now, endpoint);
+            cx.transport.timers.set_earlier(id, cx.now + time_left.scaled(DUPLICATE_WAIT_SHARE));
+            return ConnectionFate::Open;
+        }
+        self.finish_attempt(cx, id, response, written)
+    }
+
+    /// Whether a response duplicates one that its connection has recently delivered.
+    fn is_duplicate(&mut self, cx: &TurnContext<'_>, id: ConnectionId, response: &Message) -> bool {
+        let Some(upstream) = self.connections.get(&id) else { return false };
+        let Some(attempt) = &upstream.attempt else { return false };
+        let pool = self.pools.get(&upstream.endpoint);
+        if pool.is_some_and(|pool| pool.has_uniform_responses(cx.now)) {
+            return false;
+        }
+        let variety = self.variety.of_request(cx.requests.get(attempt.id.request));
+        variety.is_established() && upstream.recent_responses.contains(cx.now, response)
+    }
+
+    /// Ends an attempt with its response, and keeps the connection for the next one where it is fit for that.
+    fn finish_attempt(
+        &mut self,
+        cx: &mut TurnContext<'_>,
+        id: ConnectionId,
+        response: Message,
+        written: Result<(), CloseReason>,
+    ) -> ConnectionFate {
+        let Some(upstream) = self.connections.get_mut(&id) else { return ConnectionFate::Closed };
+        let Some(attempt) = upstream.attempt.take() else { return ConnectionFate::Open };
+        let endpoint = upstream.endpoint;
+        upstream.recent_responses.record(cx.now, &response);
+        self.variety.of_request(cx.requests.get(attempt.id.request)).record(&response);
+        self.connections_by_attempt.remove(&attempt.id);
+        let is_reusable =
+            response.head.keep_alive && !attempt.has_early_data && upstream.is_clean() && written.is_ok();
+        upstream.last_progress_at = cx.now;
+        let has_excess_input = !upstream.connection.input.is_empty();
+        let is_current_address =
+            self.pools.get(&endpoint).is_some_and(|pool| pool.address == upstream.address);
+        let latency: Span = cx.now - attempt.started_at;
+        let end = AttemptEnd::Response(response);
+        cx.requests.on_attempt_end(attempt.id.request, attempt.id.number, endpoint, end, latency);
+        if has_excess_input {
+            self.mark_suspect(cx.now, endpoint);
+        }
+        if !is_reusable || !is_current_address {
+            self.remove(cx.transport, id, CloseReason::NoLongerNeeded);
+            return ConnectionFate::Closed;
+        }
+        self.add_idle(cx, endpoint, id);
+        ConnectionFate::Open
+    }
+}
+
+/// Whether a started request still has bytes to be written although it has its final response.
+fn is_writing_for_finished_request(upstream: &UpstreamConnection, requests: &RequestTable) -> bool {
+    let Some(attempt) = &upstream.attempt else { return false };
+    let is_writing = upstream.has_started() && !upstream.connection.output.is_empty();
+    is_writing && !requests.is_pending(attempt.id.request)
+}
--- /dev/null
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -0,0 +1,317 @@
+//! The upstream side: connections to cache servers and the origin, and the attempts on them.
+//!
+//! Invariants:
+//! - The first byte of every attempt passes [`Upstream::start_request`], whichever connection it waited for. Its
+//!   request is written only then, with the time that is left.
+//! - An attempt is assigned to one connection at a time.
+//! - A response goes to a request only after the last byte of its attempt was written, and once.
+
+mod connecting;
+mod connection;
+mod exchange;
+mod pool;
+
+use std::collections::BTreeMap;
+
+use granitelb_balancer::calls::Attempt;
+use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
+use granitelb_balancer::time::{Span, Time};
+
+use self::connecting::{MAX_SURPLUS_CONNECTIONS, SURPLUS_CONNECT_TIMEOUT};
+use self::connection::{AssignedAttempt, AttemptId, UpstreamConnection};
+use self::exchange::VarietyByMethod;
+use self::pool::EndpointPool;
+use super::attempt_end::{AttemptEnd, RequestProgress};
+use super::endpoint_directory::KnownEndpoint;
+use super::turn_context::TurnContext;
+use crate::transport::{CloseReason, ConnectionId, Owner, ReadinessEvent, Transport};
+
+/// An idle connection is closed after this share of the time after which an endpoint may close it: what is written to
+/// one that is just being closed is lost.
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
+/// A duplicate response may arrive some milliseconds after the first. On a connection that carries the next request by
+/// then it could be taken for that one's: a connection that was idle for this long is preferred.
+const PREFERRED_IDLE_TIME: Span = Span::from_millis(20);
+
+/// The connections to all endpoints.
+pub struct Upstream {
+    owner: Owner,
+    pools: BTreeMap<EndpointId, EndpointPool>,
+    connections: BTreeMap<ConnectionId, UpstreamConnection>,
+    connections_by_attempt: BTreeMap<AttemptId, ConnectionId>,
+    connect_timeout: Span,
+    idle_timeout: Span,
+    variety: VarietyByMethod,
+}
+
+impl Upstream {
+    /// An upstream side without endpoints. Endpoints may close connections that are idle for `keep_alive`.
+    pub fn new(owner: Owner, connect_timeout: Span, keep_alive: Span) -> Upstream {
+        Upstream {
+            owner,
+            pools: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            connections_by_attempt: BTreeMap::new(),
+            connect_timeout,
+            idle_timeout: keep_alive.scaled(IDLE_TIMEOUT_SHARE),
+            variety: VarietyByMethod::default(),
+        }
+    }
+
+    /// Sets the timeouts that apply from now on.
+    pub fn set_timeouts(&mut self, connect_timeout: Span, keep_alive: Span) {
+        self.connect_timeout = connect_timeout;
+        self.idle_timeout = keep_alive.scaled(IDLE_TIMEOUT_SHARE);
+    }
+
+    /// Sets the endpoints that may get attempts; all others are removed.
+    pub fn set_endpoints(
+        &mut self,
+        cx: &mut TurnContext<'_>,
+        endpoints: &BTreeMap<EndpointId, KnownEndpoint>,
+    ) {
+        let is_removed = |endpoint: &EndpointId, pool: &EndpointPool| {
+            endpoints.get(endpoint).is_none_or(|known| known.address != pool.address)
+        };
+        let removed = self.pools.iter().filter(|(endpoint, pool)| is_removed(endpoint, pool));
+        let removed: Vec<_> = removed.map(|(endpoint, _)| *endpoint).collect();
+        for endpoint in removed {
+            self.remove_endpoint(cx, endpoint);
+        }
+        for (endpoint, known) in endpoints {
+            self.pools.entry(*endpoint).or_insert_with(|| EndpointPool::new(known.address));
+        }
+    }
+
+    /// Removes an endpoint: attempts that were not started are not sent, idle connections are closed, and connections
+    /// that carry a started attempt end with its response.
+    fn remove_endpoint(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId) {
+        let Some(pool) = self.pools.remove(&endpoint) else { return };
+        for id in pool.connecting.into_iter().chain(pool.idle) {
+            self.close(cx, id, CloseReason::NoLongerNeeded);
+        }
+    }
+
+    /// Sends an attempt on an idle connection, or on a new one.
+    pub fn send(&mut self, cx: &mut TurnContext<'_>, attempt: &Attempt, number: AttemptNumber) {
+        let idle = self.take_idle(cx, attempt.cache);
+        let opened = match idle {
+            Some(id) => Ok(id),
+            None => self.open(cx, attempt.cache),
+        };
+        let id = match opened {
+            Ok(id) => id,
+            Err(reason) => {
+                let end = AttemptEnd::NoResponse { reason, progress: RequestProgress::PartlyWritten };
+                cx.requests.on_attempt_end(attempt.request, number, attempt.cache, end, Span::ZERO);
+                return;
+            }
+        };
+        let assigned = AssignedAttempt {
+            id: AttemptId { request: attempt.request, number },
+            started_at: cx.now,
+            connect_deadline: cx.now + self.connect_timeout,
+            start_deadline: cx.now + attempt.begin_within,
+            response_deadline: cx.now + attempt.give_up_after,
+            request_bytes: None,
+            has_early_data: false,
+        };
+        self.assign(cx, id, assigned);
+    }
+
+    /// Assigns an attempt to a connection. Its request is written once the connection is established.
+    fn assign(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, attempt: AssignedAttempt) {
+        let Some(upstream) = self.connections.get_mut(&id) else { return };
+        cx.transport.mark_busy(id);
+        self.connections_by_attempt.insert(attempt.id, id);
+        cx.transport.timers.set(id, attempt.response_deadline);
+        if !upstream.connection.is_connected() {
+            let pool = self.pools.get(&upstream.endpoint);
+            let delay = pool.map_or(Span::ZERO, |pool| pool.connect_delay(self.connect_timeout));
+            cx.transport.timers.set(id, (cx.now + delay).min(attempt.connection_wait_deadline()));
+        }
+        upstream.attempt = Some(attempt);
+        self.advance(cx, id);
+    }
+
+    /// Takes an idle connection that the endpoint has not ended meanwhile: what is written to one that it has ended is
+    /// lost.
+    fn take_idle(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId) -> Option<ConnectionId> {
+        loop {
+            let id = self.remove_preferred_idle(cx.now, endpoint)?;
+            let upstream = self.connections.get_mut(&id)?;
+            upstream.connection.receive();
+            if upstream.is_clean() {
+                return Some(id);
+            }
+            if !upstream.connection.input.is_empty() {
+                self.mark_suspect(cx.now, endpoint);
+            }
+            self.remove(cx.transport, id, CloseReason::ClosedByPeer);
+        }
+    }
+
+    /// Removes from the pool the connection that was used last among those idle for long enough, else the one that
+    /// has been idle for longest unless the endpoint is suspect.
+    fn remove_preferred_idle(&mut self, now: Time, endpoint: EndpointId) -> Option<ConnectionId> {
+        let pool = self.pools.get_mut(&endpoint)?;
+        let connections = &self.connections;
+        let is_long_idle = |id: &ConnectionId| {
+            let upstream = connections.get(id);
+            upstream.is_none_or(|upstream| upstream.time_since_progress(now) >= PREFERRED_IDLE_TIME)
+        };
+        // They are in the order in which they became idle.
+        let long_idle = pool.idle.partition_point(is_long_idle);
+        let index = match long_idle.checked_sub(1) {
+            Some(last) => last,
+            None if pool.is_suspect(now) || pool.idle.is_empty() => return None,
+            None => 0,
+        };
+        Some(pool.idle.remove(index))
+    }
+
+    /// Adds a connection to the idle ones of its endpoint, if that is known.
+    fn add_idle(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId, id: ConnectionId) {
+        let Some(pool) = self.pools.get_mut(&endpoint) else { return };
+        pool.idle.push(id);
+        cx.transport.mark_idle(id, cx.now);
+        cx.transport.timers.set(id, cx.now + self.idle_timeout);
+    }
+
+    fn mark_suspect(&mut self, now: Time, endpoint: EndpointId) {
+        if let Some(pool) = self.pools.get_mut(&endpoint) {
+            pool.mark_suspect(now);
+        }
+    }
+
+    /// Cancels an attempt. A connection on which nothing of it was sent is kept.
+    pub fn cancel(&mut self, cx: &mut TurnContext<'_>, request: RequestId, number: AttemptNumber) {
+        let Some(id) = self.connections_by_attempt.get(&AttemptId { request, number }).copied() else {
+            return;
+        };
+        if self.connections.get(&id).is_some_and(UpstreamConnection::has_started) {
+            self.close(cx, id, CloseReason::Cancelled);
+        } else {
+            self.release(cx, id, CloseReason::Cancelled);
+        }
+    }
+
+    /// Handles an event of a connection.
+    pub fn on_event(&mut self, cx: &mut TurnContext<'_>, event: ReadinessEvent) {
+        let Some(upstream) = self.connections.get(&event.id) else { return };
+        if !upstream.connection.is_connected()
+            && let Err(reason) = self.on_connecting_event(cx, event.id)
+        {
+            return self.close(cx, event.id, reason);
+        }
+        let Some(upstream) = self.connections.get_mut(&event.id) else { return };
+        upstream.connection.on_event(&event);
+        self.advance(cx, event.id);
+    }
+
+    /// Handles the timer of a connection.
+    pub fn on_timer(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
+        let Some(upstream) = self.connections.get(&id) else { return };
+        let Some(attempt) = &upstream.attempt else {
+            return self.close(cx, id, CloseReason::NoLongerNeeded);
+        };
+        if attempt.response_deadline <= cx.now {
+            return self.close(cx, id, CloseReason::DeadlineExceeded);
+        }
+        if upstream.connection.is_connected() {
+            return self.on_duplicate_wait_end(cx, id);
+        }
+        if attempt.start_deadline <= cx.now {
+            return self.release(cx, id, CloseReason::NoLongerNeeded);
+        }
+        if attempt.connect_deadline > cx.now {
+            return self.on_connect_delayed(cx, id);
+        }
+        self.close(cx, id, CloseReason::ConnectTimeout);
+    }
+
+    /// Handles that nothing followed a supposed duplicate. It may have been the response or not, so nobody gets it;
+    /// for a while none of the endpoint's responses is taken for a duplicate.
+    fn on_duplicate_wait_end(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
+        let endpoint = self.connections.get(&id).map(|upstream| upstream.endpoint);
+        if let Some(pool) = endpoint.and_then(|endpoint| self.pools.get_mut(&endpoint)) {
+            pool.mark_uniform_responses(cx.now);
+        }
+        self.close(cx, id, CloseReason::ProtocolError);
+    }
+
+    /// Closes an idle connection to free its descriptor.
+    pub fn evict(&mut self, transport: &mut Transport, id: ConnectionId) {
+        self.remove_from_idle(id);
+        self.remove(transport, id, CloseReason::NoLongerNeeded);
+    }
+
+    fn remove_from_idle(&mut self, id: ConnectionId) {
+        let Some(upstream) = self.connections.get(&id) else { return };
+        if let Some(pool) = self.pools.get_mut(&upstream.endpoint) {
+            pool.idle.retain(|idle| *idle != id);
+        }
+    }
+
+    /// Ends an attempt of which nothing was sent, and keeps its connection, which is not at fault, for the next one.
+    fn release(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
+        let Some(upstream) = self.connections.get_mut(&id) else { return };
+        let Some(attempt) = upstream.attempt.take() else { return };
+        let endpoint = upstream.endpoint;
+        upstream.connection.output.clear();
+        self.connections_by_attempt.remove(&attempt.id);
+        let end = AttemptEnd::NoResponse { reason, progress: RequestProgress::PartlyWritten };
+        let latency = cx.now - attempt.started_at;
+        cx.requests.on_attempt_end(attempt.id.request, attempt.id.number, endpoint, end, latency);
+        if upstream.connection.is_connected() {
+            self.keep_released(cx, id, reason);
+        } else {
+            cx.transport.timers.set(id, cx.now + SURPLUS_CONNECT_TIMEOUT);
+            if self.surplus_connections(endpoint) > MAX_SURPLUS_CONNECTIONS {
+                self.remove(cx.transport, id, reason);
+            }
+        }
+    }
+
+    /// Makes an established connection idle whose attempt was released, unless it is unfit for another one.
+    fn keep_released(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
+        let Some(upstream) = self.connections.get_mut(&id) else { return };
+        let endpoint = upstream.endpoint;
+        let pool = self.pools.get(&endpoint);
+        let is_current_address = pool.is_some_and(|pool| pool.address == upstream.address);
+        if !upstream.is_clean() || !is_current_address {
+            return self.remove(cx.transport, id, reason);
+        }
+        upstream.last_progress_at = cx.now;
+        self.add_idle(cx, endpoint, id);
+        if let Some(upstream) = self.connections.get_mut(&id) {
+            upstream.connection.update_interest(cx.transport);
+        }
+    }
+
+    /// Closes a connection and ends the attempt on it.
+    fn close(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
+        let Some(upstream) = self.connections.get_mut(&id) else { return };
+        let progress = upstream.request_progress();
+        let endpoint = upstream.endpoint;
+        if let Some(attempt) = upstream.attempt.take() {
+            self.connections_by_attempt.remove(&attempt.id);
+            let end = AttemptEnd::NoResponse { reason, progress };
+            let latency = cx.now - attempt.started_at;
+            cx.requests.on_attempt_end(attempt.id.request, attempt.id.number, endpoint, end, latency);
+        } else {
+            self.remove_from_idle(id);
+        }
+        self.remove(cx.transport, id, reason);
+    }
+
+    /// Closes a connection that carries no attempt and is not idle.
+    fn remove(&mut self, transport: &mut Transport, id: ConnectionId, reason: CloseReason) {
+        let Some(upstream) = self.connections.remove(&id) else { return };
+        if let Some(pool) = self.pools.get_mut(&upstream.endpoint) {
+            pool.connecting.retain(|connecting| *connecting != id);
+        }
+        log::debug!("connection to {} closed: {reason:?}", upstream.address);
+        upstream.connection.close(transport);
+    }
+}
--- a/crates/node/src/transport/clock.rs
+++ b/crates/node/src/transport/clock.rs
@@ -1,24 +1,27 @@
-//! The node's one clock.
+//! The node's single clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use granitelb_balancer::time::{Span, Time};
 
-/// Unix time at the start, and monotonic time since: what others date by Unix time can be compared with it,
-/// and it never jumps.
+/// A clock that reads Unix time once at the start and advances by monotonic time from then on.
+///
+/// Its times can be compared with Unix timestamps from elsewhere, and it never jumps.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Time,
-    since: Instant,
+    unix_start: Time,
+    started_at: Instant,
 }
 
 impl Clock {
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Time(unix.as_micros() as u64), since: Instant::now() }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: Time(since_epoch.as_micros() as u64), started_at: Instant::now() }
     }
 
+    /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Time {
-        self.start + Span(self.since.elapsed().as_micros() as u64)
+        self.unix_start + Span(self.started_at.elapsed().as_micros() as u64)
     }
 }
--- a/crates/node/src/transport/connection.rs
+++ b/crates/node/src/transport/connection.rs
@@ -1,213 +1,226 @@
-//! Connections, and the listener they come from.
+//! TCP connections with a buffer for each direction.
 
-use std::io;
 use std::net::SocketAddr;
 
 use rustix::event::epoll::EventFlags;
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
-use rustix::net::{self, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType, sockopt};
+use rustix::net::{self, RecvFlags, SendFlags, Shutdown, SocketType, sockopt};
 
-use super::{ConnId, End, Event, Owner, Ring, Transport};
+use super::socket::{SOCKET_FLAGS, address_family, is_descriptor_exhaustion};
+use super::{CloseReason, ConnectionId, Owner, ReadinessEvent, RingBuffer, Transport};
 
-/// Input held for a reader that does not take it: a longest head, or a good part of a body.
-const MOST_INPUT: usize = 16 * 1024;
-/// Connections that the kernel keeps for a node which is busy for a moment.
-const BACKLOG: i32 = 1024;
+/// Bytes of input that are buffered while nobody consumes them: the longest head, or a good part of a body.
+const MAX_INPUT_BYTES: usize = 16 * 1024;
 
-const NEW: SocketFlags = SocketFlags::CLOEXEC.union(SocketFlags::NONBLOCK);
+/// Whether the handshake of a connection has completed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ConnectionState {
+    Connecting,
+    Connected,
+}
 
+/// A non-blocking TCP connection.
+///
+/// The caller consumes `input` and appends to `output`; [`Connection::receive`] and [`Connection::flush`] exchange
+/// them with the socket. After both, [`Connection::update_interest`] has epoll report what can be done next.
 pub struct Connection {
-    pub id: ConnId,
+    id: ConnectionId,
     fd: OwnedFd,
-    pub input: Ring,
-    pub output: Ring,
-    up: bool,
-    /// How the other side ended it, once it has.
-    ended: Option<End>,
-    /// Whether epoll told of its end, or of that of what comes; more that came before it may be left to read.
-    over: bool,
-    flags: EventFlags,
-}
-
-fn family(address: &SocketAddr) -> AddressFamily {
-    if address.ip().is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 }
-}
-
-/// A lack of descriptors or of memory for them, as against trouble with the one at hand.
-fn ran_out(trouble: Errno) -> bool {
-    matches!(trouble, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM)
+    /// Bytes that were received and not consumed yet.
+    pub input: RingBuffer,
+    /// Bytes that are to be sent.
+    pub output: RingBuffer,
+    state: ConnectionState,
+    /// How the peer closed the connection, once its end has been read.
+    closed: Option<CloseReason>,
+    /// Whether epoll has reported the end of the connection or of its input. Data sent before that may still be
+    /// unread.
+    end_reported: bool,
+    interest: EventFlags,
 }
 
 impl Connection {
-    /// Begins a connection; it is up once [`Connection::is_up`] says so.
-    pub fn begin(transport: &mut Transport, to: SocketAddr, owner: Owner) -> Result<Connection, End> {
-        if transport.room() == 0 {
-            return Err(End::NoDescriptor);
+    /// Starts to connect. The connection is established once [`Connection::is_connected`] says so.
+    ///
+    /// # Errors
+    ///
+    /// [`CloseReason::NoFileDescriptor`] where no descriptor or local port is left, [`CloseReason::Refused`] where
+    /// the system refuses the address at once.
+    pub fn connect(
+        transport: &mut Transport,
+        address: SocketAddr,
+        owner: Owner,
+    ) -> Result<Connection, CloseReason> {
+        if transport.available_connections() == 0 {
+            return Err(CloseReason::NoFileDescriptor);
         }
-        let fd = net::socket_with(family(&to), SocketType::STREAM, NEW, None).map_err(|trouble| {
-            if ran_out(trouble) {
-                transport.run_out();
+        let socket = net::socket_with(address_family(&address), SocketType::STREAM, SOCKET_FLAGS, None);
+        let fd = match socket {
+            Ok(fd) => fd,
+            Err(error) => {
+                if is_descriptor_exhaustion(error) {
+                    transport.record_descriptor_exhaustion();
+                }
+                return Err(CloseReason::NoFileDescriptor);
             }
-            End::NoDescriptor
-        })?;
-        match net::connect(&fd, &to) {
+        };
+        match net::connect(&fd, &address) {
             Ok(()) | Err(Errno::INPROGRESS) => {}
-            Err(Errno::ADDRNOTAVAIL | Errno::AGAIN) => return Err(End::NoDescriptor),
-            Err(_) => return Err(End::Refused),
+            Err(Errno::ADDRNOTAVAIL | Errno::AGAIN) => return Err(CloseReason::NoFileDescriptor),
+            Err(_) => return Err(CloseReason::Refused),
         }
-        Connection::over(transport, fd, owner, false)
+        Connection::register(transport, fd, owner, ConnectionState::Connecting)
+    }
+
+    /// Takes over a socket that a listener has accepted.
+    pub(super) fn accepted(
+        transport: &mut Transport,
+        fd: OwnedFd,
+        owner: Owner,
+    ) -> Result<Connection, CloseReason> {
+        Connection::register(transport, fd, owner, ConnectionState::Connected)
     }
 
-    fn over(transport: &mut Transport, fd: OwnedFd, owner: Owner, up: bool) -> Result<Connection, End> {
-        // Messages are written whole: waiting for more would only delay them.
+    fn register(
+        transport: &mut Transport,
+        fd: OwnedFd,
+        owner: Owner,
+        state: ConnectionState,
+    ) -> Result<Connection, CloseReason> {
+        // Messages are written as a whole: waiting for more data would only delay them. Without the option the
+        // connection works too.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
-        let flags =
-            EventFlags::IN | EventFlags::RDHUP | if up { EventFlags::empty() } else { EventFlags::OUT };
-        let id = transport.register(&fd, owner, flags).map_err(|_| End::NoDescriptor)?;
-        transport.opened();
+        let mut interest = EventFlags::IN | EventFlags::RDHUP;
+        if state == ConnectionState::Connecting {
+            interest |= EventFlags::OUT;
+        }
+        let id = transport.register(&fd, owner, interest).map_err(|_| CloseReason::NoFileDescriptor)?;
+        transport.connection_opened();
         Ok(Connection {
             id,
             fd,
-            input: Ring::default(),
-            output: Ring::default(),
-            up,
-            ended: None,
-            over: false,
-            flags,
+            input: RingBuffer::default(),
+            output: RingBuffer::default(),
+            state,
+            closed: None,
+            end_reported: false,
+            interest,
         })
     }
 
-    pub fn is_up(&self) -> bool {
-        self.up
+    /// The identifier under which events and timers refer to this connection.
+    pub fn id(&self) -> ConnectionId {
+        self.id
+    }
+
+    /// Whether the handshake has completed.
+    pub fn is_connected(&self) -> bool {
+        self.state == ConnectionState::Connected
     }
 
-    /// How the other side ended it, once all that came before was taken in, or can't be since nobody takes it: epoll
-    /// would tell of that end without end, and a client that sent more than is held and left would be waited for.
-    pub fn ended(&self) -> Option<End> {
-        self.ended.or((self.over && self.input.len() >= MOST_INPUT).then_some(End::Broken))
+    /// How the peer ended the connection, once everything sent before was received.
+    ///
+    /// Also set once an end was reported and the input is full: nobody consumes it, epoll would report the end in
+    /// every turn, and a client that sent more than is buffered and left would be waited for.
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        if self.closed.is_none() && self.end_reported && self.input.len() >= MAX_INPUT_BYTES {
+            return Some(CloseReason::SocketError);
+        }
+        self.closed
     }
 
-    /// Takes in what an event tells of.
-    pub fn take_in(&mut self, event: &Event) {
+    /// Handles an event: receives what is readable, and records a reported end.
+    pub fn on_event(&mut self, event: &ReadinessEvent) {
         if event.readable {
             self.receive();
         }
-        self.over |= event.over || event.last;
+        self.end_reported |= event.closed || event.read_closed;
     }
 
-    /// Takes in what has come, as far as there is room.
+    /// Receives what the system holds, up to the limit of the input buffer.
     pub fn receive(&mut self) {
-        let mut chunk = [0; MOST_INPUT];
-        while self.up && self.ended.is_none() && self.input.len() < MOST_INPUT {
-            let room = MOST_INPUT - self.input.len();
-            match net::recv(&self.fd, &mut chunk[..room], RecvFlags::empty()) {
-                Ok((0, _)) => self.ended = Some(End::Closed),
+        let mut chunk = [0; MAX_INPUT_BYTES];
+        while self.is_connected() && self.closed.is_none() && self.input.len() < MAX_INPUT_BYTES {
+            let capacity = MAX_INPUT_BYTES - self.input.len();
+            match net::recv(&self.fd, &mut chunk[..capacity], RecvFlags::empty()) {
+                Ok((0, _)) => self.closed = Some(CloseReason::ClosedByPeer),
                 Ok((count, _)) => {
                     self.input.push(&chunk[..count]);
-                    if count < room {
+                    if count < capacity {
                         return;
                     }
                 }
                 Err(Errno::AGAIN) => return,
                 Err(Errno::INTR) => {}
-                Err(_) => self.ended = Some(End::Broken),
+                Err(_) => self.closed = Some(CloseReason::SocketError),
             }
         }
     }
 
-    /// Sends on what the output holds, as far as the other side takes it.
-    pub fn flush(&mut self) -> Result<(), End> {
-        if !self.up {
+    /// Sends buffered output as far as the peer accepts it.
+    ///
+    /// # Errors
+    ///
+    /// [`CloseReason::SocketError`] where the socket reports an error.
+    pub fn flush(&mut self) -> Result<(), CloseReason> {
+        if !self.is_connected() {
             return Ok(());
         }
         while !self.output.is_empty() {
-            match net::send(&self.fd, self.output.front(), SendFlags::NOSIGNAL) {
+            match net::send(&self.fd, self.output.first_slice(), SendFlags::NOSIGNAL) {
                 Ok(count) => self.output.consume(count),
                 Err(Errno::AGAIN) => break,
                 Err(Errno::INTR) => {}
-                Err(_) => return Err(End::Broken),
+                Err(_) => return Err(CloseReason::SocketError),
             }
         }
         Ok(())
     }
 
-    /// Goes on with a connection that was begun, when epoll has something to say of it.
-    pub fn come_up(&mut self) -> Result<(), End> {
-        if !self.up {
-            match sockopt::socket_error(&self.fd) {
-                Ok(Ok(())) => self.up = net::getpeername(&self.fd).is_ok_and(|peer| peer.is_some()),
-                Ok(Err(_)) | Err(_) => return Err(End::Refused),
+    /// Checks whether the handshake has completed, when epoll reports an event of a connecting socket.
+    ///
+    /// # Errors
+    ///
+    /// [`CloseReason::Refused`] where the handshake has failed.
+    pub fn finish_connect(&mut self) -> Result<(), CloseReason> {
+        if self.is_connected() {
+            return Ok(());
+        }
+        match sockopt::socket_error(&self.fd) {
+            Ok(Ok(())) => {
+                let has_peer = net::getpeername(&self.fd).is_ok_and(|peer| peer.is_some());
+                if has_peer {
+                    self.state = ConnectionState::Connected;
+                }
+                Ok(())
             }
+            Ok(Err(_)) | Err(_) => Err(CloseReason::Refused),
         }
-        Ok(())
     }
 
-    /// Has epoll tell of what can now be done, and of no more.
-    pub fn rearm(&mut self, transport: &Transport) {
-        let reads = self.input.len() < MOST_INPUT && self.ended.is_none();
-        let writes = !self.up || !self.output.is_empty();
-        let mut flags = EventFlags::empty();
-        flags.set(EventFlags::IN, reads);
-        // Also while nothing is read: whoever sends much and goes is not to be taken for one who waits.
-        flags.set(EventFlags::RDHUP, self.ended.is_none());
-        flags.set(EventFlags::OUT, writes);
-        if flags != self.flags && transport.modify(&self.fd, self.id, flags).is_ok() {
-            self.flags = flags;
+    /// Has epoll report what can be done next, and nothing else.
+    pub fn update_interest(&mut self, transport: &Transport) {
+        let reads = self.input.len() < MAX_INPUT_BYTES && self.closed.is_none();
+        let writes = !self.is_connected() || !self.output.is_empty();
+        let mut interest = EventFlags::empty();
+        interest.set(EventFlags::IN, reads);
+        // Also while nothing is read: a client that sends much and leaves must not be taken for one that waits.
+        interest.set(EventFlags::RDHUP, self.closed.is_none());
+        interest.set(EventFlags::OUT, writes);
+        if interest != self.interest && transport.modify(&self.fd, self.id, interest).is_ok() {
+            self.interest = interest;
         }
     }
 
-    /// Tells the other side that nothing more will come.
-    pub fn end_output(&self) {
+    /// Tells the peer that no more data will be sent.
+    pub fn shutdown_write(&self) {
+        // It fails only where the connection has ended already.
         let _ = net::shutdown(&self.fd, Shutdown::Write);
     }
 
+    /// Closes the connection and removes its timers.
     pub fn close(self, transport: &mut Transport) {
-        transport.closed(self.id);
-    }
-}
-
-pub struct Listener {
-    pub id: ConnId,
-    fd: OwnedFd,
-    paused: bool,
-}
-
-impl Listener {
-    pub fn open(transport: &mut Transport, at: SocketAddr, owner: Owner) -> io::Result<Listener> {
-        let fd = net::socket_with(family(&at), SocketType::STREAM, NEW, None)?;
-        // A node that starts again must not wait for what is left of its earlier connections.
-        sockopt::set_socket_reuseaddr(&fd, true)?;
-        net::bind(&fd, &at)?;
-        net::listen(&fd, BACKLOG)?;
-        let id = transport.register(&fd, owner, EventFlags::IN)?;
-        Ok(Listener { id, fd, paused: false })
-    }
-
-    /// The next connection that has come; `None` when there is none, or no room for it.
-    pub fn accept(&mut self, transport: &mut Transport, owner: Owner) -> Option<Connection> {
-        loop {
-            if transport.room() == 0 {
-                return None;
-            }
-            match net::accept_with(&self.fd, NEW) {
-                Ok(fd) => return Connection::over(transport, fd, owner, true).ok(),
-                Err(trouble) if ran_out(trouble) => {
-                    transport.run_out();
-                    return None;
-                }
-                // The one that came is gone again, or this try was disturbed: the next may be well.
-                Err(Errno::CONNABORTED | Errno::INTR) => {}
-                Err(_) => return None,
-            }
-        }
-    }
-
-    /// Has epoll say nothing of connections that could not be taken, or tell of them again.
-    pub fn pause(&mut self, transport: &Transport, paused: bool) {
-        let flags = if paused { EventFlags::empty() } else { EventFlags::IN };
-        if paused != self.paused && transport.modify(&self.fd, self.id, flags).is_ok() {
-            self.paused = paused;
-        }
+        transport.connection_closed(self.id);
     }
 }
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -1,16 +1,22 @@
-//! The lowest layer: sockets, epoll, timers, and connections with a ring buffer a direction. It knows bytes,
-//! addresses and points in time, and nothing of what they mean.
+//! The lowest layer: non-blocking sockets, epoll, timers, and connections with one buffer per direction.
+//!
+//! This layer deals in bytes, addresses and points in time and knows nothing of their meaning. [`Transport`] owns
+//! the epoll instance, the timers and the budget of file descriptors; every [`Connection`] and [`Listener`]
+//! registers with it. Everything runs on one thread.
 
 mod clock;
+mod close_reason;
 mod connection;
-mod end;
+mod listener;
 mod poller;
-mod ring;
-mod time_order;
+mod ring_buffer;
+mod socket;
+mod time_queue;
 
 pub use clock::Clock;
-pub use connection::{Connection, Listener};
-pub use end::End;
-pub use poller::{ConnId, Event, Owner, Transport};
-pub use ring::Ring;
-pub use time_order::TimeOrder;
+pub use close_reason::CloseReason;
+pub use connection::Connection;
+pub use listener::Listener;
+pub use poller::{ConnectionId, Owner, ReadinessEvent, Transport};
+pub use ring_buffer::RingBuffer;
+pub use time_queue::TimeQueue;
--- a/crates/node/src/transport/poller.rs
+++ b/crates/node/src/transport/poller.rs
@@ -1,4 +1,4 @@
-//! The epoll instance, and what all connections share: their timers and the budget of descriptors.
+//! The epoll instance and what all connections share: timers, idle connections, and the budget of descriptors.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,181 +8,216 @@
 use rustix::fd::{AsFd, OwnedFd};
 
 use super::Clock;
-use super::time_order::TimeOrder;
+use super::time_queue::TimeQueue;
 
-/// Which part of the program a descriptor belongs to; the layer above numbers its parts.
+/// Events taken in one turn: enough to empty most queues, few enough that timers are not delayed.
+const MAX_EVENTS_PER_TURN: usize = 256;
+
+/// A connection that was opened or used more recently than this is not closed for being idle.
+const MIN_IDLE_TIME: Span = Span::from_millis(100);
+
+/// Bits of a connection identifier that hold its owner.
+const OWNER_BITS: u32 = 8;
+
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1000;
+
+/// The part of the program that a descriptor belongs to. The layer above numbers its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner(pub u8);
 
-/// A registered descriptor. Numbers are never used again, so that an event for one that was closed in the same
-/// turn finds nobody.
+/// Identifies a registered descriptor. Identifiers are never reused, so that an event of a descriptor that was
+/// closed in the same turn matches nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(u64);
+pub struct ConnectionId(u64);
 
-impl ConnId {
+impl ConnectionId {
+    /// The part of the program that the descriptor belongs to.
     pub fn owner(self) -> Owner {
         Owner(self.0 as u8)
     }
 }
 
-/// What epoll says of a descriptor.
+/// What epoll reports of a descriptor.
 #[derive(Clone, Copy, Debug)]
-pub struct Event {
-    pub id: ConnId,
+pub struct ReadinessEvent {
+    /// The descriptor.
+    pub id: ConnectionId,
+    /// A read will not block: there is data, an end, or an error.
     pub readable: bool,
-    /// It is over, in both directions.
-    pub over: bool,
-    /// The other side sends nothing more.
-    pub last: bool,
+    /// The connection has ended in both directions.
+    pub closed: bool,
+    /// The peer sends nothing more.
+    pub read_closed: bool,
 }
 
-/// Events taken in one turn: enough to empty most queues, few enough that timers are not kept waiting.
-const EVENTS: usize = 256;
-
-/// A connection that was opened or used this short a time ago is not closed for being idle.
-const FRESH: Span = Span::from_millis(100);
+impl ReadinessEvent {
+    fn from_epoll(event: &epoll::Event) -> ReadinessEvent {
+        let flags = event.flags;
+        let closed = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
+        ReadinessEvent {
+            id: ConnectionId(event.data.u64()),
+            closed,
+            read_closed: flags.contains(epoll::EventFlags::RDHUP),
+            readable: closed || flags.intersects(epoll::EventFlags::IN | epoll::EventFlags::RDHUP),
+        }
+    }
+}
 
+/// The epoll instance with the state that all connections share.
 pub struct Transport {
     epoll: OwnedFd,
     clock: Clock,
-    pub timers: TimeOrder,
-    next: u64,
-    /// Connections that are open, and how many may be.
-    open: usize,
-    most: usize,
-    /// Whether the system had no descriptor to give, below that number too.
-    ran_out: bool,
-    /// Each owner's connections that could be closed without loss, by when they became so.
-    idle: BTreeMap<u8, TimeOrder>,
+    /// The timer of each connection that has one.
+    pub timers: TimeQueue,
+    last_id: u64,
+    open_connections: usize,
+    max_connections: usize,
+    /// Whether the system had no descriptor to give, even below `max_connections`.
+    descriptors_exhausted: bool,
+    /// The connections of each owner that can be closed without loss, by the time at which they became idle.
+    idle: BTreeMap<u8, TimeQueue>,
     events: Vec<epoll::Event>,
 }
 
 impl Transport {
-    pub fn new(most: usize) -> io::Result<Transport> {
+    /// Creates the epoll instance; at most `max_connections` connections may be open at a time.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the system has no descriptor for epoll.
+    pub fn new(max_connections: usize) -> io::Result<Transport> {
         Ok(Transport {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             clock: Clock::start(),
-            timers: TimeOrder::default(),
-            next: 0,
-            open: 0,
-            most,
-            ran_out: false,
+            timers: TimeQueue::default(),
+            last_id: 0,
+            open_connections: 0,
+            max_connections,
+            descriptors_exhausted: false,
             idle: BTreeMap::new(),
-            events: Vec::with_capacity(EVENTS),
+            events: Vec::with_capacity(MAX_EVENTS_PER_TURN),
         })
     }
 
+    /// The current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The same clock, for others.
+    /// The node's clock, for other threads.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Waits for events until this point in time at the latest.
-    pub fn wait(&mut self, until: Option<Time>) -> io::Result<Vec<Event>> {
-        let timeout = until.map(|at| {
-            let left = (at - self.now()).0;
-            // Rounded up, lest the last part of a millisecond be spent in turns without an event.
-            Timespec { tv_sec: (left / 1_000_000) as i64, tv_nsec: (left % 1_000_000 * 1000) as _ }
-        });
+    /// Waits for events, until `deadline` at the latest.
+    ///
+    /// # Errors
+    ///
+    /// Fails where epoll fails. An interruption by a signal is not an error.
+    pub fn wait(&mut self, deadline: Option<Time>) -> io::Result<Vec<ReadinessEvent>> {
+        let timeout = deadline.map(|at| timespec(at - self.now()));
         self.events.clear();
         match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), timeout.as_ref()) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
-            Err(trouble) => return Err(trouble.into()),
+            Err(error) => return Err(error.into()),
         }
-        let events = self.events.iter().map(|event| {
-            let flags = event.flags;
-            let over = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
-            Event {
-                id: ConnId(event.data.u64()),
-                over,
-                last: flags.contains(epoll::EventFlags::RDHUP),
-                readable: over || flags.intersects(epoll::EventFlags::IN | epoll::EventFlags::RDHUP),
-            }
-        });
-        Ok(events.collect())
-    }
-
-    /// Has epoll tell whenever something of the caller's own can be read from.
-    pub fn tell(&mut self, fd: impl AsFd, owner: Owner) -> io::Result<ConnId> {
+        Ok(self.events.iter().map(ReadinessEvent::from_epoll).collect())
+    }
+
+    /// Has epoll report whenever a descriptor of the caller's becomes readable.
+    ///
+    /// # Errors
+    ///
+    /// Fails where epoll does not accept the descriptor.
+    pub fn register_readable(&mut self, fd: impl AsFd, owner: Owner) -> io::Result<ConnectionId> {
         self.register(fd, owner, epoll::EventFlags::IN)
     }
 
-    /// Sets how many connections may be open; those beyond go when they are idle.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most;
+    /// Sets how many connections may be open; those in excess are closed when they are idle.
+    pub fn set_max_connections(&mut self, max_connections: usize) {
+        self.max_connections = max_connections;
     }
 
-    /// Registers a descriptor; closing it ends that.
+    /// Registers a descriptor. Closing the descriptor ends the registration.
     pub(super) fn register(
         &mut self,
         fd: impl AsFd,
         owner: Owner,
         flags: epoll::EventFlags,
-    ) -> io::Result<ConnId> {
-        self.next += 1;
-        let id = ConnId(self.next << 8 | u64::from(owner.0));
+    ) -> io::Result<ConnectionId> {
+        self.last_id += 1;
+        let id = ConnectionId(self.last_id << OWNER_BITS | u64::from(owner.0));
         epoll::add(&self.epoll, fd, epoll::EventData::new_u64(id.0), flags)?;
         Ok(id)
     }
 
-    pub(super) fn modify(&self, fd: impl AsFd, id: ConnId, flags: epoll::EventFlags) -> io::Result<()> {
+    pub(super) fn modify(&self, fd: impl AsFd, id: ConnectionId, flags: epoll::EventFlags) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(id.0), flags)?)
     }
 
-    /// How many more connections there may be.
-    pub fn room(&self) -> usize {
-        self.most.saturating_sub(self.open)
+    /// How many more connections may be opened.
+    pub fn available_connections(&self) -> usize {
+        self.max_connections.saturating_sub(self.open_connections)
     }
 
-    pub(super) fn run_out(&mut self) {
-        self.ran_out = true;
+    pub(super) fn record_descriptor_exhaustion(&mut self) {
+        self.descriptors_exhausted = true;
     }
 
-    /// Whether descriptors ran out and nothing was done about it yet.
-    pub fn has_run_out(&self) -> bool {
-        self.ran_out
+    /// Whether the system has refused a descriptor since [`Transport::take_descriptors_exhausted`].
+    pub fn descriptors_exhausted(&self) -> bool {
+        self.descriptors_exhausted
     }
 
-    /// Whether descriptors ran out since this was last asked.
-    pub fn take_ran_out(&mut self) -> bool {
-        std::mem::take(&mut self.ran_out)
+    /// Returns whether the system has refused a descriptor since the last call, and resets that.
+    pub fn take_descriptors_exhausted(&mut self) -> bool {
+        std::mem::take(&mut self.descriptors_exhausted)
     }
 
-    pub(super) fn opened(&mut self) {
-        self.open += 1;
+    pub(super) fn connection_opened(&mut self) {
+        self.open_connections += 1;
     }
 
-    pub(super) fn closed(&mut self, id: ConnId) {
-        self.open -= 1;
-        self.timers.clear(id);
-        self.busy(id);
+    pub(super) fn connection_closed(&mut self, id: ConnectionId) {
+        self.open_connections -= 1;
+        self.timers.remove(id);
+        self.mark_busy(id);
     }
 
-    /// Notes that a connection could now be closed without loss.
-    pub fn idle(&mut self, id: ConnId, now: Time) {
+    /// Records that a connection can be closed without loss from `now` on.
+    pub fn mark_idle(&mut self, id: ConnectionId, now: Time) {
         self.idle.entry(id.owner().0).or_default().set(id, now);
     }
 
-    pub fn busy(&mut self, id: ConnId) {
+    /// Records that a connection is in use.
+    pub fn mark_busy(&mut self, id: ConnectionId) {
         if let Some(idle) = self.idle.get_mut(&id.owner().0) {
-            idle.clear(id);
+            idle.remove(id);
         }
     }
 
-    /// The connection of an owner's that has been idle for longest, and since when.
-    pub fn idle_first(&self, owner: Owner) -> Option<(Time, ConnId)> {
+    /// The connection of one owner that has been idle for longest, and since when.
+    pub fn first_idle(&self, owner: Owner) -> Option<(Time, ConnectionId)> {
         self.idle.get(&owner.0)?.first()
     }
 
-    /// The connection that has been idle for longest, of one owner's or of all; none that became so only now,
-    /// since what it is for may be on its way.
-    pub fn idle_longest(&self, now: Time, owner: Option<Owner>) -> Option<ConnId> {
-        let owners = self.idle.iter().filter(|(of, _)| owner.is_none_or(|o| o.0 == **of));
-        let (since, id) = owners.filter_map(|(_, idle)| idle.first()).min()?;
-        (now - since >= FRESH).then_some(id)
+    /// The connection that has been idle for longest, of one owner or of all.
+    ///
+    /// None where that one became idle only now, since the data it is kept for may be under way.
+    pub fn longest_idle(&self, now: Time, owner: Option<Owner>) -> Option<ConnectionId> {
+        let queues = self.idle.iter().filter(|(of, _)| owner.is_none_or(|o| o.0 == **of));
+        let (since, id) = queues.filter_map(|(_, queue)| queue.first()).min()?;
+        (now - since >= MIN_IDLE_TIME).then_some(id)
+    }
+}
+
+/// The time to wait as the system takes it. Nanoseconds keep the whole span, lest its last part be spent in turns
+/// without an event.
+fn timespec(span: Span) -> Timespec {
+    let micros = span.0;
+    Timespec {
+        tv_sec: (micros / MICROS_PER_SECOND) as i64,
+        tv_nsec: (micros % MICROS_PER_SECOND * NANOS_PER_MICRO) as _,
     }
 }
--- /dev/null
+++ b/crates/node/src/transport/ring_buffer.rs
@@ -0,0 +1,83 @@
+//! The byte buffer of one direction of a connection.
+
+use std::collections::VecDeque;
+
+/// Capacity in bytes that an empty buffer may keep. Most messages fit into it, and a thousand such buffers take
+/// little memory.
+const RETAINED_CAPACITY: usize = 2048;
+
+/// A first-in, first-out byte buffer.
+///
+/// It allocates nothing until it is used, grows as needed, and releases a large allocation once it is empty.
+#[derive(Default)]
+pub struct RingBuffer {
+    bytes: VecDeque<u8>,
+}
+
+impl RingBuffer {
+    /// The number of buffered bytes.
+    pub fn len(&self) -> usize {
+        self.bytes.len()
+    }
+
+    /// Whether no byte is buffered.
+    pub fn is_empty(&self) -> bool {
+        self.bytes.is_empty()
+    }
+
+    /// Appends bytes.
+    pub fn push(&mut self, bytes: &[u8]) {
+        if bytes.len() > RETAINED_CAPACITY {
+            // Large bodies get an allocation of their exact size: with doubling, a thousand of them would exceed
+            // the memory limit.
+            self.bytes.reserve_exact(bytes.len());
+        }
+        self.bytes.extend(bytes);
+    }
+
+    /// The first contiguous slice of the buffered bytes; empty only where the buffer is.
+    pub fn first_slice(&self) -> &[u8] {
+        self.bytes.as_slices().0
+    }
+
+    /// Drops all bytes and the allocation.
+    pub fn clear(&mut self) {
+        self.bytes = VecDeque::new();
+    }
+
+    /// Drops the first `count` bytes.
+    ///
+    /// # Panics
+    ///
+    /// Panics if fewer than `count` bytes are buffered.
+    pub fn consume(&mut self, count: usize) {
+        self.bytes.drain(..count);
+        if self.bytes.is_empty() && self.bytes.capacity() > RETAINED_CAPACITY {
+            self.bytes = VecDeque::new();
+        }
+    }
+
+    /// Moves up to `max` bytes to the end of `target` and returns how many were moved.
+    pub fn drain_into(&mut self, target: &mut Vec<u8>, max: usize) -> usize {
+        let count = max.min(self.bytes.len());
+        let (first, second) = self.bytes.as_slices();
+        let from_first = count.min(first.len());
+        target.extend_from_slice(&first[..from_first]);
+        target.extend_from_slice(&second[..count - from_first]);
+        self.consume(count);
+        count
+    }
+
+    /// The index of the first occurrence of `byte` at or after index `from`.
+    pub fn find(&self, byte: u8, from: usize) -> Option<usize> {
+        let (first, second) = self.bytes.as_slices();
+        if let Some(searched) = first.get(from..)
+            && let Some(offset) = searched.iter().position(|b| *b == byte)
+        {
+            return Some(from + offset);
+        }
+        let from_in_second = from.saturating_sub(first.len());
+        let offset = second.get(from_in_second..)?.iter().position(|b| *b == byte)?;
+        Some(first.len() + from_in_second + offset)
+    }
+}
--- a/crates/node/tests/scenarios/main.rs
+++ b/crates/node/tests/scenarios/main.rs
@@ -23,8 +23,8 @@
 //! `read SIDE TEXT` and the pieces that follow as `> ...` try a reader: whole, byte by byte, and cut everywhere.
 
 mod connection;
+mod in_process;
 mod notation;
-mod readers;
 mod stage;
 
 use stage::Stage;
@@ -41,7 +41,7 @@
 #[test_case(include_str!("drained-early.txt"); "drained_early")]
 #[test_case(include_str!("drains.txt"); "drains")]
 #[test_case(include_str!("wrong-list.txt"); "wrong list")]
-#[test_case(include_str!("fates.txt"); "fates")]
+#[test_case(include_str!("attempt-ends.txt"); "attempt_ends")]
 #[test_case(include_str!("gone-as-it-came-up.txt"); "gone_as_it_came_up")]
 #[test_case(include_str!("gone-with-call.txt"); "gone_with_call")]
 #[test_case(include_str!("half-answer.txt"); "half_answer")]
@@ -96,9 +96,9 @@
     let lines: Vec<_> =
         text.lines().map(str::trim).filter(|l| !l.is_empty() && !l.starts_with('#')).collect();
     for (at, line) in lines.iter().enumerate() {
-        if let Some(text) = line.strip_prefix("read ") {
+        if let Some(text) = line.strip_prefix("decode ") {
             let follow = lines[at + 1..].iter().map_while(|l| l.strip_prefix("> "));
-            readers::try_reader(text, &follow.collect::<Vec<_>>());
+            in_process::check_decoder(text, &follow.collect::<Vec<_>>());
         } else if !line.starts_with("> ") {
             stage.get_or_insert_with(Stage::new).play(line);
         }
--- a/crates/node/tests/scenarios/notation.rs
+++ b/crates/node/tests/scenarios/notation.rs
@@ -11,7 +11,7 @@
 }
 
 /// The bytes that a text with escapes stands for.
-pub fn bytes(text: &str) -> Vec<u8> {
+pub fn unescape(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     let mut rest = text;
     while let Some((before, after)) = rest.split_once('\\') {
--- a/crates/node/tests/scenarios/stage/caches.rs
+++ b/crates/node/tests/scenarios/stage/caches.rs
@@ -4,7 +4,7 @@
 
 use super::Stage;
 use crate::connection::{Conn, deafen, header};
-use crate::notation::{bytes, option, trailing};
+use crate::notation::{option, trailing, unescape};
 
 #[derive(Default)]
 pub struct Cache {
@@ -34,7 +34,7 @@
                 assert_eq!(cache, expected, "{line}");
                 let apart = self.bound.values().filter(|c| **c == cache).count() <= 1;
                 assert!(apart, "{line}: two names for {cache}");
-                assert_eq!(body, option(options, "put").map_or(Vec::new(), bytes), "{line}");
+                assert_eq!(body, option(options, "put").map_or(Vec::new(), unescape), "{line}");
                 let left: u64 = header(&head, "x-timeout-ms").and_then(|t| t.parse().ok()).expect("a time");
                 let most = option(options, "left").map_or(1200, |most| most.parse().expect("a time"));
                 assert!(left <= most, "{line}: waits for {left} ms");
@@ -42,14 +42,14 @@
             }
             ["reply", id, status, ref options @ ..] => {
                 let (cache, mut conn) = self.carriers.remove(id).expect("a shot");
-                let body = option(options, "body").map_or(Vec::new(), bytes);
+                let body = option(options, "body").map_or(Vec::new(), unescape);
                 let extra = line.split_once(" + ").map(|(_, h)| format!("{h}\r\n")).unwrap_or_default();
                 let head = format!("HTTP/1.1 {status} Such\r\n{extra}Content-Length: {}\r\n\r\n", body.len());
                 conn.write(&[head.as_bytes(), &body].concat());
                 self.caches.get_mut(&cache).expect("one").conns.push(Some(conn));
             }
             ["part", id, ..] => {
-                let text = bytes(trailing(line));
+                let text = unescape(trailing(line));
                 self.carriers.get_mut(id).expect("a shot").1.write(&text);
             }
             ["reset", id] => {
--- a/crates/node/tests/scenarios/stage/clients.rs
+++ b/crates/node/tests/scenarios/stage/clients.rs
@@ -5,7 +5,7 @@
 
 use super::Stage;
 use crate::connection::{Conn, header};
-use crate::notation::{bytes, option, trailing};
+use crate::notation::{option, trailing, unescape};
 
 impl Stage {
     /// Plays the verbs for clients; whether the line is one of these.
@@ -15,7 +15,7 @@
                 let body = option(options, "put");
                 let id = option(options, "id").expect("an id");
                 let timeout = option(options, "timeout").unwrap_or("1200");
-                let (method, body) = body.map_or(("GET", Vec::new()), |b| ("PUT", bytes(b)));
+                let (method, body) = body.map_or(("GET", Vec::new()), |b| ("PUT", unescape(b)));
                 let close = if options.contains(&"close") { "Connection: close\r\n" } else { "" };
                 let head = format!(
                     "{method} /{request_class}/{key} HTTP/1.1\r\nHost: n\r\nX-Request-ID: {id}\r\nX-Priority-Class: {request_class}\r\n\
@@ -26,7 +26,7 @@
                 conn.write(&[head.as_bytes(), &body].concat());
             }
             ["send", client, ..] => {
-                let text = bytes(trailing(line));
+                let text = unescape(trailing(line));
                 self.client(client).write(&text);
             }
             ["tear", client] => {
@@ -49,7 +49,7 @@
                 let (head, body) = self.until(line, |s| s.clients.get_mut(client)?.message());
                 assert_eq!(head.split(' ').nth(1), Some(status), "{line}: {head}");
                 if let Some(expected) = option(options, "body") {
-                    assert_eq!(body, bytes(expected), "{line}");
+                    assert_eq!(body, unescape(expected), "{line}");
                 }
                 if let Some((name, value)) = line.split_once(" + ").and_then(|(_, h)| h.split_once(": ")) {
                     assert_eq!(header(&head, name), Some(value), "{line}: {head}");
--- a/crates/node/tests/scenarios/stage/mod.rs
+++ b/crates/node/tests/scenarios/stage/mod.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 
 use crate::connection::{Conn, PATIENCE, free};
-use crate::readers;
+use crate::in_process;
 use caches::Cache;
 
 pub struct Stage {
@@ -145,7 +145,7 @@
             || self.play_caches(line, &words)
             || self.play_clients(line, &words)
             || self.play_program(line, &words)
-            || readers::play(line, &words);
+            || in_process::run(line, &words);
         assert!(played, "no step {line}");
     }
 
--- a/crates/node/tests/together/stage.rs
+++ b/crates/node/tests/together/stage.rs
@@ -182,7 +182,7 @@
             Stage { node, child: child.expect("the program"), fetches, planner, operator: file("toml"), log };
         let until = Instant::now() + Duration::from_secs(8);
         // Ready once it knows its cache.
-        while !stage.log().contains("2 caches may get shots") {
+        while !stage.log().contains("2 endpoints accept requests") {
             assert!(Instant::now() < until, "not ready: {}", stage.log());
             std::thread::sleep(Duration::from_millis(5));
         }
--- /dev/null
+++ b/crates/node/tests/upstream/connecting.rs
@@ -0,0 +1,149 @@
+//! Attempts that wait for their connection, and connections whose attempt is gone.
+
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::time::Span;
+
+use crate::fixture::{Fixture, is_silent, read_head, response, write};
+
+/// The time that a request says is left for it.
+fn timeout_ms(head: &str) -> u64 {
+    let value = head.lines().find_map(|line| line.strip_prefix("X-Timeout-Ms: ")).expect("a time");
+    value.parse().expect("a time")
+}
+
+#[test]
+fn request_carries_the_time_left_when_its_connection_is_established() {
+    let mut fixture = Fixture::new();
+    fixture.send_read();
+    let mut stream = fixture.accept();
+    fixture.advance_ms(700);
+    fixture.run_turn();
+    assert_eq!(timeout_ms(&read_head(&mut stream).expect("a request")), 500);
+}
+
+#[test]
+fn request_is_not_sent_on_a_connection_established_at_its_deadline() {
+    let mut fixture = Fixture::new();
+    let request = fixture.send_read();
+    let mut stream = fixture.accept();
+    fixture.advance_ms(1200);
+    // Both are seen in one turn: first that the connection is established.
+    assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::TimedOut);
+    assert!(is_silent(&mut stream));
+}
+
+#[test]
+fn connection_established_after_client_disconnect_serves_the_next_request() {
+    let mut fixture = Fixture::new();
+    let disconnected = fixture.send_read();
+    let mut stream = fixture.accept();
+    fixture.requests.on_client_disconnect(disconnected);
+    assert_eq!(fixture.wait_for_outcome(disconnected), AttemptOutcome::NotSent);
+    assert!(is_silent(&mut stream));
+    fixture.advance_ms(100);
+    fixture.send_read();
+    assert!(!fixture.has_unaccepted_connection());
+    assert!(read_head(&mut stream).expect("a request").starts_with("GET /read/k2 "));
+}
+
+#[test]
+fn connection_of_attempt_cancelled_before_it_was_sent_serves_the_next_request() {
+    let mut fixture = Fixture::new();
+    let (request, number) = fixture.send("GET", Vec::new());
+    let mut stream = fixture.accept();
+    fixture.cancel(request, number);
+    assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::Cancelled);
+    fixture.run_turn();
+    fixture.advance_ms(100);
+    fixture.send_read();
+    assert!(!fixture.has_unaccepted_connection());
+    assert!(read_head(&mut stream).expect("a request").starts_with("GET /read/k2 "));
+}
+
+/// A delayed connection's attempt, whose client has disconnected, takes no idle connection with it.
+#[test]
+fn delayed_connection_of_disconnected_client_closes_no_other() {
+    let mut fixture = Fixture::new();
+    let first = fixture.send_read();
+    let mut stream = fixture.accept();
+    fixture.run_turn();
+    read_head(&mut stream).expect("a request");
+    let events = fixture.poll_events();
+    assert!(events.is_empty(), "{events:?}");
+    write(&mut stream, &response("one"));
+    // The second is sent while the first is in flight, and the event that establishes its connection is not seen.
+    let events = fixture.wait_for_events();
+    let second = fixture.send_read();
+    let mut second_stream = fixture.accept();
+    fixture.handle_events(events);
+    assert_eq!(fixture.wait_for_outcome(first), AttemptOutcome::Fulfilled);
+    assert_eq!(fixture.poll_final_response(first), Some(b"one".to_vec()));
+    fixture.requests.on_client_disconnect(second);
+    fixture.advance_ms(1000);
+    fixture.run_timers();
+    assert_eq!(fixture.wait_for_outcome(second), AttemptOutcome::NotSent);
+    assert!(is_silent(&mut stream), "the idle connection was closed");
+    fixture.send_read();
+    assert!(!fixture.has_unaccepted_connection());
+    assert!(read_head(&mut stream).expect("a request").starts_with("GET /read/k3 "));
+    assert!(is_silent(&mut second_stream));
+}
+
+/// Both are seen in one turn, the list first.
+#[test]
+fn request_is_not_sent_on_a_connection_established_after_its_endpoint_was_removed() {
+    let mut fixture = Fixture::new();
+    let request = fixture.send_read();
+    let mut stream = fixture.accept();
+    let events = fixture.wait_for_events();
+    fixture.set_listed(false);
+    fixture.handle_events(events);
+    assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::NotSent);
+    assert_eq!(read_head(&mut stream), None);
+}
+
+#[test]
+fn repeated_write_is_sent_before_its_start_deadline_or_not_at_all() {
+    for is_in_time in [true, false] {
+        let mut fixture = Fixture::new();
+        let (request, _) = fixture.send_within(Span::from_millis(200), "PUT", b"v".to_vec());
+        let mut stream = fixture.accept();
+        fixture.advance_ms(if is_in_time { 199 } else { 200 });
+        if is_in_time {
+            fixture.run_turn();
+            assert!(read_head(&mut stream).expect("a request").starts_with("PUT "));
+        } else {
+            // That its connection is established and the end of its time are seen in one turn.
+            assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::NotSent);
+            assert!(is_silent(&mut stream));
+        }
+    }
+}
+
+#[test]
+fn repeated_write_is_released_when_its_connection_is_not_established_in_time() {
+    let mut fixture = Fixture::new();
+    let (request, _) = fixture.send_within(Span::from_millis(200), "PUT", b"v".to_vec());
+    fixture.advance_ms(200);
+    fixture.run_timers();
+    let finished = fixture.requests.poll_finished_attempt().expect("it has ended");
+    assert_eq!(finished.request, request);
+    assert_eq!(finished.result.outcome, AttemptOutcome::NotSent);
+    // Its connection stays for the next request.
+    let mut stream = fixture.accept();
+    fixture.run_turn();
+    assert!(is_silent(&mut stream));
+}
+
+#[test]
+fn connections_to_endpoints_leave_descriptors_for_the_watch() {
+    let mut fixture = Fixture::new();
+    fixture.transport.set_max_connections(5);
+    for _ in 0..3 {
+        fixture.send_read();
+    }
+    assert_eq!(fixture.transport.available_connections(), 2);
+    let refused = fixture.send_read();
+    assert_eq!(fixture.wait_for_outcome(refused), AttemptOutcome::NotSent);
+    assert_eq!(fixture.transport.available_connections(), 2);
+}
