--- a/crates/node/src/http/mod.rs
+++ b/crates/node/src/http/mod.rs
@@ -7,6 +7,7 @@
 mod message;
 mod message_decoder;
 mod parser;
+mod syntax;
 mod writer;
 
 pub use endpoint_list::{EndpointEntry, EndpointListUpdate, EndpointState, SkippedEntry};
--- a/crates/node/src/http/parser.rs
+++ b/crates/node/src/http/parser.rs
@@ -4,6 +4,9 @@
 //! lengths), the parser refuses the message: hops that read it differently are how requests are smuggled.
 
 use super::message::{MessageHead, MessageKind, ParseError};
+use super::syntax::{
+    is_target, is_token, parse_chunk_size, parse_content_length, parse_header, parse_status,
+};
 use crate::transport::RingBuffer;
 
 /// The start line and headers may take this many bytes together: a common limit, and less than the input buffer of
@@ -15,14 +18,9 @@
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 1024;
 /// Bytes returned at once of a body that lasts until the connection ends.
 const MAX_BODY_PART_BYTES: usize = 64 * 1024;
-/// Digits of a length without leading zeros: far more than any body needs, and no overflow.
-const MAX_LENGTH_DIGITS: usize = 15;
 /// Bytes of empty lines that a client may send before a request.
 const MAX_LEADING_BYTES: usize = 8;
 
-const DECIMAL: u32 = 10;
-const HEXADECIMAL: u32 = 16;
-
 /// A part of a message. Parts arrive in order: a head, body parts, an end.
 #[derive(Debug)]
 pub enum MessagePart {
@@ -318,65 +316,3 @@
     let count = input.drain_into(&mut bytes, max);
     (count > 0).then_some(bytes)
 }
-
-fn is_token(text: &[u8]) -> bool {
-    !text.is_empty() && text.iter().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b))
-}
-
-fn is_target(target: &str) -> bool {
-    target.bytes().all(|b| b.is_ascii_graphic()) && target.starts_with(['/', '*'])
-}
-
-fn parse_status(text: &str) -> Result<u16, ParseError> {
-    let is_number = text.len() == 3 && text.bytes().all(|b| b.is_ascii_digit());
-    if !is_number {
-        return Err(ParseError::Malformed);
-    }
-    match text.parse() {
-        Ok(status) if status >= 100 => Ok(status),
-        _ => Err(ParseError::Malformed),
-    }
-}
-
-fn parse_header(line: &[u8]) -> Result<(String, Vec<u8>), ParseError> {
-    let colon = line.iter().position(|b| *b == b':').ok_or(ParseError::Malformed)?;
-    let name = &line[..colon];
-    let value = line[colon + 1..].trim_ascii();
-    let is_valid_value = value.iter().all(|b| *b == b'\t' || (*b >= b' ' && *b != 0x7f));
-    if !is_token(name) || !is_valid_value {
-        return Err(ParseError::Malformed);
-    }
-    Ok((String::from_utf8_lossy(name).into_owned(), value.to_vec()))
-}
-
-/// The length that the head announces. Several are accepted only where they agree.
-fn parse_content_length(head: &MessageHead) -> Result<Option<usize>, ParseError> {
-    let mut lengths = head.values("content-length").map(|value| parse_length(value, DECIMAL));
-    let first = lengths.next().transpose()?;
-    for other in lengths {
-        if Some(other?) != first {
-            return Err(ParseError::Malformed);
-        }
-    }
-    Ok(first)
-}
-
-fn parse_chunk_size(line: &[u8]) -> Result<usize, ParseError> {
-    let size = line.split(|b| *b == b';').next().unwrap_or_default();
-    parse_length(size.trim_ascii_end(), HEXADECIMAL)
-}
-
-/// Parses a length that consists of digits of this radix and nothing else.
-fn parse_length(digits: &[u8], radix: u32) -> Result<usize, ParseError> {
-    let text = std::str::from_utf8(digits).map_err(|_| ParseError::Malformed)?;
-    let is_number = !text.is_empty() && text.chars().all(|c| c.is_digit(radix));
-    if !is_number {
-        return Err(ParseError::Malformed);
-    }
-    let significant = text.trim_start_matches('0');
-    match significant.len() {
-        0 => Ok(0),
-        count if count > MAX_LENGTH_DIGITS => Err(ParseError::BodyTooLarge),
-        _ => usize::from_str_radix(significant, radix).map_err(|_| ParseError::Malformed),
-    }
-}
--- a/crates/node/src/proxy/discovery_watch/mod.rs
+++ b/crates/node/src/proxy/discovery_watch/mod.rs
@@ -123,7 +123,7 @@
         let mut connection = match Connection::connect(transport, self.discovery, self.owner) {
             Ok(connection) => connection,
             Err(reason) => {
-                log::warn!(event = "watch_lost", end:? = reason; "discovery can't be reached: {reason:?}");
+                log::warn!(event = "watch_lost", reason:? = reason; "discovery can't be reached: {reason:?}");
                 return Some(WatchEvent::Failed);
             }
         };
@@ -233,7 +233,7 @@
         }
         if self.is_established() {
             // It may only be slow: what it still reports counts, and another may be long in coming.
-            log::warn!(event = "watch_lost", end:? = CloseReason::PeerTimeout; "the watch on the endpoint list is silent");
+            log::warn!(event = "watch_lost", reason:? = CloseReason::PeerTimeout; "the watch on the endpoint list is silent");
             close(transport, &mut self.former, CloseReason::PeerTimeout);
             self.former = self.current.take();
             return Some(WatchEvent::Failed);
@@ -258,14 +258,14 @@
     /// that one's response would come too late.
     fn repeat_request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
         log::warn!(
-            event = "watch_lost", end:? = CloseReason::PeerTimeout;
+            event = "watch_lost", reason:? = CloseReason::PeerTimeout;
             "the request for the endpoint list is not answered"
         );
         self.open(transport, now)
     }
 
     fn lose_current(&mut self, transport: &mut Transport, reason: CloseReason) -> WatchEvent {
-        log::warn!(event = "watch_lost", end:? = reason; "the watch on the endpoint list is lost: {reason:?}");
+        log::warn!(event = "watch_lost", reason:? = reason; "the watch on the endpoint list is lost: {reason:?}");
         close(transport, &mut self.current, reason);
         WatchEvent::Failed
     }
--- /dev/null
+++ b/crates/node/src/proxy/downstream/requests.rs
@@ -0,0 +1,124 @@
+//! What a complete message leads to: a request for the balancer, or a response of the node's own.
+
+use granitelb_balancer::time::{Span, Time};
+
+use super::Downstream;
+use super::WRITE_TIMEOUT;
+use super::client::ClientState;
+use super::request_decoder::{DecodedRequest, RequestError};
+use crate::http::{Message, MessageHead, write_local_reply};
+use crate::proxy::turn_context::TurnContext;
+use crate::transport::{ConnectionId, RingBuffer};
+
+impl Downstream {
+    /// Handles a complete message.
+    pub(super) fn on_message(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, message: Message) {
+        cx.transport.mark_busy(id);
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.sent_continue = false;
+        client.is_new = false;
+        self.unwanted.remove(id);
+        client.keep_alive = message.head.keep_alive;
+        let unconsumed = client.connection.input.len();
+        let arrived_at = client.arrivals.of_last_consumed(unconsumed).unwrap_or(cx.now);
+        if message.head.path_segments().next() == Some("health") {
+            return self.answer_health_check(cx, id, &message.head);
+        }
+        // Clients without a request in progress take nothing from the others, and are evicted first once there are
+        // too many.
+        let is_overloaded = cx.requests.pending_count() >= self.limits.served;
+        match self.decoder.decode(&message.head) {
+            Ok(_) if is_overloaded => self.reject(cx, id, 503),
+            Ok(decoded) => self.admit(cx, id, arrived_at, decoded, message),
+            Err(RequestError::MethodNotAllowed) => {
+                self.reply_locally(cx, id, 405, &[("Allow", b"GET, PUT")]);
+            }
+            Err(RequestError::NotFound) => self.reply_locally(cx, id, 404, &[]),
+            Err(RequestError::Malformed) => self.reject(cx, id, 400),
+        }
+    }
+
+    fn answer_health_check(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, head: &MessageHead) {
+        let status = match head.path_segments().nth(1) {
+            Some("ready") if self.shutdown_deadline.is_some() => 503,
+            Some("ready" | "live") => 200,
+            _ => 404,
+        };
+        self.reply_locally(cx, id, status, &[]);
+    }
+
+    fn reply_locally(
+        &mut self,
+        cx: &mut TurnContext<'_>,
+        id: ConnectionId,
+        status: u16,
+        headers: &[(&str, &[u8])],
+    ) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        let keep_alive = client.keep_alive && self.shutdown_deadline.is_none();
+        write_local_reply(&mut client.connection.output, status, headers, keep_alive);
+        self.begin_writing(cx, id, keep_alive);
+    }
+
+    /// Hands a request over to the balancer. Its time counts from the arrival of its last byte: behind another request
+    /// on its connection it may have waited long.
+    fn admit(
+        &mut self,
+        cx: &mut TurnContext<'_>,
+        id: ConnectionId,
+        arrived_at: Time,
+        decoded: DecodedRequest,
+        message: Message,
+    ) {
+        let DecodedRequest { mut request, client_request_id } = decoded;
+        let shutdown_deadline = self.shutdown_deadline.unwrap_or(Time(u64::MAX));
+        request.budget = (arrived_at + request.budget).min(shutdown_deadline) - cx.now;
+        if request.budget == Span::ZERO {
+            return self.reject_expired(cx, id);
+        }
+        let budget = request.budget;
+        let Some(request_id) = cx.requests.insert(id, request, client_request_id, message) else {
+            return self.reject(cx, id, 409);
+        };
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        client.state = ClientState::AwaitingResponse(request_id);
+        // The balancer answers in time; this guards against a request that gets no response.
+        cx.transport.timers.set(id, cx.now + budget + WRITE_TIMEOUT);
+    }
+
+    /// Rejects a request whose time was up before it was its turn: nothing was forwarded for it.
+    fn reject_expired(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        let keep_alive = client.keep_alive && self.shutdown_deadline.is_none();
+        write_with_retry_after(&mut client.connection.output, 503, self.retry_after, keep_alive);
+        self.begin_writing(cx, id, keep_alive);
+    }
+
+    /// Tells a client what is wrong with its message, and ends its connection with that.
+    pub(super) fn reject(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, status: u16) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        log::debug!("rejected a client: {status}");
+        // Only a lack of capacity passes with time: other faults would be the same on a retry.
+        let retry_after = if status == 503 { self.retry_after } else { Span::ZERO };
+        write_with_retry_after(&mut client.connection.output, status, retry_after, false);
+        client.is_new = false;
+        self.unwanted.remove(id);
+        cx.transport.mark_busy(id);
+        self.begin_writing(cx, id, false);
+    }
+}
+
+/// Writes a response of the node's own, with a time to retry after unless that is zero.
+pub(super) fn write_with_retry_after(
+    output: &mut RingBuffer,
+    status: u16,
+    retry_after: Span,
+    keep_alive: bool,
+) {
+    if retry_after == Span::ZERO {
+        return write_local_reply(output, status, &[], keep_alive);
+    }
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
+    let headers = [("Retry-After", seconds.as_bytes())];
+    write_local_reply(output, status, &headers, keep_alive);
+}
