--- a/crates/node/tests/scenarios/connection.rs
+++ b/crates/node/tests/scenarios/connection.rs
@@ -1,4 +1,4 @@
-//! Connections and listeners on loopback, polled by the test's one thread.
+//! Connections and listeners on loopback, polled by the test's single thread.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,87 +7,119 @@
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType, sockopt};
 
 /// Longer than anything that is waited for takes, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long a poll waits for the next one.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// After this time without an answer a listener counts as blocked.
+const BLOCKED_AFTER: Duration = Duration::from_millis(100);
+/// The receive buffer of a connection that reads nothing for now.
+const SMALL_BUFFER_BYTES: usize = 4096;
 
-pub struct Conn {
+/// How a connection was ended by the other side.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionState {
+    Open,
+    /// It was closed in an orderly way.
+    Closed,
+    /// It was reset.
+    Reset,
+}
+
+/// A message that was received.
+pub struct ReceivedMessage {
+    pub head: String,
+    pub body: Vec<u8>,
+}
+
+/// A non-blocking connection with what was received on it.
+pub struct TestConnection {
     pub stream: TcpStream,
     pub input: Vec<u8>,
-    pub ended: bool,
-    /// It did not end in order.
-    pub torn: bool,
-    /// Nothing is read from it.
-    pub withholds: bool,
+    pub state: ConnectionState,
+    /// Whether what arrives is read.
+    pub is_reading: bool,
 }
 
-impl Conn {
-    pub fn new(stream: TcpStream) -> Conn {
+impl TestConnection {
+    pub fn new(stream: TcpStream) -> TestConnection {
         stream.set_nonblocking(true).expect("a socket");
-        Conn { stream, input: Vec::new(), ended: false, torn: false, withholds: false }
+        TestConnection { stream, input: Vec::new(), state: ConnectionState::Open, is_reading: true }
     }
 
-    /// One that reads nothing for now, and for which the system holds little.
-    pub fn withholding(to: SocketAddr) -> io::Result<Conn> {
+    /// Connects without reading for now, and with a small receive buffer.
+    pub fn connect_without_reading(address: SocketAddr) -> io::Result<TestConnection> {
         let socket = net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
-        sockopt::set_socket_recv_buffer_size(&socket, 4096)?;
-        net::connect(&socket, &to)?;
-        Ok(Conn { withholds: true, ..Conn::new(socket.into()) })
+        sockopt::set_socket_recv_buffer_size(&socket, SMALL_BUFFER_BYTES)?;
+        net::connect(&socket, &address)?;
+        Ok(TestConnection { is_reading: false, ..TestConnection::new(socket.into()) })
+    }
+
+    /// Whether the other side has ended the connection.
+    pub fn has_ended(&self) -> bool {
+        self.state != ConnectionState::Open
     }
 
+    /// Reads what has arrived.
     pub fn poll(&mut self) {
         let mut chunk = [0; 4096];
-        while !self.ended && !self.withholds {
+        while !self.has_ended() && self.is_reading {
             match self.stream.read(&mut chunk) {
-                Ok(0) => self.ended = true,
-                Ok(n) => self.input.extend(&chunk[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => (self.ended, self.torn) = (true, true),
+                Ok(0) => self.state = ConnectionState::Closed,
+                Ok(count) => self.input.extend(&chunk[..count]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(_) => self.state = ConnectionState::Reset,
             }
         }
     }
 
+    /// Writes bytes, as far as the other side accepts them. It may have rejected the rest; what it says to that is
+    /// checked separately.
     pub fn write(&mut self, mut bytes: &[u8]) {
-        let until = Instant::now() + PATIENCE;
-        while !bytes.is_empty() && Instant::now() < until {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while !bytes.is_empty() && Instant::now() < deadline {
             match self.stream.write(bytes) {
-                Ok(n) => bytes = &bytes[n..],
-                Err(e) if e.kind() == ErrorKind::WouldBlock => std::thread::sleep(Duration::from_millis(1)),
-                // The other side may have had enough; what it says to that is looked at by itself.
+                Ok(count) => bytes = &bytes[count..],
+                Err(error) if error.kind() == ErrorKind::WouldBlock => std::thread::sleep(POLL_INTERVAL),
                 Err(_) => return,
             }
         }
     }
 
-    /// Ends it by a reset.
-    pub fn tear(self) {
+    /// Resets the connection.
+    pub fn reset(self) {
         sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("a socket");
     }
 
-    /// A whole message's head and body, taken off the input.
-    pub fn message(&mut self) -> Option<(String, Vec<u8>)> {
-        let head_end = self.input.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
+    /// Takes a complete message from the input, if there is one.
+    pub fn take_message(&mut self) -> Option<ReceivedMessage> {
+        let head_end = self.input.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
         let head = String::from_utf8_lossy(&self.input[..head_end]).into_owned();
-        let length = header(&head, "content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length = header(&head, "content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
         let body = self.input.get(head_end..head_end + length)?.to_vec();
         self.input.drain(..head_end + length);
-        Some((head, body))
+        Some(ReceivedMessage { head, body })
     }
 }
 
+/// The value of a header of a message's head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    let mut lines = head.lines().filter_map(|l| l.split_once(':'));
-    lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim())
+    let mut headers = head.lines().filter_map(|line| line.split_once(':'));
+    let (_, value) = headers.find(|(n, _)| n.eq_ignore_ascii_case(name))?;
+    Some(value.trim())
 }
 
-pub fn free(address: &str) -> TcpListener {
+/// Listens on a free port of an address.
+pub fn listen(address: &str) -> TcpListener {
     let listener = TcpListener::bind((address, 0)).expect("a loopback address");
     listener.set_nonblocking(true).expect("a socket");
     listener
 }
 
-/// Fills a listener's queue, so that what knocks hears nothing.
-pub fn deafen(listener: &TcpListener) -> Vec<TcpStream> {
+/// Fills a listener's queue, so that connections to it are neither accepted nor refused. Returns the connections that
+/// fill it.
+pub fn fill_accept_queue(listener: &TcpListener) -> Vec<TcpStream> {
     net::listen(listener, 0).expect("a socket");
-    let endpoint = listener.local_addr().expect("an address");
-    let knock = || TcpStream::connect_timeout(&endpoint, Duration::from_millis(100)).ok();
-    std::iter::from_fn(knock).collect()
+    let address = listener.local_addr().expect("an address");
+    let connect = || TcpStream::connect_timeout(&address, BLOCKED_AFTER).ok();
+    std::iter::from_fn(connect).collect()
 }
--- a/crates/node/tests/scenarios/main.rs
+++ b/crates/node/tests/scenarios/main.rs
@@ -1,33 +1,61 @@
-//! Plays the node's scenarios: text files in a notation of our own, on the program itself with a few scripted
-//! clients, caches and a discovery on loopback, or on the readers alone.
+//! Runs the node's scenarios: text files of commands, run against the program itself with scripted clients, endpoints and
+//! a discovery on loopback, or against the parser alone.
 //!
-//! Before `start`: `settings K=JSON ...` (keys of the settings, a dot goes deeper), `limits sockets=N`,
-//! `known NAME ...`. Then, in order, each line waiting for what it names:
+//! Commands are run in order; each waits for what it names. Before `start`:
 //!
-//! `watched [after=N] [within=MS]` the node asks for the list, so soon after the last line; `list NAME ...`, `change NAME ...` tell it, a name may carry
-//! `:STATE`, `@BOOT_MS` (`@now-MS`) and `~ZONE#CELL` (nothing: none is told), and before them `=OTHER`, at whose address it is; `beat`, `garble` send an empty line and one that is no list; `unlisted` refuses,
-//! `unwatched` ends the watch; `called` is `watched` with no answer yet, and `while=drips` or `while=beats` goes on writing what is no whole line,
-//! or empty lines, on the watch before; `hints` answers that one is on its way, `heads` with a head alone; `waits MS` the call is left open and no other
-//! made; `spread NAME ...` is `change` over lines as in the protocol's examples, `half NAME ...` the first half of it; `back-to N` the next list follows revision N. `reload [K=JSON ...]` changes the configuration's file and has it read again; with
-//! `move-discovery` it names another address from the next time on, and `former-change NAME ...`, `former-ended` are as
-//! before on the watch at the last one; so they are after `silenced`, by which nothing more is said on the watch. `call CLIENT PRODUCT KEY id=ID [timeout=MS] [put=BODY] [close]`, `send CLIENT TEXT`
-//! write; `leave CLIENT` closes, `tear CLIENT` resets, `half-close CLIENT` ends its sending; `withhold CLIENT` is one that reads nothing, with little room for it,
-//! until `read-on CLIENT`. `calm MS` the node hardly uses its core. `shot CACHE ID [put=BODY] [left=MS]` a shot arrives, with no more time told than that, an upper-case name standing for
-//! whichever cache it is first seen at, `any` for any; `reply ID STATUS [body=TEXT] [HEADER: VALUE]`, `part ID TEXT`, `reset ID`
-//! act on its connection, `cut ID` sees it ended. `answer CLIENT STATUS [body=TEXT]`, `ended CLIENT`, `kept CLIENT`
-//! (still open). `opened CACHE N` counts the connections made so far. `quiet MS` nothing happens; `wait MS`.
-//! `die CACHE`, `deaf CACHE` (what knocks hears nothing; also `discovery`), `hear CACHE`; `idle N`, `halves N`, `asked N`, `crowd N` clients come,
-//! with nothing, half a message, a question that is no call, a call each; `starve N` the system gives the node no more than N descriptors; `stop`, `exits`, `freeze`, `thaw`. `faulty KEY JSON says KEY` checks a configuration, `report TEXT [says NAME=FIGURE ...]` reads a load report, `fate END half|whole OUTCOME` what
-//! the module hears of a shot whose connection ended like that, written to its end or not.
+//! - `settings K=JSON ...`, `limits sockets=N`: keys of the configuration, a dot goes deeper.
+//! - `known NAME ...`: the endpoint list that the node has at the start.
 //!
-//! `read SIDE TEXT` and the pieces that follow as `> ...` try a reader: whole, byte by byte, and cut everywhere.
+//! Discovery. An endpoint's name may have `:STATE`, `@BOOT_MS` (or `@now-MS`) and `~ZONE#CELL` (nothing after `#`: no cell)
+//! after it, and `=OTHER` before these for an endpoint at the address of another; `?` is an invalid entry.
+//!
+//! - `watch-request [after=N] [within=MS]`: the node requests the watch, at most so long after the last line;
+//!   `while=trickle` or `while=heartbeats` writes an incomplete line, or empty lines, on the former watch meanwhile.
+//! - `accept-watch`: answers with a head. `watch`: both. `interim-response`: answers with a status of 103.
+//! - `watch-pending MS`: the request is left open and no other one is made. `refuse-watch`: answers with 503.
+//! - `close-watch`, `silence-watch`: ends the watch, or sends nothing more on it.
+//! - `list NAME ...`, `change NAME ...`: sends the complete list, or changes. `change-over-lines`, `change-indented`: the
+//!   same over several lines. `partial-change`: the first half of it. `set-revision N`: the next list follows revision N.
+//! - `heartbeat`, `malformed-list`, `cut-off-list`: sends an empty line, an invalid list, the start of one.
+//! - `move-discovery`: the next configuration names another address. `former-change NAME ...`, `former-closed`: as before,
+//!   on the former watch.
+//!
+//! Clients.
+//!
+//! - `request CLIENT CLASS KEY id=ID [timeout=MS] [put=BODY] [close]`, `send CLIENT TEXT`: writes.
+//! - `disconnect`, `reset-client`, `half-close CLIENT`: closes, resets, or closes for writing.
+//! - `stop-reading CLIENT`, `resume-reading CLIENT`: connects with a small buffer and reads nothing until resumed.
+//! - `response CLIENT STATUS [body=TEXT] [+ HEADER: VALUE]`, `client-closed CLIENT`, `client-open CLIENT`: checks.
+//! - `idle-clients N`, `partial-clients N`, `health-clients N`, `request-clients N`: clients connect and send nothing, part of
+//!   a request, a health check, a request each; they are named `idle0`, `partial0`, `health0`, `crowd0` and so on.
+//!
+//! Endpoints. An upper-case name stands for the endpoint that it is first seen at, `any` for any.
+//!
+//! - `attempt ENDPOINT ID [put=BODY] [left=MS]`: an attempt arrives, with at most this time left.
+//! - `reply ID STATUS [body=TEXT] [+ HEADER: VALUE]`, `reply-part ID TEXT`: answers it.
+//! - `reset-attempt ID`, `close-attempt ID`: ends its connection. `attempt-closed ID`: the node has ended it.
+//! - `connection-count ENDPOINT N`: the number of connections made so far.
+//! - `kill ENDPOINT`, `block ENDPOINT`, `unblock ENDPOINT` (also `discovery`): connections are refused, or not answered.
+//!
+//! The program and time.
+//!
+//! - `start`, `stop`, `exits`, `freeze`, `resume`, `reload [K=JSON ...]`, `limit-descriptors N`.
+//! - `low-cpu MS`: the node hardly uses its core. `quiet MS`: nothing happens. `wait MS`.
+//!
+//! Without a process.
+//!
+//! - `invalid KEY JSON says KEY`: checks that a configuration is refused.
+//! - `report TEXT [says NAME=VALUE ...]`: parses a load report.
+//! - `attempt-end REASON partly-written|fully-written OUTCOME`: the outcome of an attempt whose connection was closed.
+//! - `decode request|response TEXT` and the expected messages as `> ...`: decodes at once, byte by byte, and split at each
+//!   position.
 
 mod connection;
+mod harness;
 mod in_process;
 mod notation;
-mod stage;
 
-use stage::Stage;
+use harness::Harness;
 use test_case::test_case;
 
 #[test_case(include_str!("answers.txt"); "answers")]
@@ -91,16 +119,16 @@
 #[test_case(include_str!("watch-slow-answer.txt"); "watch_slow_answer")]
 #[test_case(include_str!("watch-spread.txt"); "watch_spread")]
 #[test_case(include_str!("watch-unanswered.txt"); "watch_unanswered")]
-fn play(text: &str) {
-    let mut stage = None;
+fn run_scenario(text: &str) {
+    let mut harness = None;
     let lines: Vec<_> =
-        text.lines().map(str::trim).filter(|l| !l.is_empty() && !l.starts_with('#')).collect();
-    for (at, line) in lines.iter().enumerate() {
-        if let Some(text) = line.strip_prefix("decode ") {
-            let follow = lines[at + 1..].iter().map_while(|l| l.strip_prefix("> "));
-            in_process::check_decoder(text, &follow.collect::<Vec<_>>());
+        text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#')).collect();
+    for (index, line) in lines.iter().enumerate() {
+        if let Some(arguments) = line.strip_prefix("decode ") {
+            let expected = lines[index + 1..].iter().map_while(|line| line.strip_prefix("> "));
+            in_process::check_decoder(arguments, &expected.collect::<Vec<_>>());
         } else if !line.starts_with("> ") {
-            stage.get_or_insert_with(Stage::new).play(line);
+            harness.get_or_insert_with(Harness::new).run(line);
         }
     }
 }
