--- a/crates/node/examples/control_plane_cost.rs
+++ b/crates/node/examples/control_plane_cost.rs
@@ -1,6 +1,10 @@
-//! Measures what the control-plane agent costs the event loop: CPU a request of a node with a fleet configuration beside one
-//! without, under the same load on loopback. `cargo build --release`, then
-//! `cargo run --release -p granitelb-node --example control_plane_cost [TIMES [SECONDS]]`.
+//! Measures what the control-plane agent costs the event loop: CPU a request of a node with a fleet
+//! configuration beside one without, under the same load on loopback.
+//!
+//! ```text
+//! cargo build --release
+//! cargo run --release -p granitelb-node --example control_plane_cost [TIMES [SECONDS]]
+//! ```
 
 #[path = "../tests/control_plane/node_fixture.rs"]
 #[allow(dead_code, reason = "the tests use more of it")]
@@ -79,8 +83,8 @@
 }
 
 impl Experiment<'_> {
-    /// Measures both nodes once. Every client sends requests to both in turn, so that whatever else the machine does
-    /// affects both.
+    /// Measures both nodes once. Every client sends requests to both in turn, so that whatever else the
+    /// machine does affects both.
     fn measure(&self, agent_starts_first: bool) -> Measurement {
         let start = |fleet_config, n| {
             let address = format!("127.84.9.{n}");
--- a/crates/node/examples/flood.rs
+++ b/crates/node/examples/flood.rs
@@ -1,5 +1,5 @@
-//! Measures floods of datagrams at a planner and at a node: three planners and six nodes as processes of the program that is
-//! the first argument. Prints a table of what became of requests and leases.
+//! Measures floods of datagrams at a planner and at a node: three planners and six nodes as processes of the
+//! program that is the first argument. Prints a table of what became of requests and leases.
 
 #[path = "../tests/control_plane/fleet.rs"]
 #[allow(dead_code, reason = "the tests use more of it")]
--- a/crates/node/src/http/message.rs
+++ b/crates/node/src/http/message.rs
@@ -2,7 +2,8 @@
 
 use std::fmt;
 
-/// Headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1), or that the node writes itself.
+/// Headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1), or that the node writes
+/// itself.
 const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
--- a/crates/node/src/http/parser.rs
+++ b/crates/node/src/http/parser.rs
@@ -9,8 +9,8 @@
 };
 use crate::transport::RingBuffer;
 
-/// The start line and headers may take this many bytes together: a common limit, and less than the input buffer of
-/// a connection holds.
+/// The start line and headers may take this many bytes together: a common limit, and less than the input
+/// buffer of a connection holds.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// The number of headers that a message may have.
 const MAX_HEADERS: usize = 100;
@@ -211,8 +211,8 @@
         Ok(Step::Advanced)
     }
 
-    /// Consumes the next line and returns it without its line break, if it is complete and holds at most `max`
-    /// bytes.
+    /// Consumes the next line and returns it without its line break, if it is complete and holds at most
+    /// `max` bytes.
     fn read_line(
         &mut self,
         input: &mut RingBuffer,
--- a/crates/node/src/proxy/arrival_times.rs
+++ b/crates/node/src/proxy/arrival_times.rs
@@ -1,17 +1,17 @@
 //! Records when the bytes of a client's input arrived.
 //!
-//! The time of a request counts from the arrival of its last byte, also while it waits behind another request on its
-//! connection.
+//! The time of a request counts from the arrival of its last byte, also while it waits behind another request
+//! on its connection.
 //!
-//! Invariant: marks are in the order of the bytes, the newest last, and there are none for bytes that were consumed
-//! long ago.
+//! Invariant: marks are in the order of the bytes, the newest last, and there are none for bytes that were
+//! consumed long ago.
 
 use std::collections::VecDeque;
 
 use granitelb_balancer::time::{Span, Time};
 
-/// Bytes that arrive within this time after others share their mark, with the earlier time. This bounds the number
-/// of marks where bytes trickle in while a request is in progress.
+/// Bytes that arrive within this time after others share their mark, with the earlier time. This bounds the
+/// number of marks where bytes trickle in while a request is in progress.
 const MARK_INTERVAL: Span = Span::from_millis(10);
 
 /// The bytes of the input up to an offset, and when they arrived.
--- a/crates/node/src/proxy/attempt_end.rs
+++ b/crates/node/src/proxy/attempt_end.rs
@@ -1,4 +1,5 @@
-//! How attempts end, and what the balancer learns of it. This is the one place that maps the one to the other.
+//! How attempts end, and what the balancer learns of it. This is the one place that maps the one to the
+//! other.
 
 use granitelb_balancer::calls::AttemptOutcome;
 
--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -58,8 +58,8 @@
         self.balancer.on_endpoints_restored(context.turn.now, &updates);
     }
 
-    /// Opens the watch at the start where the list is pushed: on sockets a watch is how it is pushed. The balancer
-    /// requests one only where the list comes on request, or once one is lost.
+    /// Opens the watch at the start where the list is pushed: on sockets a watch is how it is pushed. The
+    /// balancer requests one only where the list comes on request, or once one is lost.
     pub(super) fn open_pushed_watch(&mut self, context: &mut ProxyContext<'_>) {
         self.request_watch(context);
     }
@@ -159,9 +159,9 @@
 
     /// Carries out the balancer's decisions, and returns whether there were any.
     ///
-    /// Cancellations follow attempts and responses: polling those has the balancer look at the time and cancel
-    /// attempts accordingly. A cancellation that were left until something else happens would come too late on a
-    /// quiet node.
+    /// Cancellations follow attempts and responses: polling those has the balancer look at the time and
+    /// cancel attempts accordingly. A cancellation that were left until something else happens would come too
+    /// late on a quiet node.
     fn carry_out_decisions(&mut self, context: &mut ProxyContext<'_>) -> bool {
         let sent = self.send_attempts(context);
         let replied = self.accept_local_replies(&mut context.turn);
--- a/crates/node/src/proxy/discovery_watch/line_decoder.rs
+++ b/crates/node/src/proxy/discovery_watch/line_decoder.rs
@@ -50,8 +50,8 @@
 
     /// Returns the text of a list once this line completes it.
     ///
-    /// Of an indented list only the first line, and the last where that stands alone, begin with a brace. What
-    /// another first line cuts off is skipped, or it would swallow all that follows.
+    /// Of an indented list only the first line, and the last where that stands alone, begin with a brace.
+    /// What another first line cuts off is skipped, or it would swallow all that follows.
     fn complete_list(&mut self, line: &[u8]) -> Option<Vec<u8>> {
         let text = line.trim_ascii();
         if text.is_empty() {
@@ -64,8 +64,8 @@
         }
         let is_first_line = self.incomplete_list.is_empty();
         self.incomplete_list.extend(line);
-        // The last brace may stand behind others, as in the protocol's own examples. No line within a list ends in one
-        // but the last of an object, so that little is parsed twice.
+        // The last brace may stand behind others, as in the protocol's own examples. No line within a list
+        // ends in one but the last of an object, so that little is parsed twice.
         let may_be_complete = is_first_line || text.ends_with(b"}");
         if !may_be_complete || is_truncated_json(&self.incomplete_list) {
             return None;
--- a/crates/node/src/proxy/discovery_watch/mod.rs
+++ b/crates/node/src/proxy/discovery_watch/mod.rs
@@ -1,7 +1,8 @@
 //! The watch on discovery's endpoint list.
 //!
-//! One watch request is current at a time. It has [`RESPONSE_TIMEOUT`] to be answered, and from its head on a time for
-//! each complete line. Beside it at most one former watch is still read, until the current one has sent a complete line.
+//! One watch request is current at a time. It has [`RESPONSE_TIMEOUT`] to be answered, and from its head on a
+//! time for each complete line. Beside it at most one former watch is still read, until the current one has
+//! sent a complete line.
 
 mod line_decoder;
 mod stream;
@@ -15,9 +16,9 @@
 use crate::http::{EndpointEntry, EndpointListUpdate, EndpointState};
 use crate::transport::{CloseReason, Connection, ConnectionId, Owner, ReadinessEvent, Transport};
 
-/// A request without a response head by then is abandoned, and another made at once: discovery rejects what would wait
-/// for over two seconds, and with a delay on top the other's response would come more than 6 s after discovery is
-/// back.
+/// A request without a response head by then is abandoned, and another made at once: discovery rejects what
+/// would wait for over two seconds, and with a delay on top the other's response would come more than 6 s
+/// after discovery is back.
 const RESPONSE_TIMEOUT: Span = Span::from_millis(2500);
 /// Endpoints that a former watch reported as ended and that are remembered.
 const MAX_ENDED_ENDPOINTS: usize = 4096;
@@ -44,7 +45,8 @@
     /// The last revision received at the current address.
     revision: Option<u64>,
     current: Option<WatchStream>,
-    /// The watch at a former address of discovery, or one that fell silent: it is read until another is established.
+    /// The watch at a former address of discovery, or one that fell silent: it is read until another is
+    /// established.
     former: Option<WatchStream>,
     /// The endpoints that a former watch at the same address has reported as ended since the current one was
     /// requested, by their identity. Requests that are made later are answered later.
@@ -87,8 +89,8 @@
             "the watch on the endpoint list moves from {} to {discovery}", self.discovery
         );
         self.discovery = discovery;
-        // The new discovery may count revisions of its own: the complete list is requested. It changes only what
-        // differs.
+        // The new discovery may count revisions of its own: the complete list is requested. It changes only
+        // what differs.
         self.revision = None;
         if self.is_established() {
             close(transport, &mut self.former, CloseReason::NoLongerNeeded);
@@ -105,8 +107,8 @@
         self.former.as_ref().is_some_and(|stream| stream.connection.id() == id)
     }
 
-    /// Requests a watch, unless one is established or may still be answered. Returns an event where that fails at
-    /// once.
+    /// Requests a watch, unless one is established or may still be answered. Returns an event where that
+    /// fails at once.
     pub(super) fn request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
         let is_open =
             self.current.as_ref().is_some_and(|stream| stream.is_established() || now < stream.deadline);
@@ -174,7 +176,8 @@
         } else if self.is_established() {
             close(transport, &mut self.former, CloseReason::NoLongerNeeded);
         }
-        // The balancer takes a list for a sign that the watch stands; without a current one it must request another.
+        // The balancer takes a list for a sign that the watch stands; without a current one it must request
+        // another.
         if self.current.is_none() && has_lists {
             events.push(WatchEvent::Failed);
         }
@@ -212,8 +215,8 @@
 
     /// The endpoints that a former watch has reported as ended after this revision.
     ///
-    /// The response to the current watch may have been written before those reports and arrive after them: an endpoint
-    /// that is known to drain would get requests again until the new watch reports it, too.
+    /// The response to the current watch may have been written before those reports and arrive after them: an
+    /// endpoint that is known to drain would get requests again until the new watch reports it, too.
     fn take_ended_after(&mut self, revision: u64) -> Option<EndpointListUpdate> {
         let ended = std::mem::take(&mut self.ended);
         let later = ended.into_values().filter(|ended| ended.revision > revision);
@@ -224,8 +227,8 @@
         Some(EndpointListUpdate { revision, entries, ..EndpointListUpdate::default() })
     }
 
-    /// Handles the timer of a connection to discovery: it was not established, was not answered, or sent no complete
-    /// line for too long.
+    /// Handles the timer of a connection to discovery: it was not established, was not answered, or sent no
+    /// complete line for too long.
     pub(super) fn on_timer(&mut self, transport: &mut Transport, id: ConnectionId) -> Option<WatchEvent> {
         if self.is_former(id) {
             // Another watch is requested already.
@@ -254,8 +257,8 @@
         self.current.as_ref().is_some_and(|stream| stream.connection.id() == id && stream.deadline <= now)
     }
 
-    /// Repeats a request that was not answered. It has had its wait already: with another one before the next request,
-    /// that one's response would come too late.
+    /// Repeats a request that was not answered. It has had its wait already: with another one before the next
+    /// request, that one's response would come too late.
     fn repeat_request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
         log::warn!(
             event = "watch_lost", reason:? = CloseReason::PeerTimeout;
--- a/crates/node/src/proxy/discovery_watch/stream.rs
+++ b/crates/node/src/proxy/discovery_watch/stream.rs
@@ -9,10 +9,11 @@
 use crate::http::{EndpointListUpdate, MessageHead, MessageKind, MessagePart, Parser};
 use crate::transport::{CloseReason, Connection, ReadinessEvent, Transport};
 
-/// A line comes every two seconds at least: after one such time and five eighths without one the watch is lost. What it
-/// missed counts as received 6 s after it fell silent; a new watch, requested within 0.75 s, has two seconds to be
-/// answered before that, and time to be requested once more. Only complete lines are signs of life: a line that trickles
-/// in, or a list that was cut off with empty lines after it, would keep a watch for ever that reports nothing.
+/// A line comes every two seconds at least: after one such time and five eighths without one the watch is
+/// lost. What it missed counts as received 6 s after it fell silent; a new watch, requested within 0.75 s,
+/// has two seconds to be answered before that, and time to be requested once more. Only complete lines are
+/// signs of life: a line that trickles in, or a list that was cut off with empty lines after it, would keep a
+/// watch for ever that reports nothing.
 const LINE_TIMEOUT: Span = Span::from_millis(3250);
 
 /// How far the response to a watch request has come.
--- a/crates/node/src/proxy/downstream/client_limits.rs
+++ b/crates/node/src/proxy/downstream/client_limits.rs
@@ -1,17 +1,17 @@
 //! How many clients are served, out of all the resources that the node may use.
 
-/// The share of descriptors that clients may take. Each request can then have an attempt in flight, and some attempts
-/// of finished requests can be in flight besides.
+/// The share of descriptors that clients may take. Each request can then have an attempt in flight, and some
+/// attempts of finished requests can be in flight besides.
 const CLIENTS_SHARE: f64 = 0.4;
-/// The share of descriptors for clients in excess of that, who are told at once to retry: left unaccepted, their
-/// requests would be lost.
+/// The share of descriptors for clients in excess of that, who are told at once to retry: left unaccepted,
+/// their requests would be lost.
 const EXCESS_CLIENTS_SHARE: f64 = 0.1;
 /// The share of descriptors beyond which clients that are idle for long are closed.
 const IDLE_CLIENTS_SHARE: f64 = 0.2;
 /// The share of memory that clients may take.
 const MEMORY_SHARE: f64 = 0.75;
-/// Bytes that one client may take: its input, and a longest body in its request, on the way to an endpoint, back from
-/// there and on the way to the client.
+/// Bytes that one client may take: its input, and a longest body in its request, on the way to an endpoint,
+/// back from there and on the way to the client.
 const BYTES_PER_CLIENT: usize = (16 + 4 * 64) * 1024;
 
 /// The resources that a node may use.
--- a/crates/node/src/proxy/downstream/mod.rs
+++ b/crates/node/src/proxy/downstream/mod.rs
@@ -27,31 +27,34 @@
     CloseReason, Connection, ConnectionId, Listener, Owner, ReadinessEvent, TimeQueue, Transport,
 };
 
-/// A first message must be complete this long after its client connected, a later one this long after its first byte:
-/// whoever sends an incomplete one is owed an error or a close within 3 s, and no request waits for as long.
+/// A first message must be complete this long after its client connected, a later one this long after its
+/// first byte: whoever sends an incomplete one is owed an error or a close within 3 s, and no request waits
+/// for as long.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(2500);
 /// A response must be accepted within this time: far longer than any live peer needs.
 const WRITE_TIMEOUT: Span = Span::from_millis(10_000);
 /// An idle client is closed after this time: one whose machine has vanished never says so.
 const IDLE_TIMEOUT: Span = Span::from_millis(120_000);
-/// While there are many clients, one is closed after being idle for this time, lest those who asked once and stay
-/// take the connections of clients with requests.
+/// While there are many clients, one is closed after being idle for this time, lest those who asked once and
+/// stay take the connections of clients with requests.
 const CROWDED_IDLE_TIMEOUT: Span = Span::from_millis(2000);
-/// While there are many clients, one that has sent no complete message is evicted this long after connecting, and a
-/// lingering one this long after its last response, before any that may send another request: whoever has a request
-/// begins with it.
+/// While there are many clients, one that has sent no complete message is evicted this long after connecting,
+/// and a lingering one this long after its last response, before any that may send another request: whoever
+/// has a request begins with it.
 const UNWANTED_AFTER: Span = Span::from_millis(250);
-/// How long a rejected client may go on sending before its connection is closed: closed at once, the response could be
-/// lost on its way.
+/// How long a rejected client may go on sending before its connection is closed: closed at once, the response
+/// could be lost on its way.
 const LINGER_TIME: Span = Span::from_millis(1000);
-/// Reads before a connection is closed, each of as much as is buffered of its input: more than a longest message.
+/// Reads before a connection is closed, each of as much as is buffered of its input: more than a longest
+/// message.
 const MAX_FINAL_READS: usize = 8;
 
 /// All clients' connections.
 pub(super) struct Downstream {
     owner: Owner,
     clients: BTreeMap<ConnectionId, Client>,
-    /// Clients without a complete message, by when they connected, and lingering ones, by since when they linger.
+    /// Clients without a complete message, by when they connected, and lingering ones, by since when they
+    /// linger.
     unwanted: TimeQueue,
     limits: ClientLimits,
     decoder: RequestDecoder,
@@ -105,8 +108,8 @@
         self.clients.len() >= self.limits.served + self.limits.excess
     }
 
-    /// The client to evict first for a new one: one that has sent nothing complete or was rejected, else the one that
-    /// has been idle for longest.
+    /// The client to evict first for a new one: one that has sent nothing complete or was rejected, else the
+    /// one that has been idle for longest.
     pub(super) fn first_to_evict(&self, transport: &Transport, now: Time) -> Option<ConnectionId> {
         match self.unwanted.first() {
             Some((since, id)) if now - since >= UNWANTED_AFTER => Some(id),
@@ -137,9 +140,9 @@
         let Some(client) = self.clients.get_mut(&event.id) else { return };
         client.receive(cx.now, |connection| connection.on_event(&event));
         self.advance(cx, event.id);
-        // A request and its client's end may arrive at once, also after the event was reported. The end follows the
-        // request: it is looked for before the request is reported, which would else be forwarded for a client that
-        // has disconnected.
+        // A request and its client's end may arrive at once, also after the event was reported. The end
+        // follows the request: it is looked for before the request is reported, which would else be forwarded
+        // for a client that has disconnected.
         let is_awaiting = self.clients.get(&event.id).is_some_and(Client::is_awaiting_response);
         if event.read_closed || event.closed || is_awaiting {
             self.receive_all(cx, event.id);
@@ -184,8 +187,8 @@
         }
     }
 
-    /// Closes a connection that is idle, has brought nothing complete, or lingers, unless a last read finds a request
-    /// on it: one that has arrived must not be lost.
+    /// Closes a connection that is idle, has brought nothing complete, or lingers, unless a last read finds a
+    /// request on it: one that has arrived must not be lost.
     pub(super) fn evict(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let has_read_all = self.receive_all(cx, id);
         let Some(client) = self.clients.get(&id) else { return };
@@ -195,8 +198,8 @@
         }
     }
 
-    /// Has connections end with the response that is due on them, from now on; requests that are accepted have
-    /// theirs by `deadline`.
+    /// Has connections end with the response that is due on them, from now on; requests that are accepted
+    /// have theirs by `deadline`.
     pub(super) fn begin_shutdown(&mut self, deadline: Time) {
         self.shutdown_deadline = Some(deadline);
     }
@@ -213,8 +216,9 @@
 
     /// Whether no client is owed anything.
     ///
-    /// Lingering clients count as well: they were sent their response and may not have it yet. If the process ended
-    /// while bytes of theirs are unread, their connections would be reset and the rest of the response be lost.
+    /// Lingering clients count as well: they were sent their response and may not have it yet. If the process
+    /// ended while bytes of theirs are unread, their connections would be reset and the rest of the response
+    /// be lost.
     pub(super) fn is_drained(&self) -> bool {
         self.clients.is_empty()
     }
@@ -258,7 +262,8 @@
                 ClientState::WritingResponse { .. } if !client.connection.output.is_empty() => break,
                 ClientState::WritingResponse { keep_alive: false } => self.linger(cx, id),
                 ClientState::WritingResponse { keep_alive: true } => {
-                    // What else has arrived is read in the next turn: nobody who sends without end holds up this one.
+                    // What else has arrived is read in the next turn: nobody who sends without end holds up
+                    // this one.
                     client.state = ClientState::Reading;
                 }
                 ClientState::Lingering => {
@@ -280,8 +285,8 @@
         self.finish_advance(cx, id);
     }
 
-    /// Handles the end of a connection, sets the timers of one that is read from, and has epoll report what comes
-    /// next.
+    /// Handles the end of a connection, sets the timers of one that is read from, and has epoll report what
+    /// comes next.
     fn finish_advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Some(reason) = client.connection.close_reason() {
@@ -311,8 +316,8 @@
         }
     }
 
-    /// Tells a client that nothing more will be sent, and lets it finish: what it still sends is read and ignored,
-    /// since closing the connection with unread data would reset it.
+    /// Tells a client that nothing more will be sent, and lets it finish: what it still sends is read and
+    /// ignored, since closing the connection with unread data would reset it.
     fn linger(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.connection.shutdown_write();
--- a/crates/node/src/proxy/downstream/request_decoder.rs
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -75,8 +75,8 @@
         Ok(DecodedRequest { request, client_request_id: client_request_id.into() })
     }
 
-    /// The index of the request class. Cache servers go by the path: a class that only a header names would be
-    /// rejected there.
+    /// The index of the request class. Cache servers go by the path: a class that only a header names would
+    /// be rejected there.
     fn decode_request_class(&self, head: &MessageHead) -> Result<usize, RequestError> {
         let class = head.path_segments().next().ok_or(RequestError::NotFound)?;
         let index = self.names.request_classes.iter().position(|name| name == class);
--- a/crates/node/src/proxy/downstream/requests.rs
+++ b/crates/node/src/proxy/downstream/requests.rs
@@ -24,8 +24,8 @@
         if message.head.path_segments().next() == Some("health") {
             return self.answer_health_check(cx, id, &message.head);
         }
-        // Clients without a request in progress take nothing from the others, and are evicted first once there are
-        // too many.
+        // Clients without a request in progress take nothing from the others, and are evicted first once
+        // there are too many.
         let is_overloaded = cx.requests.pending_count() >= self.limits.served;
         match self.decoder.decode(&message.head) {
             Ok(_) if is_overloaded => self.reject(cx, id, 503),
@@ -60,8 +60,8 @@
         self.begin_writing(cx, id, keep_alive);
     }
 
-    /// Hands a request over to the balancer. Its time counts from the arrival of its last byte: behind another request
-    /// on its connection it may have waited long.
+    /// Hands a request over to the balancer. Its time counts from the arrival of its last byte: behind
+    /// another request on its connection it may have waited long.
     fn admit(
         &mut self,
         cx: &mut TurnContext<'_>,
--- a/crates/node/src/proxy/duplicate_response.rs
+++ b/crates/node/src/proxy/duplicate_response.rs
@@ -1,16 +1,17 @@
 //! Detects a late duplicate of an earlier response on a connection that carries the next request by then.
 //!
-//! Nothing in a response identifies its request, and a duplicate that arrives some milliseconds late is on the wire
-//! where the response to the next request is due. Its bytes are the same, though. A response with a body that equals
-//! one received on its connection a moment ago is taken for a duplicate: the response to the request follows it.
+//! Nothing in a response identifies its request, and a duplicate that arrives some milliseconds late is on
+//! the wire where the response to the next request is due. Its bytes are the same, though. A response with a
+//! body that equals one received on its connection a moment ago is taken for a duplicate: the response to the
+//! request follows it.
 //!
-//! Responses without a body, and unsuccessful ones, are equal from request to request by nature, and their duplicates
-//! cannot be detected. Nor can duplicates where responses are equal for another reason, as where each write is
-//! answered by the same word: unless a run of responses has differed from one to the next, none is taken for a
-//! duplicate.
+//! Responses without a body, and unsuccessful ones, are equal from request to request by nature, and their
+//! duplicates cannot be detected. Nor can duplicates where responses are equal for another reason, as where
+//! each write is answered by the same word: unless a run of responses has differed from one to the next, none
+//! is taken for a duplicate.
 //!
-//! Invariant: each connection remembers at most [`MAX_REMEMBERED`] responses of the last [`DUPLICATE_WINDOW`], as a
-//! hash each.
+//! Invariant: each connection remembers at most [`MAX_REMEMBERED`] responses of the last
+//! [`DUPLICATE_WINDOW`], as a hash each.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
--- a/crates/node/src/proxy/endpoint_directory.rs
+++ b/crates/node/src/proxy/endpoint_directory.rs
@@ -12,7 +12,8 @@
 use super::stable_hash::stable_hash;
 use crate::http::{EndpointEntry, EndpointListUpdate, EndpointState};
 
-/// Set in the numbers of zones and cells that the settings don't name, so that they differ from those of named ones.
+/// Set in the numbers of zones and cells that the settings don't name, so that they differ from those of
+/// named ones.
 const UNNAMED_FLAG: u32 = 1 << 31;
 
 /// An endpoint that accepts requests.
@@ -25,11 +26,12 @@
 
 /// Translates endpoint lists for the balancer and keeps the endpoints that may get attempts.
 ///
-/// Invariant: no two endpoints have the same address, and `unlisted_since` has no endpoint that `endpoints` lacks.
+/// Invariant: no two endpoints have the same address, and `unlisted_since` has no endpoint that `endpoints`
+/// lacks.
 pub(super) struct EndpointDirectory {
     names: Names,
-    /// Whether only the announcement that an endpoint drains is binding: one that the list merely lacks is then kept
-    /// for a while, since the balancer may doubt the list.
+    /// Whether only the announcement that an endpoint drains is binding: one that the list merely lacks is
+    /// then kept for a while, since the balancer may doubt the list.
     keep_unlisted: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// The endpoints that are kept although the list lacks them, and since when it does.
@@ -71,8 +73,8 @@
         updates
     }
 
-    /// Removes the endpoints whose address this one takes over: attempts for them would go to an endpoint that is
-    /// not meant, whatever the balancer makes of the list.
+    /// Removes the endpoints whose address this one takes over: attempts for them would go to an endpoint
+    /// that is not meant, whatever the balancer makes of the list.
     fn remove_replaced(&mut self, endpoint: &KnownEndpoint, updates: &mut Vec<EndpointUpdate>) {
         if !endpoint.update.ready {
             return;
@@ -104,8 +106,8 @@
     /// Removes the endpoints that the list has lacked for too long.
     fn expire_unlisted(&mut self, now: Time, listed: &[KnownEndpoint], is_complete: bool) {
         for id in self.endpoints.keys() {
-            // An endpoint that was replaced under its name is listed twice, with its end and its start: the last
-            // entry counts.
+            // An endpoint that was replaced under its name is listed twice, with its end and its start: the
+            // last entry counts.
             match listed.iter().rfind(|endpoint| endpoint.update.cache == *id) {
                 Some(endpoint) if endpoint.update.ready => {
                     self.unlisted_since.remove(id);
@@ -140,9 +142,9 @@
         KnownEndpoint { address: entry.address, update }
     }
 
-    /// The number of an entry's zone. Zones that the settings don't name get a number each: under a shared one they
-    /// would count as one zone, and a request that may be repeated within a zone only would run again in another.
-    /// Where no zone is given, no other endpoint is known to be in the same one.
+    /// The number of an entry's zone. Zones that the settings don't name get a number each: under a shared
+    /// one they would count as one zone, and a request that may be repeated within a zone only would run
+    /// again in another. Where no zone is given, no other endpoint is known to be in the same one.
     fn zone_number(&self, entry: &EndpointEntry) -> u32 {
         match index_of(&self.names.zones, &entry.zone) {
             Some(index) => index as u32,
--- a/crates/node/src/proxy/mod.rs
+++ b/crates/node/src/proxy/mod.rs
@@ -1,9 +1,9 @@
 //! The layer that joins clients, servers and discovery to the balancer's decisions.
 //!
-//! Nothing is decided here. The downstream side (clients) and the upstream side (cache servers and the origin) share
-//! only the [`RequestTable`] between them; the balancer driver reports to the
-//! [`Balancer`](granitelb_balancer::balancer::Balancer) what happened and carries out what it decides. One thread
-//! runs all of it, in turns of the event loop in [`Node::serve`].
+//! Nothing is decided here. The downstream side (clients) and the upstream side (cache servers and the
+//! origin) share only the [`RequestTable`] between them; the balancer driver reports to the
+//! [`Balancer`](granitelb_balancer::balancer::Balancer) what happened and carries out what it decides. One
+//! thread runs all of it, in turns of the event loop in [`Node::serve`].
 //!
 //! Two rules are each enforced at one place: [`RequestTable::start_attempt`] admits every attempt, and
 //! [`RequestTable::finish`] accepts one final response for each request.
--- a/crates/node/src/proxy/node/capacity.rs
+++ b/crates/node/src/proxy/node/capacity.rs
@@ -1,4 +1,5 @@
-//! Accepting clients as far as descriptors and memory allow, and closing idle connections when they are short.
+//! Accepting clients as far as descriptors and memory allow, and closing idle connections when they are
+//! short.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -47,8 +48,8 @@
             let is_full =
                 downstream.is_full() || turn.transport.available_connections() <= self.reserved_connections;
             if is_full || turn.transport.descriptors_exhausted() {
-                // Epoll would report the waiting clients in every turn: they wait in the kernel's queue until there is
-                // capacity.
+                // Epoll would report the waiting clients in every turn: they wait in the kernel's queue until
+                // there is capacity.
                 listener.set_paused(turn.transport, true);
                 if self.accept_retry_at.is_none() {
                     log::warn!(event = "connection_limit_reached"; "connection limit reached: no new clients");
@@ -67,8 +68,8 @@
         progress
     }
 
-    /// Closes clients that have been idle for long while there are many, and the longest idle connections while
-    /// descriptors are short.
+    /// Closes clients that have been idle for long while there are many, and the longest idle connections
+    /// while descriptors are short.
     pub(super) fn close_excess_idle(&mut self, now: Time) {
         let Node { transport, requests, downstream, upstream, .. } = self;
         let mut turn = TurnContext { transport, requests, now };
--- a/crates/node/src/proxy/node/config.rs
+++ b/crates/node/src/proxy/node/config.rs
@@ -10,9 +10,9 @@
 use crate::http::EndpointListUpdate;
 use crate::proxy::downstream::ResourceLimits;
 
-/// Descriptors that are no connections: standard streams, epoll, the listener, the two of the signals, the sockets of
-/// the control-plane agent where there is one, and a few that are open for a moment, as for a configuration that is
-/// reloaded.
+/// Descriptors that are no connections: standard streams, epoll, the listener, the two of the signals, the
+/// sockets of the control-plane agent where there is one, and a few that are open for a moment, as for a
+/// configuration that is reloaded.
 const NON_CONNECTION_DESCRIPTORS: usize = 12;
 /// Connections that a node has at least, however few descriptors are configured.
 const MIN_CONNECTIONS: usize = 8;
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -75,7 +75,8 @@
         let mut requests = RequestTable::default();
         requests.set_load_report_header(reloadable.load_header);
         let revision = known.as_ref().map(|list| list.revision);
-        let (discovery, connect_timeout) = (reloadable.discovery, reloadable.connect_limit);
+        let discovery = reloadable.discovery;
+        let connect_timeout = reloadable.connect_limit;
         let mut node = Node {
             longest_client_timeout: longest(&client_timeouts),
             downstream: Downstream::new(DOWNSTREAM, limits, names, client_timeouts, retry_after),
@@ -180,8 +181,8 @@
 
     /// Handles the events and timers of a turn.
     fn run_turn(&mut self, now: Time, events: &[ReadinessEvent]) {
-        // Clients that disconnect are handled first: an attempt that only waits for its connection would else be written
-        // to one that is established in the same turn.
+        // Clients that disconnect are handled first: an attempt that only waits for its connection would else
+        // be written to one that is established in the same turn.
         let (disconnects, others): (Vec<&ReadinessEvent>, Vec<&ReadinessEvent>) =
             events.iter().partition(|event| is_disconnect(event));
         for event in disconnects.into_iter().chain(others) {
@@ -240,8 +241,8 @@
     fn advance_shutdown(&mut self, now: Time) {
         let Some(shutdown) = self.shutdown else { return };
         if self.listener.is_some() && shutdown.is_accept_time_over(now) {
-            // Whoever has connected is still accepted, even if there are more than one turn takes: a node that was
-            // suspended at this moment would else reset the rest.
+            // Whoever has connected is still accepted, even if there are more than one turn takes: a node
+            // that was suspended at this moment would else reset the rest.
             while self.accept_clients(now) == AcceptProgress::MayHaveMore {}
             self.listener = None;
         }
--- a/crates/node/src/proxy/node/shutdown.rs
+++ b/crates/node/src/proxy/node/shutdown.rs
@@ -1,7 +1,7 @@
 //! The phases of a graceful shutdown.
 //!
-//! After the signal clients may still connect for a while; then the listener is closed, and shortly after it all idle
-//! connections. The node ends once no client is owed anything, or when its time is up.
+//! After the signal clients may still connect for a while; then the listener is closed, and shortly after it
+//! all idle connections. The node ends once no client is owed anything, or when its time is up.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -9,11 +9,11 @@
 const ACCEPT_TIME: Span = Span::from_millis(450);
 /// The first bytes of a client that connected at the last moment may take this long to arrive.
 const LAST_BYTES_TIME: Span = Span::from_millis(100);
-/// How long beyond the longest client timeout the node stays for its requests: beyond the last one that can have
-/// arrived, and within the 0.7 s that the node has.
+/// How long beyond the longest client timeout the node stays for its requests: beyond the last one that can
+/// have arrived, and within the 0.7 s that the node has.
 const STAY_TIME: Span = Span::from_millis(650);
-/// How long beyond the longest client timeout requests have their responses at the latest, those whose last byte arrived
-/// late too, before the node is gone.
+/// How long beyond the longest client timeout requests have their responses at the latest, those whose last
+/// byte arrived late too, before the node is gone.
 const RESPONSE_TIME: Span = Span::from_millis(600);
 
 /// A shutdown in progress.
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -1,5 +1,5 @@
-//! Reports what this node observes to the control-plane agent: the endpoints that accept requests, each attempt that
-//! is sent, and how it ended.
+//! Reports what this node observes to the control-plane agent: the endpoints that accept requests, each
+//! attempt that is sent, and how it ended.
 //!
 //! Nodes without a fleet configuration have no recorder, and nothing here costs them anything.
 
--- a/crates/node/src/proxy/request_table.rs
+++ b/crates/node/src/proxy/request_table.rs
@@ -1,8 +1,8 @@
 //! The requests in progress: where the downstream and the upstream side meet.
 //!
-//! Invariants: [`RequestTable::start_attempt`] admits every attempt and admits none for a request that has its final
-//! response; [`RequestTable::finish`] accepts the first final response of a request and no other. A request stays in
-//! the table until its response was collected and its last attempt has ended.
+//! Invariants: [`RequestTable::start_attempt`] admits every attempt and admits none for a request that has
+//! its final response; [`RequestTable::finish`] accepts the first final response of a request and no other. A
+//! request stays in the table until its response was collected and its last attempt has ended.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -112,8 +112,8 @@
 
 /// For the downstream side.
 impl RequestTable {
-    /// Adds a request, unless another one with the client's identifier is pending: endpoints could not tell the two
-    /// apart, and the earlier one would suffer for it.
+    /// Adds a request, unless another one with the client's identifier is pending: endpoints could not tell
+    /// the two apart, and the earlier one would suffer for it.
     pub fn insert(
         &mut self,
         client: ConnectionId,
@@ -255,8 +255,8 @@
         self.finished_attempts.pop_front()
     }
 
-    /// Admits an attempt and returns its number, unless the request has its final response. Every attempt passes
-    /// here.
+    /// Admits an attempt and returns its number, unless the request has its final response. Every attempt
+    /// passes here.
     pub fn start_attempt(&mut self, id: RequestId) -> Option<AttemptNumber> {
         let active = self.requests.get_mut(&id)?;
         if !active.is_pending() {
@@ -268,8 +268,8 @@
         Some(number)
     }
 
-    /// Accepts the final response of a request, unless it has one, and returns whether it was accepted. Every final
-    /// response passes here.
+    /// Accepts the final response of a request, unless it has one, and returns whether it was accepted. Every
+    /// final response passes here.
     pub fn finish(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(active) = self.requests.get_mut(&id) else { return false };
         if !active.is_pending() {
--- a/crates/node/src/proxy/upstream/connecting.rs
+++ b/crates/node/src/proxy/upstream/connecting.rs
@@ -1,8 +1,8 @@
 //! Establishing connections to endpoints.
 //!
-//! An attempt whose connection is delayed moves to one that has become idle; else a surplus connection is opened
-//! beside it, and whichever is established first carries the attempt. Its request was written to neither before, so
-//! it cannot be executed twice.
+//! An attempt whose connection is delayed moves to one that has become idle; else a surplus connection is
+//! opened beside it, and whichever is established first carries the attempt. Its request was written to
+//! neither before, so it cannot be executed twice.
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
@@ -12,18 +12,20 @@
 use crate::proxy::turn_context::TurnContext;
 use crate::transport::{CloseReason, Connection, ConnectionId};
 
-/// Connections to one endpoint that may be connecting beside those that attempts wait for. The limit keeps an endpoint
-/// that is cut off from having the node open connections without end.
+/// Connections to one endpoint that may be connecting beside those that attempts wait for. The limit keeps an
+/// endpoint that is cut off from having the node open connections without end.
 pub(super) const MAX_SURPLUS_CONNECTIONS: usize = 2;
-/// A connecting connection that no attempt waits for any more is given this time to be established for the next one.
+/// A connecting connection that no attempt waits for any more is given this time to be established for the
+/// next one.
 pub(super) const SURPLUS_CONNECT_TIMEOUT: Span = Span::from_millis(2000);
-/// Descriptors that are reserved for the watch on the endpoint list and for its successor. Attempts of clients that
-/// have disconnected go on, and at unresponsive endpoints they would take all descriptors, so that the announcement
-/// of a drain is missed.
+/// Descriptors that are reserved for the watch on the endpoint list and for its successor. Attempts of
+/// clients that have disconnected go on, and at unresponsive endpoints they would take all descriptors, so
+/// that the announcement of a drain is missed.
 const RESERVED_FOR_WATCH: usize = 2;
 
 impl Upstream {
-    /// Opens a connection to a known endpoint. Until an attempt is assigned to it, it is a surplus connection.
+    /// Opens a connection to a known endpoint. Until an attempt is assigned to it, it is a surplus
+    /// connection.
     pub(super) fn open(
         &mut self,
         cx: &mut TurnContext<'_>,
@@ -107,8 +109,8 @@
         pool.connecting.iter().filter(is_surplus).count()
     }
 
-    /// Moves the attempt of a connecting connection, to which nothing was written, to an established one. The first
-    /// connection goes on as a surplus connection.
+    /// Moves the attempt of a connecting connection, to which nothing was written, to an established one. The
+    /// first connection goes on as a surplus connection.
     fn reassign(&mut self, cx: &mut TurnContext<'_>, from: ConnectionId, to: ConnectionId) {
         let Some(delayed) = self.connections.get_mut(&from) else { return };
         if delayed.connection.is_connected() {
@@ -119,8 +121,8 @@
         self.assign(cx, to, attempt);
     }
 
-    /// Handles a surplus connection that is established: it carries the attempt that has waited longest for another
-    /// connection to the endpoint, else it becomes idle.
+    /// Handles a surplus connection that is established: it carries the attempt that has waited longest for
+    /// another connection to the endpoint, else it becomes idle.
     fn use_surplus_connection(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(upstream) = self.connections.get(&id) else { return };
         if !upstream.is_clean() {
@@ -133,7 +135,8 @@
         self.add_idle(cx, endpoint, id);
     }
 
-    /// The connecting connection to an endpoint whose attempt has waited longest for a request without a response.
+    /// The connecting connection to an endpoint whose attempt has waited longest for a request without a
+    /// response.
     fn longest_waiting(&self, cx: &TurnContext<'_>, endpoint: EndpointId) -> Option<ConnectionId> {
         let pool = self.pools.get(&endpoint)?;
         let carries_pending_request = |id: &&ConnectionId| {
--- a/crates/node/src/proxy/upstream/connection.rs
+++ b/crates/node/src/proxy/upstream/connection.rs
@@ -97,8 +97,8 @@
         now - self.last_progress_at
     }
 
-    /// Sends buffered output, unless the peer has ended the connection: what has not been sent by then never runs
-    /// there.
+    /// Sends buffered output, unless the peer has ended the connection: what has not been sent by then never
+    /// runs there.
     pub(super) fn flush(&mut self) -> Result<(), CloseReason> {
         if self.connection.close_reason().is_some() {
             return Ok(());
--- a/crates/node/src/proxy/upstream/exchange.rs
+++ b/crates/node/src/proxy/upstream/exchange.rs
@@ -11,8 +11,8 @@
 use crate::proxy::turn_context::TurnContext;
 use crate::transport::{CloseReason, ConnectionId};
 
-/// After a supposed duplicate, the response to the request is waited for during this share of the time that the
-/// attempt has left.
+/// After a supposed duplicate, the response to the request is waited for during this share of the time that
+/// the attempt has left.
 const DUPLICATE_WAIT_SHARE: f64 = 0.25;
 
 const MICROS_PER_MILLI: u64 = 1000;
@@ -42,8 +42,8 @@
     /// Writes what is to be written on a connection and handles what was received.
     pub(super) fn advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(upstream) = self.connections.get(&id) else { return };
-        // No response is due on an idle connection. A part of one, once read, would precede the response to the next
-        // request, whose client would get a response that was made for no request of its own.
+        // No response is due on an idle connection. A part of one, once read, would precede the response to
+        // the next request, whose client would get a response that was made for no request of its own.
         if upstream.attempt.is_none() && !upstream.connection.input.is_empty() {
             let endpoint = upstream.endpoint;
             self.mark_suspect(cx.now, endpoint);
@@ -75,8 +75,8 @@
     /// Admits the first byte of every attempt: it is sent only while its request is pending, before its start
     /// deadline, and to the current address of its endpoint.
     ///
-    /// The request is written here, with the time that is left by now, since connecting may have taken long. Where
-    /// data or the end of the connection has arrived before, it is not written: that is handled first.
+    /// The request is written here, with the time that is left by now, since connecting may have taken long.
+    /// Where data or the end of the connection has arrived before, it is not written: that is handled first.
     fn start_request(
         &mut self,
         requests: &RequestTable,
@@ -145,7 +145,8 @@
         let Some(upstream) = self.connections.get(&id) else { return ConnectionFate::Closed };
         let Some(attempt) = &upstream.attempt else { return ConnectionFate::Open };
         let endpoint = upstream.endpoint;
-        // An endpoint begins with a request once it has all of it: this response was made for no pending request.
+        // An endpoint begins with a request once it has all of it: this response was made for no pending
+        // request.
         if response.head.status == 200 && attempt.has_early_data {
             self.mark_suspect(cx.now, endpoint);
             self.close(cx, id, CloseReason::ProtocolError);
--- a/crates/node/src/proxy/upstream/mod.rs
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -1,8 +1,8 @@
 //! The upstream side: connections to cache servers and the origin, and the attempts on them.
 //!
 //! Invariants:
-//! - The first byte of every attempt passes [`Upstream::start_request`], whichever connection it waited for. Its
-//!   request is written only then, with the time that is left.
+//! - The first byte of every attempt passes [`Upstream::start_request`], whichever connection it waited for.
+//!   Its request is written only then, with the time that is left.
 //! - An attempt is assigned to one connection at a time.
 //! - A response goes to a request only after the last byte of its attempt was written, and once.
 
@@ -26,11 +26,11 @@
 use super::turn_context::TurnContext;
 use crate::transport::{CloseReason, ConnectionId, Owner, ReadinessEvent, Transport};
 
-/// An idle connection is closed after this share of the time after which an endpoint may close it: what is written to
-/// one that is just being closed is lost.
+/// An idle connection is closed after this share of the time after which an endpoint may close it: what is
+/// written to one that is just being closed is lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
-/// A duplicate response may arrive some milliseconds after the first. On a connection that carries the next request by
-/// then it could be taken for that one's: a connection that was idle for this long is preferred.
+/// A duplicate response may arrive some milliseconds after the first. On a connection that carries the next
+/// request by then it could be taken for that one's: a connection that was idle for this long is preferred.
 const PREFERRED_IDLE_TIME: Span = Span::from_millis(20);
 
 /// The connections to all endpoints.
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Removes an endpoint: attempts that were not started are not sent, idle connections are closed, and connections
-    /// that carry a started attempt end with its response.
+    /// Removes an endpoint: attempts that were not started are not sent, idle connections are closed, and
+    /// connections that carry a started attempt end with its response.
     fn remove_endpoint(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId) {
         let Some(pool) = self.pools.remove(&endpoint) else { return };
         for id in pool.connecting.into_iter().chain(pool.idle) {
@@ -134,8 +134,8 @@
         self.advance(cx, id);
     }
 
-    /// Takes an idle connection that the endpoint has not ended meanwhile: what is written to one that it has ended is
-    /// lost.
+    /// Takes an idle connection that the endpoint has not ended meanwhile: what is written to one that it has
+    /// ended is lost.
     fn take_idle(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId) -> Option<ConnectionId> {
         loop {
             let id = self.remove_preferred_idle(cx.now, endpoint)?;
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Removes from the pool the connection that was used last among those idle for long enough, else the one that
-    /// has been idle for longest unless the endpoint is suspect.
+    /// Removes from the pool the connection that was used last among those idle for long enough, else the one
+    /// that has been idle for longest unless the endpoint is suspect.
     fn remove_preferred_idle(&mut self, now: Time, endpoint: EndpointId) -> Option<ConnectionId> {
         let pool = self.pools.get_mut(&endpoint)?;
         let connections = &self.connections;
@@ -230,8 +230,8 @@
         self.close(cx, id, CloseReason::ConnectTimeout);
     }
 
-    /// Handles that nothing followed a supposed duplicate. It may have been the response or not, so nobody gets it;
-    /// for a while none of the endpoint's responses is taken for a duplicate.
+    /// Handles that nothing followed a supposed duplicate. It may have been the response or not, so nobody
+    /// gets it; for a while none of the endpoint's responses is taken for a duplicate.
     fn on_duplicate_wait_end(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let endpoint = self.connections.get(&id).map(|upstream| upstream.endpoint);
         if let Some(pool) = endpoint.and_then(|endpoint| self.pools.get_mut(&endpoint)) {
@@ -253,7 +253,8 @@
         }
     }
 
-    /// Ends an attempt of which nothing was sent, and keeps its connection, which is not at fault, for the next one.
+    /// Ends an attempt of which nothing was sent, and keeps its connection, which is not at fault, for the
+    /// next one.
     fn release(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         let Some(attempt) = upstream.attempt.take() else { return };
--- a/crates/node/src/proxy/upstream/pool.rs
+++ b/crates/node/src/proxy/upstream/pool.rs
@@ -7,7 +7,8 @@
 use crate::transport::ConnectionId;
 
 /// A connection that is not established after this multiple of the fastest connect time, plus
-/// [`CONNECT_DELAY_MARGIN`], is delayed: its first packet may be lost, and the system repeats it a second later only.
+/// [`CONNECT_DELAY_MARGIN`], is delayed: its first packet may be lost, and the system repeats it a second
+/// later only.
 const CONNECT_DELAY_MULTIPLE: f64 = 3.0;
 const CONNECT_DELAY_MARGIN: Span = Span::from_millis(10);
 /// Where none was established yet, one is delayed after this share of the connect timeout.
@@ -15,8 +16,8 @@
 /// The fastest connect time grows by this factor with each connection, as network paths change.
 const FASTEST_CONNECT_GROWTH: f64 = 1.05;
 
-/// An endpoint that has sent what nobody asked for gets no request on another connection that has just been used,
-/// until nothing of the kind has arrived for this time: a new connection is opened.
+/// An endpoint that has sent what nobody asked for gets no request on another connection that has just been
+/// used, until nothing of the kind has arrived for this time: a new connection is opened.
 const SUSPICION_TIME: Span = Span::from_millis(10_000);
 /// How long the responses of an endpoint count as uniform after nothing followed a supposed duplicate.
 const UNIFORM_RESPONSES_TIME: Span = Span::from_millis(300_000);
@@ -32,7 +33,8 @@
     fastest_connect: Option<Span>,
     /// Until when the endpoint is suspected of sending what nobody asked for.
     suspect_until: Time,
-    /// Until when its responses count as equal from request to request, so that duplicates cannot be detected.
+    /// Until when its responses count as equal from request to request, so that duplicates cannot be
+    /// detected.
     uniform_responses_until: Time,
 }
 
--- a/crates/node/src/transport/connection.rs
+++ b/crates/node/src/transport/connection.rs
@@ -22,8 +22,9 @@
 
 /// A non-blocking TCP connection.
 ///
-/// The caller consumes `input` and appends to `output`; [`Connection::receive`] and [`Connection::flush`] exchange
-/// them with the socket. After both, [`Connection::update_interest`] has epoll report what can be done next.
+/// The caller consumes `input` and appends to `output`; [`Connection::receive`] and [`Connection::flush`]
+/// exchange them with the socket. After both, [`Connection::update_interest`] has epoll report what can be
+/// done next.
 pub struct Connection {
     id: ConnectionId,
     fd: OwnedFd,
@@ -34,8 +35,8 @@
     state: ConnectionState,
     /// How the peer closed the connection, once its end has been read.
     closed: Option<CloseReason>,
-    /// Whether epoll has reported the end of the connection or of its input. Data sent before that may still be
-    /// unread.
+    /// Whether epoll has reported the end of the connection or of its input. Data sent before that may still
+    /// be unread.
     end_reported: bool,
     interest: EventFlags,
 }
@@ -45,8 +46,8 @@
     ///
     /// # Errors
     ///
-    /// [`CloseReason::NoFileDescriptor`] where no descriptor or local port is left, [`CloseReason::Refused`] where
-    /// the system refuses the address at once.
+    /// [`CloseReason::NoFileDescriptor`] where no descriptor or local port is left, [`CloseReason::Refused`]
+    /// where the system refuses the address at once.
     pub fn connect(
         transport: &mut Transport,
         address: SocketAddr,
@@ -88,8 +89,8 @@
         owner: Owner,
         state: ConnectionState,
     ) -> Result<Connection, CloseReason> {
-        // Messages are written as a whole: waiting for more data would only delay them. Without the option the
-        // connection works too.
+        // Messages are written as a whole: waiting for more data would only delay them. Without the option
+        // the connection works too.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         let mut interest = EventFlags::IN | EventFlags::RDHUP;
         if state == ConnectionState::Connecting {
@@ -121,8 +122,8 @@
 
     /// How the peer ended the connection, once everything sent before was received.
     ///
-    /// Also set once an end was reported and the input is full: nobody consumes it, epoll would report the end in
-    /// every turn, and a client that sent more than is buffered and left would be waited for.
+    /// Also set once an end was reported and the input is full: nobody consumes it, epoll would report the
+    /// end in every turn, and a client that sent more than is buffered and left would be waited for.
     pub fn close_reason(&self) -> Option<CloseReason> {
         if self.closed.is_none() && self.end_reported && self.input.len() >= MAX_INPUT_BYTES {
             return Some(CloseReason::SocketError);
@@ -205,7 +206,8 @@
         let writes = !self.is_connected() || !self.output.is_empty();
         let mut interest = EventFlags::empty();
         interest.set(EventFlags::IN, reads);
-        // Also while nothing is read: a client that sends much and leaves must not be taken for one that waits.
+        // Also while nothing is read: a client that sends much and leaves must not be taken for one that
+        // waits.
         interest.set(EventFlags::RDHUP, self.closed.is_none());
         interest.set(EventFlags::OUT, writes);
         if interest != self.interest && transport.modify(&self.fd, self.id, interest).is_ok() {
--- a/crates/node/src/transport/listener.rs
+++ b/crates/node/src/transport/listener.rs
@@ -37,7 +37,8 @@
         Ok(Listener { id, fd, paused: false })
     }
 
-    /// Accepts the next pending connection. Returns `None` where none is pending, or no descriptor is left for it.
+    /// Accepts the next pending connection. Returns `None` where none is pending, or no descriptor is left
+    /// for it.
     pub fn accept(&mut self, transport: &mut Transport, owner: Owner) -> Option<Connection> {
         loop {
             if transport.available_connections() == 0 {
@@ -49,15 +50,16 @@
                     transport.record_descriptor_exhaustion();
                     return None;
                 }
-                // The pending connection is gone again, or the call was interrupted: the next one may succeed.
+                // The pending connection is gone again, or the call was interrupted: the next one may
+                // succeed.
                 Err(Errno::CONNABORTED | Errno::INTR) => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Stops or resumes reports of pending connections. While they cannot be accepted, epoll would report them in
-    /// every turn.
+    /// Stops or resumes reports of pending connections. While they cannot be accepted, epoll would report
+    /// them in every turn.
     pub fn set_paused(&mut self, transport: &Transport, paused: bool) {
         if paused == self.paused {
             return;
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -1,8 +1,8 @@
 //! The lowest layer: non-blocking sockets, epoll, timers, and connections with one buffer per direction.
 //!
-//! This layer deals in bytes, addresses and points in time and knows nothing of their meaning. [`Transport`] owns
-//! the epoll instance, the timers and the budget of file descriptors; every [`Connection`] and [`Listener`]
-//! registers with it. Everything runs on one thread.
+//! This layer deals in bytes, addresses and points in time and knows nothing of their meaning. [`Transport`]
+//! owns the epoll instance, the timers and the budget of file descriptors; every [`Connection`] and
+//! [`Listener`] registers with it. Everything runs on one thread.
 
 mod clock;
 mod close_reason;
--- a/crates/node/src/transport/poller.rs
+++ b/crates/node/src/transport/poller.rs
@@ -1,4 +1,5 @@
-//! The epoll instance and what all connections share: timers, idle connections, and the budget of descriptors.
+//! The epoll instance and what all connections share: timers, idle connections, and the budget of
+//! descriptors.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -26,8 +27,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner(pub u8);
 
-/// Identifies a registered descriptor. Identifiers are never reused, so that an event of a descriptor that was
-/// closed in the same turn matches nothing.
+/// Identifies a registered descriptor. Identifiers are never reused, so that an event of a descriptor that
+/// was closed in the same turn matches nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(u64);
 
@@ -212,8 +213,8 @@
     }
 }
 
-/// The time to wait as the system takes it. Nanoseconds keep the whole span, lest its last part be spent in turns
-/// without an event.
+/// The time to wait as the system takes it. Nanoseconds keep the whole span, lest its last part be spent in
+/// turns without an event.
 fn timespec(span: Span) -> Timespec {
     let micros = span.0;
     Timespec {
--- a/crates/node/src/transport/ring_buffer.rs
+++ b/crates/node/src/transport/ring_buffer.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// Capacity in bytes that an empty buffer may keep. Most messages fit into it, and a thousand such buffers take
-/// little memory.
+/// Capacity in bytes that an empty buffer may keep. Most messages fit into it, and a thousand such buffers
+/// take little memory.
 const RETAINED_CAPACITY: usize = 2048;
 
 /// A first-in, first-out byte buffer.
@@ -28,8 +28,8 @@
     /// Appends bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         if bytes.len() > RETAINED_CAPACITY {
-            // Large bodies get an allocation of their exact size: with doubling, a thousand of them would exceed
-            // the memory limit.
+            // Large bodies get an allocation of their exact size: with doubling, a thousand of them would
+            // exceed the memory limit.
             self.bytes.reserve_exact(bytes.len());
         }
         self.bytes.extend(bytes);
--- a/crates/node/src/transport/socket.rs
+++ b/crates/node/src/transport/socket.rs
@@ -13,8 +13,8 @@
     if address.ip().is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 }
 }
 
-/// Whether an error means that the system lacks file descriptors, or memory for them, rather than that there is a
-/// fault of the one connection.
+/// Whether an error means that the system lacks file descriptors, or memory for them, rather than that there
+/// is a fault of the one connection.
 pub(super) fn is_descriptor_exhaustion(error: Errno) -> bool {
     matches!(error, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM)
 }
--- a/crates/node/tests/control_plane.rs
+++ b/crates/node/tests/control_plane.rs
@@ -92,8 +92,8 @@
     assert!(!fixture.log().contains("courier_"), "{}", fixture.log());
 }
 
-/// Waits for two heartbeats or reports and for reports of this many answered attempts. Each request had an attempt that its
-/// cache server answered. A node sends more once it has received a message of its planner.
+/// Waits for two heartbeats or reports and for reports of this many answered attempts. Each request had an
+/// attempt that its cache server answered. A node sends more once it has received a message of its planner.
 fn expect_heartbeats_and_reports(fixture: &mut NodeFixture, expected: f64) {
     let mut heartbeats = 0;
     let mut answered = 0.0;
--- a/crates/node/tests/control_plane/fleet.rs
+++ b/crates/node/tests/control_plane/fleet.rs
@@ -1,5 +1,5 @@
-//! Planners and nodes as processes on loopback, all of them the real program: requests come to each node, whose cache server
-//! has nothing, and fetches of the origin are leased.
+//! Planners and nodes as processes on loopback, all of them the real program: requests come to each node,
+//! whose cache server has nothing, and fetches of the origin are leased.
 
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
@@ -93,8 +93,8 @@
 }
 
 impl Fleet {
-    /// Starts planners and nodes; the origin is to get `origin_per_s` fetches a second, a tenth of them the nodes' own.
-    /// Nodes have the addresses 127.`net`.n.1.
+    /// Starts planners and nodes; the origin is to get `origin_per_s` fetches a second, a tenth of them the
+    /// nodes' own. Nodes have the addresses 127.`net`.n.1.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -141,8 +141,8 @@
         }
     }
 
-    /// The faults that members have reported of others. Those of a flood's sender, whose messages make a member of it that
-    /// is gone with them, are left out.
+    /// The faults that members have reported of others. Those of a flood's sender, whose messages make a
+    /// member of it that is gone with them, are left out.
     pub fn fault_reports(&self) -> FaultReports {
         let unknown = Member::Forwarder(UNKNOWN_FORWARDER).to_string();
         let count = |log: &str, text: &str| {
@@ -157,8 +157,8 @@
         reports
     }
 
-    /// Sends requests to all nodes while `meanwhile` runs. It gets a function that waits for a time and returns what
-    /// became of requests within it.
+    /// Sends requests to all nodes while `meanwhile` runs. It gets a function that waits for a time and
+    /// returns what became of requests within it.
     pub fn with_requests<T>(&self, meanwhile: impl FnOnce(&dyn Fn(Duration) -> RequestCounts) -> T) -> T {
         let counters = ClientCounters::default();
         std::thread::scope(|scope| {
--- a/crates/node/tests/control_plane/flood.rs
+++ b/crates/node/tests/control_plane/flood.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Sends `per_s` datagrams a second to each target for a time, in order and from the first again, and returns how many
-/// were sent to each.
+/// Sends `per_s` datagrams a second to each target for a time, in order and from the first again, and returns
+/// how many were sent to each.
 pub fn flood(datagrams: &[Vec<u8>], targets: &[SocketAddr], per_s: u64, duration: Duration) -> u64 {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let start = Instant::now();
--- a/crates/node/tests/control_plane/node_fixture.rs
+++ b/crates/node/tests/control_plane/node_fixture.rs
@@ -1,4 +1,5 @@
-//! A node of a fleet on loopback: the real program, with stand-ins for discovery, a cache server, the origin and a planner.
+//! A node of a fleet on loopback: the real program, with stand-ins for discovery, a cache server, the origin
+//! and a planner.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -152,9 +153,19 @@
     })
 }
 
+fn node_address(address: &str) -> SocketAddr {
+    let port = FIRST_PORT + (std::process::id() % PORTS) as u16;
+    SocketAddr::new(address.parse().expect("an address"), port)
+}
+
+fn node_config(name: &str, node: SocketAddr, discovery_address: &str) -> Value {
+    json!({"name": name, "listen": node.to_string(), "seed": "1f", "discovery": discovery_address,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()})
+}
+
 impl NodeFixture {
-    /// Starts a node at an address of its own, with this at the end of the fleet configuration where it has one; its cache
-    /// server answers with `status`.
+    /// Starts a node at an address of its own, with this at the end of the fleet configuration where it has
+    /// one; its cache server answers with `status`.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -170,7 +181,8 @@
         NodeFixture::start_named(program, folder, (address, "n"), text, status)
     }
 
-    /// Starts a node of any name, with the fleet configuration that `fleet_config` returns for the planner's address.
+    /// Starts a node of any name, with the fleet configuration that `fleet_config` returns for the planner's
+    /// address.
     pub fn start_named(
         program: &Path,
         folder: &Path,
@@ -179,7 +191,9 @@
         status: u16,
     ) -> NodeFixture {
         let listen = || TcpListener::bind((address, 0)).expect("a loopback address");
-        let (discovery, cache, origin) = (listen(), listen(), listen());
+        let discovery = listen();
+        let cache = listen();
+        let origin = listen();
         let entries = [list_entry("cache", &cache, "plain"), list_entry("origin", &origin, "origin")];
         let list = json!({"rev": 1, "all": true, "targets": entries}).to_string();
         let discovery_address = address_of(&discovery);
@@ -191,11 +205,8 @@
             fetch_counter.fetch_add(1, Ordering::Relaxed);
             respond(output, 200);
         });
-        let port = FIRST_PORT + (std::process::id() % PORTS) as u16;
-        let node = SocketAddr::new(address.parse().expect("an address"), port);
-        let config = json!({"name": name, "listen": node.to_string(), "seed": "1f",
-            "discovery": discovery_address,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()});
+        let node = node_address(address);
+        let config = node_config(name, node, &discovery_address);
         let planner = Planner::new(address);
         let planner_address = planner.socket.local_addr().expect("an address");
         let file = |extension: &str| folder.join(format!("{address}.{extension}"));
--- a/crates/node/tests/scenarios/connection.rs
+++ b/crates/node/tests/scenarios/connection.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Writes bytes, as far as the other side accepts them. It may have rejected the rest; what it says to that is
-    /// checked separately.
+    /// Writes bytes, as far as the other side accepts them. It may have rejected the rest; what it says to
+    /// that is checked separately.
     pub fn write(&mut self, mut bytes: &[u8]) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while !bytes.is_empty() && Instant::now() < deadline {
@@ -115,8 +115,8 @@
     listener
 }
 
-/// Fills a listener's queue, so that connections to it are neither accepted nor refused. Returns the connections that
-/// fill it.
+/// Fills a listener's queue, so that connections to it are neither accepted nor refused. Returns the
+/// connections that fill it.
 pub fn fill_accept_queue(listener: &TcpListener) -> Vec<TcpStream> {
     net::listen(listener, 0).expect("a socket");
     let address = listener.local_addr().expect("an address");
--- a/crates/node/tests/scenarios/harness/clients.rs
+++ b/crates/node/tests/scenarios/harness/clients.rs
@@ -25,8 +25,8 @@
             ["reset-client", client] => self.clients.remove(client).expect("a client").reset(),
             ["disconnect", client] => {
                 let connection = self.clients.remove(client).expect("a client");
-                // A child that another test forks may hold the socket until its exec: a close alone ends nothing until
-                // then. It fails only where the node has ended the connection.
+                // A child that another test forks may hold the socket until its exec: a close alone ends
+                // nothing until then. It fails only where the node has ended the connection.
                 let _ = connection.stream.shutdown(Shutdown::Write);
             }
             ["half-close", client] => {
@@ -46,6 +46,14 @@
                 self.poll();
                 assert!(!self.clients[client].has_ended(), "{line}");
             }
+            _ => return self.run_crowd_command(words),
+        }
+        true
+    }
+
+    /// Runs the commands that connect many clients, and returns whether the words are one of these.
+    fn run_crowd_command(&mut self, words: &[&str]) -> bool {
+        match *words {
             ["idle-clients", count] => self.connect_clients("idle", count, b""),
             ["partial-clients", count] => {
                 self.connect_clients("partial", count, b"GET /read/k HTTP/1.1\r\nHost: n\r\nX-Re");
--- a/crates/node/tests/scenarios/harness/discovery.rs
+++ b/crates/node/tests/scenarios/harness/discovery.rs
@@ -73,7 +73,8 @@
                 let list = self.next_list(names, false);
                 self.send_line(&format!("{list:#}"));
             }
-            // As the protocol's page shows it: an entry a line, and all that is open closed with the last one.
+            // As the protocol's page shows it: an entry a line, and all that is open closed with the last
+            // one.
             ["change-over-lines", ref names @ ..] => {
                 let list = self.next_list(names, false);
                 let entries: Vec<_> = names.iter().map(|name| format!("\n  {}", self.entry(name))).collect();
--- a/crates/node/tests/scenarios/harness/mod.rs
+++ b/crates/node/tests/scenarios/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A node on a loopback address of its own, with the clients, endpoints and discovery that the commands speak for.
+//! A node on a loopback address of its own, with the clients, endpoints and discovery that the commands speak
+//! for.
 //!
 //! Each concern has a file whose `run_..._command` handles its commands.
 
@@ -65,8 +66,8 @@
         static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
         let address = format!("127.83.{}.1", NEXT_NETWORK.fetch_add(1, Ordering::Relaxed));
         let discovery = listen(&address);
-        // Chosen without a socket: a child that another test forks while one holds the port would keep it until its
-        // exec, and the node would find its address in use.
+        // Chosen without a socket: a child that another test forks while one holds the port would keep it
+        // until its exec, and the node would find its address in use.
         let port = FIRST_PORT + (std::process::id() % PORTS) as u16;
         let node = SocketAddr::new(address.parse().expect("an address"), port);
         let config = json!({"name": "n", "listen": node.to_string(), "seed": "1f",
--- a/crates/node/tests/upstream/connecting.rs
+++ b/crates/node/tests/upstream/connecting.rs
@@ -71,7 +71,8 @@
     let events = fixture.poll_events();
     assert!(events.is_empty(), "{events:?}");
     write(&mut stream, &response("one"));
-    // The second is sent while the first is in flight, and the event that establishes its connection is not seen.
+    // The second is sent while the first is in flight, and the event that establishes its connection is not
+    // seen.
     let events = fixture.wait_for_events();
     let second = fixture.send_read();
     let mut second_stream = fixture.accept();
--- a/crates/node/tests/upstream/duplicates.rs
+++ b/crates/node/tests/upstream/duplicates.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Where an endpoint's responses are equal by nature, one request is forwarded again for it, and those after it are served
-/// at once.
+/// Where an endpoint's responses are equal by nature, one request is forwarded again for it, and those after
+/// it are served at once.
 #[test]
 fn uniform_responses_cost_one_more_attempt_and_no_more() {
     let mut fixture = Fixture::new();
--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -31,8 +31,8 @@
 
 /// A node's upstream side and an endpoint.
 ///
-/// The clock is the test's, and the node sees events of its sockets only when the test lets it, so that each order of
-/// two events is forced.
+/// The clock is the test's, and the node sees events of its sockets only when the test lets it, so that each
+/// order of two events is forced.
 pub struct Fixture {
     pub transport: Transport,
     pub requests: RequestTable,
@@ -230,7 +230,8 @@
         accepted.is_ok()
     }
 
-    /// Serves some requests over one connection, each with a different response, and leaves the connection idle.
+    /// Serves some requests over one connection, each with a different response, and leaves the connection
+    /// idle.
     pub fn connection_with_varied_responses(&mut self) -> TcpStream {
         let mut stream = None;
         for n in 0..6 {
--- a/crates/node/tests/upstream/responses.rs
+++ b/crates/node/tests/upstream/responses.rs
@@ -14,7 +14,8 @@
     vec![b'v'; LONG_BODY_BYTES]
 }
 
-/// Nothing is written to a connection whose end has arrived, so that what cannot be repeated may be sent elsewhere.
+/// Nothing is written to a connection whose end has arrived, so that what cannot be repeated may be sent
+/// elsewhere.
 #[test]
 fn request_is_not_written_to_a_connection_that_its_endpoint_has_closed() {
     let mut fixture = Fixture::new();
@@ -31,8 +32,8 @@
     assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::Unreachable);
 }
 
-/// A response that was there before the request was written, and one that arrived before its last byte: neither was made
-/// for it.
+/// A response that was there before the request was written, and one that arrived before its last byte:
+/// neither was made for it.
 #[test]
 fn response_before_the_complete_request_is_given_to_nobody() {
     let mut fixture = Fixture::new();
@@ -52,7 +53,8 @@
     assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::Unreachable);
     assert_eq!(fixture.poll_final_response(request), None);
 
-    // Nor one whose first bytes arrived before, and the rest after: the request may have been executed by then.
+    // Nor one whose first bytes arrived before, and the rest after: the request may have been executed by
+    // then.
     let mut fixture = Fixture::new();
     let (request, _) = fixture.send("PUT", long_body());
     let mut stream = fixture.accept();
@@ -102,7 +104,8 @@
     assert_eq!(read_head(&mut stream), None);
 }
 
-/// Only an orderly end completes a response without a length, and none completes one that announces its length.
+/// Only an orderly end completes a response without a length, and none completes one that announces its
+/// length.
 #[test]
 fn reset_or_early_end_completes_no_response() {
     let start = "HTTP/1.1 200 OK\r\n";
