--- a/crates/node/src/proxy/discovery_watch/mod.rs
+++ b/crates/node/src/proxy/discovery_watch/mod.rs
@@ -232,7 +232,8 @@
     pub(super) fn on_timer(&mut self, transport: &mut Transport, id: ConnectionId) -> Option<WatchEvent> {
         if self.is_former(id) {
             // Another watch is requested already.
-            return self.on_former_timer(transport);
+            close(transport, &mut self.former, CloseReason::ConnectTimeout);
+            return None;
         }
         if self.is_established() {
             // It may only be slow: what it still reports counts, and another may be long in coming.
@@ -248,11 +249,6 @@
         Some(self.lose_current(transport, CloseReason::ConnectTimeout))
     }
 
-    fn on_former_timer(&mut self, transport: &mut Transport) -> Option<WatchEvent> {
-        close(transport, &mut self.former, CloseReason::ConnectTimeout);
-        None
-    }
-
     fn has_unanswered_request(&self, id: ConnectionId, now: Time) -> bool {
         self.current.as_ref().is_some_and(|stream| stream.connection.id() == id && stream.deadline <= now)
     }
--- a/crates/node/src/proxy/upstream/pool.rs
+++ b/crates/node/src/proxy/upstream/pool.rs
@@ -16,7 +16,7 @@
 /// The fastest connect time grows by this factor with each connection, as network paths change.
 const FASTEST_CONNECT_GROWTH: f64 = 1.05;
 
-/// An endpoint that has sent what nobody asked for gets no request on another connection that has just been
+/// An endpoint that has sent unsolicited data gets no request on another connection that has just been
 /// used, until nothing of the kind has arrived for this time: a new connection is opened.
 const SUSPICION_TIME: Span = Span::from_millis(10_000);
 /// How long the responses of an endpoint count as uniform after nothing followed a supposed duplicate.
@@ -31,7 +31,7 @@
     pub(super) connecting: Vec<ConnectionId>,
     /// The shortest time that a connection recently took to be established.
     fastest_connect: Option<Span>,
-    /// Until when the endpoint is suspected of sending what nobody asked for.
+    /// Until when the endpoint is suspected of sending unsolicited data.
     suspect_until: Time,
     /// Until when its responses count as equal from request to request, so that duplicates cannot be
     /// detected.
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Records that the endpoint has sent what nobody asked for.
+    /// Records that the endpoint has sent unsolicited data.
     pub(super) fn mark_suspect(&mut self, now: Time) {
         self.suspect_until = now + SUSPICION_TIME;
     }
 
-    /// Whether the endpoint has recently sent what nobody asked for.
+    /// Whether the endpoint has recently sent unsolicited data.
     pub(super) fn is_suspect(&self, now: Time) -> bool {
         self.suspect_until > now
     }
