--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -1,99 +1,84 @@
-//! The program: its command line, its configuration, its log and its signals.
+//! The program: its command line, its configuration, its log and the signals it heeds.
 
-#![warn(missing_docs)]
-
-mod arguments;
+mod command;
 mod config;
-mod error;
-mod fleet;
 mod log_format;
 mod signals;
+mod together;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+use command::{Command, LogFormat};
+use config::Config;
 use granitelb_control_plane::fleet_config::FleetConfig;
 use granitelb_control_plane::planner::{self, PlannerConfig};
+use granitelb_coordination::component::Remediation;
+use signals::Signals;
 
-use self::arguments::{Command, LogFormat};
-use self::config::Config;
-use self::error::CommandError;
-use self::fleet::PreparedAgent;
-use self::signals::SignalHandler;
-use crate::proxy::{Node, Setup};
-
-/// The extension that tells a planner's configuration file (TOML) from a node's (JSON).
-const PLANNER_CONFIG_EXTENSION: &str = "toml";
+use crate::proxy::{Node, NodeConfig};
 
-/// Runs the command that the command line gives, and prints an error if it fails.
 pub fn run() -> ExitCode {
-    match execute(arguments::parse()) {
+    match carry_out(command::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("granitelb: {error}");
+        Err(trouble) => {
+            eprintln!("granitelb: {trouble}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn execute(command: Command) -> Result<(), CommandError> {
+fn carry_out(command: Command) -> Result<(), Box<dyn std::error::Error>> {
     match command {
-        Command::Version => {
-            println!("granitelb {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-        Command::Plan { config, log_format } => plan(&config, log_format),
-        Command::Check { config, fleet_config } => check(config, fleet_config),
-        Command::Serve { config, fleet_config, log_format } => serve(config, fleet_config, log_format),
+        Command::Version => println!("granitelb {}", env!("CARGO_PKG_VERSION")),
+        Command::Plan { config, log } => plan(&config, log)?,
+        Command::Check { config, operator } => check(config, operator)?,
+        Command::Serve { config, operator, log } => serve(config, operator, log)?,
     }
+    Ok(())
 }
 
-fn load_config(path: Option<&Path>) -> Result<Config, CommandError> {
-    Config::load(path).map_err(CommandError::NodeConfig)
+fn load(path: Option<&Path>) -> Result<Config, String> {
+    Config::load(path).map_err(|fault| format!("configuration, {fault}"))
 }
 
-fn plan(path: &Path, log_format: LogFormat) -> Result<(), CommandError> {
-    log_format::start(log_format);
-    planner::run(path).map_err(CommandError::Planner)
+fn told(fault: &dyn Remediation) -> String {
+    format!("{fault}. {}", fault.remediation())
 }
 
-/// Checks the files that are given; the node's configuration that the environment names if none is.
-fn check(config: Option<PathBuf>, fleet_config: Option<PathBuf>) -> Result<(), CommandError> {
-    if let Some(path) = &fleet_config {
-        println!("{}", FleetConfig::load(path).map_err(CommandError::CheckedFile)?);
+fn plan(path: &Path, log: LogFormat) -> Result<(), String> {
+    log_format::start(log);
+    planner::run(path).map_err(|fault| told(&fault))
+}
+
+/// A node's file is JSON; a planner's is TOML, and named so.
+fn check(config: Option<PathBuf>, operator: Option<PathBuf>) -> Result<(), String> {
+    if let Some(path) = &operator {
+        println!("{}", FleetConfig::load(path).map_err(|trouble| told(&trouble))?);
     }
     match config {
-        Some(path) if is_planner_config(&path) => {
-            println!("{}", PlannerConfig::load(&path).map_err(CommandError::CheckedFile)?);
+        Some(path) if path.extension().is_some_and(|e| e == "toml") => {
+            println!("{}", PlannerConfig::load(&path).map_err(|trouble| told(&trouble))?);
         }
-        None if fleet_config.is_some() => {}
-        path => println!("{}", load_config(path.as_deref())?),
+        None if operator.is_some() => {}
+        path => println!("{}", load(path.as_deref())?),
     }
     Ok(())
 }
 
-fn is_planner_config(path: &Path) -> bool {
-    path.extension().is_some_and(|extension| extension == PLANNER_CONFIG_EXTENSION)
-}
-
 fn serve(
-    config_path: Option<PathBuf>,
-    fleet_config_path: Option<PathBuf>,
-    log_format: LogFormat,
-) -> Result<(), CommandError> {
-    log_format::start(log_format);
-    let config = load_config(config_path.as_deref())?;
-    let (agent, reloader) = match fleet_config_path {
-        Some(path) => {
-            let PreparedAgent { agent, reloader } = fleet::prepare_agent(path, &config)?;
-            (Some(agent), Some(reloader))
-        }
-        None => (None, None),
-    };
-    // Before anything is served, since a signal without a handler ends the process.
-    let signals = SignalHandler::install(config_path, config, reloader)?;
+    path: Option<PathBuf>,
+    operator: Option<PathBuf>,
+    log: LogFormat,
+) -> Result<(), Box<dyn std::error::Error>> {
+    log_format::start(log);
+    let config = load(path.as_deref())?;
+    let together = operator.map(|path| together::prepare(path, &config)).transpose()?;
+    let (courier, renewing) = together.unzip();
+    // Before anything is served: a signal that nobody heeds ends the program.
+    let signals = Signals::heed(path, config, renewing)?;
     log::info!(event = "starting"; "{}", signals.config());
-    let node = Node::open(Setup { courier: agent, ..signals.config().setup() })?;
+    let node = Node::open(NodeConfig { control_plane_agent: courier, ..signals.config().setup() })?;
     log::info!(event = "ready"; "ready");
     node.serve(signals)?;
     log::info!(event = "stopped"; "stopped");
