--- a/crates/node/examples/control_plane_cost.rs
+++ b/crates/node/examples/control_plane_cost.rs
@@ -107,7 +107,7 @@
                 if with_agent.planner.receive().is_some() {
                     with_agent
                         .planner
-                        .send_message(&Message::Membership(membership::MembershipMessage::Beat));
+                        .send_message(&Message::Membership(membership::MembershipMessage::Heartbeat));
                 }
             }
             load.join().expect("requests")
--- a/crates/node/src/cli/config/file.rs
+++ b/crates/node/src/cli/config/file.rs
@@ -13,7 +13,7 @@
 use serde_json::value::RawValue;
 
 use super::{Config, DEFAULT_NAME};
-use crate::http::Listings;
+use crate::http::EndpointListUpdate;
 
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 const NAME_VARIABLE: &str = "ROUTER_NAME";
@@ -73,7 +73,7 @@
         let settings = decode_settings(file.settings)?;
         validate_load_header(file.load_header.as_deref())?;
         let known_endpoints = match file.known_endpoints {
-            Some(list) => Some(Listings::from_value(list).map_err(|error| fault("known", error))?),
+            Some(list) => Some(EndpointListUpdate::from_value(list).map_err(|error| fault("known", error))?),
             None => None,
         };
         let max_descriptors = descriptor_limit(file.limits.max_descriptors)?;
--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -12,8 +12,8 @@
 
 use granitelb_settings::{Decoded, Fault};
 
-use crate::http::Listings;
-use crate::proxy::{Live, Setup};
+use crate::http::EndpointListUpdate;
+use crate::proxy::{NodeConfig, ReloadableConfig};
 
 /// The name of a node that was given none.
 pub const DEFAULT_NAME: &str = "node";
@@ -31,21 +31,21 @@
     /// The limit on the memory of connections; `None` if there is none.
     max_memory_mb: Option<u64>,
     /// The endpoint list that the node uses until discovery answers.
-    known_endpoints: Option<Listings>,
+    known_endpoints: Option<EndpointListUpdate>,
     load_header: Option<Box<str>>,
     settings: Decoded,
 }
 
 impl Config {
     /// What a node is started with.
-    pub fn setup(&self) -> Setup {
-        Setup {
+    pub fn node_config(&self) -> NodeConfig {
+        NodeConfig {
             listen: self.listen,
             seed: self.seed.unwrap_or_else(random_seed),
             known: self.known_endpoints.clone(),
             settings: self.settings.clone(),
-            live: self.live(),
-            courier: None,
+            reloadable: self.reloadable(),
+            control_plane_agent: None,
         }
     }
 
@@ -60,8 +60,8 @@
     }
 
     /// What a running node can apply, without its settings.
-    pub fn live(&self) -> Live {
-        Live {
+    pub fn reloadable(&self) -> ReloadableConfig {
+        ReloadableConfig {
             discovery: self.discovery,
             descriptors: self.max_descriptors as usize,
             memory: self.max_memory_mb.map_or(usize::MAX, |mb| (mb as usize).saturating_mul(BYTES_PER_MB)),
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -1,84 +1,99 @@
-//! The program: its command line, its configuration, its log and the signals it heeds.
+//! The program: its command line, its configuration, its log and its signals.
 
-mod command;
+#![warn(missing_docs)]
+
+mod arguments;
 mod config;
+mod error;
+mod fleet;
 mod log_format;
 mod signals;
-mod together;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use command::{Command, LogFormat};
-use config::Config;
 use granitelb_control_plane::fleet_config::FleetConfig;
 use granitelb_control_plane::planner::{self, PlannerConfig};
-use granitelb_coordination::component::Remediation;
-use signals::Signals;
 
+use self::arguments::{Command, LogFormat};
+use self::config::Config;
+use self::error::CommandError;
+use self::fleet::PreparedAgent;
+use self::signals::SignalHandler;
 use crate::proxy::{Node, NodeConfig};
 
+/// The extension that tells a planner's configuration file (TOML) from a node's (JSON).
+const PLANNER_CONFIG_EXTENSION: &str = "toml";
+
+/// Runs the command that the command line gives, and prints an error if it fails.
 pub fn run() -> ExitCode {
-    match carry_out(command::parse()) {
+    match execute(arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("granitelb: {trouble}");
+        Err(error) => {
+            eprintln!("granitelb: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn carry_out(command: Command) -> Result<(), Box<dyn std::error::Error>> {
+fn execute(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Version => println!("granitelb {}", env!("CARGO_PKG_VERSION")),
-        Command::Plan { config, log } => plan(&config, log)?,
-        Command::Check { config, operator } => check(config, operator)?,
-        Command::Serve { config, operator, log } => serve(config, operator, log)?,
+        Command::Version => {
+            println!("granitelb {}", env!("CARGO_PKG_VERSION"));
+            Ok(())
+        }
+        Command::Plan { config, log_format } => plan(&config, log_format),
+        Command::Check { config, fleet_config } => check(config, fleet_config),
+        Command::Serve { config, fleet_config, log_format } => serve(config, fleet_config, log_format),
     }
-    Ok(())
 }
 
-fn load(path: Option<&Path>) -> Result<Config, String> {
-    Config::load(path).map_err(|fault| format!("configuration, {fault}"))
+fn load_config(path: Option<&Path>) -> Result<Config, CommandError> {
+    Config::load(path).map_err(CommandError::NodeConfig)
 }
 
-fn told(fault: &dyn Remediation) -> String {
-    format!("{fault}. {}", fault.remediation())
+fn plan(path: &Path, log_format: LogFormat) -> Result<(), CommandError> {
+    log_format::start(log_format);
+    planner::run(path).map_err(CommandError::Planner)
 }
 
-fn plan(path: &Path, log: LogFormat) -> Result<(), String> {
-    log_format::start(log);
-    planner::run(path).map_err(|fault| told(&fault))
-}
-
-/// A node's file is JSON; a planner's is TOML, and named so.
-fn check(config: Option<PathBuf>, operator: Option<PathBuf>) -> Result<(), String> {
-    if let Some(path) = &operator {
-        println!("{}", FleetConfig::load(path).map_err(|trouble| told(&trouble))?);
+/// Checks the files that are given; the node's configuration that the environment names if none is.
+fn check(config: Option<PathBuf>, fleet_config: Option<PathBuf>) -> Result<(), CommandError> {
+    if let Some(path) = &fleet_config {
+        println!("{}", FleetConfig::load(path).map_err(CommandError::CheckedFile)?);
     }
     match config {
-        Some(path) if path.extension().is_some_and(|e| e == "toml") => {
-            println!("{}", PlannerConfig::load(&path).map_err(|trouble| told(&trouble))?);
+        Some(path) if is_planner_config(&path) => {
+            println!("{}", PlannerConfig::load(&path).map_err(CommandError::CheckedFile)?);
         }
-        None if operator.is_some() => {}
-        path => println!("{}", load(path.as_deref())?),
+        None if fleet_config.is_some() => {}
+        path => println!("{}", load_config(path.as_deref())?),
     }
     Ok(())
 }
 
+fn is_planner_config(path: &Path) -> bool {
+    path.extension().is_some_and(|extension| extension == PLANNER_CONFIG_EXTENSION)
+}
+
 fn serve(
-    path: Option<PathBuf>,
-    operator: Option<PathBuf>,
-    log: LogFormat,
-) -> Result<(), Box<dyn std::error::Error>> {
-    log_format::start(log);
-    let config = load(path.as_deref())?;
-    let together = operator.map(|path| together::prepare(path, &config)).transpose()?;
-    let (courier, renewing) = together.unzip();
-    // Before anything is served: a signal that nobody heeds ends the program.
-    let signals = Signals::heed(path, config, renewing)?;
+    config_path: Option<PathBuf>,
+    fleet_config_path: Option<PathBuf>,
+    log_format: LogFormat,
+) -> Result<(), CommandError> {
+    log_format::start(log_format);
+    let config = load_config(config_path.as_deref())?;
+    let (agent, reloader) = match fleet_config_path {
+        Some(path) => {
+            let PreparedAgent { agent, reloader } = fleet::prepare_agent(path, &config)?;
+            (Some(agent), Some(reloader))
+        }
+        None => (None, None),
+    };
+    // Before anything is served, since a signal without a handler ends the process.
+    let signals = SignalHandler::install(config_path, config, reloader)?;
     log::info!(event = "starting"; "{}", signals.config());
-    let node = Node::open(NodeConfig { control_plane_agent: courier, ..signals.config().setup() })?;
+    let node = Node::open(NodeConfig { control_plane_agent: agent, ..signals.config().node_config() })?;
     log::info!(event = "ready"; "ready");
     node.serve(signals)?;
     log::info!(event = "stopped"; "stopped");
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -8,7 +8,7 @@
 use granitelb_balancer::ids::{AttemptNumber, RequestId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_control_plane::agent::{AgentHandle, RawObservation, SentAttempt, call_of};
+use granitelb_control_plane::agent::{AgentHandle, RawObservation, SentAttempt, hash_request_name};
 use granitelb_coordination::counterfactual::is_sampled;
 use granitelb_coordination::observation::ObservedEndpoint;
 
@@ -38,7 +38,7 @@
         endpoints: impl Iterator<Item = &'a EndpointUpdate>,
     ) {
         let observed = endpoints.map(|endpoint| self.observed_endpoint(endpoint)).collect();
-        self.agent.note(now, RawObservation::EndpointsChanged(observed));
+        self.agent.record(now, RawObservation::EndpointsChanged(observed));
     }
 
     fn observed_endpoint(&self, endpoint: &EndpointUpdate) -> ObservedEndpoint {
@@ -64,20 +64,20 @@
     ) {
         let Some(active) = requests.get(attempt.request) else { return };
         let request = active.request();
-        let call = call_of(active.client_request_id());
+        let call = hash_request_name(active.client_request_id());
         let ranked = if is_sampled(call) { balancer.ranked(request.key) } else { Vec::new() };
         let mut candidates = ranked.into_iter();
         let sent = SentAttempt {
             request: attempt.request,
             number,
-            cache: attempt.cache,
-            call,
-            asked: *request,
+            endpoint: attempt.cache,
+            name_hash: call,
+            requested: *request,
             bytes: u32::try_from(active.message().body.len()).unwrap_or(u32::MAX),
             slo: self.latency_objective(usize::from(request.request_class.0)),
             candidates: [candidates.next(), candidates.next(), candidates.next()],
         };
-        self.agent.note(now, RawObservation::AttemptSent(sent));
+        self.agent.record(now, RawObservation::AttemptSent(sent));
     }
 
     fn latency_objective(&self, request_class: usize) -> Span {
@@ -92,7 +92,7 @@
         result: &AttemptResult,
         bytes: u32,
     ) {
-        self.agent.note(now, RawObservation::AttemptFinished { request, end: *result, bytes });
+        self.agent.record(now, RawObservation::AttemptFinished { request, result: *result, bytes });
     }
 
     /// The node answers a request itself.
@@ -105,18 +105,18 @@
     ) {
         let is_rate_limited = matches!(reply, LocalReply::RateLimited { .. });
         if is_rate_limited && requests.get(request).is_some_and(ActiveRequest::is_missed_read) {
-            self.agent.note(now, RawObservation::FetchDenied);
+            self.agent.record(now, RawObservation::FetchDenied);
         }
     }
 
     /// Begins a turn of the event loop, and returns what the control plane has sent, where that is new.
     pub(super) fn begin_turn(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
-        self.agent.begin_turn(now)
+        self.agent.begin_iteration(now)
     }
 
     /// Ends a turn of the event loop.
     pub(super) fn end_turn(&mut self) {
-        self.agent.end_turn();
+        self.agent.end_iteration();
     }
 
     /// Stops the agent. Nothing is sent any more.
--- a/crates/node/tests/control_plane.rs
+++ b/crates/node/tests/control_plane.rs
@@ -89,7 +89,7 @@
         is_flooding.store(false, Ordering::Relaxed);
         assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     });
-    assert!(!fixture.log().contains("courier_"), "{}", fixture.log());
+    assert!(!fixture.log().contains("control_plane_agent_"), "{}", fixture.log());
 }
 
 /// Waits for two heartbeats or reports and for reports of this many answered attempts. Each request had an
@@ -101,17 +101,17 @@
     let deadline = Instant::now() + TEST_TIMEOUT;
     while heartbeats < 2 || answered < expected {
         if numbers.len() == 1 {
-            fixture.planner.send_message(&Message::Membership(membership::MembershipMessage::Beat));
+            fixture.planner.send_message(&Message::Membership(membership::MembershipMessage::Heartbeat));
         }
         assert!(Instant::now() < deadline, "{heartbeats} heartbeats, {answered} answered attempts reported");
         let Some((from, message)) = fixture.planner.receive() else { continue };
         assert_eq!(from.member, Member::Forwarder(ForwarderId::of_name("n")));
-        assert!(numbers.insert(from.number), "a number that came before");
+        assert!(numbers.insert(from.sequence), "a number that came before");
         match message {
-            Message::Membership(membership::MembershipMessage::Beat) => heartbeats += 1,
+            Message::Membership(membership::MembershipMessage::Heartbeat) => heartbeats += 1,
             Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)) => {
                 heartbeats += 1;
-                answered += report.caches.iter().map(|c| c.answered).sum::<f64>();
+                answered += report.endpoints.iter().map(|c| c.answered).sum::<f64>();
             }
             _ => {}
         }
@@ -134,7 +134,7 @@
     let (from, _) = receive_message(&mut fixture);
     std::fs::write(&fixture.fleet_config, text.replace("forwarders = 2", "forwarders = 0")).expect("a file");
     fixture.signal(Signal::HUP);
-    wait_for_log(&fixture, "operator's file, ", 1);
+    wait_for_log(&fixture, "fleet configuration, ", 1);
     std::fs::write(&fixture.fleet_config, text.replace("forwarders = 2", "forwarders = 3")).expect("a file");
     fixture.signal(Signal::HUP);
     wait_for_log(&fixture, "was read again", 1);
@@ -149,7 +149,7 @@
     let end = Instant::now() + Duration::from_millis(ms);
     while Instant::now() < end {
         let Some((_, message)) = fixture.planner.receive() else { continue };
-        fixture.planner.send_message(&Message::Membership(membership::MembershipMessage::Beat));
+        fixture.planner.send_message(&Message::Membership(membership::MembershipMessage::Heartbeat));
         let Message::Leases(leases::LeaseMessage::Ask { ask, .. }) = message else { continue };
         if grants {
             let granted = vec![(leases::Resource::Origin, 40_000)];
--- a/crates/node/tests/control_plane/flood.rs
+++ b/crates/node/tests/control_plane/flood.rs
@@ -31,17 +31,21 @@
 pub const UNKNOWN_FORWARDER: ForwarderId = ForwarderId(0xf100d);
 
 fn sealed_message(member: Member, incarnation: u64, number: u64) -> Vec<u8> {
-    let secrets = Secrets::one(Secret::new(&hex(SECRET)).expect("a secret"));
+    let secrets = Secrets::single(Secret::new(&hex(SECRET)).expect("a secret"));
     let message = match (member, number) {
         (Member::Forwarder(_), 1..) => {
             let resource = leases::Resource::Origin;
             let need = leases::Need { resource, amount: 1, using: 0, heads: 1, has: 0 };
             Message::Leases(leases::LeaseMessage::Ask { ask: number, needs: vec![need] })
         }
-        _ => Message::Membership(membership::MembershipMessage::Beat),
+        _ => Message::Membership(membership::MembershipMessage::Heartbeat),
     };
-    message::seal(Sender { member, incarnation: Incarnation(incarnation), number }, &message, &secrets)
-        .expect("a message")
+    message::seal(
+        Sender { member, incarnation: Incarnation(incarnation), sequence: number },
+        &message,
+        &secrets,
+    )
+    .expect("a message")
 }
 
 fn hex(text: &str) -> Vec<u8> {
@@ -55,7 +59,7 @@
         FloodKind::Unsigned => {
             // As long as a message may be: fewer of them fill a socket's buffer.
             let mut one = sealed_message(unknown, 1, 0);
-            one.resize(message::MOST_BYTES, 0);
+            one.resize(message::MAX_DATAGRAM_BYTES, 0);
             vec![one]
         }
         FloodKind::Replayed => {
--- a/crates/node/tests/control_plane/node_fixture.rs
+++ b/crates/node/tests/control_plane/node_fixture.rs
@@ -60,7 +60,7 @@
         let socket = UdpSocket::bind((address, 0)).expect("a socket");
         socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).expect("a socket");
         let bytes: Vec<u8> = (0..16).collect();
-        let secrets = Secrets::one(Secret::new(&bytes).expect("a secret"));
+        let secrets = Secrets::single(Secret::new(&bytes).expect("a secret"));
         Planner { socket, secrets, number: 0, incarnation: Incarnation(7), node: None }
     }
 
@@ -78,7 +78,7 @@
         let sender = Sender {
             member: Member::Planner(PlannerId(1)),
             incarnation: self.incarnation,
-            number: self.number,
+            sequence: self.number,
         };
         let bytes = message::seal(sender, message, &self.secrets).expect("a message");
         self.send_bytes(&bytes);
