--- a/crates/control-plane/src/fleet_config.rs
+++ b/crates/control-plane/src/fleet_config.rs
@@ -54,7 +54,7 @@
 
 impl Default for HindsightForm {
     fn default() -> HindsightForm {
-        HindsightForm { judge_ms: counterfactual::Settings::default().judges_every.0 / 1000 }
+        HindsightForm { judge_ms: counterfactual::Settings::default().comparison_interval.0 / 1000 }
     }
 }
 
@@ -259,8 +259,8 @@
 
     pub fn hindsight(&self) -> Option<counterfactual::Settings> {
         let form = self.hindsight.as_ref()?;
-        let judges_every = Span::from_millis(form.judge_ms);
-        Some(counterfactual::Settings { judges_every, ..counterfactual::Settings::default() })
+        let comparison_interval = Span::from_millis(form.judge_ms);
+        Some(counterfactual::Settings { comparison_interval, ..counterfactual::Settings::default() })
     }
 
     /// # Errors
--- a/crates/control-plane/src/planner/faculties.rs
+++ b/crates/control-plane/src/planner/faculties.rs
@@ -185,7 +185,7 @@
     Box::new(move |faculty, now, _, board| {
         let Some(new) = board.table().filter(|new| new.0 > 0) else { return };
         if known.swap(new.0, Ordering::Relaxed) != new.0 {
-            faculty.new_table(now);
+            faculty.on_shard_map_change(now);
         }
     })
 }
--- a/crates/control-plane/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -257,7 +257,7 @@
 #[test]
 fn hindsight_forgets_what_it_saw_at_each_new_table_once() {
     use granitelb_coordination::counterfactual::{
-        CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
+        CounterfactualMessage, PlannerComponent, SampledRequest, ServiceOutcome, Settings, is_sampled,
     };
     use granitelb_coordination::shard_growth::form::FormVersion;
     let now = Time(1_000_000_000);
@@ -271,22 +271,22 @@
         let at = now + Span::from_millis(seconds * 1000);
         let call = (call..).find(|c| is_sampled(*c)).expect("one in two");
         let seen = SampledRequest {
-            call,
-            key: 1,
+            request_hash: call,
+            key_hash: 1,
             request_class: 0,
-            class: 0,
+            work_class: 0,
             candidates: vec![1, 2, 3],
-            place: 0,
-            how: How::Hit,
-            took: 100,
+            position: 0,
+            outcome: ServiceOutcome::Hit,
+            duration: 100,
             slo: 500,
-            out: 0,
-            ago: 0,
+            in_flight: 0,
+            age_ms: 0,
         };
         let from = Sender { member: SEES, incarnation: Incarnation(1), number: call };
-        planner.on_message(at, from, CounterfactualMessage::Seen(vec![seen])).expect("sound");
+        planner.on_message(at, from, CounterfactualMessage::Requests(vec![seen])).expect("sound");
         share(planner, at, &operator, &board);
-        planner.support()
+        planner.request_count()
     };
     assert_eq!(seen_by(&mut planner, 100, 1), 1, "growth says nothing");
     board.write_table(FormVersion(0));
--- a/crates/control-plane/tests/hindsight.rs
+++ b/crates/control-plane/tests/hindsight.rs
@@ -83,7 +83,7 @@
             for (number, (side, forwarder)) in self.forwarders.iter_mut().enumerate() {
                 self.calls += 1;
                 let ended = call(self.calls, number);
-                side.seen(self.clock.now(), &Observation::AttemptFinished(Box::new(ended)));
+                side.on_observation(self.clock.now(), &Observation::AttemptFinished(Box::new(ended)));
                 while let Some((to, message)) = side.poll_message(self.clock.now()) {
                     let Member::Planner(to) = to else { continue };
                     let bytes = forwarder.sealed(&Message::Counterfactual(message), OURS);
@@ -103,7 +103,7 @@
         let (cache, warm_after) = (EndpointId(cache), Span::ZERO);
         let server = ObservedEndpoint { cache, is_origin: false, zone: 0, size: 1.0, started, warm_after };
         for (side, _) in &mut self.forwarders {
-            side.seen(self.clock.now(), &Observation::EndpointsChanged(vec![server]));
+            side.on_observation(self.clock.now(), &Observation::EndpointsChanged(vec![server]));
         }
     }
 }
--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -266,7 +266,14 @@
     let mut hindsight =
         counterfactual::PlannerComponent::new(counterfactual::Settings::default(), ME, LIFE, NOW);
     hindsight
-        .on_message(NOW, forwarder(), counterfactual::CounterfactualMessage::Started(vec![(1, 2)]))
+        .on_message(
+            NOW,
+            forwarder(),
+            counterfactual::CounterfactualMessage::CacheStarts(vec![counterfactual::CacheStart {
+                cache: 1,
+                age_ms: 2,
+            }]),
+        )
         .expect("it is heard");
     assert_eq!(hindsight.poll_snapshot(), None);
 }
--- /dev/null
+++ b/crates/coordination/src/counterfactual/forwarder/mod.rs
@@ -0,0 +1,324 @@
+//! The forwarder's side: makes one report of each sampled read and sends the reports to planners in small messages. It
+//! logs the comparisons that planners report.
+//!
+//! # Invariants
+//!
+//! - Whatever the load, a forwarder sends no more than [`Settings::bytes_per_second`] over all planners: a message is made
+//!   only when the byte budget covers it.
+//! - It holds no more requests than its settings say: the oldest is dropped when there is no capacity.
+//! - What is dropped or lost makes estimates wider, never biased: whether a request is reported depends on its hash and its
+//!   turn, not on its outcome.
+
+mod byte_budget;
+mod pending_misses;
+mod report_queue;
+mod start_detector;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::time::{Span, Time};
+
+use self::byte_budget::ByteBudget;
+use self::pending_misses::{EndedRequest, PendingMisses};
+use self::report_queue::ReportQueue;
+use self::start_detector::StartDetector;
+use super::comparison::ComparisonKey;
+use super::error::CounterfactualError;
+use super::event::reported_comparison_event;
+use super::message::{Comparison, ComparisonReport, ComparisonScale, CounterfactualMessage};
+use super::sampled_request::{
+    MAX_CANDIDATES, SampledRequest, ServiceOutcome, tenths_of_millisecond, work_class,
+};
+use super::sampling::{is_sampled, sampling_rank};
+use super::settings::Settings;
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+use crate::observation::{FinishedAttempt, Observation};
+
+/// The variant and the length of a message.
+const MESSAGE_HEADER_BYTES: usize = 8;
+/// The most cache starts in a message.
+const MAX_STARTS_PER_MESSAGE: usize = 60;
+/// The most bytes of a cache start.
+const CACHE_START_BYTES: usize = 15;
+/// How soon the component is polled again while its byte budget refills for the next message.
+const BUDGET_POLL_INTERVAL: Span = Span::from_millis(50);
+
+/// The forwarder's side of the component.
+pub struct ForwarderComponent {
+    settings: Settings,
+    pending_misses: PendingMisses,
+    reports: ReportQueue,
+    starts: StartDetector,
+    planners: Vec<PlannerId>,
+    outgoing: VecDeque<(Member, CounterfactualMessage)>,
+    budget: ByteBudget,
+    /// Comparisons by the planners' last messages.
+    comparisons: BTreeMap<ComparisonKey, Comparison>,
+    events: VecDeque<Event>,
+}
+
+/// An age in messages, in milliseconds.
+fn age_ms(now: Time, at: Time) -> u32 {
+    const MICROS_PER_MS: u64 = 1000;
+    u32::try_from((now - at).0 / MICROS_PER_MS).unwrap_or(u32::MAX)
+}
+
+impl ForwarderComponent {
+    /// A component that has observed nothing.
+    pub fn new(
+        settings: Settings,
+        _id: ForwarderId,
+        _incarnation: Incarnation,
+        now: Time,
+    ) -> ForwarderComponent {
+        ForwarderComponent {
+            settings,
+            pending_misses: PendingMisses::default(),
+            reports: ReportQueue::default(),
+            starts: StartDetector::default(),
+            planners: Vec::new(),
+            outgoing: VecDeque::new(),
+            budget: ByteBudget::new(now),
+            comparisons: BTreeMap::new(),
+            events: VecDeque::new(),
+        }
+    }
+
+    /// Takes in what the forwarder's event loop observed.
+    pub fn on_observation(&mut self, now: Time, observation: &Observation) {
+        match observation {
+            Observation::EndpointsChanged(endpoints) => {
+                let Settings { max_caches, start_tolerance, .. } = self.settings;
+                self.starts.on_endpoints(endpoints, max_caches, start_tolerance);
+            }
+            Observation::AttemptSent { .. } | Observation::FetchDenied => {}
+            Observation::AttemptFinished(attempt) => self.on_attempt_finished(now, attempt),
+        }
+    }
+
+    /// How many sampled requests were not reported, for want of capacity or of bytes.
+    pub fn dropped_requests(&self) -> u64 {
+        self.reports.dropped()
+    }
+
+    /// How a cache compares for a request class, by the last message of a planner.
+    pub fn comparison(&self, cache: u64, request_class: u16, scale: ComparisonScale) -> Option<Comparison> {
+        self.comparisons.get(&ComparisonKey { cache, request_class, scale }).copied()
+    }
+
+    fn on_attempt_finished(&mut self, now: Time, attempt: &FinishedAttempt) {
+        if attempt.write || attempt.outcome == AttemptOutcome::NotSent || !is_sampled(attempt.call) {
+            return;
+        }
+        if self.pending_misses.record_attempt(now, attempt.call) {
+            if attempt.outcome == AttemptOutcome::Fulfilled {
+                let ended = self.pending_misses.finish(attempt.call, ServiceOutcome::Miss);
+                self.report(ended);
+            }
+            return;
+        }
+        let Some(request) = sampled_request(attempt).filter(SampledRequest::is_valid) else { return };
+        if request.outcome == ServiceOutcome::Miss {
+            self.await_response(now, attempt.latency, request);
+        } else {
+            self.report(Some(EndedRequest { ended_at: now, request }));
+        }
+    }
+
+    /// Waits for the response to a request that missed in its cache `latency` after it was sent.
+    fn await_response(&mut self, now: Time, latency: Span, request: SampledRequest) {
+        if self.pending_misses.len() >= self.settings.max_pending_misses {
+            let oldest = self.pending_misses.finish_oldest();
+            self.report(oldest);
+        }
+        let sent_at = Time(now.0.saturating_sub(latency.0));
+        self.pending_misses.insert(now, request, sent_at, now + self.settings.miss_timeout);
+    }
+
+    fn report(&mut self, ended: Option<EndedRequest>) {
+        if let Some(ended) = ended {
+            self.reports.push(ended, self.settings.max_queued_requests);
+        }
+    }
+
+    /// Gives up requests that were awaited long enough, and drops what planners would find too old.
+    fn expire(&mut self, now: Time) {
+        while let Some(ended) = self.pending_misses.finish_expired(now) {
+            self.report(Some(ended));
+        }
+        self.reports.drop_older_than(now, self.settings.window);
+    }
+
+    fn refill_budget(&mut self, now: Time) {
+        let rate = self.settings.bytes_per_second;
+        let planners = self.planners.len().max(1) as f64;
+        let capacity = rate.max(self.settings.max_message_bytes as f64 * planners);
+        self.budget.refill(now, rate, capacity);
+    }
+
+    /// Makes the next message, one copy for each planner, if it is due and the budget covers it. Starts go first, as they
+    /// void earlier requests.
+    fn write_messages(&mut self, now: Time) {
+        if self.planners.is_empty() {
+            return;
+        }
+        let message =
+            if self.starts.is_idle() { self.requests_message(now) } else { self.starts_message(now) };
+        let Some(message) = message else { return };
+        for planner in &self.planners {
+            self.outgoing.push_back((Member::Planner(*planner), message.clone()));
+        }
+    }
+
+    fn starts_message(&mut self, now: Time) -> Option<CounterfactualMessage> {
+        let count = self.starts.unreported().min(MAX_STARTS_PER_MESSAGE);
+        let bytes = MESSAGE_HEADER_BYTES + count * CACHE_START_BYTES;
+        if !self.budget.try_take(bytes * self.planners.len()) {
+            return None;
+        }
+        Some(CounterfactualMessage::CacheStarts(self.starts.take(now, count)))
+    }
+
+    fn requests_message(&mut self, now: Time) -> Option<CounterfactualMessage> {
+        let batch = self.reports.next_batch(self.settings.max_message_bytes);
+        let is_full = batch.requests < self.reports.len();
+        let is_due =
+            self.reports.oldest().is_some_and(|ended_at| now - ended_at >= self.settings.batch_interval);
+        if batch.requests == 0 || !(is_full || is_due) {
+            return None;
+        }
+        if !self.budget.try_take(batch.bytes * self.planners.len()) {
+            return None;
+        }
+        Some(CounterfactualMessage::Requests(self.reports.take(now, batch)))
+    }
+
+    /// Logs a planner's comparison if it is news.
+    fn on_report(&mut self, planner: Member, report: &ComparisonReport, scale: ComparisonScale) {
+        let key = ComparisonKey { cache: report.cache, request_class: report.request_class, scale };
+        if self.comparisons.get(&key) == Some(&report.comparison) {
+            return;
+        }
+        let is_full = self.comparisons.len() >= self.settings.max_comparisons;
+        if is_full && !self.comparisons.contains_key(&key) {
+            self.comparisons.pop_first();
+        }
+        self.comparisons.insert(key, report.comparison);
+        if self.events.len() < self.settings.max_events {
+            self.events.push_back(reported_comparison_event(planner, report, scale));
+        }
+    }
+}
+
+/// The report of a first attempt; none if the attempt was not the request's first selection among its key's candidates.
+fn sampled_request(attempt: &FinishedAttempt) -> Option<SampledRequest> {
+    if attempt.number != 0 || attempt.is_origin {
+        return None;
+    }
+    let candidates: Vec<u64> =
+        attempt.candidates.iter().take(MAX_CANDIDATES).map(|candidate| candidate.0).collect();
+    let position = candidates.iter().position(|candidate| *candidate == attempt.cache.0)?;
+    let outcome = match attempt.outcome {
+        AttemptOutcome::Fulfilled => ServiceOutcome::Hit,
+        AttemptOutcome::CacheMiss => ServiceOutcome::Miss,
+        AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => ServiceOutcome::Censored,
+        AttemptOutcome::Rejected
+        | AttemptOutcome::Unreachable
+        | AttemptOutcome::Errored
+        | AttemptOutcome::Reset => ServiceOutcome::Failed,
+        AttemptOutcome::NotSent => return None,
+    };
+    Some(SampledRequest {
+        request_hash: attempt.call,
+        key_hash: sampling_rank(attempt.key.0) as u32,
+        request_class: attempt.request_class.0,
+        work_class: work_class(attempt.work),
+        candidates,
+        position: position as u8,
+        outcome,
+        duration: tenths_of_millisecond(attempt.latency),
+        slo: tenths_of_millisecond(attempt.slo),
+        in_flight: u8::try_from(attempt.out_then).unwrap_or(u8::MAX),
+        age_ms: 0,
+    })
+}
+
+fn is_finite(report: &ComparisonReport) -> bool {
+    report.estimate.is_finite() && report.low.is_finite() && report.high.is_finite()
+}
+
+impl Component for ForwarderComponent {
+    type Message = CounterfactualMessage;
+    type Error = CounterfactualError;
+
+    fn on_message(
+        &mut self,
+        _now: Time,
+        from: Sender,
+        message: CounterfactualMessage,
+    ) -> Result<(), CounterfactualError> {
+        let Member::Planner(_) = from.member else { return Err(CounterfactualError::WrongRole) };
+        let (reports, scale) = match message {
+            CounterfactualMessage::WaitedShareReports(reports) => (reports, ComparisonScale::WaitedShare),
+            CounterfactualMessage::TimeRatioReports(reports) => (reports, ComparisonScale::TimeRatio),
+            CounterfactualMessage::Requests(_) | CounterfactualMessage::CacheStarts(_) => {
+                return Err(CounterfactualError::WrongRole);
+            }
+        };
+        if !reports.iter().all(is_finite) {
+            return Err(CounterfactualError::InvalidValue);
+        }
+        for report in &reports {
+            self.on_report(from.member, report, scale);
+        }
+        Ok(())
+    }
+
+    fn on_membership_change(&mut self, _now: Time, alive: &[Member]) {
+        self.planners.clear();
+        for member in alive {
+            if let Member::Planner(id) = member {
+                self.planners.push(*id);
+            }
+        }
+        // A message to a planner that has gone would wait for ever.
+        self.outgoing.retain(|(to, _)| alive.contains(to));
+    }
+
+    fn poll_message(&mut self, now: Time) -> Option<(Member, CounterfactualMessage)> {
+        self.expire(now);
+        self.refill_budget(now);
+        if self.outgoing.is_empty() {
+            self.write_messages(now);
+        }
+        self.outgoing.pop_front()
+    }
+
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
+        if !self.outgoing.is_empty() {
+            return Some(now);
+        }
+        if !self.starts.is_idle() {
+            return Some(now + BUDGET_POLL_INTERVAL);
+        }
+        let batch_due = self
+            .reports
+            .oldest()
+            .map(|ended_at| (ended_at + self.settings.batch_interval).max(now + BUDGET_POLL_INTERVAL));
+        batch_due.into_iter().chain(self.pending_misses.next_deadline()).min()
+    }
+
+    fn poll_event(&mut self) -> Option<Event> {
+        self.events.pop_front()
+    }
+
+    fn entries(&self) -> usize {
+        self.pending_misses.entries()
+            + self.reports.len()
+            + self.starts.entries()
+            + self.comparisons.len()
+            + self.events.len()
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/counterfactual/multiple_testing/tests.rs
@@ -0,0 +1,20 @@
+use super::{benjamini_hochberg, e_benjamini_hochberg};
+
+#[test]
+fn thresholds_grow_with_the_number_of_discoveries() {
+    // 0.04 alone of four is not enough; with three more discoveries it is.
+    assert_eq!(benjamini_hochberg(&[0.04, 0.5, 0.6, 0.9], 0.05), [false; 4]);
+    assert_eq!(benjamini_hochberg(&[0.001, 0.002, 0.03, 0.04], 0.05), [true; 4]);
+    assert_eq!(benjamini_hochberg(&[0.9, 0.012, 0.5, 0.7], 0.05), [false, true, false, false]);
+    assert!(benjamini_hochberg(&[], 0.05).is_empty());
+}
+
+/// Under its hypothesis an e-value is `n` or more once in `n`: at a rate of one in a hundred, 150 is not enough for one of
+/// two.
+#[test]
+fn e_values_are_judged_by_the_number_of_hypotheses() {
+    assert_eq!(e_benjamini_hochberg(&[150.0, 0.0], 0.01), [false; 2]);
+    assert_eq!(e_benjamini_hochberg(&[150.0, 110.0], 0.01), [true; 2]);
+    assert_eq!(e_benjamini_hochberg(&[1.0, 250.0, 0.0], 0.01), [false; 3]);
+    assert_eq!(e_benjamini_hochberg(&[1.0, 350.0, 0.0], 0.01), [false, true, false]);
+}
--- /dev/null
+++ b/crates/coordination/src/counterfactual/planner/mod.rs
@@ -0,0 +1,356 @@
+//! The planner's side: merges what forwarders report, estimates in rounds, and reports how caches compare.
+//!
+//! # Invariants
+//!
+//! - What is stored depends only on which reports came, not on their order or how often (`request_store`); a lost message
+//!   costs support and nothing else. What is older than a candidate's start is void, and is refused by its own time.
+//! - One forwarder alone names nobody: a discovery counts only if it stands without any single forwarder and another
+//!   forwarder used the cache too.
+//! - Whoever was told that a cache is worse or better is told when nothing is known of it any more.
+
+mod cache_starts;
+mod request_store;
+mod round;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use granitelb_balancer::time::{Span, Time};
+
+use self::cache_starts::CacheStarts;
+use self::request_store::{RequestStore, StoreLimits};
+use self::round::{Finding, Round};
+use super::comparison::{ComparisonKey, ComparisonTracker};
+use super::dataset::Dataset;
+use super::error::CounterfactualError;
+use super::event::{PolicyValue, comparison_event, policy_values_event};
+use super::message::{CacheStart, Comparison, ComparisonReport, ComparisonScale, CounterfactualMessage};
+use super::outcome::{OutcomeMeasure, ReportedRequest};
+use super::randomized_assignment::RandomizedAssignment;
+use super::sampled_request::SampledRequest;
+use super::sampling::is_sampled;
+use super::settings::Settings;
+use crate::component::{Component, Event};
+use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+
+/// The most reports in a message: each takes about 30 bytes.
+const MAX_REPORTS_PER_MESSAGE: usize = 36;
+/// The fewest forwarders that have to have used a cache that is named.
+const MIN_CORROBORATING_FORWARDERS: usize = 2;
+
+/// A comparison on its way to forwarders.
+#[derive(Clone, Copy)]
+struct PendingReport {
+    scale: ComparisonScale,
+    report: ComparisonReport,
+}
+
+/// The planner's side of the component.
+pub struct PlannerComponent {
+    settings: Settings,
+    requests: RequestStore,
+    /// What ended before this is void: it was served by an earlier shard map.
+    valid_since: Time,
+    starts: CacheStarts,
+    comparisons: BTreeMap<ComparisonKey, ComparisonTracker>,
+    forwarders: Vec<ForwarderId>,
+    last_round_at: Time,
+    policies_valued_at: Time,
+    reports_repeated_at: Time,
+    outgoing: VecDeque<(Member, CounterfactualMessage)>,
+    /// Changes of comparisons that are sent with the next round.
+    changes: Vec<PendingReport>,
+    events: VecDeque<Event>,
+}
+
+/// When something happened that a message gives by its age.
+fn time_before(now: Time, age_ms: u32) -> Time {
+    Time(now.0.saturating_sub(Span::from_millis(u64::from(age_ms)).0))
+}
+
+impl PlannerComponent {
+    /// A component that knows of no request.
+    pub fn new(settings: Settings, _id: PlannerId, _incarnation: Incarnation, now: Time) -> PlannerComponent {
+        let limits = StoreLimits {
+            requests: settings.max_requests,
+            requests_per_forwarder: settings.max_requests_per_forwarder,
+        };
+        PlannerComponent {
+            settings,
+            requests: RequestStore::new(limits),
+            valid_since: Time(0),
+            starts: CacheStarts::default(),
+            comparisons: BTreeMap::new(),
+            forwarders: Vec::new(),
+            last_round_at: now,
+            policies_valued_at: now,
+            reports_repeated_at: now,
+            outgoing: VecDeque::new(),
+            changes: Vec::new(),
+            events: VecDeque::new(),
+        }
+    }
+
+    /// Keys have other candidates from now on: what was observed by the old shard map says nothing of the new one.
+    pub fn on_shard_map_change(&mut self, now: Time) {
+        self.valid_since = now;
+        self.requests.clear();
+        let comparisons = std::mem::take(&mut self.comparisons);
+        self.retract(comparisons);
+    }
+
+    /// The request classes of the stored requests.
+    pub fn request_classes(&self) -> BTreeSet<u16> {
+        self.requests.request_classes()
+    }
+
+    /// The stored requests of a request class, prepared for estimates by the nodes' choices.
+    pub fn dataset(&self, request_class: u16) -> Dataset {
+        Dataset::new(self.reported_requests(request_class))
+    }
+
+    /// The stored requests of a request class, prepared for estimates by the randomized assignment.
+    pub fn randomized_assignment(&self, request_class: u16) -> RandomizedAssignment {
+        RandomizedAssignment::new(self.reported_requests(request_class))
+    }
+
+    /// How a cache compares for a request class.
+    pub fn comparison(&self, cache: u64, request_class: u16, scale: ComparisonScale) -> Comparison {
+        let tracker = self.comparisons.get(&ComparisonKey { cache, request_class, scale });
+        tracker.map_or(Comparison::NoSupport, ComparisonTracker::comparison)
+    }
+
+    /// How many requests are stored.
+    pub fn request_count(&self) -> usize {
+        self.requests.len()
+    }
+
+    fn reported_requests(&self, request_class: u16) -> impl Iterator<Item = ReportedRequest<'_>> {
+        let bucket_length = self.settings.time_bucket.0.max(1);
+        self.requests.iter().filter(move |(_, stored)| stored.request.request_class == request_class).map(
+            move |(forwarder, stored)| ReportedRequest {
+                request: &stored.request,
+                forwarder,
+                time_bucket: stored.ended_at.0 / bucket_length,
+            },
+        )
+    }
+
+    fn on_request(&mut self, now: Time, forwarder: ForwarderId, request: SampledRequest) {
+        let ended_at = time_before(now, request.age_ms);
+        let is_old = now - ended_at > self.settings.window || ended_at < self.valid_since;
+        let is_void = request.candidates.iter().any(|cache| self.starts.started_after(*cache, ended_at));
+        if !is_old && !is_void {
+            self.requests.insert(forwarder, request, ended_at);
+        }
+    }
+
+    fn on_cache_start(&mut self, now: Time, start: CacheStart) {
+        let CacheStart { cache, age_ms } = start;
+        let started_at = time_before(now, age_ms);
+        let Settings { window, start_tolerance, max_caches, .. } = self.settings;
+        if now - started_at > window || !self.starts.record(cache, started_at, start_tolerance, max_caches) {
+            return;
+        }
+        self.requests
+            .retain(|stored| stored.ended_at >= started_at || !stored.request.candidates.contains(&cache));
+        let of_cache = self.comparisons.extract_if(.., |key, _| key.cache == cache).collect();
+        self.retract(of_cache);
+    }
+
+    /// Reports of comparisons that are dropped that nothing is known of the cache now.
+    fn retract(&mut self, dropped: BTreeMap<ComparisonKey, ComparisonTracker>) {
+        for (key, tracker) in dropped {
+            if tracker.comparison().is_difference() {
+                self.publish(key.scale, ComparisonTracker::default().report(key));
+            }
+        }
+    }
+
+    /// Logs a change of a comparison, and sends it with the next round.
+    fn publish(&mut self, scale: ComparisonScale, report: ComparisonReport) {
+        self.log(comparison_event(&report, scale));
+        if self.changes.len() < self.settings.max_comparisons {
+            self.changes.push(PendingReport { scale, report });
+        }
+    }
+
+    fn log(&mut self, event: Event) {
+        if self.events.len() < self.settings.max_events {
+            self.events.push_back(event);
+        }
+    }
+
+    /// Forgets what is old and compares anew, if a round is due.
+    fn run_round_if_due(&mut self, now: Time) {
+        if now - self.last_round_at < self.settings.comparison_interval {
+            return;
+        }
+        self.last_round_at = now;
+        self.requests.expire(now, self.settings.window);
+        self.starts.expire(now, self.settings.window);
+        let values_policies = now - self.policies_valued_at >= self.settings.policy_value_interval;
+        if values_policies {
+            self.policies_valued_at = now;
+        }
+        let findings = self.estimate(values_policies);
+        self.apply(findings);
+        self.send_reports(now);
+    }
+
+    fn estimate(&mut self, values_policies: bool) -> Vec<Finding> {
+        let min_effect = self.settings.min_effect(ComparisonScale::TimeRatio);
+        let mut round = Round::default();
+        for request_class in self.request_classes().into_iter().take(self.settings.max_request_classes) {
+            // Both scales have the same part of the comparisons that are left.
+            let limit = self.settings.max_comparisons.saturating_sub(round.len()) / 2;
+            let dataset = self.dataset(request_class);
+            round.add_effects(request_class, &dataset, limit);
+            let assignment = self.randomized_assignment(request_class);
+            round.add_time_ratios(request_class, &assignment, limit, min_effect);
+            if values_policies {
+                self.log_policy_values(request_class, &dataset);
+            }
+        }
+        round.into_findings(self.settings.false_discovery_rate)
+    }
+
+    fn apply(&mut self, findings: Vec<Finding>) {
+        let mut comparisons = BTreeMap::new();
+        for Finding { key, estimate, is_discovery } in findings {
+            let counts = is_discovery
+                && estimate.as_ref().is_ok_and(|estimate| estimate.is_corroborated)
+                && self.is_used_by_several(key.cache);
+            let mut tracker = self.comparisons.remove(&key).unwrap_or_default();
+            let before = tracker.comparison();
+            let has_changed = tracker.update(&self.settings, key.scale, estimate, counts);
+            // That there is or isn't support for a cache of which nothing was reported is no news.
+            if has_changed && (before.is_difference() || tracker.comparison().is_difference()) {
+                self.publish(key.scale, tracker.report(key));
+            }
+            comparisons.insert(key, tracker);
+        }
+        let without_finding = std::mem::replace(&mut self.comparisons, comparisons);
+        self.retract(without_finding);
+    }
+
+    /// One forwarder may be cut off from a cache by itself, or lie: another has to have used it, however few there are.
+    fn is_used_by_several(&self, cache: u64) -> bool {
+        self.requests.forwarder_count() < MIN_CORROBORATING_FORWARDERS
+            || self.requests.is_chosen_by(cache, MIN_CORROBORATING_FORWARDERS)
+    }
+
+    /// Makes the messages of a round. Messages of the last one that were not sent by now are replaced.
+    fn send_reports(&mut self, now: Time) {
+        let mut pending = std::mem::take(&mut self.changes);
+        if now - self.reports_repeated_at >= self.settings.report_repeat_interval {
+            // A message may have been lost, and forwarders may be new.
+            self.reports_repeated_at = now;
+            for (key, tracker) in &self.comparisons {
+                if tracker.comparison().is_difference() {
+                    pending.push(PendingReport { scale: key.scale, report: tracker.report(*key) });
+                }
+            }
+        }
+        let mut messages = messages_of(&pending, ComparisonScale::WaitedShare);
+        messages.extend(messages_of(&pending, ComparisonScale::TimeRatio));
+        messages.truncate(self.settings.max_messages);
+        self.outgoing.clear();
+        for message in messages {
+            for forwarder in &self.forwarders {
+                self.outgoing.push_back((Member::Forwarder(*forwarder), message.clone()));
+            }
+        }
+    }
+
+    fn log_policy_values(&mut self, request_class: u16, dataset: &Dataset) {
+        let mut values = Vec::new();
+        for policy in &self.settings.policies {
+            let in_time = dataset.policy_value(*policy, OutcomeMeasure::InTime);
+            values.push(PolicyValue { policy: *policy, in_time });
+        }
+        self.log(policy_values_event(request_class, &values));
+    }
+}
+
+/// The reports on one scale, as messages.
+fn messages_of(pending: &[PendingReport], scale: ComparisonScale) -> Vec<CounterfactualMessage> {
+    let reports: Vec<ComparisonReport> =
+        pending.iter().filter(|pending| pending.scale == scale).map(|pending| pending.report).collect();
+    let message = match scale {
+        ComparisonScale::WaitedShare => CounterfactualMessage::WaitedShareReports,
+        ComparisonScale::TimeRatio => CounterfactualMessage::TimeRatioReports,
+    };
+    reports.chunks(MAX_REPORTS_PER_MESSAGE).map(|chunk| message(chunk.to_vec())).collect()
+}
+
+impl Component for PlannerComponent {
+    type Message = CounterfactualMessage;
+    type Error = CounterfactualError;
+
+    fn on_message(
+        &mut self,
+        now: Time,
+        from: Sender,
+        message: CounterfactualMessage,
+    ) -> Result<(), CounterfactualError> {
+        let Member::Forwarder(forwarder) = from.member else { return Err(CounterfactualError::WrongRole) };
+        match message {
+            CounterfactualMessage::Requests(requests) => {
+                if !requests.iter().all(SampledRequest::is_valid) {
+                    return Err(CounterfactualError::InvalidValue);
+                }
+                if !requests.iter().all(|request| is_sampled(request.request_hash)) {
+                    return Err(CounterfactualError::NotSampled);
+                }
+                for request in requests {
+                    self.on_request(now, forwarder, request);
+                }
+                Ok(())
+            }
+            CounterfactualMessage::CacheStarts(starts) => {
+                for start in starts {
+                    self.on_cache_start(now, start);
+                }
+                Ok(())
+            }
+            CounterfactualMessage::WaitedShareReports(_) | CounterfactualMessage::TimeRatioReports(_) => {
+                Err(CounterfactualError::WrongRole)
+            }
+        }
+    }
+
+    fn on_membership_change(&mut self, _now: Time, alive: &[Member]) {
+        self.forwarders.clear();
+        for member in alive {
+            if let Member::Forwarder(id) = member {
+                self.forwarders.push(*id);
+            }
+        }
+    }
+
+    fn poll_message(&mut self, now: Time) -> Option<(Member, CounterfactualMessage)> {
+        self.run_round_if_due(now);
+        self.outgoing.pop_front()
+    }
+
+    fn poll_timeout(&self, now: Time) -> Option<Time> {
+        if !self.outgoing.is_empty() {
+            return Some(now);
+        }
+        let round_due_at = self.last_round_at + self.settings.comparison_interval;
+        Some(round_due_at.max(now))
+    }
+
+    fn poll_event(&mut self) -> Option<Event> {
+        self.events.pop_front()
+    }
+
+    fn entries(&self) -> usize {
+        self.requests.len()
+            + self.starts.len()
+            + self.comparisons.len()
+            + self.outgoing.len()
+            + self.changes.len()
+            + self.events.len()
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/counterfactual/sampled_request.rs
@@ -0,0 +1,98 @@
+//! The report of one selection: where a sampled request was sent first, where else it could have gone, and its outcome.
+
+use granitelb_balancer::time::Span;
+use serde::{Deserialize, Serialize};
+
+/// How many of a key's candidates are considered; later ones in the shard map are hardly ever chosen.
+pub const MAX_CANDIDATES: usize = 3;
+/// The number of work classes; each is four times as heavy as the one before.
+pub const WORK_CLASSES: u8 = 4;
+/// The fewest candidates between which there is a choice.
+const MIN_CANDIDATES: usize = 2;
+/// Work below this falls into the lowest work class, in microseconds.
+const LOWEST_CLASS_MICROS: u64 = 2_000;
+/// Each work class spans this many doublings of the work.
+const DOUBLINGS_PER_CLASS: u32 = 2;
+/// The unit of times in reports, in microseconds.
+const TENTH_OF_MILLISECOND_MICROS: u64 = 100;
+
+/// What came of the selected cache.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ServiceOutcome {
+    /// The cache had the value.
+    Hit,
+    /// The cache did not have the value and the response came from elsewhere, mostly the origin; the duration is that of
+    /// the whole request.
+    Miss,
+    /// The request was cancelled, timed out or lost track of while it was in flight: the duration is right-censored, as the
+    /// response would have come later, if ever.
+    Censored,
+    /// The request was rejected, or the cache was unreachable, answered with an error or reset the connection: no response
+    /// would have come.
+    Failed,
+}
+
+/// One selection as a forwarder observed it. Planners receive it in postcard's form, so the order of the fields is part of
+/// the protocol.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SampledRequest {
+    /// The hash of the name that the client gave the request; the same at all nodes.
+    pub request_hash: u64,
+    /// A part of the key's hash. Requests of one key are not independent.
+    pub key_hash: u32,
+    /// The request class, by its number in the settings.
+    pub request_class: u16,
+    /// The class of the expected work, from 0 to less than [`WORK_CLASSES`]; see [`work_class`].
+    pub work_class: u8,
+    /// The key's first candidates, in their order at that moment; [`MAX_CANDIDATES`] at most.
+    pub candidates: Vec<u64>,
+    /// The position in `candidates` of the cache to which the request was sent first.
+    pub position: u8,
+    /// What came of it.
+    pub outcome: ServiceOutcome,
+    /// The time until the last byte of the response, or until waiting ended, in tenths of a millisecond.
+    pub duration: u32,
+    /// The latency objective of the request class, in tenths of a millisecond.
+    pub slo: u32,
+    /// The node's attempts in flight at the chosen cache when it sent this one.
+    pub in_flight: u8,
+    /// How long before the message the request ended, in milliseconds.
+    pub age_ms: u32,
+}
+
+/// A time in tenths of a millisecond, the unit of reports.
+pub(super) fn tenths_of_millisecond(span: Span) -> u32 {
+    u32::try_from(span.0 / TENTH_OF_MILLISECOND_MICROS).unwrap_or(u32::MAX)
+}
+
+/// The work class of a request, by the client's estimate of its work.
+///
+/// The size of the response must not decide it, since that is known only of requests that were answered. Requests without
+/// an estimate are all of the lowest class.
+pub fn work_class(work: Option<Span>) -> u8 {
+    let multiple = work.map_or(0, |work| work.0 / LOWEST_CLASS_MICROS);
+    let doublings = u64::BITS - multiple.leading_zeros();
+    let class = doublings.div_ceil(DOUBLINGS_PER_CLASS);
+    u8::try_from(class).map_or(WORK_CLASSES - 1, |class| class.min(WORK_CLASSES - 1))
+}
+
+impl SampledRequest {
+    /// Whether a forwarder can have observed this.
+    pub(super) fn is_valid(&self) -> bool {
+        let has_choice = (MIN_CANDIDATES..=MAX_CANDIDATES).contains(&self.candidates.len());
+        let are_distinct = (1..self.candidates.len())
+            .all(|position| !self.candidates[..position].contains(&self.candidates[position]));
+        let has_position = usize::from(self.position) < self.candidates.len();
+        has_choice && are_distinct && has_position && self.work_class < WORK_CLASSES && self.slo > 0
+    }
+
+    /// The cache to which the request was sent first.
+    pub fn chosen_cache(&self) -> u64 {
+        self.candidates[usize::from(self.position)]
+    }
+
+    /// Whether the request was sent first to a candidate other than the key's first.
+    pub(super) fn left_first_candidate(&self) -> bool {
+        self.position > 0
+    }
+}
--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -1,11 +1,11 @@
 //! The tests of what the fleet decides: one program, so that they are linked once and run beside each other.
 
+mod counterfactual;
+mod counterfactual_randomized_assignment;
 mod growth_agree;
 mod growth_faculty;
 mod growth_forecast;
 mod growth_schedule;
-mod hindsight;
-mod hindsight_lottery;
 mod leases;
 mod leases_model;
 mod leases_standing;
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -10,7 +10,9 @@
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Span;
-use granitelb_coordination::counterfactual::{How, Said, SampledRequest, Standing};
+use granitelb_coordination::counterfactual::{
+    CacheStart, Comparison, ComparisonReport, SampledRequest, ServiceOutcome,
+};
 use granitelb_coordination::endpoint_health::{HealthStatus, Part, Plan, Report, Seen};
 use granitelb_coordination::leases::{Need, Resource};
 use granitelb_coordination::message::{ComponentKind, Message, Secret, Secrets, open, seal};
@@ -168,46 +170,47 @@
     messages
 }
 
-fn all_hows() -> [How; 4] {
-    [How::Hit, How::Miss, How::Cut, How::Refused]
+fn all_service_outcomes() -> [ServiceOutcome; 4] {
+    [ServiceOutcome::Hit, ServiceOutcome::Miss, ServiceOutcome::Censored, ServiceOutcome::Failed]
 }
 
-fn all_standings() -> [Standing; 4] {
-    [Standing::NoSupport, Standing::AsGood, Standing::Worse, Standing::Better]
+fn all_comparisons() -> [Comparison; 4] {
+    [Comparison::NoSupport, Comparison::AsGood, Comparison::Worse, Comparison::Better]
 }
 
-fn hindsight_messages() -> Vec<Named<counterfactual::CounterfactualMessage>> {
+fn counterfactual_messages() -> Vec<Named<counterfactual::CounterfactualMessage>> {
     use counterfactual::CounterfactualMessage;
-    let observation = |(how, n): (How, u32)| SampledRequest {
-        call: u64::from(n) + 0xabcd_0000_0000,
-        key: n + 1,
+    let observation = |(outcome, n): (ServiceOutcome, u32)| SampledRequest {
+        request_hash: u64::from(n) + 0xabcd_0000_0000,
+        key_hash: n + 1,
         request_class: 1201,
-        class: 3,
+        work_class: 3,
         candidates: vec![1202, 1203, 1204],
-        place: 2,
-        how,
-        took: n + 2,
+        position: 2,
+        outcome,
+        duration: n + 2,
         slo: n + 3,
-        out: 97,
-        ago: n + 4,
+        in_flight: 97,
+        age_ms: n + 4,
     };
-    let seen = all_hows().into_iter().zip((50_000..).step_by(100)).map(observation).collect();
-    let said = |first: u16| {
-        let said = move |(standing, n): (Standing, u16)| Said {
+    let requests = all_service_outcomes().into_iter().zip((50_000..).step_by(100)).map(observation).collect();
+    let reports = |first: u16| {
+        let report = move |(comparison, n): (Comparison, u16)| ComparisonReport {
             cache: u64::from(n) + 0x1234_0000_0000,
             request_class: n,
-            standing,
-            more: f32::from(n) + 0.5,
+            comparison,
+            estimate: f32::from(n) + 0.5,
             low: f32::from(n) - 0.25,
             high: f32::from(n) + 0.75,
         };
-        all_standings().into_iter().zip(first..).map(said).collect()
+        all_comparisons().into_iter().zip(first..).map(report).collect()
     };
+    let starts = vec![CacheStart { cache: 1205, age_ms: 1206 }, CacheStart { cache: 1207, age_ms: 1208 }];
     vec![
-        ("hindsight.seen", CounterfactualMessage::Seen(seen)),
-        ("hindsight.started", CounterfactualMessage::Started(vec![(1205, 1206), (1207, 1208)])),
-        ("hindsight.standing", CounterfactualMessage::Standing(said(1301))),
-        ("hindsight.times", CounterfactualMessage::Times(said(1401))),
+        ("hindsight.seen", CounterfactualMessage::Requests(requests)),
+        ("hindsight.started", CounterfactualMessage::CacheStarts(starts)),
+        ("hindsight.standing", CounterfactualMessage::WaitedShareReports(reports(1301))),
+        ("hindsight.times", CounterfactualMessage::TimeRatioReports(reports(1401))),
     ]
 }
 
@@ -221,7 +224,7 @@
         of(verdicts_messages(), Message::EndpointHealth),
         of(leases_messages(), Message::Leases),
         of(growth_messages(), Message::ShardGrowth),
-        of(hindsight_messages(), Message::Counterfactual),
+        of(counterfactual_messages(), Message::Counterfactual),
     ];
     let mut all: Vec<_> =
         by_forwarder.into_iter().flatten().map(|(name, letter)| (name, from_forwarder(), letter)).collect();
@@ -300,13 +303,13 @@
     assert_has_all_variants(&without_names(verdicts_messages()));
     assert_has_all_variants(&without_names(leases_messages()));
     assert_has_all_variants(&without_names(growth_messages()));
-    assert_has_all_variants(&without_names(hindsight_messages()));
+    assert_has_all_variants(&without_names(counterfactual_messages()));
     assert_has_all_variants(&without_names(votes()));
     assert_has_all_variants(&all_verdicts());
     assert_has_all_variants(&all_resources());
     assert_has_all_variants(&all_steps());
-    assert_has_all_variants(&all_hows());
-    assert_has_all_variants(&all_standings());
+    assert_has_all_variants(&all_service_outcomes());
+    assert_has_all_variants(&all_comparisons());
     assert_has_all_variants(&[Of::Read, Of::Written]);
     assert_has_all_variants(&[from_planner().member, from_forwarder().member]);
 }
--- /dev/null
+++ b/crates/fleet-simulator/src/counterfactual/config.rs
@@ -0,0 +1,68 @@
+//! What a trace is like.
+
+/// How caches, keys and clients differ in a trace. The names are words of the example's command line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scenario {
+    /// All caches are alike.
+    Calm,
+    /// One cache takes three times as long for all work.
+    Slow,
+    /// A third of all requests are for three keys.
+    Hot,
+    /// A quarter of the caches hold a third of what others hold.
+    Cold,
+    /// A third of the caches are quicker, and four in five heavy requests, of which there are many, go to the quickest of
+    /// their candidates: work confounds choice and time.
+    Confounded,
+    /// Six in ten requests are cancelled early, heavy ones sooner; one cache is slow.
+    CutShort,
+    /// A quarter of the requests go to a random candidate of the three, as where nodes' views differ much.
+    Scattered,
+}
+
+/// All scenarios, in the order of reports.
+pub const SCENARIOS: [Scenario; 7] = [
+    Scenario::Calm,
+    Scenario::Scattered,
+    Scenario::Slow,
+    Scenario::Hot,
+    Scenario::Cold,
+    Scenario::Confounded,
+    Scenario::CutShort,
+];
+
+/// The parameters of a trace.
+#[derive(Clone, Copy, Debug)]
+pub struct TraceConfig {
+    /// The scenario.
+    pub scenario: Scenario,
+    /// The seed of all random numbers.
+    pub seed: u64,
+    /// The number of forwarders.
+    pub nodes: usize,
+    /// The number of caches.
+    pub caches: u64,
+    /// The length of the trace.
+    pub seconds: f64,
+    /// The number of sampled requests; the estimators don't learn of others.
+    pub requests: usize,
+    /// The share of messages that are lost.
+    pub loss: f64,
+    /// The share of messages that arrive twice.
+    pub duplication: f64,
+}
+
+impl Default for TraceConfig {
+    fn default() -> TraceConfig {
+        TraceConfig {
+            scenario: Scenario::Calm,
+            seed: 1,
+            nodes: 24,
+            caches: 20,
+            seconds: 600.0,
+            requests: 20_000,
+            loss: 0.05,
+            duplication: 0.05,
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-simulator/src/counterfactual/generator.rs
@@ -0,0 +1,309 @@
+//! Draws requests. The number and the order of the draws do not depend on what caches are like, so that traces of different
+//! caches share their random numbers.
+
+use granitelb_balancer::ids::Key;
+use granitelb_balancer::time::Span;
+use granitelb_coordination::counterfactual::{MAX_CANDIDATES, is_sampled};
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+use rand_distr::{Distribution, Exp, LogNormal, Zipf};
+
+use super::config::{Scenario, TraceConfig};
+use super::trace::{PotentialOutcome, SLO, SimulatedRequest, TRACE_START};
+
+/// The number of keys, and the exponent of their popularity.
+const KEYS: f64 = 3000.0;
+const ZIPF_EXPONENT: f64 = 0.8;
+/// Hot keys, and their share of the requests.
+const HOT_KEYS: u64 = 3;
+const HOT_SHARE: f64 = 0.33;
+/// Salts of the hashes that make keys and their weights.
+const HOT_KEY_SALT: u64 = 7;
+const KEY_SALT: u64 = 1;
+const KEY_WEIGHT_SALT: u64 = 0xc1a5;
+const HIT_CAUSE_SALT: u64 = 3;
+/// How much of a request's weight is its key's own, and how much is drawn for each request.
+const KEY_SHARE_OF_WEIGHT: f64 = 0.7;
+const REQUEST_SHARE_OF_WEIGHT: f64 = 0.3;
+/// The weights from which on requests are of the second and the third work class.
+const CLASS_BOUNDS: [f64; 2] = [0.55, 0.82];
+const CLASS_BOUNDS_MANY_HEAVY: [f64; 2] = [0.4, 0.6];
+const HEAVIEST_CLASS: u8 = 2;
+/// The client's estimate of the work, by work class.
+const WORK_ESTIMATES: [Span; 3] = [Span::from_millis(1), Span::from_millis(5), Span::from_millis(20)];
+/// The deviation of the logarithm of the work from its estimate.
+const WORK_DEVIATION: f64 = 0.4;
+/// Load goes up and down by this share, with this period divided by 2π, in seconds.
+const LOAD_SWING: f64 = 0.6;
+const LOAD_PERIOD_SECONDS: f64 = 37.0;
+/// Means, in seconds: the time in a cache's queue, and the origin's time beyond its least.
+const MEAN_QUEUEING: f64 = 0.002;
+const MEAN_ORIGIN_DELAY: f64 = 0.008;
+/// The least times of a cache's response and of the origin, in seconds.
+const MIN_CACHE_TIME: f64 = 0.001;
+const MIN_ORIGIN_TIME: f64 = 0.012;
+/// The mean of a node's attempts in flight at a candidate.
+const MEAN_IN_FLIGHT: f64 = 0.6;
+/// The hit rates of ordinary caches, by position.
+const HIT_RATES: [f64; MAX_CANDIDATES] = [0.93, 0.45, 0.30];
+/// For how long a cache holds a key or not, in seconds.
+const HOLDING_PERIOD_SECONDS: f64 = 60.0;
+/// The share of requests that caches reject at mean load.
+const REJECTION_RATE: f64 = 0.02;
+/// The work varies between caches from this factor on, by this range.
+const MIN_WORK_FACTOR: f64 = 0.9;
+const WORK_FACTOR_RANGE: f64 = 0.2;
+/// The share of heavy requests that go to the quickest candidate, where work confounds choice and time.
+const CONFOUNDED_SHARE: f64 = 0.8;
+/// The share of requests that go to a random candidate, where choices are scattered.
+const SCATTERED_SHARE: f64 = 0.25;
+/// The shares of requests that are cancelled early, and from when on, in SLOs.
+const CUT_SHORT_SHARE: f64 = 0.6;
+const CUT_SHORT_FROM: f64 = 0.15;
+const CUT_SHORT_HEAVY_FACTOR: f64 = 0.7;
+const CANCELLED_SHARE: f64 = 0.1;
+const CANCELLED_FROM: f64 = 0.3;
+/// When all others are cancelled, in SLOs.
+const PATIENCE: f64 = 2.0;
+
+/// How a cache differs from an ordinary one, by factors.
+#[derive(Clone, Copy)]
+struct CacheProfile {
+    speed: f64,
+    hit_rate: f64,
+    in_flight: f64,
+}
+
+const ORDINARY: CacheProfile = CacheProfile { speed: 1.0, hit_rate: 1.0, in_flight: 1.0 };
+
+/// What is drawn once for a request, for all its candidates.
+struct SharedDraws {
+    at_seconds: f64,
+    request_hash: u64,
+    key: Key,
+    load: f64,
+    work: f64,
+    queueing: f64,
+    origin: f64,
+    hit: f64,
+    rejection: f64,
+}
+
+/// What is drawn for a request at one candidate.
+struct CandidateDraws {
+    in_flight: u16,
+    outcome: PotentialOutcome,
+}
+
+pub(super) struct Generator {
+    config: TraceConfig,
+    popularity: Zipf<f64>,
+    work: LogNormal<f64>,
+}
+
+/// Spreads numbers.
+fn mix(a: u64, b: u64) -> u64 {
+    let mut x = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.rotate_left(32);
+    x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
+    x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    x ^ (x >> 33)
+}
+
+/// A number from 0 to 1 of its own for each pair.
+fn unit_hash(a: u64, b: u64) -> f64 {
+    mix(a, b) as f64 / u64::MAX as f64
+}
+
+fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
+    Exp::new(1.0 / mean).expect("a positive rate").sample(rng)
+}
+
+impl Generator {
+    pub fn new(config: TraceConfig) -> Generator {
+        Generator {
+            config,
+            popularity: Zipf::new(KEYS, ZIPF_EXPONENT).expect("valid parameters"),
+            work: LogNormal::new(0.0, WORK_DEVIATION).expect("valid parameters"),
+        }
+    }
+
+    /// Draws a request, and its ordinary outcome with the same random numbers.
+    pub fn request(&self, rng: &mut ChaCha8Rng, at_seconds: f64) -> SimulatedRequest {
+        let ordinary_first = self.draw(&mut rng.clone(), at_seconds, |cache, position| {
+            if position == 0 { ORDINARY } else { self.profile(cache) }
+        });
+        let mut request = self.draw(rng, at_seconds, |cache, _| self.profile(cache));
+        request.ordinary_outcome = *ordinary_first.chosen_outcome();
+        request
+    }
+
+    fn profile(&self, cache: u64) -> CacheProfile {
+        match self.config.scenario {
+            Scenario::Slow | Scenario::CutShort if cache == 0 => {
+                CacheProfile { speed: 1.0 / 3.0, in_flight: 2.0, ..ORDINARY }
+            }
+            Scenario::Cold if cache.is_multiple_of(4) => CacheProfile { hit_rate: 0.33, ..ORDINARY },
+            Scenario::Confounded if cache.is_multiple_of(3) => CacheProfile { speed: 1.3, ..ORDINARY },
+            _ => ORDINARY,
+        }
+    }
+
+    fn draw(
+        &self,
+        rng: &mut ChaCha8Rng,
+        at_seconds: f64,
+        profile: impl Fn(u64, usize) -> CacheProfile,
+    ) -> SimulatedRequest {
+        let request_hash = draw_sampled_hash(rng);
+        let node = rng.random_range(0..self.config.nodes);
+        let key = self.draw_key(rng);
+        let candidates = self.candidates(key);
+        let work_class = self.draw_work_class(rng, key);
+        let work_estimate = WORK_ESTIMATES[usize::from(work_class)];
+        let shared = self.draw_shared(rng, at_seconds, request_hash, key, work_estimate);
+        let drawn: [CandidateDraws; MAX_CANDIDATES] = std::array::from_fn(|position| {
+            let cache = candidates[position];
+            draw_candidate(rng, &shared, cache, position, profile(cache, position))
+        });
+        let in_flight = std::array::from_fn(|position| drawn[position].in_flight);
+        let outcomes = std::array::from_fn(|position| drawn[position].outcome);
+        let speeds = std::array::from_fn(|position| profile(candidates[position], position).speed);
+        let position = self.draw_position(rng, node, work_class, &in_flight, &speeds);
+        let cancelled_after = self.draw_cancellation(rng, work_class);
+        SimulatedRequest {
+            at: TRACE_START + Span::from_secs_f64(at_seconds),
+            node,
+            request_hash,
+            key,
+            work_class,
+            work_estimate,
+            candidates,
+            in_flight,
+            outcomes,
+            position,
+            ordinary_outcome: outcomes[position],
+            cancelled_after,
+        }
+    }
+
+    fn draw_key(&self, rng: &mut ChaCha8Rng) -> Key {
+        if self.config.scenario == Scenario::Hot && rng.random_bool(HOT_SHARE) {
+            return Key(mix(HOT_KEY_SALT, rng.random_range(0..HOT_KEYS)));
+        }
+        Key(mix(KEY_SALT, self.popularity.sample(rng) as u64))
+    }
+
+    /// The caches of the lowest hashes for the key.
+    fn candidates(&self, key: Key) -> [u64; MAX_CANDIDATES] {
+        let mut ranked: Vec<u64> = (0..self.config.caches).collect();
+        ranked.sort_by_key(|cache| mix(key.0, *cache + 1));
+        std::array::from_fn(|position| ranked[position])
+    }
+
+    /// Keys of heavy requests are mostly asked for by such.
+    fn draw_work_class(&self, rng: &mut ChaCha8Rng, key: Key) -> u8 {
+        let key_weight = unit_hash(key.0, KEY_WEIGHT_SALT);
+        let weight = KEY_SHARE_OF_WEIGHT * key_weight + REQUEST_SHARE_OF_WEIGHT * rng.random::<f64>();
+        let bounds = match self.config.scenario {
+            Scenario::Confounded => CLASS_BOUNDS_MANY_HEAVY,
+            _ => CLASS_BOUNDS,
+        };
+        bounds.iter().filter(|bound| weight >= **bound).count() as u8
+    }
+
+    fn draw_shared(
+        &self,
+        rng: &mut ChaCha8Rng,
+        at_seconds: f64,
+        request_hash: u64,
+        key: Key,
+        work_estimate: Span,
+    ) -> SharedDraws {
+        // What waits in queues, and what nodes have in flight, both go with the load.
+        let load = 1.0 + LOAD_SWING * (at_seconds / LOAD_PERIOD_SECONDS).sin();
+        let work = work_estimate.as_secs_f64() * self.work.sample(rng);
+        let queueing = exponential(rng, MEAN_QUEUEING * load);
+        let origin = MIN_ORIGIN_TIME + exponential(rng, MEAN_ORIGIN_DELAY);
+        let hit = rng.random::<f64>();
+        let rejection = rng.random::<f64>();
+        SharedDraws { at_seconds, request_hash, key, load, work, queueing, origin, hit, rejection }
+    }
+
+    /// Nodes take the first candidate at which they have little in flight; half of them are more patient.
+    fn draw_position(
+        &self,
+        rng: &mut ChaCha8Rng,
+        node: usize,
+        work_class: u8,
+        in_flight: &[u16; MAX_CANDIDATES],
+        speeds: &[f64; MAX_CANDIDATES],
+    ) -> usize {
+        let max_in_flight = 1 + (node % 2) as u16;
+        let mut position =
+            (0..MAX_CANDIDATES).find(|position| in_flight[*position] < max_in_flight).unwrap_or(0);
+        let is_heavy = work_class == HEAVIEST_CLASS;
+        if self.config.scenario == Scenario::Confounded && is_heavy && rng.random_bool(CONFOUNDED_SHARE) {
+            position = quickest(speeds);
+        }
+        if self.config.scenario == Scenario::Scattered && rng.random_bool(SCATTERED_SHARE) {
+            position = rng.random_range(0..MAX_CANDIDATES);
+        }
+        position
+    }
+
+    fn draw_cancellation(&self, rng: &mut ChaCha8Rng, work_class: u8) -> Span {
+        let early = rng.random::<f64>();
+        if self.config.scenario == Scenario::CutShort && rng.random_bool(CUT_SHORT_SHARE) {
+            let factor = if work_class == HEAVIEST_CLASS { CUT_SHORT_HEAVY_FACTOR } else { 1.0 };
+            return SLO.scaled((CUT_SHORT_FROM + early) * factor);
+        }
+        if rng.random_bool(CANCELLED_SHARE) {
+            return SLO.scaled(CANCELLED_FROM + early);
+        }
+        SLO.scaled(PATIENCE)
+    }
+}
+
+fn draw_sampled_hash(rng: &mut ChaCha8Rng) -> u64 {
+    loop {
+        let hash = rng.random::<u64>();
+        if is_sampled(hash) {
+            return hash;
+        }
+    }
+}
+
+fn draw_candidate(
+    rng: &mut ChaCha8Rng,
+    shared: &SharedDraws,
+    cache: u64,
+    position: usize,
+    profile: CacheProfile,
+) -> CandidateDraws {
+    let in_flight = exponential(rng, MEAN_IN_FLIGHT * shared.load * profile.in_flight) as u16;
+    // Half of what decides a hit is the key's own at that cache for a while, half the request's.
+    let period = (shared.at_seconds / HOLDING_PERIOD_SECONDS) as u64;
+    let key_draw = unit_hash(shared.key.0 ^ period, cache);
+    let hit_rate = HIT_RATES[position] * profile.hit_rate;
+    let is_by_key = mix(shared.request_hash, HIT_CAUSE_SALT).is_multiple_of(2);
+    let is_hit = if is_by_key { key_draw < hit_rate } else { shared.hit < hit_rate };
+    let work_factor = MIN_WORK_FACTOR + WORK_FACTOR_RANGE * rng.random::<f64>();
+    let miss_after = MIN_CACHE_TIME + shared.queueing / profile.speed;
+    let response_after = if is_hit {
+        miss_after + shared.work * work_factor / profile.speed
+    } else {
+        miss_after + shared.origin + shared.work * work_factor
+    };
+    let outcome = PotentialOutcome {
+        is_rejected: shared.rejection < REJECTION_RATE * shared.load,
+        is_hit,
+        miss_after: Span::from_secs_f64(miss_after),
+        response_after: Span::from_secs_f64(response_after),
+    };
+    CandidateDraws { in_flight, outcome }
+}
+
+/// The first of the quickest candidates.
+fn quickest(speeds: &[f64; MAX_CANDIDATES]) -> usize {
+    (0..MAX_CANDIDATES).rev().max_by(|a, b| speeds[*a].total_cmp(&speeds[*b])).unwrap_or(0)
+}
--- /dev/null
+++ b/crates/fleet-simulator/src/counterfactual/replay.rs
@@ -0,0 +1,233 @@
+//! Replays a trace to both sides of the component, over a network that loses, duplicates and delays messages.
+
+use std::collections::BTreeMap;
+
+use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::ids::{EndpointId, RequestClassId};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::component::{Component, Event};
+use granitelb_coordination::counterfactual::{
+    CounterfactualMessage, ForwarderComponent, PlannerComponent, Settings,
+};
+use granitelb_coordination::observation::{FinishedAttempt, Observation};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use super::config::TraceConfig;
+use super::trace::{SLO, SimulatedRequest, TRACE_START, Trace};
+
+const ORIGIN: EndpointId = EndpointId(u64::MAX);
+const PLANNER: PlannerId = PlannerId(1);
+const INCARNATION: Incarnation = Incarnation(1);
+/// Distinguishes the network's random numbers from those of the trace.
+const NETWORK_SEED: u64 = 0x70_1d;
+/// How often the components are polled.
+const STEP: Span = Span::from_millis(250);
+/// How long a replay goes on after the trace, in seconds.
+const TAIL_SECONDS: f64 = 18.0;
+/// Messages are delayed by less than this, in milliseconds.
+const MAX_DELAY_MS: u64 = 2000;
+/// When a rejected request gets its answer.
+const REJECTED_AFTER: Span = Span(500);
+const RESPONSE_BYTES: u32 = 1000;
+
+/// What came of a replay.
+pub struct Replay {
+    /// The planner's component at the end.
+    pub planner: PlannerComponent,
+    /// The planner's log.
+    pub planner_events: Vec<Event>,
+    /// The log of the first forwarder, by the planner's messages.
+    pub forwarder_events: Vec<Event>,
+    /// How many messages forwarders sent.
+    pub messages: usize,
+    /// The bytes of their bodies.
+    pub bytes: usize,
+    /// The bytes of the largest body.
+    pub largest_message: usize,
+}
+
+/// Replays a trace until all its messages have arrived.
+pub fn replay(trace: &Trace, settings: &Settings) -> Replay {
+    let mut attempts = finished_attempts(trace);
+    let mut forwarders = Forwarders::new(trace.config.nodes, settings);
+    let mut network = Network::new(trace.config);
+    let mut replay = Replay {
+        planner: PlannerComponent::new(settings.clone(), PLANNER, INCARNATION, TRACE_START),
+        planner_events: Vec::new(),
+        forwarder_events: Vec::new(),
+        messages: 0,
+        bytes: 0,
+        largest_message: 0,
+    };
+    replay.planner.on_membership_change(TRACE_START, &forwarders.members);
+    let end = TRACE_START + Span::from_secs_f64(trace.config.seconds + TAIL_SECONDS);
+    let mut now = TRACE_START;
+    while now < end {
+        now = now + STEP;
+        let later = attempts.split_off(&now);
+        for (at, finished) in std::mem::replace(&mut attempts, later) {
+            for NodeAttempt { node, attempt } in finished {
+                let observation = Observation::AttemptFinished(Box::new(attempt));
+                forwarders.components[node].on_observation(at, &observation);
+            }
+        }
+        replay.send_reports(now, &mut forwarders, &mut network);
+        for (from, message) in network.arrived(now) {
+            replay.planner.on_message(now, from, message).expect("a valid message");
+        }
+        replay.deliver_comparisons(now, &mut forwarders);
+        replay.planner_events.extend(std::iter::from_fn(|| replay.planner.poll_event()));
+        let first = &mut forwarders.components[0];
+        replay.forwarder_events.extend(std::iter::from_fn(|| first.poll_event()));
+    }
+    replay
+}
+
+impl Replay {
+    /// Sends what forwarders have to report.
+    fn send_reports(&mut self, now: Time, forwarders: &mut Forwarders, network: &mut Network) {
+        for (node, forwarder) in forwarders.components.iter_mut().enumerate() {
+            while let Some((_, message)) = forwarder.poll_message(now) {
+                let size = postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len());
+                self.messages += 1;
+                self.bytes += size;
+                self.largest_message = self.largest_message.max(size);
+                let member = forwarders.members[node];
+                let from = Sender { member, incarnation: INCARNATION, number: self.messages as u64 };
+                network.send(now, self.messages, from, message);
+            }
+        }
+    }
+
+    /// Delivers the planner's messages to the first forwarder, whose log is looked at.
+    fn deliver_comparisons(&mut self, now: Time, forwarders: &mut Forwarders) {
+        let from = Sender { member: Member::Planner(PLANNER), incarnation: INCARNATION, number: 1 };
+        while let Some((to, message)) = self.planner.poll_message(now) {
+            if to == forwarders.members[0] {
+                forwarders.components[0].on_message(now, from, message).expect("a valid message");
+            }
+        }
+    }
+}
+
+/// The forwarders of a replay, each with its name.
+struct Forwarders {
+    components: Vec<ForwarderComponent>,
+    members: Vec<Member>,
+}
+
+impl Forwarders {
+    fn new(count: usize, settings: &Settings) -> Forwarders {
+        let mut components = Vec::new();
+        let mut members = Vec::new();
+        for id in (0..count as u64).map(ForwarderId) {
+            let mut component = ForwarderComponent::new(settings.clone(), id, INCARNATION, TRACE_START);
+            component.on_membership_change(TRACE_START, &[Member::Planner(PLANNER)]);
+            components.push(component);
+            members.push(Member::Forwarder(id));
+        }
+        Forwarders { components, members }
+    }
+}
+
+/// When a copy of a message arrives; the second number tells copies of one moment apart.
+type Arrival = (Time, usize);
+
+/// The network from forwarders to the planner.
+struct Network {
+    rng: ChaCha8Rng,
+    loss: f64,
+    duplication: f64,
+    in_flight: BTreeMap<Arrival, (Sender, CounterfactualMessage)>,
+}
+
+impl Network {
+    fn new(config: TraceConfig) -> Network {
+        Network {
+            rng: ChaCha8Rng::seed_from_u64(config.seed ^ NETWORK_SEED),
+            loss: config.loss,
+            duplication: config.duplication,
+            in_flight: BTreeMap::new(),
+        }
+    }
+
+    /// Sends a message, of which no copy, one or two arrive.
+    fn send(&mut self, now: Time, number: usize, from: Sender, message: CounterfactualMessage) {
+        let arrives = !self.rng.random_bool(self.loss);
+        let is_duplicated = self.rng.random_bool(self.duplication);
+        let copies = usize::from(arrives) + usize::from(is_duplicated);
+        for copy in 0..copies {
+            let delay = Span::from_millis(self.rng.random_range(0..MAX_DELAY_MS));
+            self.in_flight.insert((now + delay, number * 2 + copy), (from, message.clone()));
+        }
+    }
+
+    /// The messages that have arrived by now, in their order.
+    fn arrived(&mut self, now: Time) -> impl Iterator<Item = (Sender, CounterfactualMessage)> + use<> {
+        let later = self.in_flight.split_off(&(now, usize::MAX));
+        std::mem::replace(&mut self.in_flight, later).into_values()
+    }
+}
+
+/// An attempt that a node sees end.
+struct NodeAttempt {
+    node: usize,
+    attempt: FinishedAttempt,
+}
+
+/// All attempts of a trace, by when they end.
+fn finished_attempts(trace: &Trace) -> BTreeMap<Time, Vec<NodeAttempt>> {
+    let mut by_end: BTreeMap<Time, Vec<NodeAttempt>> = BTreeMap::new();
+    for request in &trace.requests {
+        for (at, attempt) in attempts_of(request) {
+            by_end.entry(at).or_default().push(NodeAttempt { node: request.node, attempt });
+        }
+    }
+    by_end
+}
+
+/// The attempts of a request with the times of their ends.
+fn attempts_of(request: &SimulatedRequest) -> Vec<(Time, FinishedAttempt)> {
+    let outcome = request.chosen_outcome();
+    if outcome.is_rejected {
+        let attempt = first_attempt(request, AttemptOutcome::Rejected, REJECTED_AFTER);
+        return vec![(request.at + REJECTED_AFTER, attempt)];
+    }
+    let is_cancelled = outcome.response_after > request.cancelled_after;
+    let ends_after = if is_cancelled { request.cancelled_after } else { outcome.response_after };
+    let last_outcome = if is_cancelled { AttemptOutcome::Cancelled } else { AttemptOutcome::Fulfilled };
+    if outcome.is_hit || outcome.miss_after > request.cancelled_after {
+        return vec![(request.at + ends_after, first_attempt(request, last_outcome, ends_after))];
+    }
+    let first = first_attempt(request, AttemptOutcome::CacheMiss, outcome.miss_after);
+    let at_origin = FinishedAttempt {
+        number: 1,
+        cache: ORIGIN,
+        is_origin: true,
+        outcome: last_outcome,
+        latency: Span(ends_after.0 - outcome.miss_after.0),
+        ..first.clone()
+    };
+    vec![(request.at + outcome.miss_after, first), (request.at + ends_after, at_origin)]
+}
+
+fn first_attempt(request: &SimulatedRequest, outcome: AttemptOutcome, latency: Span) -> FinishedAttempt {
+    FinishedAttempt {
+        call: request.request_hash,
+        number: 0,
+        key: request.key,
+        request_class: RequestClassId(0),
+        write: false,
+        work: Some(request.work_estimate),
+        cache: EndpointId(request.chosen_cache()),
+        is_origin: false,
+        candidates: request.candidates.map(EndpointId).to_vec(),
+        outcome,
+        latency,
+        bytes: RESPONSE_BYTES,
+        out_then: request.in_flight[request.position],
+        slo: SLO,
+    }
+}
