--- a/crates/coordination/src/counterfactual/cluster_variance.rs
+++ b/crates/coordination/src/counterfactual/cluster_variance.rs
@@ -45,7 +45,7 @@
         }
         let size = contributions.len() as f64;
         let count = clusters.len() as f64;
-        // A single cluster says nothing of others.
+        // The variance between clusters can't be estimated from a single one.
         let small_sample_factor = if count > 1.0 { count / (count - 1.0) } else { f64::INFINITY };
         for sum in clusters.values() {
             let part = weight * weight * sum * sum / (size * size) * small_sample_factor;
@@ -56,7 +56,7 @@
     }
 
     /// The variance with one cluster more like the one that adds most. Where what counts is rare and falls on few
-    /// clusters, a sample that has none of another such cluster would say that there is none.
+    /// clusters, a sample that happens to lack another such cluster would suggest that there is none.
     pub fn with_one_more_cluster(self) -> ClusterVariance {
         ClusterVariance {
             variance: self.variance + self.largest,
--- a/crates/coordination/src/counterfactual/error.rs
+++ b/crates/coordination/src/counterfactual/error.rs
@@ -35,6 +35,6 @@
 
 impl Remediation for NoSupport {
     fn remediation(&self) -> &'static str {
-        "Nothing to do: nodes send too few such requests elsewhere to tell. More requests, or a longer window, may tell."
+        "Nothing to do: nodes send too few such requests elsewhere for an estimate. More requests, or a longer window, may allow one."
     }
 }
--- a/crates/coordination/src/counterfactual/forwarder/mod.rs
+++ b/crates/coordination/src/counterfactual/forwarder/mod.rs
@@ -7,11 +7,12 @@
 //!   only when the byte budget covers it.
 //! - It holds no more requests than its settings say: the oldest is dropped when there is no capacity.
 //! - What is dropped or lost makes estimates wider, never biased: whether a request is reported depends on its hash and its
-//!   turn, not on its outcome.
+//!   age, not on its outcome.
 
 mod byte_budget;
 mod pending_misses;
 mod report_queue;
+mod selection;
 mod start_detector;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -22,15 +23,14 @@
 use self::byte_budget::ByteBudget;
 use self::pending_misses::{EndedRequest, PendingMisses};
 use self::report_queue::ReportQueue;
+use self::selection::sampled_request;
 use self::start_detector::StartDetector;
 use super::comparison::ComparisonKey;
 use super::error::CounterfactualError;
 use super::event::reported_comparison_event;
 use super::message::{Comparison, ComparisonReport, ComparisonScale, CounterfactualMessage};
-use super::sampled_request::{
-    MAX_CANDIDATES, SampledRequest, ServiceOutcome, tenths_of_millisecond, work_class,
-};
-use super::sampling::{is_sampled, sampling_rank};
+use super::sampled_request::{SampledRequest, ServiceOutcome};
+use super::sampling::is_sampled;
 use super::settings::Settings;
 use crate::component::{Component, Event};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
@@ -98,7 +98,7 @@
         }
     }
 
-    /// How many sampled requests were not reported, for want of capacity or of bytes.
+    /// How many sampled requests were not reported, because the queue was full or the byte budget too small.
     pub fn dropped_requests(&self) -> u64 {
         self.reports.dropped()
     }
@@ -212,39 +212,6 @@
     }
 }
 
-/// The report of a first attempt; none if the attempt was not the request's first selection among its key's candidates.
-fn sampled_request(attempt: &FinishedAttempt) -> Option<SampledRequest> {
-    if attempt.number != 0 || attempt.is_origin {
-        return None;
-    }
-    let candidates: Vec<u64> =
-        attempt.candidates.iter().take(MAX_CANDIDATES).map(|candidate| candidate.0).collect();
-    let position = candidates.iter().position(|candidate| *candidate == attempt.cache.0)?;
-    let outcome = match attempt.outcome {
-        AttemptOutcome::Fulfilled => ServiceOutcome::Hit,
-        AttemptOutcome::CacheMiss => ServiceOutcome::Miss,
-        AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => ServiceOutcome::Censored,
-        AttemptOutcome::Rejected
-        | AttemptOutcome::Unreachable
-        | AttemptOutcome::Errored
-        | AttemptOutcome::Reset => ServiceOutcome::Failed,
-        AttemptOutcome::NotSent => return None,
-    };
-    Some(SampledRequest {
-        request_hash: attempt.call,
-        key_hash: sampling_rank(attempt.key.0) as u32,
-        request_class: attempt.request_class.0,
-        work_class: work_class(attempt.work),
-        candidates,
-        position: position as u8,
-        outcome,
-        duration: tenths_of_millisecond(attempt.latency),
-        slo: tenths_of_millisecond(attempt.slo),
-        in_flight: u8::try_from(attempt.out_then).unwrap_or(u8::MAX),
-        age_ms: 0,
-    })
-}
-
 fn is_finite(report: &ComparisonReport) -> bool {
     report.estimate.is_finite() && report.low.is_finite() && report.high.is_finite()
 }
@@ -283,7 +250,7 @@
                 self.planners.push(*id);
             }
         }
-        // A message to a planner that has gone would wait for ever.
+        // A message to a planner that has gone would never be sent.
         self.outgoing.retain(|(to, _)| alive.contains(to));
     }
 
--- a/crates/coordination/src/counterfactual/kaplan_meier.rs
+++ b/crates/coordination/src/counterfactual/kaplan_meier.rs
@@ -12,17 +12,17 @@
 pub struct CensoredTime {
     /// How long the request was waited for, in any unit that grows with time.
     pub duration: f64,
-    /// Whether the response came then; otherwise the time is right-censored.
+    /// Whether the response arrived then; otherwise the time is right-censored.
     pub is_observed: bool,
 }
 
 impl CensoredTime {
-    /// Whether the response came within the horizon, which is a step of the curve.
+    /// Whether the response arrived within the horizon, which is a step of the curve.
     fn is_event(self, horizon: f64) -> bool {
         self.is_observed && self.duration <= horizon
     }
 
-    /// Whether it is known if the response came within the horizon.
+    /// Whether it is known if the response arrived within the horizon.
     fn is_resolved(self, horizon: f64) -> bool {
         self.is_observed || self.duration >= horizon
     }
@@ -37,7 +37,7 @@
     pub in_time: f64,
 }
 
-/// The most that may be left of the curve where it ends before the horizon, for want of any request that was waited for
+/// The most that may be left of the curve where it ends before the horizon, because no request was waited for any
 /// longer.
 const MAX_OPEN_TAIL: f64 = 0.02;
 
@@ -58,7 +58,7 @@
     Some(curve.pseudo_values(group, &order, horizon))
 }
 
-/// The group's indices by time. Of equal times the observed ones come first: a request that was cancelled at that moment
+/// The group's indices by time. Of equal times the observed ones are first: a request that was cancelled at that moment
 /// was still at risk.
 fn order_by_time(group: &[CensoredTime]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..group.len()).collect();
@@ -69,7 +69,7 @@
     order
 }
 
-/// A step of the curve, where one response came.
+/// A step of the curve, where one response arrived.
 struct CurveStep {
     time: f64,
     /// Requests that were still waited for, this one included.
--- a/crates/coordination/src/counterfactual/mod.rs
+++ b/crates/coordination/src/counterfactual/mod.rs
@@ -11,12 +11,15 @@
 //!   class, work class, candidate position, cache, and time bucket (no unmeasured confounding).
 //! - **The value of a selection policy** ([`Dataset::policy_value`]): the mean outcome had each request alone been
 //!   sent by that policy, under the same assumptions. Requests are assumed not to interfere: one request does not
-//!   move load.
+//!   move load, so the value of a policy is right for a small part of the requests, and a hint for more.
 //! - **The time ratio of a cache by randomized assignment** ([`RandomizedAssignment`]): which cache is a key's first
 //!   candidate is drawn by a hash, as in a randomized trial whose units are keys. Requests are compared by their first
 //!   candidate wherever they were sent (intention to treat), so this needs no variation in the nodes' choices and no
 //!   assumption about what steers them.
 //!
+//! Only first attempts of reads count: retries are sent because of how the first attempt went, and writes are not
+//! considered.
+//!
 //! Times of requests that were cancelled are right-censored and enter through the Kaplan-Meier curve of their group.
 //! Estimates become a [`Comparison`] of each cache with the others, controlled for the false discovery rate, with
 //! hysteresis. Comparisons inform people, through the log and through messages to forwarders; they trigger nothing.
--- a/crates/coordination/src/counterfactual/outcome_model.rs
+++ b/crates/coordination/src/counterfactual/outcome_model.rs
@@ -16,7 +16,7 @@
 const PRIOR_REQUESTS: f64 = 5.0;
 /// The hit rate toward which that of all caches is shrunk.
 const PRIOR_HIT_RATE: f64 = 0.5;
-/// Means are kept by work class, for hits and misses.
+/// Means are estimated by work class, for hits and misses.
 const MEAN_KINDS: usize = WORK_CLASSES as usize * 2;
 
 #[derive(Clone, Copy, Default)]
--- a/crates/coordination/src/counterfactual/planner/cache_starts.rs
+++ b/crates/coordination/src/counterfactual/planner/cache_starts.rs
@@ -1,4 +1,4 @@
-//! When caches started: what was observed of a cache before its start says nothing of it now.
+//! When caches started: requests that a cache served before its start tell nothing about it now.
 
 use std::collections::BTreeMap;
 
--- a/crates/coordination/src/counterfactual/planner/mod.rs
+++ b/crates/coordination/src/counterfactual/planner/mod.rs
@@ -2,13 +2,14 @@
 //!
 //! # Invariants
 //!
-//! - What is stored depends only on which reports came, not on their order or how often (`request_store`); a lost message
+//! - What is stored depends only on which reports arrived, not on their order or repetition (`request_store`); a lost message
 //!   costs support and nothing else. What is older than a candidate's start is void, and is refused by its own time.
 //! - One forwarder alone names nobody: a discovery counts only if it stands without any single forwarder and another
 //!   forwarder used the cache too.
-//! - Whoever was told that a cache is worse or better is told when nothing is known of it any more.
+//! - A comparison of worse or better that was reported is retracted when nothing is known of the cache any more.
 
 mod cache_starts;
+mod pending_reports;
 mod request_store;
 mod round;
 
@@ -17,6 +18,7 @@
 use granitelb_balancer::time::{Span, Time};
 
 use self::cache_starts::CacheStarts;
+use self::pending_reports::PendingReports;
 use self::request_store::{RequestStore, StoreLimits};
 use self::round::{Finding, Round};
 use super::comparison::{ComparisonKey, ComparisonTracker};
@@ -32,18 +34,9 @@
 use crate::component::{Component, Event};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-/// The most reports in a message: each takes about 30 bytes.
-const MAX_REPORTS_PER_MESSAGE: usize = 36;
 /// The fewest forwarders that have to have used a cache that is named.
 const MIN_CORROBORATING_FORWARDERS: usize = 2;
 
-/// A comparison on its way to forwarders.
-#[derive(Clone, Copy)]
-struct PendingReport {
-    scale: ComparisonScale,
-    report: ComparisonReport,
-}
-
 /// The planner's side of the component.
 pub struct PlannerComponent {
     settings: Settings,
@@ -55,10 +48,8 @@
     forwarders: Vec<ForwarderId>,
     last_round_at: Time,
     policies_valued_at: Time,
-    reports_repeated_at: Time,
     outgoing: VecDeque<(Member, CounterfactualMessage)>,
-    /// Changes of comparisons that are sent with the next round.
-    changes: Vec<PendingReport>,
+    reports: PendingReports,
     events: VecDeque<Event>,
 }
 
@@ -83,14 +74,13 @@
             forwarders: Vec::new(),
             last_round_at: now,
             policies_valued_at: now,
-            reports_repeated_at: now,
             outgoing: VecDeque::new(),
-            changes: Vec::new(),
+            reports: PendingReports::new(now),
             events: VecDeque::new(),
         }
     }
 
-    /// Keys have other candidates from now on: what was observed by the old shard map says nothing of the new one.
+    /// Keys have other candidates from now on: requests of the old shard map tell nothing about the new one.
     pub fn on_shard_map_change(&mut self, now: Time) {
         self.valid_since = now;
         self.requests.clear();
@@ -169,9 +159,7 @@
     /// Logs a change of a comparison, and sends it with the next round.
     fn publish(&mut self, scale: ComparisonScale, report: ComparisonReport) {
         self.log(comparison_event(&report, scale));
-        if self.changes.len() < self.settings.max_comparisons {
-            self.changes.push(PendingReport { scale, report });
-        }
+        self.reports.push(scale, report, self.settings.max_comparisons);
     }
 
     fn log(&mut self, event: Event) {
@@ -241,19 +229,14 @@
 
     /// Makes the messages of a round. Messages of the last one that were not sent by now are replaced.
     fn send_reports(&mut self, now: Time) {
-        let mut pending = std::mem::take(&mut self.changes);
-        if now - self.reports_repeated_at >= self.settings.report_repeat_interval {
-            // A message may have been lost, and forwarders may be new.
-            self.reports_repeated_at = now;
+        if self.reports.is_repetition_due(now, self.settings.report_repeat_interval) {
             for (key, tracker) in &self.comparisons {
                 if tracker.comparison().is_difference() {
-                    pending.push(PendingReport { scale: key.scale, report: tracker.report(*key) });
+                    self.reports.repeat(key.scale, tracker.report(*key));
                 }
             }
         }
-        let mut messages = messages_of(&pending, ComparisonScale::WaitedShare);
-        messages.extend(messages_of(&pending, ComparisonScale::TimeRatio));
-        messages.truncate(self.settings.max_messages);
+        let messages = self.reports.take_messages(self.settings.max_messages);
         self.outgoing.clear();
         for message in messages {
             for forwarder in &self.forwarders {
@@ -272,17 +255,6 @@
     }
 }
 
-/// The reports on one scale, as messages.
-fn messages_of(pending: &[PendingReport], scale: ComparisonScale) -> Vec<CounterfactualMessage> {
-    let reports: Vec<ComparisonReport> =
-        pending.iter().filter(|pending| pending.scale == scale).map(|pending| pending.report).collect();
-    let message = match scale {
-        ComparisonScale::WaitedShare => CounterfactualMessage::WaitedShareReports,
-        ComparisonScale::TimeRatio => CounterfactualMessage::TimeRatioReports,
-    };
-    reports.chunks(MAX_REPORTS_PER_MESSAGE).map(|chunk| message(chunk.to_vec())).collect()
-}
-
 impl Component for PlannerComponent {
     type Message = CounterfactualMessage;
     type Error = CounterfactualError;
@@ -350,7 +322,7 @@
             + self.starts.len()
             + self.comparisons.len()
             + self.outgoing.len()
-            + self.changes.len()
+            + self.reports.len()
             + self.events.len()
     }
 }
--- a/crates/coordination/src/counterfactual/planner/request_store.rs
+++ b/crates/coordination/src/counterfactual/planner/request_store.rs
@@ -1,7 +1,7 @@
 //! The requests that forwarders reported within the window, within bounds.
 //!
-//! Invariant: what is stored depends only on which reports came, not on their order or how often. A forwarder's report of a
-//! request is stored once, with the earlier of its times; and of too many those of the lowest ranks stay, whenever they came.
+//! Invariant: what is stored depends only on which reports arrived, not on their order or repetition. A forwarder's report of a
+//! request is stored once, with the earlier of its times; and of too many those of the lowest ranks stay, whenever they arrived.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -95,7 +95,7 @@
         }
         of_forwarder.insert(key, StoredRequest { request, ended_at });
         self.count += 1;
-        // A forwarder that floods, or lies, has a bounded part in the whole.
+        // A forwarder that floods, or lies, has a bounded part of the store.
         if of_forwarder.len() > self.limits.requests_per_forwarder {
             of_forwarder.pop_last();
             self.count -= 1;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Keeps only the requests for which the predicate holds.
+    /// Retains only the requests for which the predicate holds.
     pub fn retain(&mut self, predicate: impl Fn(&StoredRequest) -> bool) {
         self.retain_keyed(|_, stored| predicate(stored));
     }
--- a/crates/coordination/src/counterfactual/sampled_request.rs
+++ b/crates/coordination/src/counterfactual/sampled_request.rs
@@ -16,19 +16,19 @@
 /// The unit of times in reports, in microseconds.
 const TENTH_OF_MILLISECOND_MICROS: u64 = 100;
 
-/// What came of the selected cache.
+/// The result of sending the request to the selected cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceOutcome {
     /// The cache had the value.
     Hit,
-    /// The cache did not have the value and the response came from elsewhere, mostly the origin; the duration is that of
-    /// the whole request.
+    /// The cache did not have the value and the response was served from elsewhere, mostly the origin; the duration is
+    /// that of the complete request.
     Miss,
     /// The request was cancelled, timed out or lost track of while it was in flight: the duration is right-censored, as the
-    /// response would have come later, if ever.
+    /// response would have arrived later, if ever.
     Censored,
     /// The request was rejected, or the cache was unreachable, answered with an error or reset the connection: no response
-    /// would have come.
+    /// would have arrived.
     Failed,
 }
 
@@ -48,7 +48,7 @@
     pub candidates: Vec<u64>,
     /// The position in `candidates` of the cache to which the request was sent first.
     pub position: u8,
-    /// What came of it.
+    /// The result.
     pub outcome: ServiceOutcome,
     /// The time until the last byte of the response, or until waiting ended, in tenths of a millisecond.
     pub duration: u32,
--- a/crates/coordination/src/counterfactual/sampling.rs
+++ b/crates/coordination/src/counterfactual/sampling.rs
@@ -1,4 +1,4 @@
-//! Which requests are reported, and which reports a planner keeps: both are decided by hashes.
+//! Which requests are reported, and which reports a planner stores: both are decided by hashes.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/coordination/src/counterfactual/weighted_mean.rs
+++ b/crates/coordination/src/counterfactual/weighted_mean.rs
@@ -8,7 +8,7 @@
 
 /// The fewest keys that have to bear the variance: of fewer their spread is a guess, and the interval with it.
 pub(super) const MIN_EFFECTIVE_KEYS: f64 = 4.0;
-/// With fewer forwarders it can't be told how they differ.
+/// With fewer forwarders their variance can't be estimated.
 const MIN_FORWARDERS: usize = 8;
 /// A mean of this many standard errors by forwarders is one that they have in common; what only one of them saw makes one.
 const MIN_FORWARDER_DEVIATION: f64 = 2.0;
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Whether the mean is one that forwarders have in common, as far as there are enough of them to tell.
+    /// Whether the mean is one that forwarders have in common, as far as there are enough of them to estimate that.
     fn is_common_to_forwarders(&self, forwarder_count: usize) -> bool {
         let deviation = self.by_forwarder.variance.sqrt();
         forwarder_count < MIN_FORWARDERS || self.mean.abs() >= MIN_FORWARDER_DEVIATION * deviation
@@ -97,7 +97,7 @@
     /// The estimate with its interval.
     ///
     /// # Errors
-    /// Where the variance can't be told or rests on fewer than `min_effective_keys` keys.
+    /// Where the variance can't be estimated or rests on fewer than `min_effective_keys` keys.
     pub fn into_estimate(
         self,
         strata: Vec<Stratum>,
--- a/crates/fleet-simulator/src/counterfactual.rs
+++ b/crates/fleet-simulator/src/counterfactual.rs
@@ -2,8 +2,10 @@
 //! [`granitelb_coordination::counterfactual`] are checked.
 //!
 //! Of each request it is drawn how it fares at each of its candidates (its potential outcomes), with the same random
-//! numbers for all of them, and a selection rule of the nodes picks one. The estimators are told of that one alone; the
-//! others judge what they say. One request does not move load here, as the estimators have to assume.
+//! numbers for all of them, and a selection rule of the nodes picks one. The estimators learn of that one alone; the
+//! others give the truth. One request does not move load here, as the estimators have to assume.
+
+#![warn(missing_docs)]
 
 mod config;
 mod generator;
--- a/crates/fleet-simulator/src/counterfactual/config.rs
+++ b/crates/fleet-simulator/src/counterfactual/config.rs
@@ -1,6 +1,6 @@
 //! What a trace is like.
 
-/// How caches, keys and clients differ in a trace. The names are words of the example's command line.
+/// How caches, keys and clients differ in a trace. The example's command line takes these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
     /// All caches are alike.
--- a/crates/fleet-simulator/src/counterfactual/generator.rs
+++ b/crates/fleet-simulator/src/counterfactual/generator.rs
@@ -161,12 +161,12 @@
         let work_class = self.draw_work_class(rng, key);
         let work_estimate = WORK_ESTIMATES[usize::from(work_class)];
         let shared = self.draw_shared(rng, at_seconds, request_hash, key, work_estimate);
-        let drawn: [CandidateDraws; MAX_CANDIDATES] = std::array::from_fn(|position| {
+        let draws: [CandidateDraws; MAX_CANDIDATES] = std::array::from_fn(|position| {
             let cache = candidates[position];
             draw_candidate(rng, &shared, cache, position, profile(cache, position))
         });
-        let in_flight = std::array::from_fn(|position| drawn[position].in_flight);
-        let outcomes = std::array::from_fn(|position| drawn[position].outcome);
+        let in_flight = std::array::from_fn(|position| draws[position].in_flight);
+        let outcomes = std::array::from_fn(|position| draws[position].outcome);
         let speeds = std::array::from_fn(|position| profile(candidates[position], position).speed);
         let position = self.draw_position(rng, node, work_class, &in_flight, &speeds);
         let cancelled_after = self.draw_cancellation(rng, work_class);
--- a/crates/fleet-simulator/src/counterfactual/replay.rs
+++ b/crates/fleet-simulator/src/counterfactual/replay.rs
@@ -31,8 +31,10 @@
 /// When a rejected request gets its answer.
 const REJECTED_AFTER: Span = Span(500);
 const RESPONSE_BYTES: u32 = 1000;
+/// The most copies of a message that arrive.
+const MAX_COPIES: usize = 2;
 
-/// What came of a replay.
+/// The result of a replay.
 pub struct Replay {
     /// The planner's component at the end.
     pub planner: PlannerComponent,
@@ -67,14 +69,14 @@
     while now < end {
         now = now + STEP;
         let later = attempts.split_off(&now);
-        for (at, finished) in std::mem::replace(&mut attempts, later) {
-            for NodeAttempt { node, attempt } in finished {
+        for finished in std::mem::replace(&mut attempts, later).into_values() {
+            for NodeAttempt { node, ended_at, attempt } in finished {
                 let observation = Observation::AttemptFinished(Box::new(attempt));
-                forwarders.components[node].on_observation(at, &observation);
+                forwarders.components[node].on_observation(ended_at, &observation);
             }
         }
         replay.send_reports(now, &mut forwarders, &mut network);
-        for (from, message) in network.arrived(now) {
+        for Delivery { from, message } in network.arrived(now) {
             replay.planner.on_message(now, from, message).expect("a valid message");
         }
         replay.deliver_comparisons(now, &mut forwarders);
@@ -132,15 +134,25 @@
     }
 }
 
-/// When a copy of a message arrives; the second number tells copies of one moment apart.
-type Arrival = (Time, usize);
+/// When a copy of a message arrives. Copies of one moment are ordered by their numbers.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at: Time,
+    copy: usize,
+}
+
+/// A message on its way.
+struct Delivery {
+    from: Sender,
+    message: CounterfactualMessage,
+}
 
 /// The network from forwarders to the planner.
 struct Network {
     rng: ChaCha8Rng,
     loss: f64,
     duplication: f64,
-    in_flight: BTreeMap<Arrival, (Sender, CounterfactualMessage)>,
+    in_flight: BTreeMap<Arrival, Delivery>,
 }
 
 impl Network {
@@ -160,13 +172,14 @@
         let copies = usize::from(arrives) + usize::from(is_duplicated);
         for copy in 0..copies {
             let delay = Span::from_millis(self.rng.random_range(0..MAX_DELAY_MS));
-            self.in_flight.insert((now + delay, number * 2 + copy), (from, message.clone()));
+            let arrival = Arrival { at: now + delay, copy: number * MAX_COPIES + copy };
+            self.in_flight.insert(arrival, Delivery { from, message: message.clone() });
         }
     }
 
     /// The messages that have arrived by now, in their order.
-    fn arrived(&mut self, now: Time) -> impl Iterator<Item = (Sender, CounterfactualMessage)> + use<> {
-        let later = self.in_flight.split_off(&(now, usize::MAX));
+    fn arrived(&mut self, now: Time) -> impl Iterator<Item = Delivery> + use<> {
+        let later = self.in_flight.split_off(&Arrival { at: now, copy: usize::MAX });
         std::mem::replace(&mut self.in_flight, later).into_values()
     }
 }
@@ -174,6 +187,7 @@
 /// An attempt that a node sees end.
 struct NodeAttempt {
     node: usize,
+    ended_at: Time,
     attempt: FinishedAttempt,
 }
 
@@ -181,25 +195,27 @@
 fn finished_attempts(trace: &Trace) -> BTreeMap<Time, Vec<NodeAttempt>> {
     let mut by_end: BTreeMap<Time, Vec<NodeAttempt>> = BTreeMap::new();
     for request in &trace.requests {
-        for (at, attempt) in attempts_of(request) {
-            by_end.entry(at).or_default().push(NodeAttempt { node: request.node, attempt });
+        for finished in attempts_of(request) {
+            by_end.entry(finished.ended_at).or_default().push(finished);
         }
     }
     by_end
 }
 
-/// The attempts of a request with the times of their ends.
-fn attempts_of(request: &SimulatedRequest) -> Vec<(Time, FinishedAttempt)> {
+/// The attempts of a request, in their order.
+fn attempts_of(request: &SimulatedRequest) -> Vec<NodeAttempt> {
+    let ends =
+        |after: Span, attempt| NodeAttempt { node: request.node, ended_at: request.at + after, attempt };
     let outcome = request.chosen_outcome();
     if outcome.is_rejected {
         let attempt = first_attempt(request, AttemptOutcome::Rejected, REJECTED_AFTER);
-        return vec![(request.at + REJECTED_AFTER, attempt)];
+        return vec![ends(REJECTED_AFTER, attempt)];
     }
     let is_cancelled = outcome.response_after > request.cancelled_after;
     let ends_after = if is_cancelled { request.cancelled_after } else { outcome.response_after };
     let last_outcome = if is_cancelled { AttemptOutcome::Cancelled } else { AttemptOutcome::Fulfilled };
     if outcome.is_hit || outcome.miss_after > request.cancelled_after {
-        return vec![(request.at + ends_after, first_attempt(request, last_outcome, ends_after))];
+        return vec![ends(ends_after, first_attempt(request, last_outcome, ends_after))];
     }
     let first = first_attempt(request, AttemptOutcome::CacheMiss, outcome.miss_after);
     let at_origin = FinishedAttempt {
@@ -210,7 +226,7 @@
         latency: Span(ends_after.0 - outcome.miss_after.0),
         ..first.clone()
     };
-    vec![(request.at + outcome.miss_after, first), (request.at + ends_after, at_origin)]
+    vec![ends(outcome.miss_after, first), ends(ends_after, at_origin)]
 }
 
 fn first_attempt(request: &SimulatedRequest, outcome: AttemptOutcome, latency: Span) -> FinishedAttempt {
--- a/crates/fleet-simulator/src/counterfactual/trace.rs
+++ b/crates/fleet-simulator/src/counterfactual/trace.rs
@@ -21,9 +21,9 @@
     pub is_rejected: bool,
     /// Whether the cache has the value.
     pub is_hit: bool,
-    /// How long after it is sent the cache says that it doesn't have the value.
+    /// How long after it is sent the cache answers that it doesn't have the value.
     pub miss_after: Span,
-    /// How long after it is sent the last byte has come.
+    /// How long after it is sent the last byte has arrived.
     pub response_after: Span,
 }
 
@@ -52,7 +52,7 @@
     pub position: usize,
     /// How it would have fared, with the same random numbers, were its first candidate like most caches.
     pub ordinary_outcome: PotentialOutcome,
-    /// How long after it is sent it is cancelled, if no response has come.
+    /// How long after it is sent it is cancelled, if no response has arrived.
     pub cancelled_after: Span,
 }
 
