--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -119,7 +119,7 @@
     }
 
     fn on_observation(&mut self, now: Time, observation: &Observation) {
-        self.seen(now, observation);
+        counterfactual::ForwarderComponent::on_observation(self, now, observation);
     }
 }
 
--- a/crates/control-plane/src/fleet_config/sections.rs
+++ b/crates/control-plane/src/fleet_config/sections.rs
@@ -145,6 +145,6 @@
 impl Default for CounterfactualSection {
     fn default() -> CounterfactualSection {
         let defaults = counterfactual::Settings::default();
-        CounterfactualSection { evaluation_interval_ms: defaults.judges_every.0 / 1000 }
+        CounterfactualSection { evaluation_interval_ms: defaults.comparison_interval.0 / 1000 }
     }
 }
--- a/crates/control-plane/src/fleet_config/settings.rs
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -80,8 +80,8 @@
     /// The settings of the counterfactual comparison; `None` if it is disabled.
     pub fn counterfactual_settings(&self) -> Option<counterfactual::Settings> {
         let section = self.counterfactual.as_ref()?;
-        let judges_every = Span::from_millis(section.evaluation_interval_ms);
-        Some(counterfactual::Settings { judges_every, ..counterfactual::Settings::default() })
+        let comparison_interval = Span::from_millis(section.evaluation_interval_ms);
+        Some(counterfactual::Settings { comparison_interval, ..counterfactual::Settings::default() })
     }
 }
 
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -192,7 +192,7 @@
             return;
         }
         if known_version.swap(version.0, Ordering::Relaxed) != version.0 {
-            component.new_table(now);
+            component.on_shard_map_change(now);
         }
     })
 }
--- a/crates/control-plane/src/planner/components/tests.rs
+++ b/crates/control-plane/src/planner/components/tests.rs
@@ -1,7 +1,7 @@
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
 use granitelb_coordination::counterfactual::{
-    CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
+    CounterfactualMessage, PlannerComponent, SampledRequest, ServiceOutcome, Settings, is_sampled,
 };
 use granitelb_coordination::shard_growth::form::FormVersion;
 use granitelb_coordination::{Incarnation, PlannerId, Sender};
@@ -12,17 +12,17 @@
 
 fn sampled_request(call: u64) -> SampledRequest {
     SampledRequest {
-        call,
-        key: 1,
+        request_hash: call,
+        key_hash: 1,
         request_class: 0,
-        class: 0,
+        work_class: 0,
         candidates: vec![1, 2, 3],
-        place: 0,
-        how: How::Hit,
-        took: 100,
+        position: 0,
+        outcome: ServiceOutcome::Hit,
+        duration: 100,
         slo: 500,
-        out: 0,
-        ago: 0,
+        in_flight: 0,
+        age_ms: 0,
     }
 }
 
@@ -37,10 +37,10 @@
         let now = start + Span::from_millis(seconds * 1000);
         let call = (first_call..).find(|call| is_sampled(*call)).expect("one of two is sampled");
         let from = Sender { member: FORWARDER, incarnation: Incarnation(1), sequence: call };
-        let message = CounterfactualMessage::Seen(vec![sampled_request(call)]);
+        let message = CounterfactualMessage::Requests(vec![sampled_request(call)]);
         planner.on_message(now, from, message).expect("the message is valid");
         exchange_status(planner, now, &fleet_config, &status);
-        planner.support()
+        planner.request_count()
     };
     assert_eq!(samples_after(&mut planner, 100, 1), 1, "shard growth has published nothing");
     status.publish_shard_map_version(FormVersion(0));
--- a/crates/control-plane/tests/counterfactual.rs
+++ b/crates/control-plane/tests/counterfactual.rs
@@ -109,7 +109,7 @@
             for n in 0..self.forwarders.len() {
                 self.requests += 1;
                 let observation = Observation::AttemptFinished(Box::new(attempt(self.requests, n)));
-                self.forwarders[n].component.seen(self.clock.now(), &observation);
+                self.forwarders[n].component.on_observation(self.clock.now(), &observation);
                 self.send_messages(n);
             }
             thread::sleep(REQUEST_INTERVAL);
@@ -140,7 +140,7 @@
         };
         for forwarder in &mut self.forwarders {
             let observation = Observation::EndpointsChanged(vec![endpoint]);
-            forwarder.component.seen(self.clock.now(), &observation);
+            forwarder.component.on_observation(self.clock.now(), &observation);
         }
     }
 }
--- a/crates/control-plane/tests/remediation.rs
+++ b/crates/control-plane/tests/remediation.rs
@@ -92,8 +92,8 @@
         all!(SnapshotError:
             SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Torn => SnapshotError::Torn),
         all!(Judged:
-            Judged::Figure => Judged::Figure, Judged::NotSampled => Judged::NotSampled,
-            Judged::WrongSide => Judged::WrongSide),
+            Judged::InvalidValue => Judged::InvalidValue, Judged::NotSampled => Judged::NotSampled,
+            Judged::WrongRole => Judged::WrongRole),
     ]
     .into_iter()
     .flatten()
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -280,7 +280,14 @@
     let mut counterfactual =
         counterfactual::PlannerComponent::new(counterfactual::Settings::default(), PLANNER, INCARNATION, NOW);
     counterfactual
-        .on_message(NOW, forwarder(), counterfactual::CounterfactualMessage::Started(vec![(1, 2)]))
+        .on_message(
+            NOW,
+            forwarder(),
+            counterfactual::CounterfactualMessage::CacheStarts(vec![counterfactual::CacheStart {
+                cache: 1,
+                age_ms: 2,
+            }]),
+        )
         .expect("it is accepted");
     assert_eq!(counterfactual.poll_snapshot(), None);
 }
--- a/crates/coordination/examples/counterfactual_cost.rs
+++ b/crates/coordination/examples/counterfactual_cost.rs
@@ -65,7 +65,7 @@
             let requests: Vec<_> = (n..n + REQUESTS_PER_BATCH).filter_map(sampled_request).collect();
             n += REQUESTS_PER_BATCH;
             let member = Member::Forwarder(ForwarderId(forwarder));
-            let from = Sender { member, incarnation: Incarnation(1), number: batch };
+            let from = Sender { member, incarnation: Incarnation(1), sequence: batch };
             let message = CounterfactualMessage::Requests(requests);
             cost.bytes += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len());
             let began = Instant::now();
--- a/crates/coordination/src/counterfactual/forwarder/mod.rs
+++ b/crates/coordination/src/counterfactual/forwarder/mod.rs
@@ -109,12 +109,12 @@
     }
 
     fn on_attempt_finished(&mut self, now: Time, attempt: &FinishedAttempt) {
-        if attempt.write || attempt.outcome == AttemptOutcome::NotSent || !is_sampled(attempt.call) {
+        if attempt.write || attempt.outcome == AttemptOutcome::NotSent || !is_sampled(attempt.request_hash) {
             return;
         }
-        if self.pending_misses.record_attempt(now, attempt.call) {
+        if self.pending_misses.record_attempt(now, attempt.request_hash) {
             if attempt.outcome == AttemptOutcome::Fulfilled {
-                let ended = self.pending_misses.finish(attempt.call, ServiceOutcome::Miss);
+                let ended = self.pending_misses.finish(attempt.request_hash, ServiceOutcome::Miss);
                 self.report(ended);
             }
             return;
--- a/crates/coordination/src/counterfactual/forwarder/selection.rs
+++ b/crates/coordination/src/counterfactual/forwarder/selection.rs
@@ -27,7 +27,7 @@
         AttemptOutcome::NotSent => return None,
     };
     Some(SampledRequest {
-        request_hash: attempt.call,
+        request_hash: attempt.request_hash,
         key_hash: sampling_rank(attempt.key.0) as u32,
         request_class: attempt.request_class.0,
         work_class: work_class(attempt.work),
@@ -36,7 +36,7 @@
         outcome,
         duration: tenths_of_millisecond(attempt.latency),
         slo: tenths_of_millisecond(attempt.slo),
-        in_flight: u8::try_from(attempt.out_then).unwrap_or(u8::MAX),
+        in_flight: u8::try_from(attempt.in_flight_at_send).unwrap_or(u8::MAX),
         age_ms: 0,
     })
 }
--- a/crates/coordination/tests/counterfactual.rs
+++ b/crates/coordination/tests/counterfactual.rs
@@ -22,7 +22,7 @@
 }
 
 fn from(forwarder: u64) -> Sender {
-    Sender { member: Member::Forwarder(ForwarderId(forwarder)), incarnation: Incarnation(1), number: 1 }
+    Sender { member: Member::Forwarder(ForwarderId(forwarder)), incarnation: Incarnation(1), sequence: 1 }
 }
 
 /// The hash of the `n`th request that is sampled.
@@ -170,7 +170,7 @@
 
 fn finished_attempt(n: u64, number: u8, outcome: AttemptOutcome, cache: u64) -> FinishedAttempt {
     FinishedAttempt {
-        call: sampled_hash(n % 1_000_000_000),
+        request_hash: sampled_hash(n % 1_000_000_000),
         number,
         key: Key(n),
         request_class: RequestClassId(0),
@@ -182,7 +182,7 @@
         outcome,
         latency: Span::from_millis(5),
         bytes: 0,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(50),
     }
 }
@@ -219,8 +219,10 @@
     // Retries are chosen for what became of the first attempt; writes and unsampled requests are not reported.
     let retry = finished_attempt(2, 1, AttemptOutcome::Fulfilled, 2);
     let write = FinishedAttempt { write: true, ..finished_attempt(3, 0, AttemptOutcome::Fulfilled, 0) };
-    let unsampled =
-        FinishedAttempt { call: unsampled_hash(), ..finished_attempt(4, 0, AttemptOutcome::Fulfilled, 0) };
+    let unsampled = FinishedAttempt {
+        request_hash: unsampled_hash(),
+        ..finished_attempt(4, 0, AttemptOutcome::Fulfilled, 0)
+    };
     assert_eq!(reports_of(&[(10, retry), (11, write), (12, unsampled)]), []);
 }
 
--- a/crates/coordination/tests/counterfactual_randomized_assignment.rs
+++ b/crates/coordination/tests/counterfactual_randomized_assignment.rs
@@ -58,7 +58,7 @@
             let from = Sender {
                 member: Member::Forwarder(ForwarderId(forwarder)),
                 incarnation: Incarnation(1),
-                number: 1,
+                sequence: 1,
             };
             planner.on_message(now, from, CounterfactualMessage::Requests(vec![request])).expect("valid");
         }
--- a/crates/fleet-simulator/src/counterfactual/replay.rs
+++ b/crates/fleet-simulator/src/counterfactual/replay.rs
@@ -97,7 +97,7 @@
                 self.bytes += size;
                 self.largest_message = self.largest_message.max(size);
                 let member = forwarders.members[node];
-                let from = Sender { member, incarnation: INCARNATION, number: self.messages as u64 };
+                let from = Sender { member, incarnation: INCARNATION, sequence: self.messages as u64 };
                 network.send(now, self.messages, from, message);
             }
         }
@@ -105,7 +105,7 @@
 
     /// Delivers the planner's messages to the first forwarder, whose log is looked at.
     fn deliver_comparisons(&mut self, now: Time, forwarders: &mut Forwarders) {
-        let from = Sender { member: Member::Planner(PLANNER), incarnation: INCARNATION, number: 1 };
+        let from = Sender { member: Member::Planner(PLANNER), incarnation: INCARNATION, sequence: 1 };
         while let Some((to, message)) = self.planner.poll_message(now) {
             if to == forwarders.members[0] {
                 forwarders.components[0].on_message(now, from, message).expect("a valid message");
@@ -231,7 +231,7 @@
 
 fn first_attempt(request: &SimulatedRequest, outcome: AttemptOutcome, latency: Span) -> FinishedAttempt {
     FinishedAttempt {
-        call: request.request_hash,
+        request_hash: request.request_hash,
         number: 0,
         key: request.key,
         request_class: RequestClassId(0),
@@ -243,7 +243,7 @@
         outcome,
         latency,
         bytes: RESPONSE_BYTES,
-        out_then: request.in_flight[request.position],
+        in_flight_at_send: request.in_flight[request.position],
         slo: SLO,
     }
 }
