--- a/crates/control-plane/src/agent/sides.rs
+++ b/crates/control-plane/src/agent/sides.rs
@@ -35,10 +35,10 @@
 
 /// Makes a faculty's side one of these, by its kind of letters; what it says to the module is given on top.
 macro_rules! side {
-    ($faculty:ident, $kind:ident $(, $more:item)*) => {
+    ($faculty:ident, $kind:ident, $observe:ident $(, $more:item)*) => {
         impl Side for $faculty::ForwarderComponent {
             fn seen(&mut self, now: Time, sight: &Observation) {
-                $faculty::ForwarderComponent::seen(self, now, sight);
+                $faculty::ForwarderComponent::$observe(self, now, sight);
             }
 
             fn on_message(&mut self, now: Time, from: Sender, letter: Message) -> Result<(), Refused> {
@@ -66,6 +66,7 @@
 side!(
     endpoint_health,
     EndpointHealth,
+    on_observation,
     fn advise(&mut self, now: Time, advice: &mut ControlPlaneUpdate) {
         let said = self.control_plane_update(now);
         (advice.failing, advice.answering) = (said.failing, said.answering);
@@ -74,6 +75,7 @@
 side!(
     leases,
     Leases,
+    seen,
     fn advise(&mut self, now: Time, advice: &mut ControlPlaneUpdate) {
         advice.leases = self.advice(now);
     },
@@ -84,11 +86,12 @@
 side!(
     shard_growth,
     ShardGrowth,
+    seen,
     fn advise(&mut self, _now: Time, advice: &mut ControlPlaneUpdate) {
         advice.table = self.advice();
     }
 );
-side!(counterfactual, Counterfactual);
+side!(counterfactual, Counterfactual, seen);
 
 type Faculties = BTreeMap<ComponentKind, Box<dyn Side>>;
 
--- a/crates/coordination/src/endpoint_health/components.rs
+++ b/crates/coordination/src/endpoint_health/components.rs
@@ -112,7 +112,7 @@
     }
 
     /// Handles an observation of the forwarder's event loop.
-    pub fn seen(&mut self, _: Time, observation: &Observation) {
+    pub fn on_observation(&mut self, _: Time, observation: &Observation) {
         match observation {
             Observation::AttemptSent { cache, is_origin: false, .. } => {
                 self.reporter.on_attempt_sent(*cache);
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -24,6 +24,7 @@
 
 mod error;
 mod heartbeat_schedule;
+mod own_incarnation;
 mod peer;
 mod replay_window;
 mod tracker;
--- /dev/null
+++ b/crates/coordination/src/membership/own_incarnation.rs
@@ -0,0 +1,100 @@
+//! The incarnation of this member itself, and the reasons for which it becomes invalid.
+
+use std::collections::BTreeMap;
+
+use granitelb_balancer::time::Time;
+
+use crate::component::FAILURE_TIMEOUT;
+use crate::member::{Incarnation, Member};
+
+/// With fewer other planners alive, no planner can be declared failed: of two planners that were cut off from each
+/// other neither had failed.
+const MIN_PLANNERS_FOR_MAJORITY: usize = 2;
+
+/// This member's incarnation. Once it is invalid it stays so until the member continues under a greater one.
+pub struct OwnIncarnation {
+    current: Incarnation,
+    needs_renewal: bool,
+    /// The greatest incarnation under this member's identity of which it was notified.
+    superseded_by: Incarnation,
+    /// When this member last gave way to a greater incarnation.
+    superseded_at: Option<Time>,
+    /// Planners that have declared this member failed, and when.
+    declared_failed_by: BTreeMap<Member, Time>,
+}
+
+impl OwnIncarnation {
+    /// A valid incarnation.
+    pub fn new(current: Incarnation) -> OwnIncarnation {
+        OwnIncarnation {
+            current,
+            needs_renewal: false,
+            superseded_by: Incarnation(0),
+            superseded_at: None,
+            declared_failed_by: BTreeMap::new(),
+        }
+    }
+
+    /// The current incarnation.
+    pub fn current(&self) -> Incarnation {
+        self.current
+    }
+
+    /// Whether the member may go on only under a greater incarnation.
+    pub fn needs_renewal(&self) -> bool {
+        self.needs_renewal
+    }
+
+    /// Makes the current incarnation invalid.
+    pub fn invalidate(&mut self) {
+        self.needs_renewal = true;
+    }
+
+    /// The lowest incarnation that may follow the current one.
+    pub fn min_next(&self) -> Incarnation {
+        Incarnation(self.current.0.max(self.superseded_by.0).saturating_add(1))
+    }
+
+    /// Continues under a new incarnation.
+    pub fn renew(&mut self, incarnation: Incarnation) {
+        self.current = self.current.max(incarnation);
+        self.needs_renewal = false;
+        self.declared_failed_by.clear();
+    }
+
+    /// Whether a notice about this incarnation applies: it is the current one and still valid.
+    pub fn is_valid(&self, incarnation: Incarnation) -> bool {
+        incarnation == self.current && !self.needs_renewal
+    }
+
+    /// Handles the notice that an incarnation of this member is superseded, and returns whether the current one gives
+    /// way. It does so at most once within a failure timeout.
+    pub fn on_superseded(&mut self, now: Time, incarnation: Incarnation, by: Incarnation) -> bool {
+        let gave_way_recently = self.superseded_at.is_some_and(|at| now - at < FAILURE_TIMEOUT);
+        if !self.is_valid(incarnation) || by <= incarnation || gave_way_recently {
+            return false;
+        }
+        self.superseded_by = by;
+        self.superseded_at = Some(now);
+        self.needs_renewal = true;
+        true
+    }
+
+    /// Records that a planner has declared this member failed, and returns whether more than half of the other planners
+    /// that are alive have done so recently.
+    pub fn is_declared_failed_by_majority(&mut self, now: Time, by: Member, live_planners: usize) -> bool {
+        self.declared_failed_by.insert(by, now);
+        self.declared_failed_by.retain(|_, at| now - *at < FAILURE_TIMEOUT);
+        live_planners >= MIN_PLANNERS_FOR_MAJORITY && self.declared_failed_by.len() * 2 > live_planners
+    }
+
+    /// Forgets what a member has declared.
+    pub fn forget(&mut self, member: Member) {
+        self.declared_failed_by.remove(&member);
+    }
+
+    /// The number of entries in memory.
+    pub fn entries(&self) -> usize {
+        self.declared_failed_by.len()
+    }
+}
--- a/crates/coordination/src/membership/tracker.rs
+++ b/crates/coordination/src/membership/tracker.rs
@@ -6,6 +6,7 @@
 
 use super::error::MembershipError;
 use super::heartbeat_schedule::HeartbeatSchedule;
+use super::own_incarnation::OwnIncarnation;
 use super::peer::PeerState;
 use super::{MAX_FORWARDERS, MAX_PLANNERS, MembershipMessage};
 use crate::component::{Component, Event, FAILURE_TIMEOUT, HEARTBEAT_INTERVAL};
@@ -18,9 +19,6 @@
 /// How long a heartbeat is delayed after another message, in heartbeat intervals. It is longer than one interval: a
 /// member that answers reports which come once an interval would otherwise send a heartbeat just before each answer.
 const DELAY_AFTER_MESSAGE: f64 = 1.25;
-/// With fewer other planners alive, no planner can be declared failed: of two planners that were cut off from each
-/// other neither had failed.
-const MIN_PLANNERS_FOR_MAJORITY: usize = 2;
 /// Multiplier of the hash that spreads first heartbeats (2^64 divided by the golden ratio).
 const SPREAD_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Events beyond this number are dropped if nobody polls them.
@@ -39,20 +37,13 @@
 /// Tracks which members are alive, and under which incarnation this member itself may go on.
 pub struct Membership {
     me: Member,
-    incarnation: Incarnation,
+    incarnation: OwnIncarnation,
     /// The configured planners other than this member.
     planners: BTreeSet<PlannerId>,
     peers: BTreeMap<Member, PeerState>,
     heartbeats: HeartbeatSchedule,
     /// Members that are still to be notified that they were considered failed.
     failure_notices: BTreeMap<Member, Incarnation>,
-    /// Planners that have declared this member failed, and when.
-    declared_failed_by: BTreeMap<Member, Time>,
-    /// The greatest incarnation under this member's identity of which it was notified.
-    superseded_by: Incarnation,
-    /// When this member last gave way to a greater incarnation.
-    superseded_at: Option<Time>,
-    needs_new_incarnation: bool,
     /// The time of the host's last call.
     last_call: Time,
     /// The set of live members as the host knows it.
@@ -77,15 +68,11 @@
     pub fn new(me: Member, incarnation: Incarnation, now: Time) -> Membership {
         Membership {
             me,
-            incarnation,
+            incarnation: OwnIncarnation::new(incarnation),
             planners: BTreeSet::new(),
             peers: BTreeMap::new(),
             heartbeats: HeartbeatSchedule::default(),
             failure_notices: BTreeMap::new(),
-            declared_failed_by: BTreeMap::new(),
-            superseded_by: Incarnation(0),
-            superseded_at: None,
-            needs_new_incarnation: false,
             last_call: now,
             reported_alive: Vec::new(),
             last_scan: now,
@@ -170,7 +157,7 @@
 
     /// The lowest incarnation under which this member may go on after its current one.
     pub fn min_next_incarnation(&self) -> Incarnation {
-        Incarnation(self.incarnation.0.max(self.superseded_by.0).saturating_add(1))
+        self.incarnation.min_next()
     }
 
     /// The other members that are alive, in order.
@@ -213,19 +200,17 @@
     /// Whether this member was considered failed or superseded. Its components then have to be created anew under a
     /// greater incarnation.
     pub fn needs_new_incarnation(&self) -> bool {
-        self.needs_new_incarnation
+        self.incarnation.needs_renewal()
     }
 
     /// Continues under a new incarnation; what is known of other members stays.
     pub fn renew(&mut self, incarnation: Incarnation) {
-        self.incarnation = self.incarnation.max(incarnation);
-        self.needs_new_incarnation = false;
-        self.declared_failed_by.clear();
+        self.incarnation.renew(incarnation);
     }
 
     /// The incarnation of this member.
     pub fn incarnation(&self) -> Incarnation {
-        self.incarnation
+        self.incarnation.current()
     }
 
     /// Advances the time. If this member was stalled, the others are not considered silent for that time.
@@ -236,10 +221,11 @@
                 peer.extend_deadline(gap);
             }
         }
-        if gap >= FAILURE_TIMEOUT && !self.needs_new_incarnation {
+        if gap >= FAILURE_TIMEOUT && !self.incarnation.needs_renewal() {
             let stall_ms = gap.0 / MICROS_PER_MILLI;
             let text = format!("stalled for {stall_ms} ms: continues under a new incarnation");
-            self.require_new_incarnation("process_stalled", text);
+            self.incarnation.invalidate();
+            self.push_warning("process_stalled", text);
         }
         self.last_call = self.last_call.max(now);
     }
@@ -264,7 +250,7 @@
         let oldest = oldest.map(|(member, _)| *member).ok_or(MembershipError::CapacityExceeded)?;
         self.peers.remove(&oldest);
         self.failure_notices.remove(&oldest);
-        self.declared_failed_by.remove(&oldest);
+        self.incarnation.forget(oldest);
         Ok(())
     }
 
@@ -282,48 +268,37 @@
         }
     }
 
-    fn require_new_incarnation(&mut self, event: &'static str, message: String) {
-        self.needs_new_incarnation = true;
-        self.events.push_back(Event { name: event, message, is_warning: true });
+    fn push_warning(&mut self, name: &'static str, message: String) {
+        self.events.push_back(Event { name, message, is_warning: true });
     }
 
-    /// Records that a planner has declared this member failed, and returns whether that is decisive. For a forwarder one
-    /// planner is enough: a new incarnation costs it little. For a planner it takes more than half of the planners that
-    /// are alive.
+    fn on_declared_failed(&mut self, now: Time, by: Member, incarnation: Incarnation) {
+        if self.incarnation.is_valid(incarnation) && self.is_declared_failed(now, by) {
+            self.incarnation.invalidate();
+            let text = format!("{by} considered this member failed: continues under a new incarnation");
+            self.push_warning("member_rejoined", text);
+        }
+    }
+
+    /// Whether the declaration of one more planner is decisive. For a forwarder one planner is enough: a new incarnation
+    /// costs it little. For a planner it takes more than half of the planners that are alive.
     fn is_declared_failed(&mut self, now: Time, by: Member) -> bool {
         if let Member::Forwarder(_) = self.me {
             return true;
         }
-        self.declared_failed_by.insert(by, now);
-        self.declared_failed_by.retain(|_, at| now - *at < FAILURE_TIMEOUT);
         let alive = self.alive(now);
         let planners = alive.iter().filter(|member| matches!(member, Member::Planner(_))).count();
-        planners >= MIN_PLANNERS_FOR_MAJORITY && self.declared_failed_by.len() * 2 > planners
-    }
-
-    fn on_declared_failed(&mut self, now: Time, by: Member, incarnation: Incarnation) {
-        if incarnation != self.incarnation || self.needs_new_incarnation {
-            return;
-        }
-        if self.is_declared_failed(now, by) {
-            let text = format!("{by} considered this member failed: continues under a new incarnation");
-            self.require_new_incarnation("member_rejoined", text);
-        }
+        self.incarnation.is_declared_failed_by_majority(now, by, planners)
     }
 
     fn on_superseded(&mut self, now: Time, from: Member, incarnation: Incarnation, by: Incarnation) {
-        let gave_way_recently = self.superseded_at.is_some_and(|at| now - at < FAILURE_TIMEOUT);
-        let is_current = incarnation == self.incarnation && by > incarnation;
-        if !is_current || self.needs_new_incarnation || gave_way_recently {
-            return;
+        if self.incarnation.on_superseded(now, incarnation, by) {
+            let text = format!(
+                "{from} knows a greater incarnation under this member's name: continues under a new one. If this \
+                 repeats, two processes have one name or number: stop one"
+            );
+            self.push_warning("incarnation_superseded", text);
         }
-        self.superseded_by = by;
-        self.superseded_at = Some(now);
-        let text = format!(
-            "{from} knows a greater incarnation under this member's name: continues under a new one. If this \
-             repeats, two processes have one name or number: stop one"
-        );
-        self.require_new_incarnation("incarnation_superseded", text);
     }
 
     fn receives_heartbeats(&self, now: Time, member: Member) -> bool {
@@ -394,7 +369,7 @@
         self.peers.len()
             + self.heartbeats.len()
             + self.failure_notices.len()
-            + self.declared_failed_by.len()
+            + self.incarnation.entries()
             + self.events.len()
     }
 }
--- a/crates/coordination/tests/endpoint_health.rs
+++ b/crates/coordination/tests/endpoint_health.rs
@@ -232,7 +232,7 @@
         let cache = EndpointId(endpoint << 50 | endpoint);
         for _ in 0..4 {
             let sent = Observation::AttemptSent { cache, is_origin: false, write: false };
-            forwarder.seen(ms(0), &sent);
+            forwarder.on_observation(ms(0), &sent);
         }
     }
     forwarder
--- a/crates/fleet-simulator/src/two_levels/mod.rs
+++ b/crates/fleet-simulator/src/two_levels/mod.rs
@@ -311,7 +311,7 @@
             self.came.in_time += usize::from(self.now - came <= SLO);
         }
         let (cache, latency) = (EndpointId(shot.cache), self.now - shot.sent);
-        f.node.verdicts.seen(self.now, &ended(shot, outcome, latency, self.play));
+        f.node.verdicts.on_observation(self.now, &ended(shot, outcome, latency, self.play));
         let end = AttemptResult {
             number: AttemptNumber(shot.number),
             cache,
@@ -348,9 +348,10 @@
             }
             let f = &mut self.forwarders[n];
             let is_origin = shot.cache.0 as usize == self.play.caches;
-            f.node
-                .verdicts
-                .seen(self.now, &Observation::AttemptSent { cache: shot.cache, is_origin, write: false });
+            f.node.verdicts.on_observation(
+                self.now,
+                &Observation::AttemptSent { cache: shot.cache, is_origin, write: false },
+            );
             let number = f.shots.entry(shot.request.0).or_insert(0);
             let out = ShotOut { call: shot.request.0, number: *number, cache: shot.cache.0, sent: self.now };
             *number += 1;
--- a/crates/fleet-simulator/src/world/fellows.rs
+++ b/crates/fleet-simulator/src/world/fellows.rs
@@ -160,7 +160,7 @@
 
 impl Forwarder {
     pub fn seen(&mut self, now: Time, sight: Observation) {
-        self.verdicts.iter_mut().for_each(|v| v.seen(now, &sight));
+        self.verdicts.iter_mut().for_each(|v| v.on_observation(now, &sight));
         self.leases.iter_mut().for_each(|l| l.seen(now, &sight));
         if let Observation::EndpointsChanged(_) = sight {
             self.listed = Some(sight);
