--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -50,7 +50,7 @@
     }
 
     fn on_observation(&mut self, now: Time, observation: &Observation) {
-        self.seen(now, observation);
+        endpoint_health::ForwarderComponent::on_observation(self, now, observation);
     }
 
     fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
