--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -9,7 +9,7 @@
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
-use granitelb_coordination::leases::{Need, Resource};
+use granitelb_coordination::leases::{Demand, Resource};
 use granitelb_coordination::message::{Message, Secret, Secrets, seal};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender, leases};
 
@@ -94,10 +94,16 @@
         Seen { cache: EndpointId(cache), answered: 1.0 - ill, failed: ill, out: 0.0 }
     };
     let report = Report { number: round + 1, part: Part::WHOLE, caches: (0..5).map(seen).collect() };
-    let needs = vec![Need { resource: Resource::Origin, amount: 500, using: round, heads: 1, has: 0 }];
+    let needs = vec![Demand {
+        resource: Resource::Origin,
+        amount: 500,
+        request_in_use: round,
+        requesters: 1,
+        already_held: 0,
+    }];
     vec![
         Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)),
-        Message::Leases(leases::LeaseMessage::Ask { ask: round + 1, needs }),
+        Message::Leases(leases::LeaseMessage::Request { request_id: round + 1, demands: needs }),
     ]
 }
 
--- a/crates/control-plane/src/agent/sides.rs
+++ b/crates/control-plane/src/agent/sides.rs
@@ -75,10 +75,10 @@
     leases,
     Leases,
     fn advise(&mut self, now: Time, advice: &mut ControlPlaneUpdate) {
-        advice.leases = self.advice(now);
+        advice.leases = self.current_leases(now);
     },
     fn leave(&mut self) {
-        leases::ForwarderComponent::leave(self);
+        self.shut_down();
     }
 );
 side!(
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -150,7 +150,7 @@
         tally
             .refused(sides.on_message(now, sender(incarnation, number), beat()).expect_err("it came before"));
     }
-    let lease = Message::Leases(granitelb_coordination::leases::LeaseMessage::Return { ask: 1 });
+    let lease = Message::Leases(granitelb_coordination::leases::LeaseMessage::Release { request_id: 1 });
     assert_eq!(sides.on_message(now, sender(2, 2), lease), Err(Refused::Off));
     tally.refused(Refused::Off);
     assert_eq!(tally.counts(), [("faculty_off", 1), ("stale", 2)]);
--- a/crates/control-plane/src/fleet_config.rs
+++ b/crates/control-plane/src/fleet_config.rs
@@ -191,12 +191,12 @@
         let form = self.leases.as_ref()?;
         let milli = |figure: f64| (figure * 1000.0).round() as u32;
         Some(leases::Settings {
-            lease: form.lasts(),
-            whole_origin: milli(form.origin_per_s),
-            whole_cold: (form.cold_work * 1e6).round() as u32,
-            reserve: milli(form.reserve),
-            standing: milli(form.standing),
-            forwarders: self.forwarders as u32,
+            lease_duration: form.lasts(),
+            origin_capacity: milli(form.origin_per_s),
+            warming_cache_capacity: (form.cold_work * 1e6).round() as u32,
+            guaranteed_per_mille: milli(form.reserve),
+            long_term_per_mille: milli(form.standing),
+            forwarder_count: self.forwarders as u32,
             planners: self.planners.keys().copied().collect(),
             ..leases::Settings::default()
         })
--- a/crates/control-plane/src/planner/board.rs
+++ b/crates/control-plane/src/planner/board.rs
@@ -5,7 +5,7 @@
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::leases::Spare;
+use granitelb_coordination::leases::Surplus;
 use granitelb_coordination::shard_growth::Fleet;
 use granitelb_coordination::shard_growth::form::FormVersion;
 use tokio::sync::watch;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Board {
     failing: watch::Sender<Option<Dated<BTreeSet<EndpointId>>>>,
-    spare: watch::Sender<Option<Dated<Spare>>>,
+    spare: watch::Sender<Option<Dated<Surplus>>>,
     /// The version by which the table was new last; it stays so.
     table: watch::Sender<Option<FormVersion>>,
 }
@@ -45,7 +45,7 @@
         self.failing.send_replace(Some(Dated { at: now, what }));
     }
 
-    pub fn write_spare(&self, now: Time, what: Option<Spare>) {
+    pub fn write_spare(&self, now: Time, what: Option<Surplus>) {
         self.spare.send_replace(what.map(|what| Dated { at: now, what }));
     }
 
@@ -65,11 +65,14 @@
         let spare = match (leased, figure) {
             (true, most) => {
                 let spare = *self.spare.borrow().as_ref()?.fresh(now)?;
-                Spare { per_s: spare.per_s.min(most.unwrap_or(f64::MAX)), ..spare }
+                Surplus {
+                    fetches_per_second: spare.fetches_per_second.min(most.unwrap_or(f64::MAX)),
+                    ..spare
+                }
             }
-            (false, figure) => Spare { per_s: figure?, short: false },
+            (false, figure) => Surplus { fetches_per_second: figure?, has_unmet_demand: false },
         };
-        Some(Fleet { failing, origin_slow: spare.short, spare_fetches: spare.per_s })
+        Some(Fleet { failing, origin_slow: spare.has_unmet_demand, spare_fetches: spare.fetches_per_second })
     }
 }
 
--- a/crates/control-plane/src/planner/board/tests.rs
+++ b/crates/control-plane/src/planner/board/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn growth_knows_nothing_while_a_desk_that_it_rests_on_is_silent() {
     let board = Board::new();
-    let (now, spare) = (Time(1_000_000), Spare { per_s: 50.0, short: false });
+    let (now, spare) = (Time(1_000_000), Surplus { fetches_per_second: 50.0, has_unmet_demand: false });
     assert_eq!(board.fleet(now, true, Some(10.0)), None);
     board.write_failing(now, BTreeSet::from([EndpointId(1)]));
     assert_eq!(board.fleet(now, true, Some(10.0)), None, "what is spare is not known");
--- a/crates/control-plane/src/planner/faculties.rs
+++ b/crates/control-plane/src/planner/faculties.rs
@@ -105,7 +105,7 @@
         });
         let unwrap = |letter| if let Message::Leases(message) = letter { Some(message) } else { None };
         let share: Share<leases::PlannerComponent> =
-            Box::new(|faculty, now, _, board| board.write_spare(now, faculty.spare(now)));
+            Box::new(|faculty, now, _, board| board.write_spare(now, faculty.surplus(now)));
         let ways = Ways { kind: ComponentKind::Leases, wrap: Message::Leases, unwrap, share: Some(share) };
         counters.insert(ways.kind, self.desk(crew, leases, ways)?);
 
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -4,15 +4,21 @@
 use std::time::Duration;
 
 use crate::growing::{GROW, Growing, place};
-use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::leases::{self, Demand, Resource};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::Step;
 
 const LONG: Duration = Duration::from_secs(25);
 
 fn asks(ask: u64) -> Message {
-    let needs = vec![Need { resource: Resource::Origin, amount: 5000, using: ask, heads: 1, has: 0 }];
-    Message::Leases(leases::LeaseMessage::Ask { ask, needs })
+    let needs = vec![Demand {
+        resource: Resource::Origin,
+        amount: 5000,
+        request_in_use: ask,
+        requesters: 1,
+        already_held: 0,
+    }];
+    Message::Leases(leases::LeaseMessage::Request { request_id: ask, demands: needs })
 }
 
 /// Until the planner has granted anew.
--- a/crates/control-plane/tests/growth.rs
+++ b/crates/control-plane/tests/growth.rs
@@ -7,7 +7,7 @@
 use crate::growing::{GROW, Growing, caches, place};
 use granitelb_balancer::slot_table::caches_of;
 use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
-use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::leases::{self, Demand, Resource};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::{Form, Step};
 
@@ -69,8 +69,14 @@
 /// More of the origin than there is, or nothing.
 fn asks(amount: u32) -> impl Fn(u64) -> Message {
     move |ask| {
-        let needs = vec![Need { resource: Resource::Origin, amount, using: ask, heads: 1, has: 0 }];
-        Message::Leases(leases::LeaseMessage::Ask { ask, needs })
+        let needs = vec![Demand {
+            resource: Resource::Origin,
+            amount,
+            request_in_use: ask,
+            requesters: 1,
+            already_held: 0,
+        }];
+        Message::Leases(leases::LeaseMessage::Request { request_id: ask, demands: needs })
     }
 }
 
--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -67,9 +67,9 @@
             Verdicts::Figure => Verdicts::Figure, Verdicts::Old => Verdicts::Old, Verdicts::TooMany => Verdicts::TooMany,
             Verdicts::Part => Verdicts::Part, Verdicts::NotItsWord => Verdicts::NotItsWord),
         all!(Leases:
-            Leases::Old => Leases::Old, Leases::TooMany => Leases::TooMany, Leases::Stranger => Leases::Stranger,
-            Leases::Unasked => Leases::Unasked, Leases::NotForUs => Leases::NotForUs, Leases::Nobody => Leases::Nobody,
-            Leases::Reserve => Leases::Reserve, Leases::Lengths => Leases::Lengths),
+            Leases::Outdated => Leases::Outdated, Leases::TooManyEntries => Leases::TooManyEntries, Leases::UnknownPlanner => Leases::UnknownPlanner,
+            Leases::UnsolicitedGrant => Leases::UnsolicitedGrant, Leases::UnexpectedMessage => Leases::UnexpectedMessage, Leases::NoMembers => Leases::NoMembers,
+            Leases::SharesExceedCapacity => Leases::SharesExceedCapacity, Leases::InvalidDurations => Leases::InvalidDurations),
         all!(Growth:
             Growth::Stranger => Growth::Stranger, Growth::Nonsense => Growth::Nonsense, Growth::OldDay => Growth::OldDay,
             Growth::Full => Growth::Full),
--- a/crates/control-plane/tests/planners.rs
+++ b/crates/control-plane/tests/planners.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::support::{Fleet, Forwarder, OURS, THEIRS, check};
-use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::leases::{self, Demand, Resource};
 use granitelb_coordination::membership::MembershipMessage;
 use granitelb_coordination::message::Message;
 use granitelb_coordination::{Member, PlannerId};
@@ -154,18 +154,27 @@
     let ready = Instant::now();
     let mut forwarder = Forwarder::new("node-1");
     let granted = (1..60).find_map(|ask| {
-        let needs = vec![Need { resource: Resource::Origin, amount: 20_000, using: 0, heads: 1, has: 0 }];
-        let asked = forwarder.sealed(&Message::Leases(leases::LeaseMessage::Ask { ask, needs }), OURS);
+        let needs = vec![Demand {
+            resource: Resource::Origin,
+            amount: 20_000,
+            request_in_use: 0,
+            requesters: 1,
+            already_held: 0,
+        }];
+        let asked = forwarder.sealed(
+            &Message::Leases(leases::LeaseMessage::Request { request_id: ask, demands: needs }),
+            OURS,
+        );
         forwarder.send(&asked, fleet.addresses[0]);
         let came = std::iter::from_fn(|| forwarder.receive(OURS, Duration::from_millis(200)));
         came.take(8).find_map(|(_, letter)| match letter {
             Message::Leases(leases::LeaseMessage::Grant { granted, .. }) => {
-                granted.first().copied().filter(|g| g.1 > 0)
+                granted.first().copied().filter(|g| g.amount > 0)
             }
             _ => None,
         })
     });
-    let (resource, amount) = granted.expect("a grant");
+    let leases::ResourceAmount { resource, amount } = granted.expect("a grant");
     assert_eq!(resource, Resource::Origin);
     assert!(amount <= 20_000, "more than was asked for: {amount}");
     assert!(ready.elapsed() >= Duration::from_millis(4500), "granted after {:?}", ready.elapsed());
@@ -202,7 +211,7 @@
         let bytes = forwarder.sealed(letter, OURS);
         forwarder.send(&bytes, fleet.addresses[0]);
     };
-    let ask = Message::Leases(leases::LeaseMessage::Ask { ask: 1, needs: Vec::new() });
+    let ask = Message::Leases(leases::LeaseMessage::Request { request_id: 1, demands: Vec::new() });
     say(&ask);
     one.wait_for("task_hangs");
     // More than a mailbox holds, and what comes after is heard all the same.
--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -12,7 +12,7 @@
 use granitelb_balancer::time::{Span, Time};
 use granitelb_control_plane::storage::{Opened, StorageWriter, StoreError, open};
 use granitelb_coordination::component::Component;
-use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::leases::{self, Demand, Resource};
 use granitelb_coordination::message::ComponentKind;
 use granitelb_coordination::shard_growth::agree::{Ballot, Kept, Vote};
 use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
@@ -225,13 +225,19 @@
 
 /// What is granted of the origin's fetches to an ask for far more than there is.
 fn granted(faculty: &mut leases::PlannerComponent, now: Time, ask: u64) -> u32 {
-    let need = Need { resource: Resource::Origin, amount: 1_000_000, using: ask, heads: 1, has: 0 };
-    let message = leases::LeaseMessage::Ask { ask, needs: vec![need] };
+    let need = Demand {
+        resource: Resource::Origin,
+        amount: 1_000_000,
+        request_in_use: ask,
+        requesters: 1,
+        already_held: 0,
+    };
+    let message = leases::LeaseMessage::Request { request_id: ask, demands: vec![need] };
     faculty.on_message(now, forwarder(), message).expect("it is heard");
     let Some((_, leases::LeaseMessage::Grant { granted, .. })) = faculty.poll_message(now) else {
         panic!("no grant answers ask {ask}");
     };
-    granted.iter().map(|(_, amount)| amount).sum()
+    granted.iter().map(|granted| granted.amount).sum()
 }
 
 /// Leases keep nothing: a planner that starts takes it that an earlier life has granted all, for as long as it may last.
@@ -244,7 +250,7 @@
 
     let start = NOW + Span::from_millis(1);
     let mut faculty = leases::PlannerComponent::new(settings.clone(), ME, Incarnation(LIFE.0 + 1), start);
-    let waits = settings.hold(settings.longest);
+    let waits = settings.grantor_duration(settings.max_duration);
     assert_eq!(waits, Span::from_millis(5100));
     for (ms, ask) in (0..waits.0 / 1000).step_by(100).zip(2..) {
         let amount = granted(&mut faculty, start + Span::from_millis(ms), ask);
--- a/crates/control-plane/tests/support/growing.rs
+++ b/crates/control-plane/tests/support/growing.rs
@@ -302,7 +302,7 @@
                     }
                     if let (Member::Planner(id), Message::Leases(leases::LeaseMessage::Grant { granted, .. })) =
                         (from.member, &letter)
-                        && granted.iter().any(|(_, amount)| *amount > 0)
+                        && granted.iter().any(|granted| granted.amount > 0)
                     {
                         *self.auditor.grants.entry(id.0).or_default() += 1;
                     }
--- a/crates/control-plane/tests/support/holders.rs
+++ b/crates/control-plane/tests/support/holders.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::{self, Message};
 use granitelb_coordination::{Incarnation, Member, PlannerId};
 
@@ -39,8 +39,14 @@
         self.asked.insert(self.last, (planner, Instant::now()));
         let of = self.held.iter().filter(|((p, _), _)| *p == planner);
         let using = of.map(|(_, held)| held.ask).max().unwrap_or(0);
-        let need = Need { resource: Resource::Origin, amount: WANTS, using, heads: 1, has: 0 };
-        let letter = Message::Leases(LeaseMessage::Ask { ask: self.last, needs: vec![need] });
+        let need = Demand {
+            resource: Resource::Origin,
+            amount: WANTS,
+            request_in_use: using,
+            requesters: 1,
+            already_held: 0,
+        };
+        let letter = Message::Leases(LeaseMessage::Request { request_id: self.last, demands: vec![need] });
         let bytes = self.speaks.sealed(&letter, OURS);
         self.speaks.send(&bytes, to);
     }
@@ -58,10 +64,13 @@
             if from.incarnation > known.0 {
                 *known = (from.incarnation, Instant::now());
             }
-            let Message::Leases(LeaseMessage::Grant { ask, granted, lasts }) = letter else { continue };
+            let Message::Leases(LeaseMessage::Grant { request_id: ask, granted, duration: lasts }) = letter
+            else {
+                continue;
+            };
             let Some((_, sent)) = self.asked.remove(&ask).filter(|(of, _)| *of == planner) else { continue };
             self.asked.retain(|_, (of, at)| *of != planner || *at >= sent);
-            let amount = granted.iter().find(|(of, _)| *of == Resource::Origin).map_or(0, |(_, n)| *n);
+            let amount = granted.iter().find(|g| g.resource == Resource::Origin).map_or(0, |g| g.amount);
             let ends = sent + Duration::from_micros(u64::from(lasts)).div_f64(self.rate);
             self.held.insert((planner, from.incarnation), Held { ask, amount, ends });
         }
--- /dev/null
+++ b/crates/coordination/src/leases/ledger/claim.rs
@@ -0,0 +1,118 @@
+//! What one incarnation of a member requested of a planner, and what it may still hold.
+
+use std::collections::VecDeque;
+
+use granitelb_balancer::time::Time;
+
+use super::{Demand, MAX_SEPARATE_GRANTS};
+use crate::member::{Incarnation, Member, Sender};
+
+/// Identifies a claim. Each incarnation of a member has its own, because what was granted to an earlier one may still be
+/// held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClaimId {
+    /// The member that requests.
+    pub member: Member,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+}
+
+impl ClaimId {
+    /// The claim of a message's sender.
+    pub fn of(sender: Sender) -> ClaimId {
+        ClaimId { member: sender.member, incarnation: sender.incarnation }
+    }
+
+    /// Whether this is a forwarder's claim, and not another planner's.
+    pub fn is_forwarder(&self) -> bool {
+        matches!(self.member, Member::Forwarder(_))
+    }
+}
+
+/// A grant, by the planner's clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Grant {
+    /// The request that it answers.
+    pub request_id: u64,
+    /// What was granted.
+    pub amount: u32,
+    /// Until when the planner counts it.
+    pub expires_at: Time,
+}
+
+/// What one incarnation of a member requested, and the grants to it that may still be in use.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Claim {
+    /// The demand by the last request.
+    pub demand: Demand,
+    /// The last request.
+    pub request_id: u64,
+    /// When the last request arrived.
+    pub requested_at: Time,
+    /// From the oldest to the newest grant, amounts fall and expiries rise: a grant that is no greater than a later one
+    /// does not count.
+    grants: VecDeque<Grant>,
+}
+
+impl Claim {
+    /// Creates a claim without grants.
+    pub fn new(now: Time, request_id: u64, demand: Demand) -> Claim {
+        Claim { demand, request_id, requested_at: now, grants: VecDeque::new() }
+    }
+
+    /// The most that the claimant may hold: the greatest grant that has not expired.
+    pub fn outstanding(&self) -> u32 {
+        self.grants.front().map_or(0, |grant| grant.amount)
+    }
+
+    /// What is missing to a target.
+    pub fn shortfall(&self, target: u32) -> u64 {
+        u64::from(target.saturating_sub(self.outstanding()))
+    }
+
+    /// When the greatest grant expires.
+    pub fn first_expiry(&self) -> Option<Time> {
+        self.grants.front().map(|grant| grant.expires_at)
+    }
+
+    /// Whether nothing is granted.
+    pub fn is_empty(&self) -> bool {
+        self.grants.is_empty()
+    }
+
+    /// The number of grants that are counted separately.
+    pub fn grant_count(&self) -> usize {
+        self.grants.len()
+    }
+
+    /// Adds a grant. If too many would be counted separately, it is merged with the newest one, into a grant of the
+    /// greater amount and the later expiry.
+    pub fn add(&mut self, grant: Grant) {
+        if grant.amount == 0 {
+            return;
+        }
+        while self.grants.back().is_some_and(|older| older.amount <= grant.amount) {
+            self.grants.pop_back();
+        }
+        let is_full = self.grants.len() >= MAX_SEPARATE_GRANTS;
+        match self.grants.back_mut() {
+            Some(newest) if is_full => {
+                newest.request_id = grant.request_id;
+                newest.expires_at = grant.expires_at;
+            }
+            _ => self.grants.push_back(grant),
+        }
+    }
+
+    /// Drops grants from the oldest on, as long as the predicate holds.
+    pub fn drop_while(&mut self, predicate: impl Fn(&Grant) -> bool) {
+        while self.grants.front().is_some_and(&predicate) {
+            self.grants.pop_front();
+        }
+    }
+
+    /// Drops all grants.
+    pub fn clear(&mut self) {
+        self.grants.clear();
+    }
+}
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -1,303 +1,88 @@
-//! Leases: the fleet's fetches at the origin and its work at each cold cache, handed out by need, so that what all
-//! forwarders may send adds up to no more than the whole.
+//! Leases on shared capacity: the origin's fetches and the work of each cache server that is warming up are handed out
+//! by demand, so that what all forwarders may send together never exceeds the capacity.
 //!
-//! Of a whole W each of N forwarders has `own = rho W / N` for ever. The rest is parted evenly among the P planners of
-//! the operator's file: each one's *escrow*. A planner grants leases from its escrow and from what others lend it, and
-//! lends from its escrow alone. Nothing is handed out without an end.
+//! Of a capacity W, each of N forwarders has a *guaranteed share* of `rho W / N` that never expires. The rest is divided
+//! evenly among the P planners of the fleet configuration; each planner's part is its *escrow*. A planner grants leases
+//! to forwarders from its escrow and from loans that other planners make to it, and makes loans from its escrow alone.
+//! Every grant expires.
 //!
-//! The invariant: at every moment, what forwarders hold by their own clocks, with all own parts, is at most W.
+//! # Invariant
 //!
-//! Why it holds. Let *hold* be a lease's or a loan's length stretched by the margin of clocks.
+//! At every moment, the amounts that forwarders hold by their own clocks, plus all guaranteed shares, add up to at most
+//! W.
 //!
-//! - **A holder's end is first.** It counts from the moment at which it sent the ask that a grant answers; the planner
-//!   counts from when it grants, which is later, and for the hold, which is longer by any clock within the margin. So
-//!   what is held is always among what the planner counts. A grant that is late, or that a stopped process takes up
-//!   when it goes on, has ended.
-//! - **A holder uses one grant a planner and a resource: the last one asked for.** The planner counts the greatest of
-//!   those that have not ended, until the holder says which one it uses; it never goes back to an earlier one. So any
-//!   order of letters, doubles and losses leave what is held within what is counted.
-//! - **A planner's books balance for all time to come.** It grants a lease at a moment g only if that one, and the
-//!   greatest that each other holder may still have, come to at most its escrow and those loans to it that last until
-//!   g + hold of a lease; it lends only if they come to at most the escrow alone; it gives up an older loan only if the
-//!   books balance without it. Take any moment t, of each holder the greatest grant that lives then, and of those the
-//!   one that was granted last, at g. All the others were counted at g, so the sum is within what that grant was held
-//!   to; and t is before g + hold, up to which the loans last.
-//! - **A loan is taken from the lender's books before it is in the borrower's,** and is out of the borrower's before it
-//!   is back in the lender's, by the first point. So escrows and loans sum up to the escrows, which are W less the own
-//!   parts.
-//! - **A planner that starts knows nothing,** so it gives nothing until the hold of the longest lease or loan that
-//!   settings allow is over; what its earlier life was lent it doesn't know of, and leases that rest on it end before
-//!   that loan does. Lives are counted apart. The same wait follows a change of settings.
+//! # Why the invariant holds
 //!
-//! Of the origin's whole a part may be handed out for longer, by each forwarder's usual need: `standing`.
+//! The *grantor duration* of a lease or a loan is its duration extended by the margin for clock drift.
 //!
-//! The bound of waiting. A planner's targets are max-min fair over the needs that it was told of in the last while. If
-//! needs stay as they are from a moment on, all leases granted after it are within targets; those granted before it
-//! have ended a hold later; then each next ask is granted its whole target. So an unmet need waits at most a hold and
-//! one beat of asks (and 100 ms, since targets are made anew so often), whatever the others do. Mostly it is two beats,
-//! since others say at their next ask that they use less.
+//! - **A holder's grant expires before the grantor stops counting it.** The holder measures the duration from the moment
+//!   at which it sent the request that the grant answers. The planner measures from the moment at which it grants, which
+//!   is later, and for the grantor duration, which is longer by any clock within the margin. So what is held is always
+//!   part of what the planner counts. A grant that arrives late, or that a suspended process reads when it resumes, has
+//!   already expired.
+//! - **A holder uses one grant for each planner and resource: the one that it requested last.** The planner counts the
+//!   greatest grant that has not expired, until the holder reports which one it uses; the holder never returns to an
+//!   earlier one. So whatever the order, duplication or loss of messages, what is held stays within what is counted.
+//! - **A planner's ledger balances for all time to come.** It grants a lease at a moment g only if that lease, plus the
+//!   greatest grant that each other holder may still have, adds up to at most its escrow and those loans to it that last
+//!   until g plus the grantor duration of a lease. It makes a loan only if these add up to at most the escrow alone. It
+//!   gives up an older loan only if the ledger balances without it. Take any moment t, the greatest grant of each holder
+//!   that is live at t, and among these the grant that was made last, at g. All the others were counted at g, so the sum
+//!   is within the limit that was applied to that grant; and t is before g plus the grantor duration, up to which the
+//!   loans last.
+//! - **A loan leaves the lender's ledger before it enters the borrower's,** and leaves the borrower's before it returns to
+//!   the lender's, by the first point. So escrows and loans add up to the sum of the escrows, which is W less the
+//!   guaranteed shares.
+//! - **A planner that starts has no knowledge of earlier grants,** so it grants nothing until the grantor duration of the
+//!   longest lease or loan that the settings allow has passed. It does not know the loans that were made to its previous
+//!   incarnation, and the leases that rest on such a loan expire before the loan does. Incarnations are counted
+//!   separately. The same wait follows a change of settings.
 //!
-//! What it takes for granted: no more than N forwarders are up; one process a planner's number, all with the same
-//! settings; clocks that go on while a process is stopped, and differ in rate by less than the margin.
+//! A part of the origin's capacity may be handed out for longer, by each forwarder's long-term demand: see
+//! [`long_term`].
+//!
+//! # Bound on waiting
+//!
+//! A planner's targets are max-min fair over the demands that were reported to it recently. If demands stay constant from
+//! some moment on, all leases granted after it are within their targets; those granted before it have expired one grantor
+//! duration later; then each next request is granted its whole target. So an unmet demand waits at most one grantor
+//! duration plus one request interval (plus 100 ms, the interval at which targets are recomputed), whatever the other
+//! forwarders do. Usually it waits two request intervals, because the others report at their next request that they use
+//! less.
+//!
+//! # Assumptions
+//!
+//! At most N forwarders are up. One process runs under each planner's number, and all have the same settings. Clocks
+//! advance while a process is suspended, and their rates differ by less than the margin.
+
+#![warn(missing_docs)]
 
-mod book;
+mod demand_estimator;
+mod error;
 mod forwarder;
-mod holder;
-mod need;
+mod holdings;
+mod ledger;
+pub mod long_term;
+mod message;
 mod planner;
-pub mod standing;
-
-use std::collections::BTreeSet;
-
-use granitelb_balancer::ids::EndpointId;
-use granitelb_balancer::time::Span;
-use serde::{Deserialize, Serialize};
+mod resource;
+mod settings;
 
+pub use error::LeaseError;
 pub use forwarder::ForwarderComponent;
-pub use holder::Holder;
-pub use planner::{PlannerComponent, Spare};
+pub use holdings::Holdings;
+pub use message::{Demand, LeaseMessage, LongTermRequest, MAX_DEMANDS_PER_MESSAGE, WireDuration};
+pub use planner::{OutstandingGrants, PlannerComponent, Surplus};
+pub use resource::{Resource, ResourceAmount};
+pub use settings::Settings;
 
-use crate::component::{HEARTBEAT_INTERVAL, Remediation};
 use crate::member::{Incarnation, PlannerId};
 
-/// What is shared out. Amounts are thousandths of a fetch a second, or millionths of a second of work a second of a warm
-/// cache: the own part of one in 300 was less than a thousandth, and rounded to nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Resource {
-    Origin,
-    Cold(#[serde(with = "cache_id")] EndpointId),
-}
-
-impl Resource {
-    /// Of so many amounts is one: a fetch, or a second of work.
-    pub fn parts(self) -> f64 {
-        match self {
-            Resource::Origin => 1e3,
-            Resource::Cold(_) => 1e6,
-        }
-    }
-}
-
-mod cache_id {
-    use granitelb_balancer::ids::EndpointId;
-    use serde::{Deserialize, Deserializer, Serialize, Serializer};
-
-    pub fn serialize<S: Serializer>(id: &EndpointId, to: S) -> Result<S::Ok, S::Error> {
-        id.0.serialize(to)
-    }
-
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<EndpointId, D::Error> {
-        u64::deserialize(from).map(EndpointId)
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Need {
-    pub resource: Resource,
-    pub amount: u32,
-    /// The number of the ask whose grant is used now: earlier ones are given back by this.
-    pub using: u64,
-    /// How many go short, where a planner asks for several; and what they have already without this lender.
-    pub heads: u32,
-    pub has: u32,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum LeaseMessage {
-    /// A forwarder asks for leases, or a planner for loans. Numbers rise with each ask of a life.
-    Ask {
-        ask: u64,
-        needs: Vec<Need>,
-    },
-    /// Answers an ask: so much, for so long from when that ask was sent.
-    Grant {
-        ask: u64,
-        granted: Vec<(Resource, u32)>,
-        lasts: Span32,
-    },
-    /// The sender uses nothing of what it asked for up to this ask, and won't.
-    Return {
-        ask: u64,
-    },
-    /// A forwarder asks for its standing part of the origin's fetches, which numbers of their own: what it usually needs,
-    /// the ask whose grant is in use, the planner's life that this is to, and what is held of that planner's.
-    AskStanding {
-        ask: u64,
-        need: u32,
-        using: u64,
-        to: Incarnation,
-        has: u32,
-    },
-    Standing {
-        ask: u64,
-        amount: u32,
-        lasts: Span32,
-    },
-    ReturnStanding {
-        ask: u64,
-    },
-}
-
-/// Microseconds on the wire: leases last seconds.
-pub type Span32 = u32;
-
-/// So many needs of any size go into 1,100 bytes.
-pub const MOST_NEEDS: usize = 30;
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
-    /// Fetches a second that the origin stands, in thousandths.
-    pub whole_origin: u32,
-    /// Millionths of a second of work a second that a cache of size 1 stands when it is warm.
-    pub whole_cold: u32,
-    /// Thousandths of the whole that are the forwarders' own for ever.
-    pub reserve: u32,
-    /// Thousandths of the origin's whole that are handed out as standing parts. None are without.
-    pub standing: u32,
-    /// How long a standing part lasts. The same for all and for ever: what a planner that starts waits out.
-    pub standing_lasts: Span,
-    /// No more forwarders than these are ever up.
-    pub forwarders: u32,
-    pub planners: BTreeSet<PlannerId>,
-    pub lease: Span,
-    pub loan: Span,
-    /// No lease or loan was ever set to last longer: what a planner that starts waits out.
-    pub longest: Span,
-    /// Thousandths by which two clocks may differ in rate, and a fixed time on top.
-    pub drift: u32,
-    pub slack: Span,
-    /// Asks come so often.
-    pub beat: Span,
-    /// A planner makes its targets anew after this, not with each ask.
-    pub fresh: Span,
-    /// The share of its capacity that a cache starts with.
-    pub cold_from: f64,
-    /// More than these are not taken in.
-    pub most_cold: usize,
-    pub most_forwarders: usize,
-}
-
-impl Default for Settings {
-    fn default() -> Settings {
-        Settings {
-            whole_origin: 100_000,
-            whole_cold: 1_000_000,
-            reserve: 250,
-            standing: 0,
-            standing_lasts: Span::from_millis(20_000),
-            forwarders: 300,
-            planners: BTreeSet::from([PlannerId(1)]),
-            lease: Span::from_millis(2000),
-            loan: Span::from_millis(4000),
-            longest: Span::from_millis(5000),
-            drift: 10,
-            slack: Span::from_millis(50),
-            beat: HEARTBEAT_INTERVAL,
-            fresh: Span::from_millis(100),
-            cold_from: 0.25,
-            most_cold: 256,
-            most_forwarders: 4096,
-        }
-    }
-}
-
-impl Settings {
-    pub fn whole(&self, of: Resource) -> u32 {
-        match of {
-            Resource::Origin => self.whole_origin,
-            Resource::Cold(_) => self.whole_cold,
-        }
-    }
-
-    /// Each forwarder's for ever. Rounded down, so that all of them are within the reserve.
-    pub fn own(&self, of: Resource) -> u32 {
-        let reserve = u64::from(self.whole(of)) * u64::from(self.reserve.min(1000)) / 1000;
-        (reserve / u64::from(self.forwarders.max(1))) as u32
-    }
-
-    /// Each planner's part of what is left.
-    pub fn escrow(&self, of: Resource) -> u32 {
-        let own = u64::from(self.own(of)) * u64::from(self.forwarders.max(1));
-        let left = u64::from(self.whole(of)).saturating_sub(own + self.standing_whole(of));
-        (left / self.planners.len().max(1) as u64) as u32
-    }
-
-    fn standing_whole(&self, of: Resource) -> u64 {
-        match of {
-            Resource::Origin => u64::from(self.whole_origin) * u64::from(self.standing.min(1000)) / 1000,
-            Resource::Cold(_) => 0,
-        }
-    }
-
-    /// Each planner's part of what is handed out as standing parts.
-    pub fn standing_escrow(&self) -> u32 {
-        (self.standing_whole(Resource::Origin) / self.planners.len().max(1) as u64) as u32
-    }
-
-    /// How long the giver counts what lasts so long at the holder.
-    pub fn hold(&self, lasts: Span) -> Span {
-        lasts + Span(lasts.0 * u64::from(self.drift) / 1000) + self.slack
-    }
-
-    /// # Errors
-    /// Says which figures can't be kept.
-    pub fn check(&self) -> Result<(), LeaseError> {
-        let short = self.longest.0 > 60_000_000 || self.lease > self.longest || self.loan > self.longest;
-        match () {
-            () if self.planners.is_empty() || self.forwarders == 0 => Err(LeaseError::Nobody),
-            () if self.reserve > 1000 || self.standing > 1000 - self.reserve => Err(LeaseError::Reserve),
-            // A loan that is shorter than what is granted from it would never serve.
-            () if short || self.lease.0 == 0 || self.loan <= self.hold(self.lease) => {
-                Err(LeaseError::Lengths)
-            }
-            () => Ok(()),
-        }
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LeaseError {
-    #[error("leases: an ask that is no newer than one before")]
-    Old,
-    #[error("leases: more forwarders or cold caches than are kept")]
-    TooMany,
-    #[error("leases: a planner that the operator's file does not have")]
-    Stranger,
-    #[error("leases: a grant that nothing was asked for, or long ago")]
-    Unasked,
-    #[error("leases: a message that is not for this side")]
-    NotForUs,
-    #[error("leases: neither forwarders nor planners to share among")]
-    Nobody,
-    #[error("leases: a reserve and standing parts of more than the whole")]
-    Reserve,
-    #[error(
-        "leases: lengths that can't be kept: a lease has to be shorter than a loan, by the margin of clocks, and both within the longest"
-    )]
-    Lengths,
-}
-
-impl Remediation for LeaseError {
-    fn remediation(&self) -> &'static str {
-        match self {
-            LeaseError::Old => {
-                "Nothing to do: letters were doubled or passed one another. If it goes on, two processes may bear one name."
-            }
-            LeaseError::TooMany => {
-                "Raise most_forwarders or most_cold in the planners' files, or look for who makes up names."
-            }
-            LeaseError::Stranger => "Give all planners and forwarders the same operator's file.",
-            LeaseError::Unasked => {
-                "Nothing to do if it is rare: an answer was late. If it goes on, look at the network between the two."
-            }
-            LeaseError::NotForUs => {
-                "Look whether a planner's address is listed as a forwarder's, or a version is mixed."
-            }
-            LeaseError::Nobody => "Name at least one planner and one forwarder in the operator's file.",
-            LeaseError::Reserve => "Set the reserve and the standing share so that both come to 1 at most.",
-            LeaseError::Lengths => {
-                "Set lease, then loan, then longest, each greater than the one before; 2 s, 4 s and 5 s serve."
-            }
-        }
-    }
+/// One incarnation of a planner. What different incarnations grant is counted separately.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PlannerIncarnation {
+    /// The planner's number in the fleet configuration.
+    pub planner: PlannerId,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
 }
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -4,179 +4,196 @@
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
 use granitelb_coordination::leases::{
-    ForwarderComponent, Holder, LeaseError, LeaseMessage, MOST_NEEDS, Need, PlannerComponent, Resource,
-    Settings,
+    Demand, ForwarderComponent, Holdings, LeaseError, LeaseMessage, MAX_DEMANDS_PER_MESSAGE,
+    PlannerComponent, Resource, ResourceAmount, Settings,
 };
 use granitelb_coordination::observation::{Observation, ObservedEndpoint};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-const ME: PlannerId = PlannerId(1);
+const PLANNER: PlannerId = PlannerId(1);
+const FORWARDER: ForwarderId = ForwarderId(3);
+/// The encoded size up to which a message fits into an envelope with a margin.
+const MAX_ENCODED_BYTES: usize = 1100;
+/// One fetch a second, in amounts.
+const FETCH_PER_SECOND: u32 = 1000;
 
-fn sender(n: u64) -> Sender {
-    Sender { member: Member::Forwarder(ForwarderId(n)), incarnation: Incarnation(1), number: 0 }
+fn forwarder_sender(id: u64) -> Sender {
+    Sender { member: Member::Forwarder(ForwarderId(id)), incarnation: Incarnation(1), number: 0 }
 }
 
 fn at(ms: u64) -> Time {
     Time(1_000_000_000) + Span::from_millis(ms)
 }
 
-fn planner() -> PlannerComponent {
-    PlannerComponent::new(Settings::default(), ME, Incarnation(1), Time(0))
+fn origin() -> ObservedEndpoint {
+    ObservedEndpoint {
+        cache: EndpointId(1),
+        is_origin: true,
+        zone: 0,
+        size: 1.0,
+        started: None,
+        warm_after: Span::ZERO,
+    }
+}
+
+/// A forwarder that knows of a planner, but of no endpoints.
+fn forwarder(settings: Settings, incarnation: Incarnation) -> ForwarderComponent {
+    let mut forwarder = ForwarderComponent::new(settings, FORWARDER, incarnation, at(0));
+    forwarder.on_membership_change(at(0), &[Member::Planner(PLANNER)]);
+    forwarder
+}
+
+/// The amount of the last request for leases that the forwarder sends now, if it sends any.
+fn poll_requested_amount(forwarder: &mut ForwarderComponent, now: Time) -> Option<u32> {
+    let mut requested = None;
+    while let Some((_, message)) = forwarder.poll_message(now) {
+        if let LeaseMessage::Request { demands, .. } = message {
+            requested = Some(demands.iter().map(|demand| demand.amount).sum());
+        }
+    }
+    requested
+}
+
+/// Gives a message to the planner, and returns the amount that it grants in answer.
+fn granted_amount(
+    planner: &mut PlannerComponent,
+    now: Time,
+    from: u64,
+    message: LeaseMessage,
+) -> Result<u32, LeaseError> {
+    planner.on_message(now, forwarder_sender(from), message)?;
+    match planner.poll_message(now) {
+        Some((_, LeaseMessage::Grant { granted, .. })) => Ok(granted[0].amount),
+        _ => Ok(0),
+    }
 }
 
 #[test]
-fn the_greatest_message_goes_into_a_letter() {
-    let need = |n| Need {
-        resource: Resource::Cold(EndpointId(u64::MAX - n)),
+fn largest_request_fits_into_an_envelope() {
+    let demand = |n| Demand {
+        resource: Resource::WarmingCache(EndpointId(u64::MAX - n)),
         amount: u32::MAX,
-        using: u64::MAX,
-        heads: u32::MAX,
-        has: u32::MAX,
+        request_in_use: u64::MAX,
+        requesters: u32::MAX,
+        already_held: u32::MAX,
     };
-    let ask = LeaseMessage::Ask { ask: u64::MAX, needs: (0..MOST_NEEDS as u64).map(need).collect() };
-    assert!(postcard::to_allocvec(&ask).unwrap().len() <= 1100);
+    let request = LeaseMessage::Request {
+        request_id: u64::MAX,
+        demands: (0..MAX_DEMANDS_PER_MESSAGE as u64).map(demand).collect(),
+    };
+    assert!(postcard::to_allocvec(&request).unwrap().len() <= MAX_ENCODED_BYTES);
 }
 
 #[test]
-fn what_is_given_back_is_free_at_once_and_an_old_ask_is_void() {
-    let mut planner = planner();
-    let mut grant = |now, from, message| {
-        planner.on_message(now, sender(from), message)?;
-        match planner.poll_message(now) {
-            Some((_, LeaseMessage::Grant { granted, .. })) => Ok(granted[0].1),
-            _ => Ok(0),
-        }
-    };
-    let (mut first, mut second) = (Holder::default(), Holder::default());
-    let all = [(Resource::Origin, 100_000)];
-    let ask = first.ask(at(0), ME, &all).remove(0);
-    // The whole is 100 a second, and 25 of it are the forwarders' own, in parts of 83 thousandths.
-    assert_eq!(grant(at(1), 1, ask.clone()), Ok(75_100));
-    assert_eq!(grant(at(2), 1, ask), Err(LeaseError::Old));
-    assert_eq!(grant(at(3), 2, second.ask(at(3), ME, &all).remove(0)), Ok(0));
-    for (_, message) in first.give_back() {
-        assert_eq!(grant(at(4), 1, message), Ok(0));
+fn released_leases_are_available_at_once_and_repeated_requests_are_refused() {
+    let mut planner = PlannerComponent::new(Settings::default(), PLANNER, Incarnation(1), Time(0));
+    let mut first = Holdings::default();
+    let mut second = Holdings::default();
+    let whole_capacity = [ResourceAmount { resource: Resource::Origin, amount: 100_000 }];
+    let request = first.request(at(0), PLANNER, &whole_capacity).remove(0);
+    // The capacity is 100 fetches a second. 25 of them are guaranteed, in shares of 83 thousandths.
+    assert_eq!(granted_amount(&mut planner, at(1), 1, request.clone()), Ok(75_100));
+    assert_eq!(granted_amount(&mut planner, at(2), 1, request), Err(LeaseError::Outdated));
+    let request = second.request(at(3), PLANNER, &whole_capacity).remove(0);
+    assert_eq!(granted_amount(&mut planner, at(3), 2, request), Ok(0));
+    for (_, message) in first.release_all() {
+        assert_eq!(granted_amount(&mut planner, at(4), 1, message), Ok(0));
     }
-    assert_eq!(grant(at(200), 2, second.ask(at(200), ME, &all).remove(0)), Ok(75_100));
+    let request = second.request(at(200), PLANNER, &whole_capacity).remove(0);
+    assert_eq!(granted_amount(&mut planner, at(200), 2, request), Ok(75_100));
 }
 
-/// Known by its fetches alone, a need of nine a second was asked for as 0.1: who has a part of 0.08 sends one in twelve
-/// seconds.
+/// Estimated from sent fetches alone, a demand of nine a second was requested as 0.1: with a share of 0.08 a second, a
+/// forwarder sends one in twelve seconds.
 #[test]
-fn reads_that_were_turned_away_tell_of_a_need() {
-    let mut side = ForwarderComponent::new(Settings::default(), ForwarderId(3), Incarnation(1), at(0));
-    side.on_membership_change(at(0), &[Member::Planner(ME)]);
-    let origin = ObservedEndpoint {
-        cache: EndpointId(1),
-        is_origin: true,
-        zone: 0,
-        size: 1.0,
-        started: None,
-        warm_after: Span::ZERO,
-    };
-    side.seen(at(0), &Observation::EndpointsChanged(vec![origin]));
-    let mut asked = 0;
+fn rejected_reads_count_as_demand() {
+    let mut forwarder = forwarder(Settings::default(), Incarnation(1));
+    forwarder.seen(at(0), &Observation::EndpointsChanged(vec![origin()]));
+    let mut requested = 0;
     for ms in (0..4000).step_by(100) {
         if ms >= 1000 {
-            side.seen(at(ms), &Observation::FetchDenied);
+            forwarder.seen(at(ms), &Observation::FetchDenied);
         }
-        while let Some((_, message)) = side.poll_message(at(ms)) {
-            if let LeaseMessage::Ask { needs, .. } = message {
-                asked = needs.iter().map(|n| n.amount).sum();
-            }
+        if let Some(amount) = poll_requested_amount(&mut forwarder, at(ms)) {
+            requested = amount;
         }
     }
-    assert!((9_000..30_000).contains(&asked), "{asked} thousandths of a fetch a second");
+    let expected = 9 * FETCH_PER_SECOND..30 * FETCH_PER_SECOND;
+    assert!(expected.contains(&requested), "{requested} thousandths of a fetch a second");
 }
 
-/// What was asked for on top took from the heaviest what light ones don't use: 4.7 of a want of 2 a second at 300 nodes.
+/// A larger margin took from the heaviest forwarders what light ones do not use: 4.7 for a demand of 2 a second at 300
+/// nodes.
 #[test]
-fn no_more_is_asked_for_than_is_used_and_a_little() {
-    let settings = Settings { whole_origin: 2_000_000, reserve: 0, ..Settings::default() };
-    let mut side = ForwarderComponent::new(settings, ForwarderId(3), Incarnation(1), at(0));
-    side.on_membership_change(at(0), &[Member::Planner(ME)]);
-    let mut asked = 0;
+fn requested_amount_is_usage_plus_a_small_margin() {
+    let settings = Settings { origin_capacity: 2_000_000, guaranteed_per_mille: 0, ..Settings::default() };
+    let mut forwarder = forwarder(settings, Incarnation(1));
+    let mut requested = 0;
     for ms in (0..20_000).step_by(500) {
-        side.seen(at(ms), &Observation::AttemptSent { cache: EndpointId(1), is_origin: true, write: false });
-        while let Some((_, message)) = side.poll_message(at(ms)) {
-            if let LeaseMessage::Ask { needs, .. } = message {
-                asked = needs.iter().map(|n| n.amount).sum();
-            }
+        let fetch = Observation::AttemptSent { cache: EndpointId(1), is_origin: true, write: false };
+        forwarder.seen(at(ms), &fetch);
+        if let Some(amount) = poll_requested_amount(&mut forwarder, at(ms)) {
+            requested = amount;
         }
     }
-    assert!((2_200..3_400).contains(&asked), "{asked} thousandths of a fetch a second");
+    assert!((2_200..3_400).contains(&requested), "{requested} thousandths of a fetch a second");
 }
 
-/// In thousandths it was nothing at 300 nodes: with no planner no cold cache got a call.
+/// In thousandths it rounded to nothing at 300 nodes: without a planner, no warming cache server got a request.
 #[test]
-fn each_of_many_forwarders_has_a_part_of_a_cold_cache() {
-    let settings = Settings { whole_cold: 500_000, forwarders: 300, ..Settings::default() };
-    assert_eq!(settings.own(Resource::Cold(EndpointId(1))), 416);
+fn guaranteed_share_of_a_warming_cache_is_not_rounded_to_zero() {
+    let settings = Settings { warming_cache_capacity: 500_000, forwarder_count: 300, ..Settings::default() };
+    assert_eq!(settings.guaranteed_share(Resource::WarmingCache(EndpointId(1))), 416);
 }
 
-/// Its first ask ends what an earlier life held at the planner, which the loop may use until it is told otherwise.
+/// The first request revokes what an earlier incarnation held at the planner, which the balancer may use until it is
+/// notified.
 #[test]
-fn a_new_life_asks_for_a_standing_part_only_once_its_loop_was_told() {
-    let settings = Settings { standing: 500, ..Settings::default() };
-    let mut side = ForwarderComponent::new(settings, ForwarderId(3), Incarnation(2), at(0));
-    side.on_membership_change(at(0), &[Member::Planner(ME)]);
-    let asks = |side: &mut ForwarderComponent, ms| {
-        std::iter::from_fn(|| side.poll_message(at(ms)))
-            .filter(|(_, m)| matches!(m, LeaseMessage::AskStanding { .. }))
+fn new_incarnation_requests_long_term_allocations_only_after_notifying_its_balancer() {
+    let settings = Settings { long_term_per_mille: 500, ..Settings::default() };
+    let mut forwarder = forwarder(settings, Incarnation(2));
+    let count_requests = |forwarder: &mut ForwarderComponent, ms| {
+        std::iter::from_fn(|| forwarder.poll_message(at(ms)))
+            .filter(|(_, message)| matches!(message, LeaseMessage::RequestLongTerm(_)))
             .count()
     };
-    // Of no list: the module still has the lease that it was told before.
-    side.advice(at(0));
-    assert_eq!(asks(&mut side, 600), 0);
-    let origin = ObservedEndpoint {
-        cache: EndpointId(1),
-        is_origin: true,
-        zone: 0,
-        size: 1.0,
-        started: None,
-        warm_after: Span::ZERO,
-    };
-    side.seen(at(600), &Observation::EndpointsChanged(vec![origin]));
-    assert_eq!(asks(&mut side, 1200), 0);
-    side.advice(at(1200));
-    assert_eq!(asks(&mut side, 1800), 1);
+    // Without endpoints the notification is empty: the balancer still has the lease of before.
+    forwarder.current_leases(at(0));
+    assert_eq!(count_requests(&mut forwarder, 600), 0);
+    forwarder.seen(at(600), &Observation::EndpointsChanged(vec![origin()]));
+    assert_eq!(count_requests(&mut forwarder, 1200), 0);
+    forwarder.current_leases(at(1200));
+    assert_eq!(count_requests(&mut forwarder, 1800), 1);
 }
 
-/// With no other lease letters a forwarder never heard of the planner's new life, and its part ran out in that one's wait.
+/// With no other lease messages a forwarder never learned the planner's new incarnation, and its allocation expired during
+/// that planner's wait.
 #[test]
-fn a_planner_that_starts_grants_again_what_a_forwarder_tells_it() {
-    let settings = Settings { standing: 500, ..Settings::default() };
-    let mut side = ForwarderComponent::new(settings.clone(), ForwarderId(3), Incarnation(1), at(0));
-    side.on_membership_change(at(0), &[Member::Planner(ME)]);
-    let origin = ObservedEndpoint {
-        cache: EndpointId(1),
-        is_origin: true,
-        zone: 0,
-        size: 1.0,
-        started: None,
-        warm_after: Span::ZERO,
-    };
-    side.seen(at(0), &Observation::EndpointsChanged(vec![origin]));
-    let mut planner = PlannerComponent::new(settings.clone(), ME, Incarnation(1), Time(0));
+fn restarted_planner_grants_again_what_a_forwarder_reports() {
+    let settings = Settings { long_term_per_mille: 500, ..Settings::default() };
+    let mut forwarder = forwarder(settings.clone(), Incarnation(1));
+    forwarder.seen(at(0), &Observation::EndpointsChanged(vec![origin()]));
     let mut incarnation = Incarnation(1);
-    let mut may = Vec::new();
+    let mut planner = PlannerComponent::new(settings.clone(), PLANNER, incarnation, Time(0));
+    let mut limits = Vec::new();
     for ms in (0..29_000).step_by(100) {
         if ms == 10_000 {
             incarnation = Incarnation(2);
-            planner = PlannerComponent::new(settings.clone(), ME, incarnation, at(ms));
+            planner = PlannerComponent::new(settings.clone(), PLANNER, incarnation, at(ms));
         }
-        side.advice(at(ms));
-        while let Some((_, message)) = side.poll_message(at(ms)) {
-            if matches!(message, LeaseMessage::AskStanding { .. }) {
-                planner.on_message(at(ms), sender(3), message).unwrap();
+        forwarder.current_leases(at(ms));
+        while let Some((_, message)) = forwarder.poll_message(at(ms)) {
+            if matches!(message, LeaseMessage::RequestLongTerm(_)) {
+                planner.on_message(at(ms), forwarder_sender(FORWARDER.0), message).unwrap();
             }
         }
         while let Some((_, message)) = planner.poll_message(at(ms)) {
-            side.on_message(at(ms), Sender { member: Member::Planner(ME), incarnation, number: 0 }, message)
-                .unwrap();
+            let sender = Sender { member: Member::Planner(PLANNER), incarnation, number: 0 };
+            forwarder.on_message(at(ms), sender, message).unwrap();
         }
-        may.push(side.advice(at(ms))[0].1.most);
+        limits.push(forwarder.current_leases(at(ms))[0].1.most);
     }
-    // Without an answer it would fall from the 25th second on, to its end at the 30th.
-    assert!(may[60] > 0.2 && may[289] >= may[99], "{} {} {}", may[60], may[99], may[289]);
+    // Without an answer the limit would fall from the 25th second on, until the expiry at the 30th.
+    let [established, before_restart, last] = [limits[60], limits[99], limits[289]];
+    assert!(established > 0.2 && last >= before_restart, "{established} {before_restart} {last}");
 }
--- a/crates/coordination/tests/leases_model.rs
+++ b/crates/coordination/tests/leases_model.rs
@@ -1,279 +1,343 @@
-//! Every order of letters between two planners and three forwarders, up to a depth: lost, doubled, late, passed by one
-//! another, and one planner that starts anew. At each moment what forwarders hold adds up to no more than the whole.
-//! A letter takes a tick at least, so what members do within one doesn't touch: each has its turn, and all that each may
-//! do there is tried. Of what a forwarder holds within a tick the most counts.
-//! Three broken variants of the protocol are each caught.
+//! Exhaustive search over the orders of messages between two planners and three forwarders, up to a depth: messages are
+//! lost, duplicated, delayed and reordered, and one planner restarts. At each moment, what forwarders hold adds up to no
+//! more than the capacity.
+//!
+//! A message takes at least one tick, so the steps of different members within a tick are independent: members take their
+//! turns in order, and all steps that each may take there are tried. Of what a forwarder holds within a tick, the greatest
+//! amount counts.
+//!
+//! Three broken variants of the protocol are each detected.
 
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
-use granitelb_coordination::leases::{Holder, LeaseMessage, PlannerComponent, Resource, Settings};
+use granitelb_coordination::leases::{
+    Holdings, LeaseMessage, PlannerComponent, PlannerIncarnation, Resource, ResourceAmount, Settings,
+};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use test_case::test_case;
 
 const FORWARDERS: usize = 3;
 const PLANNERS: [PlannerId; 2] = [PlannerId(0), PlannerId(1)];
-/// Planners have been up for longer than any lease when it begins.
+/// The forwarder that is served by the second planner and may change to the first one.
+const ROAMING_FORWARDER: usize = 2;
+const CAPACITY: u32 = 10;
+/// When the search begins, planners have been up for longer than any lease lasts.
 const START: Time = Time(100);
+/// By how much the variant [`Variant::LongLoan`] extends a loan, in microseconds.
+const LOAN_EXTENSION: u32 = 4;
+/// When the first forwarder sends its two requests before the search.
+const SETUP_REQUESTS_AT: [Time; 2] = [START, Time(START.0 + 4)];
+const SETUP_TICKS: u8 = 5;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
-    AsItIs,
-    /// A planner that starts anew grants at once.
-    NoWait,
-    /// A forwarder counts a lease from when the grant comes.
-    FromArrival,
+    Correct,
+    /// A planner that restarts grants at once.
+    NoStartupWait,
+    /// A forwarder counts a lease from when the grant arrives.
+    DurationFromArrival,
     /// A borrower counts a loan for longer than the lender does.
     LongLoan,
 }
 
 fn settings(variant: Variant) -> Settings {
     Settings {
-        whole_origin: 10,
-        reserve: 0,
-        forwarders: FORWARDERS as u32,
+        origin_capacity: CAPACITY,
+        guaranteed_per_mille: 0,
+        forwarder_count: FORWARDERS as u32,
         planners: PLANNERS.into(),
-        lease: Span(4),
-        loan: Span(7),
-        longest: if variant == Variant::LongLoan { Span(11) } else { Span(7) },
-        drift: 0,
-        slack: Span(0),
-        beat: Span(3),
-        fresh: Span(0),
+        lease_duration: Span(4),
+        loan_duration: Span(7),
+        max_duration: if variant == Variant::LongLoan { Span(11) } else { Span(7) },
+        clock_drift_per_mille: 0,
+        clock_margin: Span(0),
+        request_interval: Span(3),
+        target_refresh_interval: Span(0),
         ..Settings::default()
     }
 }
 
-/// How much of each kind of trouble is left to happen.
+/// How much of each kind of step and fault is left.
 #[derive(Clone, Hash)]
-struct Left {
-    asks: [u8; FORWARDERS],
-    doubles: u8,
+struct Budget {
+    requests: [u8; FORWARDERS],
+    duplicates: u8,
     restarts: u8,
     ticks: u8,
-    /// A letter comes within so many ticks or never; a lease lasts 4 and a loan 7.
-    late: u64,
+    /// A message arrives within this number of ticks or never; a lease lasts 4 and a loan 7.
+    max_delay: u64,
 }
 
 #[derive(Clone, Hash, PartialEq, Eq, PartialOrd, Ord)]
-struct Message {
+struct InFlightMessage {
     to: Member,
     from: Member,
     incarnation: Incarnation,
-    sent: Time,
+    sent_at: Time,
     message: LeaseMessage,
 }
 
+#[derive(Clone)]
+struct Planner {
+    incarnation: Incarnation,
+    component: PlannerComponent,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    forwarder: Member,
+    request_id: u64,
+}
+
 #[derive(Clone)]
 struct State {
     now: Time,
-    /// Whose turn it is: the planners', then the forwarders'.
+    /// The member whose turn it is: first the planners, then the forwarders.
     turn: usize,
+    /// The most that each forwarder held in this tick.
     peaks: [u32; FORWARDERS],
-    planners: Vec<(Incarnation, PlannerComponent)>,
-    forwarders: Vec<Holder>,
-    /// When each forwarder sent each ask.
-    asked: BTreeMap<(Member, u64), Time>,
-    /// On the way, each with how often it may still come. What never comes is lost.
-    letters: BTreeMap<Message, u8>,
-    left: Left,
+    planners: Vec<Planner>,
+    forwarders: Vec<Holdings>,
+    /// When each request of a forwarder was sent.
+    requested_at: BTreeMap<RequestKey, Time>,
+    /// The messages in flight, each with the number of times that it may still arrive. What never arrives is lost.
+    messages: BTreeMap<InFlightMessage, u8>,
+    budget: Budget,
 }
 
 struct Search {
     variant: Variant,
-    needs: [u32; FORWARDERS],
-    known: HashSet<u64>,
-    most: u32,
-    lent: bool,
+    demands: [u32; FORWARDERS],
+    visited: HashSet<u64>,
+    most_held: u32,
+    has_seen_loans: bool,
 }
 
 impl State {
-    fn start(variant: Variant, left: Left) -> State {
-        let planner = |id| {
-            let mut planner = PlannerComponent::new(settings(variant), id, Incarnation(1), Time(0));
-            planner.on_membership_change(Time(0), &PLANNERS.map(Member::Planner));
-            planner.poll_message(START);
-            (Incarnation(1), planner)
-        };
-        let planners = PLANNERS.map(planner).to_vec();
-        let forwarders = vec![Holder::default(); FORWARDERS];
+    fn start(variant: Variant, budget: Budget) -> State {
+        let planners = PLANNERS.map(|id| {
+            let mut component = PlannerComponent::new(settings(variant), id, Incarnation(1), Time(0));
+            component.on_membership_change(Time(0), &PLANNERS.map(Member::Planner));
+            component.poll_message(START);
+            Planner { incarnation: Incarnation(1), component }
+        });
         State {
             now: START,
             turn: 0,
             peaks: [0; FORWARDERS],
-            planners,
-            forwarders,
-            asked: BTreeMap::new(),
-            letters: BTreeMap::new(),
-            left,
+            planners: planners.to_vec(),
+            forwarders: vec![Holdings::default(); FORWARDERS],
+            requested_at: BTreeMap::new(),
+            messages: BTreeMap::new(),
+            budget,
         }
     }
 
-    fn key(&self) -> u64 {
-        let planners: Vec<_> = self.planners.iter().map(|(l, p)| (l, p.state())).collect();
-        let all = (self.now, self.turn, self.peaks, planners, &self.forwarders, &self.letters, &self.left);
+    fn fingerprint(&self) -> u64 {
+        let planners: Vec<_> = self
+            .planners
+            .iter()
+            .map(|planner| (planner.incarnation, planner.component.hashable_state()))
+            .collect();
+        let all = (self.now, self.turn, self.peaks, planners, &self.forwarders, &self.messages, &self.budget);
         BuildHasherDefault::<DefaultHasher>::default().hash_one(all)
     }
 
-    fn see(&mut self) {
+    fn update_peaks(&mut self) {
         for (peak, forwarder) in self.peaks.iter_mut().zip(&self.forwarders) {
-            *peak = forwarder.holds(self.now, Resource::Origin).max(*peak);
+            *peak = forwarder.usable(self.now, Resource::Origin).max(*peak);
         }
     }
 
-    fn whose(&self) -> Member {
+    fn member_in_turn(&self) -> Member {
         match self.turn {
-            p if p < PLANNERS.len() => Member::Planner(PLANNERS[p]),
-            f => Member::Forwarder(ForwarderId((f - PLANNERS.len()) as u64)),
+            planner if planner < PLANNERS.len() => Member::Planner(PLANNERS[planner]),
+            other => Member::Forwarder(ForwarderId((other - PLANNERS.len()) as u64)),
         }
     }
 
-    /// Its turn is over; after the last one's a tick passes.
-    fn pass_on(&mut self) {
+    /// Ends the turn; after the last one, a tick passes.
+    fn end_turn(&mut self) {
         self.turn += 1;
         if self.turn == PLANNERS.len() + FORWARDERS {
-            (self.turn, self.peaks, self.left.ticks) = (0, [0; FORWARDERS], self.left.ticks - 1);
+            self.turn = 0;
+            self.peaks = [0; FORWARDERS];
+            self.budget.ticks -= 1;
             self.now = self.now + Span(1);
-            let (now, late) = (self.now, Span(self.left.late));
-            self.letters.retain(|l, _| now - l.sent <= late);
-            self.forwarders.iter_mut().for_each(|f| f.pass(now));
-            (0..PLANNERS.len()).for_each(|p| self.pull(p));
-            self.see();
+            self.begin_tick();
         }
     }
 
-    fn post(&mut self, from: Member, incarnation: Incarnation, to: Member, message: LeaseMessage) {
-        let letter = Message { to, from, incarnation, sent: self.now, message };
-        *self.letters.entry(letter).or_default() += 1;
+    fn begin_tick(&mut self) {
+        let now = self.now;
+        let max_delay = Span(self.budget.max_delay);
+        self.messages.retain(|message, _| now - message.sent_at <= max_delay);
+        for forwarder in &mut self.forwarders {
+            forwarder.expire(now);
+        }
+        for planner in 0..PLANNERS.len() {
+            self.send_planner_messages(planner);
+        }
+        self.update_peaks();
     }
 
-    fn pull(&mut self, n: usize) {
-        let incarnation = self.planners[n].0;
-        while let Some((to, message)) = self.planners[n].1.poll_message(self.now) {
-            self.post(Member::Planner(PLANNERS[n]), incarnation, to, message);
+    fn send(&mut self, from: Member, incarnation: Incarnation, to: Member, message: LeaseMessage) {
+        let message = InFlightMessage { to, from, incarnation, sent_at: self.now, message };
+        *self.messages.entry(message).or_default() += 1;
+    }
+
+    fn send_planner_messages(&mut self, index: usize) {
+        let incarnation = self.planners[index].incarnation;
+        while let Some((to, message)) = self.planners[index].component.poll_message(self.now) {
+            self.send(Member::Planner(PLANNERS[index]), incarnation, to, message);
         }
     }
 
-    /// A letter comes. Afterwards it may come once more if `again`.
-    fn comes(&mut self, letter: &Message, again: bool, variant: Variant) {
-        let count = self.letters.get_mut(letter).expect("on the way");
-        if again {
-            self.left.doubles -= 1;
+    /// Delivers a message. It may arrive once more if `is_duplicated`.
+    fn deliver(&mut self, message: &InFlightMessage, is_duplicated: bool, variant: Variant) {
+        if is_duplicated {
+            self.budget.duplicates -= 1;
         } else {
-            *count -= 1;
+            *self.messages.get_mut(message).expect("the message is in flight") -= 1;
         }
-        self.letters.retain(|_, n| *n > 0);
-        match letter.to {
-            Member::Planner(id) => {
-                let sender = Sender { member: letter.from, incarnation: letter.incarnation, number: 0 };
-                let mut message = letter.message.clone();
-                if let (LeaseMessage::Grant { lasts, .. }, Variant::LongLoan) = (&mut message, variant) {
-                    *lasts += 4;
-                }
-                let _ = self.planners[id.0 as usize].1.on_message(self.now, sender, message);
-                self.pull(id.0 as usize);
-            }
-            Member::Forwarder(id) => {
-                let (LeaseMessage::Grant { ask, granted, lasts }, Member::Planner(from)) =
-                    (&letter.message, letter.from)
-                else {
-                    return;
-                };
-                let sent = self.asked.get(&(letter.to, *ask)).copied().unwrap_or(self.now);
-                let late = if variant == Variant::FromArrival { self.now - sent } else { Span(0) };
-                let lasts = Span(u64::from(*lasts)) + late;
-                let forwarder = &mut self.forwarders[id.0 as usize];
-                let _ = forwarder.granted(self.now, (from, letter.incarnation), *ask, granted, lasts);
-                forwarder.tell();
-                self.see();
+        self.messages.retain(|_, count| *count > 0);
+        match message.to {
+            Member::Planner(id) => self.deliver_to_planner(id.0 as usize, message, variant),
+            Member::Forwarder(id) => self.deliver_to_forwarder(id.0 as usize, message, variant),
+        }
+    }
+
+    fn deliver_to_planner(&mut self, index: usize, envelope: &InFlightMessage, variant: Variant) {
+        let sender = Sender { member: envelope.from, incarnation: envelope.incarnation, number: 0 };
+        let mut message = envelope.message.clone();
+        if let (LeaseMessage::Grant { duration, .. }, Variant::LongLoan) = (&mut message, variant) {
+            *duration += LOAN_EXTENSION;
+        }
+        // Whether the planner ignores the message is its own decision.
+        let _ = self.planners[index].component.on_message(self.now, sender, message);
+        self.send_planner_messages(index);
+    }
+
+    fn deliver_to_forwarder(&mut self, index: usize, envelope: &InFlightMessage, variant: Variant) {
+        let LeaseMessage::Grant { request_id, granted, duration } = &envelope.message else { return };
+        let Member::Planner(planner) = envelope.from else { return };
+        let key = RequestKey { forwarder: envelope.to, request_id: *request_id };
+        let requested_at = self.requested_at.get(&key).copied().unwrap_or(self.now);
+        let mut duration = Span(u64::from(*duration));
+        if variant == Variant::DurationFromArrival {
+            duration = duration + (self.now - requested_at);
+        }
+        let from = PlannerIncarnation { planner, incarnation: envelope.incarnation };
+        let forwarder = &mut self.forwarders[index];
+        // Whether the forwarder ignores the grant is its own decision.
+        let _ = forwarder.on_grant(self.now, from, *request_id, granted, duration);
+        forwarder.mark_applied();
+        self.update_peaks();
+    }
+
+    fn request(&mut self, index: usize, planner: PlannerId, amount: u32) {
+        self.budget.requests[index] -= 1;
+        let forwarder = Member::Forwarder(ForwarderId(index as u64));
+        let wanted = [ResourceAmount { resource: Resource::Origin, amount }];
+        for message in self.forwarders[index].request(self.now, planner, &wanted) {
+            if let LeaseMessage::Request { request_id, .. } = &message {
+                let key = RequestKey { forwarder, request_id: *request_id };
+                self.requested_at.insert(key, self.now);
             }
+            self.send(forwarder, Incarnation(1), Member::Planner(planner), message);
         }
     }
+
+    fn restart_planner(&mut self, index: usize, variant: Variant) {
+        self.budget.restarts -= 1;
+        let started_at = if variant == Variant::NoStartupWait { Time(0) } else { self.now };
+        let incarnation = Incarnation(2);
+        let mut component =
+            PlannerComponent::new(settings(variant), PLANNERS[index], incarnation, started_at);
+        component.on_membership_change(self.now, &PLANNERS.map(Member::Planner));
+        self.planners[index] = Planner { incarnation, component };
+    }
+
+    fn held(&self) -> u32 {
+        self.peaks.iter().sum()
+    }
+
+    fn has_loans(&self) -> bool {
+        self.planners
+            .iter()
+            .any(|planner| planner.component.outstanding_grants().any(|grants| grants.loaned > 0))
+    }
 }
 
 impl Search {
-    /// The first forwarder asks, its planner borrows, it asks again, and all comes at once. From here on, with a loan
-    /// and an ask on their way, anything may happen.
-    fn borrowed(&mut self, mut state: State) -> State {
-        let left = state.left.clone();
-        (state.left.ticks, state.left.asks[0]) = (left.ticks + 5, left.asks[0] + 2);
-        while state.left.ticks > left.ticks {
-            let due = |s: &State| s.letters.keys().find(|l| l.to == s.whose() && l.sent < s.now).cloned();
-            while let Some(letter) = due(&state) {
-                state.comes(&letter, false, self.variant);
+    /// The first forwarder requests, its planner borrows, the forwarder requests again, and all messages arrive at once.
+    /// The search begins here, with a loan and a request in flight.
+    fn with_loan_in_flight(&mut self, mut state: State) -> State {
+        let ticks_of_search = state.budget.ticks;
+        state.budget.ticks += SETUP_TICKS;
+        state.budget.requests[0] += SETUP_REQUESTS_AT.len() as u8;
+        while state.budget.ticks > ticks_of_search {
+            while let Some(message) = first_deliverable(&state) {
+                state.deliver(&message, false, self.variant);
             }
-            if state.turn == PLANNERS.len() && [START, START + Span(4)].contains(&state.now) {
-                state = self.next(&state).swap_remove(1);
+            if state.turn == PLANNERS.len() && SETUP_REQUESTS_AT.contains(&state.now) {
+                state.request(0, PLANNERS[0], self.demands[0]);
             }
-            state.pass_on();
+            state.end_turn();
         }
         state
     }
 
-    /// All states that follow.
-    fn next(&self, state: &State) -> Vec<State> {
-        let mut next = Vec::new();
-        let mut to = |change: &dyn Fn(&mut State)| {
-            let mut new = state.clone();
-            change(&mut new);
-            next.push(new);
-        };
-        let whose = state.whose();
-        // First, so that it is gone into last: what is broken is mostly found where letters come.
-        if state.left.ticks > 0 {
-            to(&|s| s.pass_on());
+    /// All states that may follow.
+    fn successors(&self, state: &State) -> Vec<State> {
+        let mut successors = Vec::new();
+        // First, so that it is explored last: a violation is mostly found where messages arrive.
+        if state.budget.ticks > 0 {
+            successors.push(changed(state, State::end_turn));
         }
-        if let Member::Forwarder(id) = whose {
-            let n = id.0 as usize;
-            for (p, planner) in PLANNERS.iter().enumerate() {
-                // One planner is the first for the first two, the other for the last; the last may change.
-                if state.left.asks[n] > 0 && (p == usize::from(n == 2) || n == 2) {
-                    to(&|s| {
-                        s.left.asks[n] -= 1;
-                        let asks = s.forwarders[n].ask(s.now, *planner, &[(Resource::Origin, self.needs[n])]);
-                        for message in asks {
-                            if let LeaseMessage::Ask { ask, .. } = &message {
-                                s.asked.insert((whose, *ask), s.now);
-                            }
-                            s.post(whose, Incarnation(1), Member::Planner(*planner), message);
-                        }
-                    });
-                }
-            }
+        if let Member::Forwarder(id) = state.member_in_turn() {
+            self.add_requests(state, id.0 as usize, &mut successors);
         }
-        for letter in state.letters.keys().filter(|l| l.to == whose && l.sent < state.now) {
-            to(&|s| s.comes(letter, false, self.variant));
-            if state.left.doubles > 0 {
-                to(&|s| s.comes(letter, true, self.variant));
+        for message in deliverable(state) {
+            successors.push(changed(state, |next| next.deliver(message, false, self.variant)));
+            if state.budget.duplicates > 0 {
+                successors.push(changed(state, |next| next.deliver(message, true, self.variant)));
             }
         }
-        if state.left.restarts > 0 && state.turn < PLANNERS.len() {
-            to(&|s| {
-                s.left.restarts -= 1;
-                let born = if self.variant == Variant::NoWait { Time(0) } else { s.now };
-                let mut planner =
-                    PlannerComponent::new(settings(self.variant), PLANNERS[s.turn], Incarnation(2), born);
-                planner.on_membership_change(s.now, &PLANNERS.map(Member::Planner));
-                s.planners[s.turn] = (Incarnation(2), planner);
-            });
+        if state.budget.restarts > 0 && state.turn < PLANNERS.len() {
+            successors.push(changed(state, |next| next.restart_planner(next.turn, self.variant)));
         }
-        next
+        successors
     }
 
-    /// Whether the whole was exceeded anywhere.
-    fn run(&mut self, start: State) -> bool {
+    fn add_requests(&self, state: &State, forwarder: usize, successors: &mut Vec<State>) {
+        if state.budget.requests[forwarder] == 0 {
+            return;
+        }
+        for (index, planner) in PLANNERS.into_iter().enumerate() {
+            let is_own_planner = index == usize::from(forwarder == ROAMING_FORWARDER);
+            if is_own_planner || forwarder == ROAMING_FORWARDER {
+                let amount = self.demands[forwarder];
+                successors.push(changed(state, |next| next.request(forwarder, planner, amount)));
+            }
+        }
+    }
+
+    /// Explores all states. Returns whether the capacity was exceeded anywhere.
+    fn exceeds_capacity(&mut self, start: State) -> bool {
         let mut open = vec![start];
         while let Some(state) = open.pop() {
-            self.most = self.most.max(state.peaks.iter().sum());
-            if self.most > settings(self.variant).whole(Resource::Origin) {
+            self.most_held = self.most_held.max(state.held());
+            if self.most_held > CAPACITY {
                 return true;
             }
-            self.lent |= state.planners.iter().any(|(_, p)| p.counted().any(|(_, _, loans)| loans > 0));
-            for next in self.next(&state) {
-                if self.known.insert(next.key()) {
-                    open.push(next);
+            self.has_seen_loans |= state.has_loans();
+            for successor in self.successors(&state) {
+                if self.visited.insert(successor.fingerprint()) {
+                    open.push(successor);
                 }
             }
         }
@@ -281,37 +345,61 @@
     }
 }
 
-fn search(variant: Variant, needs: [u32; FORWARDERS], left: Left) -> (bool, Search) {
-    let mut search = Search { variant, needs, known: HashSet::new(), most: 0, lent: false };
-    let start = search.borrowed(State::start(variant, left));
-    let broken = search.run(start);
-    println!("{} states, most held {}, lent {}", search.known.len(), search.most, search.lent);
-    (broken, search)
+fn changed(state: &State, change: impl FnOnce(&mut State)) -> State {
+    let mut next = state.clone();
+    change(&mut next);
+    next
+}
+
+/// The messages that may arrive in this turn.
+fn deliverable(state: &State) -> impl Iterator<Item = &InFlightMessage> {
+    let member = state.member_in_turn();
+    state.messages.keys().filter(move |message| message.to == member && message.sent_at < state.now)
+}
+
+fn first_deliverable(state: &State) -> Option<InFlightMessage> {
+    deliverable(state).next().cloned()
+}
+
+struct SearchResult {
+    is_violated: bool,
+    most_held: u32,
+    has_seen_loans: bool,
+}
+
+fn search(variant: Variant, demands: [u32; FORWARDERS], budget: Budget) -> SearchResult {
+    let mut search =
+        Search { variant, demands, visited: HashSet::new(), most_held: 0, has_seen_loans: false };
+    let start = search.with_loan_in_flight(State::start(variant, budget));
+    let is_violated = search.exceeds_capacity(start);
+    let Search { visited, most_held, has_seen_loans, .. } = search;
+    println!("{} states, most held {most_held}, loans seen: {has_seen_loans}", visited.len());
+    SearchResult { is_violated, most_held, has_seen_loans }
 }
 
-fn left(asks: [u8; FORWARDERS], doubles: u8, restarts: u8, (ticks, late): (u8, u64)) -> Left {
-    Left { asks, doubles, restarts, ticks, late }
+fn budget(requests: [u8; FORWARDERS], duplicates: u8, restarts: u8, ticks: u8, max_delay: u64) -> Budget {
+    Budget { requests, duplicates, restarts, ticks, max_delay }
 }
 
-#[test_case(left([0, 1, 1], 1, 0, (4, 2)); "late and doubled")]
-#[test_case(left([0, 1, 1], 0, 1, (5, 1)); "a planner starts anew, for long")]
-#[test_case(left([0, 1, 1], 1, 1, (4, 1)); "a planner starts anew, a letter doubled")]
-fn what_is_held_is_within_the_whole_in_any_order(left: Left) {
-    let (broken, search) = search(Variant::AsItIs, [8, 8, 2], left);
-    assert!(!broken && search.lent && search.most == 10);
+#[test_case(budget([0, 1, 1], 1, 0, 4, 2); "delayed and duplicated messages")]
+#[test_case(budget([0, 1, 1], 0, 1, 5, 1); "a planner restarts, over a long time")]
+#[test_case(budget([0, 1, 1], 1, 1, 4, 1); "a planner restarts, a message is duplicated")]
+fn held_leases_are_within_the_capacity_in_any_order(budget: Budget) {
+    let result = search(Variant::Correct, [8, 8, 2], budget);
+    assert!(!result.is_violated && result.has_seen_loans && result.most_held == CAPACITY);
 }
 
 #[test]
-fn a_planner_that_does_not_wait_is_caught() {
-    assert!(search(Variant::NoWait, [8, 8, 2], left([1, 1, 0], 0, 1, (5, 2))).0);
+fn planner_without_startup_wait_is_detected() {
+    assert!(search(Variant::NoStartupWait, [8, 8, 2], budget([1, 1, 0], 0, 1, 5, 2)).is_violated);
 }
 
 #[test]
-fn a_forwarder_that_counts_from_arrival_is_caught() {
-    assert!(search(Variant::FromArrival, [8, 8, 2], left([1, 1, 0], 0, 0, (7, 3))).0);
+fn forwarder_that_counts_from_arrival_is_detected() {
+    assert!(search(Variant::DurationFromArrival, [8, 8, 2], budget([1, 1, 0], 0, 0, 7, 3)).is_violated);
 }
 
 #[test]
-fn a_loan_that_outlives_is_caught() {
-    assert!(search(Variant::LongLoan, [8, 8, 8], left([1, 0, 1], 0, 0, (8, 1))).0);
+fn loan_that_outlives_the_lenders_grant_is_detected() {
+    assert!(search(Variant::LongLoan, [8, 8, 8], budget([1, 0, 1], 0, 0, 8, 1)).is_violated);
 }
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -12,7 +12,7 @@
 use granitelb_balancer::time::Span;
 use granitelb_coordination::counterfactual::{How, Said, SampledRequest, Standing};
 use granitelb_coordination::endpoint_health::{HealthStatus, Part, Plan, Report, Seen};
-use granitelb_coordination::leases::{Need, Resource};
+use granitelb_coordination::leases::{Demand, LongTermRequest, Resource, ResourceAmount};
 use granitelb_coordination::message::{ComponentKind, Message, Secret, Secrets, open, seal};
 use granitelb_coordination::shard_growth::agree::{Ballot, Vote};
 use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
@@ -88,23 +88,38 @@
 }
 
 fn all_resources() -> [Resource; 2] {
-    [Resource::Origin, Resource::Cold(EndpointId(701))]
+    [Resource::Origin, Resource::WarmingCache(EndpointId(701))]
 }
 
 fn leases_messages() -> Vec<Named<leases::LeaseMessage>> {
     use leases::LeaseMessage;
-    let need = |(resource, n)| Need { resource, amount: n, using: 811, heads: n + 1, has: n + 2 };
-    let needs = all_resources().into_iter().zip([1001, 2001]).map(need).collect();
-    let granted = all_resources().into_iter().zip([3001, 4001]).collect();
-    let standing_ask =
-        LeaseMessage::AskStanding { ask: 804, need: 805, using: 806, to: Incarnation(807), has: 808 };
+    let demand = |(resource, n)| Demand {
+        resource,
+        amount: n,
+        request_in_use: 811,
+        requesters: n + 1,
+        already_held: n + 2,
+    };
+    let demands = all_resources().into_iter().zip([1001, 2001]).map(demand).collect();
+    let amount = |(resource, amount)| ResourceAmount { resource, amount };
+    let granted = all_resources().into_iter().zip([3001, 4001]).map(amount).collect();
+    let long_term_request = LongTermRequest {
+        request_id: 804,
+        demand: 805,
+        request_in_use: 806,
+        planner_incarnation: Incarnation(807),
+        already_held: 808,
+    };
     vec![
-        ("leases.ask", LeaseMessage::Ask { ask: 801, needs }),
-        ("leases.grant", LeaseMessage::Grant { ask: 802, granted, lasts: 2_000_001 }),
-        ("leases.return", LeaseMessage::Return { ask: 803 }),
-        ("leases.ask_standing", standing_ask),
-        ("leases.standing", LeaseMessage::Standing { ask: 809, amount: 810, lasts: 20_000_001 }),
-        ("leases.return_standing", LeaseMessage::ReturnStanding { ask: 812 }),
+        ("leases.ask", LeaseMessage::Request { request_id: 801, demands }),
+        ("leases.grant", LeaseMessage::Grant { request_id: 802, granted, duration: 2_000_001 }),
+        ("leases.return", LeaseMessage::Release { request_id: 803 }),
+        ("leases.ask_standing", LeaseMessage::RequestLongTerm(long_term_request)),
+        (
+            "leases.standing",
+            LeaseMessage::GrantLongTerm { request_id: 809, amount: 810, duration: 20_000_001 },
+        ),
+        ("leases.return_standing", LeaseMessage::ReleaseLongTerm { request_id: 812 }),
     ]
 }
 
--- a/crates/fleet-simulator/examples/leases.rs
+++ b/crates/fleet-simulator/examples/leases.rs
@@ -8,8 +8,8 @@
     let seeds: Vec<u64> = std::env::args().skip(1).filter_map(|s| s.parse().ok()).collect();
     let standing = std::env::args().any(|a| a == "standing");
     let settings = |one: &Play| Settings {
-        reserve: if standing { 50 } else { one.settings.reserve },
-        standing: if standing { 700 } else { 0 },
+        guaranteed_per_mille: if standing { 50 } else { one.settings.guaranteed_per_mille },
+        long_term_per_mille: if standing { 700 } else { 0 },
         ..one.settings.clone()
     };
     let growth = vec![(0.0, 4), (15.0, 40), (30.0, 6), (45.0, 300), (60.0, 6)];
--- a/crates/fleet-simulator/src/leases_model.rs
+++ b/crates/fleet-simulator/src/leases_model.rs
@@ -61,7 +61,7 @@
             troubles: 0.2,
             planners_dead: None,
             no_wait: false,
-            settings: Settings { whole_origin: 300_000, ..Settings::default() },
+            settings: Settings { origin_capacity: 300_000, ..Settings::default() },
             seed: 1,
         }
     }
@@ -214,9 +214,13 @@
         let (incarnation, clock) = (Incarnation(process.incarnation), process.clock(now));
         process.side = Some(match who {
             Member::Planner(id) => {
-                let longest = if self.play.no_wait { Span::ZERO } else { settings.longest };
-                let mut side =
-                    PlannerComponent::new(Settings { longest, ..settings }, id, incarnation, clock);
+                let longest = if self.play.no_wait { Span::ZERO } else { settings.max_duration };
+                let mut side = PlannerComponent::new(
+                    Settings { max_duration: longest, ..settings },
+                    id,
+                    incarnation,
+                    clock,
+                );
                 side.on_membership_change(clock, &alive);
                 Side::Planner(Box::new(side))
             }
@@ -224,7 +228,7 @@
                 let mut side = ForwarderComponent::new(settings, id, incarnation, clock);
                 side.on_membership_change(clock, &alive);
                 side.seen(clock, &Observation::EndpointsChanged(vec![origin()]));
-                process.lease = side.advice(clock).first().map(|a| a.1);
+                process.lease = side.current_leases(clock).first().map(|a| a.1);
                 Side::Forwarder(Box::new(side))
             }
         });
@@ -234,7 +238,7 @@
 
     fn draw_want(&mut self, who: Member) {
         let up = self.up().max(1) as f64;
-        let mean = self.play.wanted * f64::from(self.play.settings.whole_origin) / 1000.0 / up;
+        let mean = self.play.wanted * f64::from(self.play.settings.origin_capacity) / 1000.0 / up;
         let spread =
             LogNormal::new(-self.play.spread.powi(2) / 2.0, self.play.spread).expect("a sound spread");
         let want = mean * spread.sample(&mut self.chance);
@@ -317,7 +321,7 @@
                 (side.poll_timeout(clock), side.entries())
             }
             Some(Side::Forwarder(side)) => {
-                process.lease = side.advice(clock).first().map(|a| a.1);
+                process.lease = side.current_leases(clock).first().map(|a| a.1);
                 while let Some(letter) = side.poll_message(clock) {
                     out.push(letter);
                 }
@@ -441,9 +445,9 @@
     fn fairness(&mut self) {
         let (now, last) = (self.now, self.now.0 as f64 > self.play.seconds * 0.75e6);
         let settings = &self.play.settings;
-        let (whole, own) = (settings.whole(Resource::Origin), settings.own(Resource::Origin));
+        let (whole, own) = (settings.capacity(Resource::Origin), settings.guaranteed_share(Resource::Origin));
         // Own parts of forwarders that are not up are nobody's.
-        let idle = f64::from(own) * settings.forwarders.saturating_sub(self.up() as u32) as f64;
+        let idle = f64::from(own) * settings.forwarder_count.saturating_sub(self.up() as u32) as f64;
         let whole = (f64::from(whole) - idle) / 1000.0;
         let live = |p: &&mut Process| matches!(p.side, Some(Side::Forwarder(_)));
         let mut wants: Vec<_> = self.members.values_mut().filter(live).map(|p| p.want).collect();
@@ -479,11 +483,11 @@
     /// The auditor: all that loops may use now, and the own parts of those that are not up.
     fn audit(&mut self) {
         let settings = &self.play.settings;
-        let whole = f64::from(settings.whole_origin) / 1000.0;
-        let own = f64::from(settings.own(Resource::Origin)) / 1000.0;
+        let whole = f64::from(settings.origin_capacity) / 1000.0;
+        let own = f64::from(settings.guaranteed_share(Resource::Origin)) / 1000.0;
         let forwarders = self.members.values().filter(|p| matches!(p.side, Some(Side::Forwarder(_))));
         let beyond: f64 = forwarders.map(|p| (p.may(self.now) - own).max(0.0)).sum();
-        let sum = (beyond + own * f64::from(settings.forwarders)) / whole;
+        let sum = (beyond + own * f64::from(settings.forwarder_count)) / whole;
         self.came.most = self.came.most.max(sum);
         self.came.exceeded += usize::from(sum > 1.0 + 1e-9);
     }
--- a/crates/fleet-simulator/src/world/fellows.rs
+++ b/crates/fleet-simulator/src/world/fellows.rs
@@ -38,13 +38,13 @@
     let stands = origin_slots as f64 / play.origin_time.as_secs_f64();
     let reads = stands - 2.0 * play.writes * play.rate();
     leases::Settings {
-        whole_origin: (reads.max(0.0) * play.whole * 1000.0) as u32,
-        whole_cold: 1_000_000,
-        reserve: play.reserve,
-        standing: play.standing,
-        forwarders: play.nodes as u32,
+        origin_capacity: (reads.max(0.0) * play.whole * 1000.0) as u32,
+        warming_cache_capacity: 1_000_000,
+        guaranteed_per_mille: play.reserve,
+        long_term_per_mille: play.standing,
+        forwarder_count: play.nodes as u32,
         planners: planners(play),
-        cold_from: super::COLD_FROM,
+        initial_warmup_factor: super::COLD_FROM,
         ..leases::Settings::default()
     }
 }
@@ -175,7 +175,7 @@
             self.seen(now, listed);
         }
         let mut advice = self.verdicts.as_ref().map(|v| v.advice(now)).unwrap_or_default();
-        advice.leases = self.leases.as_mut().map(|l| l.advice(now)).unwrap_or_default();
+        advice.leases = self.leases.as_mut().map(|l| l.current_leases(now)).unwrap_or_default();
         advice
     }
 }
--- a/crates/fleet-simulator/tests/leases.rs
+++ b/crates/fleet-simulator/tests/leases.rs
@@ -25,8 +25,8 @@
 fn nor_with_standing_parts(forwarders: usize, planners: u8, seed: u64) {
     // Far more is wanted than there is, so that all that may be held is.
     let mut one = Play { seconds: 60.0, wanted: 3.0, ..troubled(forwarders, planners, seed) };
-    (one.settings.reserve, one.settings.standing) = (50, 700);
-    one.settings.forwarders = forwarders as u32;
+    (one.settings.guaranteed_per_mille, one.settings.long_term_per_mille) = (50, 700);
+    one.settings.forwarder_count = forwarders as u32;
     let came = play(&one);
     assert!(came.exceeded == 0 && came.most > 0.6, "{came:?}");
 }
@@ -38,7 +38,8 @@
         let mut one =
             Play { loss: 0.0, troubles: 0.0, changes: None, seconds: 45.0, seed, ..Play::default() };
         one.planners_dead = Some((35.0, 46.0));
-        (one.settings.forwarders, one.settings.reserve, one.settings.standing) = (40, 50, 850);
+        (one.settings.forwarder_count, one.settings.guaranteed_per_mille, one.settings.long_term_per_mille) =
+            (40, 50, 850);
         one.wanted = 0.7;
         let came = play(&one);
         assert!(came.exceeded == 0 && came.used > 0.9, "{came:?}");
@@ -51,7 +52,7 @@
 fn a_planner_that_does_not_wait_is_seen() {
     let exceeded = |seed, no_wait| {
         let mut one = Play { wanted: 3.0, spread: 0.3, seconds: 120.0, no_wait, ..troubled(12, 1, seed) };
-        one.settings.forwarders = 12;
+        one.settings.forwarder_count = 12;
         play(&one).exceeded
     };
     let seeds = 105..125;
--- a/crates/node/tests/together.rs
+++ b/crates/node/tests/together.rs
@@ -149,10 +149,13 @@
             while Instant::now() < until {
                 let Some((_, letter)) = stage.planner.hear() else { continue };
                 stage.planner.say(&Message::Membership(membership::MembershipMessage::Beat));
-                let Message::Leases(leases::LeaseMessage::Ask { ask, .. }) = letter else { continue };
+                let Message::Leases(leases::LeaseMessage::Request { request_id: ask, .. }) = letter else {
+                    continue;
+                };
                 if grants {
-                    let granted = vec![(leases::Resource::Origin, 40_000)];
-                    let grant = leases::LeaseMessage::Grant { ask, granted, lasts: 1_000_000 };
+                    let granted =
+                        vec![leases::ResourceAmount { resource: leases::Resource::Origin, amount: 40_000 }];
+                    let grant = leases::LeaseMessage::Grant { request_id: ask, granted, duration: 1_000_000 };
                     stage.planner.say(&Message::Leases(grant));
                 }
             }
