--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -4,10 +4,10 @@
 
 pub mod came;
 pub mod cold_model;
-pub mod counterfactual;
 pub mod days;
 pub mod faults;
-pub mod leases_model;
+pub mod hindsight;
+pub mod lease_simulation;
 pub mod mind;
 mod network;
 pub mod play;
