--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -1,99 +1,147 @@
-//! Prints what a planner's process costs by the number of forwarders: the real program on loopback, which is named as the
-//! first argument, and forwarders that report and ask twice a second, played by this process.
+//! Prints the cost of a planner's process by the number of forwarders. The program is named as the first argument and runs
+//! on loopback; this process plays forwarders that report and request leases twice a second.
 
 use std::fs;
-use std::net::UdpSocket;
+use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
+use std::thread;
 use std::time::{Duration, Instant};
 
 use granitelb_balancer::ids::EndpointId;
-use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
-use granitelb_coordination::leases::{Demand, Resource};
+use granitelb_coordination::endpoint_health::{EndpointCounts, Fragment, HealthMessage, HealthReport};
+use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::{Message, Secret, Secrets, seal};
-use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender, leases};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, Sender};
 
-const SECONDS: u64 = 10;
-const ROUNDS: u64 = 2 * SECONDS;
+const MEASURED_S: u64 = 10;
+const ROUNDS_PER_S: u64 = 2;
+const ROUNDS: u64 = ROUNDS_PER_S * MEASURED_S;
+const ROUND_US: u64 = 500_000;
+const SOCKETS: usize = 32;
+const CACHES: u64 = 70;
+const REPORTED_CACHES: u64 = 5;
+const FAILING_CACHE: u64 = 0;
+const MAX_DATAGRAM_BYTES: usize = 1500;
+const START_TIME: Duration = Duration::from_millis(500);
 const SECRET: [u8; 16] = [7; 16];
+/// Clock ticks a second in `/proc`.
+const TICKS_PER_S: f64 = 100.0;
+const KB_PER_MB: f64 = 1024.0;
 
 fn main() {
-    let program = std::env::args().nth(1).expect("the program");
+    let program = std::env::args().nth(1).expect("the program as the first argument");
     println!("| forwarders | of a core | resident, MB | bytes in a second | bytes out a second | answered |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for forwarders in [50, 100, 200, 500, 1000, 2000] {
         let folder = std::env::temp_dir().join(format!("planner-cost-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
-        let row = play(&program, &folder, forwarders);
-        fs::remove_dir_all(&folder).expect("removed");
+        fs::create_dir_all(&folder).expect("the folder is created");
+        let row = measure(&program, &folder, forwarders);
+        fs::remove_dir_all(&folder).expect("the folder is removed");
         println!("| {forwarders} | {row} |");
     }
 }
 
-fn play(program: &str, folder: &Path, forwarders: u64) -> String {
-    let free = UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
-    let operator = format!(
-        "secret = \"{}\"\nforwarders = 4000\n[[planner]]\nnumber = 1\nletters = \"{free}\"\n[leases]\norigin_per_s = 1000.0\n[hindsight]\n",
-        hex::encode(SECRET)
-    );
-    fs::write(folder.join("operator.toml"), operator).expect("written");
-    let planner = "number = 1\noperator = \"operator.toml\"\nstate = \"state\"\n";
-    fs::write(folder.join("planner.toml"), planner).expect("written");
+/// What forwarders sent and received.
+#[derive(Default)]
+struct Traffic {
+    sent_bytes: usize,
+    received_bytes: usize,
+    answers: u64,
+}
+
+/// Runs a planner with this many forwarders, and returns a row of the table.
+fn measure(program: &str, folder: &Path, forwarders: u64) -> String {
+    let address = UdpSocket::bind("127.0.0.1:0").expect("a free port").local_addr().expect("an address");
+    write_configs(folder, address);
     let mut child = Command::new(program)
         .arg("plan")
         .arg("--config")
         .arg(folder.join("planner.toml"))
         .stderr(Stdio::null())
         .spawn()
-        .expect("it starts");
-    std::thread::sleep(Duration::from_millis(500));
-    let secrets = Secrets::one(Secret::new(&SECRET).expect("long enough"));
-    let socket = |_| {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        socket.set_nonblocking(true).expect("set");
-        socket.connect(free).expect("connected");
-        socket
-    };
-    // A few sockets stand for all: the planner answers to where a forwarder wrote from.
-    let sockets: Vec<_> = (0..32).map(socket).collect();
-    let (mut sent, mut came, mut answers) = (0, 0, 0);
-    let (cpu, began) = (cpu_of(&child), Instant::now());
+        .expect("the planner starts");
+    thread::sleep(START_TIME);
+    let cpu_before_s = cpu_time_s(&child);
+    let started_at = Instant::now();
+    let traffic = play_forwarders(forwarders, address, started_at);
+    let cpu_s = cpu_time_s(&child) - cpu_before_s;
+    let resident = resident_mb(&child);
+    child.kill().expect("the planner is killed");
+    child.wait().expect("the planner exits");
+    let elapsed_s = started_at.elapsed().as_secs_f64();
+    let cpu_percent = 100.0 * cpu_s / elapsed_s;
+    let received_per_s = (traffic.sent_bytes as f64 / elapsed_s) as u64;
+    let sent_per_s = (traffic.received_bytes as f64 / elapsed_s) as u64;
+    format!("{cpu_percent:.2}% | {resident:.0} | {received_per_s} | {sent_per_s} | {}", traffic.answers)
+}
+
+fn write_configs(folder: &Path, address: SocketAddr) {
+    let fleet_config = format!(
+        "secret = \"{}\"\nforwarders = 4000\n[[planner]]\nnumber = 1\nletters = \"{address}\"\n[leases]\norigin_per_s = 1000.0\n[hindsight]\n",
+        hex::encode(SECRET)
+    );
+    fs::write(folder.join("operator.toml"), fleet_config).expect("the file is written");
+    let planner_config = "number = 1\noperator = \"operator.toml\"\nstate = \"state\"\n";
+    fs::write(folder.join("planner.toml"), planner_config).expect("the file is written");
+}
+
+fn connect(planner: SocketAddr) -> UdpSocket {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    socket.set_nonblocking(true).expect("the socket's mode is set");
+    socket.connect(planner).expect("the socket is connected");
+    socket
+}
+
+fn play_forwarders(forwarders: u64, planner: SocketAddr, started_at: Instant) -> Traffic {
+    let secrets = Secrets::single(Secret::new(&SECRET).expect("long enough"));
+    // A few sockets serve all forwarders: the planner answers to the address that a forwarder sent from.
+    let sockets: Vec<_> = (0..SOCKETS).map(|_| connect(planner)).collect();
+    let mut traffic = Traffic::default();
     for round in 0..ROUNDS {
         for n in 0..forwarders {
-            let at = began + Duration::from_micros((round * forwarders + n) * 500_000 / forwarders);
-            std::thread::sleep(at.saturating_duration_since(Instant::now()));
-            let member = Member::Forwarder(ForwarderId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-            let letters = letters(n, round);
-            for (k, letter) in letters.iter().enumerate() {
-                let number = round * letters.len() as u64 + k as u64;
-                let bytes = seal(Sender { member, incarnation: Incarnation(1), number }, letter, &secrets)
-                    .expect("a letter");
-                let socket = &sockets[n as usize % sockets.len()];
-                sent += socket.send(&bytes).unwrap_or(0);
-            }
-            let mut bytes = [0; 1500];
-            while let Ok(length) = sockets[n as usize % sockets.len()].recv(&mut bytes) {
-                came += length;
-                answers += 1;
-            }
+            let due_us = (round * forwarders + n) * ROUND_US / forwarders;
+            let due_at = started_at + Duration::from_micros(due_us);
+            thread::sleep(due_at.saturating_duration_since(Instant::now()));
+            let socket = &sockets[n as usize % sockets.len()];
+            traffic.sent_bytes += send_messages(socket, &secrets, n, round);
+            receive_answers(socket, &mut traffic);
         }
     }
-    let (spent, resident) = (cpu_of(&child) - cpu, resident_of(&child));
-    child.kill().expect("ended");
-    child.wait().expect("ended");
-    let seconds = began.elapsed().as_secs_f64();
-    let rate = |bytes: usize| (bytes as f64 / seconds) as u64;
-    format!("{:.2}% | {resident:.0} | {} | {} | {answers}", 100.0 * spent / seconds, rate(sent), rate(came))
+    traffic
+}
+
+/// Sends the messages of a forwarder in a round, and returns their bytes.
+fn send_messages(socket: &UdpSocket, secrets: &Secrets, n: u64, round: u64) -> usize {
+    let member = Member::Forwarder(ForwarderId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
+    let messages = messages(n, round);
+    let mut sent_bytes = 0;
+    for (k, message) in messages.iter().enumerate() {
+        let number = round * messages.len() as u64 + k as u64;
+        let sender = Sender { member, incarnation: Incarnation(1), sequence: number };
+        let bytes = seal(sender, message, secrets).expect("the message is sealed");
+        sent_bytes += socket.send(&bytes).unwrap_or(0);
+    }
+    sent_bytes
+}
+
+fn receive_answers(socket: &UdpSocket, traffic: &mut Traffic) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    while let Ok(length) = socket.recv(&mut buffer) {
+        traffic.received_bytes += length;
+        traffic.answers += 1;
+    }
 }
 
-/// What a forwarder writes in a round: five caches of 70, one of which fails, and an ask for fetches.
-fn letters(n: u64, round: u64) -> Vec<Message> {
+/// The messages of a forwarder in a round: a report on five of 70 caches, one of which fails, and a request for a lease.
+fn messages(n: u64, round: u64) -> Vec<Message> {
     let seen = |k: u64| {
-        let cache = (n + round + 14 * k) % 70;
-        let ill = f64::from(u8::from(cache == 0));
-        Seen { cache: EndpointId(cache), answered: 1.0 - ill, failed: ill, out: 0.0 }
+        let cache = (n + round + 14 * k) % CACHES;
+        let failed = f64::from(u8::from(cache == FAILING_CACHE));
+        EndpointCounts { endpoint: EndpointId(cache), answered: 1.0 - failed, failed, in_flight: 0.0 }
     };
-    let report = Report { number: round + 1, part: Part::WHOLE, caches: (0..5).map(seen).collect() };
+    let caches = (0..REPORTED_CACHES).map(seen).collect();
+    let report = HealthReport { sequence: round + 1, fragment: Fragment::SINGLE, endpoints: caches };
     let needs = vec![Demand {
         resource: Resource::Origin,
         amount: 500,
@@ -102,22 +150,24 @@
         already_held: 0,
     }];
     vec![
-        Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)),
-        Message::Leases(leases::LeaseMessage::Request { request_id: round + 1, demands: needs }),
+        Message::EndpointHealth(HealthMessage::Report(report)),
+        Message::Leases(LeaseMessage::Request { request_id: round + 1, demands: needs }),
     ]
 }
 
-fn cpu_of(child: &Child) -> f64 {
-    let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).expect("it lives");
-    let after_name = stat.rsplit(')').next().expect("a line");
-    let ticks = |n: usize| {
-        after_name.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).expect("a figure")
+fn cpu_time_s(child: &Child) -> f64 {
+    let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).expect("the planner runs");
+    let after_name = stat.rsplit(')').next().expect("the program's name");
+    let ticks = |field: usize| {
+        let text = after_name.split_whitespace().nth(field).expect("a field of the line");
+        text.parse::<f64>().expect("a number")
     };
-    (ticks(11) + ticks(12)) / 100.0
+    let (user, system) = (ticks(11), ticks(12));
+    (user + system) / TICKS_PER_S
 }
 
-fn resident_of(child: &Child) -> f64 {
-    let status = fs::read_to_string(format!("/proc/{}/status", child.id())).expect("it lives");
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a line");
-    line.trim().trim_end_matches(" kB").parse::<f64>().expect("a figure") / 1024.0
+fn resident_mb(child: &Child) -> f64 {
+    let status = fs::read_to_string(format!("/proc/{}/status", child.id())).expect("the planner runs");
+    let text = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("the line of VmRSS");
+    text.trim().trim_end_matches(" kB").parse::<f64>().expect("a number") / KB_PER_MB
 }
--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -77,11 +77,11 @@
     }
 
     fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
-        update.leases = self.advice(now);
+        update.leases = self.current_leases(now);
     }
 
     fn shut_down(&mut self) {
-        self.leave();
+        leases::ForwarderComponent::shut_down(self);
     }
 }
 
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -1,23 +1,31 @@
-//! The courier as a thread beside a desk, with a planner that this test speaks for.
+//! The agent as a thread beside an event loop, with a planner that the test plays.
 
-use std::net::UdpSocket;
+use std::net::{Ipv4Addr, UdpSocket};
 use std::path::PathBuf;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::Instant;
-
-use granitelb_coordination::PlannerId;
-use granitelb_coordination::membership;
-use granitelb_coordination::message::Message;
-use granitelb_coordination::observation::ObservedEndpoint;
+use std::time::{Duration, Instant};
 
 use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, ControlPlaneUpdate, Request};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, Key, RequestClassId, RequestId};
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::leases::LeaseMessage;
+use granitelb_coordination::membership::MembershipMessage;
+use granitelb_coordination::message::{self, Message};
+use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
+use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-use super::*;
+use super::components::Components;
+use super::metrics::{AgentMetrics, RejectedMessage};
+use super::observations::ObservationAssembler;
+use super::{Agent, RawObservation, SentAttempt};
 use crate::config_error::ConfigSource;
-use crate::fleet_config::LeasesForm;
+use crate::fleet_config::{FleetConfig, LeaseSection};
 
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
+const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
+const OTHER_SECRET: &str = "0f0e0d0c0b0a09080706050403020100";
+const FORWARDER: ForwarderId = ForwarderId(3);
 
 fn planner() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
@@ -25,23 +33,23 @@
     socket
 }
 
-fn operator(planner: &UdpSocket, secret: &str) -> FleetConfig {
-    let letters = planner.local_addr().expect("an address");
+fn fleet_config(planner: &UdpSocket, secret: &str) -> FleetConfig {
+    let address = planner.local_addr().expect("an address");
     let text = format!(
-        "secret = \"{secret}\"\nforwarders = 2\n[hindsight]\n[[planner]]\nnumber = 1\nletters = \"{letters}\"\n"
+        "secret = \"{secret}\"\nforwarders = 2\n[hindsight]\n[[planner]]\nnumber = 1\nletters = \"{address}\"\n"
     );
-    FleetConfig::read(&ConfigSource { file: PathBuf::from("operator.toml"), text }).expect("a sound file")
+    FleetConfig::parse(&ConfigSource { path: PathBuf::from("operator.toml"), text }).expect("it is valid")
 }
 
-/// The sender of the next letter that opens by these secrets and satisfies.
-fn heard(planner: &UdpSocket, of: &FleetConfig, satisfies: impl Fn(&Sender) -> bool) -> Sender {
-    let until = Instant::now() + PATIENCE;
-    let mut bytes = [0; 2048];
+/// The sender of the next message that opens with the secrets of `config` and satisfies the condition.
+fn receive(planner: &UdpSocket, config: &FleetConfig, condition: impl Fn(&Sender) -> bool) -> Sender {
+    let deadline = Instant::now() + TIMEOUT;
+    let mut buffer = [0; 2048];
     loop {
-        assert!(Instant::now() < until, "no such letter");
-        let Ok(read) = planner.recv(&mut bytes) else { continue };
-        if let Ok((sender, _)) = message::open(&bytes[..read], &of.secrets)
-            && satisfies(&sender)
+        assert!(Instant::now() < deadline, "no such message");
+        let Ok(length) = planner.recv(&mut buffer) else { continue };
+        if let Ok((sender, _)) = message::open(&buffer[..length], &config.secrets)
+            && condition(&sender)
         {
             return sender;
         }
@@ -49,109 +57,152 @@
 }
 
 #[test]
-fn one_that_dies_is_made_anew_under_a_greater_life_and_files_are_taken_up_while_it_runs() {
+fn agent_restarts_after_a_panic_with_a_later_incarnation_and_applies_reloaded_configs() {
+    const CLOCK_CALL_THAT_PANICS: u64 = 100;
     let (first, second) = (planner(), planner());
-    let before = operator(&first, "000102030405060708090a0b0c0d0e0f");
-    let after = operator(&second, "0f0e0d0c0b0a09080706050403020100");
-    let courier = Agent::new(before.clone(), "n", Ipv4Addr::LOCALHOST);
-    let renewal = courier.renewal();
+    let before = fleet_config(&first, SECRET);
+    let after = fleet_config(&second, OTHER_SECRET);
+    let agent = Agent::new(before.clone(), "n", Ipv4Addr::LOCALHOST);
+    let reload_handle = agent.reload_handle();
     let start = Instant::now();
-    // The clock is asked a few times a round: the fault falls into the middle of its life, once.
-    let asked = Arc::new(AtomicU64::new(0));
-    let count = asked.clone();
+    // The clock is read a few times a round: the panic happens once, in the middle of the agent's run.
+    let clock_calls = Arc::new(AtomicU64::new(0));
+    let count = clock_calls.clone();
     let clock = move || {
-        assert!(count.fetch_add(1, Ordering::Relaxed) != 100, "a fault of the test's own");
+        let call = count.fetch_add(1, Ordering::Relaxed);
+        assert!(call != CLOCK_CALL_THAT_PANICS, "an injected fault");
         Time(1_000_000 + start.elapsed().as_micros() as u64)
     };
-    let mut desk = courier.start(clock).expect("a thread");
-    let one = heard(&first, &before, |_| true);
+    let mut handle = agent.start(clock).expect("a thread");
+    let one = receive(&first, &before, |_| true);
     assert_eq!(one.member, Member::Forwarder(ForwarderId::of_name("n")));
-    let two = heard(&first, &before, |sender| sender.incarnation > one.incarnation);
-    assert!(asked.load(Ordering::Relaxed) > 100 && two.number > one.number);
-    // Other secrets and addresses: the same life, so that what was granted to it stands.
-    renewal.renew(after.clone());
-    assert_eq!(heard(&second, &after, |_| true).incarnation, two.incarnation);
-    // The loop goes on all the while, and the courier ends with it.
-    desk.note(Time(0), RawObservation::EndpointsChanged(Vec::new()));
-    desk.end_turn();
-    let ends = Instant::now();
-    desk.close();
-    assert!(ends.elapsed() < Duration::from_millis(60), "{:?}", ends.elapsed());
+    let two = receive(&first, &before, |sender| sender.incarnation > one.incarnation);
+    assert!(clock_calls.load(Ordering::Relaxed) > CLOCK_CALL_THAT_PANICS && two.sequence > one.sequence);
+    // Other secrets and addresses keep the incarnation, so that what was granted to it stays valid.
+    reload_handle.reload(after.clone());
+    assert_eq!(receive(&second, &after, |_| true).incarnation, two.incarnation);
+    // The event loop continues all the while, and the agent ends with it.
+    handle.record(Time(0), RawObservation::EndpointsChanged(Vec::new()));
+    handle.end_iteration();
+    let closed_at = Instant::now();
+    handle.close();
+    assert!(closed_at.elapsed() < Duration::from_millis(60), "{:?}", closed_at.elapsed());
 }
 
-#[test]
-fn notes_become_sights_also_where_some_were_lost() {
-    let mut accounts = Accounts::default();
-    let (cache, request_class, budget) = (EndpointId(4), RequestClassId(0), Span::from_millis(500));
-    let asked = Request { request_class, key: Key(9), budget, work: None, write: false };
-    let send = |accounts: &mut Accounts, n| {
-        let (request, number, candidates) = (RequestId(n), AttemptNumber(0), [Some(cache), None, None]);
-        let sent = SentAttempt { request, number, cache, call: n, asked, bytes: 0, slo: budget, candidates };
-        assert!(accounts.sight(RawObservation::AttemptSent(sent)).is_some());
+const ENDPOINT: EndpointId = EndpointId(4);
+
+fn record_sent(assembler: &mut ObservationAssembler, n: u64) {
+    let slo = Span::from_millis(500);
+    let requested =
+        Request { request_class: RequestClassId(0), key: Key(9), budget: slo, work: None, write: false };
+    let sent = SentAttempt {
+        request: RequestId(n),
+        number: AttemptNumber(0),
+        endpoint: ENDPOINT,
+        name_hash: n,
+        requested,
+        bytes: 0,
+        slo,
+        candidates: [Some(ENDPOINT), None, None],
     };
-    let end = |accounts: &mut Accounts, n| {
-        let (number, outcome, latency) = (AttemptNumber(0), AttemptOutcome::CacheMiss, Span::ZERO);
-        let end = AttemptResult { number, cache, outcome, latency, answered: false };
-        match accounts.sight(RawObservation::AttemptFinished { request: RequestId(n), end, bytes: 3 }) {
-            Some(Observation::AttemptFinished(ended)) => {
-                Some((ended.call, ended.out_then, ended.candidates, ended.bytes))
-            }
-            _ => None,
-        }
+    assert!(assembler.assemble(RawObservation::AttemptSent(sent)).is_some());
+}
+
+fn record_finished(assembler: &mut ObservationAssembler, n: u64) -> Option<FinishedAttempt> {
+    let result = AttemptResult {
+        number: AttemptNumber(0),
+        cache: ENDPOINT,
+        outcome: AttemptOutcome::CacheMiss,
+        latency: Span::ZERO,
+        answered: false,
     };
-    send(&mut accounts, 1);
-    send(&mut accounts, 2);
-    assert_eq!(end(&mut accounts, 2), Some((2, 1, vec![cache], 3)));
-    assert_eq!(end(&mut accounts, 3), None, "its beginning was lost");
-    // The ends of these were: what is kept has a bound, and the count of those out goes by it.
-    (10..60_000).for_each(|n| send(&mut accounts, n));
-    assert_eq!(end(&mut accounts, 1), None);
-    assert!(end(&mut accounts, 59_999).is_some_and(|e| e.1 <= 16_384));
+    let finished = RawObservation::AttemptFinished { request: RequestId(n), result, bytes: 3 };
+    match assembler.assemble(finished) {
+        Some(Observation::AttemptFinished(finished)) => Some(*finished),
+        _ => None,
+    }
+}
+
+#[test]
+fn observations_are_assembled_even_if_some_were_lost() {
+    let mut assembler = ObservationAssembler::default();
+    record_sent(&mut assembler, 1);
+    record_sent(&mut assembler, 2);
+    let second = record_finished(&mut assembler, 2).expect("its start is known");
+    assert_eq!(second.request_hash, 2);
+    assert_eq!(second.in_flight_at_send, 1);
+    assert_eq!(second.candidates, vec![ENDPOINT]);
+    assert_eq!(second.bytes, 3);
+    assert_eq!(record_finished(&mut assembler, 3), None, "its start was lost");
+    // The ends of these were lost: the number of attempts that are kept has a bound, which also bounds the count of
+    // those in flight.
+    for n in 10..60_000 {
+        record_sent(&mut assembler, n);
+    }
+    assert_eq!(record_finished(&mut assembler, 1), None);
+    assert!(
+        record_finished(&mut assembler, 59_999).is_some_and(|finished| finished.in_flight_at_send <= 16_384)
+    );
+}
+
+/// The rate that each lease of an update allows now.
+fn allowed(update: &ControlPlaneUpdate, now: Time) -> Vec<(EndpointId, f64)> {
+    update.leases.iter().map(|(endpoint, lease)| (*endpoint, lease.at(now))).collect()
 }
 
 #[test]
-fn leases_that_are_turned_off_bind_no_more() {
+fn disabled_leases_no_longer_limit() {
     let now = Time(5_000_000);
-    let (off, origin) = (operator(&planner(), "000102030405060708090a0b0c0d0e0f"), EndpointId(9));
-    let leases =
-        LeasesForm { origin_per_s: 10.0, cold_work: 0.5, reserve: 0.5, standing: 0.0, lasts_ms: 1000 };
+    let off = fleet_config(&planner(), SECRET);
+    let origin = EndpointId(9);
+    let leases = LeaseSection {
+        origin_fetches_per_s: 10.0,
+        warmup_work: 0.5,
+        reserved_share: 0.5,
+        long_term_share: 0.0,
+        duration_ms: 1000,
+    };
     let on = FleetConfig { leases: Some(leases), ..off.clone() };
-    let mut sides = Sides::new(&on, ForwarderId(3), Incarnation(1), now);
-    let warm_after = Span::from_millis(1000);
-    let server =
-        ObservedEndpoint { cache: origin, is_origin: true, zone: 0, size: 1.0, started: None, warm_after };
-    sides.seen(now, &Observation::EndpointsChanged(vec![server]));
-    let most =
-        |advice: ControlPlaneUpdate| advice.leases.iter().map(|(id, l)| (*id, l.at(now))).collect::<Vec<_>>();
-    assert_eq!(most(sides.advice(now)), [(origin, 2.5)]);
-    sides.renew(&off, Incarnation(2), now);
+    let mut components = Components::new(&on, FORWARDER, Incarnation(1), now);
+    let endpoint = ObservedEndpoint {
+        cache: origin,
+        is_origin: true,
+        zone: 0,
+        size: 1.0,
+        started: None,
+        warm_after: Span::from_millis(1000),
+    };
+    components.on_observation(now, &Observation::EndpointsChanged(vec![endpoint]));
+    assert_eq!(allowed(&components.update(now), now), [(origin, 2.5)]);
+    components.restart(&off, Incarnation(2), now);
     for _ in 0..2 {
-        assert!(most(sides.advice(now))[0].1 > 1e6, "still bound");
+        assert!(allowed(&components.update(now), now)[0].1 > 1e6, "it is still limited");
     }
-    sides.renew(&on, Incarnation(3), now);
-    sides.seen(now, &Observation::EndpointsChanged(vec![server]));
-    assert_eq!(most(sides.advice(now)), [(origin, 2.5)]);
+    components.restart(&on, Incarnation(3), now);
+    components.on_observation(now, &Observation::EndpointsChanged(vec![endpoint]));
+    assert_eq!(allowed(&components.update(now), now), [(origin, 2.5)]);
 }
 
 #[test]
-fn letters_that_are_no_planners_or_came_before_are_passed_over_and_counted() {
+fn stale_messages_and_those_of_disabled_components_are_rejected_and_counted() {
     let now = Time(5_000_000);
-    let operator = operator(&planner(), "000102030405060708090a0b0c0d0e0f");
-    let mut sides = Sides::new(&operator, ForwarderId(3), Incarnation(1), now);
+    let config = fleet_config(&planner(), SECRET);
+    let mut components = Components::new(&config, FORWARDER, Incarnation(1), now);
     let sender = |incarnation, number| Sender {
         member: Member::Planner(PlannerId(1)),
         incarnation: Incarnation(incarnation),
-        number,
+        sequence: number,
     };
-    let beat = || Message::Membership(membership::MembershipMessage::Beat);
-    assert_eq!(sides.on_message(now, sender(2, 1), beat()), Ok(()));
-    let mut tally = Tally::default();
+    let heartbeat = || Message::Membership(MembershipMessage::Heartbeat);
+    assert_eq!(components.on_message(now, sender(2, 1), heartbeat()), Ok(()));
+    let mut metrics = AgentMetrics::default();
     for (incarnation, number) in [(2, 1), (1, 9)] {
-        tally
-            .refused(sides.on_message(now, sender(incarnation, number), beat()).expect_err("it came before"));
+        let result = components.on_message(now, sender(incarnation, number), heartbeat());
+        metrics.count_rejected(result.expect_err("it is stale"));
     }
-    let lease = Message::Leases(granitelb_coordination::leases::LeaseMessage::Release { request_id: 1 });
-    assert_eq!(sides.on_message(now, sender(2, 2), lease), Err(Refused::Off));
-    tally.refused(Refused::Off);
-    assert_eq!(tally.counts(), [("faculty_off", 1), ("stale", 2)]);
+    let lease = Message::Leases(LeaseMessage::Release { request_id: 1 });
+    let result = components.on_message(now, sender(2, 2), lease);
+    assert_eq!(result, Err(RejectedMessage::ComponentDisabled));
+    metrics.count_rejected(RejectedMessage::ComponentDisabled);
+    assert_eq!(metrics.counts(), [("component_disabled", 1), ("stale", 2)]);
 }
--- a/crates/control-plane/src/fleet_config/settings.rs
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -20,12 +20,12 @@
     pub fn lease_settings(&self) -> Option<leases::Settings> {
         let section = self.leases.as_ref()?;
         Some(leases::Settings {
-            lease: section.duration(),
-            whole_origin: thousandths(section.origin_fetches_per_s),
-            whole_cold: (section.warmup_work * 1e6).round() as u32,
-            reserve: thousandths(section.reserved_share),
-            standing: thousandths(section.long_term_share),
-            forwarders: self.max_forwarders as u32,
+            lease_duration: section.duration(),
+            origin_capacity: thousandths(section.origin_fetches_per_s),
+            warming_cache_capacity: (section.warmup_work * 1e6).round() as u32,
+            guaranteed_per_mille: thousandths(section.reserved_share),
+            long_term_per_mille: thousandths(section.long_term_share),
+            forwarder_count: self.max_forwarders as u32,
             planners: self.planners.keys().copied().collect(),
             ..leases::Settings::default()
         })
--- a/crates/control-plane/src/planner/component_status.rs
+++ b/crates/control-plane/src/planner/component_status.rs
@@ -7,7 +7,7 @@
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::leases::Spare;
+use granitelb_coordination::leases::Surplus;
 use granitelb_coordination::shard_growth::Fleet;
 use granitelb_coordination::shard_growth::form::FormVersion;
 use tokio::sync::watch;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct ComponentStatus {
     failing_endpoints: watch::Sender<Option<Timestamped<BTreeSet<EndpointId>>>>,
-    spare_capacity: watch::Sender<Option<Timestamped<Spare>>>,
+    spare_capacity: watch::Sender<Option<Timestamped<Surplus>>>,
     /// Does not expire.
     shard_map_version: watch::Sender<Option<FormVersion>>,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Publishes what leases leave of the origin's capacity; `None` while that is unknown.
-    pub(super) fn publish_spare_capacity(&self, now: Time, spare: Option<Spare>) {
+    pub(super) fn publish_spare_capacity(&self, now: Time, spare: Option<Surplus>) {
         let entry = spare.map(|value| Timestamped { published_at: now, value });
         self.spare_capacity.send_replace(entry);
     }
@@ -76,11 +76,11 @@
         let spare = if has_leases {
             let published = *self.spare_capacity.borrow().as_ref()?.unexpired(now)?;
             let limit_per_s = configured_per_s.unwrap_or(f64::MAX);
-            Spare { per_s: published.per_s.min(limit_per_s), ..published }
+            Surplus { fetches_per_second: published.fetches_per_second.min(limit_per_s), ..published }
         } else {
-            Spare { per_s: configured_per_s?, short: false }
+            Surplus { fetches_per_second: configured_per_s?, has_unmet_demand: false }
         };
-        Some(Fleet { failing, origin_slow: spare.short, spare_fetches: spare.per_s })
+        Some(Fleet { failing, origin_slow: spare.has_unmet_demand, spare_fetches: spare.fetches_per_second })
     }
 }
 
--- a/crates/control-plane/src/planner/component_status/tests.rs
+++ b/crates/control-plane/src/planner/component_status/tests.rs
@@ -2,7 +2,7 @@
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Time;
-use granitelb_coordination::leases::Spare;
+use granitelb_coordination::leases::Surplus;
 
 use super::{ComponentStatus, STATUS_EXPIRY};
 
@@ -10,7 +10,7 @@
 fn fleet_is_unknown_while_a_component_that_it_depends_on_is_silent() {
     let status = ComponentStatus::new();
     let now = Time(1_000_000);
-    let spare = Spare { per_s: 50.0, short: false };
+    let spare = Surplus { fetches_per_second: 50.0, has_unmet_demand: false };
     assert_eq!(status.fleet(now, true, Some(10.0)), None);
     status.publish_failing_endpoints(now, BTreeSet::from([EndpointId(1)]));
     assert_eq!(status.fleet(now, true, Some(10.0)), None, "the spare capacity is unknown");
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -128,7 +128,7 @@
             _ => None,
         },
         exchange_status: Some(Box::new(|component, now, _, status| {
-            status.publish_spare_capacity(now, component.spare(now));
+            status.publish_spare_capacity(now, component.surplus(now));
         })),
     }
 }
--- a/crates/control-plane/tests/disk_failures.rs
+++ b/crates/control-plane/tests/disk_failures.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use granitelb_control_plane::clock::Clock;
-use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::Step;
 
@@ -14,8 +14,14 @@
 const GRANT_ATTEMPTS: u64 = 60;
 
 fn lease_request(ask: u64) -> Message {
-    let needs = vec![Need { resource: Resource::Origin, amount: 5000, using: ask, heads: 1, has: 0 }];
-    Message::Leases(LeaseMessage::Ask { ask, needs })
+    let needs = vec![Demand {
+        resource: Resource::Origin,
+        amount: 5000,
+        request_in_use: ask,
+        requesters: 1,
+        already_held: 0,
+    }];
+    Message::Leases(LeaseMessage::Request { request_id: ask, demands: needs })
 }
 
 /// Runs until the planner has granted another lease.
--- a/crates/control-plane/tests/planner_process.rs
+++ b/crates/control-plane/tests/planner_process.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::leases::{Demand, LeaseMessage, Resource, ResourceAmount};
 use granitelb_coordination::membership::MembershipMessage;
 use granitelb_coordination::message::Message;
 use granitelb_coordination::{Member, PlannerId, Sender};
@@ -165,10 +165,10 @@
 }
 
 /// The amount that a grant has for its first resource, if it grants any.
-fn granted_amount(message: Message) -> Option<(Resource, u32)> {
+fn granted_amount(message: Message) -> Option<ResourceAmount> {
     match message {
         Message::Leases(LeaseMessage::Grant { granted, .. }) => {
-            granted.first().copied().filter(|(_, amount)| *amount > 0)
+            granted.first().copied().filter(|granted| granted.amount > 0)
         }
         _ => None,
     }
@@ -181,13 +181,20 @@
     let ready_at = Instant::now();
     let mut forwarder = Forwarder::new("node-1");
     let granted = (1..60).find_map(|ask| {
-        let needs = vec![Need { resource: Resource::Origin, amount: 20_000, using: 0, heads: 1, has: 0 }];
-        let request = forwarder.seal(&Message::Leases(LeaseMessage::Ask { ask, needs }), SECRET);
+        let needs = vec![Demand {
+            resource: Resource::Origin,
+            amount: 20_000,
+            request_in_use: 0,
+            requesters: 1,
+            already_held: 0,
+        }];
+        let request = forwarder
+            .seal(&Message::Leases(LeaseMessage::Request { request_id: ask, demands: needs }), SECRET);
         forwarder.send(&request, fleet.addresses[0]);
         let mut messages = receive_all(&forwarder, Duration::from_millis(200)).take(8);
         messages.find_map(|(_, message)| granted_amount(message))
     });
-    let (resource, amount) = granted.expect("a grant");
+    let ResourceAmount { resource, amount } = granted.expect("a grant");
     assert_eq!(resource, Resource::Origin);
     assert!(amount <= 20_000, "more than was requested: {amount}");
     assert!(ready_at.elapsed() >= Duration::from_millis(4500), "granted after {:?}", ready_at.elapsed());
@@ -226,7 +233,7 @@
         let bytes = forwarder.seal(message, SECRET);
         forwarder.send(&bytes, fleet.addresses[0]);
     };
-    let request = Message::Leases(LeaseMessage::Ask { ask: 1, needs: Vec::new() });
+    let request = Message::Leases(LeaseMessage::Request { request_id: 1, demands: Vec::new() });
     send(&request);
     one.wait_for_event("task_unresponsive");
     // More than a mailbox holds; what comes after is still read.
--- a/crates/control-plane/tests/remediation.rs
+++ b/crates/control-plane/tests/remediation.rs
@@ -83,9 +83,9 @@
             Verdicts::InvalidFigure => Verdicts::InvalidFigure, Verdicts::Stale => Verdicts::Stale, Verdicts::CapacityExceeded => Verdicts::CapacityExceeded,
             Verdicts::InvalidFragment => Verdicts::InvalidFragment, Verdicts::UnauthorizedSender => Verdicts::UnauthorizedSender),
         all!(Leases:
-            Leases::Old => Leases::Old, Leases::TooMany => Leases::TooMany, Leases::Stranger => Leases::Stranger,
-            Leases::Unasked => Leases::Unasked, Leases::NotForUs => Leases::NotForUs, Leases::Nobody => Leases::Nobody,
-            Leases::Reserve => Leases::Reserve, Leases::Lengths => Leases::Lengths),
+            Leases::Outdated => Leases::Outdated, Leases::TooManyEntries => Leases::TooManyEntries, Leases::UnknownPlanner => Leases::UnknownPlanner,
+            Leases::UnsolicitedGrant => Leases::UnsolicitedGrant, Leases::UnexpectedMessage => Leases::UnexpectedMessage, Leases::NoMembers => Leases::NoMembers,
+            Leases::SharesExceedCapacity => Leases::SharesExceedCapacity, Leases::InvalidDurations => Leases::InvalidDurations),
         all!(Growth:
             Growth::Stranger => Growth::Stranger, Growth::Nonsense => Growth::Nonsense, Growth::OldDay => Growth::OldDay,
             Growth::Full => Growth::Full),
--- a/crates/control-plane/tests/shard_growth.rs
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -7,7 +7,7 @@
 use granitelb_balancer::slot_table::caches_of;
 use granitelb_control_plane::clock::Clock;
 use granitelb_coordination::endpoint_health::{EndpointCounts, Fragment, HealthMessage, HealthReport};
-use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::Message;
 use granitelb_coordination::shard_growth::form::{Form, Step};
 
@@ -97,8 +97,14 @@
 /// Requests this amount of the origin.
 fn lease_request(amount: u32) -> impl Fn(u64) -> Message {
     move |ask| {
-        let needs = vec![Need { resource: Resource::Origin, amount, using: ask, heads: 1, has: 0 }];
-        Message::Leases(LeaseMessage::Ask { ask, needs })
+        let needs = vec![Demand {
+            resource: Resource::Origin,
+            amount,
+            request_in_use: ask,
+            requesters: 1,
+            already_held: 0,
+        }];
+        Message::Leases(LeaseMessage::Request { request_id: ask, demands: needs })
     }
 }
 
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -11,7 +11,7 @@
 use granitelb_balancer::time::{Span, Time};
 use granitelb_control_plane::storage::{OpenedStorage, RejectedFile, StorageError, StorageWriter, open};
 use granitelb_coordination::component::Component;
-use granitelb_coordination::leases::{self, Need, Resource};
+use granitelb_coordination::leases::{self, Demand, Resource};
 use granitelb_coordination::message::ComponentKind;
 use granitelb_coordination::shard_growth::agree::{Ballot, Kept, Vote};
 use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
@@ -230,13 +230,19 @@
 
 /// How much of the origin's fetches is granted to a request for far more than there is.
 fn granted(component: &mut leases::PlannerComponent, now: Time, ask: u64) -> u32 {
-    let need = Need { resource: Resource::Origin, amount: 1_000_000, using: ask, heads: 1, has: 0 };
-    let message = leases::LeaseMessage::Ask { ask, needs: vec![need] };
+    let need = Demand {
+        resource: Resource::Origin,
+        amount: 1_000_000,
+        request_in_use: ask,
+        requesters: 1,
+        already_held: 0,
+    };
+    let message = leases::LeaseMessage::Request { request_id: ask, demands: vec![need] };
     component.on_message(now, forwarder(), message).expect("it is accepted");
     let Some((_, leases::LeaseMessage::Grant { granted, .. })) = component.poll_message(now) else {
         panic!("request {ask} gets no grant");
     };
-    granted.iter().map(|(_, amount)| amount).sum()
+    granted.iter().map(|granted| granted.amount).sum()
 }
 
 /// Leases have no snapshot: a planner that starts assumes that an earlier incarnation has granted everything, for as long
@@ -251,7 +257,7 @@
     let start = NOW + Span::from_millis(1);
     let mut component =
         leases::PlannerComponent::new(settings.clone(), PLANNER, Incarnation(INCARNATION.0 + 1), start);
-    let wait = settings.hold(settings.longest);
+    let wait = settings.grantor_duration(settings.max_duration);
     assert_eq!(wait, Span::from_millis(5100));
     for (ms, ask) in (0..wait.0 / 1000).step_by(100).zip(2..) {
         let amount = granted(&mut component, start + Span::from_millis(ms), ask);
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -192,7 +192,7 @@
         }
         let Message::Leases(LeaseMessage::Grant { granted, .. }) = message else { return };
         if let Member::Planner(id) = from.member
-            && granted.iter().any(|(_, amount)| *amount > 0)
+            && granted.iter().any(|granted| granted.amount > 0)
         {
             *self.grants.entry(id.0).or_default() += 1;
         }
--- a/crates/control-plane/tests/support/lease_holders.rs
+++ b/crates/control-plane/tests/support/lease_holders.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use granitelb_coordination::leases::{LeaseMessage, Need, Resource};
+use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::{self, Message};
 use granitelb_coordination::{Incarnation, Member, PlannerId, Sender};
 
@@ -49,9 +49,16 @@
         self.last_request += 1;
         self.pending.insert(self.last_request, PendingRequest { planner, sent_at: Instant::now() });
         let leases_of_planner = self.leases.iter().filter(|((of, _), _)| *of == planner);
-        let using = leases_of_planner.map(|(_, lease)| lease.request).max().unwrap_or(0);
-        let need = Need { resource: Resource::Origin, amount: REQUESTED_AMOUNT, using, heads: 1, has: 0 };
-        let message = Message::Leases(LeaseMessage::Ask { ask: self.last_request, needs: vec![need] });
+        let request_in_use = leases_of_planner.map(|(_, lease)| lease.request).max().unwrap_or(0);
+        let demand = Demand {
+            resource: Resource::Origin,
+            amount: REQUESTED_AMOUNT,
+            request_in_use,
+            requesters: 1,
+            already_held: 0,
+        };
+        let message =
+            Message::Leases(LeaseMessage::Request { request_id: self.last_request, demands: vec![demand] });
         let bytes = self.forwarder.seal(&message, SECRET);
         self.forwarder.send(&bytes, to);
     }
@@ -73,14 +80,16 @@
         if !self.is_of_latest_incarnation(planner, from.incarnation) {
             return;
         }
-        let Message::Leases(LeaseMessage::Grant { ask, granted, lasts }) = message else { return };
-        let Some(request) = self.pending.remove(&ask).filter(|request| request.planner == planner) else {
+        let Message::Leases(LeaseMessage::Grant { request_id, granted, duration }) = message else { return };
+        let Some(request) = self.pending.remove(&request_id).filter(|request| request.planner == planner)
+        else {
             return;
         };
         self.pending.retain(|_, other| other.planner != planner || other.sent_at >= request.sent_at);
-        let amount = granted.iter().find(|(of, _)| *of == Resource::Origin).map_or(0, |(_, n)| *n);
-        let duration = Duration::from_micros(u64::from(lasts)).div_f64(self.clock_rate);
-        let lease = Lease { request: ask, amount, expires_at: request.sent_at + duration };
+        let amount =
+            granted.iter().find(|lease| lease.resource == Resource::Origin).map_or(0, |lease| lease.amount);
+        let duration = Duration::from_micros(u64::from(duration)).div_f64(self.clock_rate);
+        let lease = Lease { request: request_id, amount, expires_at: request.sent_at + duration };
         self.leases.insert((planner, from.incarnation), lease);
     }
 
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -18,7 +18,7 @@
 const FETCH_PER_SECOND: u32 = 1000;
 
 fn forwarder_sender(id: u64) -> Sender {
-    Sender { member: Member::Forwarder(ForwarderId(id)), incarnation: Incarnation(1), number: 0 }
+    Sender { member: Member::Forwarder(ForwarderId(id)), incarnation: Incarnation(1), sequence: 0 }
 }
 
 fn at(ms: u64) -> Time {
@@ -188,7 +188,7 @@
             }
         }
         while let Some((_, message)) = planner.poll_message(at(ms)) {
-            let sender = Sender { member: Member::Planner(PLANNER), incarnation, number: 0 };
+            let sender = Sender { member: Member::Planner(PLANNER), incarnation, sequence: 0 };
             forwarder.on_message(at(ms), sender, message).unwrap();
         }
         limits.push(forwarder.current_leases(at(ms))[0].1.most);
--- a/crates/coordination/tests/leases_long_term.rs
+++ b/crates/coordination/tests/leases_long_term.rs
@@ -195,7 +195,7 @@
                     request.planner_incarnation = self.planner_incarnation;
                 }
                 let member = Member::Forwarder(ForwarderId(from as u64));
-                let sender = Sender { member, incarnation, number: 0 };
+                let sender = Sender { member, incarnation, sequence: 0 };
                 if let Ok(Some(amount)) = self.planner.on_request(self.now, sender, request, &settings()) {
                     self.send(Message::Grant {
                         to: from,
--- a/crates/coordination/tests/leases_model.rs
+++ b/crates/coordination/tests/leases_model.rs
@@ -211,7 +211,7 @@
     }
 
     fn deliver_to_planner(&mut self, index: usize, envelope: &InFlightMessage, variant: Variant) {
-        let sender = Sender { member: envelope.from, incarnation: envelope.incarnation, number: 0 };
+        let sender = Sender { member: envelope.from, incarnation: envelope.incarnation, sequence: 0 };
         let mut message = envelope.message.clone();
         if let (LeaseMessage::Grant { duration, .. }, Variant::LongLoan) = (&mut message, variant) {
             *duration += LOAN_EXTENSION;
--- a/crates/fleet-simulator/src/lease_simulation/network.rs
+++ b/crates/fleet-simulator/src/lease_simulation/network.rs
@@ -45,7 +45,7 @@
             self.schedule_wake(member, after);
         }
         for (to, message) in outgoing {
-            let from = Sender { member, incarnation: Incarnation(incarnation), number: 0 };
+            let from = Sender { member, incarnation: Incarnation(incarnation), sequence: 0 };
             self.send(to, from, message);
         }
     }
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -4,9 +4,9 @@
 
 pub mod came;
 pub mod cold_model;
+pub mod counterfactual;
 pub mod days;
 pub mod faults;
-pub mod hindsight;
 pub mod lease_simulation;
 pub mod mind;
 mod network;
--- a/crates/fleet-simulator/src/world/fellows.rs
+++ b/crates/fleet-simulator/src/world/fellows.rs
@@ -6,7 +6,7 @@
 use granitelb_balancer::calls::ControlPlaneUpdate;
 use granitelb_balancer::time::Time;
 use granitelb_coordination::component::Component;
-use granitelb_coordination::membership::Members;
+use granitelb_coordination::membership::Membership;
 use granitelb_coordination::message::Message;
 use granitelb_coordination::observation::Observation;
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender, endpoint_health, leases};
@@ -18,7 +18,7 @@
 
 pub struct Fellow<V, L> {
     me: Member,
-    members: Members,
+    members: Membership,
     verdicts: Option<V>,
     leases: Option<L>,
     make: Box<dyn Fn(Incarnation, Time) -> Sides<V, L>>,
@@ -96,7 +96,7 @@
         make: impl Fn(Incarnation, Time) -> Sides<V, L> + 'static,
     ) -> Self {
         let incarnation = Incarnation(now.0);
-        let mut members = Members::new(me, incarnation, now);
+        let mut members = Membership::new(me, incarnation, now);
         members.set_planners(now, planners(play));
         let (verdicts, leases) = make(incarnation, now);
         let make = Box::new(make);
@@ -105,7 +105,7 @@
 
     /// Takes in a letter if it is to be heard.
     pub fn on_message(&mut self, now: Time, sender: Sender, letter: Message) -> bool {
-        if self.members.take(now, sender).is_err() {
+        if self.members.accept(now, sender).is_err() {
             return false;
         }
         self.goes_on(now);
@@ -128,11 +128,11 @@
         let next = next.or_else(|| lease().map(|(to, m)| (to, Message::Leases(m))));
         let beat = || self.members.poll_message(now).map(|(to, m)| (to, Message::Membership(m)));
         let (to, letter) = next.or_else(beat)?;
-        self.members.sent(now, to);
+        self.members.on_message_sent(now, to);
         self.number += 1;
         Some((
             to,
-            Sender { member: self.me, incarnation: self.members.incarnation(), number: self.number },
+            Sender { member: self.me, incarnation: self.members.incarnation(), sequence: self.number },
             letter,
         ))
     }
@@ -144,10 +144,10 @@
     }
 
     fn goes_on(&mut self, now: Time) {
-        let mut changed = self.members.changed(now);
-        if self.members.must_be_new() {
+        let mut changed = self.members.poll_change(now);
+        if self.members.needs_new_incarnation() {
             let incarnation = Incarnation(now.0.max(self.members.incarnation().0 + 1));
-            self.members.renewed(incarnation);
+            self.members.renew(incarnation);
             (self.verdicts, self.leases) = (self.make)(incarnation, now);
             self.is_new = true;
             changed = Some(self.members.alive(now));
@@ -160,7 +160,7 @@
 
 impl Forwarder {
     pub fn seen(&mut self, now: Time, sight: Observation) {
-        self.verdicts.iter_mut().for_each(|v| v.seen(now, &sight));
+        self.verdicts.iter_mut().for_each(|v| v.on_observation(now, &sight));
         self.leases.iter_mut().for_each(|l| l.seen(now, &sight));
         if let Observation::EndpointsChanged(_) = sight {
             self.listed = Some(sight);
@@ -174,7 +174,7 @@
         {
             self.seen(now, listed);
         }
-        let mut advice = self.verdicts.as_ref().map(|v| v.advice(now)).unwrap_or_default();
+        let mut advice = self.verdicts.as_ref().map(|v| v.control_plane_update(now)).unwrap_or_default();
         advice.leases = self.leases.as_mut().map(|l| l.current_leases(now)).unwrap_or_default();
         advice
     }
--- a/crates/node/tests/control_plane.rs
+++ b/crates/node/tests/control_plane.rs
@@ -150,10 +150,10 @@
     while Instant::now() < end {
         let Some((_, message)) = fixture.planner.receive() else { continue };
         fixture.planner.send_message(&Message::Membership(membership::MembershipMessage::Heartbeat));
-        let Message::Leases(leases::LeaseMessage::Ask { ask, .. }) = message else { continue };
+        let Message::Leases(leases::LeaseMessage::Request { request_id, .. }) = message else { continue };
         if grants {
-            let granted = vec![(leases::Resource::Origin, 40_000)];
-            let grant = leases::LeaseMessage::Grant { ask, granted, lasts: 1_000_000 };
+            let granted = vec![leases::ResourceAmount { resource: leases::Resource::Origin, amount: 40_000 }];
+            let grant = leases::LeaseMessage::Grant { request_id, granted, duration: 1_000_000 };
             fixture.planner.send_message(&Message::Leases(grant));
         }
     }
--- a/crates/node/tests/control_plane/flood.rs
+++ b/crates/node/tests/control_plane/flood.rs
@@ -35,8 +35,9 @@
     let message = match (member, number) {
         (Member::Forwarder(_), 1..) => {
             let resource = leases::Resource::Origin;
-            let need = leases::Need { resource, amount: 1, using: 0, heads: 1, has: 0 };
-            Message::Leases(leases::LeaseMessage::Ask { ask: number, needs: vec![need] })
+            let need =
+                leases::Demand { resource, amount: 1, request_in_use: 0, requesters: 1, already_held: 0 };
+            Message::Leases(leases::LeaseMessage::Request { request_id: number, demands: vec![need] })
         }
         _ => Message::Membership(membership::MembershipMessage::Heartbeat),
     };
