--- a/crates/control-plane/src/agent/sides.rs
+++ b/crates/control-plane/src/agent/sides.rs
@@ -85,7 +85,7 @@
     shard_growth,
     ShardGrowth,
     fn advise(&mut self, _now: Time, advice: &mut ControlPlaneUpdate) {
-        advice.table = self.advice();
+        advice.table = self.shard_map();
     }
 );
 side!(counterfactual, Counterfactual);
--- a/crates/control-plane/src/fleet_config.rs
+++ b/crates/control-plane/src/fleet_config.rs
@@ -211,35 +211,35 @@
         endpoint_health::Settings { turns, ..endpoint_health::Settings::default() }
     }
 
-    pub fn growth(&self) -> Option<shard_growth::Settings> {
+    pub fn growth(&self) -> Option<shard_growth::PlannerSettings> {
         let form = self.growth.as_ref()?;
-        let usual = shard_growth::schedule::Settings::default();
-        let mut schedule = shard_growth::schedule::Settings {
-            most: form.splits_at_once,
-            part: form.in_step(usual.part),
-            planned: form.in_step(usual.planned),
-            both_read: form.in_step(usual.both_read),
-            watched: form.in_step(usual.watched),
-            patience: form.in_step(usual.patience),
-            rests: form.in_step(usual.rests),
+        let usual = shard_growth::split_schedule::Settings::default();
+        let mut schedule = shard_growth::split_schedule::Settings {
+            max_active_splits: form.splits_at_once,
+            copy_step_duration: form.in_step(usual.copy_step_duration),
+            planned_duration: form.in_step(usual.planned_duration),
+            dual_read_duration: form.in_step(usual.dual_read_duration),
+            switched_duration: form.in_step(usual.switched_duration),
+            fault_patience: form.in_step(usual.fault_patience),
+            withdrawn_duration: form.in_step(usual.withdrawn_duration),
             ..usual
         };
         if let Some(step) = form.step_ms.map(Span::from_millis) {
-            (schedule.part, schedule.patience) = (step.scaled(0.25), step.scaled(3.0));
-            (schedule.planned, schedule.both_read) = (step, step);
-            (schedule.watched, schedule.rests) = (step, step);
+            (schedule.copy_step_duration, schedule.fault_patience) = (step.scaled(0.25), step.scaled(3.0));
+            (schedule.planned_duration, schedule.dual_read_duration) = (step, step);
+            (schedule.switched_duration, schedule.withdrawn_duration) = (step, step);
         }
-        let usual = shard_growth::Settings::default();
-        Some(shard_growth::Settings {
-            beat: form.quick(usual.beat),
-            retry: form.quick(usual.retry),
-            listed: form.quick(usual.listed),
-            slow: form.quick(usual.slow),
+        let usual = shard_growth::PlannerSettings::default();
+        Some(shard_growth::PlannerSettings {
+            heartbeat_interval: form.quick(usual.heartbeat_interval),
+            proposal_retry_interval: form.quick(usual.proposal_retry_interval),
+            endpoint_report_ttl: form.quick(usual.endpoint_report_ttl),
+            slow_origin_report_ttl: form.quick(usual.slow_origin_report_ttl),
             planners: self.planners.keys().copied().collect(),
             schedule,
-            day: Span::from_millis(form.day_ms),
-            room: Some(form.shard_bytes as f64),
-            frozen: form.frozen_days.iter().copied().collect(),
+            day_length: Span::from_millis(form.day_ms),
+            shard_capacity_bytes: Some(form.shard_bytes as f64),
+            frozen_days: form.frozen_days.iter().copied().collect(),
             ..usual
         })
     }
@@ -248,13 +248,20 @@
     pub fn growth_seen(&self) -> Option<shard_growth::ForwarderSettings> {
         let form = self.growth.as_ref()?;
         let usual = shard_growth::ForwarderSettings::default();
-        let lately = form.in_step(usual.lately);
-        let (beat, lists) = (form.quick(usual.beat), form.quick(usual.lists));
+        let lately = form.in_step(usual.eviction_window);
+        let (beat, lists) =
+            (form.quick(usual.heartbeat_interval), form.quick(usual.endpoint_report_interval));
         // In trials no more letters than it takes: planners end a day when an eighth of the next one is over.
         let usually = form.day_ms >= DAY.0 / 1000;
-        let round = if usually { usual.round } else { Span::from_millis(form.day_ms).scaled(0.1) };
-        let fetches = form.quick(usual.fetches);
-        Some(shard_growth::ForwarderSettings { round, beat, lately, lists, fetches })
+        let round = if usually { usual.report_round } else { Span::from_millis(form.day_ms).scaled(0.1) };
+        let fetches = form.quick(usual.fetch_time_constant);
+        Some(shard_growth::ForwarderSettings {
+            report_round: round,
+            heartbeat_interval: beat,
+            eviction_window: lately,
+            endpoint_report_interval: lists,
+            fetch_time_constant: fetches,
+        })
     }
 
     pub fn hindsight(&self) -> Option<counterfactual::Settings> {
--- a/crates/control-plane/src/planner/board.rs
+++ b/crates/control-plane/src/planner/board.rs
@@ -6,8 +6,8 @@
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::leases::Spare;
-use granitelb_coordination::shard_growth::Fleet;
-use granitelb_coordination::shard_growth::form::FormVersion;
+use granitelb_coordination::shard_growth::FleetStatus;
+use granitelb_coordination::shard_growth::shard_map::ShardMapVersion;
 use tokio::sync::watch;
 
 /// Notes are written anew so often, and count for so long.
@@ -32,7 +32,7 @@
     failing: watch::Sender<Option<Dated<BTreeSet<EndpointId>>>>,
     spare: watch::Sender<Option<Dated<Spare>>>,
     /// The version by which the table was new last; it stays so.
-    table: watch::Sender<Option<FormVersion>>,
+    table: watch::Sender<Option<ShardMapVersion>>,
 }
 
 impl Board {
@@ -49,18 +49,18 @@
         self.spare.send_replace(what.map(|what| Dated { at: now, what }));
     }
 
-    pub fn write_table(&self, new: FormVersion) {
+    pub fn write_table(&self, new: ShardMapVersion) {
         self.table.send_replace(Some(new));
     }
 
     /// The version by which the table was new last, where growth has said so.
-    pub fn table(&self) -> Option<FormVersion> {
+    pub fn table(&self) -> Option<ShardMapVersion> {
         *self.table.borrow()
     }
 
     /// What growth has to know: none where any of it is not known. By the operator's figure where there are no leases;
     /// where there are, no more than that.
-    pub fn fleet(&self, now: Time, leased: bool, figure: Option<f64>) -> Option<Fleet> {
+    pub fn fleet(&self, now: Time, leased: bool, figure: Option<f64>) -> Option<FleetStatus> {
         let failing = self.failing.borrow().as_ref().and_then(|f| f.fresh(now)).cloned()?;
         let spare = match (leased, figure) {
             (true, most) => {
@@ -69,7 +69,7 @@
             }
             (false, figure) => Spare { per_s: figure?, short: false },
         };
-        Some(Fleet { failing, origin_slow: spare.short, spare_fetches: spare.per_s })
+        Some(FleetStatus { failing, is_origin_slow: spare.short, spare_fetches_per_second: spare.per_s })
     }
 }
 
--- a/crates/control-plane/src/planner/faculties.rs
+++ b/crates/control-plane/src/planner/faculties.rs
@@ -113,8 +113,9 @@
             Box::new(move |operator, incarnation, now, kept| {
                 let settings = operator.growth().ok_or_else(off)?;
                 // The process's clock is Unix time: all planners are in the same day of the book, or soon will be.
-                let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
-                let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
+                let day = shard_growth::accounting_day::AccountingDay((now.0 / settings.day_length.0) as u32);
+                let calendar =
+                    shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day_length.0) };
                 let made =
                     shard_growth::PlannerComponent::new(settings, me, incarnation, now, calendar, kept);
                 made.map_err(|fault| -> Refusal { Box::new(fault) })
@@ -122,8 +123,8 @@
         let unwrap = |letter| if let Message::ShardGrowth(message) = letter { Some(message) } else { None };
         let share: Share<shard_growth::PlannerComponent> = Box::new(|faculty, now, operator, board| {
             let figure = operator.growth.as_ref().and_then(|g| g.spare_per_s);
-            faculty.fleet(board.fleet(now, operator.leases.is_some(), figure));
-            board.write_table(faculty.new_table());
+            faculty.set_fleet_status(board.fleet(now, operator.leases.is_some(), figure));
+            board.write_table(faculty.last_migration_version());
         });
         let ways =
             Ways { kind: ComponentKind::ShardGrowth, wrap: Message::ShardGrowth, unwrap, share: Some(share) };
--- a/crates/control-plane/src/planner/tests.rs
+++ b/crates/control-plane/src/planner/tests.rs
@@ -259,7 +259,7 @@
     use granitelb_coordination::counterfactual::{
         CounterfactualMessage, How, PlannerComponent, SampledRequest, Settings, is_sampled,
     };
-    use granitelb_coordination::shard_growth::form::FormVersion;
+    use granitelb_coordination::shard_growth::shard_map::ShardMapVersion;
     let now = Time(1_000_000_000);
     let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), now);
     let (board, share) = (Board::new(), super::faculties::forgets_old_tables());
@@ -289,9 +289,9 @@
         planner.support()
     };
     assert_eq!(seen_by(&mut planner, 100, 1), 1, "growth says nothing");
-    board.write_table(FormVersion(0));
+    board.write_table(ShardMapVersion(0));
     assert_eq!(seen_by(&mut planner, 200, 2), 2, "it has seen no new table");
-    board.write_table(FormVersion(7));
+    board.write_table(ShardMapVersion(7));
     assert_eq!(seen_by(&mut planner, 300, 3), 0);
     assert_eq!(seen_by(&mut planner, 400, 4), 1, "told once");
 }
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -6,7 +6,7 @@
 use crate::growing::{GROW, Growing, place};
 use granitelb_coordination::leases::{self, Need, Resource};
 use granitelb_coordination::message::Message;
-use granitelb_coordination::shard_growth::form::Step;
+use granitelb_coordination::shard_growth::shard_map::SplitPhase;
 
 const LONG: Duration = Duration::from_secs(25);
 
@@ -35,7 +35,7 @@
 fn a_full_disk_costs_what_rests_on_it_alone_until_there_is_room() {
     let mut growing = Growing::start(300, "spare_per_s = 1000000.0\n[leases]\norigin_per_s = 100000.0\n");
     let at = |step| move |g: &Growing| place(g.auditor.last(GROW[0]).0) >= place(Some(step));
-    growing.until("foreseen", LONG, at(Step::Foreseen));
+    growing.until("foreseen", LONG, at(SplitPhase::Foreseen));
     growing.planners[&2].room_for_files(Some(4096));
     growing.until("not kept", LONG, |g| !g.planners[&2].said("not_kept").is_empty());
     let told = growing.auditor.told.len();
@@ -63,7 +63,7 @@
 fn a_folder_that_is_taken_away_is_begun_anew_and_the_planner_goes_on_from_there() {
     let mut growing = Growing::start(300, "spare_per_s = 1000000.0\n");
     let at = |step| move |g: &Growing| place(g.auditor.last(GROW[0]).0) >= place(Some(step));
-    growing.until("foreseen", LONG, at(Step::Foreseen));
+    growing.until("foreseen", LONG, at(SplitPhase::Foreseen));
     let folder = growing.fleet.path("state-1");
     fs::remove_dir_all(&folder).expect("it had one");
     growing.until("kept again", LONG, |g| !g.planners[&1].said("kept_again").is_empty());
--- a/crates/control-plane/tests/growth.rs
+++ b/crates/control-plane/tests/growth.rs
@@ -9,7 +9,7 @@
 use granitelb_coordination::endpoint_health::{self, Part, Report, Seen};
 use granitelb_coordination::leases::{self, Need, Resource};
 use granitelb_coordination::message::Message;
-use granitelb_coordination::shard_growth::form::{Form, Step};
+use granitelb_coordination::shard_growth::shard_map::{SplitPhase, VersionedShardMap};
 
 const LONG: Duration = Duration::from_secs(25);
 
@@ -25,8 +25,14 @@
 #[test]
 fn a_leader_killed_at_each_step_is_followed_by_another_that_goes_on_from_there() {
     let mut growing = Growing::start(300, "spare_per_s = 1000000.0\n");
-    let steps =
-        [Step::Foreseen, Step::Planned, Step::Copying(1), Step::Copying(9), Step::BothRead, Step::Switched];
+    let steps = [
+        SplitPhase::Foreseen,
+        SplitPhase::Planned,
+        SplitPhase::Copying(1),
+        SplitPhase::Copying(9),
+        SplitPhase::DualRead,
+        SplitPhase::Switched,
+    ];
     for step in steps {
         let at = place(Some(step));
         growing.until(&format!("at {step:?}"), LONG, |g| g.auditor.last(GROW[0]).1 == 1 || stands(g) >= at);
@@ -40,18 +46,20 @@
         let stood = growing.auditor.told.len();
         growing.until("gone on", LONG, |g| g.auditor.told.len() > stood);
         println!("{:?}: then {:?}", growing.began.elapsed(), growing.auditor.last(GROW[0]));
-        if step == Step::Copying(9) {
+        if step == SplitPhase::Copying(9) {
             fs::remove_dir_all(growing.fleet.path(&format!("state-{leader}"))).expect("it had one");
         }
         growing.start_planner(leader);
     }
     growing.until("settled", LONG, settled);
     growing.until("of one form", LONG, |g| {
-        let last = g.auditor.told.values().last().map(Form::for_module);
-        g.nodes.iter().all(|node| node.form() == last)
+        let last = g.auditor.told.values().last().map(VersionedShardMap::to_balancer_shard_map);
+        g.nodes.iter().all(|node| node.shard_map() == last)
     });
     growing.auditor.check_steps();
-    let withdrawn = |form: &Form| form.shards.values().any(|s| s.step == Some(Step::Withdrawn));
+    let withdrawn = |shard_map: &VersionedShardMap| {
+        shard_map.shards.values().any(|s| s.phase == Some(SplitPhase::Withdrawn))
+    };
     assert!(!growing.auditor.told.values().any(withdrawn), "nothing was in the way but killed planners");
 }
 
@@ -90,7 +98,7 @@
 #[test]
 fn a_split_pauses_while_the_origin_is_slow_or_a_cache_fails_and_is_taken_back_if_that_goes_on() {
     let mut growing = Growing::start(1000, "[leases]\norigin_per_s = 100000.0\n");
-    let mut until = Step::Copying(2);
+    let mut until = SplitPhase::Copying(2);
     let reach = |growing: &mut Growing, step| {
         growing.until(&format!("at {step:?}"), LONG, |g| stands(g) >= place(Some(step)));
     };
@@ -113,11 +121,12 @@
         }
         assert_eq!(stood, 4, "it goes on past {until:?}");
         say(&mut growing, 2, &ends);
-        until = Step::Copying(7);
+        until = SplitPhase::Copying(7);
     }
-    reach(&mut growing, Step::Copying(11));
+    reach(&mut growing, SplitPhase::Copying(11));
     say(&mut growing, 25, asks(90_000_000));
-    let withdrawn = |form: &Form| form.of(GROW[0]).step == Some(Step::Withdrawn);
+    let withdrawn =
+        |shard_map: &VersionedShardMap| shard_map.layout(GROW[0]).phase == Some(SplitPhase::Withdrawn);
     assert!(growing.auditor.told.values().any(withdrawn), "{:?}", growing.auditor.told.values().last());
     growing.auditor.check_steps();
 }
--- a/crates/control-plane/tests/help.rs
+++ b/crates/control-plane/tests/help.rs
@@ -71,10 +71,10 @@
             Leases::Unasked => Leases::Unasked, Leases::NotForUs => Leases::NotForUs, Leases::Nobody => Leases::Nobody,
             Leases::Reserve => Leases::Reserve, Leases::Lengths => Leases::Lengths),
         all!(Growth:
-            Growth::Stranger => Growth::Stranger, Growth::Nonsense => Growth::Nonsense, Growth::OldDay => Growth::OldDay,
-            Growth::Full => Growth::Full),
+            Growth::UnexpectedSender => Growth::UnexpectedSender, Growth::InvalidValue => Growth::InvalidValue, Growth::DayClosed => Growth::DayClosed,
+            Growth::CapacityExceeded => Growth::CapacityExceeded),
         all!(SnapshotError:
-            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Torn => SnapshotError::Torn),
+            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Corrupt => SnapshotError::Corrupt),
         all!(Judged:
             Judged::Figure => Judged::Figure, Judged::NotSampled => Judged::NotSampled,
             Judged::WrongSide => Judged::WrongSide),
--- a/crates/control-plane/tests/store_format.rs
+++ b/crates/control-plane/tests/store_format.rs
@@ -14,10 +14,15 @@
 use granitelb_coordination::component::Component;
 use granitelb_coordination::leases::{self, Need, Resource};
 use granitelb_coordination::message::ComponentKind;
-use granitelb_coordination::shard_growth::agree::{Ballot, Kept, Vote};
-use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
-use granitelb_coordination::shard_growth::sketch::{Day, Shard};
-use granitelb_coordination::shard_growth::{self, Archive, Calendar};
+use granitelb_coordination::shard_growth::accounting_day::AccountingDay;
+use granitelb_coordination::shard_growth::consensus::{
+    AcceptedProposal, AcceptorState, Ballot, ConsensusMessage,
+};
+use granitelb_coordination::shard_growth::history::ClosedDay;
+use granitelb_coordination::shard_growth::shard_map::{
+    ShardId, ShardLayout, ShardMapVersion, SplitPhase, VersionedShardMap,
+};
+use granitelb_coordination::shard_growth::{self, Calendar, Snapshot};
 use granitelb_coordination::{
     ForwarderId, Incarnation, Member, PlannerId, Sender, counterfactual, endpoint_health,
 };
@@ -85,33 +90,39 @@
 /// Growth at this planner of three, with what was kept.
 fn growth_of(incarnation: Incarnation, kept: Option<&[u8]>) -> shard_growth::PlannerComponent {
     let planners = [1, 2, 3].map(PlannerId).into();
-    let settings = shard_growth::Settings { planners, ..shard_growth::Settings::default() };
-    let calendar = Calendar { at: NOW, day: Day(20_000), into: Span::ZERO };
+    let settings = shard_growth::PlannerSettings { planners, ..shard_growth::PlannerSettings::default() };
+    let calendar = Calendar { at: NOW, day: AccountingDay(20_000), into: Span::ZERO };
     shard_growth::PlannerComponent::new(settings, ME, incarnation, NOW, calendar, kept)
         .expect("what was kept can be read")
 }
 
 /// A form with a shard that has settled and one in the middle of a split.
-fn form(version: u64, copied: u8) -> Form {
-    let settled = ShardForm { bits: 2, step: None };
-    let splitting = ShardForm { bits: 1, step: Some(Step::Copying(copied)) };
-    Form { version: FormVersion(version), shards: [(Shard(17), settled), (Shard(200), splitting)].into() }
+fn shard_map(version: u64, copied: u8) -> VersionedShardMap {
+    let settled = ShardLayout { bits: 2, phase: None };
+    let splitting = ShardLayout { bits: 1, phase: Some(SplitPhase::Copying(copied)) };
+    VersionedShardMap {
+        version: ShardMapVersion(version),
+        shards: [(ShardId(17), settled), (ShardId(200), splitting)].into(),
+    }
 }
 
 fn ballot(round: u64, planner: u8) -> Ballot {
     Ballot { round, planner, incarnation: 100 + u64::from(planner) }
 }
 
-fn prepare(round: u64, planner: u8) -> Vote {
-    Vote::Prepare { version: FormVersion(41), ballot: ballot(round, planner) }
+fn prepare(round: u64, planner: u8) -> ConsensusMessage {
+    ConsensusMessage::Prepare { version: ShardMapVersion(41), ballot: ballot(round, planner) }
 }
 
-fn days() -> Vec<(Day, f32, f32)> {
-    vec![(Day(19_900), 1234.5, 67.25), (Day(19_902), 2345.5, 78.25)]
+fn days() -> Vec<ClosedDay> {
+    vec![
+        ClosedDay { day: AccountingDay(19_900), bytes: 1234.5, keys: 67.25 },
+        ClosedDay { day: AccountingDay(19_902), bytes: 2345.5, keys: 78.25 },
+    ]
 }
 
-fn hear_vote(faculty: &mut shard_growth::PlannerComponent, from: u8, vote: Vote) {
-    let message = shard_growth::GrowthMessage::Vote(vote);
+fn hear_vote(faculty: &mut shard_growth::PlannerComponent, from: u8, vote: ConsensusMessage) {
+    let message = shard_growth::GrowthMessage::Consensus(vote);
     faculty.on_message(NOW, planner(from, 100 + u64::from(from)), message).expect("it is heard");
 }
 
@@ -120,27 +131,39 @@
 fn growth_that_voted() -> shard_growth::PlannerComponent {
     let mut faculty = growth_of(LIFE, None);
     for other in [1, 2] {
-        let (decided, promised) = (FormVersion(0), Ballot::default());
-        hear_vote(&mut faculty, other, Vote::Here { to_life: LIFE.0, decided, promised, took: None });
+        let (decided, promised) = (ShardMapVersion(0), Ballot::default());
+        hear_vote(
+            &mut faculty,
+            other,
+            ConsensusMessage::RecoveryResponse { to_incarnation: LIFE.0, decided, promised, accepted: None },
+        );
     }
-    hear_vote(&mut faculty, 1, Vote::Decided { form: form(40, 5) });
-    let ended = shard_growth::GrowthMessage::Ended { shard: Shard(17), days: days() };
+    hear_vote(&mut faculty, 1, ConsensusMessage::Decided { shard_map: shard_map(40, 5) });
+    let ended = shard_growth::GrowthMessage::ClosedDays { shard: ShardId(17), days: days() };
     faculty.on_message(NOW, planner(2, 102), ended).expect("it is heard");
     hear_vote(&mut faculty, 1, prepare(9, 1));
-    hear_vote(&mut faculty, 1, Vote::Accept { ballot: ballot(9, 1), form: form(41, 6) });
+    hear_vote(
+        &mut faculty,
+        1,
+        ConsensusMessage::Accept { ballot: ballot(9, 1), shard_map: shard_map(41, 6) },
+    );
     hear_vote(&mut faculty, 2, prepare(12, 2));
     faculty
 }
 
-fn votes_kept() -> Kept {
-    Kept { decided: form(40, 5), promised: ballot(12, 2), took: Some((ballot(9, 1), form(41, 6))) }
+fn votes_kept() -> AcceptorState {
+    AcceptorState {
+        decided: shard_map(40, 5),
+        promised: ballot(12, 2),
+        accepted: Some(AcceptedProposal { ballot: ballot(9, 1), shard_map: shard_map(41, 6) }),
+    }
 }
 
 /// What it answers to a vote, once it has kept what that answer rests on.
 fn answer(
     faculty: &mut shard_growth::PlannerComponent,
     from: u8,
-    vote: Vote,
+    vote: ConsensusMessage,
 ) -> Option<(Member, shard_growth::GrowthMessage)> {
     hear_vote(faculty, from, vote);
     faculty.poll_snapshot();
@@ -172,21 +195,22 @@
 
 #[test]
 fn the_state_of_growth_says_what_was_voted() {
-    let archive = Archive::of_bytes(&kept_states()["growth"]).expect("it can be read");
-    assert_eq!(archive, Archive { votes: Some(votes_kept()), history: vec![(Shard(17), days())] });
+    let archive = Snapshot::from_bytes(&kept_states()["growth"]).expect("it can be read");
+    assert_eq!(archive, Snapshot { consensus: Some(votes_kept()), history: vec![(ShardId(17), days())] });
 }
 
 #[test]
 fn growth_goes_on_by_the_votes_that_were_kept() {
     let state = &kept_states()["growth"];
     let mut faculty = growth_of(Incarnation(LIFE.0 + 1), Some(state));
-    assert_eq!(faculty.form(), &form(40, 5));
-    let refused = Vote::Refused { version: FormVersion(41), promised: ballot(12, 2) };
-    let to_planner =
-        |number, vote| Some((Member::Planner(PlannerId(number)), shard_growth::GrowthMessage::Vote(vote)));
+    assert_eq!(faculty.shard_map(), &shard_map(40, 5));
+    let refused = ConsensusMessage::Rejected { version: ShardMapVersion(41), promised: ballot(12, 2) };
+    let to_planner = |number, vote| {
+        Some((Member::Planner(PlannerId(number)), shard_growth::GrowthMessage::Consensus(vote)))
+    };
     assert_eq!(answer(&mut faculty, 1, prepare(10, 1)), to_planner(1, refused));
-    let took = Some((ballot(9, 1), form(41, 6)));
-    let promise = Vote::Promise { version: FormVersion(41), ballot: ballot(20, 2), took };
+    let accepted = Some(AcceptedProposal { ballot: ballot(9, 1), shard_map: shard_map(41, 6) });
+    let promise = ConsensusMessage::Promise { version: ShardMapVersion(41), ballot: ballot(20, 2), accepted };
     assert_eq!(answer(&mut faculty, 2, prepare(20, 2)), to_planner(2, promise));
 }
 
--- a/crates/control-plane/tests/support/growing.rs
+++ b/crates/control-plane/tests/support/growing.rs
@@ -18,10 +18,11 @@
 use granitelb_coordination::membership::Members;
 use granitelb_coordination::message::{self, ComponentKind, Message};
 use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
-use granitelb_coordination::shard_growth::agree::Kept;
-use granitelb_coordination::shard_growth::form::{Form, Step};
-use granitelb_coordination::shard_growth::sketch::{Day, Shard};
-use granitelb_coordination::shard_growth::{Archive, ForwarderComponent, GrowthMessage};
+use granitelb_coordination::shard_growth::accounting_day::AccountingDay;
+use granitelb_coordination::shard_growth::consensus::AcceptorState;
+use granitelb_coordination::shard_growth::history::ClosedDay;
+use granitelb_coordination::shard_growth::shard_map::{ShardId, SplitPhase, VersionedShardMap};
+use granitelb_coordination::shard_growth::{ForwarderComponent, GrowthMessage, Snapshot};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -33,7 +34,7 @@
 const KNOWN_DAYS: u32 = 110;
 const DAY_MS: u64 = 2000;
 /// Both grow alike; they stand on the same caches.
-pub const GROW: [Shard; 2] = [Shard(17), Shard(90)];
+pub const GROW: [ShardId; 2] = [ShardId(17), ShardId(90)];
 
 /// Keys on a day, of 1,000 bytes each.
 fn keys(day: f64) -> f64 {
@@ -110,73 +111,75 @@
         }
     }
 
-    pub fn form(&self) -> Option<ShardMap> {
-        self.growth.advice()
+    pub fn shard_map(&self) -> Option<ShardMap> {
+        self.growth.shard_map()
     }
 }
 
 /// What forwarders were told.
 #[derive(Default)]
 pub struct Auditor {
-    pub told: BTreeMap<u64, Form>,
+    pub told: BTreeMap<u64, VersionedShardMap>,
     /// How often each planner leased something.
     pub grants: BTreeMap<u8, u64>,
 }
 
 impl Auditor {
-    fn on_message(&mut self, form: &Form) {
-        let known = self.told.entry(form.version.0).or_insert_with(|| form.clone());
-        assert_eq!(known, form, "two forms of version {}", form.version.0);
+    fn on_message(&mut self, shard_map: &VersionedShardMap) {
+        let known = self.told.entry(shard_map.version.0).or_insert_with(|| shard_map.clone());
+        assert_eq!(known, shard_map, "two forms of version {}", shard_map.version.0);
         let caches = caches();
-        let active = form.shards.iter().filter(|(_, of)| of.step.is_some_and(is_active));
+        let active = shard_map.shards.iter().filter(|(_, of)| of.phase.is_some_and(is_active));
         let taken: Vec<_> = active.map(|(shard, of)| caches_of(shard.0, of.bits + 1, &caches)).collect();
         for (n, one) in taken.iter().enumerate() {
             assert!(
                 taken[..n].iter().all(|other| one.is_disjoint(other)),
-                "two splits on one cache: {form:?}"
+                "two splits on one cache: {shard_map:?}"
             );
         }
     }
 
     /// Where a shard stands by the last form, and how many splits it has behind it.
-    pub fn last(&self, shard: Shard) -> (Option<Step>, u8) {
-        let of = self.told.values().last().map(|form| form.of(shard));
-        of.map_or((None, 0), |of| (of.step, of.bits))
+    pub fn last(&self, shard: ShardId) -> (Option<SplitPhase>, u8) {
+        let of = self.told.values().last().map(|shard_map| shard_map.layout(shard));
+        of.map_or((None, 0), |of| (of.phase, of.bits))
     }
 
     /// Each form differs from the one before in one shard, which went one step.
     pub fn check_steps(&self) {
-        for (version, form) in &self.told {
+        for (version, shard_map) in &self.told {
             let Some(before) = self.told.get(&(version - 1)) else { continue };
-            let changed: Vec<_> = GROW.into_iter().filter(|s| form.of(*s) != before.of(*s)).collect();
-            assert_eq!(changed.len(), 1, "{before:?}, {form:?}");
-            let (from, to) = (before.of(changed[0]), form.of(changed[0]));
-            let (a, b) = (place(from.step), place(to.step));
-            let settles = from.step == Some(Step::Switched) && to.step.is_none() && to.bits == from.bits + 1;
+            let changed: Vec<_> =
+                GROW.into_iter().filter(|s| shard_map.layout(*s) != before.layout(*s)).collect();
+            assert_eq!(changed.len(), 1, "{before:?}, {shard_map:?}");
+            let (from, to) = (before.layout(changed[0]), shard_map.layout(changed[0]));
+            let (a, b) = (place(from.phase), place(to.phase));
+            let settles =
+                from.phase == Some(SplitPhase::Switched) && to.phase.is_none() && to.bits == from.bits + 1;
             let same = to.bits == from.bits;
-            assert!(settles || same && (b == a + 1 || to.step.is_none_or(goes_back)), "{from:?}, {to:?}");
+            assert!(settles || same && (b == a + 1 || to.phase.is_none_or(goes_back)), "{from:?}, {to:?}");
         }
     }
 }
 
-fn is_active(step: Step) -> bool {
-    step != Step::Foreseen && step != Step::Withdrawn
+fn is_active(step: SplitPhase) -> bool {
+    step != SplitPhase::Foreseen && step != SplitPhase::Withdrawn
 }
 
-fn goes_back(step: Step) -> bool {
-    step == Step::Foreseen || step == Step::Withdrawn
+fn goes_back(step: SplitPhase) -> bool {
+    step == SplitPhase::Foreseen || step == SplitPhase::Withdrawn
 }
 
 /// Steps in their order.
-pub fn place(step: Option<Step>) -> u8 {
+pub fn place(step: Option<SplitPhase>) -> u8 {
     match step {
         None => 0,
-        Some(Step::Foreseen) => 1,
-        Some(Step::Planned) => 2,
-        Some(Step::Copying(n)) => 2 + n,
-        Some(Step::BothRead) => 19,
-        Some(Step::Switched) => 20,
-        Some(Step::Withdrawn) => 100,
+        Some(SplitPhase::Foreseen) => 1,
+        Some(SplitPhase::Planned) => 2,
+        Some(SplitPhase::Copying(n)) => 2 + n,
+        Some(SplitPhase::DualRead) => 19,
+        Some(SplitPhase::Switched) => 20,
+        Some(SplitPhase::Withdrawn) => 100,
     }
 }
 
@@ -188,7 +191,7 @@
     pub began: Instant,
     relays: Vec<UdpSocket>,
     chance: Chance,
-    keys: BTreeMap<Shard, Vec<u64>>,
+    keys: BTreeMap<ShardId, Vec<u64>>,
     first_day: u64,
     read_on: u64,
 }
@@ -243,10 +246,14 @@
         let day = |n: u32| {
             let drawn = xxh3_64_with_seed(&n.to_le_bytes(), 3) % 1000;
             let keys = keys(f64::from(n)) * (0.995 + 0.00001 * drawn as f64);
-            (Day(self.first_day as u32 + n), (keys * 1000.0) as f32, keys as f32)
+            ClosedDay {
+                day: AccountingDay(self.first_day as u32 + n),
+                bytes: (keys * 1000.0) as f32,
+                keys: keys as f32,
+            }
         };
         let history = GROW.map(|shard| (shard, (0..KNOWN_DAYS - 1).map(day).collect())).into();
-        let bytes = Archive { votes: Some(Kept::default()), history }.to_bytes();
+        let bytes = Snapshot { consensus: Some(AcceptorState::default()), history }.to_bytes();
         fs::create_dir(self.fleet.path(&format!("state-{number}"))).expect("a folder");
         let shelf = StateFile::open(&self.fleet.store(number), PlannerId(number as u8)).expect("a store");
         shelf.write(&[(ComponentKind::ShardGrowth, bytes)]).expect("written");
@@ -297,8 +304,8 @@
             while let Some(bytes) = read(&node.socket) {
                 for _ in 0..self.chance.times() {
                     let (from, letter) = message::open(&bytes, &secrets(OURS)).expect("of a planner");
-                    if let Message::ShardGrowth(GrowthMessage::Table { form }) = &letter {
-                        self.auditor.on_message(form);
+                    if let Message::ShardGrowth(GrowthMessage::ShardMap { shard_map }) = &letter {
+                        self.auditor.on_message(shard_map);
                     }
                     if let (Member::Planner(id), Message::Leases(leases::LeaseMessage::Grant { granted, .. })) =
                         (from.member, &letter)
--- a/crates/coordination/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -1,225 +1,340 @@
-//! A simulated book over months: reads by keys of shards, of which one grows, from caches that each hold so many values.
-//! No splits, splits at the breach, and splits ahead: hit share, origin fetches, and what came late since the origin had
-//! more to do than it can. `growth_months [first seed] [seeds]`.
+//! A simulation over months: reads of keys of shards, one of which grows, from caches that each hold a number of values.
+//! Compares no splits, splits once a shard has outgrown its caches, and splits ahead of time, by hit ratio, fetches from
+//! the origin, and fetches that were late since the origin had more to do than it can. `growth_months [first seed]
+//! [seeds]`.
 
 use std::collections::{BTreeMap, HashMap};
 
-use granitelb_balancer::calls::MigrationPhase;
+use granitelb_balancer::calls::{MigrationPhase, ShardMap};
 use granitelb_balancer::ids::{EndpointId, Key};
 use granitelb_balancer::slot_table::{place_of, shard_of};
 use granitelb_balancer::time::{Span, Time};
-use granitelb_coordination::shard_growth::form::Form;
-use granitelb_coordination::shard_growth::history::History;
-use granitelb_coordination::shard_growth::schedule::{Outlook, Schedule, Settings, World};
-use granitelb_coordination::shard_growth::sketch::{Day, Shard};
+use granitelb_coordination::shard_growth::accounting_day::{AccountingDay, DayOfMonth, FrozenPeriod};
+use granitelb_coordination::shard_growth::history::{CapacityForecast, ClosedDay, GrowthHistory};
+use granitelb_coordination::shard_growth::shard_map::{ShardId, VersionedShardMap};
+use granitelb_coordination::shard_growth::split_schedule::{
+    FleetConditions, Settings, ShardOutlook, SplitSchedule,
+};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-const CACHES: u64 = 120;
-/// Values that a cache holds.
-const HOLDS: usize = 330;
-const SHARDS: u8 = 255;
-/// Keys of a shard that doesn't grow, and reads of each of its keys a day.
-const BASE: u64 = 90;
+const CACHE_COUNT: u64 = 120;
+/// The number of values that a cache holds.
+const CACHE_CAPACITY: usize = 330;
+const SHARD_COUNT: usize = 256;
+const GROWING_SHARD: ShardId = ShardId(40);
+/// The number of keys of a shard that does not grow.
+const STABLE_SHARD_KEYS: u64 = 90;
+/// The number of keys that crowd the caches of an unsplit shard.
+const SHARD_CAPACITY: f64 = 32.0 * 85.0;
+/// The number of days that are simulated, and of those that are known before.
 const DAYS: u32 = 120;
-/// Of the book; known before it begins to be played.
-const KNOWN: u32 = 100;
-const TICKS: u32 = 96;
-const READS: u64 = 40_000;
-/// Fetches of the origin in a tick; more are late.
-const ORIGIN: u64 = 20;
-const GROWS: Shard = Shard(40);
+const KNOWN_DAYS: u32 = 100;
+const FIRST_DAY: u32 = 20_000;
+const TICKS_PER_DAY: u32 = 96;
+const TICK: Span = Span::from_millis(900_000);
+const TICK_SECONDS: f64 = 900.0;
+const DAY_SECONDS: f64 = 86_400.0;
+const READS_PER_DAY: u64 = 40_000;
+/// The fetches that the origin can serve in a tick; further ones are late.
+const FETCHES_PER_TICK: u64 = 20;
+/// Days in which the caches fill, before figures are counted.
+const WARM_UP_DAYS: u32 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Policy {
     Never,
     AtBreach,
     Ahead,
 }
 
-/// The last values that were read, by the time of their last read.
+/// A cache that evicts the value that was read least recently.
 #[derive(Default)]
-struct Lru {
-    values: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+struct LruCache {
+    last_read: HashMap<u64, u64>,
+    keys_by_last_read: BTreeMap<u64, u64>,
 }
 
-impl Lru {
+impl LruCache {
+    /// Reads a key at a moment, and returns whether it was there.
     fn read(&mut self, key: u64, at: u64) -> bool {
-        let hit = self.values.get(&key).copied();
-        if let Some(last) = hit {
-            self.touch(key, last, at);
-        }
-        hit.is_some()
-    }
-
-    fn touch(&mut self, key: u64, last: u64, at: u64) {
-        self.order.remove(&last);
-        self.order.insert(at, key);
-        self.values.insert(key, at);
+        let Some(last) = self.last_read.get(&key).copied() else { return false };
+        self.keys_by_last_read.remove(&last);
+        self.keys_by_last_read.insert(at, key);
+        self.last_read.insert(key, at);
+        true
     }
 
     fn store(&mut self, key: u64, at: u64) {
-        self.order.insert(at, key);
-        self.values.insert(key, at);
-        if self.values.len() > HOLDS {
-            let (_, oldest) = self.order.pop_first().expect("it is full");
-            self.values.remove(&oldest);
+        self.keys_by_last_read.insert(at, key);
+        self.last_read.insert(key, at);
+        if self.last_read.len() > CACHE_CAPACITY {
+            let (_, oldest) = self.keys_by_last_read.pop_first().expect("the cache is full");
+            self.last_read.remove(&oldest);
         }
     }
 }
 
 #[derive(Default)]
-struct Came {
+struct Figures {
     reads: u64,
     fetches: u64,
-    late: u64,
-    worst_day: u64,
-    day_late: u64,
-    splits: Vec<u32>,
+    late_fetches: u64,
+    late_fetches_on_worst_day: u64,
+    late_fetches_today: u64,
+    /// The days on which a split was complete.
+    split_days: Vec<u32>,
 }
 
-/// Keys of the shard that grows, on a day.
-fn grown(seed: u64, day: u32) -> f64 {
-    let rate = 0.013 + (xxh3_64_with_seed(b"rate", seed) % 300) as f64 / 1e5;
-    300.0 * (rate * f64::from(day)).exp()
+/// Where a key is read: its place, and its former one during a migration.
+#[derive(Clone, Copy)]
+struct KeyPlace {
+    present: EndpointId,
+    former: Option<EndpointId>,
 }
 
-/// The last four days of a month and the first two.
-fn frozen(day: u32, tick: u32) -> Option<(Span, Span)> {
-    let is_frozen = |d: u32| {
-        let (n, length) = Day(20_000 + d).in_month();
-        n + 4 > length || n <= 2
-    };
-    let begins = (day..day + 40).find(|d| is_frozen(*d))?;
-    let ends = (begins..begins + 40).find(|d| !is_frozen(*d))?;
-    let from_now = |d: u32| Span(900_000_000 * u64::from(((d - day) * TICKS).saturating_sub(tick)));
-    Some((from_now(begins), from_now(ends)))
-}
-
-fn play(seed: u64, way: Way) -> Came {
-    let draw = |n: u64| xxh3_64_with_seed(&n.to_le_bytes(), seed);
-    let sizes: Vec<(EndpointId, f64)> = (0..CACHES).map(|c| (EndpointId(c), 1.0)).collect();
-    // The keys of each shard, as many as there will be.
-    let most = grown(seed, KNOWN + DAYS) as usize + 1;
-    let mut keys: Vec<Vec<u64>> = vec![Vec::new(); 256];
-    for key in (seed * 100_000_000)..(seed + 1) * 100_000_000 {
-        let shard = shard_of(Key(key));
-        let limit = if Shard(shard) == GROWS { most } else { BASE as usize };
-        if keys[usize::from(shard)].len() < limit {
-            keys[usize::from(shard)].push(key);
-        }
-        if key % 4096 == 0
-            && keys
-                .iter()
-                .enumerate()
-                .all(|(s, k)| k.len() >= if s == GROWS.0.into() { most } else { BASE as usize })
-        {
-            break;
+struct Simulation {
+    seed: u64,
+    policy: Policy,
+    caches: Vec<LruCache>,
+    cache_sizes: Vec<(EndpointId, f64)>,
+    /// The keys of each shard, as many as there will be.
+    keys: Vec<Vec<u64>>,
+    closed_days: Vec<ClosedDay>,
+    schedule: SplitSchedule,
+    shard_map: VersionedShardMap,
+    forecast: CapacityForecast,
+    key_places: HashMap<u64, KeyPlace>,
+    reads_so_far: u64,
+    figures: Figures,
+}
+
+impl Simulation {
+    fn new(seed: u64, policy: Policy) -> Simulation {
+        let settings = Settings { copy_step_duration: TICK, ..Settings::default() };
+        Simulation {
+            seed,
+            policy,
+            caches: (0..CACHE_COUNT).map(|_| LruCache::default()).collect(),
+            cache_sizes: (0..CACHE_COUNT).map(|cache| (EndpointId(cache), 1.0)).collect(),
+            keys: keys_of_shards(seed),
+            closed_days: (0..KNOWN_DAYS).map(|day| closed_day(seed, day)).collect(),
+            schedule: SplitSchedule::new(settings),
+            shard_map: VersionedShardMap::default(),
+            forecast: CapacityForecast::default(),
+            key_places: HashMap::new(),
+            reads_so_far: 0,
+            figures: Figures::default(),
         }
     }
-    // A slot's keys crowd its cache when the shard keeps about so many.
-    let room = 32.0 * 85.0;
-    let noisy =
-        |day: u32| grown(seed, day) * (0.985 + (draw(u64::from(day) + 7_000_000) % 3000) as f64 / 1e5);
-    let mut known: Vec<(Day, f32, f32)> =
-        (0..KNOWN).map(|d| (Day(20_000 + d), noisy(d) as f32, noisy(d) as f32)).collect();
-    let settings = Settings { part: Span::from_millis(900_000), ..Settings::default() };
-    let (mut schedule, mut form) = (Schedule::new(settings), Form::default());
-    let mut edges = Default::default();
-    let mut caches: Vec<Lru> = (0..CACHES).map(|_| Lru::default()).collect();
-    let mut places: HashMap<u64, (EndpointId, Option<EndpointId>)> = HashMap::new();
-    let (mut came, mut n) = (Came::default(), 0u64);
-    for tick in 0..DAYS * TICKS {
-        let day = KNOWN + tick / TICKS;
-        let now = Time(u64::from(tick) * 900_000_000);
-        let alive = grown(seed, day) as u64;
-        if tick % TICKS == 0 {
-            let history = History::of(vec![(GROWS, known.clone())]);
-            edges = history.edges(GROWS, room * f64::from(1u32 << form.of(GROWS).bits));
-            known.push((Day(20_000 + day), noisy(day) as f32, noisy(day) as f32));
-            came.worst_day = came.worst_day.max(std::mem::take(&mut came.day_late));
-        }
-        let at = f64::from(20_000 + day) + f64::from(tick % TICKS) / f64::from(TICKS);
-        let left = |edge: f64| Span::from_secs_f64((edge + 1.0 - at).max(0.0) * 86_400.0);
-        let (early, likely) = match way {
-            Way::Never => (None, None),
-            Way::AtBreach => {
-                (edges.early.filter(|e| *e < at - 0.9 && edges.likely == Some(*e)), edges.likely)
+
+    fn run(mut self) -> Figures {
+        for tick in 0..DAYS * TICKS_PER_DAY {
+            if tick % TICKS_PER_DAY == 0 {
+                self.begin_day(day_of(tick));
             }
-            Way::Ahead => (edges.early, edges.likely),
-        };
-        let outlook = Outlook {
-            early: early.map(left),
-            likely: likely.map(left),
-            keys: alive as f64,
-            caches: sizes.iter().map(|c| c.0).collect(),
+            self.schedule_splits(tick);
+            self.read_keys(tick);
+        }
+        self.figures
+    }
+
+    fn begin_day(&mut self, day: u32) {
+        let history = GrowthHistory::from_closed_days(vec![(GROWING_SHARD, self.closed_days.clone())]);
+        let parts = self.shard_map.layout(GROWING_SHARD).part_count();
+        self.forecast = history.capacity_forecast(GROWING_SHARD, SHARD_CAPACITY * f64::from(parts));
+        self.closed_days.push(closed_day(self.seed, day));
+        let late_fetches = std::mem::take(&mut self.figures.late_fetches_today);
+        self.figures.late_fetches_on_worst_day = self.figures.late_fetches_on_worst_day.max(late_fetches);
+    }
+
+    fn schedule_splits(&mut self, tick: u32) {
+        let day = day_of(tick);
+        let now = Time(u64::from(tick) * TICK.0);
+        let conditions = FleetConditions {
+            spare_fetches_per_second: FETCHES_PER_TICK as f64 / TICK_SECONDS,
+            frozen_period: frozen_period(day, tick % TICKS_PER_DAY),
+            ..FleetConditions::default()
         };
-        let world = World {
-            spare_fetches: ORIGIN as f64 / 900.0,
-            frozen: frozen(day, tick % TICKS),
-            ..World::default()
+        let outlooks = BTreeMap::from([(GROWING_SHARD, self.outlook(tick))]);
+        let change = self.schedule.next_change(now, &self.shard_map, &conditions, &outlooks);
+        let Some(change) = change else { return };
+        if change.to.phase.is_none() && change.to.bits > 0 {
+            self.figures.split_days.push(day - KNOWN_DAYS);
+            self.forecast = CapacityForecast::default();
+        }
+        self.shard_map = change.shard_map;
+        // Only the shard's own keys move.
+        for key in &self.keys[usize::from(GROWING_SHARD.0)] {
+            self.key_places.remove(key);
+        }
+    }
+
+    fn outlook(&self, tick: u32) -> ShardOutlook {
+        let day = day_of(tick);
+        let elapsed = f64::from(tick % TICKS_PER_DAY) / f64::from(TICKS_PER_DAY);
+        let now_in_days = f64::from(FIRST_DAY + day) + elapsed;
+        let time_until = |forecast_day: f64| {
+            Span::from_secs_f64((forecast_day + 1.0 - now_in_days).max(0.0) * DAY_SECONDS)
         };
-        if let Some(change) = schedule.next(now, &form, &world, &BTreeMap::from([(GROWS, outlook)])) {
-            if change.to.step.is_none() && change.to.bits > 0 {
-                came.splits.push(day - KNOWN);
-                edges = Default::default();
+        let CapacityForecast { earliest, likely, .. } = self.forecast;
+        let (earliest, likely) = match self.policy {
+            Policy::Never => (None, None),
+            Policy::AtBreach => {
+                let is_breach = |earliest: &f64| *earliest < now_in_days - 0.9 && likely == Some(*earliest);
+                (earliest.filter(is_breach), likely)
             }
-            form = change.form;
-            // Only the shard's own keys move.
-            keys[usize::from(GROWS.0)].iter().for_each(|k| _ = places.remove(k));
+            Policy::Ahead => (earliest, likely),
+        };
+        ShardOutlook {
+            earliest: earliest.map(time_until),
+            likely: likely.map(time_until),
+            keys: grown_keys(self.seed, day) as u64 as f64,
+            endpoints: self.cache_sizes.iter().map(|(cache, _)| *cache).collect(),
         }
-        let table = form.for_module();
-        let both = table.shards.get(&GROWS.0).is_some_and(|s| s.moving == MigrationPhase::DualRead);
-        let (mut fetches, total) = (0, alive + BASE * u64::from(SHARDS));
-        // Month end brings more.
-        let (of_month, length) = Day(20_000 + day).in_month();
-        let busy = if of_month + 2 > length { 2 } else { 1 };
-        for _ in 0..READS / u64::from(TICKS) * busy {
-            n += 1;
-            let which = draw(n) % total;
-            let key = if which < alive {
-                keys[usize::from(GROWS.0)][which as usize]
-            } else {
-                let other = ((which - alive) / BASE) as usize;
-                keys[if other >= GROWS.0.into() { other + 1 } else { other }]
-                    [((which - alive) % BASE) as usize]
-            };
-            let (place, old) = *places
-                .entry(key)
-                .or_insert_with(|| place_of(Key(key), &table, &sizes).expect("there are caches"));
-            let hit = caches[place.0 as usize].read(key, n);
-            let hit = hit || both && old.is_some_and(|old| caches[old.0 as usize].read(key, n));
-            came.reads += 1;
-            if !hit {
+    }
+
+    fn read_keys(&mut self, tick: u32) {
+        let day = day_of(tick);
+        let growing_keys = grown_keys(self.seed, day) as u64;
+        let shard_map = self.shard_map.to_balancer_shard_map();
+        let mut fetches = 0;
+        for _ in 0..READS_PER_DAY / u64::from(TICKS_PER_DAY) * load_factor(day) {
+            self.reads_so_far += 1;
+            let key = self.next_key(growing_keys);
+            if !self.read_from_cache(key, &shard_map) {
                 fetches += 1;
-                caches[place.0 as usize].store(key, n);
             }
+            self.figures.reads += 1;
+        }
+        if tick < WARM_UP_DAYS * TICKS_PER_DAY {
+            self.figures.reads = 0;
+            return;
+        }
+        let late = u64::saturating_sub(fetches, FETCHES_PER_TICK);
+        self.figures.fetches += fetches;
+        self.figures.late_fetches += late;
+        self.figures.late_fetches_today += late;
+    }
+
+    /// The next key to be read, each with the same probability.
+    fn next_key(&self, growing_keys: u64) -> u64 {
+        let growing_shard = usize::from(GROWING_SHARD.0);
+        let stable_shards = SHARD_COUNT as u64 - 1;
+        let key_count = growing_keys + STABLE_SHARD_KEYS * stable_shards;
+        let index = draw(self.seed, self.reads_so_far) % key_count;
+        if index < growing_keys {
+            return self.keys[growing_shard][index as usize];
         }
-        if tick >= 10 * TICKS {
-            came.fetches += fetches;
-            came.late += fetches.saturating_sub(ORIGIN);
-            came.day_late += fetches.saturating_sub(ORIGIN);
-        } else {
-            came.reads = 0;
+        let stable_index = index - growing_keys;
+        let stable_shard = (stable_index / STABLE_SHARD_KEYS) as usize;
+        let shard = if stable_shard >= growing_shard { stable_shard + 1 } else { stable_shard };
+        self.keys[shard][(stable_index % STABLE_SHARD_KEYS) as usize]
+    }
+
+    /// Reads a key at its place, and at its former one while both are read. Stores it if it was at neither.
+    fn read_from_cache(&mut self, key: u64, shard_map: &ShardMap) -> bool {
+        let at = self.reads_so_far;
+        let cache_sizes = &self.cache_sizes;
+        let place = *self.key_places.entry(key).or_insert_with(|| key_place(key, shard_map, cache_sizes));
+        if self.caches[place.present.0 as usize].read(key, at) {
+            return true;
+        }
+        if is_dual_read(shard_map)
+            && let Some(former) = place.former
+            && self.caches[former.0 as usize].read(key, at)
+        {
+            return true;
+        }
+        self.caches[place.present.0 as usize].store(key, at);
+        false
+    }
+}
+
+fn day_of(tick: u32) -> u32 {
+    KNOWN_DAYS + tick / TICKS_PER_DAY
+}
+
+fn draw(seed: u64, index: u64) -> u64 {
+    xxh3_64_with_seed(&index.to_le_bytes(), seed)
+}
+
+fn key_place(key: u64, shard_map: &ShardMap, cache_sizes: &[(EndpointId, f64)]) -> KeyPlace {
+    let (present, former) = place_of(Key(key), shard_map, cache_sizes).expect("there are caches");
+    KeyPlace { present, former }
+}
+
+fn is_dual_read(shard_map: &ShardMap) -> bool {
+    let split = shard_map.shards.get(&GROWING_SHARD.0);
+    split.is_some_and(|split| split.moving == MigrationPhase::DualRead)
+}
+
+/// The number of keys of the growing shard on a day.
+fn grown_keys(seed: u64, day: u32) -> f64 {
+    let rate = 0.013 + (xxh3_64_with_seed(b"rate", seed) % 300) as f64 / 1e5;
+    300.0 * (rate * f64::from(day)).exp()
+}
+
+/// What a planner measures of the growing shard on a day.
+fn closed_day(seed: u64, day: u32) -> ClosedDay {
+    let noise = 0.985 + (draw(seed, u64::from(day) + 7_000_000) % 3000) as f64 / 1e5;
+    let keys = (grown_keys(seed, day) * noise) as f32;
+    ClosedDay { day: AccountingDay(FIRST_DAY + day), bytes: keys, keys }
+}
+
+fn keys_of_shards(seed: u64) -> Vec<Vec<u64>> {
+    let growing_shard = usize::from(GROWING_SHARD.0);
+    let growing_limit = grown_keys(seed, KNOWN_DAYS + DAYS) as usize + 1;
+    let limit = |shard| if shard == growing_shard { growing_limit } else { STABLE_SHARD_KEYS as usize };
+    let mut keys: Vec<Vec<u64>> = vec![Vec::new(); SHARD_COUNT];
+    for key in (seed * 100_000_000)..(seed + 1) * 100_000_000 {
+        let shard = usize::from(shard_of(Key(key)));
+        if keys[shard].len() < limit(shard) {
+            keys[shard].push(key);
+        }
+        let is_complete = |(shard, keys): (usize, &Vec<u64>)| keys.len() >= limit(shard);
+        if key % 4096 == 0 && keys.iter().enumerate().all(is_complete) {
+            break;
         }
     }
-    came
+    keys
+}
+
+/// The last four days of a month and the first two.
+fn frozen_period(day: u32, tick_of_day: u32) -> Option<FrozenPeriod> {
+    let is_frozen = |day: u32| {
+        let DayOfMonth { day, month_length } = AccountingDay(FIRST_DAY + day).in_month();
+        day + 4 > month_length || day <= 2
+    };
+    let begins = (day..day + 40).find(|day| is_frozen(*day))?;
+    let ends = (begins..begins + 40).find(|day| !is_frozen(*day))?;
+    let time_until = |other: u32| {
+        let ticks = ((other - day) * TICKS_PER_DAY).saturating_sub(tick_of_day);
+        Span(TICK.0 * u64::from(ticks))
+    };
+    Some(FrozenPeriod { begins_in: time_until(begins), ends_in: time_until(ends) })
+}
+
+/// The last two days of a month have twice the reads.
+fn load_factor(day: u32) -> u64 {
+    let DayOfMonth { day, month_length } = AccountingDay(FIRST_DAY + day).in_month();
+    if day + 2 > month_length { 2 } else { 1 }
 }
 
 fn main() {
-    let figure = |n, or| std::env::args().nth(n).and_then(|a| a.parse().ok()).unwrap_or(or);
-    let (first, seeds): (u64, u64) = (figure(1, 1), figure(2, 3));
+    let argument = |n, default| std::env::args().nth(n).and_then(|a| a.parse().ok()).unwrap_or(default);
+    let first_seed: u64 = argument(1, 1);
+    let seeds: u64 = argument(2, 3);
     println!(
-        "| seed | splits | hit share | origin fetches | late | late on the worst day | settled on day |"
+        "| seed | splits | hit ratio | origin fetches | late | late on the worst day | complete on day |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for seed in first..first + seeds {
-        for way in [Way::Never, Way::AtBreach, Way::Ahead] {
-            let c = play(seed, way);
-            let hits = 100.0 * (1.0 - c.fetches as f64 / c.reads as f64);
+    for seed in first_seed..first_seed + seeds {
+        for policy in [Policy::Never, Policy::AtBreach, Policy::Ahead] {
+            let figures = Simulation::new(seed, policy).run();
+            let hits = 100.0 * (1.0 - figures.fetches as f64 / figures.reads as f64);
             println!(
-                "| {seed} | {way:?} | {hits:.2}% | {} | {} | {} | {:?} |",
-                c.fetches, c.late, c.worst_day, c.splits
+                "| {seed} | {policy:?} | {hits:.2}% | {} | {} | {} | {:?} |",
+                figures.fetches, figures.late_fetches, figures.late_fetches_on_worst_day, figures.split_days
             );
         }
     }
--- a/crates/coordination/src/shard_growth/forwarder.rs
+++ b/crates/coordination/src/shard_growth/forwarder.rs
@@ -1,85 +1,97 @@
-//! The forwarder's side: counts what its shots tell of shards, says it round by round, and holds the table's form.
+//! The forwarder's side: counts what its attempts tell of each shard, reports this to planners round by round, and holds
+//! the shard map.
 //!
-//! Each round goes over all shards and says a shard's whole day so far, so that no letter has to arrive for a later one to
-//! make sense; the day before is said for two rounds more. What is kept is bounded by shards, not by keys or calls.
+//! Each round passes over all shards and reports a shard's whole day so far, so that no message has to arrive for a later
+//! one to make sense. The previous day is reported for two rounds more. What is held is bounded by the number of shards,
+//! not by the number of keys or requests.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb_balancer::calls::{AttemptOutcome, ShardMap};
+use granitelb_balancer::calls::ShardMap;
 use granitelb_balancer::slot_table::{key_hash, shard_of};
 use granitelb_balancer::time::{Span, Time};
 
-use super::form::{Form, FormVersion};
-use super::listing::{self, List};
-use super::message::{GrowthError, GrowthMessage, MOST_REGISTERS};
-use super::origin::Fetches;
-use super::sketch::{Counts, Day, Distinct, Of, REGISTERS, SHARDS, Shard};
+use super::accounting_day::AccountingDay;
+use super::endpoints::{EndpointReporter, MAX_ENDPOINTS_PER_MESSAGE};
+use super::message::{GrowthError, GrowthMessage};
+use super::origin_latency::FetchLatencyTracker;
+use super::shard_activity::{RecentlyStoredKeys, ShardActivity};
+use super::shard_map::{SHARD_COUNT, ShardId, ShardMapVersion, VersionedShardMap};
 use crate::component::{Component, Event};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use crate::observation::{FinishedAttempt, Observation};
 
+/// The intervals at which a forwarder reports.
 #[derive(Clone, Debug)]
 pub struct ForwarderSettings {
-    /// In this time all shards are said once.
-    pub round: Span,
-    /// How often it says which form it holds.
-    pub beat: Span,
-    /// A miss of a key that was seen stored within this time tells of an eviction, unless it was written.
-    pub lately: Span,
-    /// How often it says all caches that it knows.
-    pub lists: Span,
-    /// Fetches count as of late for about so long.
-    pub fetches: Span,
+    /// In this time all shards are reported once.
+    pub report_round: Span,
+    /// How often the applied version of the shard map is reported.
+    pub heartbeat_interval: Span,
+    /// A miss of a key that was seen stored within this time is an eviction, unless the key was written since.
+    pub eviction_window: Span,
+    /// How often all known endpoints are reported.
+    pub endpoint_report_interval: Span,
+    /// The time constant with which a fetch from the origin loses its weight.
+    pub fetch_time_constant: Span,
 }
 
 impl Default for ForwarderSettings {
     fn default() -> ForwarderSettings {
         ForwarderSettings {
-            round: Span::from_millis(3_600_000),
-            beat: Span::from_millis(10_000),
-            lately: Span::from_millis(600_000),
-            lists: Span::from_millis(30_000),
-            fetches: Span::from_millis(60_000),
+            report_round: Span::from_millis(3_600_000),
+            heartbeat_interval: Span::from_millis(10_000),
+            eviction_window: Span::from_millis(600_000),
+            endpoint_report_interval: Span::from_millis(30_000),
+            fetch_time_constant: Span::from_millis(60_000),
         }
     }
 }
 
-#[derive(Clone, Debug, Default)]
-struct Seen {
-    read: Distinct,
-    written: Distinct,
-    counts: Counts,
-}
+/// The number of messages that wait to be sent. While half as many wait, no further shard is reported.
+const MAX_OUTBOUND: usize = 128;
+
+/// The number of events that wait to be logged.
+const MAX_EVENTS: usize = 16;
+
+/// How often endpoints are checked for a change, such as the end of a warm-up.
+const ENDPOINT_CHECK_INTERVAL: Span = Span::from_millis(1000);
 
-/// Keys that were seen stored: each newer one takes the place of those that share it.
-const PLACES: usize = 4096;
-/// Letters that wait to be pulled; a round that finds more waiting says its shard in the next.
-const MOST_OUT: usize = 128;
-/// So often it is looked which caches have become warm or cold.
-const LOOKS: Span = Span::from_millis(1000);
+/// The previous day is reported for this many rounds after its end.
+const PREVIOUS_DAY_ROUNDS: usize = 2;
 
+/// The day before the present one, and until when it is reported.
+#[derive(Debug)]
+struct PreviousDay {
+    day: AccountingDay,
+    shards: BTreeMap<ShardId, ShardActivity>,
+    reported_until: Time,
+}
+
+/// A forwarder's part in shard growth.
 #[derive(Debug)]
 pub struct ForwarderComponent {
     settings: ForwarderSettings,
+    /// The live planners.
     planners: BTreeSet<PlannerId>,
-    /// The book's day, as the planner of the lowest number that lives has it.
-    day: Option<Day>,
-    today: BTreeMap<Shard, Seen>,
-    /// The day before, and until when it is said.
-    before: Option<(Day, BTreeMap<Shard, Seen>, Time)>,
-    stored: Vec<(u64, Time)>,
-    fetches: Fetches,
-    form: Form,
-    list: List,
-    list_due: Time,
-    next_shard: u8,
-    due: Time,
-    beat_due: Time,
-    out: VecDeque<(Member, GrowthMessage)>,
-    remarks: VecDeque<Event>,
+    /// The present day by the live planner of the lowest number.
+    day: Option<AccountingDay>,
+    shards_today: BTreeMap<ShardId, ShardActivity>,
+    previous_day: Option<PreviousDay>,
+    stored_keys: RecentlyStoredKeys,
+    fetch_latency: FetchLatencyTracker,
+    shard_map: VersionedShardMap,
+    endpoints: EndpointReporter,
+    endpoint_check_due: Time,
+    next_shard: ShardId,
+    next_shard_due: Time,
+    heartbeat_due: Time,
+    outbound: VecDeque<(Member, GrowthMessage)>,
+    events: VecDeque<Event>,
 }
 
 impl ForwarderComponent {
+    /// Starts forwarder `me` with nothing known.
     pub fn new(
         settings: ForwarderSettings,
         me: ForwarderId,
@@ -87,134 +99,152 @@
         now: Time,
     ) -> ForwarderComponent {
         ForwarderComponent {
+            settings,
             planners: BTreeSet::new(),
             day: None,
-            today: BTreeMap::new(),
-            before: None,
-            stored: vec![(0, Time(0)); PLACES],
-            fetches: Fetches::default(),
-            form: Form::default(),
-            list: List::default(),
-            list_due: now,
-            // Forwarders that start together begin their rounds at unlike shards.
-            next_shard: (me.0 ^ incarnation.0) as u8,
-            due: now,
-            beat_due: now,
-            out: VecDeque::new(),
-            remarks: VecDeque::new(),
-            settings,
+            shards_today: BTreeMap::new(),
+            previous_day: None,
+            stored_keys: RecentlyStoredKeys::default(),
+            fetch_latency: FetchLatencyTracker::default(),
+            shard_map: VersionedShardMap::default(),
+            endpoints: EndpointReporter::default(),
+            endpoint_check_due: now,
+            // Forwarders that start together begin their rounds at different shards.
+            next_shard: ShardId((me.0 ^ incarnation.0) as u8),
+            next_shard_due: now,
+            heartbeat_due: now,
+            outbound: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
-    /// What the node did, as its loop tells it.
-    pub fn seen(&mut self, now: Time, sight: &Observation) {
-        match sight {
-            Observation::AttemptFinished(ended) => self.ended(now, ended),
-            Observation::EndpointsChanged(servers) => {
-                self.list.learn(servers);
-                self.list_due = now;
+    /// Takes what the node's event loop observed.
+    pub fn seen(&mut self, now: Time, observation: &Observation) {
+        match observation {
+            Observation::AttemptFinished(attempt) => self.on_attempt_finished(now, attempt),
+            Observation::EndpointsChanged(endpoints) => {
+                self.endpoints.set_endpoints(endpoints);
+                self.endpoint_check_due = now;
             }
             Observation::AttemptSent { .. } | Observation::FetchDenied => {}
         }
     }
 
-    fn ended(&mut self, now: Time, ended: &FinishedAttempt) {
-        if ended.is_origin {
-            self.fetches.ended(now, ended, self.settings.fetches);
-        }
-        let (hash, shard) = (key_hash(ended.key), Shard(shard_of(ended.key)));
-        let place = &mut self.stored[(hash >> 40) as usize % PLACES];
-        let was_stored = place.0 == hash && now - place.1 <= self.settings.lately;
-        let seen = self.today.entry(shard).or_default();
-        match ended.outcome {
-            AttemptOutcome::Fulfilled => {
-                seen.counts.bytes += u64::from(ended.bytes);
-                seen.counts.sized += 1;
-                if ended.write {
-                    seen.counts.writes += 1;
-                    seen.written.add(hash);
-                    // No cache has a copy after a write: the next miss tells nothing.
-                    if place.0 == hash {
-                        *place = (0, Time(0));
-                    }
-                } else {
-                    seen.counts.reads += 1;
-                    seen.read.add(hash);
-                    *place = (hash, now);
-                }
-            }
-            AttemptOutcome::CacheMiss if !ended.is_origin && !ended.write && was_stored => {
-                seen.counts.evicted += 1
-            }
-            _ => {}
+    /// The shard map for the node's balancer; none before the first was received.
+    pub fn shard_map(&self) -> Option<ShardMap> {
+        if self.shard_map.version == ShardMapVersion(0) {
+            return None;
         }
+        Some(self.shard_map.to_balancer_shard_map())
     }
 
-    /// The table's form for the module.
-    pub fn advice(&self) -> Option<ShardMap> {
-        (self.form.version > FormVersion(0)).then(|| self.form.for_module())
+    fn on_attempt_finished(&mut self, now: Time, attempt: &FinishedAttempt) {
+        if attempt.is_origin {
+            self.fetch_latency.on_attempt_finished(now, attempt, self.settings.fetch_time_constant);
+        }
+        let key_hash = key_hash(attempt.key);
+        let shard = ShardId(shard_of(attempt.key));
+        let was_stored = self.stored_keys.contains(key_hash, now, self.settings.eviction_window);
+        self.shards_today.entry(shard).or_default().on_attempt_finished(attempt, key_hash, was_stored);
+        self.stored_keys.on_attempt_finished(now, attempt, key_hash);
     }
 
-    fn round(&mut self, now: Time) {
-        if now >= self.beat_due {
-            self.beat_due = now + self.settings.beat;
-            let version = self.form.version;
-            self.tell(&GrowthMessage::Holds { version });
-            if self.fetches.are_slow(now, self.settings.fetches) {
-                self.tell(&GrowthMessage::OriginSlow);
-            }
+    fn advance(&mut self, now: Time) {
+        if now >= self.heartbeat_due {
+            self.heartbeat_due = now + self.settings.heartbeat_interval;
+            self.send_heartbeat(now);
         }
-        if now >= self.list_due && !self.planners.is_empty() {
-            self.list_due = now + LOOKS;
-            let news = self.list.next(now, self.settings.lists);
-            for part in news.chunks(listing::IN_A_LETTER) {
-                self.tell(&GrowthMessage::Caches { listed: part.to_vec() });
-            }
+        if now >= self.endpoint_check_due && !self.planners.is_empty() {
+            self.endpoint_check_due = now + ENDPOINT_CHECK_INTERVAL;
+            self.report_endpoints(now);
+        }
+        // A host that polls seldom has several shards due by then: each day has to be reported fully before it ends.
+        while now >= self.next_shard_due && self.outbound.len() <= MAX_OUTBOUND / 2 {
+            self.schedule_next_shard(now);
+            self.report_next_shard(now);
+        }
+    }
+
+    fn send_heartbeat(&mut self, now: Time) {
+        let version = self.shard_map.version;
+        self.send_to_planners(&GrowthMessage::AppliedVersion { version });
+        if self.fetch_latency.is_origin_slow(now, self.settings.fetch_time_constant) {
+            self.send_to_planners(&GrowthMessage::OriginSlow);
         }
-        // A host that looks in seldom has several shards due by then: each day has to be said whole before it ends.
-        let round = self.settings.round;
-        while now >= self.due && self.out.len() <= MOST_OUT / 2 {
-            let from = Time(self.due.0.max(now.0.saturating_sub(round.0)));
-            self.due = from + Span((round.0 / SHARDS as u64).max(1));
-            self.say_next(now);
+    }
+
+    fn report_endpoints(&mut self, now: Time) {
+        let report = self.endpoints.poll_report(now, self.settings.endpoint_report_interval);
+        for part in report.chunks(MAX_ENDPOINTS_PER_MESSAGE) {
+            self.send_to_planners(&GrowthMessage::Endpoints { endpoints: part.to_vec() });
         }
     }
 
-    /// Says the next shard's days.
-    fn say_next(&mut self, now: Time) {
-        let shard = Shard(self.next_shard);
-        self.next_shard = self.next_shard.wrapping_add(1);
-        self.before.take_if(|b| now >= b.2);
-        let today = self.day.zip(self.today.get(&shard));
-        let before = self.before.as_ref().and_then(|(day, all, _)| Some((*day, all.get(&shard)?)));
-        let said: Vec<GrowthMessage> =
-            today.into_iter().chain(before).flat_map(|(day, seen)| letters(day, shard, seen)).collect();
-        said.iter().for_each(|message| self.tell(message));
+    /// Sets when the shard after this one is due. A host that polled nothing for a round begins anew.
+    fn schedule_next_shard(&mut self, now: Time) {
+        let round = self.settings.report_round.0;
+        let round_ago = now.0.saturating_sub(round);
+        let due = Time(self.next_shard_due.0.max(round_ago));
+        self.next_shard_due = due + Span((round / SHARD_COUNT as u64).max(1));
     }
 
-    fn tell(&mut self, message: &GrowthMessage) {
+    /// Reports the present and the previous day of the next shard.
+    fn report_next_shard(&mut self, now: Time) {
+        let shard = self.next_shard;
+        self.next_shard = ShardId(shard.0.wrapping_add(1));
+        self.previous_day.take_if(|previous| now >= previous.reported_until);
+        let mut messages = Vec::new();
+        if let (Some(day), Some(activity)) = (self.day, self.shards_today.get(&shard)) {
+            messages.extend(activity.messages(day, shard));
+        }
+        if let Some(previous) = &self.previous_day
+            && let Some(activity) = previous.shards.get(&shard)
+        {
+            messages.extend(activity.messages(previous.day, shard));
+        }
+        for message in &messages {
+            self.send_to_planners(message);
+        }
+    }
+
+    fn send_to_planners(&mut self, message: &GrowthMessage) {
         for planner in &self.planners {
-            if self.out.len() < MOST_OUT {
-                self.out.push_back((Member::Planner(*planner), message.clone()));
+            if self.outbound.len() < MAX_OUTBOUND {
+                self.outbound.push_back((Member::Planner(*planner), message.clone()));
             }
         }
     }
-}
 
-/// All that was seen of a shard in a day.
-fn letters(day: Day, shard: Shard, seen: &Seen) -> Vec<GrowthMessage> {
-    let mut said = vec![GrowthMessage::Counted { day, counts: vec![(shard, seen.counts)] }];
-    for (of, sketch) in [(Of::Read, &seen.read), (Of::Written, &seen.written)] {
-        let set: Vec<(u16, u8)> =
-            (0..REGISTERS as u16).map(|r| (r, sketch.register(r))).filter(|r| r.1 > 0).collect();
-        said.extend(set.chunks(MOST_REGISTERS).map(|registers| GrowthMessage::Sketch {
-            day,
-            shard,
-            of,
-            registers: registers.to_vec(),
-        }));
+    fn on_current_day(&mut self, now: Time, planner: PlannerId, day: AccountingDay) {
+        // One planner's calendar counts: if any did, a wrong one would begin days at will.
+        let is_first_planner = self.planners.first().is_none_or(|first| *first == planner);
+        if !is_first_planner || self.day.is_some_and(|known| day <= known) {
+            return;
+        }
+        if let Some(ended) = self.day {
+            let mut reported_until = now;
+            for _ in 0..PREVIOUS_DAY_ROUNDS {
+                reported_until = reported_until + self.settings.report_round;
+            }
+            let shards = std::mem::take(&mut self.shards_today);
+            self.previous_day = Some(PreviousDay { day: ended, shards, reported_until });
+        }
+        self.day = Some(day);
+    }
+
+    fn on_shard_map(&mut self, now: Time, shard_map: VersionedShardMap) -> Result<(), GrowthError> {
+        if !shard_map.is_valid() {
+            return Err(GrowthError::InvalidValue);
+        }
+        if shard_map.version > self.shard_map.version {
+            let message = format!("shard map version {} is applied", shard_map.version.0);
+            self.events.truncate(MAX_EVENTS - 1);
+            self.events.push_back(Event { name: "shard_map_applied", message, is_warning: false });
+            self.shard_map = shard_map;
+            self.heartbeat_due = now;
+        }
+        Ok(())
     }
-    said
 }
 
 impl Component for ForwarderComponent {
@@ -222,70 +252,56 @@
     type Error = GrowthError;
 
     fn on_message(&mut self, now: Time, from: Sender, message: GrowthMessage) -> Result<(), GrowthError> {
-        let Member::Planner(planner) = from.member else { return Err(GrowthError::Stranger) };
+        let Member::Planner(planner) = from.member else { return Err(GrowthError::UnexpectedSender) };
         match message {
-            GrowthMessage::Today { day } => {
-                // One planner's calendar goes, or a wrong one would begin days at will.
-                if self.planners.first().is_none_or(|first| *first == planner)
-                    && self.day.is_none_or(|known| day > known)
-                {
-                    if let Some(ended) = self.day {
-                        let said_until = now + self.settings.round + self.settings.round;
-                        self.before = Some((ended, std::mem::take(&mut self.today), said_until));
-                    }
-                    self.day = Some(day);
-                }
-                Ok(())
-            }
-            GrowthMessage::Table { form } if !form.is_sound() => Err(GrowthError::Nonsense),
-            GrowthMessage::Table { form } => {
-                if form.version > self.form.version {
-                    let text = format!("the table's form {} is taken", form.version.0);
-                    self.remarks.truncate(15);
-                    self.remarks.push_back(Event { name: "growth_form", message: text, is_warning: false });
-                    self.form = form;
-                    self.beat_due = now;
-                }
+            GrowthMessage::CurrentDay { day } => {
+                self.on_current_day(now, planner, day);
                 Ok(())
             }
-            _ => Err(GrowthError::Stranger),
+            GrowthMessage::ShardMap { shard_map } => self.on_shard_map(now, shard_map),
+            _ => Err(GrowthError::UnexpectedSender),
         }
     }
 
     fn on_membership_change(&mut self, now: Time, alive: &[Member]) {
-        let planners = alive.iter().filter_map(|m| match m {
-            Member::Planner(id) => Some(*id),
-            Member::Forwarder(_) => None,
-        });
-        let planners: BTreeSet<PlannerId> = planners.collect();
+        let planners: BTreeSet<PlannerId> = alive
+            .iter()
+            .filter_map(|member| match member {
+                Member::Planner(id) => Some(*id),
+                Member::Forwarder(_) => None,
+            })
+            .collect();
         if !planners.is_subset(&self.planners) {
-            // One that has come anew may know of no cache.
-            self.list.again();
-            self.list_due = now;
+            // A planner that has joined may know of no endpoint.
+            self.endpoints.request_full_report();
+            self.endpoint_check_due = now;
         }
         self.planners = planners;
     }
 
     fn poll_message(&mut self, now: Time) -> Option<(Member, GrowthMessage)> {
-        self.round(now);
-        self.out.pop_front()
+        self.advance(now);
+        self.outbound.pop_front()
     }
 
     fn poll_timeout(&self, now: Time) -> Option<Time> {
-        Some(if self.out.is_empty() { self.due.min(self.beat_due).min(self.list_due).max(now) } else { now })
+        if !self.outbound.is_empty() {
+            return Some(now);
+        }
+        let due = self.next_shard_due.min(self.heartbeat_due).min(self.endpoint_check_due);
+        Some(due.max(now))
     }
 
     fn poll_event(&mut self) -> Option<Event> {
-        self.remarks.pop_front()
+        self.events.pop_front()
     }
 
     fn entries(&self) -> usize {
-        let before = self.before.as_ref().map_or(0, |b| b.1.len());
-        self.today.len()
-            + self.list.entries()
-            + before
-            + self.stored.len()
-            + self.out.len()
-            + self.remarks.len()
+        self.shards_today.len()
+            + self.endpoints.entries()
+            + self.previous_day.as_ref().map_or(0, |previous| previous.shards.len())
+            + self.stored_keys.entries()
+            + self.outbound.len()
+            + self.events.len()
     }
 }
--- a/crates/coordination/src/shard_growth/history.rs
+++ b/crates/coordination/src/shard_growth/history.rs
@@ -1,189 +1,288 @@
-//! What a planner knows of shards: days that go on, days that have ended, and what follows for each shard.
+//! What a planner knows of each shard: days that are still counted, days that are closed, and the forecast that follows.
+//!
+//! Invariant: the closed days of a shard are in ascending order, each at most once, and at most [`MAX_DAYS`].
 
 use std::collections::BTreeMap;
 
-use super::forecast::{NotYet, Point, forecast};
+use serde::{Deserialize, Serialize};
+
+use super::accounting_day::AccountingDay;
+use super::forecast::{ForecastUnavailable, Point, forecast};
 use super::message::GrowthError;
-use super::sketch::{Day, SHARDS, Shard, ShardDay};
+use super::shard_day::{ShardCounters, ShardDay};
+use super::shard_map::ShardId;
 use crate::member::{ForwarderId, Incarnation};
 
-/// Days that are kept of each shard.
-pub const MOST_DAYS: usize = 400;
-/// How far ahead is looked, in days.
+/// The number of closed days that are kept of each shard.
+pub const MAX_DAYS: usize = 400;
+
+/// How many days ahead a shard's size is forecast; straight lines connect these horizons.
 pub const HORIZONS: [u32; 4] = [7, 14, 30, 60];
 
-/// When a shard outgrows its room, in days of the book.
+/// A shard has outgrown its capacity if it exceeded it on [`MIN_DAYS_OVER_CAPACITY`] of this many recent days.
+const RECENT_DAYS: usize = 3;
+const MIN_DAYS_OVER_CAPACITY: usize = 2;
+
+/// When a shard outgrows its capacity, in days since 1 January 1970.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Edges {
-    pub early: Option<f64>,
+pub struct CapacityForecast {
+    /// The earliest day, by the upper bound of the forecast's interval. None if it lies beyond all horizons.
+    pub earliest: Option<f64>,
+    /// The most likely day, by the forecast itself. None if it lies beyond all horizons.
     pub likely: Option<f64>,
-    /// Where there is no forecast yet.
-    pub not_yet: Option<NotYet>,
+    /// Why there is no forecast yet.
+    pub unavailable: Option<ForecastUnavailable>,
 }
 
-/// Days that have ended, with bytes and keys.
-pub type Days = Vec<(Day, f32, f32)>;
+/// What is kept of a shard's day once it is closed. The order of fields is the wire format and the stored format.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ClosedDay {
+    /// The day.
+    pub day: AccountingDay,
+    /// The bytes that the day's keys take in a cache.
+    pub bytes: f32,
+    /// The number of distinct keys.
+    pub keys: f32,
+}
 
+/// How far the closed days were sent to other planners.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HistoryCursor {
+    /// The shard whose days were sent last.
+    pub shard: ShardId,
+    /// How many of its newest days were sent before the last part.
+    pub skipped_days: usize,
+}
+
+/// Some closed days of one shard.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HistoryPart {
+    /// Where the part lies.
+    pub cursor: HistoryCursor,
+    /// The days in ascending order.
+    pub days: Vec<ClosedDay>,
+}
+
+/// The open and closed days of all shards.
 #[derive(Debug, Default)]
-pub struct History {
-    /// The days that are counted now.
-    open: BTreeMap<Day, BTreeMap<Shard, ShardDay>>,
-    days: BTreeMap<Shard, Days>,
+pub struct GrowthHistory {
+    open_days: BTreeMap<AccountingDay, BTreeMap<ShardId, ShardDay>>,
+    closed_days: BTreeMap<ShardId, Vec<ClosedDay>>,
 }
 
-impl History {
-    pub fn of(days: Vec<(Shard, Days)>) -> History {
-        let newest = |mut days: Days| days.split_off(days.len().saturating_sub(MOST_DAYS));
-        History { open: BTreeMap::new(), days: days.into_iter().map(|(s, d)| (s, newest(d))).collect() }
+impl GrowthHistory {
+    /// Starts with the closed days of a snapshot. Only the newest [`MAX_DAYS`] of each shard are kept.
+    pub fn from_closed_days(closed_days: Vec<(ShardId, Vec<ClosedDay>)>) -> GrowthHistory {
+        let newest = |mut days: Vec<ClosedDay>| days.split_off(days.len().saturating_sub(MAX_DAYS));
+        let closed_days = closed_days.into_iter().map(|(shard, days)| (shard, newest(days))).collect();
+        GrowthHistory { open_days: BTreeMap::new(), closed_days }
     }
 
-    pub fn days(&self) -> Vec<(Shard, Days)> {
-        self.days.iter().map(|(shard, days)| (*shard, days.clone())).collect()
+    /// The closed days of all shards, as they are persisted.
+    pub fn closed_days(&self) -> Vec<(ShardId, Vec<ClosedDay>)> {
+        self.closed_days.iter().map(|(shard, days)| (*shard, days.clone())).collect()
     }
 
-    /// A shard's day that is counted: yesterday's, today's, or one that another planner's clock has begun already.
+    /// A shard's open day: yesterday's, today's, or one that has begun already by another planner's clock.
     ///
     /// # Errors
-    /// Any other day, and one that has ended here.
-    pub fn open(&mut self, today: Day, day: Day, shard: Shard) -> Result<&mut ShardDay, GrowthError> {
-        let ended = self.days.get(&shard).and_then(|d| d.last()).is_some_and(|last| last.0 >= day);
-        if ended || day.0.abs_diff(today.0) > 1 {
-            return Err(GrowthError::OldDay);
+    /// [`GrowthError::DayClosed`] for any other day, and for one that is closed.
+    pub fn open_day_mut(
+        &mut self,
+        today: AccountingDay,
+        day: AccountingDay,
+        shard: ShardId,
+    ) -> Result<&mut ShardDay, GrowthError> {
+        let last_closed = self.closed_days.get(&shard).and_then(|days| days.last());
+        let is_closed = last_closed.is_some_and(|last| last.day >= day);
+        if is_closed || day.0.abs_diff(today.0) > 1 {
+            return Err(GrowthError::DayClosed);
         }
-        Ok(self.open.entry(day).or_default().entry(shard).or_default())
+        Ok(self.open_days.entry(day).or_default().entry(shard).or_default())
     }
 
-    /// Takes one life's counts.
+    /// Raises the counters that one incarnation of a forwarder has of a shard.
     ///
     /// # Errors
-    /// See [`History::open`]; or there are too many lives.
-    pub fn count(
+    /// As for [`GrowthHistory::open_day_mut`]; [`GrowthError::CapacityExceeded`] if there are too many incarnations.
+    pub fn raise_counters(
         &mut self,
-        today: Day,
-        day: Day,
-        shard: Shard,
+        today: AccountingDay,
+        day: AccountingDay,
+        shard: ShardId,
         (forwarder, incarnation): (ForwarderId, Incarnation),
-        counts: &super::sketch::Counts,
+        counters: &ShardCounters,
     ) -> Result<(), GrowthError> {
-        let known = self.open(today, day, shard)?;
-        known.raise(forwarder, incarnation, counts).then_some(()).ok_or(GrowthError::Full)
-    }
-
-    /// Ends all days up to one; whether there was any.
-    pub fn end(&mut self, last: Day) -> bool {
-        let rest = self.open.split_off(&Day(last.0 + 1));
-        let ended = std::mem::replace(&mut self.open, rest);
-        let any = !ended.is_empty();
-        for (day, shards) in ended {
-            for (shard, seen) in shards {
-                let Some(bytes) = seen.kept() else { continue };
-                let mut keys = seen.read.clone();
-                keys.merge(&seen.written);
-                self.push(shard, day, bytes, keys.count());
+        let open_day = self.open_day_mut(today, day, shard)?;
+        open_day.raise(forwarder, incarnation, counters).map_err(|_| GrowthError::CapacityExceeded)
+    }
+
+    /// Closes all open days up to `last`, and returns whether there was any.
+    pub fn close_days(&mut self, last: AccountingDay) -> bool {
+        let still_open = self.open_days.split_off(&AccountingDay(last.0 + 1));
+        let closing = std::mem::replace(&mut self.open_days, still_open);
+        let any_closed = !closing.is_empty();
+        for (day, shards) in closing {
+            for (shard, counted) in shards {
+                // A day on which no value was seen tells nothing of the shard's size.
+                if let Some(bytes) = counted.cached_bytes() {
+                    let keys = counted.distinct_keys() as f32;
+                    self.append(shard, ClosedDay { day, bytes: bytes as f32, keys });
+                }
             }
         }
-        any
+        any_closed
     }
 
-    fn push(&mut self, shard: Shard, day: Day, bytes: f64, keys: f64) {
-        let days = self.days.entry(shard).or_default();
-        if days.last().is_none_or(|last| last.0 < day) {
-            days.push((day, bytes as f32, keys as f32));
-            days.drain(..days.len().saturating_sub(MOST_DAYS));
+    fn append(&mut self, shard: ShardId, closed: ClosedDay) {
+        let days = self.closed_days.entry(shard).or_default();
+        if days.last().is_none_or(|last| last.day < closed.day) {
+            days.push(closed);
+            days.drain(..days.len().saturating_sub(MAX_DAYS));
         }
     }
 
-    /// Days that another planner knows. Own ones stand, and days that are counted here still are passed over. Whether
-    /// any was new.
-    pub fn fill(&mut self, shard: Shard, days: &Days, ended: Day) -> bool {
-        let mut any = false;
-        for new in days.iter().filter(|d| d.0 <= ended) {
-            let known = self.days.entry(shard).or_default();
-            let Err(at) = known.binary_search_by_key(&new.0, |d| d.0) else { continue };
-            if known.len() < MOST_DAYS {
-                known.insert(at, *new);
-            } else if at > 0 {
-                // The oldest makes room.
-                known.insert(at, *new);
-                known.remove(0);
-            } else {
-                continue;
+    /// Takes closed days that another planner has, up to `last_closed`, and returns whether any was new. A day that this
+    /// planner has closed itself stays as it is.
+    pub fn merge_closed_days(
+        &mut self,
+        shard: ShardId,
+        days: &[ClosedDay],
+        last_closed: AccountingDay,
+    ) -> bool {
+        let mut any_new = false;
+        for closed in days.iter().filter(|closed| closed.day <= last_closed) {
+            let known = self.closed_days.entry(shard).or_default();
+            if let Err(position) = known.binary_search_by_key(&closed.day, |known| known.day) {
+                any_new |= insert_bounded(known, position, *closed);
             }
-            any = true;
         }
-        any
+        any_new
     }
 
-    /// A part of what is known, to be told to others: shard by shard, the newest days of each first.
-    pub fn part(&self, after: Option<(Shard, usize)>, most: usize) -> Option<((Shard, usize), Days)> {
-        let part = |shard: &Shard, skip: usize| {
-            let days = self.days.get(shard)?;
-            let to = days.len().checked_sub(skip).filter(|to| *to > 0)?;
-            Some(((*shard, skip), days[to.saturating_sub(most)..to].to_vec()))
+    /// The next part of the closed days, of at most `max_days`: shard by shard, the newest days of each first. None if
+    /// `after` was the last part.
+    pub fn part_after(&self, after: Option<HistoryCursor>, max_days: usize) -> Option<HistoryPart> {
+        let Some(HistoryCursor { shard, skipped_days }) = after else {
+            return self.closed_days.keys().find_map(|shard| self.part(*shard, 0, max_days));
         };
-        let more = after.and_then(|(shard, skip)| part(&shard, skip + most));
-        let from = after.map_or(Shard(0), |(shard, _)| shard);
-        let is_next = |s: &&Shard| after.is_none() || **s > from;
-        more.or_else(|| self.days.keys().filter(is_next).find_map(|shard| part(shard, 0)))
+        if let Some(part) = self.part(shard, skipped_days + max_days, max_days) {
+            return Some(part);
+        }
+        let mut later_shards = self.closed_days.keys().filter(|later| **later > shard);
+        later_shards.find_map(|later| self.part(*later, 0, max_days))
     }
 
-    pub fn keys(&self, shard: Shard) -> f64 {
-        self.days.get(&shard).and_then(|d| d.last()).map_or(0.0, |d| f64::from(d.2))
+    fn part(&self, shard: ShardId, skipped_days: usize, max_days: usize) -> Option<HistoryPart> {
+        let days = self.closed_days.get(&shard)?;
+        let end = days.len().checked_sub(skipped_days).filter(|end| *end > 0)?;
+        let days = days[end.saturating_sub(max_days)..end].to_vec();
+        Some(HistoryPart { cursor: HistoryCursor { shard, skipped_days }, days })
     }
 
-    pub fn shards(&self) -> impl Iterator<Item = Shard> + '_ {
-        self.days.keys().copied()
+    /// The number of distinct keys on a shard's last closed day; 0 if there is none.
+    pub fn keys(&self, shard: ShardId) -> f64 {
+        let last = self.closed_days.get(&shard).and_then(|days| days.last());
+        last.map_or(0.0, |last| f64::from(last.keys))
     }
 
-    /// When a shard outgrows this room: by straight lines between the horizons.
-    pub fn edges(&self, shard: Shard, room: f64) -> Edges {
-        let points: Vec<Point> = self
-            .days
-            .get(&shard)
-            .into_iter()
-            .flatten()
-            .map(|d| Point { day: d.0, value: f64::from(d.1) })
-            .collect();
-        let Some(last) = points.last() else { return Edges::default() };
+    /// The shards that have closed days, in ascending order.
+    pub fn shards(&self) -> impl Iterator<Item = ShardId> + '_ {
+        self.closed_days.keys().copied()
+    }
+
+    /// Forecasts when a shard outgrows a capacity in bytes.
+    pub fn capacity_forecast(&self, shard: ShardId, capacity_bytes: f64) -> CapacityForecast {
+        let days = self.closed_days.get(&shard).into_iter().flatten();
+        let points: Vec<Point> =
+            days.map(|closed| Point { day: closed.day, value: f64::from(closed.bytes) }).collect();
+        let Some(last) = points.last() else { return CapacityForecast::default() };
         let today = f64::from(last.day.0);
-        // Over its room on most of the last days, it is too late already, whatever a forecast says.
-        let over = points.iter().rev().take(3).filter(|p| p.value >= room).count();
-        if over >= 2 {
-            return Edges { early: Some(today), likely: Some(today), not_yet: None };
-        }
-        let mut edges = Edges::default();
-        let (mut low, mut high) = ((0.0, last.value), (0.0, last.value));
-        for horizon in HORIZONS {
-            match forecast(&points, horizon) {
-                Ok(f) => {
-                    let ahead = f64::from(horizon);
-                    edges.early = edges.early.or(crossed(high, (ahead, f.high), room).map(|d| today + d));
-                    edges.likely = edges.likely.or(crossed(low, (ahead, f.value), room).map(|d| today + d));
-                    (low, high) = ((ahead, f.value), (ahead, f.high));
-                }
-                // The longer ones need more; the shorter ones stand.
-                Err(not_yet) => {
-                    edges.not_yet = (horizon == HORIZONS[0]).then_some(not_yet);
-                    break;
-                }
-            }
+        if has_outgrown(&points, capacity_bytes) {
+            // It is too late already, whatever a forecast says.
+            return CapacityForecast { earliest: Some(today), likely: Some(today), unavailable: None };
         }
-        edges
+        forecast_crossings(&points, last.value, today, capacity_bytes)
     }
 
-    /// Sketches count for what they hold.
+    /// The number of entries held; a sketch counts for its registers.
     pub fn entries(&self) -> usize {
-        let open: usize = self.open.values().flat_map(|s| s.values()).map(ShardDay::entries).sum();
-        open + self.days.values().map(Vec::len).sum::<usize>()
+        let open_days = self.open_days.values().flat_map(|shards| shards.values());
+        open_days.map(ShardDay::entries).sum::<usize>()
+            + self.closed_days.values().map(Vec::len).sum::<usize>()
+    }
+}
+
+/// Inserts a day that is not known yet, in place of the oldest one if all are kept, and returns whether it did.
+fn insert_bounded(known: &mut Vec<ClosedDay>, position: usize, closed: ClosedDay) -> bool {
+    let is_full = known.len() >= MAX_DAYS;
+    if is_full && position == 0 {
+        return false;
     }
+    known.insert(position, closed);
+    if is_full {
+        known.remove(0);
+    }
+    true
+}
+
+fn has_outgrown(points: &[Point], capacity_bytes: f64) -> bool {
+    let recent = points.iter().rev().take(RECENT_DAYS);
+    recent.filter(|point| point.value >= capacity_bytes).count() >= MIN_DAYS_OVER_CAPACITY
+}
 
-    /// Each shard has at most three days that are counted.
-    pub const MOST_OPEN: usize = 3 * SHARDS;
+/// A point of a line that is forecast: days from the last closed day, and bytes.
+#[derive(Clone, Copy)]
+struct LinePoint {
+    days_ahead: f64,
+    bytes: f64,
 }
 
-fn crossed(from: (f64, f64), to: (f64, f64), room: f64) -> Option<f64> {
-    if from.1 >= room {
-        return Some(from.0);
+/// When the straight lines between the horizons cross the capacity.
+fn forecast_crossings(
+    points: &[Point],
+    last_bytes: f64,
+    today: f64,
+    capacity_bytes: f64,
+) -> CapacityForecast {
+    let start = LinePoint { days_ahead: 0.0, bytes: last_bytes };
+    let mut likely_from = start;
+    let mut upper_from = start;
+    let mut crossings = CapacityForecast::default();
+    for horizon in HORIZONS {
+        let forecast = match forecast(points, horizon) {
+            Ok(forecast) => forecast,
+            Err(unavailable) => {
+                // Longer horizons need more days; the shorter ones stand.
+                if horizon == HORIZONS[0] {
+                    crossings.unavailable = Some(unavailable);
+                }
+                break;
+            }
+        };
+        let days_ahead = f64::from(horizon);
+        let upper_to = LinePoint { days_ahead, bytes: forecast.high };
+        let likely_to = LinePoint { days_ahead, bytes: forecast.value };
+        if crossings.earliest.is_none() {
+            crossings.earliest = crossing(upper_from, upper_to, capacity_bytes).map(|days| today + days);
+        }
+        if crossings.likely.is_none() {
+            crossings.likely = crossing(likely_from, likely_to, capacity_bytes).map(|days| today + days);
+        }
+        likely_from = likely_to;
+        upper_from = upper_to;
+    }
+    crossings
+}
+
+/// How many days ahead the line between two points reaches the capacity, if it does.
+fn crossing(from: LinePoint, to: LinePoint, capacity_bytes: f64) -> Option<f64> {
+    if from.bytes >= capacity_bytes {
+        return Some(from.days_ahead);
+    }
+    if to.bytes < capacity_bytes {
+        return None;
     }
-    (to.1 >= room).then(|| from.0 + (to.0 - from.0) * (room - from.1) / (to.1 - from.1))
+    let days = to.days_ahead - from.days_ahead;
+    Some(from.days_ahead + days * (capacity_bytes - from.bytes) / (to.bytes - from.bytes))
 }
--- a/crates/coordination/src/shard_growth/mod.rs
+++ b/crates/coordination/src/shard_growth/mod.rs
@@ -1,20 +1,34 @@
-//! Growth of shards, and splits ahead of time: forwarders say what they see of each shard (`sketch`), planners keep a
-//! history and look ahead (`history`, `forecast`), the one that leads decides when a shard is split and how far that may
-//! go (`schedule`), and all planners agree on the table's form (`agree`), which forwarders take (`form`).
+//! Forecasts the growth of shards and splits a shard before it outgrows its endpoints.
+//!
+//! Forwarders count what they see of each shard ([`shard_day`], [`sketch`]). Planners merge these counts into a history
+//! of closed days ([`history`]) and forecast when a shard outgrows its capacity ([`forecast`]). The planner that leads
+//! decides which shard is split and how far a split may advance ([`split_schedule`]). All planners agree on each version
+//! of the shard map ([`consensus`]), which forwarders then apply ([`shard_map`]).
+//!
+//! Two shard maps occur in this workspace. [`shard_map::VersionedShardMap`] is the one that planners agree on; it also
+//! has splits that have not moved a key yet. `granitelb_balancer::calls::ShardMap` is what a node's balancer routes by,
+//! and is derived from it.
 
-pub mod agree;
-pub mod book;
+#![warn(missing_docs)]
+
+pub mod accounting_day;
+pub mod consensus;
+pub mod endpoints;
 pub mod forecast;
-pub mod form;
 mod forwarder;
 pub mod history;
-pub mod listing;
 mod message;
-mod origin;
+mod origin_latency;
 mod planner;
-pub mod schedule;
+mod shard_activity;
+pub mod shard_day;
+pub mod shard_map;
 pub mod sketch;
+mod snapshot;
+pub mod split_schedule;
 
+pub use accounting_day::Calendar;
 pub use forwarder::{ForwarderComponent, ForwarderSettings};
-pub use message::{Archive, Calendar, GrowthError, GrowthMessage, SnapshotError};
-pub use planner::{Fleet, PlannerComponent, Settings};
+pub use message::{GrowthError, GrowthMessage};
+pub use planner::{FleetStatus, PlannerComponent, PlannerSettings};
+pub use snapshot::{Snapshot, SnapshotError};
--- /dev/null
+++ b/crates/coordination/src/shard_growth/split_schedule/mod.rs
@@ -0,0 +1,401 @@
+//! Decides when a shard is split and how far a split may advance now. Each decision changes the layout of one shard in
+//! the shard map; the planners then agree on that map ([`consensus`](super::consensus)).
+//!
+//! Invariants, whatever the fleet does:
+//! - Two active splits have no endpoint in common.
+//! - No more splits are active than the settings allow.
+//! - No split advances while one of its endpoints fails or is warming up, while the origin is slow, while fewer than a
+//!   majority of planners are live, or in a frozen period.
+//! - No split leaves a phase before that phase's duration has passed.
+//!
+//! They hold since each step forward passes `obstacle`, each split that becomes active passes `activation_obstacle`, and
+//! [`SplitSchedule::next_change`] changes one shard at a time from the map that was decided last. Steps back pass no
+//! check: a split can be withdrawn whenever a majority of planners is live.
+
+mod conditions;
+mod settings;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use granitelb_balancer::ids::EndpointId;
+use granitelb_balancer::time::{Span, Time};
+
+pub use conditions::{FleetConditions, ProposedChange, Reason, ShardOutlook, ShardOutlooks};
+pub use settings::Settings;
+
+use super::shard_map::{COPY_STEPS, MAX_SPLIT_BITS, ShardId, ShardLayout, SplitPhase, VersionedShardMap};
+
+/// A split that would need longer than this for one copying step, in seconds, does not start.
+const MAX_COPY_STEP_SECONDS: f64 = 1e9;
+
+/// The fraction of a shard's keys that a split migrates.
+const MIGRATING_FRACTION: f64 = 0.5;
+
+/// A fault that pauses a split.
+#[derive(Clone, Copy, Debug)]
+struct Pause {
+    since: Time,
+    reason: Reason,
+}
+
+/// What the leader remembers of a split beside the shard map, by its own clock. A new leader starts anew, which only
+/// delays the split.
+#[derive(Clone, Copy, Debug)]
+struct SplitTimer {
+    layout: ShardLayout,
+    entered_at: Time,
+    pause: Option<Pause>,
+}
+
+/// Since when a split is in its phase, and what it waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SplitProgress {
+    /// When the leader first saw the split in its present phase.
+    pub entered_at: Time,
+    /// The fault that pauses it.
+    pub paused_by: Option<Reason>,
+}
+
+/// A step of one split.
+struct SplitStep {
+    to: ShardLayout,
+    reason: Reason,
+}
+
+/// One split, and all that its next step depends on.
+struct SplitContext<'a> {
+    now: Time,
+    shard: ShardId,
+    layout: ShardLayout,
+    phase: SplitPhase,
+    shard_map: &'a VersionedShardMap,
+    conditions: &'a FleetConditions,
+    outlooks: &'a ShardOutlooks,
+    outlook: &'a ShardOutlook,
+    /// Whether enough is known of the shard. If not, the split does not advance.
+    is_known: bool,
+}
+
+impl SplitContext<'_> {
+    /// The step to another phase of the same split.
+    fn to_phase(&self, phase: SplitPhase, reason: Reason) -> SplitStep {
+        SplitStep { to: ShardLayout { phase: Some(phase), ..self.layout }, reason }
+    }
+
+    /// The step by which the split ends without effect.
+    fn to_unsplit(&self, reason: Reason) -> SplitStep {
+        SplitStep { to: ShardLayout { phase: None, ..self.layout }, reason }
+    }
+
+    /// The step by which the split is complete.
+    fn to_complete(&self) -> SplitStep {
+        SplitStep { to: ShardLayout { bits: self.layout.bits + 1, phase: None }, reason: Reason::Due }
+    }
+}
+
+/// The schedule of all splits, at the planner that leads.
+#[derive(Clone, Debug)]
+pub struct SplitSchedule {
+    settings: Settings,
+    timers: BTreeMap<ShardId, SplitTimer>,
+    requested_withdrawals: BTreeSet<ShardId>,
+}
+
+impl SplitSchedule {
+    /// Starts with no knowledge of any split.
+    pub fn new(settings: Settings) -> SplitSchedule {
+        SplitSchedule { settings, timers: BTreeMap::new(), requested_withdrawals: BTreeSet::new() }
+    }
+
+    /// Has a shard's split withdrawn at an operator's request.
+    pub fn request_withdrawal(&mut self, shard: ShardId) {
+        self.requested_withdrawals.insert(shard);
+    }
+
+    /// How long a split takes from `Planned` to `Switched` with nothing in its way. None if the origin has no spare
+    /// fetches.
+    pub fn split_duration(&self, conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Span> {
+        let step = self.copy_step_duration(conditions, outlook)?;
+        let copying = Span(step.0.saturating_mul(u64::from(COPY_STEPS)));
+        Some(self.settings.planned_duration + copying + self.settings.dual_read_duration)
+    }
+
+    /// Since when a split is in its phase, and what pauses it. None for a shard without a split.
+    pub fn progress(&self, shard: ShardId) -> Option<SplitProgress> {
+        let timer = self.timers.get(&shard)?;
+        Some(SplitProgress { entered_at: timer.entered_at, paused_by: timer.pause.map(|pause| pause.reason) })
+    }
+
+    /// The number of entries held.
+    pub fn entries(&self) -> usize {
+        self.timers.len() + self.requested_withdrawals.len()
+    }
+
+    /// The next change of the shard map that was decided last, if one is due. A change that was not decided is returned
+    /// again.
+    pub fn next_change(
+        &mut self,
+        now: Time,
+        shard_map: &VersionedShardMap,
+        conditions: &FleetConditions,
+        outlooks: &ShardOutlooks,
+    ) -> Option<ProposedChange> {
+        self.on_decided(now, shard_map);
+        if conditions.lacks_planner_majority {
+            return None;
+        }
+        let unknown = ShardOutlook::default();
+        for (shard, layout, phase) in by_urgency(shard_map, outlooks) {
+            let split = SplitContext {
+                now,
+                shard,
+                layout,
+                phase,
+                shard_map,
+                conditions,
+                outlooks,
+                outlook: outlooks.get(&shard).unwrap_or(&unknown),
+                is_known: outlooks.contains_key(&shard),
+            };
+            if let Some(step) = self.next_step(&split) {
+                return Some(proposed_change(shard_map, shard, step));
+            }
+        }
+        let shard = next_foreseen(shard_map, outlooks)?;
+        let to = ShardLayout { phase: Some(SplitPhase::Foreseen), ..shard_map.layout(shard) };
+        Some(proposed_change(shard_map, shard, SplitStep { to, reason: Reason::OutgrowsSoon }))
+    }
+
+    /// Takes the shard map that was decided last. The timer of each shard whose layout changed starts anew.
+    fn on_decided(&mut self, now: Time, shard_map: &VersionedShardMap) {
+        self.timers.retain(|shard, _| shard_map.shards.contains_key(shard));
+        self.requested_withdrawals.retain(|shard| shard_map.layout(*shard).phase.is_some());
+        for (shard, layout) in &shard_map.shards {
+            let started = SplitTimer { layout: *layout, entered_at: now, pause: None };
+            let timer = self.timers.entry(*shard).or_insert(started);
+            if timer.layout != *layout {
+                *timer = started;
+            }
+        }
+    }
+
+    fn next_step(&mut self, split: &SplitContext<'_>) -> Option<SplitStep> {
+        let is_withdrawn = split.phase == SplitPhase::Withdrawn;
+        if self.requested_withdrawals.contains(&split.shard) && !is_withdrawn {
+            return Some(split.to_phase(SplitPhase::Withdrawn, Reason::Operator));
+        }
+        let time_in_phase = split.now - self.timers.get(&split.shard)?.entered_at;
+        if is_withdrawn {
+            let has_expired = time_in_phase >= self.settings.withdrawn_duration;
+            return has_expired.then(|| split.to_unsplit(Reason::WithdrawalExpired));
+        }
+        if let Some(pause) = self.update_pause(split) {
+            return self.step_of_paused(split, pause);
+        }
+        self.step_forward(split, time_in_phase)
+    }
+
+    /// Notes since when a fault pauses an active split, and why it did so first.
+    fn update_pause(&mut self, split: &SplitContext<'_>) -> Option<Pause> {
+        let obstacle = if split.phase.is_active() { self.active_obstacle(split) } else { None };
+        let timer = self.timers.get_mut(&split.shard)?;
+        match obstacle {
+            None => timer.pause = None,
+            Some(reason) => {
+                timer.pause.get_or_insert(Pause { since: split.now, reason });
+            }
+        }
+        timer.pause
+    }
+
+    fn active_obstacle(&self, split: &SplitContext<'_>) -> Option<Reason> {
+        if let Some(reason) = obstacle(split.conditions, split.outlook) {
+            return Some(reason);
+        }
+        let is_copying = matches!(split.phase, SplitPhase::Copying(_));
+        let has_spare_fetches = self.copy_step_duration(split.conditions, split.outlook).is_some();
+        if is_copying && !has_spare_fetches { Some(Reason::NoSpareFetches) } else { None }
+    }
+
+    /// The step back of a split that was paused for too long.
+    fn step_of_paused(&self, split: &SplitContext<'_>, pause: Pause) -> Option<SplitStep> {
+        if split.now - pause.since < self.settings.fault_patience {
+            return None;
+        }
+        if split.phase == SplitPhase::Planned {
+            // No key has moved: the split is merely foreseen again, and its endpoints are free for another one.
+            return Some(split.to_phase(SplitPhase::Foreseen, pause.reason));
+        }
+        if pause.reason == Reason::Frozen {
+            // A frozen period is no reason to move keys back.
+            return None;
+        }
+        Some(split.to_phase(SplitPhase::Withdrawn, pause.reason))
+    }
+
+    fn step_forward(&self, split: &SplitContext<'_>, time_in_phase: Span) -> Option<SplitStep> {
+        // A shard of which nothing is known is migrated no further.
+        if !split.is_known {
+            return None;
+        }
+        let settings = &self.settings;
+        match split.phase {
+            SplitPhase::Foreseen | SplitPhase::Planned if split.outlook.earliest.is_none() => {
+                Some(split.to_unsplit(Reason::NoLongerForeseen))
+            }
+            SplitPhase::Foreseen => {
+                let may_start = self.may_start(split);
+                may_start.then(|| split.to_phase(SplitPhase::Planned, Reason::TimeToStart))
+            }
+            SplitPhase::Planned => {
+                let may_copy = time_in_phase >= settings.planned_duration && self.ends_in_time(split);
+                may_copy.then(|| split.to_phase(SplitPhase::Copying(1), Reason::Due))
+            }
+            SplitPhase::Copying(step) => {
+                let is_due = time_in_phase >= self.copy_step_duration(split.conditions, split.outlook)?;
+                let next =
+                    if step < COPY_STEPS { SplitPhase::Copying(step + 1) } else { SplitPhase::DualRead };
+                is_due.then(|| split.to_phase(next, Reason::Due))
+            }
+            SplitPhase::DualRead => (time_in_phase >= settings.dual_read_duration)
+                .then(|| split.to_phase(SplitPhase::Switched, Reason::Due)),
+            SplitPhase::Switched => {
+                (time_in_phase >= settings.switched_duration).then(|| split.to_complete())
+            }
+            SplitPhase::Withdrawn => None,
+        }
+    }
+
+    /// Whether a planned split would end before the next frozen period.
+    fn ends_in_time(&self, split: &SplitContext<'_>) -> bool {
+        let duration = self.split_duration(split.conditions, split.outlook);
+        duration.is_some_and(|duration| split.conditions.ends_before_frozen_period(duration))
+    }
+
+    /// Whether a foreseen split may become active now.
+    fn may_start(&self, split: &SplitContext<'_>) -> bool {
+        let Some(duration) = self.split_duration(split.conditions, split.outlook) else { return false };
+        self.is_time_to_start(split.conditions, split.outlook, duration)
+            && obstacle(split.conditions, split.outlook).is_none()
+            && self.activation_obstacle(split, duration).is_none()
+    }
+
+    /// Whether the time to start has come.
+    ///
+    /// It is late enough once the forecast itself, and not only its upper bound, says that the split is needed, unless
+    /// no more time is left than a split takes. It is early enough while the split ends before the earliest forecast
+    /// day, or before a frozen period that it would otherwise run into.
+    fn is_time_to_start(&self, conditions: &FleetConditions, outlook: &ShardOutlook, duration: Span) -> bool {
+        let Some(earliest) = outlook.earliest else { return false };
+        let lead_time = duration.scaled(self.settings.lead_factor);
+        let deadline = match conditions.frozen_period {
+            Some(period) if earliest < period.ends_in + lead_time => earliest.min(period.begins_in),
+            _ => earliest,
+        };
+        deadline <= duration || deadline <= lead_time && outlook.likely.is_some()
+    }
+
+    /// What keeps a foreseen split from becoming active.
+    fn activation_obstacle(&self, split: &SplitContext<'_>, duration: Span) -> Option<Reason> {
+        let mut active_splits = 0;
+        for (other, layout) in &split.shard_map.shards {
+            if !is_active(*layout) {
+                continue;
+            }
+            active_splits += 1;
+            // A shard whose endpoints are not known may have any.
+            let Some(other_outlook) = split.outlooks.get(other) else {
+                return Some(Reason::TooManyActiveSplits);
+            };
+            let shared = other_outlook.endpoints.intersection(&split.outlook.endpoints).next();
+            if let Some(endpoint) = shared {
+                return Some(Reason::EndpointInUse(*endpoint));
+            }
+        }
+        if active_splits >= self.settings.max_active_splits {
+            return Some(Reason::TooManyActiveSplits);
+        }
+        if split.conditions.ends_before_frozen_period(duration) {
+            None
+        } else {
+            Some(Reason::NoTimeBeforeFrozenPeriod)
+        }
+    }
+
+    /// How long one copying step lasts: the migrating keys are fetched anew, at the rate that the origin has to spare,
+    /// shared by all splits that may be active. None if it has none to spare.
+    fn copy_step_duration(&self, conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Span> {
+        let settings = &self.settings;
+        let fetches_per_second = conditions.spare_fetches_per_second * settings.spare_fetch_fraction
+            / settings.max_active_splits.max(1) as f64;
+        let keys = outlook.keys * MIGRATING_FRACTION / f64::from(COPY_STEPS);
+        let seconds = keys / fetches_per_second;
+        if fetches_per_second > 0.0 && seconds < MAX_COPY_STEP_SECONDS {
+            Some(Span::from_secs_f64(seconds).max(settings.copy_step_duration))
+        } else {
+            None
+        }
+    }
+}
+
+/// What keeps a split from advancing now.
+fn obstacle(conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Reason> {
+    let first_of =
+        |endpoints: &BTreeSet<EndpointId>| outlook.endpoints.intersection(endpoints).next().copied();
+    if conditions.lacks_planner_majority {
+        return Some(Reason::NoPlannerMajority);
+    }
+    if let Some(endpoint) = first_of(&conditions.failing) {
+        return Some(Reason::EndpointFails(endpoint));
+    }
+    if let Some(endpoint) = first_of(&conditions.warming_up) {
+        return Some(Reason::EndpointWarmingUp(endpoint));
+    }
+    if conditions.is_origin_slow {
+        return Some(Reason::OriginSlow);
+    }
+    if conditions.is_frozen() { Some(Reason::Frozen) } else { None }
+}
+
+fn is_active(layout: ShardLayout) -> bool {
+    layout.phase.is_some_and(SplitPhase::is_active)
+}
+
+/// Splits in progress: active ones first, then those whose earliest forecast day is nearest.
+fn by_urgency(
+    shard_map: &VersionedShardMap,
+    outlooks: &ShardOutlooks,
+) -> Vec<(ShardId, ShardLayout, SplitPhase)> {
+    let earliest =
+        |shard: &ShardId| outlooks.get(shard).and_then(|outlook| outlook.earliest).unwrap_or(Span(u64::MAX));
+    let mut splits: Vec<_> = shard_map
+        .shards
+        .iter()
+        .filter_map(|(shard, layout)| Some((*shard, *layout, layout.phase?)))
+        .collect();
+    splits.sort_by_key(|(shard, layout, _)| (!is_active(*layout), earliest(shard), *shard));
+    splits
+}
+
+/// The unsplit shard that may outgrow its endpoints soonest.
+fn next_foreseen(shard_map: &VersionedShardMap, outlooks: &ShardOutlooks) -> Option<ShardId> {
+    let may_split = |shard: ShardId| {
+        let layout = shard_map.layout(shard);
+        layout.phase.is_none() && layout.bits < MAX_SPLIT_BITS
+    };
+    let foreseen = outlooks
+        .iter()
+        .filter(|(shard, _)| may_split(**shard))
+        .filter_map(|(shard, outlook)| Some((outlook.earliest?, *shard)));
+    foreseen.min().map(|(_, shard)| shard)
+}
+
+fn proposed_change(shard_map: &VersionedShardMap, shard: ShardId, step: SplitStep) -> ProposedChange {
+    ProposedChange {
+        shard,
+        from: shard_map.layout(shard),
+        to: step.to,
+        reason: step.reason,
+        shard_map: shard_map.with_layout(shard, step.to),
+    }
+}
--- a/crates/coordination/tests/growth_forecast.rs
+++ b/crates/coordination/tests/growth_forecast.rs
@@ -1,12 +1,16 @@
-//! Signals that merge, and forecasts held against books that were made up.
+//! Counters and sketches that merge, and forecasts compared with simulated histories.
 
-#[path = "../examples/growth_books/mod.rs"]
-mod growth_books;
+#[path = "../examples/growth_histories/mod.rs"]
+mod growth_histories;
 
-use granitelb_coordination::shard_growth::forecast::{NotYet, Point, Why, forecast};
-use granitelb_coordination::shard_growth::sketch::{Counts, Day, Distinct, ShardDay};
+use granitelb_coordination::shard_growth::accounting_day::{AccountingDay, DayOfMonth};
+use granitelb_coordination::shard_growth::forecast::{
+    ForecastUnavailable, Point, UnavailableReason, forecast,
+};
+use granitelb_coordination::shard_growth::shard_day::{ShardCounters, ShardDay};
+use granitelb_coordination::shard_growth::sketch::DistinctCounter;
 use granitelb_coordination::{ForwarderId, Incarnation};
-use growth_books::{SHAPES, Shape, backtest, book};
+use growth_histories::{Backtest, SHAPES, Shape, backtest, simulated_history};
 use proptest::prelude::*;
 
 fn hash(key: u64) -> u64 {
@@ -16,82 +20,124 @@
 #[test]
 fn distinct_keys_are_counted_within_four_standard_errors() {
     for count in [10, 300, 2_000, 3_000, 50_000, 1_000_000] {
-        let mut sketch = Distinct::default();
-        (0..count).for_each(|k| _ = sketch.add(hash(k)));
+        let mut sketch = DistinctCounter::default();
+        for key in 0..count {
+            sketch.add(hash(key));
+        }
         let error = sketch.count() / count as f64 - 1.0;
         assert!(error.abs() < 0.13, "{count}: {error}");
     }
 }
 
+/// What one incarnation of a forwarder reports: `keys` reads, each of another key.
+#[derive(Clone, Copy, Debug)]
+struct Report {
+    forwarder: u64,
+    incarnation: u64,
+    keys: u64,
+}
+
+impl Report {
+    fn as_shard_day(self) -> ShardDay {
+        let mut day = ShardDay::default();
+        for key in 0..self.keys {
+            day.read.add(hash(key * (self.forwarder + 1)));
+        }
+        let counters = ShardCounters { reads: self.keys, ..ShardCounters::default() };
+        day.raise(ForwarderId(self.forwarder), Incarnation(self.incarnation), &counters)
+            .expect("there are few incarnations");
+        day
+    }
+}
+
+prop_compose! {
+    fn report()(forwarder in 0u64..3, incarnation in 0u64..2, keys in 0u64..500) -> Report {
+        Report { forwarder, incarnation, keys }
+    }
+}
+
 proptest! {
     #[test]
-    fn merging_is_idempotent_and_knows_no_order(
-        told in prop::collection::vec((0u64..3, 0u64..2, 0u64..500), 1..40), twice in prop::collection::vec(0usize..40, 0..40),
+    fn merging_is_idempotent_and_independent_of_order(
+        reports in prop::collection::vec(report(), 1..40),
+        repeated in prop::collection::vec(0usize..40, 0..40),
     ) {
-        let day = |(forwarder, incarnation, n): &(u64, u64, u64)| {
-            let mut day = ShardDay::default();
-            (0..*n).for_each(|k| _ = day.read.add(hash(k * (forwarder + 1))));
-            day.raise(ForwarderId(*forwarder), Incarnation(*incarnation), &Counts { reads: *n, ..Counts::default() });
-            day
+        let mut merged_once = ShardDay::default();
+        for report in &reports {
+            merged_once.merge(&report.as_shard_day());
+        }
+        let mut merged_again = ShardDay::default();
+        let repeated = repeated.iter().filter_map(|index| reports.get(*index));
+        for report in reports.iter().rev().chain(repeated) {
+            merged_again.merge(&report.as_shard_day());
+        }
+        prop_assert_eq!(&merged_once, &merged_again);
+        let highest = |forwarder, incarnation| {
+            let of_sender = reports
+                .iter()
+                .filter(|report| (report.forwarder, report.incarnation) == (forwarder, incarnation));
+            of_sender.map(|report| report.keys).max().unwrap_or(0)
         };
-        let (mut once, mut doubled) = (ShardDay::default(), ShardDay::default());
-        told.iter().for_each(|t| once.merge(&day(t)));
-        let again = twice.iter().filter_map(|n| told.get(*n));
-        told.iter().rev().chain(again).for_each(|t| doubled.merge(&day(t)));
-        prop_assert_eq!(&once, &doubled);
-        let most = |f, l| told.iter().filter(|t| (t.0, t.1) == (f, l)).map(|t| t.2).max().unwrap_or(0);
-        let sum: u64 = (0..3).flat_map(|f| [most(f, 0), most(f, 1)]).sum();
-        prop_assert_eq!(once.total().reads, sum);
+        let sum: u64 = (0..3).flat_map(|forwarder| [highest(forwarder, 0), highest(forwarder, 1)]).sum();
+        prop_assert_eq!(merged_once.total().reads, sum);
     }
 }
 
 #[test]
-fn the_interval_holds_nine_of_ten_and_the_error_is_under_plain_ways() {
-    let all = SHAPES.map(|shape| backtest(shape, 501..503, 30));
-    let sum = |of: fn(&growth_books::Backtest) -> f64| all.iter().map(of).sum::<f64>();
-    let held = sum(|b| b.held as f64) / sum(|b| b.forecasts as f64);
-    assert!((0.85..=0.95).contains(&held), "{held}");
-    assert!(sum(|b| b.error) < 0.8 * sum(|b| b.as_today).min(sum(|b| b.line)));
+fn the_interval_covers_nine_of_ten_and_the_error_is_below_that_of_simple_forecasts() {
+    let backtests = SHAPES.map(|shape| backtest(shape, 501..503, 30));
+    let sum = |figure: fn(&Backtest) -> f64| backtests.iter().map(figure).sum::<f64>();
+    let covered = sum(|b| b.covered as f64) / sum(|b| b.forecasts as f64);
+    assert!((0.85..=0.95).contains(&covered), "{covered}");
+    let best_simple_error = sum(|b| b.constant_error).min(sum(|b| b.line_error));
+    assert!(sum(|b| b.error) < 0.8 * best_simple_error);
 }
 
 #[test]
-fn thin_evidence_gives_no_forecast_and_says_when() {
-    let book = book(Shape::Steady, 7, 120);
-    let mut first = None;
-    for n in 0..book.len() {
-        match forecast(&book[..n], 30) {
-            Ok(_) => first = first.or(Some(book[n - 1].day)),
-            Err(NotYet { when, .. }) => assert!(n == 0 || when > book[n - 1].day),
+fn a_short_history_has_no_forecast_and_says_when_there_will_be_one() {
+    let history = simulated_history(Shape::Steady, 7, 120);
+    let mut first_forecast = None;
+    for length in 0..history.len() {
+        match forecast(&history[..length], 30) {
+            Ok(_) => first_forecast = first_forecast.or(Some(history[length - 1].day)),
+            Err(ForecastUnavailable { available_from, .. }) => {
+                assert!(length == 0 || available_from > history[length - 1].day);
+            }
         }
     }
-    // Told on the first day already, give or take days that were lost.
-    let said = forecast(&book[..5], 30).expect_err("five days").when;
-    assert!(first.expect("at last").0.abs_diff(said.0) < 14, "{first:?} {said:?}");
-    let gap: Vec<Point> = book
-        .iter()
-        .filter(|p| p.day.0 + 6 < book[119 - 10].day.0 || p.day == book[119 - 10].day)
-        .copied()
-        .collect();
-    assert_eq!(forecast(&gap, 30).expect_err("a gap").why, Why::Gaps);
+    // It is announced from the first days on, up to days that go missing later.
+    let announced = forecast(&history[..5], 30).expect_err("five days").available_from;
+    let first_forecast = first_forecast.expect("120 days are enough");
+    assert!(first_forecast.0.abs_diff(announced.0) < 14, "{first_forecast:?} {announced:?}");
+    let last = history[119 - 10].day;
+    let with_gap: Vec<Point> =
+        history.iter().filter(|point| point.day.0 + 6 < last.0 || point.day == last).copied().collect();
+    assert_eq!(forecast(&with_gap, 30).expect_err("a gap").reason, UnavailableReason::Gaps);
 }
 
 #[test]
-fn a_month_has_its_days() {
-    assert_eq!(Day(0).in_month(), (1, 31));
-    assert_eq!(Day(19_782).in_month(), (29, 29)); // 29 February 2024
-    assert_eq!(Day(20_513).in_month(), (1, 31)); // 1 March 2026
+fn a_day_has_its_place_in_the_month() {
+    let in_month = |day: u32| AccountingDay(day).in_month();
+    assert_eq!(in_month(0), DayOfMonth { day: 1, month_length: 31 });
+    assert_eq!(in_month(19_782), DayOfMonth { day: 29, month_length: 29 }); // 29 February 2024
+    assert_eq!(in_month(20_513), DayOfMonth { day: 1, month_length: 31 }); // 1 March 2026
 }
 
-/// Half of what is kept goes on one day, as when half of the forwarders are cut off: more than all that there was two months ago.
+/// Half of the bytes go on one day, as when half of the forwarders are cut off: more than all there was two months ago.
 #[test]
-fn after_a_purge_a_shard_is_not_said_to_grow_without_end() {
-    let kept = |n: u32| 1000.0 * 1.02f64.powi(n as i32) * (0.995 + 0.01 * f64::from(n * 7 % 10) / 10.0);
-    for since in 8..14 {
-        let value = |n: u32| kept(n) * if n < 110 { 1.0 } else { 0.5 };
-        let days: Vec<Point> =
-            (0..110 + since).map(|n| Point { day: Day(20_000 + n), value: value(n) }).collect();
-        let said = forecast(&days, 14).expect("enough is known");
-        let comes = value(109 + since + 14);
-        assert!(said.value < 1.5 * comes && said.high < 4.0 * comes, "{since}: {said:?}, {comes} comes");
+fn after_a_purge_no_growth_without_bound_is_forecast() {
+    let without_purge =
+        |n: u32| 1000.0 * 1.02f64.powi(n as i32) * (0.995 + 0.01 * f64::from(n * 7 % 10) / 10.0);
+    for days_since in 8..14 {
+        let value = |n: u32| without_purge(n) * if n < 110 { 1.0 } else { 0.5 };
+        let history: Vec<Point> = (0..110 + days_since)
+            .map(|n| Point { day: AccountingDay(20_000 + n), value: value(n) })
+            .collect();
+        let forecast = forecast(&history, 14).expect("enough is known");
+        let actual = value(109 + days_since + 14);
+        assert!(
+            forecast.value < 1.5 * actual && forecast.high < 4.0 * actual,
+            "{days_since}: {forecast:?}, actually {actual}"
+        );
     }
 }
--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -1,9 +1,9 @@
 //! The tests of what the fleet decides: one program, so that they are linked once and run beside each other.
 
-mod growth_agree;
-mod growth_faculty;
+mod growth_consensus;
+mod growth_components;
 mod growth_forecast;
-mod growth_schedule;
+mod growth_split_schedule;
 mod hindsight;
 mod hindsight_lottery;
 mod leases;
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -14,10 +14,14 @@
 use granitelb_coordination::endpoint_health::{HealthStatus, Part, Plan, Report, Seen};
 use granitelb_coordination::leases::{Need, Resource};
 use granitelb_coordination::message::{ComponentKind, Message, Secret, Secrets, open, seal};
-use granitelb_coordination::shard_growth::agree::{Ballot, Vote};
-use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
-use granitelb_coordination::shard_growth::listing::Listed;
-use granitelb_coordination::shard_growth::sketch::{Counts, Day, Of, Shard};
+use granitelb_coordination::shard_growth::accounting_day::AccountingDay;
+use granitelb_coordination::shard_growth::consensus::{AcceptedProposal, Ballot, ConsensusMessage};
+use granitelb_coordination::shard_growth::endpoints::ReportedEndpoint;
+use granitelb_coordination::shard_growth::history::ClosedDay;
+use granitelb_coordination::shard_growth::shard_day::{ShardCounters, SketchKind};
+use granitelb_coordination::shard_growth::shard_map::{
+    ShardId, ShardLayout, ShardMapVersion, SplitPhase, VersionedShardMap,
+};
 use granitelb_coordination::{
     ForwarderId, Incarnation, Member, PlannerId, Sender, Version, counterfactual, endpoint_health, leases,
     membership, shard_growth,
@@ -108,63 +112,85 @@
     ]
 }
 
-fn all_steps() -> [Step; 6] {
-    [Step::Foreseen, Step::Planned, Step::Copying(11), Step::BothRead, Step::Switched, Step::Withdrawn]
+fn all_steps() -> [SplitPhase; 6] {
+    [
+        SplitPhase::Foreseen,
+        SplitPhase::Planned,
+        SplitPhase::Copying(11),
+        SplitPhase::DualRead,
+        SplitPhase::Switched,
+        SplitPhase::Withdrawn,
+    ]
 }
 
 /// A form with a settled shard, and one at each step of a split.
-fn form(version: u64) -> Form {
+fn shard_map(version: u64) -> VersionedShardMap {
     let splitting = all_steps().into_iter().zip(21..).map(|(step, shard)| (shard, 2, Some(step)));
     let shards = [(20, 3, None)].into_iter().chain(splitting);
-    let shards = shards.map(|(shard, bits, step)| (Shard(shard), ShardForm { bits, step })).collect();
-    Form { version: FormVersion(version), shards }
+    let shards = shards.map(|(shard, bits, phase)| (ShardId(shard), ShardLayout { bits, phase })).collect();
+    VersionedShardMap { version: ShardMapVersion(version), shards }
 }
 
 fn ballot(n: u64) -> Ballot {
     Ballot { round: n, planner: 5, incarnation: n + 1000 }
 }
 
-fn votes() -> Vec<Named<Vote>> {
-    let version = FormVersion(901);
-    let here = |took| Vote::Here { to_life: 921, decided: FormVersion(922), promised: ballot(923), took };
-    let took = Some((ballot(924), form(925)));
+fn votes() -> Vec<Named<ConsensusMessage>> {
+    let version = ShardMapVersion(901);
+    let here = |accepted| ConsensusMessage::RecoveryResponse {
+        to_incarnation: 921,
+        decided: ShardMapVersion(922),
+        promised: ballot(923),
+        accepted,
+    };
+    let accepted = Some(AcceptedProposal { ballot: ballot(924), shard_map: shard_map(925) });
     vec![
-        ("growth.vote.prepare", Vote::Prepare { version, ballot: ballot(902) }),
-        ("growth.vote.promise", Vote::Promise { version, ballot: ballot(903), took: took.clone() }),
-        ("growth.vote.promise_of_none", Vote::Promise { version, ballot: ballot(904), took: None }),
-        ("growth.vote.accept", Vote::Accept { ballot: ballot(905), form: form(906) }),
-        ("growth.vote.took", Vote::Took { version, ballot: ballot(907) }),
-        ("growth.vote.refused", Vote::Refused { version, promised: ballot(908) }),
-        ("growth.vote.decided", Vote::Decided { form: form(909) }),
-        ("growth.vote.where", Vote::Where { incarnation: 910 }),
-        ("growth.vote.here", here(took)),
+        ("growth.vote.prepare", ConsensusMessage::Prepare { version, ballot: ballot(902) }),
+        (
+            "growth.vote.promise",
+            ConsensusMessage::Promise { version, ballot: ballot(903), accepted: accepted.clone() },
+        ),
+        (
+            "growth.vote.promise_of_none",
+            ConsensusMessage::Promise { version, ballot: ballot(904), accepted: None },
+        ),
+        ("growth.vote.accept", ConsensusMessage::Accept { ballot: ballot(905), shard_map: shard_map(906) }),
+        ("growth.vote.took", ConsensusMessage::Accepted { version, ballot: ballot(907) }),
+        ("growth.vote.refused", ConsensusMessage::Rejected { version, promised: ballot(908) }),
+        ("growth.vote.decided", ConsensusMessage::Decided { shard_map: shard_map(909) }),
+        ("growth.vote.where", ConsensusMessage::RecoveryRequest { incarnation: 910 }),
+        ("growth.vote.here", here(accepted)),
         ("growth.vote.here_with_none", here(None)),
     ]
 }
 
 fn growth_messages() -> Vec<Named<shard_growth::GrowthMessage>> {
     use shard_growth::GrowthMessage;
-    let (day, shard) = (Day(20_001), Shard(201));
-    let sketch = |of| GrowthMessage::Sketch { day, shard, of, registers: vec![(1001, 12), (1002, 13)] };
-    let counts = |n| Counts { reads: n, writes: n + 1, bytes: n + 2, sized: n + 3, evicted: n + 4 };
-    let counts = vec![(Shard(202), counts(30_001)), (Shard(203), counts(40_001))];
-    let listed = vec![
-        Listed { cache: EndpointId(1101), size: 1.5, cold: true },
-        Listed { cache: EndpointId(1102), size: 2.25, cold: false },
+    let (day, shard) = (AccountingDay(20_001), ShardId(201));
+    let sketch = |kind| GrowthMessage::Sketch { day, shard, kind, registers: vec![(1001, 12), (1002, 13)] };
+    let counts =
+        |n| ShardCounters { reads: n, writes: n + 1, bytes: n + 2, sized_responses: n + 3, evictions: n + 4 };
+    let counters = vec![(ShardId(202), counts(30_001)), (ShardId(203), counts(40_001))];
+    let endpoints = vec![
+        ReportedEndpoint { endpoint: EndpointId(1101), size: 1.5, is_warming_up: true },
+        ReportedEndpoint { endpoint: EndpointId(1102), size: 2.25, is_warming_up: false },
+    ];
+    let days = vec![
+        ClosedDay { day: AccountingDay(20_002), bytes: 1000.5, keys: 17.25 },
+        ClosedDay { day: AccountingDay(20_003), bytes: 2000.5, keys: 18.25 },
     ];
-    let days = vec![(Day(20_002), 1000.5, 17.25), (Day(20_003), 2000.5, 18.25)];
     let mut messages = vec![
-        ("growth.sketch_read", sketch(Of::Read)),
-        ("growth.sketch_written", sketch(Of::Written)),
-        ("growth.counted", GrowthMessage::Counted { day, counts }),
-        ("growth.holds", GrowthMessage::Holds { version: FormVersion(1103) }),
-        ("growth.today", GrowthMessage::Today { day: Day(20_004) }),
-        ("growth.table", GrowthMessage::Table { form: form(1104) }),
-        ("growth.caches", GrowthMessage::Caches { listed }),
-        ("growth.ended", GrowthMessage::Ended { shard: Shard(204), days }),
+        ("growth.sketch_read", sketch(SketchKind::Read)),
+        ("growth.sketch_written", sketch(SketchKind::Written)),
+        ("growth.counted", GrowthMessage::Counters { day, counters }),
+        ("growth.holds", GrowthMessage::AppliedVersion { version: ShardMapVersion(1103) }),
+        ("growth.today", GrowthMessage::CurrentDay { day: AccountingDay(20_004) }),
+        ("growth.table", GrowthMessage::ShardMap { shard_map: shard_map(1104) }),
+        ("growth.caches", GrowthMessage::Endpoints { endpoints }),
+        ("growth.ended", GrowthMessage::ClosedDays { shard: ShardId(204), days }),
         ("growth.origin_slow", GrowthMessage::OriginSlow),
     ];
-    messages.extend(votes().into_iter().map(|(name, vote)| (name, GrowthMessage::Vote(vote))));
+    messages.extend(votes().into_iter().map(|(name, vote)| (name, GrowthMessage::Consensus(vote))));
     messages
 }
 
@@ -307,7 +333,7 @@
     assert_has_all_variants(&all_steps());
     assert_has_all_variants(&all_hows());
     assert_has_all_variants(&all_standings());
-    assert_has_all_variants(&[Of::Read, Of::Written]);
+    assert_has_all_variants(&[SketchKind::Read, SketchKind::Written]);
     assert_has_all_variants(&[from_planner().member, from_forwarder().member]);
 }
 
