--- a/crates/coordination/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -10,7 +10,8 @@
 use granitelb_balancer::slot_table::{place_of, shard_of};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::shard_growth::accounting_day::{AccountingDay, DayOfMonth, FrozenPeriod};
-use granitelb_coordination::shard_growth::history::{CapacityForecast, ClosedDay, GrowthHistory};
+use granitelb_coordination::shard_growth::capacity_forecast::CapacityForecast;
+use granitelb_coordination::shard_growth::history::{ClosedDay, GrowthHistory};
 use granitelb_coordination::shard_growth::shard_map::{ShardId, VersionedShardMap};
 use granitelb_coordination::shard_growth::split_schedule::{
     FleetConditions, Settings, ShardOutlook, SplitSchedule,
--- a/crates/coordination/src/shard_growth/consensus/mod.rs
+++ b/crates/coordination/src/shard_growth/consensus/mod.rs
@@ -110,11 +110,6 @@
         self.recovery.is_none()
     }
 
-    /// Whether a proposal of this planner is in progress.
-    pub fn is_proposing(&self) -> bool {
-        self.proposal.is_some()
-    }
-
     /// The acceptor's state, which has to be persisted.
     pub fn acceptor_state(&self) -> &AcceptorState {
         &self.acceptor.state
--- a/crates/coordination/src/shard_growth/history.rs
+++ b/crates/coordination/src/shard_growth/history.rs
@@ -7,7 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::accounting_day::AccountingDay;
-use super::forecast::{ForecastUnavailable, Point, forecast};
+use super::capacity_forecast::{CapacityForecast, forecast_capacity};
+use super::forecast::Point;
 use super::message::GrowthError;
 use super::shard_day::{ShardCounters, ShardDay};
 use super::shard_map::ShardId;
@@ -16,24 +17,6 @@
 /// The number of closed days that are kept of each shard.
 pub const MAX_DAYS: usize = 400;
 
-/// How many days ahead a shard's size is forecast; straight lines connect these horizons.
-pub const HORIZONS: [u32; 4] = [7, 14, 30, 60];
-
-/// A shard has outgrown its capacity if it exceeded it on [`MIN_DAYS_OVER_CAPACITY`] of this many recent days.
-const RECENT_DAYS: usize = 3;
-const MIN_DAYS_OVER_CAPACITY: usize = 2;
-
-/// When a shard outgrows its capacity, in days since 1 January 1970.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CapacityForecast {
-    /// The earliest day, by the upper bound of the forecast's interval. None if it lies beyond all horizons.
-    pub earliest: Option<f64>,
-    /// The most likely day, by the forecast itself. None if it lies beyond all horizons.
-    pub likely: Option<f64>,
-    /// Why there is no forecast yet.
-    pub unavailable: Option<ForecastUnavailable>,
-}
-
 /// What is kept of a shard's day once it is closed. The order of fields is the wire format and the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClosedDay {
@@ -196,13 +179,7 @@
         let days = self.closed_days.get(&shard).into_iter().flatten();
         let points: Vec<Point> =
             days.map(|closed| Point { day: closed.day, value: f64::from(closed.bytes) }).collect();
-        let Some(last) = points.last() else { return CapacityForecast::default() };
-        let today = f64::from(last.day.0);
-        if has_outgrown(&points, capacity_bytes) {
-            // It is too late already, whatever a forecast says.
-            return CapacityForecast { earliest: Some(today), likely: Some(today), unavailable: None };
-        }
-        forecast_crossings(&points, last.value, today, capacity_bytes)
+        forecast_capacity(&points, capacity_bytes)
     }
 
     /// The number of entries held; a sketch counts for its registers.
@@ -225,64 +202,3 @@
     }
     true
 }
-
-fn has_outgrown(points: &[Point], capacity_bytes: f64) -> bool {
-    let recent = points.iter().rev().take(RECENT_DAYS);
-    recent.filter(|point| point.value >= capacity_bytes).count() >= MIN_DAYS_OVER_CAPACITY
-}
-
-/// A point of a line that is forecast: days from the last closed day, and bytes.
-#[derive(Clone, Copy)]
-struct LinePoint {
-    days_ahead: f64,
-    bytes: f64,
-}
-
-/// When the straight lines between the horizons cross the capacity.
-fn forecast_crossings(
-    points: &[Point],
-    last_bytes: f64,
-    today: f64,
-    capacity_bytes: f64,
-) -> CapacityForecast {
-    let start = LinePoint { days_ahead: 0.0, bytes: last_bytes };
-    let mut likely_from = start;
-    let mut upper_from = start;
-    let mut crossings = CapacityForecast::default();
-    for horizon in HORIZONS {
-        let forecast = match forecast(points, horizon) {
-            Ok(forecast) => forecast,
-            Err(unavailable) => {
-                // Longer horizons need more days; the shorter ones stand.
-                if horizon == HORIZONS[0] {
-                    crossings.unavailable = Some(unavailable);
-                }
-                break;
-            }
-        };
-        let days_ahead = f64::from(horizon);
-        let upper_to = LinePoint { days_ahead, bytes: forecast.high };
-        let likely_to = LinePoint { days_ahead, bytes: forecast.value };
-        if crossings.earliest.is_none() {
-            crossings.earliest = crossing(upper_from, upper_to, capacity_bytes).map(|days| today + days);
-        }
-        if crossings.likely.is_none() {
-            crossings.likely = crossing(likely_from, likely_to, capacity_bytes).map(|days| today + days);
-        }
-        likely_from = likely_to;
-        upper_from = upper_to;
-    }
-    crossings
-}
-
-/// How many days ahead the line between two points reaches the capacity, if it does.
-fn crossing(from: LinePoint, to: LinePoint, capacity_bytes: f64) -> Option<f64> {
-    if from.bytes >= capacity_bytes {
-        return Some(from.days_ahead);
-    }
-    if to.bytes < capacity_bytes {
-        return None;
-    }
-    let days = to.days_ahead - from.days_ahead;
-    Some(from.days_ahead + days * (capacity_bytes - from.bytes) / (to.bytes - from.bytes))
-}
--- a/crates/coordination/src/shard_growth/mod.rs
+++ b/crates/coordination/src/shard_growth/mod.rs
@@ -12,6 +12,7 @@
 #![warn(missing_docs)]
 
 pub mod accounting_day;
+pub mod capacity_forecast;
 pub mod consensus;
 pub mod endpoints;
 pub mod forecast;
--- a/crates/coordination/src/shard_growth/planner/forecasts.rs
+++ b/crates/coordination/src/shard_growth/planner/forecasts.rs
@@ -2,7 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::shard_growth::history::{CapacityForecast, GrowthHistory};
+use crate::shard_growth::capacity_forecast::CapacityForecast;
+use crate::shard_growth::history::GrowthHistory;
 use crate::shard_growth::shard_map::{ShardId, VersionedShardMap};
 
 /// Forecasts, and the shards that are to be forecast anew.
--- a/crates/coordination/src/shard_growth/planner/mod.rs
+++ b/crates/coordination/src/shard_growth/planner/mod.rs
@@ -29,8 +29,9 @@
 use outbox::{EventLog, Outbox};
 
 use super::accounting_day::{AccountingDay, Calendar, CalendarMoment};
+use super::capacity_forecast::CapacityForecast;
 use super::consensus::Consensus;
-use super::history::{CapacityForecast, GrowthHistory, HistoryCursor};
+use super::history::{GrowthHistory, HistoryCursor};
 use super::message::{GrowthError, GrowthMessage};
 use super::shard_map::{ShardId, ShardMapVersion, VersionedShardMap};
 use super::snapshot::{Snapshot, SnapshotError};
--- a/crates/coordination/src/shard_growth/planner/proposals.rs
+++ b/crates/coordination/src/shard_growth/planner/proposals.rs
@@ -4,7 +4,7 @@
 
 use super::PlannerComponent;
 use crate::shard_growth::accounting_day::CalendarMoment;
-use crate::shard_growth::history::CapacityForecast;
+use crate::shard_growth::capacity_forecast::CapacityForecast;
 use crate::shard_growth::shard_map::{MAX_SPLIT_BITS, ShardId, SplitPhase};
 use crate::shard_growth::split_schedule::{ProposedChange, ShardOutlook, ShardOutlooks};
 
--- a/crates/coordination/src/shard_growth/split_schedule/mod.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/mod.rs
@@ -13,17 +13,21 @@
 //! check: a split can be withdrawn whenever a majority of planners is live.
 
 mod conditions;
+mod context;
+mod queue;
 mod settings;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 
 pub use conditions::{FleetConditions, ProposedChange, Reason, ShardOutlook, ShardOutlooks};
 pub use settings::Settings;
 
-use super::shard_map::{COPY_STEPS, MAX_SPLIT_BITS, ShardId, ShardLayout, SplitPhase, VersionedShardMap};
+use context::{SplitContext, SplitStep, obstacle};
+use queue::{SplitInProgress, by_urgency, next_foreseen};
+
+use super::shard_map::{COPY_STEPS, ShardId, ShardLayout, SplitPhase, VersionedShardMap};
 
 /// A split that would need longer than this for one copying step, in seconds, does not start.
 const MAX_COPY_STEP_SECONDS: f64 = 1e9;
@@ -47,52 +51,6 @@
     pause: Option<Pause>,
 }
 
-/// Since when a split is in its phase, and what it waits for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SplitProgress {
-    /// When the leader first saw the split in its present phase.
-    pub entered_at: Time,
-    /// The fault that pauses it.
-    pub paused_by: Option<Reason>,
-}
-
-/// A step of one split.
-struct SplitStep {
-    to: ShardLayout,
-    reason: Reason,
-}
-
-/// One split, and all that its next step depends on.
-struct SplitContext<'a> {
-    now: Time,
-    shard: ShardId,
-    layout: ShardLayout,
-    phase: SplitPhase,
-    shard_map: &'a VersionedShardMap,
-    conditions: &'a FleetConditions,
-    outlooks: &'a ShardOutlooks,
-    outlook: &'a ShardOutlook,
-    /// Whether enough is known of the shard. If not, the split does not advance.
-    is_known: bool,
-}
-
-impl SplitContext<'_> {
-    /// The step to another phase of the same split.
-    fn to_phase(&self, phase: SplitPhase, reason: Reason) -> SplitStep {
-        SplitStep { to: ShardLayout { phase: Some(phase), ..self.layout }, reason }
-    }
-
-    /// The step by which the split ends without effect.
-    fn to_unsplit(&self, reason: Reason) -> SplitStep {
-        SplitStep { to: ShardLayout { phase: None, ..self.layout }, reason }
-    }
-
-    /// The step by which the split is complete.
-    fn to_complete(&self) -> SplitStep {
-        SplitStep { to: ShardLayout { bits: self.layout.bits + 1, phase: None }, reason: Reason::Due }
-    }
-}
-
 /// The schedule of all splits, at the planner that leads.
 #[derive(Clone, Debug)]
 pub struct SplitSchedule {
@@ -120,12 +78,6 @@
         Some(self.settings.planned_duration + copying + self.settings.dual_read_duration)
     }
 
-    /// Since when a split is in its phase, and what pauses it. None for a shard without a split.
-    pub fn progress(&self, shard: ShardId) -> Option<SplitProgress> {
-        let timer = self.timers.get(&shard)?;
-        Some(SplitProgress { entered_at: timer.entered_at, paused_by: timer.pause.map(|pause| pause.reason) })
-    }
-
     /// The number of entries held.
     pub fn entries(&self) -> usize {
         self.timers.len() + self.requested_withdrawals.len()
@@ -145,7 +97,7 @@
             return None;
         }
         let unknown = ShardOutlook::default();
-        for (shard, layout, phase) in by_urgency(shard_map, outlooks) {
+        for SplitInProgress { shard, layout, phase } in by_urgency(shard_map, outlooks) {
             let split = SplitContext {
                 now,
                 shard,
@@ -299,7 +251,7 @@
     fn activation_obstacle(&self, split: &SplitContext<'_>, duration: Span) -> Option<Reason> {
         let mut active_splits = 0;
         for (other, layout) in &split.shard_map.shards {
-            if !is_active(*layout) {
+            if !layout.phase.is_some_and(SplitPhase::is_active) {
                 continue;
             }
             active_splits += 1;
@@ -338,58 +290,6 @@
     }
 }
 
-/// What keeps a split from advancing now.
-fn obstacle(conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Reason> {
-    let first_of =
-        |endpoints: &BTreeSet<EndpointId>| outlook.endpoints.intersection(endpoints).next().copied();
-    if conditions.lacks_planner_majority {
-        return Some(Reason::NoPlannerMajority);
-    }
-    if let Some(endpoint) = first_of(&conditions.failing) {
-        return Some(Reason::EndpointFails(endpoint));
-    }
-    if let Some(endpoint) = first_of(&conditions.warming_up) {
-        return Some(Reason::EndpointWarmingUp(endpoint));
-    }
-    if conditions.is_origin_slow {
-        return Some(Reason::OriginSlow);
-    }
-    if conditions.is_frozen() { Some(Reason::Frozen) } else { None }
-}
-
-fn is_active(layout: ShardLayout) -> bool {
-    layout.phase.is_some_and(SplitPhase::is_active)
-}
-
-/// Splits in progress: active ones first, then those whose earliest forecast day is nearest.
-fn by_urgency(
-    shard_map: &VersionedShardMap,
-    outlooks: &ShardOutlooks,
-) -> Vec<(ShardId, ShardLayout, SplitPhase)> {
-    let earliest =
-        |shard: &ShardId| outlooks.get(shard).and_then(|outlook| outlook.earliest).unwrap_or(Span(u64::MAX));
-    let mut splits: Vec<_> = shard_map
-        .shards
-        .iter()
-        .filter_map(|(shard, layout)| Some((*shard, *layout, layout.phase?)))
-        .collect();
-    splits.sort_by_key(|(shard, layout, _)| (!is_active(*layout), earliest(shard), *shard));
-    splits
-}
-
-/// The unsplit shard that may outgrow its endpoints soonest.
-fn next_foreseen(shard_map: &VersionedShardMap, outlooks: &ShardOutlooks) -> Option<ShardId> {
-    let may_split = |shard: ShardId| {
-        let layout = shard_map.layout(shard);
-        layout.phase.is_none() && layout.bits < MAX_SPLIT_BITS
-    };
-    let foreseen = outlooks
-        .iter()
-        .filter(|(shard, _)| may_split(**shard))
-        .filter_map(|(shard, outlook)| Some((outlook.earliest?, *shard)));
-    foreseen.min().map(|(_, shard)| shard)
-}
-
 fn proposed_change(shard_map: &VersionedShardMap, shard: ShardId, step: SplitStep) -> ProposedChange {
     ProposedChange {
         shard,
--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -3,6 +3,7 @@
 mod growth_consensus;
 mod growth_components;
 mod growth_forecast;
+mod growth_simulation;
 mod growth_split_schedule;
 mod hindsight;
 mod hindsight_lottery;
