--- a/crates/control-plane/src/fleet_config/settings.rs
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -42,19 +42,19 @@
     }
 
     /// The settings of shard growth at a planner; `None` if it is disabled.
-    pub fn growth_settings(&self) -> Option<shard_growth::Settings> {
+    pub fn growth_settings(&self) -> Option<shard_growth::PlannerSettings> {
         let section = self.shard_growth.as_ref()?;
-        let defaults = shard_growth::Settings::default();
-        Some(shard_growth::Settings {
-            beat: section.scale_interval(defaults.beat),
-            retry: section.scale_interval(defaults.retry),
-            listed: section.scale_interval(defaults.listed),
-            slow: section.scale_interval(defaults.slow),
+        let defaults = shard_growth::PlannerSettings::default();
+        Some(shard_growth::PlannerSettings {
+            heartbeat_interval: section.scale_interval(defaults.heartbeat_interval),
+            proposal_retry_interval: section.scale_interval(defaults.proposal_retry_interval),
+            endpoint_report_ttl: section.scale_interval(defaults.endpoint_report_ttl),
+            slow_origin_report_ttl: section.scale_interval(defaults.slow_origin_report_ttl),
             planners: self.planners.keys().copied().collect(),
             schedule: section.schedule(),
-            day: Span::from_millis(section.day_ms),
-            room: Some(section.shard_bytes as f64),
-            frozen: section.frozen_days.iter().copied().collect(),
+            day_length: Span::from_millis(section.day_ms),
+            shard_capacity_bytes: Some(section.shard_bytes as f64),
+            frozen_days: section.frozen_days.iter().copied().collect(),
             ..defaults
         })
     }
@@ -63,17 +63,17 @@
     pub fn growth_forwarder_settings(&self) -> Option<shard_growth::ForwarderSettings> {
         let section = self.shard_growth.as_ref()?;
         let defaults = shard_growth::ForwarderSettings::default();
-        let round = if section.has_short_days() {
+        let report_round = if section.has_short_days() {
             Span::from_millis(section.day_ms).scaled(SHORT_DAY_ROUND_SCALE)
         } else {
-            defaults.round
+            defaults.report_round
         };
         Some(shard_growth::ForwarderSettings {
-            round,
-            beat: section.scale_interval(defaults.beat),
-            lately: section.scale_to_day(defaults.lately),
-            lists: section.scale_interval(defaults.lists),
-            fetches: section.scale_interval(defaults.fetches),
+            report_round,
+            heartbeat_interval: section.scale_interval(defaults.heartbeat_interval),
+            eviction_window: section.scale_to_day(defaults.eviction_window),
+            endpoint_report_interval: section.scale_interval(defaults.endpoint_report_interval),
+            fetch_time_constant: section.scale_interval(defaults.fetch_time_constant),
         })
     }
 
@@ -117,26 +117,26 @@
         }
     }
 
-    fn schedule(&self) -> shard_growth::schedule::Settings {
-        let defaults = shard_growth::schedule::Settings::default();
-        let schedule = shard_growth::schedule::Settings {
-            most: self.max_concurrent_splits,
-            part: self.scale_to_day(defaults.part),
-            planned: self.scale_to_day(defaults.planned),
-            both_read: self.scale_to_day(defaults.both_read),
-            watched: self.scale_to_day(defaults.watched),
-            patience: self.scale_to_day(defaults.patience),
-            rests: self.scale_to_day(defaults.rests),
+    fn schedule(&self) -> shard_growth::split_schedule::Settings {
+        let defaults = shard_growth::split_schedule::Settings::default();
+        let schedule = shard_growth::split_schedule::Settings {
+            max_active_splits: self.max_concurrent_splits,
+            copy_step_duration: self.scale_to_day(defaults.copy_step_duration),
+            planned_duration: self.scale_to_day(defaults.planned_duration),
+            dual_read_duration: self.scale_to_day(defaults.dual_read_duration),
+            switched_duration: self.scale_to_day(defaults.switched_duration),
+            fault_patience: self.scale_to_day(defaults.fault_patience),
+            withdrawn_duration: self.scale_to_day(defaults.withdrawn_duration),
             ..defaults
         };
         let Some(step) = self.step_ms.map(Span::from_millis) else { return schedule };
-        shard_growth::schedule::Settings {
-            part: step.scaled(COPY_PART_SCALE),
-            patience: step.scaled(FAULT_PATIENCE_SCALE),
-            planned: step,
-            both_read: step,
-            watched: step,
-            rests: step,
+        shard_growth::split_schedule::Settings {
+            copy_step_duration: step.scaled(COPY_PART_SCALE),
+            fault_patience: step.scaled(FAULT_PATIENCE_SCALE),
+            planned_duration: step,
+            dual_read_duration: step,
+            switched_duration: step,
+            withdrawn_duration: step,
             ..schedule
         }
     }
--- a/crates/control-plane/src/planner/component_status.rs
+++ b/crates/control-plane/src/planner/component_status.rs
@@ -8,8 +8,8 @@
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::leases::Surplus;
-use granitelb_coordination::shard_growth::Fleet;
-use granitelb_coordination::shard_growth::form::FormVersion;
+use granitelb_coordination::shard_growth::FleetStatus;
+use granitelb_coordination::shard_growth::shard_map::ShardMapVersion;
 use tokio::sync::watch;
 
 /// How often components publish and read status.
@@ -34,7 +34,7 @@
     failing_endpoints: watch::Sender<Option<Timestamped<BTreeSet<EndpointId>>>>,
     spare_capacity: watch::Sender<Option<Timestamped<Surplus>>>,
     /// Does not expire.
-    shard_map_version: watch::Sender<Option<FormVersion>>,
+    shard_map_version: watch::Sender<Option<ShardMapVersion>>,
 }
 
 impl ComponentStatus {
@@ -58,12 +58,12 @@
     }
 
     /// Publishes the version at which the shard map last changed.
-    pub(super) fn publish_shard_map_version(&self, version: FormVersion) {
+    pub(super) fn publish_shard_map_version(&self, version: ShardMapVersion) {
         self.shard_map_version.send_replace(Some(version));
     }
 
     /// The version at which the shard map last changed, if shard growth has published one.
-    pub(super) fn shard_map_version(&self) -> Option<FormVersion> {
+    pub(super) fn shard_map_version(&self) -> Option<ShardMapVersion> {
         *self.shard_map_version.borrow()
     }
 
@@ -71,7 +71,12 @@
     ///
     /// Without leases, the spare capacity is the configured one. With leases it is what they leave, but at most the
     /// configured one.
-    pub(super) fn fleet(&self, now: Time, has_leases: bool, configured_per_s: Option<f64>) -> Option<Fleet> {
+    pub(super) fn fleet(
+        &self,
+        now: Time,
+        has_leases: bool,
+        configured_per_s: Option<f64>,
+    ) -> Option<FleetStatus> {
         let failing = self.failing_endpoints.borrow().as_ref()?.unexpired(now).cloned()?;
         let spare = if has_leases {
             let published = *self.spare_capacity.borrow().as_ref()?.unexpired(now)?;
@@ -80,7 +85,11 @@
         } else {
             Surplus { fetches_per_second: configured_per_s?, has_unmet_demand: false }
         };
-        Some(Fleet { failing, origin_slow: spare.has_unmet_demand, spare_fetches: spare.fetches_per_second })
+        Some(FleetStatus {
+            failing,
+            is_origin_slow: spare.has_unmet_demand,
+            spare_fetches_per_second: spare.fetches_per_second,
+        })
     }
 }
 
--- a/crates/control-plane/src/planner/component_status/tests.rs
+++ b/crates/control-plane/src/planner/component_status/tests.rs
@@ -15,10 +15,10 @@
     status.publish_failing_endpoints(now, BTreeSet::from([EndpointId(1)]));
     assert_eq!(status.fleet(now, true, Some(10.0)), None, "the spare capacity is unknown");
     assert_eq!(status.fleet(now, false, None), None);
-    assert_eq!(status.fleet(now, false, Some(10.0)).map(|f| f.spare_fetches), Some(10.0));
+    assert_eq!(status.fleet(now, false, Some(10.0)).map(|f| f.spare_fetches_per_second), Some(10.0));
     status.publish_spare_capacity(now, Some(spare));
-    assert_eq!(status.fleet(now, true, None).map(|f| f.spare_fetches), Some(50.0));
-    assert_eq!(status.fleet(now, true, Some(10.0)).map(|f| f.spare_fetches), Some(10.0));
+    assert_eq!(status.fleet(now, true, None).map(|f| f.spare_fetches_per_second), Some(50.0));
+    assert_eq!(status.fleet(now, true, Some(10.0)).map(|f| f.spare_fetches_per_second), Some(10.0));
     assert_eq!(status.fleet(now + STATUS_EXPIRY, true, Some(10.0)), None, "the entries have expired");
     status.publish_spare_capacity(now, None);
     assert_eq!(status.fleet(now, true, None), None, "leases wait after a start");
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -140,8 +140,8 @@
             let now = context.now;
             let settings = context.fleet_config.growth_settings().ok_or_else(disabled)?;
             // The process's clock is Unix time, so all planners are on the same accounting day, or soon will be.
-            let day = shard_growth::sketch::Day((now.0 / settings.day.0) as u32);
-            let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day.0) };
+            let day = shard_growth::accounting_day::AccountingDay((now.0 / settings.day_length.0) as u32);
+            let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day_length.0) };
             let component = shard_growth::PlannerComponent::new(
                 settings,
                 me,
@@ -160,8 +160,8 @@
         exchange_status: Some(Box::new(|component, now, fleet_config, status| {
             let configured_per_s =
                 fleet_config.shard_growth.as_ref().and_then(|growth| growth.spare_fetches_per_s);
-            component.fleet(status.fleet(now, fleet_config.leases.is_some(), configured_per_s));
-            status.publish_shard_map_version(component.new_table());
+            component.set_fleet_status(status.fleet(now, fleet_config.leases.is_some(), configured_per_s));
+            status.publish_shard_map_version(component.last_migration_version());
         })),
     }
 }
--- a/crates/control-plane/src/planner/components/tests.rs
+++ b/crates/control-plane/src/planner/components/tests.rs
@@ -3,7 +3,7 @@
 use granitelb_coordination::counterfactual::{
     CounterfactualMessage, PlannerComponent, SampledRequest, ServiceOutcome, Settings, is_sampled,
 };
-use granitelb_coordination::shard_growth::form::FormVersion;
+use granitelb_coordination::shard_growth::shard_map::ShardMapVersion;
 use granitelb_coordination::{Incarnation, PlannerId, Sender};
 
 use super::forget_samples_of_old_shard_maps;
@@ -43,9 +43,9 @@
         planner.request_count()
     };
     assert_eq!(samples_after(&mut planner, 100, 1), 1, "shard growth has published nothing");
-    status.publish_shard_map_version(FormVersion(0));
+    status.publish_shard_map_version(ShardMapVersion(0));
     assert_eq!(samples_after(&mut planner, 200, 2), 2, "shard growth has seen no new map");
-    status.publish_shard_map_version(FormVersion(7));
+    status.publish_shard_map_version(ShardMapVersion(7));
     assert_eq!(samples_after(&mut planner, 300, 3), 0);
     assert_eq!(samples_after(&mut planner, 400, 4), 1, "a new map is notified once");
 }
--- a/crates/control-plane/tests/disk_failures.rs
+++ b/crates/control-plane/tests/disk_failures.rs
@@ -6,7 +6,7 @@
 use granitelb_control_plane::clock::Clock;
 use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::Message;
-use granitelb_coordination::shard_growth::form::Step;
+use granitelb_coordination::shard_growth::shard_map::SplitPhase;
 
 use crate::support::growing_fleet::{GROWING_SHARDS, GrowingFleet, step_rank};
 
@@ -38,7 +38,7 @@
     panic!("planner {planner} grants nothing: {:?}", growing.auditor.grants);
 }
 
-fn is_at(step: Step) -> impl Fn(&GrowingFleet) -> bool {
+fn is_at(step: SplitPhase) -> impl Fn(&GrowingFleet) -> bool {
     move |growing| step_rank(growing.auditor.latest(GROWING_SHARDS[0]).step) >= step_rank(Some(step))
 }
 
@@ -52,7 +52,7 @@
 fn full_disk_stops_only_what_depends_on_it_until_there_is_space() {
     let mut growing =
         GrowingFleet::start(300, "spare_per_s = 1000000.0\n[leases]\norigin_per_s = 100000.0\n");
-    growing.run_until("foreseen", PROGRESS_TIMEOUT, is_at(Step::Foreseen));
+    growing.run_until("foreseen", PROGRESS_TIMEOUT, is_at(SplitPhase::Foreseen));
     growing.planners[&2].limit_file_size(Some(4096));
     growing.run_until("failing to store", PROGRESS_TIMEOUT, |g| {
         !g.planners[&2].events("snapshot_write_failed").is_empty()
@@ -85,7 +85,7 @@
 #[test]
 fn removed_folder_is_recreated_and_the_planner_continues_with_its_state() {
     let mut growing = GrowingFleet::start(300, "spare_per_s = 1000000.0\n");
-    growing.run_until("foreseen", PROGRESS_TIMEOUT, is_at(Step::Foreseen));
+    growing.run_until("foreseen", PROGRESS_TIMEOUT, is_at(SplitPhase::Foreseen));
     fs::remove_dir_all(growing.fleet.path("state-1")).expect("the folder exists");
     growing.run_until("storing again", PROGRESS_TIMEOUT, |g| {
         !g.planners[&1].events("snapshot_write_recovered").is_empty()
--- a/crates/control-plane/tests/remediation.rs
+++ b/crates/control-plane/tests/remediation.rs
@@ -87,10 +87,10 @@
             Leases::UnsolicitedGrant => Leases::UnsolicitedGrant, Leases::UnexpectedMessage => Leases::UnexpectedMessage, Leases::NoMembers => Leases::NoMembers,
             Leases::SharesExceedCapacity => Leases::SharesExceedCapacity, Leases::InvalidDurations => Leases::InvalidDurations),
         all!(Growth:
-            Growth::Stranger => Growth::Stranger, Growth::Nonsense => Growth::Nonsense, Growth::OldDay => Growth::OldDay,
-            Growth::Full => Growth::Full),
+            Growth::UnexpectedSender => Growth::UnexpectedSender, Growth::InvalidValue => Growth::InvalidValue, Growth::DayClosed => Growth::DayClosed,
+            Growth::CapacityExceeded => Growth::CapacityExceeded),
         all!(SnapshotError:
-            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Torn => SnapshotError::Torn),
+            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Corrupt => SnapshotError::Corrupt),
         all!(Judged:
             Judged::InvalidValue => Judged::InvalidValue, Judged::NotSampled => Judged::NotSampled,
             Judged::WrongRole => Judged::WrongRole),
--- a/crates/control-plane/tests/shard_growth.rs
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -9,7 +9,7 @@
 use granitelb_coordination::endpoint_health::{EndpointCounts, Fragment, HealthMessage, HealthReport};
 use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
 use granitelb_coordination::message::Message;
-use granitelb_coordination::shard_growth::form::{Form, Step};
+use granitelb_coordination::shard_growth::shard_map::{SplitPhase, VersionedShardMap};
 
 use crate::support::growing_fleet::{GROWING_SHARDS, GrowingFleet, caches, step_rank};
 
@@ -30,7 +30,7 @@
 
 /// Whether all forwarders use the latest shard map.
 fn have_all_the_latest_map(growing: &GrowingFleet) -> bool {
-    let latest = growing.auditor.shard_maps.values().last().map(Form::for_module);
+    let latest = growing.auditor.shard_maps.values().last().map(VersionedShardMap::to_balancer_shard_map);
     growing.nodes.iter().all(|node| node.shard_map() == latest)
 }
 
@@ -60,20 +60,28 @@
 #[test]
 fn another_planner_continues_when_the_leader_is_killed_at_any_step() {
     let mut growing = GrowingFleet::start(300, "spare_per_s = 1000000.0\n");
-    let steps =
-        [Step::Foreseen, Step::Planned, Step::Copying(1), Step::Copying(9), Step::BothRead, Step::Switched];
+    let steps = [
+        SplitPhase::Foreseen,
+        SplitPhase::Planned,
+        SplitPhase::Copying(1),
+        SplitPhase::Copying(9),
+        SplitPhase::DualRead,
+        SplitPhase::Switched,
+    ];
     for step in steps {
         let rank = step_rank(Some(step));
         growing.run_until(&format!("at {step:?}"), PROGRESS_TIMEOUT, |g| {
             g.auditor.latest(GROWING_SHARDS[0]).splits == 1 || current_rank(g) >= rank
         });
-        let is_store_lost = step == Step::Copying(9);
+        let is_store_lost = step == SplitPhase::Copying(9);
         fail_over(&mut growing, if is_store_lost { StoreAfterKill::Lost } else { StoreAfterKill::Intact });
     }
     growing.run_until("split", PROGRESS_TIMEOUT, are_all_split_once);
     growing.run_until("of one shard map", PROGRESS_TIMEOUT, have_all_the_latest_map);
     growing.auditor.check_steps();
-    let is_withdrawn = |form: &Form| form.shards.values().any(|s| s.step == Some(Step::Withdrawn));
+    let is_withdrawn = |shard_map: &VersionedShardMap| {
+        shard_map.shards.values().any(|s| s.phase == Some(SplitPhase::Withdrawn))
+    };
     assert!(
         !growing.auditor.shard_maps.values().any(is_withdrawn),
         "killed planners are no reason to withdraw a split"
@@ -126,7 +134,7 @@
 }
 
 /// Reports a fault until the split has made no step for four messages in a row.
-fn report_until_paused(growing: &mut GrowingFleet, create: &CreateMessage, step: Step) {
+fn report_until_paused(growing: &mut GrowingFleet, create: &CreateMessage, step: SplitPhase) {
     // A part of the copying takes a quarter of a second.
     let mut shard_maps = 0;
     let mut unchanged = 0;
@@ -142,7 +150,7 @@
     panic!("the split continues past {step:?}");
 }
 
-fn run_until_step(growing: &mut GrowingFleet, step: Step) {
+fn run_until_step(growing: &mut GrowingFleet, step: SplitPhase) {
     let rank = step_rank(Some(step));
     growing.run_until(&format!("at {step:?}"), PROGRESS_TIMEOUT, |g| current_rank(g) >= rank);
 }
@@ -155,14 +163,16 @@
     let failing_cache =
         ReportedFault { begin: Box::new(health_report(5.0, 0.0)), end: Box::new(health_report(0.0, 5.0)) };
     // Both last for less time than a split waits.
-    for (step, fault) in [(Step::Copying(2), slow_origin), (Step::Copying(7), failing_cache)] {
+    for (step, fault) in [(SplitPhase::Copying(2), slow_origin), (SplitPhase::Copying(7), failing_cache)] {
         run_until_step(&mut growing, step);
         report_until_paused(&mut growing, &fault.begin, step);
         send_repeatedly(&mut growing, 2, &fault.end);
     }
-    run_until_step(&mut growing, Step::Copying(11));
+    run_until_step(&mut growing, SplitPhase::Copying(11));
     send_repeatedly(&mut growing, 25, lease_request(EXCESSIVE_AMOUNT));
-    let is_withdrawn = |form: &Form| form.of(GROWING_SHARDS[0]).step == Some(Step::Withdrawn);
+    let is_withdrawn = |shard_map: &VersionedShardMap| {
+        shard_map.layout(GROWING_SHARDS[0]).phase == Some(SplitPhase::Withdrawn)
+    };
     let shard_maps = &growing.auditor.shard_maps;
     assert!(shard_maps.values().any(is_withdrawn), "{:?}", shard_maps.values().last());
     growing.auditor.check_steps();
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -13,10 +13,15 @@
 use granitelb_coordination::component::Component;
 use granitelb_coordination::leases::{self, Demand, Resource};
 use granitelb_coordination::message::ComponentKind;
-use granitelb_coordination::shard_growth::agree::{Ballot, Kept, Vote};
-use granitelb_coordination::shard_growth::form::{Form, FormVersion, ShardForm, Step};
-use granitelb_coordination::shard_growth::sketch::{Day, Shard};
-use granitelb_coordination::shard_growth::{self, Archive, Calendar};
+use granitelb_coordination::shard_growth::accounting_day::AccountingDay;
+use granitelb_coordination::shard_growth::consensus::{
+    AcceptedProposal, AcceptorState, Ballot, ConsensusMessage,
+};
+use granitelb_coordination::shard_growth::history::ClosedDay;
+use granitelb_coordination::shard_growth::shard_map::{
+    ShardId, ShardLayout, ShardMapVersion, SplitPhase, VersionedShardMap,
+};
+use granitelb_coordination::shard_growth::{self, Calendar, Snapshot};
 use granitelb_coordination::{
     ForwarderId, Incarnation, Member, PlannerId, Sender, counterfactual, endpoint_health,
 };
@@ -84,33 +89,39 @@
 /// Shard growth at this planner of three, restored from a snapshot.
 fn growth_from(incarnation: Incarnation, snapshot: Option<&[u8]>) -> shard_growth::PlannerComponent {
     let planners = [1, 2, 3].map(PlannerId).into();
-    let settings = shard_growth::Settings { planners, ..shard_growth::Settings::default() };
-    let calendar = Calendar { at: NOW, day: Day(20_000), into: Span::ZERO };
+    let settings = shard_growth::PlannerSettings { planners, ..shard_growth::PlannerSettings::default() };
+    let calendar = Calendar { at: NOW, day: AccountingDay(20_000), into: Span::ZERO };
     shard_growth::PlannerComponent::new(settings, PLANNER, incarnation, NOW, calendar, snapshot)
         .expect("the snapshot can be read")
 }
 
 /// A shard map with a stable shard and one in the middle of a split.
-fn shard_map(version: u64, copied: u8) -> Form {
-    let stable = ShardForm { bits: 2, step: None };
-    let splitting = ShardForm { bits: 1, step: Some(Step::Copying(copied)) };
-    Form { version: FormVersion(version), shards: [(Shard(17), stable), (Shard(200), splitting)].into() }
+fn shard_map(version: u64, copied: u8) -> VersionedShardMap {
+    let stable = ShardLayout { bits: 2, phase: None };
+    let splitting = ShardLayout { bits: 1, phase: Some(SplitPhase::Copying(copied)) };
+    VersionedShardMap {
+        version: ShardMapVersion(version),
+        shards: [(ShardId(17), stable), (ShardId(200), splitting)].into(),
+    }
 }
 
 fn ballot(round: u64, planner: u8) -> Ballot {
     Ballot { round, planner, incarnation: 100 + u64::from(planner) }
 }
 
-fn prepare(round: u64, planner: u8) -> Vote {
-    Vote::Prepare { version: FormVersion(41), ballot: ballot(round, planner) }
+fn prepare(round: u64, planner: u8) -> ConsensusMessage {
+    ConsensusMessage::Prepare { version: ShardMapVersion(41), ballot: ballot(round, planner) }
 }
 
-fn days() -> Vec<(Day, f32, f32)> {
-    vec![(Day(19_900), 1234.5, 67.25), (Day(19_902), 2345.5, 78.25)]
+fn days() -> Vec<ClosedDay> {
+    vec![
+        ClosedDay { day: AccountingDay(19_900), bytes: 1234.5, keys: 67.25 },
+        ClosedDay { day: AccountingDay(19_902), bytes: 2345.5, keys: 78.25 },
+    ]
 }
 
-fn receive_vote(component: &mut shard_growth::PlannerComponent, from: u8, vote: Vote) {
-    let message = shard_growth::GrowthMessage::Vote(vote);
+fn receive_vote(component: &mut shard_growth::PlannerComponent, from: u8, vote: ConsensusMessage) {
+    let message = shard_growth::GrowthMessage::Consensus(vote);
     component.on_message(NOW, planner(from, 100 + u64::from(from)), message).expect("it is accepted");
 }
 
@@ -119,32 +130,45 @@
 fn growth_that_voted() -> shard_growth::PlannerComponent {
     let mut component = growth_from(INCARNATION, None);
     for other in [1, 2] {
-        let decided = FormVersion(0);
+        let decided = ShardMapVersion(0);
         let promised = Ballot::default();
         receive_vote(
             &mut component,
             other,
-            Vote::Here { to_life: INCARNATION.0, decided, promised, took: None },
+            ConsensusMessage::RecoveryResponse {
+                to_incarnation: INCARNATION.0,
+                decided,
+                promised,
+                accepted: None,
+            },
         );
     }
-    receive_vote(&mut component, 1, Vote::Decided { form: shard_map(40, 5) });
-    let ended = shard_growth::GrowthMessage::Ended { shard: Shard(17), days: days() };
+    receive_vote(&mut component, 1, ConsensusMessage::Decided { shard_map: shard_map(40, 5) });
+    let ended = shard_growth::GrowthMessage::ClosedDays { shard: ShardId(17), days: days() };
     component.on_message(NOW, planner(2, 102), ended).expect("it is accepted");
     receive_vote(&mut component, 1, prepare(9, 1));
-    receive_vote(&mut component, 1, Vote::Accept { ballot: ballot(9, 1), form: shard_map(41, 6) });
+    receive_vote(
+        &mut component,
+        1,
+        ConsensusMessage::Accept { ballot: ballot(9, 1), shard_map: shard_map(41, 6) },
+    );
     receive_vote(&mut component, 2, prepare(12, 2));
     component
 }
 
-fn persisted_votes() -> Kept {
-    Kept { decided: shard_map(40, 5), promised: ballot(12, 2), took: Some((ballot(9, 1), shard_map(41, 6))) }
+fn persisted_votes() -> AcceptorState {
+    AcceptorState {
+        decided: shard_map(40, 5),
+        promised: ballot(12, 2),
+        accepted: Some(AcceptedProposal { ballot: ballot(9, 1), shard_map: shard_map(41, 6) }),
+    }
 }
 
 /// Its answer to a vote, after the snapshot on which the answer relies was taken.
 fn answer(
     component: &mut shard_growth::PlannerComponent,
     from: u8,
-    vote: Vote,
+    vote: ConsensusMessage,
 ) -> Option<(Member, shard_growth::GrowthMessage)> {
     receive_vote(component, from, vote);
     component.poll_snapshot();
@@ -177,21 +201,25 @@
 
 #[test]
 fn growth_snapshot_contains_the_votes() {
-    let archive = Archive::of_bytes(&snapshots()["growth"]).expect("it can be read");
-    assert_eq!(archive, Archive { votes: Some(persisted_votes()), history: vec![(Shard(17), days())] });
+    let archive = Snapshot::from_bytes(&snapshots()["growth"]).expect("it can be read");
+    assert_eq!(
+        archive,
+        Snapshot { consensus: Some(persisted_votes()), history: vec![(ShardId(17), days())] }
+    );
 }
 
 #[test]
 fn restored_growth_honors_its_persisted_votes() {
     let state = &snapshots()["growth"];
     let mut component = growth_from(Incarnation(INCARNATION.0 + 1), Some(state));
-    assert_eq!(component.form(), &shard_map(40, 5));
-    let refused = Vote::Refused { version: FormVersion(41), promised: ballot(12, 2) };
-    let to_planner =
-        |number, vote| Some((Member::Planner(PlannerId(number)), shard_growth::GrowthMessage::Vote(vote)));
+    assert_eq!(component.shard_map(), &shard_map(40, 5));
+    let refused = ConsensusMessage::Rejected { version: ShardMapVersion(41), promised: ballot(12, 2) };
+    let to_planner = |number, vote| {
+        Some((Member::Planner(PlannerId(number)), shard_growth::GrowthMessage::Consensus(vote)))
+    };
     assert_eq!(answer(&mut component, 1, prepare(10, 1)), to_planner(1, refused));
-    let took = Some((ballot(9, 1), shard_map(41, 6)));
-    let promise = Vote::Promise { version: FormVersion(41), ballot: ballot(20, 2), took };
+    let accepted = Some(AcceptedProposal { ballot: ballot(9, 1), shard_map: shard_map(41, 6) });
+    let promise = ConsensusMessage::Promise { version: ShardMapVersion(41), ballot: ballot(20, 2), accepted };
     assert_eq!(answer(&mut component, 2, prepare(20, 2)), to_planner(2, promise));
 }
 
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -19,10 +19,11 @@
 use granitelb_coordination::membership::Membership;
 use granitelb_coordination::message::{self, ComponentKind, Message};
 use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
-use granitelb_coordination::shard_growth::agree::Kept;
-use granitelb_coordination::shard_growth::form::{Form, Step};
-use granitelb_coordination::shard_growth::sketch::{Day, Shard};
-use granitelb_coordination::shard_growth::{Archive, ForwarderComponent, GrowthMessage};
+use granitelb_coordination::shard_growth::accounting_day::AccountingDay;
+use granitelb_coordination::shard_growth::consensus::AcceptorState;
+use granitelb_coordination::shard_growth::history::ClosedDay;
+use granitelb_coordination::shard_growth::shard_map::{ShardId, SplitPhase, VersionedShardMap};
+use granitelb_coordination::shard_growth::{ForwarderComponent, GrowthMessage, Snapshot};
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -44,7 +45,7 @@
 const HISTORY_NOISE_SEED: u64 = 3;
 const NETWORK_FAULTS_SEED: u64 = 71;
 /// The shards that grow, both alike; they are on the same caches.
-pub const GROWING_SHARDS: [Shard; 2] = [Shard(17), Shard(90)];
+pub const GROWING_SHARDS: [ShardId; 2] = [ShardId(17), ShardId(90)];
 
 /// The number of keys on a day.
 fn key_count(day: f64) -> f64 {
@@ -163,7 +164,7 @@
     }
 
     pub fn shard_map(&self) -> Option<ShardMap> {
-        self.growth.advice()
+        self.growth.shard_map()
     }
 }
 
@@ -171,7 +172,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ShardState {
     /// The step of the split that is in progress.
-    pub step: Option<Step>,
+    pub step: Option<SplitPhase>,
     /// How many splits are complete.
     pub splits: u8,
 }
@@ -180,15 +181,15 @@
 #[derive(Default)]
 pub struct Auditor {
     /// Shard maps by their versions.
-    pub shard_maps: BTreeMap<u64, Form>,
+    pub shard_maps: BTreeMap<u64, VersionedShardMap>,
     /// How often each planner granted a lease.
     pub grants: BTreeMap<u8, u64>,
 }
 
 impl Auditor {
     fn on_message(&mut self, from: Sender, message: &Message) {
-        if let Message::ShardGrowth(GrowthMessage::Table { form }) = message {
-            self.on_shard_map(form);
+        if let Message::ShardGrowth(GrowthMessage::ShardMap { shard_map }) = message {
+            self.on_shard_map(shard_map);
         }
         let Message::Leases(LeaseMessage::Grant { granted, .. }) = message else { return };
         if let Member::Planner(id) = from.member
@@ -198,12 +199,12 @@
         }
     }
 
-    fn on_shard_map(&mut self, shard_map: &Form) {
+    fn on_shard_map(&mut self, shard_map: &VersionedShardMap) {
         let version = shard_map.version.0;
         let known = self.shard_maps.entry(version).or_insert_with(|| shard_map.clone());
         assert_eq!(known, shard_map, "two shard maps of version {version}");
         let caches = caches();
-        let splitting = shard_map.shards.iter().filter(|(_, state)| state.step.is_some_and(is_active));
+        let splitting = shard_map.shards.iter().filter(|(_, state)| state.phase.is_some_and(is_active));
         let used: Vec<_> =
             splitting.map(|(shard, state)| caches_of(shard.0, state.bits + 1, &caches)).collect();
         for (n, split) in used.iter().enumerate() {
@@ -213,12 +214,12 @@
     }
 
     /// A shard's state in the latest shard map.
-    pub fn latest(&self, shard: Shard) -> ShardState {
+    pub fn latest(&self, shard: ShardId) -> ShardState {
         let Some(shard_map) = self.shard_maps.values().last() else {
             return ShardState { step: None, splits: 0 };
         };
-        let state = shard_map.of(shard);
-        ShardState { step: state.step, splits: state.bits }
+        let state = shard_map.layout(shard);
+        ShardState { step: state.phase, splits: state.bits }
     }
 
     /// Checks that each shard map differs from the one before in one shard, which went one step.
@@ -226,36 +227,36 @@
         for (version, after) in &self.shard_maps {
             let Some(before) = self.shard_maps.get(&(version - 1)) else { continue };
             let changed: Vec<_> =
-                GROWING_SHARDS.into_iter().filter(|s| after.of(*s) != before.of(*s)).collect();
+                GROWING_SHARDS.into_iter().filter(|s| after.layout(*s) != before.layout(*s)).collect();
             assert_eq!(changed.len(), 1, "{before:?}, {after:?}");
-            let (from, to) = (before.of(changed[0]), after.of(changed[0]));
+            let (from, to) = (before.layout(changed[0]), after.layout(changed[0]));
             let is_completed =
-                from.step == Some(Step::Switched) && to.step.is_none() && to.bits == from.bits + 1;
-            let is_next = step_rank(to.step) == step_rank(from.step) + 1;
-            let is_step = to.bits == from.bits && (is_next || to.step.is_none_or(is_reset));
+                from.phase == Some(SplitPhase::Switched) && to.phase.is_none() && to.bits == from.bits + 1;
+            let is_next = step_rank(to.phase) == step_rank(from.phase) + 1;
+            let is_step = to.bits == from.bits && (is_next || to.phase.is_none_or(is_reset));
             assert!(is_completed || is_step, "{from:?}, {to:?}");
         }
     }
 }
 
-fn is_active(step: Step) -> bool {
-    step != Step::Foreseen && step != Step::Withdrawn
+fn is_active(step: SplitPhase) -> bool {
+    step != SplitPhase::Foreseen && step != SplitPhase::Withdrawn
 }
 
-fn is_reset(step: Step) -> bool {
-    step == Step::Foreseen || step == Step::Withdrawn
+fn is_reset(step: SplitPhase) -> bool {
+    step == SplitPhase::Foreseen || step == SplitPhase::Withdrawn
 }
 
 /// Steps in their order.
-pub fn step_rank(step: Option<Step>) -> u8 {
+pub fn step_rank(step: Option<SplitPhase>) -> u8 {
     match step {
         None => 0,
-        Some(Step::Foreseen) => 1,
-        Some(Step::Planned) => 2,
-        Some(Step::Copying(n)) => 2 + n,
-        Some(Step::BothRead) => 19,
-        Some(Step::Switched) => 20,
-        Some(Step::Withdrawn) => 100,
+        Some(SplitPhase::Foreseen) => 1,
+        Some(SplitPhase::Planned) => 2,
+        Some(SplitPhase::Copying(n)) => 2 + n,
+        Some(SplitPhase::DualRead) => 19,
+        Some(SplitPhase::Switched) => 20,
+        Some(SplitPhase::Withdrawn) => 100,
     }
 }
 
@@ -268,7 +269,7 @@
     pub started_at: Instant,
     relays: Vec<UdpSocket>,
     network_faults: NetworkFaults,
-    keys: BTreeMap<Shard, Vec<u64>>,
+    keys: BTreeMap<ShardId, Vec<u64>>,
     first_day: u64,
     last_read_day: u64,
 }
@@ -281,7 +282,7 @@
         write_configs(&fleet, &relays, step_ms, settings);
         let fleet_config =
             FleetConfig::load(&fleet.path("operator.toml")).expect("the configuration is valid");
-        let keys_of = |shard: Shard| {
+        let keys_of = |shard: ShardId| {
             let keys = (0..).filter(|key| shard_of(Key(*key)) == shard.0);
             (shard, keys.take(MAX_KEYS_OF_SHARD).collect())
         };
@@ -311,10 +312,14 @@
         let day = |n: u32| {
             let drawn = xxh3_64_with_seed(&n.to_le_bytes(), HISTORY_NOISE_SEED) % 1000;
             let keys = key_count(f64::from(n)) * (0.995 + 0.00001 * drawn as f64);
-            (Day(self.first_day as u32 + n), (keys * VALUE_BYTES) as f32, keys as f32)
+            ClosedDay {
+                day: AccountingDay(self.first_day as u32 + n),
+                bytes: (keys * VALUE_BYTES) as f32,
+                keys: keys as f32,
+            }
         };
         let history = GROWING_SHARDS.map(|shard| (shard, (0..KNOWN_DAYS - 1).map(day).collect())).into();
-        let bytes = Archive { votes: Some(Kept::default()), history }.to_bytes();
+        let bytes = Snapshot { consensus: Some(AcceptorState::default()), history }.to_bytes();
         fs::create_dir(self.fleet.path(&format!("state-{number}"))).expect("the folder is created");
         let store = StateFile::open(&self.fleet.store_file(number), PlannerId(number as u8));
         let written = store.expect("the store opens").write(&[(ComponentKind::ShardGrowth, bytes)]);
--- a/crates/coordination/examples/growth_traffic.rs
+++ b/crates/coordination/examples/growth_traffic.rs
@@ -73,7 +73,7 @@
 fn start_forwarder(id: ForwarderId) -> ForwarderComponent {
     let mut forwarder = ForwarderComponent::new(ForwarderSettings::default(), id, Incarnation(id.0), START);
     forwarder.on_membership_change(START, &[Member::Planner(PLANNER)]);
-    let from = Sender { member: Member::Planner(PLANNER), incarnation: Incarnation(1), number: 0 };
+    let from = Sender { member: Member::Planner(PLANNER), incarnation: Incarnation(1), sequence: 0 };
     forwarder
         .on_message(START, from, GrowthMessage::CurrentDay { day: TODAY })
         .expect("the message is valid");
@@ -87,7 +87,7 @@
     received: &mut Received,
 ) {
     let member = Member::Forwarder(ForwarderId(id));
-    let from = Sender { member, incarnation: Incarnation(1), number: 0 };
+    let from = Sender { member, incarnation: Incarnation(1), sequence: 0 };
     let mut forwarder = start_forwarder(ForwarderId(id));
     let requests_per_tick = (requests_per_second * TICK_SECONDS) as u64;
     for tick in 0..HOURS * TICKS_PER_HOUR {
@@ -112,7 +112,7 @@
     let index = forwarder << 40 | tick << 10 | request;
     let drawn = xxh3_64_with_seed(&index.to_le_bytes(), 1) as f64 / u64::MAX as f64;
     FinishedAttempt {
-        call: request,
+        request_hash: request,
         number: 0,
         key: Key((drawn * drawn * KEYS) as u64),
         request_class: RequestClassId(0),
@@ -124,7 +124,7 @@
         outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(5),
         bytes: 1000,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(500),
     }
 }
--- a/crates/coordination/tests/growth_components.rs
+++ b/crates/coordination/tests/growth_components.rs
@@ -120,7 +120,7 @@
 }
 
 fn sender(member: Member) -> Sender {
-    Sender { member, incarnation: Incarnation(1), number: 1 }
+    Sender { member, incarnation: Incarnation(1), sequence: 1 }
 }
 
 fn counters_message(day: AccountingDay, counters: ShardCounters) -> GrowthMessage {
--- a/crates/coordination/tests/growth_simulation.rs
+++ b/crates/coordination/tests/growth_simulation.rs
@@ -44,7 +44,7 @@
 
 pub fn fulfilled_read(key: u64) -> FinishedAttempt {
     FinishedAttempt {
-        call: key,
+        request_hash: key,
         number: 0,
         key: Key(key),
         request_class: RequestClassId(0),
@@ -56,7 +56,7 @@
         outcome: AttemptOutcome::Fulfilled,
         latency: Span::from_millis(5),
         bytes: 1000,
-        out_then: 0,
+        in_flight_at_send: 0,
         slo: Span::from_millis(500),
     }
 }
@@ -268,7 +268,8 @@
     pub fn poll_forwarders(&mut self) {
         for (id, forwarder) in &mut self.forwarders {
             while let Some((to, message)) = forwarder.poll_message(self.now) {
-                let from = Sender { member: Member::Forwarder(*id), incarnation: Incarnation(1), number: 0 };
+                let from =
+                    Sender { member: Member::Forwarder(*id), incarnation: Incarnation(1), sequence: 0 };
                 self.in_flight.push(Envelope { from, to, message });
             }
         }
@@ -382,7 +383,7 @@
             disks.insert(id, bytes);
         }
         if let Some((to, message)) = planner.poll_message(now) {
-            let from = Sender { member: Member::Planner(id), incarnation: Incarnation(1), number };
+            let from = Sender { member: Member::Planner(id), incarnation: Incarnation(1), sequence: number };
             number += 1;
             in_flight.push(Envelope { from, to, message });
             continue;
--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -1,24 +1,24 @@
-//! The tests of what the fleet decides: one program, so that they are linked once and run beside each other.
+//! The tests of the components that coordinate a fleet: one program, so that they are linked once and run in parallel.
 
-mod growth_consensus;
+mod counterfactual;
+mod counterfactual_randomized_assignment;
+mod endpoint_health;
+mod envelope;
 mod growth_components;
+mod growth_consensus;
 mod growth_forecast;
 mod growth_simulation;
 mod growth_split_schedule;
-mod hindsight;
-mod hindsight_lottery;
 mod leases;
+mod leases_long_term;
 mod leases_model;
-mod leases_standing;
-mod letters;
-mod members;
-mod planning;
-mod turns;
+mod membership;
+mod probe_scheduling;
 mod wire_format;
 
-/// A file that is not a module here would not be run.
+/// The tests of a file that is not a module here would not run.
 #[test]
-fn every_file_of_tests_is_a_module() {
+fn every_test_file_is_a_module() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
     for entry in std::fs::read_dir(folder).expect("the tests") {
         let path = entry.expect("a file").path();
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -1,18 +1,22 @@
-//! The bytes of messages on the wire. `fixtures/wire-format.txt` has one sealed message for each variant of each
-//! faculty's messages, as the program wrote them when the file was made, and members of that version may be running: the
-//! same message has to be sealed to the same bytes, and the bytes opened to the same message. A field or a variant that
-//! is moved, added or taken out changes them, and needs a new version of the protocol.
+//! The bytes of messages on the wire. `fixtures/wire-format.txt` holds one sealed message for each variant of each
+//! component's messages, as the program wrote them when the file was made. Members of that version may be running, so the
+//! same message has to be sealed to the same bytes, and the bytes have to be opened to the same message. A field or a
+//! variant that is moved, added or removed changes them, and needs a new version of the protocol.
 //!
-//! There is no way to write the file anew by a switch: where a message is added, the failing test prints its line.
+//! There is no switch that writes the file anew: where a message is added, the failing test prints its line.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Span;
-use granitelb_coordination::counterfactual::{How, Said, SampledRequest, Standing};
-use granitelb_coordination::endpoint_health::{HealthStatus, Part, Plan, Report, Seen};
-use granitelb_coordination::leases::{Need, Resource};
+use granitelb_coordination::counterfactual::{
+    CacheStart, Comparison, ComparisonReport, SampledRequest, ServiceOutcome,
+};
+use granitelb_coordination::endpoint_health::{
+    EndpointCounts, Fragment, HealthReport, HealthStatus, HealthUpdate,
+};
+use granitelb_coordination::leases::{Demand, LongTermRequest, Resource, ResourceAmount};
 use granitelb_coordination::message::{ComponentKind, Message, Secret, Secrets, open, seal};
 use granitelb_coordination::shard_growth::accounting_day::AccountingDay;
 use granitelb_coordination::shard_growth::consensus::{AcceptedProposal, Ballot, ConsensusMessage};
@@ -35,35 +39,35 @@
 type Named<M> = (&'static str, M);
 
 fn secrets() -> Secrets {
-    Secrets::one(Secret::new(b"the secret of the wire format's fixture").expect("long enough"))
+    Secrets::single(Secret::new(b"the secret of the wire format's fixture").expect("long enough"))
 }
 
 fn from_forwarder() -> Sender {
     let member = Member::Forwarder(ForwarderId(0x0123_4567_89ab_cdef));
-    Sender { member, incarnation: Incarnation(1_764_000_000_000_001), number: 70_001 }
+    Sender { member, incarnation: Incarnation(1_764_000_000_000_001), sequence: 70_001 }
 }
 
 fn from_planner() -> Sender {
     Sender {
         member: Member::Planner(PlannerId(3)),
         incarnation: Incarnation(1_764_000_000_000_002),
-        number: 70_002,
+        sequence: 70_002,
     }
 }
 
-fn members_messages() -> Vec<Named<membership::MembershipMessage>> {
+fn membership_messages() -> Vec<Named<membership::MembershipMessage>> {
     use membership::MembershipMessage;
     vec![
-        ("members.beat", MembershipMessage::Beat),
-        ("members.you_were_gone", MembershipMessage::YouWereGone { incarnation: Incarnation(301) }),
+        ("members.beat", MembershipMessage::Heartbeat),
+        ("members.you_were_gone", MembershipMessage::DeclaredFailed { incarnation: Incarnation(301) }),
         (
             "members.you_were_succeeded",
-            MembershipMessage::YouWereSucceeded { incarnation: Incarnation(302), by: Incarnation(303) },
+            MembershipMessage::Superseded { incarnation: Incarnation(302), by: Incarnation(303) },
         ),
     ]
 }
 
-fn all_verdicts() -> [HealthStatus; 3] {
+fn all_health_statuses() -> [HealthStatus; 3] {
     [
         HealthStatus::Failing { ago: Span::from_millis(401) },
         HealthStatus::Probe { ago: Span::from_millis(402) },
@@ -71,44 +75,64 @@
     ]
 }
 
-fn verdicts_messages() -> Vec<Named<endpoint_health::HealthMessage>> {
-    let seen = |cache, answered| Seen {
-        cache: EndpointId(cache),
+fn health_messages() -> Vec<Named<endpoint_health::HealthMessage>> {
+    let counts = |endpoint, answered| EndpointCounts {
+        endpoint: EndpointId(endpoint),
         answered,
         failed: answered + 1.25,
-        out: answered + 2.5,
+        in_flight: answered + 2.5,
     };
-    let report = Report {
-        number: 501,
-        part: Part { index: 2, of: 5 },
-        caches: vec![seen(0xfedc_ba98_7654_3210, 10.5), seen(502, 20.5)],
+    let report = HealthReport {
+        sequence: 501,
+        fragment: Fragment { index: 2, count: 5 },
+        endpoints: vec![counts(0xfedc_ba98_7654_3210, 10.5), counts(502, 20.5)],
+    };
+    let statuses = (601..).map(EndpointId).zip(all_health_statuses()).collect();
+    let update = HealthUpdate {
+        version: Version(503),
+        fragment: Fragment { index: 3, count: 7 },
+        forwarders: 504,
+        statuses,
     };
-    let verdicts = (601..).map(EndpointId).zip(all_verdicts()).collect();
-    let plan = Plan { version: Version(503), part: Part { index: 3, of: 7 }, forwarders: 504, verdicts };
     vec![
         ("verdicts.report", endpoint_health::HealthMessage::Report(report)),
-        ("verdicts.plan", endpoint_health::HealthMessage::Plan(plan)),
+        ("verdicts.plan", endpoint_health::HealthMessage::Update(update)),
     ]
 }
 
 fn all_resources() -> [Resource; 2] {
-    [Resource::Origin, Resource::Cold(EndpointId(701))]
+    [Resource::Origin, Resource::WarmingCache(EndpointId(701))]
 }
 
 fn leases_messages() -> Vec<Named<leases::LeaseMessage>> {
     use leases::LeaseMessage;
-    let need = |(resource, n)| Need { resource, amount: n, using: 811, heads: n + 1, has: n + 2 };
-    let needs = all_resources().into_iter().zip([1001, 2001]).map(need).collect();
-    let granted = all_resources().into_iter().zip([3001, 4001]).collect();
-    let standing_ask =
-        LeaseMessage::AskStanding { ask: 804, need: 805, using: 806, to: Incarnation(807), has: 808 };
+    let demand = |(resource, n)| Demand {
+        resource,
+        amount: n,
+        request_in_use: 811,
+        requesters: n + 1,
+        already_held: n + 2,
+    };
+    let demands = all_resources().into_iter().zip([1001, 2001]).map(demand).collect();
+    let amount = |(resource, amount)| ResourceAmount { resource, amount };
+    let granted = all_resources().into_iter().zip([3001, 4001]).map(amount).collect();
+    let long_term_request = LongTermRequest {
+        request_id: 804,
+        demand: 805,
+        request_in_use: 806,
+        planner_incarnation: Incarnation(807),
+        already_held: 808,
+    };
     vec![
-        ("leases.ask", LeaseMessage::Ask { ask: 801, needs }),
-        ("leases.grant", LeaseMessage::Grant { ask: 802, granted, lasts: 2_000_001 }),
-        ("leases.return", LeaseMessage::Return { ask: 803 }),
-        ("leases.ask_standing", standing_ask),
-        ("leases.standing", LeaseMessage::Standing { ask: 809, amount: 810, lasts: 20_000_001 }),
-        ("leases.return_standing", LeaseMessage::ReturnStanding { ask: 812 }),
+        ("leases.ask", LeaseMessage::Request { request_id: 801, demands }),
+        ("leases.grant", LeaseMessage::Grant { request_id: 802, granted, duration: 2_000_001 }),
+        ("leases.return", LeaseMessage::Release { request_id: 803 }),
+        ("leases.ask_standing", LeaseMessage::RequestLongTerm(long_term_request)),
+        (
+            "leases.standing",
+            LeaseMessage::GrantLongTerm { request_id: 809, amount: 810, duration: 20_000_001 },
+        ),
+        ("leases.return_standing", LeaseMessage::ReleaseLongTerm { request_id: 812 }),
     ]
 }
 
@@ -194,67 +218,68 @@
     messages
 }
 
-fn all_hows() -> [How; 4] {
-    [How::Hit, How::Miss, How::Cut, How::Refused]
+fn all_service_outcomes() -> [ServiceOutcome; 4] {
+    [ServiceOutcome::Hit, ServiceOutcome::Miss, ServiceOutcome::Censored, ServiceOutcome::Failed]
 }
 
-fn all_standings() -> [Standing; 4] {
-    [Standing::NoSupport, Standing::AsGood, Standing::Worse, Standing::Better]
+fn all_comparisons() -> [Comparison; 4] {
+    [Comparison::NoSupport, Comparison::AsGood, Comparison::Worse, Comparison::Better]
 }
 
-fn hindsight_messages() -> Vec<Named<counterfactual::CounterfactualMessage>> {
+fn counterfactual_messages() -> Vec<Named<counterfactual::CounterfactualMessage>> {
     use counterfactual::CounterfactualMessage;
-    let observation = |(how, n): (How, u32)| SampledRequest {
-        call: u64::from(n) + 0xabcd_0000_0000,
-        key: n + 1,
+    let observation = |(outcome, n): (ServiceOutcome, u32)| SampledRequest {
+        request_hash: u64::from(n) + 0xabcd_0000_0000,
+        key_hash: n + 1,
         request_class: 1201,
-        class: 3,
+        work_class: 3,
         candidates: vec![1202, 1203, 1204],
-        place: 2,
-        how,
-        took: n + 2,
+        position: 2,
+        outcome,
+        duration: n + 2,
         slo: n + 3,
-        out: 97,
-        ago: n + 4,
+        in_flight: 97,
+        age_ms: n + 4,
     };
-    let seen = all_hows().into_iter().zip((50_000..).step_by(100)).map(observation).collect();
-    let said = |first: u16| {
-        let said = move |(standing, n): (Standing, u16)| Said {
+    let requests = all_service_outcomes().into_iter().zip((50_000..).step_by(100)).map(observation).collect();
+    let reports = |first: u16| {
+        let report = move |(comparison, n): (Comparison, u16)| ComparisonReport {
             cache: u64::from(n) + 0x1234_0000_0000,
             request_class: n,
-            standing,
-            more: f32::from(n) + 0.5,
+            comparison,
+            estimate: f32::from(n) + 0.5,
             low: f32::from(n) - 0.25,
             high: f32::from(n) + 0.75,
         };
-        all_standings().into_iter().zip(first..).map(said).collect()
+        all_comparisons().into_iter().zip(first..).map(report).collect()
     };
+    let starts = vec![CacheStart { cache: 1205, age_ms: 1206 }, CacheStart { cache: 1207, age_ms: 1208 }];
     vec![
-        ("hindsight.seen", CounterfactualMessage::Seen(seen)),
-        ("hindsight.started", CounterfactualMessage::Started(vec![(1205, 1206), (1207, 1208)])),
-        ("hindsight.standing", CounterfactualMessage::Standing(said(1301))),
-        ("hindsight.times", CounterfactualMessage::Times(said(1401))),
+        ("hindsight.seen", CounterfactualMessage::Requests(requests)),
+        ("hindsight.started", CounterfactualMessage::CacheStarts(starts)),
+        ("hindsight.standing", CounterfactualMessage::WaitedShareReports(reports(1301))),
+        ("hindsight.times", CounterfactualMessage::TimeRatioReports(reports(1401))),
     ]
 }
 
-/// Every message with its sender: forwarders sent them all, and a planner one.
+/// Every message with its sender: a forwarder, and for one message a planner.
 fn all_messages() -> Vec<(&'static str, Sender, Message)> {
     fn of<M>(messages: Vec<Named<M>>, wrap: fn(M) -> Message) -> Vec<Named<Message>> {
         messages.into_iter().map(|(name, message)| (name, wrap(message))).collect()
     }
     let by_forwarder = [
-        of(members_messages(), Message::Membership),
-        of(verdicts_messages(), Message::EndpointHealth),
+        of(membership_messages(), Message::Membership),
+        of(health_messages(), Message::EndpointHealth),
         of(leases_messages(), Message::Leases),
         of(growth_messages(), Message::ShardGrowth),
-        of(hindsight_messages(), Message::Counterfactual),
+        of(counterfactual_messages(), Message::Counterfactual),
     ];
     let mut all: Vec<_> =
-        by_forwarder.into_iter().flatten().map(|(name, letter)| (name, from_forwarder(), letter)).collect();
+        by_forwarder.into_iter().flatten().map(|(name, message)| (name, from_forwarder(), message)).collect();
     all.push((
         "members.beat_of_planner",
         from_planner(),
-        Message::Membership(membership::MembershipMessage::Beat),
+        Message::Membership(membership::MembershipMessage::Heartbeat),
     ));
     all
 }
@@ -269,26 +294,26 @@
 }
 
 #[test]
-fn each_message_is_sealed_to_the_bytes_that_it_had() {
+fn each_message_is_sealed_to_its_fixture_bytes() {
     let fixture = fixture();
-    for (name, sender, letter) in all_messages() {
-        let bytes = seal(sender, &letter, &secrets()).expect("short enough");
+    for (name, sender, message) in all_messages() {
+        let bytes = seal(sender, &message, &secrets()).expect("short enough");
         let line = format!("{name} = {}", hex::encode(&bytes));
         assert_eq!(fixture.get(name), Some(&bytes), "the program writes this line now:\n{line}");
     }
 }
 
 #[test]
-fn the_bytes_of_each_message_are_opened_to_it() {
+fn fixture_bytes_are_opened_to_their_message() {
     let fixture = fixture();
-    for (name, sender, letter) in all_messages() {
+    for (name, sender, message) in all_messages() {
         let bytes = fixture.get(name).unwrap_or_else(|| panic!("{name} has no line"));
-        assert_eq!(open(bytes, &secrets()), Ok((sender, letter)), "{name}");
+        assert_eq!(open(bytes, &secrets()), Ok((sender, message)), "{name}");
     }
 }
 
 #[test]
-fn each_line_is_of_one_message_and_each_message_has_a_line() {
+fn fixture_lines_and_messages_correspond_one_to_one() {
     let messages = all_messages();
     let names: BTreeSet<_> = messages.iter().map(|(name, ..)| *name).collect();
     assert_eq!(names.len(), messages.len(), "two messages of one name");
@@ -296,24 +321,24 @@
     assert_eq!(FIXTURE.lines().count(), messages.len(), "two lines of one name");
 }
 
-/// Postcard writes a variant's place first.
-fn place_of(value: &impl Serialize) -> u8 {
+/// Postcard writes a variant's index first.
+fn variant_index(value: &impl Serialize) -> u8 {
     postcard::to_allocvec(value).expect("it can be written")[0]
 }
 
-/// The places of all variants that there are: those that can be read, as all can from zeros.
-fn places_of_all<T: DeserializeOwned>() -> BTreeSet<u8> {
-    let can_be_read = |place: &u8| {
+/// The indices of all variants that exist: those that can be decoded, as each one can from zeros.
+fn all_variant_indices<T: DeserializeOwned>() -> BTreeSet<u8> {
+    let can_be_decoded = |index: &u8| {
         let mut bytes = [0; 64];
-        bytes[0] = *place;
+        bytes[0] = *index;
         postcard::take_from_bytes::<T>(&bytes).is_ok()
     };
-    (0..128).filter(can_be_read).collect()
+    (0..128).filter(can_be_decoded).collect()
 }
 
 fn assert_has_all_variants<T: Serialize + DeserializeOwned + Debug>(values: &[T]) {
-    let places: BTreeSet<_> = values.iter().map(place_of).collect();
-    assert_eq!(places, places_of_all::<T>(), "a variant has no message in the fixture: {values:?}");
+    let indices: BTreeSet<_> = values.iter().map(variant_index).collect();
+    assert_eq!(indices, all_variant_indices::<T>(), "a variant has no message in the fixture: {values:?}");
 }
 
 fn without_names<M>(messages: Vec<Named<M>>) -> Vec<M> {
@@ -321,25 +346,25 @@
 }
 
 #[test]
-fn no_variant_was_left_out() {
-    assert_has_all_variants(&without_names(members_messages()));
-    assert_has_all_variants(&without_names(verdicts_messages()));
+fn all_message_variants_are_in_the_fixture() {
+    assert_has_all_variants(&without_names(membership_messages()));
+    assert_has_all_variants(&without_names(health_messages()));
     assert_has_all_variants(&without_names(leases_messages()));
     assert_has_all_variants(&without_names(growth_messages()));
-    assert_has_all_variants(&without_names(hindsight_messages()));
+    assert_has_all_variants(&without_names(counterfactual_messages()));
     assert_has_all_variants(&without_names(votes()));
-    assert_has_all_variants(&all_verdicts());
+    assert_has_all_variants(&all_health_statuses());
     assert_has_all_variants(&all_resources());
     assert_has_all_variants(&all_steps());
-    assert_has_all_variants(&all_hows());
-    assert_has_all_variants(&all_standings());
+    assert_has_all_variants(&all_service_outcomes());
+    assert_has_all_variants(&all_comparisons());
     assert_has_all_variants(&[SketchKind::Read, SketchKind::Written]);
     assert_has_all_variants(&[from_planner().member, from_forwarder().member]);
 }
 
-/// The store and the operator's log go by these names, the wire by these numbers.
+/// Stored data and the log use these names, the wire these numbers.
 #[test]
-fn each_kind_has_the_name_and_the_number_that_it_had() {
+fn component_kinds_have_stable_names_and_numbers() {
     let kinds = ComponentKind::ALL.map(|kind| (kind as u8, kind.name()));
     let expected = [(1, "members"), (2, "verdicts"), (3, "leases"), (4, "growth"), (5, "hindsight")];
     assert_eq!(kinds, expected);
