--- a/crates/control-plane/src/agent/observations.rs
+++ b/crates/control-plane/src/agent/observations.rs
@@ -133,7 +133,7 @@
             outcome: result.outcome,
             latency: result.latency,
             bytes: if requested.write { sent.bytes } else { response_bytes },
-            in_flight_at_send: in_flight_at_send,
+            in_flight_at_send,
             slo: sent.slo,
         })))
     }
