--- a/crates/coordination/src/shard_growth/accounting_day.rs
+++ b/crates/coordination/src/shard_growth/accounting_day.rs
@@ -1,6 +1,6 @@
 //! The days by which traffic is counted, and their place in the month.
 //!
-//! A planner's host derives the day from its own clock. Forwarders are told the day, so that no two clocks are compared.
+//! A planner's host derives the day from its own clock and sends it to forwarders, so that no two clocks are compared.
 
 use std::collections::BTreeSet;
 
--- a/crates/coordination/src/shard_growth/consensus/message.rs
+++ b/crates/coordination/src/shard_growth/consensus/message.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ConsensusError;
 use crate::member::PlannerId;
+use crate::shard_growth::message::GrowthError;
 use crate::shard_growth::shard_map::{ShardMapVersion, VersionedShardMap};
 
 /// Rounds and versions from here on are invalid: a made-up one near the end of the range would leave none above it.
@@ -97,8 +97,8 @@
 
 impl ConsensusMessage {
     /// Checks values that no correct planner sends.
-    pub(super) fn check(&self, from: PlannerId) -> Result<(), ConsensusError> {
-        if self.is_valid(from) { Ok(()) } else { Err(ConsensusError::InvalidValue) }
+    pub(super) fn check(&self, from: PlannerId) -> Result<(), GrowthError> {
+        if self.is_valid(from) { Ok(()) } else { Err(GrowthError::InvalidValue) }
     }
 
     fn is_valid(&self, from: PlannerId) -> bool {
--- a/crates/coordination/src/shard_growth/consensus/mod.rs
+++ b/crates/coordination/src/shard_growth/consensus/mod.rs
@@ -36,23 +36,13 @@
 use proposer::Proposal;
 use recovery::{PeerState, RecoveredVotes, Recovery};
 
+use super::message::GrowthError;
 use super::shard_map::{ShardMapVersion, VersionedShardMap};
 use crate::member::{Incarnation, PlannerId};
 
 /// The number of messages that wait to be sent; further ones are dropped, as the network might.
 const MAX_OUTBOUND: usize = 256;
 
-/// Why a consensus message was rejected. Nothing of it counts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConsensusError {
-    /// The sender is none of the configured planners.
-    #[error("the sender is none of the configured planners")]
-    UnknownPlanner,
-    /// The message has values that no correct planner sends.
-    #[error("a consensus message has values out of range")]
-    InvalidValue,
-}
-
 /// One planner's part in the consensus.
 #[derive(Clone, Debug)]
 pub struct Consensus {
@@ -148,10 +138,11 @@
     /// Takes a message from another planner.
     ///
     /// # Errors
-    /// The sender is not a configured planner, or the message is invalid.
-    pub fn on_message(&mut self, from: PlannerId, message: ConsensusMessage) -> Result<(), ConsensusError> {
+    /// [`GrowthError::UnexpectedSender`] if the sender is not a configured planner; [`GrowthError::InvalidValue`] if no
+    /// correct planner sends the message. Nothing of it counts then.
+    pub fn on_message(&mut self, from: PlannerId, message: ConsensusMessage) -> Result<(), GrowthError> {
         if !self.planners.contains(&from) {
-            return Err(ConsensusError::UnknownPlanner);
+            return Err(GrowthError::UnexpectedSender);
         }
         message.check(from)?;
         self.handle(from, message);
--- a/crates/coordination/src/shard_growth/forecast/mod.rs
+++ b/crates/coordination/src/shard_growth/forecast/mod.rs
@@ -40,7 +40,7 @@
     pub model: Model,
 }
 
-/// A model of growth. All models have the same level and seasonal pattern. The order is that of [`MODELS`].
+/// A model of growth. All models have the same level and seasonal pattern. The order of variants is that of `MODELS`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
     /// The level stays.
@@ -65,8 +65,7 @@
 }
 
 /// There is no forecast yet.
-#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("no forecast before day {day}: {reason:?}", day = .available_from.0)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForecastUnavailable {
     /// Why there is none.
     pub reason: UnavailableReason,
--- a/crates/coordination/src/shard_growth/history.rs
+++ b/crates/coordination/src/shard_growth/history.rs
@@ -97,7 +97,7 @@
         counters: &ShardCounters,
     ) -> Result<(), GrowthError> {
         let open_day = self.open_day_mut(today, day, shard)?;
-        open_day.raise(forwarder, incarnation, counters).map_err(|_| GrowthError::CapacityExceeded)
+        open_day.raise(forwarder, incarnation, counters)
     }
 
     /// Closes all open days up to `last`, and returns whether there was any.
--- a/crates/coordination/src/shard_growth/message.rs
+++ b/crates/coordination/src/shard_growth/message.rs
@@ -94,7 +94,7 @@
     fn remediation(&self) -> &'static str {
         match self {
             GrowthError::UnexpectedSender => {
-                "Check that all planners have the same operator's file, with the same numbers."
+                "Check that all planners have the same fleet configuration, with the same planner numbers."
             }
             GrowthError::InvalidValue => {
                 "Check that all members run the same version; if they do, look at the sender."
--- a/crates/coordination/src/shard_growth/planner/events.rs
+++ b/crates/coordination/src/shard_growth/planner/events.rs
@@ -1,4 +1,4 @@
-//! The log events of a planner, and what it notes of each decision.
+//! The log events of a planner, and what follows from each decision.
 
 use std::collections::BTreeSet;
 
@@ -17,13 +17,13 @@
         self.events.warn("shard_split_blocked", format!("splits wait: {missing} is not known"));
     }
 
-    /// Takes note of the last decision, once for each version that was seen.
+    /// Handles the last decision, once for each version that this planner has seen decided.
     pub(super) fn on_decided(&mut self) {
-        if self.consensus.decided().version == self.noted_shard_map.version {
+        if self.consensus.decided().version == self.last_seen_decision.version {
             return;
         }
         let decided = self.consensus.decided().clone();
-        let before = std::mem::replace(&mut self.noted_shard_map, decided.clone());
+        let before = std::mem::replace(&mut self.last_seen_decision, decided.clone());
         let shards: BTreeSet<ShardId> = decided.shards.keys().chain(before.shards.keys()).copied().collect();
         for shard in shards {
             self.on_layout_change(shard, before.layout(shard), &decided);
--- a/crates/coordination/src/shard_growth/planner/mod.rs
+++ b/crates/coordination/src/shard_growth/planner/mod.rs
@@ -39,7 +39,7 @@
 use crate::component::{Component, Event};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-/// At its start a planner takes this many days before the present one for closed.
+/// A planner that starts takes all days for closed that lie at least this many days before the present one.
 const OPEN_DAYS_AT_START: u32 = 2;
 
 /// A planner's part in shard growth.
@@ -63,8 +63,8 @@
     blocked_since: Option<Time>,
     last_proposed: Option<VersionedShardMap>,
     history_needs_snapshot: bool,
-    /// The last decision that was taken note of.
-    noted_shard_map: VersionedShardMap,
+    /// The last decision that `on_decided` has handled.
+    last_seen_decision: VersionedShardMap,
     last_migration_version: ShardMapVersion,
     outbox: Outbox,
     events: EventLog,
@@ -91,7 +91,7 @@
         let today = calendar.moment(settings.day_length, now).day;
         Ok(PlannerComponent {
             schedule: SplitSchedule::new(settings.schedule.clone()),
-            noted_shard_map: consensus.decided().clone(),
+            last_seen_decision: consensus.decided().clone(),
             settings,
             me,
             calendar,
--- a/crates/coordination/src/shard_growth/planner/reports.rs
+++ b/crates/coordination/src/shard_growth/planner/reports.rs
@@ -40,7 +40,7 @@
         if self.consensus.decided().version > decided_before {
             self.proposal_due = now;
         }
-        result.map_err(|_| GrowthError::InvalidValue)
+        result
     }
 
     pub(super) fn on_forwarder_message(
--- a/crates/coordination/src/shard_growth/shard_day.rs
+++ b/crates/coordination/src/shard_growth/shard_day.rs
@@ -1,4 +1,4 @@
-//! What forwarders saw of one shard on one day, in a form that may be merged any number of times.
+//! What forwarders saw of one shard on one day, in a representation that may be merged any number of times.
 //!
 //! Messages are duplicated and each planner hears all forwarders, so merging has to be idempotent and independent of
 //! order. It is a join by the greatest value throughout: distinct keys are a HyperLogLog whose registers only rise, and
@@ -9,6 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::message::GrowthError;
 use super::sketch::{DistinctCounter, REGISTER_COUNT};
 use crate::member::{ForwarderId, Incarnation};
 
@@ -59,11 +60,6 @@
     Written,
 }
 
-/// The counters were not taken, since those of [`MAX_INCARNATIONS`] incarnations are kept already.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("counters of {MAX_INCARNATIONS} incarnations of forwarders are kept already")]
-pub struct TooManyIncarnations;
-
 /// What all forwarders saw of one shard on one day, as far as their messages arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardDay {
@@ -86,16 +82,17 @@
     /// Raises the counters of one incarnation of a forwarder.
     ///
     /// # Errors
-    /// The incarnation is new and too many are kept already; nothing is changed.
+    /// [`GrowthError::CapacityExceeded`] if the incarnation is new and counters of [`MAX_INCARNATIONS`] are kept already;
+    /// nothing is changed.
     pub fn raise(
         &mut self,
         forwarder: ForwarderId,
         incarnation: Incarnation,
         counters: &ShardCounters,
-    ) -> Result<(), TooManyIncarnations> {
+    ) -> Result<(), GrowthError> {
         let key = (forwarder, incarnation);
         if !self.counters.contains_key(&key) && self.counters.len() >= MAX_INCARNATIONS {
-            return Err(TooManyIncarnations);
+            return Err(GrowthError::CapacityExceeded);
         }
         self.counters.entry(key).or_default().raise(counters);
         Ok(())
@@ -106,7 +103,7 @@
         self.read.merge(&other.read);
         self.written.merge(&other.written);
         for ((forwarder, incarnation), counters) in &other.counters {
-            let _: Result<(), TooManyIncarnations> = self.raise(*forwarder, *incarnation, counters);
+            let _: Result<(), GrowthError> = self.raise(*forwarder, *incarnation, counters);
         }
     }
 
--- a/crates/coordination/src/shard_growth/snapshot.rs
+++ b/crates/coordination/src/shard_growth/snapshot.rs
@@ -1,6 +1,6 @@
 //! What a planner persists of shard growth.
 //!
-//! The format is a version byte, the state in postcard's form, and an XXH3 checksum over both. The order of fields is
+//! The format is a version byte, the state as postcard encodes it, and an XXH3 checksum over both. The order of fields is
 //! the stored format.
 
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/shard_growth/split_schedule/mod.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/mod.rs
@@ -147,7 +147,7 @@
         self.step_forward(split, time_in_phase)
     }
 
-    /// Notes since when a fault pauses an active split, and why it did so first.
+    /// Records since when a fault pauses an active split, and which fault was first.
     fn update_pause(&mut self, split: &SplitContext<'_>) -> Option<Pause> {
         let obstacle = if split.phase.is_active() { self.active_obstacle(split) } else { None };
         let timer = self.timers.get_mut(&split.shard)?;
