--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -1,7 +1,7 @@
 //! The tests of what the fleet decides: one program, so that they are linked once and run beside each other.
 
-mod growth_consensus;
 mod growth_components;
+mod growth_consensus;
 mod growth_forecast;
 mod growth_simulation;
 mod growth_split_schedule;
