--- a/crates/coordination/src/leases/message.rs
+++ b/crates/coordination/src/leases/message.rs
@@ -70,7 +70,7 @@
     /// A forwarder requests its long-term allocation of the origin's fetches.
     RequestLongTerm(LongTermRequest),
     /// Answers a [`LeaseMessage::RequestLongTerm`]. With a duration of zero nothing is granted or revoked: the message
-    /// only tells the forwarder the planner's incarnation.
+    /// only informs the forwarder of the planner's incarnation.
     GrantLongTerm {
         /// The request that this answers.
         request_id: u64,
