--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -1,21 +1,22 @@
 //! The tests of what the fleet decides: one program, so that they are linked once and run beside each other.
 
+mod counterfactual;
+mod counterfactual_randomized_assignment;
+mod endpoint_health;
+mod envelope;
 mod growth_components;
 mod growth_consensus;
 mod growth_forecast;
 mod growth_simulation;
 mod growth_split_schedule;
-mod hindsight;
-mod hindsight_lottery;
 mod leases;
+mod leases_long_term;
 mod leases_model;
-mod leases_standing;
-mod letters;
-mod members;
-mod planning;
-mod turns;
+mod membership;
+mod probe_scheduling;
 mod wire_format;
 
+
 /// A file that is not a module here would not be run.
 #[test]
 fn every_file_of_tests_is_a_module() {
