--- a/crates/control-plane/tests/counterfactual.rs
+++ b/crates/control-plane/tests/counterfactual.rs
@@ -126,7 +126,7 @@
     }
 
     fn send_messages(&mut self, n: usize) {
-        let ReportingForwarder { component, transport } = &mut self.forwarders[n];
+        let ReportingForwarder { component, transport, .. } = &mut self.forwarders[n];
         while let Some((to, message)) = component.poll_message(self.clock.now()) {
             let Member::Planner(planner) = to else { continue };
             let bytes = transport.seal(&Message::Counterfactual(message), SECRET);
--- a/crates/control-plane/tests/planner_process.rs
+++ b/crates/control-plane/tests/planner_process.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn store_that_is_torn_or_of_another_planner_is_refused_renamed_and_logged() {
+fn store_that_is_corrupt_or_of_another_planner_is_refused_renamed_and_logged() {
     let fleet = Fleet::new(2);
     fleet.start(1).stop();
     let mut bytes = fs::read(fleet.store_file(1)).expect("the store exists");
@@ -83,7 +83,7 @@
     fs::write(fleet.store_file(2), &bytes).expect("the store is written");
     bytes[4096..].fill(0x5a);
     fs::write(fleet.store_file(1), &bytes).expect("the store is written");
-    for (number, reason) in [(1, "torn"), (2, "it is planner 1's")] {
+    for (number, reason) in [(1, "corrupt"), (2, "it is planner 1's")] {
         let mut planner = fleet.start(number);
         let refused = planner.wait_for_event("store_refused");
         let message = message_of(&refused);
