--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -37,8 +37,8 @@
     node: &Path,
 ) -> Result<RunResult, String> {
     let folder = world::scratch(&experiment.name, seed);
-    let event_log =
-        world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
+    let run = Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder };
+    let event_log = world::play(&run).map_err(|error| error.to_string())?;
     let undisturbed = match experiment.expect.loss {
         Some(_) => Some(undisturbed(experiment, schedule, seed, node)?),
         None => None,
@@ -55,8 +55,8 @@
 fn undisturbed(experiment: &Experiment, schedule: &Schedule, seed: u64, node: &Path) -> Result<f64, String> {
     let experiment = &experiment.without_planners_faults();
     let folder = world::scratch(&experiment.name, seed);
-    let event_log =
-        world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
+    let run = Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder };
+    let event_log = world::play(&run).map_err(|error| error.to_string())?;
     let _ = std::fs::remove_dir_all(&folder);
     Ok(audit::judge(experiment, schedule, &event_log).figures.service)
 }
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -81,7 +81,7 @@
     let schedule = Schedule::draw(&experiment, seed);
     let folder = world::scratch("throughput", seed);
     let run = Run { experiment: &experiment, schedule: &schedule, seed, front, folder: &folder };
-    let event_log = world::play(&run)?;
+    let event_log = world::play(&run).map_err(|error| error.to_string())?;
     let _ = std::fs::remove_dir_all(&folder);
     Ok(measure(&event_log, rate))
 }
--- /dev/null
+++ b/crates/testbed/src/world/clients/disconnect.rs
@@ -0,0 +1,55 @@
+//! When clients disconnect before they have a response: each by its own chance, or many at once by a fault.
+
+use std::time::Duration;
+
+use tokio::sync::watch;
+
+use super::super::wire::{self, hash_stream};
+use crate::experiment;
+
+/// The last mass disconnect of clients.
+#[derive(Clone, Debug, Default)]
+pub struct MassDisconnect {
+    /// Number of mass disconnects in the run so far.
+    pub count: u64,
+    /// Share of the waiting clients that disconnect, from 0 to 1.
+    pub share: f64,
+    /// Nodes whose clients are affected.
+    pub nodes: Vec<usize>,
+}
+
+/// Returns when the client of an attempt disconnects; never, if it waits for the response.
+pub async fn wait_for_disconnect(
+    attempt_id: &str,
+    node: usize,
+    clients: &experiment::Clients,
+    mass_disconnect: watch::Receiver<MassDisconnect>,
+) {
+    tokio::select! {
+        () = early_disconnect(attempt_id, clients) => {}
+        () = mass_disconnects(attempt_id, node, mass_disconnect) => {}
+    }
+}
+
+/// Returns when the client gives up early by its own chance.
+async fn early_disconnect(attempt_id: &str, clients: &experiment::Clients) {
+    if wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT) < clients.leave {
+        let ms = clients.leave_ms * wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT_DELAY);
+        tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await;
+    } else {
+        std::future::pending().await
+    }
+}
+
+/// Returns when a mass disconnect affects the client.
+async fn mass_disconnects(attempt_id: &str, node: usize, mut receiver: watch::Receiver<MassDisconnect>) {
+    receiver.borrow_and_update();
+    while receiver.changed().await.is_ok() {
+        let disconnect = receiver.borrow_and_update().clone();
+        let stream = disconnect.count + hash_stream::MASS_DISCONNECT;
+        if disconnect.nodes.contains(&node) && wire::uniform_hash(attempt_id, stream) < disconnect.share {
+            return;
+        }
+    }
+    std::future::pending().await
+}
--- /dev/null
+++ b/crates/testbed/src/world/clients/mod.rs
@@ -0,0 +1,280 @@
+//! The clients of the nodes: an open loop that starts each scheduled request at its time, whether or not earlier ones have
+//! a response. Each client retries by itself as the schedule says, and records every attempt in the event log.
+
+mod connection_pool;
+mod disconnect;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::client::conn::http1;
+use hyper::{Request, Response, StatusCode, body::Incoming};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc, watch};
+
+use super::wire::ValueBody;
+use crate::event_log::{ClientAttempt, ClientAttemptEnd, Event, EventLogWriter, NodeId, RequestId, Version};
+use crate::experiment::ProductEffect::{Deduplicated, NonIdempotent};
+use crate::experiment::{Experiment, Product};
+use crate::schedule::{Planned, Schedule};
+use crate::shard_workload;
+use connection_pool::{ConnectionPool, RequestSender};
+
+pub use disconnect::MassDisconnect;
+
+/// Time past the client's timeout during which a response is still awaited, to tell a late response from none.
+const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(150);
+/// Time before a request is due at which its thread stops sleeping and spins.
+const SPIN_DURATION: Duration = Duration::from_micros(300);
+/// The longest response body that a client reads, in bytes.
+const MAX_RESPONSE_BODY: usize = 1 << 20;
+/// `Retry-After` values from this on are ignored, in seconds.
+const MAX_RETRY_AFTER_S: f64 = 1e4;
+
+/// The clients of a run.
+pub struct Clients {
+    experiment: Arc<Experiment>,
+    schedule: Arc<Schedule>,
+    event_log: EventLogWriter,
+    pools: Vec<ConnectionPool>,
+    mass_disconnect: watch::Receiver<MassDisconnect>,
+}
+
+/// What an attempt of a client sends.
+struct AttemptRequest<'a> {
+    /// ID of the attempt.
+    id: &'a str,
+    idempotency_key: Option<&'a str>,
+    planned: &'a Planned,
+    request_class: &'a Product,
+    /// Number of the attempt: later ones than 0 are the client's retries.
+    number: u8,
+}
+
+impl Clients {
+    /// Creates clients for the nodes at these addresses.
+    pub fn new(
+        experiment: Arc<Experiment>,
+        schedule: Arc<Schedule>,
+        event_log: EventLogWriter,
+        nodes: &[SocketAddr],
+        mass_disconnect: watch::Receiver<MassDisconnect>,
+    ) -> Arc<Clients> {
+        let pools = nodes.iter().map(|address| ConnectionPool::new(*address)).collect();
+        Arc::new(Clients { experiment, schedule, event_log, pools, mass_disconnect })
+    }
+
+    /// Starts each scheduled request at its time and returns when all have ended.
+    pub async fn run(self: &Arc<Self>) {
+        let (due, mut arrivals) = mpsc::unbounded_channel();
+        let clients = self.clone();
+        // The timers of the runtime have a resolution of a millisecond, so a separate thread waits for the due times.
+        let clock = std::thread::spawn(move || clients.announce_due_requests(&due));
+        let mut requests = tokio::task::JoinSet::new();
+        while let Some(id) = arrivals.recv().await {
+            let now = self.event_log.now();
+            let lateness_us = (now.0 - self.schedule.call(id).at_us).max(0) as u64;
+            self.event_log.write(|log| log.lateness.push(lateness_us));
+            requests.spawn(self.clone().run_request(id));
+            while requests.try_join_next().is_some() {}
+        }
+        while requests.join_next().await.is_some() {}
+        let _ = clock.join();
+    }
+
+    /// Sends the ID of each request when it is due.
+    fn announce_due_requests(&self, due: &mpsc::UnboundedSender<RequestId>) {
+        for (number, planned) in self.schedule.calls.iter().enumerate() {
+            sleep_until(self.event_log.instant(planned.due()));
+            if due.send(RequestId(number)).is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Runs a request with its client's retries.
+    async fn run_request(self: Arc<Self>, id: RequestId) {
+        let planned = self.schedule.call(id);
+        let request_class = &self.experiment.product[planned.product];
+        for number in 0u8.. {
+            let end = self.run_attempt(id, number).await;
+            if !may_retry(&end, request_class) {
+                return;
+            }
+            let Some(mut backoff) = planned.wait(number) else { return };
+            if let ClientAttemptEnd::RateLimited { come_back: Some(retry_after) } = end
+                && planned.heeds
+            {
+                backoff = backoff.max(retry_after);
+            }
+            tokio::time::sleep(backoff).await;
+        }
+    }
+
+    /// Runs one attempt and records it.
+    async fn run_attempt(&self, id: RequestId, number: u8) -> ClientAttemptEnd {
+        let planned = self.schedule.call(id);
+        let request_class = &self.experiment.product[planned.product];
+        let timeout = Duration::from_millis(request_class.timeout_ms);
+        let attempt_id = planned.name(number);
+        let is_deduplicated = request_class.effect == Deduplicated;
+        let idempotency_key = is_deduplicated.then(|| planned.idempotency_key());
+        let sent = self.event_log.now();
+        let request = AttemptRequest {
+            id: &attempt_id,
+            idempotency_key: idempotency_key.as_deref(),
+            planned,
+            request_class,
+            number,
+        };
+        let response = tokio::time::timeout(timeout + LATE_RESPONSE_GRACE, self.send(&request));
+        let clients = &self.experiment.load.clients;
+        let disconnects = self.mass_disconnect.clone();
+        let end = tokio::select! {
+            end = response => end.unwrap_or(ClientAttemptEnd::Unanswered),
+            () = disconnect::wait_for_disconnect(&attempt_id, planned.node, clients, disconnects) => {
+                ClientAttemptEnd::Left
+            }
+        };
+        let record = ClientAttempt {
+            call: id,
+            nth: number,
+            id: attempt_id,
+            idempotency_key,
+            node: planned.node(),
+            product: planned.product,
+            key: planned.key,
+            due: planned.due(),
+            sent,
+            ended: self.event_log.now(),
+            end: end.clone(),
+        };
+        self.event_log.write(|log| log.tries.push(record));
+        end
+    }
+
+    /// Sends an attempt over an idle connection or a new one and reads its response.
+    async fn send(&self, request: &AttemptRequest<'_>) -> ClientAttemptEnd {
+        let planned = request.planned;
+        let pool = &self.pools[planned.node];
+        let pooled = if planned.once { None } else { pool.take() };
+        if let Some(mut sender) = pooled {
+            match sender.send_request(self.http_request(request)).await {
+                Ok(response) => return self.read_response(response, sender, planned).await,
+                Err(error) if error.is_canceled() || error.is_closed() => {}
+                // The node closed the connection before it read the request. The client sends it again on a new
+                // connection if that is harmless in case that the node has read it after all.
+                Err(error)
+                    if error.is_incomplete_message() && request.request_class.effect != NonIdempotent => {}
+                Err(_) => return ClientAttemptEnd::Torn { used_before: true },
+            }
+        }
+        let Ok(mut sender) = self.connect(pool.address, planned.node()).await else {
+            return ClientAttemptEnd::Unreached;
+        };
+        match sender.send_request(self.http_request(request)).await {
+            Ok(response) => self.read_response(response, sender, planned).await,
+            Err(_) => ClientAttemptEnd::Torn { used_before: false },
+        }
+    }
+
+    fn http_request(&self, request: &AttemptRequest<'_>) -> Request<Full<Bytes>> {
+        let request_class = request.request_class;
+        let planned = request.planned;
+        let is_write = request_class.writes();
+        let mut builder = Request::builder()
+            .method(if is_write { "PUT" } else { "GET" })
+            .uri(format!("/{}/{:016x}", request_class.name, planned.key))
+            .header("Host", "service.internal")
+            .header("X-Request-ID", request.id)
+            .header("X-Priority-Class", &request_class.name)
+            .header("X-Timeout-Ms", request_class.timeout_ms);
+        if let Some(key) = request.idempotency_key {
+            builder = builder.header("Idempotency-Key", key);
+        }
+        if let Some(tenant) = planned.tenant {
+            builder = builder.header("X-Tenant-Id", &self.experiment.load.tenants[tenant]);
+        }
+        if request.number > 0 && self.experiment.load.clients.marks {
+            builder = builder.header("X-Retried", "1");
+        }
+        let body = if is_write { shard_workload::written(planned.key) } else { Bytes::new() };
+        builder.body(Full::new(body)).expect("names of the experiment are valid header values")
+    }
+
+    /// Opens a connection to a node and records bytes on it that belong to no response.
+    async fn connect(&self, address: SocketAddr, node: NodeId) -> std::io::Result<RequestSender> {
+        let stream = TcpStream::connect(address).await?;
+        let _ = stream.set_nodelay(true);
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(std::io::Error::other)?;
+        let event_log = self.event_log.clone();
+        tokio::spawn(async move {
+            if let Err(error) = connection.await
+                && error.to_string().contains("unexpected message")
+            {
+                event_log.event(Event::Stray { node });
+            }
+        });
+        Ok(sender)
+    }
+
+    async fn read_response(
+        &self,
+        response: Response<Incoming>,
+        sender: RequestSender,
+        planned: &Planned,
+    ) -> ClientAttemptEnd {
+        let (head, body) = response.into_parts();
+        let Ok(body) = Limited::new(body, MAX_RESPONSE_BODY).collect().await else {
+            return ClientAttemptEnd::Torn { used_before: false };
+        };
+        if !planned.once {
+            self.pools[planned.node].put_back(sender);
+        }
+        match head.status {
+            StatusCode::OK => match serde_json::from_slice::<ValueBody>(&body.to_bytes()) {
+                Ok(value) => ClientAttemptEnd::Fulfilled {
+                    made_for: value.made_for,
+                    version: Some(Version(value.version)),
+                },
+                Err(_) => ClientAttemptEnd::Fulfilled { made_for: String::new(), version: None },
+            },
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                ClientAttemptEnd::RateLimited { come_back: retry_after(&head.headers) }
+            }
+            status => ClientAttemptEnd::Errored { status: status.as_u16() },
+        }
+    }
+}
+
+/// Whether a client may retry after an attempt: nobody repeats what may have been executed unless that does no harm.
+fn may_retry(end: &ClientAttemptEnd, request_class: &Product) -> bool {
+    match end {
+        ClientAttemptEnd::Fulfilled { .. } => false,
+        ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::Unreached => true,
+        _ => request_class.effect != NonIdempotent,
+    }
+}
+
+/// The time that a `Retry-After` header advises, if it is valid.
+fn retry_after(headers: &hyper::HeaderMap) -> Option<Duration> {
+    let text = headers.get("retry-after")?.to_str().ok()?;
+    let seconds = text.parse::<f64>().ok()?;
+    if (0.0..MAX_RETRY_AFTER_S).contains(&seconds) { Some(Duration::from_secs_f64(seconds)) } else { None }
+}
+
+/// Sleeps until shortly before a time and spins for the rest.
+fn sleep_until(due: Instant) {
+    let Some(wait) = due.checked_duration_since(Instant::now()) else { return };
+    if wait > SPIN_DURATION {
+        std::thread::sleep(wait - SPIN_DURATION);
+    }
+    while Instant::now() < due {
+        std::hint::spin_loop();
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/endpoint_list.rs
@@ -0,0 +1,161 @@
+//! The endpoint list of the simulated discovery service: its entries, its history of changes, and the updates that a watch
+//! receives. Pure state: [`super::discovery`] owns it and serves it.
+//!
+//! Revisions grow by one with each change. A watch names the last revision that it knows and receives the later changes,
+//! or the complete list if the history doesn't reach back that far.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+
+use crate::event_log::{EndpointNotification, Listed, NodeId, ServerId, Timestamp};
+
+/// Changes in the history; a watch that asks for older ones receives the complete list.
+const MAX_CHANGES: usize = 4096;
+/// Revision of an empty list.
+const FIRST_REVISION: u64 = 1;
+
+/// A server as it is listed.
+#[derive(Clone, Debug)]
+pub struct ListedEndpoint {
+    /// ID of the server in the event log.
+    pub id: ServerId,
+    /// Unique name of the server.
+    pub uid: String,
+    /// Address of the server for each node.
+    pub addresses: Vec<SocketAddr>,
+    /// Availability zone.
+    pub zone: String,
+    /// Model of the server in the protocol: `plain` or `origin`.
+    pub model: &'static str,
+    /// State of the server.
+    pub listed: Listed,
+    /// Unix time of the server's start in milliseconds, 0 if unknown.
+    pub boot_ms: u64,
+}
+
+/// A change of the list and the revision that it made.
+#[derive(Clone)]
+struct Change {
+    revision: u64,
+    endpoint: ListedEndpoint,
+}
+
+/// What a watch receives next.
+pub struct ListUpdate {
+    /// The revision that the watch knows after the update.
+    pub revision: u64,
+    /// The update in the protocol's JSON form, on one line.
+    pub text: String,
+    /// The update in the event log.
+    pub notifications: Vec<EndpointNotification>,
+}
+
+/// The endpoint list with its history.
+#[derive(Clone)]
+pub struct EndpointList {
+    revision: u64,
+    /// The endpoints that are not gone, in the order of their last change.
+    endpoints: Vec<ListedEndpoint>,
+    changes: VecDeque<Change>,
+    /// The oldest revision from which the history is complete.
+    oldest_revision: u64,
+    /// All servers that were ever listed.
+    known: Vec<ServerId>,
+}
+
+impl Default for EndpointList {
+    fn default() -> EndpointList {
+        EndpointList {
+            revision: FIRST_REVISION,
+            endpoints: Vec::new(),
+            changes: VecDeque::new(),
+            oldest_revision: FIRST_REVISION,
+            known: Vec::new(),
+        }
+    }
+}
+
+impl EndpointList {
+    /// Adds an endpoint or changes its state.
+    pub fn put(&mut self, endpoint: ListedEndpoint) {
+        self.revision += 1;
+        self.endpoints.retain(|listed| listed.id != endpoint.id);
+        if endpoint.listed != Listed::Gone {
+            self.endpoints.push(endpoint.clone());
+        }
+        if !self.known.contains(&endpoint.id) {
+            self.known.push(endpoint.id);
+        }
+        self.changes.push_back(Change { revision: self.revision, endpoint });
+        while self.changes.len() > MAX_CHANGES {
+            if let Some(removed) = self.changes.pop_front() {
+                self.oldest_revision = removed.revision;
+            }
+        }
+    }
+
+    /// Starts counting revisions anew and forgets the history.
+    pub fn restart_revisions(&mut self) {
+        self.revision = FIRST_REVISION;
+        self.oldest_revision = FIRST_REVISION;
+        self.changes.clear();
+    }
+
+    /// The complete list in the form in which a node's configuration holds it.
+    pub fn snapshot_for(&self, node: NodeId) -> Value {
+        json!({"rev": self.revision, "all": true, "targets": self.all_targets(node)})
+    }
+
+    /// The next update of a node's watch that knows the list up to the revision `after`, or none if the watch is up to
+    /// date. A watch that knows nothing receives the complete list.
+    pub fn update_since(&self, node: NodeId, after: Option<u64>, at: Timestamp) -> Option<ListUpdate> {
+        let notify = |server, listed| EndpointNotification { node, server, listed, at };
+        let is_complete = after.is_none_or(|after| after < self.oldest_revision || after > self.revision);
+        if !is_complete && after == Some(self.revision) {
+            return None;
+        }
+        let targets: Vec<Value>;
+        let mut notifications: Vec<EndpointNotification>;
+        if is_complete {
+            targets = self.all_targets(node);
+            notifications = self.endpoints.iter().map(|e| notify(e.id, e.listed)).collect();
+            notifications.extend(self.gone().map(|id| notify(id, Listed::Gone)));
+        } else {
+            let changes = self.changes.iter().filter(|change| Some(change.revision) > after);
+            let endpoints: Vec<&ListedEndpoint> = changes.map(|change| &change.endpoint).collect();
+            targets = endpoints.iter().map(|endpoint| target(endpoint, node)).collect();
+            notifications = endpoints.iter().map(|e| notify(e.id, e.listed)).collect();
+        }
+        let text = json!({"rev": self.revision, "all": is_complete, "targets": targets}).to_string();
+        Some(ListUpdate { revision: self.revision, text, notifications })
+    }
+
+    fn all_targets(&self, node: NodeId) -> Vec<Value> {
+        self.endpoints.iter().map(|endpoint| target(endpoint, node)).collect()
+    }
+
+    /// The servers that were listed and are gone.
+    fn gone(&self) -> impl Iterator<Item = ServerId> {
+        let is_gone = |id: &ServerId| self.endpoints.iter().all(|endpoint| endpoint.id != *id);
+        self.known.iter().copied().filter(is_gone)
+    }
+}
+
+/// An endpoint in the protocol's JSON form.
+fn target(endpoint: &ListedEndpoint, node: NodeId) -> Value {
+    let state = match endpoint.listed {
+        Listed::Ready => "active",
+        Listed::Draining => "leaving",
+        Listed::Gone => "left",
+    };
+    json!({"uid": endpoint.uid, "endpoint": endpoint.addresses[node.0].to_string(), "az": endpoint.zone,
+        "model": endpoint.model, "pod_group": 0, "state": state, "capacity_hint": 1.0,
+        "boot_ms": endpoint.boot_ms})
+}
+
+/// The start of a server as the list states it: Unix time in milliseconds, 0 if unknown.
+pub fn boot_ms(started: Option<Timestamp>, unix_start_ms: u64) -> u64 {
+    started.map_or(0, |started| (unix_start_ms as i64 + started.0 / 1000).max(1) as u64)
+}
--- /dev/null
+++ b/crates/testbed/src/world/error.rs
@@ -0,0 +1,62 @@
+//! Why an experiment could not be played.
+
+use std::error::Error;
+use std::fmt;
+use std::path::PathBuf;
+
+use super::node::NodeStartError;
+
+/// Why an experiment could not be played. None of these is a judgement of the program under test, except where a process
+/// did not start: its log in the run's directory tells more.
+#[derive(Debug)]
+pub enum WorldError {
+    /// The runtime of the simulated servers did not start: the system lacks threads or descriptors.
+    Runtime(std::io::Error),
+    /// The directory for configurations and logs can't be created.
+    CreateDirectory {
+        /// Path of the directory.
+        path: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// A loopback address can't be bound or a planner's file can't be written.
+    Build(std::io::Error),
+    /// A node did not start.
+    NodeStart(NodeStartError),
+    /// A planner did not start or did not accept the history of past days.
+    PlannerStart(Box<dyn Error + Send + Sync>),
+    /// The nodes were not ready when the first request was due: the machine is too busy. Run it again with fewer jobs.
+    TooSlow,
+}
+
+impl fmt::Display for WorldError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            WorldError::Runtime(source) | WorldError::Build(source) => source.fmt(f),
+            WorldError::CreateDirectory { path, source } => write!(f, "{}: {source}", path.display()),
+            WorldError::NodeStart(source) => source.fmt(f),
+            WorldError::PlannerStart(source) => source.fmt(f),
+            WorldError::TooSlow => {
+                f.write_str("the nodes took too long to start: this machine is too busy to judge them")
+            }
+        }
+    }
+}
+
+impl Error for WorldError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            WorldError::Runtime(source) | WorldError::Build(source) => Some(source),
+            WorldError::CreateDirectory { source, .. } => Some(source),
+            WorldError::NodeStart(source) => Some(source),
+            WorldError::PlannerStart(source) => Some(source.as_ref()),
+            WorldError::TooSlow => None,
+        }
+    }
+}
+
+impl From<NodeStartError> for WorldError {
+    fn from(source: NodeStartError) -> WorldError {
+        WorldError::NodeStart(source)
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/faults/caches.rs
@@ -0,0 +1,65 @@
+//! Faults of single cache servers.
+
+use std::time::Duration;
+
+use super::super::World;
+use super::super::cache::CacheSlot;
+use super::super::listener::ListenerState;
+use super::Phase;
+use crate::event_log::{Listed, Timestamp};
+use crate::experiment::{Fault, FaultKind};
+
+/// Time between two resets of a cache's connections.
+const RESET_INTERVAL: Duration = Duration::from_millis(150);
+/// Time between listing a cache as draining and its first rejection, so that nodes have received the update.
+const DRAIN_NOTICE: Duration = Duration::from_millis(500);
+
+/// Begins or ends a fault at the cache in a slot.
+pub async fn apply(world: &World, fault: &Fault, number: usize, phase: Phase) {
+    let slot = &world.slots[number];
+    match (fault.kind, phase) {
+        (FaultKind::Hang, phase) => {
+            slot.is_hung.send_replace(phase.is_begin());
+        }
+        (FaultKind::Slow, Phase::Begin) => slot.set_slowdown(fault.factor.unwrap_or(1.0)),
+        (FaultKind::Slow, Phase::End) => slot.set_slowdown(1.0),
+        (FaultKind::Reset, Phase::Begin) => {
+            reset_until(world, slot, Timestamp::from_s(fault.at_s + fault.for_s)).await;
+        }
+        (FaultKind::KnockLate, Phase::Begin) => slot.set_listener_state(ListenerState::Unresponsive),
+        (FaultKind::KnockLate, Phase::End) => slot.set_listener_state(ListenerState::Accepting),
+        (FaultKind::Crash, Phase::Begin) => slot.set_listener_state(ListenerState::Refusing),
+        (FaultKind::Crash, Phase::End) => {
+            slot.replace_server(slot.id(), Some(world.event_log.now()));
+            slot.set_listener_state(ListenerState::Accepting);
+            world.list_slot(number, Listed::Ready);
+        }
+        (FaultKind::Drain, Phase::Begin) => {
+            world.list_slot(number, Listed::Draining);
+            tokio::time::sleep(DRAIN_NOTICE).await;
+            slot.drain();
+        }
+        (FaultKind::Drain, Phase::End) | (FaultKind::Remove, Phase::Begin) => {
+            world.list_slot(number, Listed::Gone);
+        }
+        (FaultKind::Remove, Phase::End) => slot.set_listener_state(ListenerState::Refusing),
+        (FaultKind::Replace, Phase::Begin) => {
+            world.list_slot(number, Listed::Gone);
+            slot.reset_connections();
+            world.replace_server(number);
+            world.list_slot(number, Listed::Ready);
+        }
+        _ => {}
+    }
+}
+
+/// Resets the connections of a slot again and again until a time of the run, at least once.
+async fn reset_until(world: &World, slot: &CacheSlot, end: Timestamp) {
+    loop {
+        slot.reset_connections();
+        tokio::time::sleep(RESET_INTERVAL).await;
+        if world.event_log.now() >= end {
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/faults/environment.rs
@@ -0,0 +1,103 @@
+//! Faults of what all nodes share: the origin, discovery, the clients, and the set of caches.
+
+use std::time::Duration;
+
+use super::super::World;
+use super::super::clients::MassDisconnect;
+use super::super::listener::ListenerState;
+use super::super::response_corruption::ResponseCorruption;
+use super::{Phase, links};
+use crate::event_log::Listed;
+use crate::experiment::{Fault, FaultKind};
+
+/// Time for which discovery serves the watches at its former address after it has moved.
+const OLD_DISCOVERY_LIFETIME: Duration = Duration::from_millis(1500);
+/// Mean delay of bytes that follow a complete response, if the fault names none, in milliseconds.
+const DEFAULT_CORRUPTION_DELAY_MS: f64 = 5.0;
+
+/// Begins or ends a fault.
+pub async fn apply(world: &World, fault: &Fault, caches: &[usize], nodes: &[usize], phase: Phase) {
+    match (fault.kind, phase) {
+        (FaultKind::Void, Phase::Begin) => clear_caches(world, caches),
+        (FaultKind::Grow, Phase::Begin) => add_caches(world, fault.count),
+        (FaultKind::OriginSlow, Phase::Begin) => world.origin.set_slowdown(fault.factor.unwrap_or(1.0)),
+        (FaultKind::OriginSlow, Phase::End) => world.origin.set_slowdown(1.0),
+        (FaultKind::OriginStop, phase) => {
+            world.origin.is_stopped.send_replace(phase.is_begin());
+        }
+        (FaultKind::DiscoverySilent, phase) => {
+            world.discovery.is_silent.send_replace(phase.is_begin());
+        }
+        (FaultKind::WatchesSilent, Phase::Begin) => world.discovery.silence_watches(),
+        (FaultKind::WatchesReset, Phase::Begin) => world.discovery.reset_watches(),
+        (FaultKind::ClientsLeave, Phase::Begin) => disconnect_clients(world, fault, nodes),
+        (FaultKind::DiscoveryStale, phase) => world.discovery.set_stale(phase.is_begin()),
+        (FaultKind::DiscoveryDown, Phase::Begin) => {
+            world.discovery.set_listener_state(ListenerState::Refusing);
+        }
+        (FaultKind::DiscoveryDown, Phase::End) => {
+            if fault.renumber {
+                world.discovery.restart_revisions();
+            }
+            world.discovery.set_listener_state(ListenerState::Accepting);
+        }
+        (FaultKind::DiscoveryMove, Phase::Begin) => move_discovery(world).await,
+        (FaultKind::Spoil, Phase::Begin) => set_corruption(world, caches, corruption(fault)),
+        (FaultKind::Spoil, Phase::End) => set_corruption(world, caches, None),
+        (_, phase) => links::apply(world, fault, caches, nodes, phase),
+    }
+}
+
+/// Drops all values at the named caches, or at all caches if none is named.
+fn clear_caches(world: &World, caches: &[usize]) {
+    if caches.is_empty() {
+        world.slots.iter().for_each(|slot| slot.clear());
+    }
+    for cache in caches {
+        world.slots[*cache].clear();
+    }
+}
+
+/// Adds cold caches in the slots that are free from the beginning.
+fn add_caches(world: &World, count: usize) {
+    let first_free = world.experiment.world.caches;
+    for slot in (first_free..world.slots.len()).take(count) {
+        world.replace_server(slot);
+        world.slots[slot].set_listener_state(ListenerState::Accepting);
+        world.list_slot(slot, Listed::Ready);
+    }
+}
+
+fn disconnect_clients(world: &World, fault: &Fault, nodes: &[usize]) {
+    let share = fault.share.unwrap_or(1.0);
+    world.mass_disconnect.send_modify(|disconnect| {
+        *disconnect = MassDisconnect { count: disconnect.count + 1, share, nodes: nodes.to_vec() };
+    });
+}
+
+/// Moves discovery to new addresses and has the nodes reload their configuration.
+async fn move_discovery(world: &World) {
+    let Ok(addresses) = world.discovery.bind(&world.discovery_ips, OLD_DISCOVERY_LIFETIME).await else {
+        return;
+    };
+    for (node, address) in world.nodes.iter().zip(addresses) {
+        // A node that is down reads the file when it starts.
+        let _ = node.lock().await.set_discovery(address);
+    }
+}
+
+/// The corruption of responses that a fault describes, if it names both the share and the kind.
+fn corruption(fault: &Fault) -> Option<ResponseCorruption> {
+    let delay = Duration::from_secs_f64(fault.ms.unwrap_or(DEFAULT_CORRUPTION_DELAY_MS) / 1000.0);
+    Some(ResponseCorruption { share: fault.share?, kind: fault.how?, delay })
+}
+
+/// Sets the corruption of responses at the named caches, or at the origin if none is named.
+fn set_corruption(world: &World, caches: &[usize], corruption: Option<ResponseCorruption>) {
+    if caches.is_empty() {
+        *world.origin.corruption.lock().expect("no holder panics") = corruption;
+    }
+    for cache in caches {
+        *world.slots[*cache].corruption.lock().expect("no holder panics") = corruption;
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/faults/mod.rs
@@ -0,0 +1,192 @@
+//! Injects the faults of an experiment's timeline.
+//!
+//! Each fault runs in a task of its own. One that names several caches, nodes or planners runs one task for each of them;
+//! the event log holds the beginning and the end of the complete fault.
+
+mod caches;
+mod environment;
+mod links;
+mod nodes;
+mod planners;
+
+use std::sync::Arc;
+
+use tokio::task::JoinSet;
+
+use super::{World, growth};
+use crate::event_log::{Event, Timestamp};
+use crate::experiment::{Fault, FaultKind};
+
+/// The most caches that the description of a fault names one by one.
+const MAX_DESCRIBED_CACHES: usize = 4;
+
+/// Which part of a fault is to be carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Phase {
+    Begin,
+    End,
+}
+
+impl Phase {
+    /// Whether a state that lasts as long as the fault is to be set.
+    fn is_begin(self) -> bool {
+        self == Phase::Begin
+    }
+}
+
+/// What a fault affects, and so how it is split into tasks.
+enum Scope {
+    /// Each of the named caches, one after the other with a stagger.
+    EachCache,
+    /// Each of the named nodes, one after the other with a stagger.
+    EachNode,
+    /// Each of the named planners, at once.
+    EachPlanner,
+    /// The number of nodes that run.
+    NodeCount,
+    /// The messages between members.
+    Messages,
+    /// The world as a whole: origin, discovery, clients and links.
+    Environment,
+}
+
+impl Scope {
+    fn of(kind: FaultKind) -> Scope {
+        match kind {
+            FaultKind::Hang
+            | FaultKind::Slow
+            | FaultKind::Crash
+            | FaultKind::Drain
+            | FaultKind::Remove
+            | FaultKind::Replace
+            | FaultKind::Reset
+            | FaultKind::KnockLate => Scope::EachCache,
+            FaultKind::NodeKill
+            | FaultKind::NodeFreeze
+            | FaultKind::NodeRestart
+            | FaultKind::NodeSettings
+            | FaultKind::BadClients => Scope::EachNode,
+            FaultKind::PlannerKill
+            | FaultKind::PlannerFreeze
+            | FaultKind::PlannerRestart
+            | FaultKind::PlannerLies => Scope::EachPlanner,
+            FaultKind::Resize => Scope::NodeCount,
+            _ if kind.befalls_letters() => Scope::Messages,
+            _ => Scope::Environment,
+        }
+    }
+}
+
+/// Injects all faults of the experiment and returns when the last one has ended.
+pub async fn inject_all(world: Arc<World>) {
+    let mut faults = JoinSet::new();
+    for (id, fault) in world.experiment.faults().into_iter().enumerate() {
+        faults.spawn(inject(world.clone(), id, fault));
+    }
+    while faults.join_next().await.is_some() {}
+}
+
+/// Waits until a time of the run, in seconds from its start.
+async fn sleep_until(world: &World, seconds: f64) {
+    tokio::time::sleep_until(world.event_log.instant(Timestamp::from_s(seconds)).into()).await;
+}
+
+/// Injects one fault from its beginning to its end.
+async fn inject(world: Arc<World>, id: usize, fault: Fault) {
+    let caches = fault.named(&world.experiment);
+    let nodes = named_or_all(&fault.nodes, world.nodes.len());
+    let what = describe(&fault, &caches);
+    let Some(fault) = growth::awaits_step(&world, fault).await else { return };
+    world.event_log.event(Event::FaultBegan { what: what.clone() });
+    match Scope::of(fault.kind) {
+        Scope::EachCache => inject_at_each_cache(&world, &fault, caches).await,
+        Scope::EachNode => inject_at_each_node(&world, &fault, nodes).await,
+        Scope::EachPlanner => inject_at_each_planner(&world, &fault).await,
+        Scope::NodeCount => resize(&world, &fault).await,
+        Scope::Messages => {
+            let Some(relay) = &world.relay else { return };
+            relay.trouble(id, &fault, true);
+            sleep_until(&world, fault.end_s()).await;
+            relay.trouble(id, &fault, false);
+        }
+        Scope::Environment => {
+            environment::apply(&world, &fault, &caches, &nodes, Phase::Begin).await;
+            sleep_until(&world, fault.end_s()).await;
+            environment::apply(&world, &fault, &caches, &nodes, Phase::End).await;
+        }
+    }
+    world.event_log.event(Event::FaultEnded { what });
+}
+
+async fn inject_at_each_cache(world: &Arc<World>, fault: &Fault, caches: Vec<usize>) {
+    let mut tasks = JoinSet::new();
+    for (n, cache) in caches.into_iter().enumerate() {
+        let world = world.clone();
+        let fault = fault.clone();
+        tasks.spawn(async move {
+            let begin_s = fault.at_s + n as f64 * fault.stagger_s;
+            sleep_until(&world, begin_s).await;
+            caches::apply(&world, &fault, cache, Phase::Begin).await;
+            sleep_until(&world, begin_s + fault.for_s).await;
+            caches::apply(&world, &fault, cache, Phase::End).await;
+        });
+    }
+    while tasks.join_next().await.is_some() {}
+}
+
+async fn inject_at_each_node(world: &Arc<World>, fault: &Fault, nodes: Vec<usize>) {
+    let mut tasks = JoinSet::new();
+    for (n, node) in nodes.into_iter().enumerate() {
+        let world = world.clone();
+        // Each node has its own part of the timeline.
+        let mut fault = fault.clone();
+        fault.at_s += n as f64 * fault.stagger_s;
+        fault.nodes = vec![node];
+        tasks.spawn(async move {
+            sleep_until(&world, fault.at_s).await;
+            nodes::apply(&world, &fault, node).await;
+        });
+    }
+    while tasks.join_next().await.is_some() {}
+}
+
+async fn inject_at_each_planner(world: &Arc<World>, fault: &Fault) {
+    let mut tasks = JoinSet::new();
+    for planner in named_or_all(&fault.planners, world.planners.len()) {
+        let world = world.clone();
+        let fault = fault.clone();
+        tasks.spawn(async move { planners::apply(&world, &fault, planner).await });
+    }
+    while tasks.join_next().await.is_some() {}
+}
+
+/// Starts or stops nodes until as many run as the fault says.
+async fn resize(world: &Arc<World>, fault: &Fault) {
+    let mut tasks = JoinSet::new();
+    for (node, at_s, starts) in world.experiment.resized(fault.at_s) {
+        let world = world.clone();
+        tasks.spawn(async move {
+            sleep_until(&world, at_s).await;
+            if starts {
+                nodes::start(&world, node).await;
+            } else {
+                nodes::stop(&world, node).await;
+            }
+        });
+    }
+    while tasks.join_next().await.is_some() {}
+}
+
+fn named_or_all(named: &[usize], count: usize) -> Vec<usize> {
+    if named.is_empty() { (0..count).collect() } else { named.to_vec() }
+}
+
+/// The text of a fault in the event log.
+fn describe(fault: &Fault, caches: &[usize]) -> String {
+    let kind = format!("{:?}", fault.kind);
+    match caches.len() {
+        0 => kind,
+        1..=MAX_DESCRIBED_CACHES => format!("{kind} {caches:?}"),
+        count => format!("{kind} of {count}"),
+    }
+}
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 
 use super::World;
-use super::cache::Seat;
+use super::cache::CacheSlot;
 use super::planner::number_of;
 use crate::event_log::{EventLogWriter, Member, Timestamp, Version};
 use crate::experiment::{Experiment, Fault, GrowthForm};
@@ -30,7 +30,7 @@
 }
 
 /// The keys that there are at first, each where it stands by the table.
-pub fn preload(of: &Experiment, seats: &[Arc<Seat>], event_log: &EventLogWriter) {
+pub fn preload(of: &Experiment, seats: &[Arc<CacheSlot>], event_log: &EventLogWriter) {
     let Some(form) = &of.growth else { return };
     let there = &seats[..of.world.caches];
     let names: Vec<String> =
--- a/crates/testbed/src/world/link.rs
+++ b/crates/testbed/src/world/link.rs
@@ -1,204 +1,264 @@
-//! The link between one node and one server: passes bytes on, and breaks as it is told.
+//! The simulated network link between one node and one server: it copies bytes between the node's socket and the
+//! server's HTTP library, and applies delays, loss and resets.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, watch};
 
-/// What one way of a link does.
+/// Time between the last bytes and the reset of [`ConnectionFault::SendThenReset`]: the node has read them by then.
+const RESET_DELAY: Duration = Duration::from_millis(3);
+/// Time between two chunks of an endless body.
+const ENDLESS_CHUNK_INTERVAL: Duration = Duration::from_millis(3);
+/// The most bytes that are copied at a time.
+const COPY_BUFFER_BYTES: usize = 16 * 1024;
+
+/// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    /// Nothing passes. What was on its way then is lost, and so are its connections.
-    pub silent: bool,
+pub struct DirectionState {
+    /// Whether nothing passes. Bytes that are in flight meanwhile are lost, and so are their connections.
+    pub is_silent: bool,
+    /// Delay of each chunk.
     pub delay: Duration,
+    /// Bandwidth, if limited.
     pub bytes_per_s: Option<f64>,
-    /// A connection resets once this many bytes have passed on it.
-    pub reset_after: Option<u64>,
+    /// A connection is reset once this many bytes have passed on it.
+    pub reset_after_bytes: Option<u64>,
 }
 
+/// State of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    pub toward_server: Way,
-    pub toward_node: Way,
-    /// Counts up each time all connections are to be reset.
-    pub resets: u64,
+    /// The direction from the node to the server.
+    pub toward_server: DirectionState,
+    /// The direction from the server to the node.
+    pub toward_node: DirectionState,
+    /// Incremented to reset all connections of the link.
+    pub reset_count: u64,
 }
 
+/// The sending half of a link's state: connections subscribe to it.
 pub type Link = Arc<watch::Sender<LinkState>>;
 
-/// What a server may do to a connection past its HTTP library.
-pub enum Rough {
-    /// Sends these bytes, and then ends the connection if so told.
-    Raw {
-        bytes: Vec<u8>,
-        then_close: bool,
-    },
+/// What a server does to a connection past its HTTP library.
+pub enum ConnectionFault {
+    /// Sends bytes and closes the connection.
+    SendThenClose(Vec<u8>),
+    /// Sends bytes and keeps the connection open until the node closes it.
+    SendThenHold(Vec<u8>),
+    /// Sends bytes and resets the connection some milliseconds later.
+    SendThenReset(Vec<u8>),
+    /// Resets the connection.
     Reset,
-    /// Sends these bytes, and resets it some milliseconds later.
-    RawThenReset(Vec<u8>),
-    /// Sends a body that never ends.
-    Endless,
-    /// Sends these bytes besides, so much later, and goes on.
-    Also {
+    /// Sends a chunked body that never ends.
+    SendEndlessBody,
+    /// Sends bytes after a delay; the connection stays in use.
+    SendLater {
+        /// The bytes.
         bytes: Vec<u8>,
-        late: Duration,
+        /// Time until they are sent.
+        delay: Duration,
     },
 }
 
-/// Between what was sent and its reset: read by then.
-const THEN_RESET: Duration = Duration::from_millis(3);
-
-/// What passes at most at once.
-const CHUNK: usize = 16 * 1024;
-
-#[derive(PartialEq)]
-enum Over {
-    InOrder,
+/// How copying in one direction ended.
+#[derive(Clone, Copy, PartialEq)]
+enum CopyEnd {
+    /// One side closed its half.
+    Closed,
+    /// The link demands a reset.
     Reset,
 }
 
-/// Carries one way until its reader ends or the link breaks.
-async fn carry(
+/// Copies one direction until its reader ends or the link breaks. Bytes from `injected` are written in between.
+async fn copy_direction(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
     mut link: watch::Receiver<LinkState>,
-    way: fn(&LinkState) -> Way,
-    mut besides: mpsc::UnboundedReceiver<Vec<u8>>,
-) -> Over {
-    let mut chunk = vec![0; CHUNK];
-    let mut passed = 0u64;
+    direction: fn(&LinkState) -> DirectionState,
+    mut injected: mpsc::UnboundedReceiver<Vec<u8>>,
+) -> CopyEnd {
+    let mut buffer = vec![0; COPY_BUFFER_BYTES];
+    let mut copied = 0u64;
     loop {
         let read = tokio::select! {
-            read = from.read(&mut chunk) => read.unwrap_or(0),
-            Some(bytes) = besides.recv() => {
-                // Nobody may be there any more, which is seen by the next that is read.
+            read = from.read(&mut buffer) => read.unwrap_or(0),
+            Some(bytes) = injected.recv() => {
+                // If the reader is gone, the next read shows it.
                 let _ = to.write_all(&bytes).await;
                 continue;
             }
         };
-        let mut now = way(&link.borrow_and_update());
-        while now.silent {
-            if link.changed().await.is_err() {
-                return Over::Reset;
-            }
-            now = way(&link.borrow_and_update());
-            if !now.silent {
-                // What was swallowed can't come any more: whoever is there again knows nothing of it.
-                return Over::Reset;
-            }
-        }
-        if !now.delay.is_zero() {
-            tokio::time::sleep(now.delay).await;
-        }
-        if let Some(rate) = now.bytes_per_s {
-            tokio::time::sleep(Duration::from_secs_f64(read as f64 / rate)).await;
+        let state = direction(&link.borrow_and_update());
+        if state.is_silent {
+            return wait_while_silent(&mut link, direction).await;
         }
-        let mut most = read;
-        if let Some(last) = now.reset_after {
-            most = most.min(last.saturating_sub(passed) as usize);
+        delay_chunk(&state, read).await;
+        let mut allowed = read;
+        if let Some(limit) = state.reset_after_bytes {
+            allowed = allowed.min(limit.saturating_sub(copied) as usize);
         }
-        if read == 0 || to.write_all(&chunk[..most]).await.is_err() {
+        if read == 0 || to.write_all(&buffer[..allowed]).await.is_err() {
             let _ = to.shutdown().await;
-            return Over::InOrder;
+            return CopyEnd::Closed;
         }
-        passed += most as u64;
-        if most < read {
-            return Over::Reset;
+        copied += allowed as u64;
+        if allowed < read {
+            return CopyEnd::Reset;
+        }
+    }
+}
+
+/// Waits until a silent direction passes bytes again. The bytes that it lost can't be delivered any more, so the
+/// connection ends with a reset.
+async fn wait_while_silent(
+    link: &mut watch::Receiver<LinkState>,
+    direction: fn(&LinkState) -> DirectionState,
+) -> CopyEnd {
+    while link.changed().await.is_ok() {
+        if !direction(&link.borrow_and_update()).is_silent {
+            break;
         }
     }
+    CopyEnd::Reset
+}
+
+/// Waits for the latency and the transmission time of a chunk.
+async fn delay_chunk(state: &DirectionState, bytes: usize) {
+    if !state.delay.is_zero() {
+        tokio::time::sleep(state.delay).await;
+    }
+    if let Some(rate) = state.bytes_per_s {
+        tokio::time::sleep(Duration::from_secs_f64(bytes as f64 / rate)).await;
+    }
 }
 
-/// Joins a connection to a server's end of it until either is over.
+/// Connects a node's socket to a server's end of the connection until either side closes it, the link resets it, or the
+/// server injects a fault.
 pub async fn join(
     stream: TcpStream,
     server: DuplexStream,
     link: watch::Receiver<LinkState>,
-    mut rough: mpsc::UnboundedReceiver<Rough>,
+    faults: mpsc::UnboundedReceiver<ConnectionFault>,
 ) {
     let _ = stream.set_nodelay(true);
-    let (mut from_node, mut to_node) = stream.into_split();
-    let (mut from_server, mut to_server) = tokio::io::split(server);
-    let mut seen = link.clone();
-    let resets = seen.borrow_and_update().resets;
-    let torn = async {
-        while seen.changed().await.is_ok() {
-            if seen.borrow_and_update().resets != resets {
-                return;
+    let (from_node, to_node) = stream.into_split();
+    // The server's end stays open until the fault has been applied: the HTTP library sees no end of the stream before.
+    let (from_server, to_server) = tokio::io::split(server);
+    let mut ends = ConnectionEnds { from_node, to_node, from_server, to_server };
+    let fault = copy_until_fault(&mut ends, link, faults).await;
+    if let Some(fault) = fault {
+        apply_fault(fault, ends.from_node, ends.to_node).await;
+    }
+}
+
+/// The four ends between which a connection is copied.
+struct ConnectionEnds {
+    from_node: OwnedReadHalf,
+    to_node: OwnedWriteHalf,
+    from_server: ReadHalf<DuplexStream>,
+    to_server: WriteHalf<DuplexStream>,
+}
+
+/// Copies both directions. Returns the fault that ends the connection, or none if it was closed.
+async fn copy_until_fault(
+    ends: &mut ConnectionEnds,
+    link: watch::Receiver<LinkState>,
+    faults: mpsc::UnboundedReceiver<ConnectionFault>,
+) -> Option<ConnectionFault> {
+    let ConnectionEnds { from_node, to_node, from_server, to_server } = ends;
+    let mut observed = link.clone();
+    let initial_reset_count = observed.borrow_and_update().reset_count;
+    let (_, no_injected) = mpsc::unbounded_channel();
+    let (inject, injected) = mpsc::unbounded_channel();
+    let inward = copy_direction(from_node, to_server, link.clone(), |l| l.toward_server, no_injected);
+    let outward = copy_direction(from_server, to_node, link, |l| l.toward_node, injected);
+    let both = async {
+        tokio::pin!(inward, outward);
+        let mut inward_closed = false;
+        loop {
+            tokio::select! {
+                end = &mut inward, if !inward_closed => match end {
+                    CopyEnd::Reset => return CopyEnd::Reset,
+                    CopyEnd::Closed => inward_closed = true,
+                },
+                end = &mut outward => return end,
             }
         }
-        std::future::pending().await
     };
-    let (there, back) = (link.clone(), link);
-    let over = {
-        let (_, none) = mpsc::unbounded_channel();
-        let (besides, to_send) = mpsc::unbounded_channel();
-        let inward = carry(&mut from_node, &mut to_server, there, |l| l.toward_server, none);
-        let outward = carry(&mut from_server, &mut to_node, back, |l| l.toward_node, to_send);
-        tokio::pin!(inward, outward);
-        let both = async {
-            let mut inward_over = false;
-            loop {
-                tokio::select! {
-                    over = &mut inward, if !inward_over => match over {
-                        Over::Reset => return Over::Reset,
-                        Over::InOrder => inward_over = true,
-                    },
-                    over = &mut outward => return over,
-                }
-            }
-        };
-        // Once nobody is left to give orders, what was answered last still has to pass.
-        let ordered = async {
-            loop {
-                match rough.recv().await {
-                    Some(Rough::Also { bytes, late }) => {
-                        let besides = besides.clone();
-                        tokio::spawn(async move {
-                            tokio::time::sleep(late).await;
-                            let _ = besides.send(bytes);
-                        });
-                    }
-                    Some(order) => return order,
-                    None => std::future::pending().await,
-                }
+    tokio::select! {
+        () = wait_for_reset(observed, initial_reset_count) => Some(ConnectionFault::Reset),
+        end = both => match end {
+            CopyEnd::Reset => Some(ConnectionFault::Reset),
+            CopyEnd::Closed => None,
+        },
+        fault = next_fatal_fault(faults, inject) => Some(fault),
+    }
+}
+
+/// Returns once the link's connections are to be reset.
+async fn wait_for_reset(mut link: watch::Receiver<LinkState>, initial_reset_count: u64) {
+    while link.changed().await.is_ok() {
+        if link.borrow_and_update().reset_count != initial_reset_count {
+            return;
+        }
+    }
+    std::future::pending().await
+}
+
+/// Returns the first fault after which the connection is of no use; delayed bytes are injected on the way. Without a
+/// sender it never returns, so that the last response still passes.
+async fn next_fatal_fault(
+    mut faults: mpsc::UnboundedReceiver<ConnectionFault>,
+    inject: mpsc::UnboundedSender<Vec<u8>>,
+) -> ConnectionFault {
+    loop {
+        match faults.recv().await {
+            Some(ConnectionFault::SendLater { bytes, delay }) => {
+                let inject = inject.clone();
+                tokio::spawn(async move {
+                    tokio::time::sleep(delay).await;
+                    let _ = inject.send(bytes);
+                });
             }
-        };
-        tokio::select! {
-            () = torn => Some(Rough::Reset),
-            over = both => (over == Over::Reset).then_some(Rough::Reset),
-            order = ordered => Some(order),
+            Some(fault) => return fault,
+            None => std::future::pending().await,
         }
-    };
-    match over {
-        Some(Rough::Reset) => reset(from_node, to_node),
-        Some(Rough::Raw { bytes, then_close }) => {
+    }
+}
+
+/// Ends a connection in the way that a fault demands.
+async fn apply_fault(fault: ConnectionFault, mut from_node: OwnedReadHalf, mut to_node: OwnedWriteHalf) {
+    match fault {
+        ConnectionFault::Reset => reset(from_node, to_node),
+        ConnectionFault::SendThenClose(bytes) => {
             let _ = to_node.write_all(&bytes).await;
-            if !then_close {
-                // Open and of no further use, until the node ends it.
-                let mut rest = [0; 64];
-                while from_node.read(&mut rest).await.is_ok_and(|n| n > 0) {}
-            }
         }
-        Some(Rough::RawThenReset(bytes)) => {
+        ConnectionFault::SendThenHold(bytes) => {
+            let _ = to_node.write_all(&bytes).await;
+            let mut discarded = [0; 64];
+            while from_node.read(&mut discarded).await.is_ok_and(|n| n > 0) {}
+        }
+        ConnectionFault::SendThenReset(bytes) => {
             let _ = to_node.write_all(&bytes).await;
-            tokio::time::sleep(THEN_RESET).await;
+            tokio::time::sleep(RESET_DELAY).await;
             reset(from_node, to_node);
         }
-        Some(Rough::Endless) => {
+        ConnectionFault::SendEndlessBody => {
             let mut sent = to_node.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
             while sent.is_ok() {
-                tokio::time::sleep(THEN_RESET).await;
+                tokio::time::sleep(ENDLESS_CHUNK_INTERVAL).await;
                 sent = to_node.write_all(b"1\r\nx\r\n").await;
             }
         }
-        Some(Rough::Also { .. }) | None => {}
+        ConnectionFault::SendLater { .. } => {}
     }
 }
 
-/// Ends a connection by a reset alone: a half that is dropped says before that it is at its end in order.
+/// Ends a connection by a reset alone: a write half that is dropped would close its direction in order before.
 fn reset(from_node: OwnedReadHalf, to_node: OwnedWriteHalf) {
     let _ = rustix::net::sockopt::set_socket_linger(from_node.as_ref(), Some(Duration::ZERO));
     to_node.forget();
--- a/crates/testbed/src/world/listener.rs
+++ b/crates/testbed/src/world/listener.rs
@@ -1,6 +1,8 @@
-//! A server's address for one node: takes connections, refuses, or lets whoever knocks hear nothing.
+//! The address at which one node reaches a simulated server: a listener that accepts connections, refuses them, or lets
+//! connection attempts time out.
 
 use std::convert::Infallible;
+use std::fmt;
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
 use std::pin::Pin;
@@ -17,158 +19,207 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-use super::link::{self, Link, LinkState, Rough};
+use super::link::{self, ConnectionFault, Link, LinkState};
 use crate::event_log::NodeId;
 
-pub type Reply = Result<Response<BoxBody<Bytes, Infallible>>, Broken>;
+/// Backlog of a listener that accepts connections.
+const BACKLOG: i32 = 1024;
+/// Pause before an address that is in use is bound again.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// The most connections that fill a backlog of zero: the system holds one or two.
+const MAX_FILLERS: usize = 8;
+/// A connection attempt that takes longer shows that the backlog is full.
+const FILLER_TIMEOUT: Duration = Duration::from_millis(30);
+/// Bytes buffered between the link and the HTTP library, in each direction.
+const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
-/// In place of an answer: the connection is of no further use.
+/// What a [`Handler`] returns for a request.
+pub type HandlerResult = Result<Response<BoxBody<Bytes, Infallible>>, ConnectionAborted>;
+
+/// The future of a [`HandlerResult`].
+pub type HandlerFuture = Pin<Box<dyn Future<Output = HandlerResult> + Send>>;
+
+/// The handler has no response, and the connection is of no further use.
 #[derive(Debug)]
-pub struct Broken;
+pub struct ConnectionAborted;
 
-impl std::fmt::Display for Broken {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("broken on purpose")
+impl fmt::Display for ConnectionAborted {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("the server aborted the connection on purpose")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionAborted {}
 
-/// The far side of a connection, for whoever answers on it.
-pub struct Peer {
+/// A connection as the server's handler sees it.
+pub struct ServerConnection {
+    /// The node that opened the connection.
     pub node: NodeId,
-    /// Calls that came on it before.
-    pub calls: AtomicUsize,
-    rough: mpsc::UnboundedSender<Rough>,
+    /// Number of requests that the handler has received on the connection.
+    pub request_count: AtomicUsize,
+    faults: mpsc::UnboundedSender<ConnectionFault>,
 }
 
-impl Peer {
-    pub fn break_with(&self, rough: Rough) {
-        let _ = self.rough.send(rough);
+impl ServerConnection {
+    /// Has the link apply a fault to the connection.
+    pub fn inject_fault(&self, fault: ConnectionFault) {
+        // A connection that has ended needs no fault.
+        let _ = self.faults.send(fault);
     }
 }
 
-/// Whoever answers at a door.
-pub trait Answers: Send + Sync + 'static {
-    fn answer(
+/// Serves the requests that arrive at a [`Listener`].
+pub trait Handler: Send + Sync + 'static {
+    /// Serves a request. The future is dropped when the connection ends.
+    fn handle(
         self: Arc<Self>,
-        peer: Arc<Peer>,
-        call: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Reply> + Send>>;
+        connection: Arc<ServerConnection>,
+        request: Request<Incoming>,
+    ) -> HandlerFuture;
 
-    /// Idle connections are closed after this.
+    /// Time after which an idle connection is closed.
     fn keepalive(&self) -> Duration;
 
-    /// The most connections; more are reset.
-    fn connections(&self) -> usize;
+    /// The most open connections; further ones are closed at once.
+    fn max_connections(&self) -> usize;
 }
 
-/// Whether a door lets in.
+/// What a listener does with connection attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stance {
-    Open,
+pub enum ListenerState {
+    /// Accepts them.
+    Accepting,
+    /// Refuses them; open connections are reset.
     Refusing,
-    /// What knocks hears nothing.
-    Deaf,
+    /// Leaves them without an answer.
+    Unresponsive,
 }
 
-pub struct Door {
+/// A server's address for one node.
+pub struct Listener {
+    /// The bound address.
     pub address: SocketAddr,
+    /// The link that all connections of the listener pass.
     pub link: Link,
-    stance: watch::Sender<Stance>,
+    state: watch::Sender<ListenerState>,
 }
 
-impl Door {
-    /// Binds any free port of an address, or refuses at it until it is opened.
+impl Listener {
+    /// Binds any free port of an IP address and serves it in a task of its own.
     ///
     /// # Errors
-    /// The system's, where the address can't be listened on.
-    pub async fn open(
+    /// The system's error if the address can't be bound.
+    pub async fn bind(
         ip: IpAddr,
         node: NodeId,
-        stance: Stance,
-        answers: Arc<dyn Answers>,
-    ) -> std::io::Result<Door> {
-        let listener = TcpListener::bind((ip, 0)).await?;
-        let address = listener.local_addr()?;
+        initial_state: ListenerState,
+        handler: Arc<dyn Handler>,
+    ) -> std::io::Result<Listener> {
+        let socket = TcpListener::bind((ip, 0)).await?;
+        let address = socket.local_addr()?;
         let link: Link = Arc::new(watch::Sender::new(LinkState::default()));
-        let (sender, receiver) = watch::channel(stance);
-        tokio::spawn(attend(listener, receiver, link.clone(), node, answers));
-        Ok(Door { address, link, stance: sender })
+        let (state, state_receiver) = watch::channel(initial_state);
+        let task = ListenerTask {
+            address,
+            link: link.clone(),
+            node,
+            handler,
+            open_connections: Arc::new(AtomicUsize::new(0)),
+        };
+        tokio::spawn(task.run(socket, state_receiver));
+        Ok(Listener { address, link, state })
     }
 
-    pub fn set(&self, stance: Stance) {
-        self.stance.send_replace(stance);
-        if stance == Stance::Refusing {
-            self.reset();
+    /// Changes the state; [`ListenerState::Refusing`] resets the open connections too.
+    pub fn set_state(&self, state: ListenerState) {
+        self.state.send_replace(state);
+        if state == ListenerState::Refusing {
+            self.reset_connections();
         }
     }
 
-    /// Resets all connections.
-    pub fn reset(&self) {
-        self.link.send_modify(|l| l.resets += 1);
+    /// Resets all open connections.
+    pub fn reset_connections(&self) {
+        self.link.send_modify(|link| link.reset_count += 1);
     }
 }
 
-async fn attend(
-    first: TcpListener,
-    mut stance: watch::Receiver<Stance>,
+/// The task that accepts a listener's connections.
+struct ListenerTask {
+    address: SocketAddr,
     link: Link,
     node: NodeId,
-    answers: Arc<dyn Answers>,
-) {
-    let Ok(address) = first.local_addr() else { return };
-    let mut listener = Some(first);
-    let open = Arc::new(AtomicUsize::new(0));
-    loop {
-        let now = *stance.borrow_and_update();
-        let changed = match (now, &listener) {
-            (Stance::Refusing, _) => {
-                listener = None;
-                stance.changed().await
-            }
-            (_, None) => {
-                match TcpListener::bind(address).await {
-                    Ok(bound) => listener = Some(bound),
-                    // Something passes through the port: it is free again soon.
-                    Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
+    handler: Arc<dyn Handler>,
+    open_connections: Arc<AtomicUsize>,
+}
+
+impl ListenerTask {
+    /// Runs until the [`Listener`] is dropped.
+    async fn run(self, socket: TcpListener, mut state: watch::Receiver<ListenerState>) {
+        let mut socket = Some(socket);
+        loop {
+            let current = *state.borrow_and_update();
+            let result = match (current, &socket) {
+                (ListenerState::Refusing, _) => {
+                    socket = None;
+                    state.changed().await
                 }
-                Ok(())
-            }
-            (Stance::Deaf, Some(listener)) => {
-                let fillers = deafen(listener, address).await;
-                let changed = stance.changed().await;
-                drop(fillers);
-                let _ = rustix::net::listen(listener, 1024);
-                changed
-            }
-            (Stance::Open, Some(listener)) => tokio::select! {
-                changed = stance.changed() => changed,
-                taken = listener.accept() => {
-                    if let Ok((stream, _)) = taken {
-                        let guard = Guard::new(open.clone());
-                        if open.load(Ordering::Relaxed) <= answers.connections() {
-                            tokio::spawn(attend_one(stream, link.clone(), node, answers.clone(), guard));
-                        }
-                    }
+                (_, None) => {
+                    socket = self.rebind().await;
                     Ok(())
                 }
-            },
-        };
-        if changed.is_err() {
+                (ListenerState::Unresponsive, Some(socket)) => {
+                    let fillers = fill_backlog(socket, self.address).await;
+                    let result = state.changed().await;
+                    drop(fillers);
+                    let _ = rustix::net::listen(socket, BACKLOG);
+                    result
+                }
+                (ListenerState::Accepting, Some(socket)) => tokio::select! {
+                    result = state.changed() => result,
+                    accepted = socket.accept() => {
+                        if let Ok((stream, _)) = accepted {
+                            self.serve(stream);
+                        }
+                        Ok(())
+                    }
+                },
+            };
+            if result.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Binds the address again. If another socket holds the port for a moment, waits before the next attempt.
+    async fn rebind(&self) -> Option<TcpListener> {
+        match TcpListener::bind(self.address).await {
+            Ok(socket) => Some(socket),
+            Err(_) => {
+                tokio::time::sleep(BIND_RETRY_INTERVAL).await;
+                None
+            }
+        }
+    }
+
+    /// Serves a connection in a task of its own, unless there are too many.
+    fn serve(&self, stream: TcpStream) {
+        let guard = ConnectionGuard::new(self.open_connections.clone());
+        if self.open_connections.load(Ordering::Relaxed) > self.handler.max_connections() {
             return;
         }
+        let link = self.link.clone();
+        tokio::spawn(serve_connection(stream, link, self.node, self.handler.clone(), guard));
     }
 }
 
-/// Fills a listener's queue, so that what knocks after it hears nothing.
-async fn deafen(listener: &TcpListener, address: SocketAddr) -> Vec<TcpStream> {
-    let _ = rustix::net::listen(listener, 0);
+/// Fills the backlog of a listening socket, so that further connection attempts stay without an answer while the
+/// returned connections are open.
+async fn fill_backlog(socket: &TcpListener, address: SocketAddr) -> Vec<TcpStream> {
+    let _ = rustix::net::listen(socket, 0);
     let mut fillers = Vec::new();
-    // The queue of a backlog of none holds one or two.
-    while fillers.len() < 8 {
-        let knock = TcpStream::connect(address);
-        match tokio::time::timeout(Duration::from_millis(30), knock).await {
+    while fillers.len() < MAX_FILLERS {
+        match tokio::time::timeout(FILLER_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => fillers.push(stream),
             _ => break,
         }
@@ -176,42 +227,47 @@
     fillers
 }
 
-/// Counts a connection while it lasts.
-struct Guard(Arc<AtomicUsize>);
+/// Counts a connection while it is open.
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Guard {
-    fn new(count: Arc<AtomicUsize>) -> Guard {
+impl ConnectionGuard {
+    fn new(count: Arc<AtomicUsize>) -> ConnectionGuard {
         count.fetch_add(1, Ordering::Relaxed);
-        Guard(count)
+        ConnectionGuard(count)
     }
 }
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn attend_one(stream: TcpStream, link: Link, node: NodeId, answers: Arc<dyn Answers>, _guard: Guard) {
-    let (near, far) = tokio::io::duplex(64 * 1024);
-    let (rough, orders) = mpsc::unbounded_channel();
-    let peer = Arc::new(Peer { node, calls: AtomicUsize::new(0), rough });
-    let keepalive = answers.keepalive();
-    let service = service_fn(move |call| answers.clone().answer(peer.clone(), call));
+/// Serves the requests of a connection until it ends. When the link ends first, the handler's work is dropped.
+async fn serve_connection(
+    stream: TcpStream,
+    link: Link,
+    node: NodeId,
+    handler: Arc<dyn Handler>,
+    _guard: ConnectionGuard,
+) {
+    let (server_end, link_end) = tokio::io::duplex(CONNECTION_BUFFER_BYTES);
+    let (faults, fault_receiver) = mpsc::unbounded_channel();
+    let connection = Arc::new(ServerConnection { node, request_count: AtomicUsize::new(0), faults });
+    let keepalive = handler.keepalive();
+    let service = service_fn(move |request| handler.clone().handle(connection.clone(), request));
     let http = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(keepalive)
-        .serve_connection(TokioIo::new(near), service);
-    let state = link.subscribe();
-    // Whichever ends first ends the other: the server's side is dropped with all that it was doing.
-    let carried = link::join(stream, far, state, orders);
-    tokio::pin!(carried);
-    let served = async move {
+        .serve_connection(TokioIo::new(server_end), service);
+    let copying = link::join(stream, link_end, link.subscribe(), fault_receiver);
+    tokio::pin!(copying);
+    let serving = async move {
         let _ = http.await;
     };
-    tokio::pin!(served);
+    tokio::pin!(serving);
     tokio::select! {
-        () = &mut carried => {}
-        () = &mut served => carried.await,
+        () = &mut copying => {}
+        () = &mut serving => copying.await,
     }
 }
--- /dev/null
+++ b/crates/testbed/src/world/node_config.rs
@@ -0,0 +1,79 @@
+//! The configuration file of a node, in the form that the deployment documentation describes.
+
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+
+use crate::event_log::NodeId;
+use crate::experiment::{Experiment, Product, ProductEffect};
+
+/// Time within which a node has to open a connection, in microseconds.
+const CONNECT_TIMEOUT_US: u64 = 250_000;
+/// Time within which a node has to ask discovery, in microseconds.
+const DISCOVERY_DEADLINE_US: u64 = 10_000_000;
+/// Quota of each tenant in requests a second: never reached.
+const TENANT_QUOTA_PER_S: f64 = 1e6;
+
+/// The configuration of a node of an experiment.
+pub fn node_config(
+    experiment: &Experiment,
+    node: NodeId,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    seed: u64,
+) -> Value {
+    let world = &experiment.world;
+    let classes: Vec<Value> =
+        experiment.product.iter().map(|class| request_class(experiment, class)).collect();
+    let tenants: Vec<Value> = experiment
+        .load
+        .tenants
+        .iter()
+        .map(|name| json!({"Name": name, "QuotaPerS": TENANT_QUOTA_PER_S}))
+        .collect();
+    json!({
+        "name": format!("node-{}", node.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
+        "seed": format!("{:x}", seed ^ (node.0 as u64 + 1)),
+        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
+        "settings": {
+            "Discovery": "ask", "Siblings": world.nodes, "Zones": world.zones, "Shapes": ["plain", "origin"],
+            "Specifics": {"Mode": "aside", "OriginKind": 1},
+            "Products": classes,
+            "Tenants": tenants,
+            "Bounds": {"MostShots": world.most_shots, "MayCancel": world.may_cancel,
+                "SecondCopies": world.second_copies, "RetryAfter": world.max_retry_after_ms > 0,
+                "MaxRetryAfterUs": world.max_retry_after_ms * 1000, "ConnectTimeoutUs": CONNECT_TIMEOUT_US,
+                "KeepaliveUs": microseconds(world.cache.keepalive_s)},
+            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": world.cache.cold_from,
+                "WarmAfterUs": microseconds(world.cache.warm_after_s),
+                "FallMultiple": world.cache.fall_multiple, "FallUs": microseconds(world.cache.fall_s)},
+        },
+    })
+}
+
+fn request_class(experiment: &Experiment, class: &Product) -> Value {
+    let effect = match class.effect {
+        ProductEffect::Idempotent => "read_like",
+        ProductEffect::Deduplicated => "idempotency_key",
+        ProductEffect::NonIdempotent => "non_idempotent",
+    };
+    json!({"Name": class.name, "Effect": effect, "DedupScope": "all",
+        "WindowUs": microseconds(experiment.world.origin.repeats_s), "LatencySloUs": class.slo_ms * 1000,
+        "ClientTimeoutUs": class.timeout_ms * 1000, "BilledValue": class.value})
+}
+
+fn microseconds(seconds: f64) -> u64 {
+    (seconds * 1e6) as u64
+}
+
+/// Merges a configuration into another one: tables key by key, other values are replaced.
+pub fn merge(old: &mut Value, new: Value) {
+    match (old, new) {
+        (Value::Object(old), Value::Object(new)) => {
+            for (key, value) in new {
+                merge(old.entry(key).or_insert(Value::Null), value);
+            }
+        }
+        (old, new) => *old = new,
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/response_corruption.rs
@@ -0,0 +1,101 @@
+//! Corrupted responses: what a server under a `spoil` fault sends in place of or after the response to a request that it
+//! has executed.
+
+use std::time::Duration;
+
+use hyper::StatusCode;
+
+use super::attempt_record::AttemptRecord;
+use super::link::ConnectionFault;
+use super::listener::{ConnectionAborted, HandlerResult, ServerConnection};
+use super::wire::{self, ServerRequest, hash_stream};
+use crate::event_log::{ServerAttemptEnd, Version};
+use crate::experiment::Spoil;
+
+/// A server corrupts a share of its responses.
+#[derive(Clone, Copy, Debug)]
+pub struct ResponseCorruption {
+    /// Share of the responses, from 0 to 1.
+    pub share: f64,
+    /// How a response is corrupted.
+    pub kind: Spoil,
+    /// Mean delay of bytes that follow a complete response.
+    pub delay: Duration,
+}
+
+/// Responds to a request that has executed, with a corrupted response if the request is in the corrupted share, and
+/// records how the attempt ended.
+///
+/// # Errors
+/// [`ConnectionAborted`] if there is no response; the future is usually dropped before, with its connection.
+pub async fn respond(
+    corruption: Option<ResponseCorruption>,
+    connection: &ServerConnection,
+    request: &ServerRequest,
+    version: Version,
+    cache_status: &str,
+    attempt: AttemptRecord<'_>,
+) -> HandlerResult {
+    let corruption =
+        corruption.filter(|c| wire::uniform_hash(&request.id, hash_stream::CORRUPTION) < c.share);
+    let Some(ResponseCorruption { kind, delay, .. }) = corruption else {
+        attempt.finish(ServerAttemptEnd::Answered);
+        return Ok(wire::value_response(request, version, cache_status));
+    };
+    if kind == Spoil::Error {
+        attempt.finish(ServerAttemptEnd::Failed);
+        return Ok(wire::empty_response(StatusCode::INTERNAL_SERVER_ERROR));
+    }
+    if let Some(bytes) = trailing_bytes(kind, request, version, cache_status) {
+        attempt.finish(ServerAttemptEnd::Answered);
+        let factor = 0.5 + wire::uniform_hash(&request.id, hash_stream::CORRUPTION_DELAY);
+        connection.inject_fault(ConnectionFault::SendLater { bytes, delay: delay.mul_f64(factor) });
+        return Ok(wire::value_response(request, version, cache_status));
+    }
+    connection.inject_fault(replacement(kind));
+    attempt.finish(ServerAttemptEnd::Failed);
+    // From here on the link writes to the connection, past the HTTP library, until the node closes it.
+    std::future::pending::<()>().await;
+    Err(ConnectionAborted)
+}
+
+/// The bytes that follow a complete response.
+fn trailing_bytes(
+    kind: Spoil,
+    request: &ServerRequest,
+    version: Version,
+    cache_status: &str,
+) -> Option<Vec<u8>> {
+    match kind {
+        Spoil::Second => {
+            let text = wire::value_text(request, version);
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nX-Cache-Status: {cache_status}\r\nContent-Length: {}",
+                text.len()
+            );
+            Some(format!("{head}\r\n\r\n{text}").into_bytes())
+        }
+        Spoil::HalfLine => Some(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()),
+        _ => None,
+    }
+}
+
+/// What the server sends in place of a response.
+fn replacement(kind: Spoil) -> ConnectionFault {
+    match kind {
+        Spoil::Noise => ConnectionFault::SendThenHold(
+            "\u{1}\u{2}\u{3}noise that is no answer\r\n\r\n".as_bytes().to_vec(),
+        ),
+        Spoil::Cut => {
+            ConnectionFault::SendThenClose(b"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nhalf of".to_vec())
+        }
+        Spoil::Length => ConnectionFault::SendThenHold(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmuch".to_vec(),
+        ),
+        Spoil::NoLength => {
+            ConnectionFault::SendThenReset(b"HTTP/1.1 200 OK\r\n\r\n{\"made_for\":\"".to_vec())
+        }
+        Spoil::Endless => ConnectionFault::SendEndlessBody,
+        Spoil::Reset | Spoil::Error | Spoil::Second | Spoil::HalfLine => ConnectionFault::Reset,
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/run.rs
@@ -0,0 +1,107 @@
+//! One run of an experiment: starts the world, plays the requests and the faults, and stops everything in order.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use futures_util::StreamExt;
+
+use super::clients::Clients;
+use super::error::WorldError;
+use super::{Run, World, faults, growth, monitor};
+use crate::event_log::{Event, EventLog, EventLogWriter, Timestamp};
+use crate::experiment::Experiment;
+
+/// Time between the nodes' readiness and the first request: each node has opened its watch by then.
+const SETTLING_TIME: Duration = Duration::from_millis(400);
+/// Time for the start of a world without nodes.
+const BASE_START_TIME: Duration = Duration::from_millis(300);
+/// Time for the start of each node.
+const START_TIME_PER_NODE: Duration = Duration::from_millis(60);
+/// Processes that are started or stopped at a time.
+const MAX_CONCURRENT: usize = 8;
+
+/// Plays a run and returns its event log.
+///
+/// # Errors
+/// If the world could not be started, or not in time.
+pub async fn play(run: &Run<'_>) -> Result<EventLog, WorldError> {
+    std::fs::create_dir_all(run.folder)
+        .map_err(|source| WorldError::CreateDirectory { path: run.folder.into(), source })?;
+    let experiment = Arc::new(run.experiment.clone());
+    let event_log = EventLogWriter::new(Instant::now() + start_duration(&experiment));
+    let world = World::build(&experiment, run, event_log.clone()).await.map_err(WorldError::Build)?;
+    let world = Arc::new(world);
+    start_processes(&world).await?;
+    if event_log.now() > Timestamp(0) {
+        return Err(WorldError::TooSlow);
+    }
+    play_timeline(&world, run).await;
+    stop_processes(&world).await;
+    event_log.write(|log| log.secret.clone_from(&world.secret));
+    Ok(event_log.close())
+}
+
+/// Time that the start may take. The time of the first request is fixed before anything starts, so that servers can be
+/// as old as they have to be.
+fn start_duration(experiment: &Experiment) -> Duration {
+    let nodes = experiment.world.nodes as u32;
+    BASE_START_TIME + START_TIME_PER_NODE * nodes + SETTLING_TIME + growth::lead(experiment)
+}
+
+/// Starts the planners, and then the nodes with which the run begins.
+async fn start_processes(world: &World) -> Result<(), WorldError> {
+    growth::teach(world).await.map_err(|error| WorldError::PlannerStart(error.into()))?;
+    for planner in &world.planners {
+        planner.lock().await.start().map_err(|error| WorldError::PlannerStart(error.into()))?;
+    }
+    let initial = world.experiment.begins_with();
+    // Several at a time: one after the other, forty nodes take longer than a run.
+    let starts =
+        world.nodes.iter().take(initial).map(|node| async move { node.lock().await.start(None).await });
+    for result in run_concurrently(starts).await {
+        result?;
+    }
+    for node in world.nodes.iter().skip(initial) {
+        world.event_log.event(Event::NodeStops { node: node.lock().await.id });
+    }
+    Ok(())
+}
+
+/// Plays all requests and faults, and returns when both have ended.
+async fn play_timeline(world: &Arc<World>, run: &Run<'_>) {
+    let sampling = tokio::spawn(monitor::sample_processes(world.clone()));
+    let stalls = tokio::spawn(monitor::measure_stalls(world.event_log.clone()));
+    let faults = tokio::spawn(faults::inject_all(world.clone()));
+    let clients = Clients::new(
+        world.experiment.clone(),
+        Arc::new(run.schedule.clone()),
+        world.event_log.clone(),
+        &world.node_addresses,
+        world.mass_disconnect.subscribe(),
+    );
+    clients.run().await;
+    let _ = faults.await;
+    sampling.abort();
+    stalls.abort();
+}
+
+/// Samples each process a last time and stops it gracefully.
+async fn stop_processes(world: &World) {
+    let max_client_timeout = world.max_client_timeout();
+    let stops = world.nodes.iter().map(|node| async move {
+        let mut node = node.lock().await;
+        node.sample();
+        node.stop(max_client_timeout).await;
+    });
+    run_concurrently(stops).await;
+    for planner in &world.planners {
+        let mut planner = planner.lock().await;
+        planner.look();
+        planner.stop().await;
+    }
+}
+
+/// Runs futures, a few at a time, and returns their results in order.
+async fn run_concurrently<T>(futures: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
+    futures_util::stream::iter(futures).buffered(MAX_CONCURRENT).collect().await
+}
--- a/crates/testbed/src/world/service_queue.rs
+++ b/crates/testbed/src/world/service_queue.rs
@@ -1,73 +1,115 @@
-//! A server's cores and the bounded queue before them.
+//! The cores of a simulated server with the bounded queue in front of them, and a sum over a sliding window.
 
+use std::fmt;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
 use tokio::sync::Semaphore;
 
-/// The queue was full.
-pub struct Full;
+/// Buckets of a [`SlidingWindow`].
+const WINDOW_BUCKETS: usize = 10;
 
-pub struct Bench {
+/// The queue has no free place: the server rejects the request without executing it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct QueueFull;
+
+impl fmt::Display for QueueFull {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("the server's queue is full")
+    }
+}
+
+impl std::error::Error for QueueFull {}
+
+/// A number of cores, each busy with one request at a time, and a bounded queue of requests that wait for one.
+pub struct ServiceQueue {
     cores: Semaphore,
     waiting: AtomicUsize,
-    most: usize,
+    max_waiting: usize,
 }
 
-impl Bench {
-    pub fn new(cores: usize, queue: usize) -> Bench {
-        Bench { cores: Semaphore::new(cores), waiting: AtomicUsize::new(0), most: queue }
+/// Takes a request out of the count of waiting ones, also when its future is dropped.
+struct WaitingGuard<'a>(&'a AtomicUsize);
+
+impl Drop for WaitingGuard<'_> {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
     }
+}
 
-    /// Waits for a core and holds it for as long as `work` says once it has it. Dropped before, nothing has run.
-    pub async fn run(&self, work: impl FnOnce() -> Duration) -> Result<(), Full> {
-        struct Leaves<'a>(&'a AtomicUsize);
-        impl Drop for Leaves<'_> {
-            fn drop(&mut self) {
-                self.0.fetch_sub(1, Ordering::Relaxed);
-            }
-        }
+impl ServiceQueue {
+    /// Creates an idle queue for `cores` cores with room for `max_waiting` requests.
+    pub fn new(cores: usize, max_waiting: usize) -> ServiceQueue {
+        ServiceQueue { cores: Semaphore::new(cores), waiting: AtomicUsize::new(0), max_waiting }
+    }
+
+    /// Waits for a core and occupies it for the time that `service_time` returns once the core is acquired. If the
+    /// future is dropped while it waits, nothing has executed.
+    ///
+    /// # Errors
+    /// [`QueueFull`] if all cores are busy and no place in the queue is free.
+    pub async fn run(&self, service_time: impl FnOnce() -> Duration) -> Result<(), QueueFull> {
         let core = match self.cores.try_acquire() {
             Ok(core) => core,
             Err(_) => {
-                if self.waiting.fetch_add(1, Ordering::Relaxed) >= self.most {
-                    self.waiting.fetch_sub(1, Ordering::Relaxed);
-                    return Err(Full);
-                }
-                let _waits = Leaves(&self.waiting);
-                self.cores.acquire().await.expect("never closed")
+                let _waiting = self.enqueue()?;
+                self.cores.acquire().await.expect("the semaphore is never closed")
             }
         };
-        let work = work();
-        if !work.is_zero() {
-            tokio::time::sleep(work).await;
+        let service_time = service_time();
+        if !service_time.is_zero() {
+            tokio::time::sleep(service_time).await;
         }
         drop(core);
         Ok(())
     }
+
+    fn enqueue(&self) -> Result<WaitingGuard<'_>, QueueFull> {
+        let waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
+        let guard = WaitingGuard(&self.waiting);
+        if waiting >= self.max_waiting {
+            return Err(QueueFull);
+        }
+        Ok(guard)
+    }
+}
+
+/// A part of a sliding window.
+#[derive(Clone, Copy)]
+struct Bucket {
+    /// Number of the bucket since the start of the clock.
+    number: i64,
+    sum: f64,
 }
 
-/// A sum over a window that slides by tenths of it.
-pub struct Window {
-    span_us: i64,
-    parts: Mutex<[(i64, f64); 10]>,
+/// A sum over a window that advances by one bucket, a tenth of its length, at a time.
+pub struct SlidingWindow {
+    length_us: i64,
+    buckets: Mutex<[Bucket; WINDOW_BUCKETS]>,
 }
 
-impl Window {
-    pub fn new(span: Duration) -> Window {
-        Window { span_us: (span.as_micros() as i64).max(10), parts: Mutex::new([(i64::MIN, 0.0); 10]) }
+impl SlidingWindow {
+    /// Creates an empty window.
+    pub fn new(length: Duration) -> SlidingWindow {
+        let empty = Bucket { number: i64::MIN, sum: 0.0 };
+        SlidingWindow {
+            length_us: (length.as_micros() as i64).max(WINDOW_BUCKETS as i64),
+            buckets: Mutex::new([empty; WINDOW_BUCKETS]),
+        }
     }
 
-    /// Adds an amount at a time in microseconds, and gives what the window up to it holds.
+    /// Adds an amount at a time in microseconds and returns the sum of the window that ends at that time.
     pub fn add(&self, at_us: i64, amount: f64) -> f64 {
-        let number = at_us.div_euclid(self.span_us / 10);
-        let mut parts = self.parts.lock().expect("no holder panics");
-        let part = &mut parts[number.rem_euclid(10) as usize];
-        if part.0 != number {
-            *part = (number, 0.0);
+        let bucket_count = WINDOW_BUCKETS as i64;
+        let number = at_us.div_euclid(self.length_us / bucket_count);
+        let mut buckets = self.buckets.lock().expect("no holder panics");
+        let bucket = &mut buckets[number.rem_euclid(bucket_count) as usize];
+        if bucket.number != number {
+            *bucket = Bucket { number, sum: 0.0 };
         }
-        part.1 += amount;
-        parts.iter().filter(|p| p.0 > number.saturating_sub(10)).map(|p| p.1).sum()
+        bucket.sum += amount;
+        let oldest = number.saturating_sub(bucket_count);
+        buckets.iter().filter(|bucket| bucket.number > oldest).map(|bucket| bucket.sum).sum()
     }
 }
--- /dev/null
+++ b/crates/testbed/src/world/startup.rs
@@ -0,0 +1,257 @@
+//! Builds a world: binds the listeners of all simulated servers and prepares the processes of nodes and planners. Later
+//! changes of the set of servers go through here too.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU8, Ordering};
+use std::time::Duration;
+
+use tokio::sync::{Mutex, watch};
+
+use super::addresses::Addresses;
+use super::cache::CacheSlot;
+use super::discovery::Discovery;
+use super::endpoint_list::{self, ListedEndpoint};
+use super::listener::{Listener, ListenerState};
+use super::node::{NodeProcess, Program};
+use super::node_config::node_config;
+use super::origin::Origin;
+use super::planner::{self, Planner};
+use super::relay::Relay;
+use super::{Front, Run, World, growth};
+use crate::event_log::{EventLogWriter, Listed, Member, NodeId, ServerId, ServerInfo, Timestamp, Version};
+use crate::experiment::Experiment;
+use crate::schedule::mixed;
+
+/// Words of 64 bits in the secret with which members sign messages.
+const SECRET_WORDS: u64 = 4;
+/// Version of every value before its first write.
+const INITIAL_VERSION: Version = Version(0);
+
+/// Builds the parts of one world.
+struct WorldBuilder<'a> {
+    experiment: &'a Arc<Experiment>,
+    run: &'a Run<'a>,
+    event_log: EventLogWriter,
+    addresses: Addresses,
+}
+
+impl World {
+    /// Builds the world of a run. Simulated servers serve from now on; processes are prepared and not started.
+    ///
+    /// # Errors
+    /// The system's error if an address can't be bound or a planner's file can't be written.
+    pub async fn build(
+        experiment: &Arc<Experiment>,
+        run: &Run<'_>,
+        event_log: EventLogWriter,
+    ) -> std::io::Result<World> {
+        static RUN_COUNT: AtomicU8 = AtomicU8::new(0);
+        let addresses = Addresses::new(RUN_COUNT.fetch_add(1, Ordering::Relaxed));
+        let builder = WorldBuilder { experiment, run, event_log, addresses };
+        builder.build().await
+    }
+
+    /// Lists the server that occupies a slot, in a state.
+    pub fn list_slot(&self, slot: usize, listed: Listed) {
+        let slot = &self.slots[slot];
+        let id = slot.id();
+        let uid = self.event_log.write(|log| log.servers[id.0].name.clone());
+        let zones = &self.experiment.world.zones;
+        self.discovery.put(ListedEndpoint {
+            id,
+            uid,
+            addresses: slot.listeners.get().into_iter().flatten().map(|l| l.address).collect(),
+            zone: zones[slot.number % zones.len()].clone(),
+            model: "plain",
+            listed,
+            boot_ms: endpoint_list::boot_ms(slot.started(), self.event_log.unix_start_ms),
+        });
+    }
+
+    /// Has a new, cold server with a new name occupy a slot.
+    pub fn replace_server(&self, slot: usize) {
+        let now = self.event_log.now();
+        let generation =
+            self.event_log.write(|log| log.servers.iter().filter(|s| s.seat == Some(slot)).count());
+        let id = record_server(&self.event_log, server_name(slot, generation), Some(slot), Some(now));
+        self.slots[slot].replace_server(id, Some(now));
+    }
+
+    fn list_origin(&self) {
+        self.discovery.put(ListedEndpoint {
+            id: self.origin.id,
+            uid: "origin".into(),
+            addresses: self.origin_listeners.iter().map(|listener| listener.address).collect(),
+            zone: self.experiment.world.zones[0].clone(),
+            model: "origin",
+            listed: Listed::Ready,
+            boot_ms: 0,
+        });
+    }
+
+    /// The fleet's configuration as a member reads it, if there are planners. A planner finds itself at its own address
+    /// among `planner_addresses`, and all others at the relay's.
+    fn fleet_config(&self, member: Member, planner_addresses: &[SocketAddr]) -> Option<String> {
+        let relay = self.relay.as_ref()?;
+        let planners: Vec<SocketAddr> = (0..self.experiment.planners())
+            .filter_map(|planner| {
+                let relayed = relay.address(member, Member::Planner(planner));
+                relayed.or_else(|| planner_addresses.get(planner).copied())
+            })
+            .collect();
+        Some(planner::operators_file(&self.experiment, &self.secret, &planners))
+    }
+}
+
+impl WorldBuilder<'_> {
+    async fn build(&self) -> std::io::Result<World> {
+        let origin_id = record_server(&self.event_log, "origin".into(), None, None);
+        let origin_form = self.experiment.world.origin.clone();
+        let origin = Arc::new(Origin::new(origin_id, origin_form, self.event_log.clone()));
+        let origin_listeners = self.bind_origin(&origin).await?;
+        let slots = self.build_slots(&origin).await?;
+        let _ = origin.cache_slots.set(slots.clone());
+        growth::preload(self.experiment, &slots, &self.event_log);
+        let discovery = Arc::new(Discovery::new(self.event_log.clone()));
+        let discovery_ips: Vec<_> =
+            (0..self.experiment.world.nodes).map(|node| self.addresses.discovery(node)).collect();
+        let discovery_addresses = discovery.bind(&discovery_ips, Duration::ZERO).await?;
+        let mut world = World {
+            experiment: self.experiment.clone(),
+            event_log: self.event_log.clone(),
+            origin,
+            origin_listeners,
+            slots,
+            discovery,
+            discovery_ips,
+            nodes: Vec::new(),
+            node_addresses: Vec::new(),
+            planners: Vec::new(),
+            relay: None,
+            secret: (0..SECRET_WORDS).flat_map(|n| mixed(self.run.seed, n).to_be_bytes()).collect(),
+            mass_disconnect: watch::Sender::default(),
+        };
+        self.add_planners(&mut world).await?;
+        world.list_origin();
+        for slot in 0..self.experiment.world.caches {
+            world.list_slot(slot, Listed::Ready);
+        }
+        self.add_nodes(&mut world, &discovery_addresses);
+        Ok(world)
+    }
+
+    async fn bind_origin(&self, origin: &Arc<Origin>) -> std::io::Result<Vec<Listener>> {
+        let mut listeners = Vec::new();
+        for node in 0..self.experiment.world.nodes {
+            let ip = self.addresses.origin(node);
+            let state = ListenerState::Accepting;
+            listeners.push(Listener::bind(ip, NodeId(node), state, origin.clone()).await?);
+        }
+        Ok(listeners)
+    }
+
+    /// Builds all slots. Those beyond the first servers refuse connections until a fault adds servers there.
+    async fn build_slots(&self, origin: &Arc<Origin>) -> std::io::Result<Vec<Arc<CacheSlot>>> {
+        let mut slots = Vec::new();
+        for number in 0..self.experiment.seats() {
+            let is_occupied = number < self.experiment.world.caches;
+            let id = record_server(&self.event_log, server_name(number, 0), Some(number), None);
+            let form = self.experiment.world.cache.clone();
+            let event_log = self.event_log.clone();
+            let slot = Arc::new(CacheSlot::new(number, form, event_log, origin.clone(), id, None));
+            let state = if is_occupied { ListenerState::Accepting } else { ListenerState::Refusing };
+            let mut listeners = Vec::new();
+            for node in 0..self.experiment.world.nodes {
+                let ip = self.addresses.slot(node, number);
+                listeners.push(Listener::bind(ip, NodeId(node), state, slot.clone()).await?);
+            }
+            let _ = slot.listeners.set(listeners);
+            if is_occupied && self.experiment.load.preloaded {
+                self.preload(&slot);
+            }
+            slots.push(slot);
+        }
+        Ok(slots)
+    }
+
+    /// Fills a cache with as many values as it holds: the most popular ones last, so that they are evicted last.
+    fn preload(&self, slot: &CacheSlot) {
+        let keys = self.experiment.load.keys.min(self.experiment.world.cache.values as u64);
+        for key in (0..keys).rev() {
+            slot.store(key, INITIAL_VERSION, INITIAL_VERSION);
+        }
+    }
+
+    /// Opens the message relay and prepares the planners, if the experiment has any.
+    async fn add_planners(&self, world: &mut World) -> std::io::Result<()> {
+        let Front::Nodes(program) = self.run.front else { return Ok(()) };
+        let planner_addresses: Vec<SocketAddr> =
+            (0..self.experiment.planners()).map(|planner| self.addresses.planner(planner)).collect();
+        if planner_addresses.is_empty() {
+            return Ok(());
+        }
+        let nodes = self.experiment.world.nodes;
+        let place = |receiver, represented| self.addresses.relay(receiver, represented);
+        let event_log = self.event_log.clone();
+        let relay = Relay::open(nodes, &planner_addresses, place, self.run.seed, event_log).await?;
+        world.relay = Some(relay);
+        let is_forgetful = self.experiment.fleet.as_ref().is_some_and(|fleet| fleet.forgetful);
+        for (number, address) in planner_addresses.iter().enumerate() {
+            let config = world.fleet_config(Member::Planner(number), &planner_addresses).unwrap_or_default();
+            let directory = self.run.folder;
+            let event_log = self.event_log.clone();
+            let planner =
+                Planner::new(number, *address, program, directory, &config, is_forgetful, event_log)?;
+            world.planners.push(Mutex::new(planner));
+        }
+        Ok(())
+    }
+
+    /// Prepares the nodes. Without a front, clients connect to the first cache in place of each node.
+    fn add_nodes(&self, world: &mut World, discovery_addresses: &[SocketAddr]) {
+        for (node, discovery) in discovery_addresses.iter().enumerate() {
+            let first_cache = world.slots[0].listeners.get().map(|listeners| listeners[node].address);
+            let listen = self.addresses.node(node);
+            let program = match (self.run.front, first_cache) {
+                (Front::None, Some(address)) => {
+                    world.node_addresses.push(address);
+                    continue;
+                }
+                (Front::None, None) => continue,
+                (Front::Relays(path), Some(upstream)) => Program::TcpRelay { path: path.into(), upstream },
+                (Front::Nodes(path) | Front::Relays(path), _) => Program::Node { path: path.into() },
+            };
+            let config = node_config(self.experiment, NodeId(node), listen, *discovery, self.run.seed);
+            let process = NodeProcess::new(
+                NodeId(node),
+                listen,
+                program,
+                self.run.folder,
+                config,
+                world.fleet_config(Member::Node(node), &[]),
+                self.event_log.clone(),
+            );
+            world.node_addresses.push(listen);
+            world.nodes.push(Mutex::new(process));
+        }
+    }
+}
+
+/// Name of a server. Names are input of the placement of shards: their form must not change.
+fn server_name(slot: usize, generation: usize) -> String {
+    format!("box-{slot}.{generation}")
+}
+
+/// Adds a server to the event log.
+fn record_server(
+    event_log: &EventLogWriter,
+    name: String,
+    slot: Option<usize>,
+    started: Option<Timestamp>,
+) -> ServerId {
+    event_log.write(|log| {
+        log.servers.push(ServerInfo { name, seat: slot, started });
+        ServerId(log.servers.len() - 1)
+    })
+}
