--- a/crates/testbed/src/world/cache.rs
+++ b/crates/testbed/src/world/cache.rs
@@ -41,30 +41,30 @@
 }
 
 impl CacheServer {
-    fn new(form: &CacheForm, id: ServerId, started: Option<Timestamp>) -> Arc<CacheServer> {
-        let capacity = NonZeroUsize::new(form.values).unwrap_or(NonZeroUsize::MIN);
+    fn new(config: &CacheForm, id: ServerId, started: Option<Timestamp>) -> Arc<CacheServer> {
+        let capacity = NonZeroUsize::new(config.values).unwrap_or(NonZeroUsize::MIN);
         Arc::new(CacheServer {
             id,
             started,
             values: Mutex::new(LruCache::new(capacity)),
-            queue: ServiceQueue::new(form.cores, form.queue),
-            arrived_work: SlidingWindow::new(Duration::from_secs_f64(form.fall_s)),
+            queue: ServiceQueue::new(config.cores, config.queue),
+            arrived_work: SlidingWindow::new(Duration::from_secs_f64(config.fall_s)),
             is_draining: AtomicBool::new(false),
             has_crashed: AtomicBool::new(false),
         })
     }
 
     /// The share of its full speed that the server has at a time, from `cold_from` to 1.
-    fn warmup_factor(&self, form: &CacheForm, now: Timestamp) -> f64 {
+    fn warmup_factor(&self, config: &CacheForm, now: Timestamp) -> f64 {
         let age_s = self.started.map_or(f64::INFINITY, |s| now.ms_since(s) / 1e3);
-        form.cold_from + (1.0 - form.cold_from) * (age_s / form.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
+        config.cold_from + (1.0 - config.cold_from) * (age_s / config.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
     }
 
     /// The work within the window that a server survives, in core seconds.
-    fn overload_limit(&self, form: &CacheForm, warmup_factor: f64) -> f64 {
-        let mut limit = form.fall_multiple * form.cores as f64 * warmup_factor * form.fall_s;
-        if form.fall_by_chance {
-            let work_per_request = form.hit_ms / 1000.0;
+    fn overload_limit(&self, config: &CacheForm, warmup_factor: f64) -> f64 {
+        let mut limit = config.fall_multiple * config.cores as f64 * warmup_factor * config.fall_s;
+        if config.fall_by_chance {
+            let work_per_request = config.hit_ms / 1000.0;
             let requests = limit / work_per_request;
             limit += (RANDOM_LOAD_DEVIATIONS * requests.sqrt() + RANDOM_LOAD_DEVIATIONS) * work_per_request;
         }
@@ -76,7 +76,7 @@
 pub struct CacheSlot {
     /// Number of the slot in the world, from 0.
     pub number: usize,
-    form: CacheForm,
+    config: CacheForm,
     event_log: EventLogWriter,
     origin: Arc<Origin>,
     server: Mutex<Arc<CacheServer>>,
@@ -94,16 +94,16 @@
     /// Creates a slot that a server without listeners occupies.
     pub fn new(
         number: usize,
-        form: CacheForm,
+        config: CacheForm,
         event_log: EventLogWriter,
         origin: Arc<Origin>,
         id: ServerId,
         started: Option<Timestamp>,
     ) -> CacheSlot {
-        let server = Mutex::new(CacheServer::new(&form, id, started));
+        let server = Mutex::new(CacheServer::new(&config, id, started));
         CacheSlot {
             number,
-            form,
+            config,
             event_log,
             origin,
             server,
@@ -133,7 +133,7 @@
         if started.is_some() {
             self.event_log.event(Event::ColdStart { server: id });
         }
-        *self.server.lock().expect("no holder panics") = CacheServer::new(&self.form, id, started);
+        *self.server.lock().expect("no holder panics") = CacheServer::new(&self.config, id, started);
     }
 
     /// Changes the state of all listeners.
@@ -187,11 +187,11 @@
             Err(status) => return Ok(wire::empty_response(status)),
         };
         let server = self.server();
-        let work = self.form.hit_ms / 1000.0;
+        let work = self.config.hit_ms / 1000.0;
         let attempt = AttemptRecord::new(&self.event_log, server.id, &connection, &request, work);
         let is_first = connection.request_count.fetch_add(1, Ordering::Relaxed) == 0;
-        if is_first && self.form.connect_ms > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64(self.form.connect_ms / 1000.0)).await;
+        if is_first && self.config.connect_ms > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64(self.config.connect_ms / 1000.0)).await;
         }
         if server.is_draining.load(Ordering::Relaxed) {
             attempt.finish(ServerAttemptEnd::TurnedAway);
@@ -239,16 +239,16 @@
     fn service_time(&self, server: &CacheServer, request: &ServerRequest) -> Duration {
         let slowdown = self.slowdown_permille.load(Ordering::Relaxed) as f64 / NORMAL_SPEED_PERMILLE;
         let random = 0.5 + wire::uniform_hash(&request.id, hash_stream::CACHE_SERVICE_TIME);
-        let ms = self.form.hit_ms * slowdown * random;
-        Duration::from_secs_f64(ms / 1000.0 / server.warmup_factor(&self.form, self.event_log.now()))
+        let ms = self.config.hit_ms * slowdown * random;
+        Duration::from_secs_f64(ms / 1000.0 / server.warmup_factor(&self.config, self.event_log.now()))
     }
 
     /// Adds a request to the load of a server and crashes a cold server that receives too much.
     fn crash_if_overloaded(self: &Arc<Self>, server: &Arc<CacheServer>) {
         let now = self.event_log.now();
-        let warmup_factor = server.warmup_factor(&self.form, now);
-        let arrived = server.arrived_work.add(now.0, self.form.hit_ms / 1000.0);
-        if warmup_factor >= 1.0 || arrived <= server.overload_limit(&self.form, warmup_factor) {
+        let warmup_factor = server.warmup_factor(&self.config, now);
+        let arrived = server.arrived_work.add(now.0, self.config.hit_ms / 1000.0);
+        if warmup_factor >= 1.0 || arrived <= server.overload_limit(&self.config, warmup_factor) {
             return;
         }
         if server.has_crashed.swap(true, Ordering::Relaxed) {
@@ -276,10 +276,10 @@
     }
 
     fn keepalive(&self) -> Duration {
-        Duration::from_secs_f64(self.form.keepalive_s)
+        Duration::from_secs_f64(self.config.keepalive_s)
     }
 
     fn max_connections(&self) -> usize {
-        self.form.connections
+        self.config.connections
     }
 }
--- a/crates/testbed/src/world/endpoint_list.rs
+++ b/crates/testbed/src/world/endpoint_list.rs
@@ -30,7 +30,7 @@
     /// Model of the server in the protocol: `plain` or `origin`.
     pub model: &'static str,
     /// State of the server.
-    pub listed: Listed,
+    pub state: Listed,
     /// Unix time of the server's start in milliseconds, 0 if unknown.
     pub boot_ms: u64,
 }
@@ -82,7 +82,7 @@
     pub fn put(&mut self, endpoint: ListedEndpoint) {
         self.revision += 1;
         self.endpoints.retain(|listed| listed.id != endpoint.id);
-        if endpoint.listed != Listed::Gone {
+        if endpoint.state != Listed::Gone {
             self.endpoints.push(endpoint.clone());
         }
         if !self.known.contains(&endpoint.id) {
@@ -120,13 +120,13 @@
         let mut notifications: Vec<EndpointNotification>;
         if is_complete {
             targets = self.all_targets(node);
-            notifications = self.endpoints.iter().map(|e| notify(e.id, e.listed)).collect();
+            notifications = self.endpoints.iter().map(|e| notify(e.id, e.state)).collect();
             notifications.extend(self.gone().map(|id| notify(id, Listed::Gone)));
         } else {
             let changes = self.changes.iter().filter(|change| Some(change.revision) > after);
             let endpoints: Vec<&ListedEndpoint> = changes.map(|change| &change.endpoint).collect();
             targets = endpoints.iter().map(|endpoint| target(endpoint, node)).collect();
-            notifications = endpoints.iter().map(|e| notify(e.id, e.listed)).collect();
+            notifications = endpoints.iter().map(|e| notify(e.id, e.state)).collect();
         }
         let text = json!({"rev": self.revision, "all": is_complete, "targets": targets}).to_string();
         Some(ListUpdate { revision: self.revision, text, notifications })
@@ -145,7 +145,7 @@
 
 /// An endpoint in the protocol's JSON form.
 fn target(endpoint: &ListedEndpoint, node: NodeId) -> Value {
-    let state = match endpoint.listed {
+    let state = match endpoint.state {
         Listed::Ready => "active",
         Listed::Draining => "leaving",
         Listed::Gone => "left",
--- a/crates/testbed/src/world/origin.rs
+++ b/crates/testbed/src/world/origin.rs
@@ -56,7 +56,7 @@
 pub struct Origin {
     /// ID of the origin in the event log.
     pub id: ServerId,
-    form: OriginForm,
+    config: OriginForm,
     event_log: EventLogWriter,
     queue: ServiceQueue,
     recent_reads: SlidingWindow,
@@ -79,10 +79,10 @@
 
 impl Origin {
     /// Creates an origin at which every key has version 0.
-    pub fn new(id: ServerId, form: OriginForm, event_log: EventLogWriter) -> Origin {
+    pub fn new(id: ServerId, config: OriginForm, event_log: EventLogWriter) -> Origin {
         Origin {
             id,
-            queue: ServiceQueue::new(form.cores, form.queue),
+            queue: ServiceQueue::new(config.cores, config.queue),
             recent_reads: SlidingWindow::new(READ_RATE_WINDOW),
             slowdown_permille: AtomicU64::new(NORMAL_SPEED_PERMILLE as u64),
             is_stopped: watch::Sender::new(false),
@@ -92,7 +92,7 @@
             cache_misses: Mutex::default(),
             cache_slots: OnceLock::new(),
             corruption: Mutex::default(),
-            form,
+            config,
             event_log,
         }
     }
@@ -128,12 +128,12 @@
     /// Executes a read.
     async fn read(&self, request: &ServerRequest) -> Result<Version, QueueFull> {
         let now = self.event_log.now();
-        let mut mean_ms = self.form.read_ms;
-        let load = self.recent_reads.add(now.0, 1.0) / self.form.capacity();
-        if load > self.form.degrade_multiple {
+        let mut mean_ms = self.config.read_ms;
+        let load = self.recent_reads.add(now.0, 1.0) / self.config.capacity();
+        if load > self.config.degrade_multiple {
             mean_ms *= DEGRADED_SLOWDOWN;
         }
-        if load > STOP_OVER_DEGRADE * self.form.degrade_multiple
+        if load > STOP_OVER_DEGRADE * self.config.degrade_multiple
             && !self.is_overloaded.swap(true, Ordering::Relaxed)
         {
             self.event_log.event(Event::OriginOverrun);
@@ -149,7 +149,7 @@
     /// returns the version that its first write made.
     async fn write(&self, request: &ServerRequest) -> Result<Version, QueueFull> {
         self.wait_while_stopped().await;
-        self.queue.run(|| self.service_time(self.form.write_ms, &request.id)).await?;
+        self.queue.run(|| self.service_time(self.config.write_ms, &request.id)).await?;
         // From here on the write has been executed, whatever becomes of its response.
         let at = self.event_log.now();
         if let Some(version) = self.deduplicate(request, at) {
@@ -174,7 +174,7 @@
     /// version that the request is about to make.
     fn deduplicate(&self, request: &ServerRequest, at: Timestamp) -> Option<Version> {
         let key = request.idempotency_key.as_ref()?;
-        let lifetime_us = (self.form.repeats_s * 1e6) as i64;
+        let lifetime_us = (self.config.repeats_s * 1e6) as i64;
         let mut writes = self.deduplicated_writes.lock().expect("no holder panics");
         writes.retain(|_, write| at.0 - write.at.0 < lifetime_us);
         if let Some(write) = writes.get(key) {
@@ -210,7 +210,7 @@
             Ok(request) => request,
             Err(status) => return Ok(wire::empty_response(status)),
         };
-        let mean_ms = if request.is_write { self.form.write_ms } else { self.form.read_ms };
+        let mean_ms = if request.is_write { self.config.write_ms } else { self.config.read_ms };
         let attempt = AttemptRecord::new(&self.event_log, self.id, &connection, &request, mean_ms / 1000.0);
         let result = if request.is_write { self.write(&request).await } else { self.read(&request).await };
         let Ok(version) = result else {
--- a/crates/testbed/src/world/startup.rs
+++ b/crates/testbed/src/world/startup.rs
@@ -53,7 +53,7 @@
     }
 
     /// Lists the server that occupies a slot, in a state.
-    pub fn list_slot(&self, slot: usize, listed: Listed) {
+    pub fn list_slot(&self, slot: usize, state: Listed) {
         let slot = &self.slots[slot];
         let id = slot.id();
         let uid = self.event_log.write(|log| log.servers[id.0].name.clone());
@@ -64,7 +64,7 @@
             addresses: slot.listeners.get().into_iter().flatten().map(|l| l.address).collect(),
             zone: zones[slot.number % zones.len()].clone(),
             model: "plain",
-            listed,
+            state,
             boot_ms: endpoint_list::boot_ms(slot.started(), self.event_log.unix_start_ms),
         });
     }
@@ -85,7 +85,7 @@
             addresses: self.origin_listeners.iter().map(|listener| listener.address).collect(),
             zone: self.experiment.world.zones[0].clone(),
             model: "origin",
-            listed: Listed::Ready,
+            state: Listed::Ready,
             boot_ms: 0,
         });
     }
@@ -107,8 +107,8 @@
 impl WorldBuilder<'_> {
     async fn build(&self) -> std::io::Result<World> {
         let origin_id = record_server(&self.event_log, "origin".into(), None, None);
-        let origin_form = self.experiment.world.origin.clone();
-        let origin = Arc::new(Origin::new(origin_id, origin_form, self.event_log.clone()));
+        let origin_config = self.experiment.world.origin.clone();
+        let origin = Arc::new(Origin::new(origin_id, origin_config, self.event_log.clone()));
         let origin_listeners = self.bind_origin(&origin).await?;
         let slots = self.build_slots(&origin).await?;
         let _ = origin.cache_slots.set(slots.clone());
@@ -157,9 +157,9 @@
         for number in 0..self.experiment.seats() {
             let is_occupied = number < self.experiment.world.caches;
             let id = record_server(&self.event_log, server_name(number, 0), Some(number), None);
-            let form = self.experiment.world.cache.clone();
+            let config = self.experiment.world.cache.clone();
             let event_log = self.event_log.clone();
-            let slot = Arc::new(CacheSlot::new(number, form, event_log, origin.clone(), id, None));
+            let slot = Arc::new(CacheSlot::new(number, config, event_log, origin.clone(), id, None));
             let state = if is_occupied { ListenerState::Accepting } else { ListenerState::Refusing };
             let mut listeners = Vec::new();
             for node in 0..self.experiment.world.nodes {
