--- a/crates/testbed/src/audit/figures.rs
+++ b/crates/testbed/src/audit/figures.rs
@@ -92,7 +92,7 @@
 impl Figures {
     pub fn measure(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Figures {
         let mut figures =
-            Figures { calls: schedule.calls.len(), tries: event_log.tries.len(), ..Figures::default() };
+            Figures { calls: schedule.requests.len(), tries: event_log.tries.len(), ..Figures::default() };
         figures.count_ends(event_log);
         figures.seconds = seconds(experiment, schedule, event_log);
         let total = |s: &[Second]| (s.iter().map(|s| s.served).sum::<f64>(), s.iter().map(|s| s.asked).sum());
@@ -206,13 +206,13 @@
 
 /// What each call came to: fulfilled in its SLO, reckoned from when it was first asked, by any of its tries.
 pub fn served_calls(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Vec<bool> {
-    let mut served = vec![false; schedule.calls.len()];
+    let mut served = vec![false; schedule.requests.len()];
     for t in event_log
         .tries
         .iter()
         .filter(|t| matches!(&t.end, ClientAttemptEnd::Fulfilled { made_for, .. } if *made_for == t.id))
     {
-        let slo = experiment.product[t.product].slo_ms as f64;
+        let slo = experiment.request_classes[t.product].slo_ms as f64;
         served[t.call.0] |= t.ended.ms_since(t.due) <= slo;
     }
     served
@@ -223,9 +223,9 @@
     let mut seconds = vec![Second::default(); count];
     let place = |at: Timestamp| (at.seconds().max(0.0) as usize).min(count - 1);
     let served = served_calls(experiment, schedule, event_log);
-    for (call, served) in schedule.calls.iter().zip(served) {
+    for (call, served) in schedule.requests.iter().zip(served) {
         let second = &mut seconds[place(call.due())];
-        let value = experiment.product[call.product].value;
+        let value = experiment.request_classes[call.class].value;
         second.asked += value;
         second.served += if served { value } else { 0.0 };
     }
@@ -257,7 +257,7 @@
         let from = f.end_s().floor() as usize;
         let back = (from..seconds.len()).find(|n| well(*n) && well(n + 1));
         Recovery {
-            fault: format!("{:?}", f.kind),
+            fault: f.kind.to_string(),
             ended_s: f.end_s(),
             after_s: back.map(|n| (n as f64 - f.end_s()).max(0.0)),
         }
@@ -272,12 +272,12 @@
         _ => None,
     };
     let mut written: BTreeMap<u64, Vec<(Timestamp, Version)>> = BTreeMap::new();
-    for t in event_log.tries.iter().filter(|t| experiment.product[t.product].writes()) {
+    for t in event_log.tries.iter().filter(|t| experiment.request_classes[t.product].writes()) {
         if let Some(version) = version(&t.end) {
             written.entry(t.key).or_default().push((t.ended, version));
         }
     }
-    let reads = event_log.tries.iter().filter(|t| !experiment.product[t.product].writes());
+    let reads = event_log.tries.iter().filter(|t| !experiment.request_classes[t.product].writes());
     let stale = reads.filter(|t| {
         let newer =
             |(at, v): &(Timestamp, Version)| *at < t.sent && version(&t.end).is_some_and(|read| *v > read);
--- a/crates/testbed/src/audit/fleet.rs
+++ b/crates/testbed/src/audit/fleet.rs
@@ -6,7 +6,7 @@
 
 use super::figures::{Second, served_calls};
 use crate::event_log::{Event, EventLog, Member, RelayedMessage, Timestamp};
-use crate::experiment::{Experiment, FaultKind, LeasesForm, Lie};
+use crate::experiment::{Experiment, FalseClaim, FaultKind, LeasesConfig};
 use crate::message_reference::{self, Hindsight, Lease, Resource, Standing};
 use crate::schedule::Schedule;
 
@@ -75,9 +75,9 @@
 
 /// What leases may add up to: nobody answers for a planner that lies.
 pub fn asked_of_leases(experiment: &Experiment) -> Option<f64> {
-    let lies = experiment.faults().iter().any(|f| f.lie == Some(Lie::Grants));
+    let lies = experiment.faults().iter().any(|f| f.false_claim == Some(FalseClaim::GrantEverything));
     let on = experiment.fleet.as_ref().is_some_and(|f| f.leases.is_some());
-    experiment.expect.leases.or((on && !lies).then_some(1.0))
+    experiment.expectations.leased_fraction.or((on && !lies).then_some(1.0))
 }
 
 /// A grant at its holder, who counts it from when it sent the ask: the relay took that no earlier.
@@ -167,7 +167,7 @@
     }
 
     /// The most that was held at a moment, with the parts that are each node's for ever.
-    fn over_whole(&self, form: &LeasesForm, nodes: usize) -> f64 {
+    fn over_whole(&self, form: &LeasesConfig, nodes: usize) -> f64 {
         let mut changes: BTreeMap<Resource, Vec<(Timestamp, i64)>> = BTreeMap::new();
         for ((_, _, resource, _), grants) in &self.held {
             let changes = changes.entry(*resource).or_default();
@@ -191,7 +191,7 @@
             // Thousandths of a fetch, millionths of a second of work.
             let whole = match resource {
                 Resource::Origin => form.origin_per_s * 1e3,
-                Resource::Cold(_) => form.cold_work * 1e6,
+                Resource::Cold(_) => form.cold_cache_work * 1e6,
             };
             changes.sort_unstable();
             let mut sum = 0;
@@ -237,11 +237,11 @@
     most
 }
 
-fn origin_over_whole(form: &LeasesForm, experiment: &Experiment, event_log: &EventLog) -> f64 {
+fn origin_over_whole(form: &LeasesConfig, experiment: &Experiment, event_log: &EventLog) -> f64 {
     let reads: std::collections::HashSet<&str> = event_log
         .tries
         .iter()
-        .filter(|t| !experiment.product[t.product].writes())
+        .filter(|t| !experiment.request_classes[t.product].writes())
         .map(|t| t.id.as_str())
         .collect();
     let at_origin = |s: &&crate::event_log::ServerAttempt| event_log.servers[s.server.0].seat.is_none();
@@ -249,7 +249,7 @@
     busiest(came.map(|s| (s.arrived, 1.0)).collect()) / form.origin_per_s
 }
 
-fn cold_over_whole(form: &LeasesForm, experiment: &Experiment, event_log: &EventLog) -> f64 {
+fn cold_over_whole(form: &LeasesConfig, experiment: &Experiment, event_log: &EventLog) -> f64 {
     let mut came: BTreeMap<usize, Vec<(Timestamp, f64)>> = BTreeMap::new();
     for shot in &event_log.shots {
         let Some(started) = event_log.servers[shot.server.0].started else { continue };
@@ -257,7 +257,7 @@
             came.entry(shot.server.0).or_default().push((shot.arrived, shot.work));
         }
     }
-    came.into_values().map(busiest).fold(0.0, f64::max) / form.cold_work
+    came.into_values().map(busiest).fold(0.0, f64::max) / form.cold_cache_work
 }
 
 fn sick_trials(experiment: &Experiment, event_log: &EventLog) -> f64 {
@@ -267,7 +267,7 @@
         if to - from < 1.0 {
             continue;
         }
-        for cache in fault.named(experiment) {
+        for cache in fault.target_caches(experiment) {
             let there =
                 |s: &&crate::event_log::ServerAttempt| event_log.servers[s.server.0].seat == Some(cache);
             let within = |s: &&crate::event_log::ServerAttempt| (from..to).contains(&s.arrived.seconds());
@@ -291,7 +291,7 @@
         said.extend(all.iter().filter(|s| s.standing == Standing::Worse).map(|s| s.cache));
     }
     let faults = experiment.faults();
-    let slow = faults.iter().filter(|f| f.kind == FaultKind::Slow).flat_map(|f| f.named(experiment));
+    let slow = faults.iter().filter(|f| f.kind == FaultKind::Slow).flat_map(|f| f.target_caches(experiment));
     let slow: BTreeSet<usize> = slow.collect();
     let (mut right, mut wrong) = (0, 0);
     for server in
@@ -305,7 +305,7 @@
 
 fn fairness(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> f64 {
     let mut nodes: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
-    for (call, served) in schedule.calls.iter().zip(served_calls(experiment, schedule, event_log)) {
+    for (call, served) in schedule.requests.iter().zip(served_calls(experiment, schedule, event_log)) {
         let node = nodes.entry(call.node).or_default();
         node.0 += usize::from(served);
         node.1 += 1;
@@ -325,7 +325,7 @@
     };
     let mut worst = 0.0_f64;
     let away = experiment.faults().into_iter();
-    for fault in away.filter(|f| f.kind.befalls_planners() && !f.kind.befalls_letters()) {
+    for fault in away.filter(|f| f.kind.affects_planners() && !f.kind.affects_messages()) {
         let back = (fault.end_s() as usize).min(seconds.len());
         let before = service(&seconds[back.saturating_sub(BEFORE_S)..back]);
         let after = &seconds[back..(back + AFTER_S).min(seconds.len())];
--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -22,7 +22,7 @@
         event_log.letters.push(letter(node, planner, at, &ask));
         event_log.letters.push(letter(planner, node, at + 500, &grant));
     }
-    let form = LeasesForm { origin_per_s: 100.0, reserve: 0.2, ..LeasesForm::default() };
+    let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
     Leases::read(&event_log).over_whole(&form, 2)
 }
 
@@ -79,7 +79,7 @@
             let (from, to) = if n % 2 == 0 { (node, planner) } else { (planner, node) };
             event_log.letters.push(letter(from, to, n as i64, &message));
         }
-        let form = LeasesForm { origin_per_s: 100.0, reserve: 0.2, ..LeasesForm::default() };
+        let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
         Leases::read(&event_log).over_whole(&form, 2)
     };
     assert!((most(50_000) - 1.1).abs() < 1e-9 && (most(30_000) - 0.9).abs() < 1e-9);
--- a/crates/testbed/src/audit/growth.rs
+++ b/crates/testbed/src/audit/growth.rs
@@ -8,7 +8,7 @@
 use super::expectations::UnmetExpectation;
 use super::rules::{self, Found, Rule, RuleViolation};
 use crate::event_log::{ClientAttempt, Event, EventLog, Member, ServerAttempt, ServerAttemptEnd, Timestamp};
-use crate::experiment::{Experiment, GrowthExpect, GrowthForm};
+use crate::experiment::{Experiment, GrowthConfig, GrowthExpectations};
 use crate::message_reference;
 use crate::shard_map_reference::{Form, GROWTH, Growth, Places, ShardForm, Step, shard_of};
 
@@ -91,19 +91,23 @@
 
 impl GrowthFigures {
     /// What falls short of the bars.
-    pub fn hold(&self, expect: &GrowthExpect) -> Vec<UnmetExpectation> {
+    pub fn hold(&self, expect: &GrowthExpectations) -> Vec<UnmetExpectation> {
         let some = |n: Option<usize>| n.map(|n| n as f64);
         let old_first = if self.at_origin > 0 { self.old_first as f64 / self.at_origin as f64 } else { 1.0 };
         let at_least = [
-            ("growth.expect.settled", some(expect.settled), self.settled as f64),
-            ("growth.expect.given_up", some(expect.given_up), self.withdrawn as f64),
-            ("growth.expect.gone_on", some(expect.gone_on), self.gone_on as f64),
-            ("growth.expect.old_first", expect.old_first, old_first),
-            ("growth.expect.behind", some(expect.behind), self.behind as f64),
+            ("growth.expect.settled", some(expect.min_completed), self.settled as f64),
+            ("growth.expect.given_up", some(expect.min_withdrawn), self.withdrawn as f64),
+            ("growth.expect.gone_on", some(expect.min_takeovers), self.gone_on as f64),
+            ("growth.expect.old_first", expect.min_old_owner_first, old_first),
+            ("growth.expect.behind", some(expect.min_outdated_map_reads), self.behind as f64),
         ];
         let at_most = [
-            ("growth.expect.withdrawn", some(expect.withdrawn), self.withdrawn as f64),
-            ("growth.expect.steps_while_slow", some(expect.steps_while_slow), self.steps_while_slow as f64),
+            ("growth.expect.withdrawn", some(expect.max_withdrawn), self.withdrawn as f64),
+            (
+                "growth.expect.steps_while_slow",
+                some(expect.max_steps_while_origin_slow),
+                self.steps_while_slow as f64,
+            ),
             // These are asked always.
             ("growth: faults that never came about", Some(0.0), self.faults_missing as f64),
             ("growth: nodes without the last form", Some(0.0), self.nodes_behind as f64),
@@ -184,7 +188,7 @@
 /// The figures, and what was broken.
 pub fn judge(
     experiment: &Experiment,
-    form: &GrowthForm,
+    form: &GrowthConfig,
     event_log: &EventLog,
 ) -> (GrowthFigures, Vec<RuleViolation>) {
     let mut found = Found::new();
@@ -205,7 +209,7 @@
     let last = told.first.keys().last().copied().unwrap_or(0);
     // One that was told in the last moment need not have said so.
     let long_ago = told.first.get(&last).is_some_and(|f| f.0.seconds() + 3.0 < experiment.seconds);
-    let nodes = 0..experiment.begins_with();
+    let nodes = 0..experiment.initial_nodes();
     figures.nodes_behind =
         nodes.filter(|n| long_ago && told.held.get(n).is_none_or(|held| held.1 != last)).count();
     (figures, rules::gather(found))
@@ -355,7 +359,7 @@
 
 fn both_read(
     experiment: &Experiment,
-    growth: &GrowthForm,
+    growth: &GrowthConfig,
     event_log: &EventLog,
     told: &EndpointNotification,
     places: &Places,
@@ -364,7 +368,7 @@
     let mut shots: HashMap<&str, Vec<&ServerAttempt>> = HashMap::new();
     event_log.shots.iter().for_each(|shot| shots.entry(&shot.id).or_default().push(shot));
     let seat = |shot: &ServerAttempt| event_log.servers[shot.server.0].seat;
-    for read in event_log.tries.iter().filter(|t| !experiment.product[t.product].writes()) {
+    for read in event_log.tries.iter().filter(|t| !experiment.request_classes[t.product].writes()) {
         if read.key < crate::shard_map_reference::FIRST_KEY || !growth.shards.contains(&shard_of(read.key)) {
             continue;
         }
--- a/crates/testbed/src/audit/growth/tests.rs
+++ b/crates/testbed/src/audit/growth/tests.rs
@@ -100,7 +100,11 @@
     event_log.events.push(event(8.0, Event::PlannerUp { planner: 0 }));
     let figures = judged(&event_log).0;
     assert_eq!((figures.steps_while_slow, figures.kills, figures.gone_on), (1, 1, 0));
-    let expect = GrowthExpect { gone_on: Some(1), steps_while_slow: Some(0), ..GrowthExpect::default() };
+    let expect = GrowthExpectations {
+        min_takeovers: Some(1),
+        max_steps_while_origin_slow: Some(0),
+        ..GrowthExpectations::default()
+    };
     let short: Vec<_> = figures.hold(&expect).iter().map(|s| s.bar).collect();
     assert!(short.contains(&"growth.expect.gone_on") && short.contains(&"growth.expect.steps_while_slow"));
 }
@@ -152,7 +156,7 @@
 
 #[test]
 fn an_origin_that_is_asked_before_the_old_place_is_caught() {
-    let expect = GrowthExpect { old_first: Some(0.9), ..GrowthExpect::default() };
+    let expect = GrowthExpectations { min_old_owner_first: Some(0.9), ..GrowthExpectations::default() };
     let bars = |f: &GrowthFigures| f.hold(&expect).iter().any(|s| s.bar == "growth.expect.old_first");
     let (right, wrong) = (missed(true), missed(false));
     assert_eq!((right.missed, right.at_origin, right.old_first), (1, 1, 1));
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -53,7 +53,7 @@
     if let Some(form) = &experiment.growth {
         let (growth, found) = growth::judge(experiment, form, event_log);
         breaches.extend(found);
-        shortfalls.extend(growth.hold(&form.expect));
+        shortfalls.extend(growth.hold(&form.expectations));
         figures.growth = Some(growth);
     }
     AuditResult { breaches, shortfalls, figures }
--- a/crates/testbed/src/audit/rules.rs
+++ b/crates/testbed/src/audit/rules.rs
@@ -9,7 +9,7 @@
     ClientAttempt, ClientAttemptEnd, Event, EventLog, Listed, NodeId, ServerAttempt, ServerAttemptEnd,
     ServerId, Timestamp,
 };
-use crate::experiment::{Experiment, FaultKind, ProductEffect};
+use crate::experiment::{Experiment, FaultKind, RequestEffect};
 
 /// What clocks and loopback may add to any time that a rule names, in milliseconds.
 pub const SLACK_MS: f64 = 50.0;
@@ -129,8 +129,8 @@
         }
     }
 
-    fn effect(&self, t: &ClientAttempt) -> ProductEffect {
-        self.experiment.product[t.product].effect
+    fn effect(&self, t: &ClientAttempt) -> RequestEffect {
+        self.experiment.request_classes[t.product].effect
     }
 
     fn shots_of(&self, id: &str) -> &[&'a ServerAttempt] {
@@ -151,7 +151,7 @@
     fn was_cut_off(&self, shot: &ServerAttempt) -> bool {
         let Some(seat) = self.event_log.servers.get(shot.server.0).and_then(|s| s.seat) else { return false };
         self.experiment.faults().iter().any(|f| {
-            let meant = f.kind == FaultKind::LinkSilent && f.named(self.experiment).contains(&seat);
+            let meant = f.kind == FaultKind::LinkSilent && f.target_caches(self.experiment).contains(&seat);
             let from_node = f.nodes.is_empty() || f.nodes.contains(&shot.node.0);
             let (from, to) = (Timestamp::from_s(f.at_s), Timestamp::from_s(f.end_s()));
             meant && from_node && shot.arrived <= to && shot.ended.is_none_or(|e| e >= from)
@@ -160,7 +160,7 @@
 
     fn one_answer(&self, found: &mut Found) {
         for t in &self.event_log.tries {
-            let timeout = self.experiment.product[t.product].timeout_ms as f64;
+            let timeout = self.experiment.request_classes[t.product].timeout_ms as f64;
             let took = t.ended.ms_since(t.sent);
             let kind = match &t.end {
                 _ if self.is_excused(t) => None,
@@ -236,7 +236,7 @@
             let what = format!("key {key}, {count} times");
             found.push((Rule::NoEffectTwice, "a deduplicated effect twice", what));
         }
-        for t in self.event_log.tries.iter().filter(|t| self.effect(t) == ProductEffect::NonIdempotent) {
+        for t in self.event_log.tries.iter().filter(|t| self.effect(t) == RequestEffect::NonIdempotent) {
             let ran = by_id.get(t.id.as_str()).copied().unwrap_or(0);
             let what = || format!("try {} at {:.3} s", t.id, t.sent.seconds());
             if ran > 1 {
@@ -257,7 +257,7 @@
     }
 
     fn single_shots(&self, found: &mut Found) {
-        if self.experiment.world.second_copies {
+        if self.experiment.world.hedging {
             return;
         }
         for (id, shots) in &self.shots {
@@ -288,7 +288,7 @@
 
     /// Whether over two thirds of what pushed a cache over came from nodes that had been told of its start.
     fn fell_by_the_told(&self, server: ServerId, at: Timestamp) -> bool {
-        let span = self.experiment.world.cache.fall_s;
+        let span = self.experiment.world.cache.overload_window_s;
         let is_start = |e: &Event| *e == Event::ColdStart { server };
         let starts = self.event_log.events.iter().filter(|(then, e)| *then <= at && is_start(e));
         let start = starts.map(|(then, _)| *then).max().unwrap_or(Timestamp(i64::MIN));
--- /dev/null
+++ b/crates/testbed/src/command/error.rs
@@ -0,0 +1,101 @@
+//! Errors that end a command.
+
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
+
+use crate::experiment::ExperimentError;
+use crate::program::ProgramError;
+use crate::recording::RecordingError;
+use crate::run_result::RunError;
+use crate::throughput::{RelayError, ThroughputError};
+
+/// Why a command could not do its work.
+#[derive(Debug)]
+pub(super) enum CommandError {
+    /// An experiment file is invalid.
+    Experiment(ExperimentError),
+    /// The program under test was not found.
+    Program(ProgramError),
+    /// An experiment could not be run.
+    Run(RunError),
+    /// A recording can't be replayed.
+    Recording(RecordingError),
+    /// The throughput could not be measured.
+    Throughput(ThroughputError),
+    /// The bare relay could not be started.
+    Relay(RelayError),
+    /// Two builds could not be compared.
+    Compare { cause: String },
+    /// A report could not be written.
+    Report { cause: String },
+    /// The faulty node of the audit's tests could not be started.
+    FaultyNode { cause: String },
+    /// A file or folder could not be read or written.
+    File { path: PathBuf, error: io::Error },
+    /// The path of this program can't be determined.
+    OwnPath(io::Error),
+}
+
+impl CommandError {
+    /// Adds the path to an error of a file or folder.
+    pub(super) fn file(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
+        move |error| CommandError::File { path: path.into(), error }
+    }
+}
+
+impl fmt::Display for CommandError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CommandError::Experiment(error) => write!(f, "{error}"),
+            CommandError::Program(error) => write!(f, "{error}"),
+            CommandError::Run(error) => write!(f, "{error}"),
+            CommandError::Recording(error) => write!(f, "{error}"),
+            CommandError::Throughput(error) => write!(f, "{error}"),
+            CommandError::Relay(error) => write!(f, "{error}"),
+            CommandError::Compare { cause }
+            | CommandError::Report { cause }
+            | CommandError::FaultyNode { cause } => f.write_str(cause),
+            CommandError::File { path, error } => write!(f, "{}: {error}", path.display()),
+            CommandError::OwnPath(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+impl std::error::Error for CommandError {}
+
+impl From<ExperimentError> for CommandError {
+    fn from(error: ExperimentError) -> CommandError {
+        CommandError::Experiment(error)
+    }
+}
+
+impl From<ProgramError> for CommandError {
+    fn from(error: ProgramError) -> CommandError {
+        CommandError::Program(error)
+    }
+}
+
+impl From<RunError> for CommandError {
+    fn from(error: RunError) -> CommandError {
+        CommandError::Run(error)
+    }
+}
+
+impl From<RecordingError> for CommandError {
+    fn from(error: RecordingError) -> CommandError {
+        CommandError::Recording(error)
+    }
+}
+
+impl From<ThroughputError> for CommandError {
+    fn from(error: ThroughputError) -> CommandError {
+        CommandError::Throughput(error)
+    }
+}
+
+impl From<RelayError> for CommandError {
+    fn from(error: RelayError) -> CommandError {
+        CommandError::Relay(error)
+    }
+}
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -47,8 +47,8 @@
     for (n, seed) in seeds.iter().flat_map(|s| std::iter::repeat_n(*s, repeat.max(1))).enumerate() {
         // Which goes first changes, lest a drift of the machine's favour one.
         let (first, second) = (n % 2, 1 - n % 2);
-        let a = on_time(experiment, seed, nodes[first])?.verdict;
-        let b = on_time(experiment, seed, nodes[second])?.verdict;
+        let a = on_time(experiment, seed, nodes[first])?.audit_result;
+        let b = on_time(experiment, seed, nodes[second])?.audit_result;
         pairs.push(if first == 0 { [a, b] } else { [b, a] });
     }
     Ok(summed(experiment, &pairs))
@@ -56,8 +56,8 @@
 
 fn on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, String> {
     for _ in 0..AGAIN {
-        let played = play(experiment, seed, node)?;
-        if played.verdict.figures.rig_late_ms <= ON_TIME_MS {
+        let played = play(experiment, seed, node).map_err(|e| e.to_string())?;
+        if played.audit_result.figures.rig_late_ms <= ON_TIME_MS {
             return Ok(played);
         }
     }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,150 +1,168 @@
-//! The form of an experiment: a TOML file that says world, load, faults and bars. Read and checked here; a
-//! fault in a file is told by file, line and key.
+//! Definition of an experiment: a TOML file that describes the world, the load, the timeline of faults and the
+//! expectations.
+//!
+//! A file is read and checked here, before anything is started. An error names the file, the line and the key. The types
+//! in the submodules are plain data: they are read once and never change while the experiment runs. TOML keys are mapped
+//! to field names by `#[serde(rename = "…")]`.
+#![warn(missing_docs)]
 
-mod faults;
+mod error;
+mod expectations;
+mod fault;
+mod fault_kind;
 mod fleet;
-mod growth;
 mod load;
-mod parts;
+mod node_changes;
+mod request_class;
+mod shard_growth;
+mod source_text;
+mod world;
 
-use std::fmt;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 use serde::Deserialize;
 use toml::Spanned;
 
-pub use faults::{Fault, FaultKind, Lie, Spoil, Store, Toward};
-pub use fleet::{FleetForm, LeasesForm, MOST_PLANNERS};
-pub use growth::{GrowthExpect, GrowthForm};
-pub use load::{Clients, Load, Phase, Product, ProductEffect};
-pub use parts::{CacheForm, Expect, OriginForm, WorldForm};
+use error::{InvalidValue, Range, check_ranges};
+use source_text::SourceText;
 
-/// An experiment as its file words it.
+pub use error::{ExperimentError, ExperimentErrorKind, InvalidReason};
+pub use expectations::Expectations;
+pub use fault::{FalseClaim, Fault, LinkDirection, ResponseCorruption, StoreCondition};
+pub use fault_kind::FaultKind;
+pub use fleet::{FleetConfig, LeasesConfig, MAX_PLANNERS};
+pub use load::{ClientBehavior, Load, LoadPhase};
+pub use node_changes::{NodeAction, NodeChange};
+pub use request_class::{RequestClass, RequestEffect};
+pub use shard_growth::{GrowthConfig, GrowthExpectations};
+pub use world::{CacheConfig, OriginConfig, WorldConfig};
+
+/// The shortest run, in seconds.
+const MIN_RUN_S: f64 = 1.0;
+/// The longest run, in seconds.
+const MAX_RUN_S: f64 = 600.0;
+
+/// An experiment as defined by its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// Names the experiment in results, reports and scratch folders.
     pub name: String,
+    /// One sentence that says what the experiment examines.
     pub about: String,
-    /// How long clients send calls.
+    /// For how long clients send requests, in seconds.
     pub seconds: f64,
-    /// What it is played with unless the command line says otherwise.
-    #[serde(default = "first_seed")]
+    /// Seeds to run with, unless the command line sets one.
+    #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
+    /// The processes and servers that exist, and their capacities.
     #[serde(default)]
-    pub world: WorldForm,
-    /// Absent, nodes are alone.
-    pub fleet: Option<FleetForm>,
-    /// Shards whose keys grow in number.
-    pub growth: Option<GrowthForm>,
-    #[serde(default = "load::usual_products")]
-    pub product: Vec<Product>,
+    pub world: WorldConfig,
+    /// The control plane. Without it, each node works on its own.
+    pub fleet: Option<FleetConfig>,
+    /// Shards whose number of keys grows during the run.
+    pub growth: Option<GrowthConfig>,
+    /// The classes that requests belong to.
+    #[serde(rename = "product", default = "request_class::default_request_classes")]
+    pub request_classes: Vec<RequestClass>,
+    /// The rate and the mix of requests, and how clients behave.
     #[serde(default)]
     pub load: Load,
-    #[serde(default)]
-    fault: Vec<Spanned<Fault>>,
-    #[serde(default)]
-    pub expect: Expect,
+    #[serde(rename = "fault", default)]
+    faults: Vec<Spanned<Fault>>,
+    /// Limits that measured figures have to keep, beside the rules that always hold.
+    #[serde(rename = "expect", default)]
+    pub expectations: Expectations,
 }
 
-fn first_seed() -> Vec<u64> {
+fn default_seeds() -> Vec<u64> {
     vec![1]
 }
 
-/// What is wrong with an experiment's file, and where.
-#[derive(Debug)]
-pub struct Trouble {
-    pub file: PathBuf,
-    /// Counted from 1; 0 where it is the file as a whole.
-    pub line: usize,
-    pub what: String,
-}
-
-impl fmt::Display for Trouble {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.line {
-            0 => write!(f, "{}: {}", self.file.display(), self.what),
-            line => write!(f, "{}:{line}: {}", self.file.display(), self.what),
-        }
-    }
-}
-
-impl std::error::Error for Trouble {}
-
 impl Experiment {
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Whatever keeps the file from being an experiment, with its line and key.
-    pub fn load(path: &Path) -> Result<Experiment, Trouble> {
-        let text = std::fs::read_to_string(path).map_err(|e| Trouble {
+    /// The file can't be read, is not valid TOML, or holds an invalid value; with the line and the key.
+    pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
+        let text = std::fs::read_to_string(path).map_err(|error| ExperimentError {
             file: path.into(),
-            line: 0,
-            what: e.to_string(),
+            line: None,
+            kind: ExperimentErrorKind::Unreadable(error),
         })?;
         Experiment::read(path, &text)
     }
 
-    /// Reads and checks a file's text.
+    /// Reads and checks a file's text; `path` only serves to name the file in errors.
     ///
     /// # Errors
     /// As [`Experiment::load`].
-    pub fn read(path: &Path, text: &str) -> Result<Experiment, Trouble> {
-        let line_of = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
-        let trouble = |line, what| Trouble { file: path.into(), line, what };
-        let read: Experiment = toml::from_str(text)
-            .map_err(|e| trouble(e.span().map_or(0, |s| line_of(s.start)), e.message().trim().to_string()))?;
-        // A table's keys stand one a line: the key's own line is told where it is written, else the table's.
-        let key_line = |from: usize, key: &str| {
-            let names = |l: &str| l.split_once('=').is_some_and(|(k, _)| k.trim() == key);
-            text.lines().enumerate().skip(from).find(|(_, l)| names(l)).map_or(from + 1, |(n, _)| n + 1)
-        };
-        read.check_parts().map_err(|(key, what)| {
-            let leaf = key.rsplit('.').next().unwrap_or(&key);
-            trouble(key_line(0, leaf), format!("{key}: {what}"))
+    pub fn read(path: &Path, text: &str) -> Result<Experiment, ExperimentError> {
+        let source = SourceText::new(text);
+        let error = |line, kind| ExperimentError { file: path.into(), line, kind };
+        let experiment: Experiment = toml::from_str(text).map_err(|cause| {
+            let line = cause.span().map(|span| source.line_of_offset(span.start));
+            error(line, ExperimentErrorKind::Syntax { message: cause.message().trim().to_string() })
         })?;
-        for (n, fault) in read.fault.iter().enumerate() {
-            fault.get_ref().check(&read).map_err(|(key, what)| {
-                let from = line_of(fault.span().start) - 1;
-                trouble(key_line(from, key), format!("fault[{n}].{key}: {what}"))
+        experiment.check().map_err(|invalid| {
+            let line = source.line_of_key(source.first_line(), invalid.last_key_part());
+            error(Some(line), ExperimentErrorKind::Invalid(invalid))
+        })?;
+        for (index, fault) in experiment.faults.iter().enumerate() {
+            fault.get_ref().check(&experiment).map_err(|invalid| {
+                let table_line = source.line_of_offset(fault.span().start);
+                let line = source.line_of_key(table_line, &invalid.key);
+                let key = format!("fault[{index}].{}", invalid.key);
+                error(Some(line), ExperimentErrorKind::Invalid(InvalidValue { key, ..invalid }))
             })?;
         }
-        Ok(read)
+        Ok(experiment)
     }
 
-    /// The timeline of faults, in order of their beginning.
+    /// The timeline of faults, ordered by start time.
     pub fn faults(&self) -> Vec<Fault> {
-        let mut faults: Vec<Fault> = self.fault.iter().map(|f| f.get_ref().clone()).collect();
+        let mut faults: Vec<Fault> = self.faults.iter().map(|fault| fault.get_ref().clone()).collect();
         faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         faults
     }
 
+    /// The number of planners; 0 without a control plane.
     pub fn planners(&self) -> usize {
-        self.fleet.as_ref().map_or(0, |f| f.planners)
+        self.fleet.as_ref().map_or(0, |fleet| fleet.planners)
+    }
+
+    /// The most cache servers that exist at once: those at the start and those that faults add.
+    pub fn max_caches(&self) -> usize {
+        let faults = self.faults.iter().map(Spanned::get_ref);
+        let added = faults.filter(|fault| fault.kind == FaultKind::AddCaches).map(|fault| fault.count);
+        self.world.caches + added.sum::<usize>()
     }
 
-    /// How many cache boxes the world may ever have at once: those at the start and those that faults add.
-    pub fn seats(&self) -> usize {
-        let added = self.fault.iter().map(|f| f.get_ref()).filter(|f| f.kind == FaultKind::Grow);
-        self.world.caches + added.map(|f| f.count).sum::<usize>()
+    /// The same experiment without faults of planners and of control-plane messages: the baseline that the loss of
+    /// service is measured against.
+    pub fn without_control_plane_faults(&self) -> Experiment {
+        let mut baseline = self.clone();
+        baseline.name += "-undisturbed";
+        baseline.faults.retain(|fault| !fault.get_ref().kind.affects_planners());
+        baseline
     }
 
-    fn check_parts(&self) -> Result<(), (String, String)> {
-        let bad = |key: &str, what: &str| Err((key.to_string(), what.to_string()));
-        if self.seconds.is_nan() || !(1.0..=600.0).contains(&self.seconds) {
-            return bad("seconds", "from 1 to 600");
+    /// Checks all but the faults.
+    fn check(&self) -> Result<(), InvalidValue> {
+        if self.seconds.is_nan() || !(MIN_RUN_S..=MAX_RUN_S).contains(&self.seconds) {
+            return Err(InvalidValue::rule("seconds", "from 1 to 600"));
         }
         if self.seeds.is_empty() {
-            return bad("seeds", "at least one");
+            return Err(InvalidValue::rule("seeds", "at least one"));
         }
-        if self.product.is_empty() || self.product.iter().any(|p| p.name.is_empty()) {
-            return bad("product", "at least one, and each with a name");
+        request_class::check(&self.request_classes)?;
+        if let Some(fleet) = &self.fleet {
+            fleet.check(self.world.nodes)?;
         }
-        let shares: f64 = self.product.iter().map(|p| p.share).sum();
-        if shares.is_nan() || shares <= 0.0 || self.product.iter().any(|p| p.share < 0.0) {
-            return bad("product.share", "shares are not negative, and one is over 0");
+        if let Some(growth) = &self.growth {
+            growth.check(self.fleet.as_ref())?;
         }
-        self.fleet.as_ref().map_or(Ok(()), |f| f.check(self.world.nodes))?;
-        self.growth.as_ref().map_or(Ok(()), |g| g.check(self.fleet.as_ref()))?;
-        self.world.check().and_then(|()| self.load.check())
+        self.world.check()?;
+        self.load.check()
     }
 }
--- a/crates/testbed/src/experiment/load.rs
+++ b/crates/testbed/src/experiment/load.rs
@@ -1,80 +1,37 @@
-//! The load of an experiment.
+//! The load of an experiment: the rate, the keys, and how clients behave.
 
 use serde::Deserialize;
 
-use super::parts::within;
+use super::{InvalidValue, Range, check_ranges};
 
-/// What running a call twice would do.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum ProductEffect {
-    Idempotent,
-    Deduplicated,
-    NonIdempotent,
-}
-
-/// One kind of API call. All that is not idempotent is a write.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Product {
-    pub name: String,
-    pub effect: ProductEffect,
-    pub slo_ms: u64,
-    pub timeout_ms: u64,
-    #[serde(default = "one")]
-    pub value: f64,
-    /// Its part of the calls.
-    #[serde(default = "one")]
-    pub share: f64,
-}
-
-impl Product {
-    pub fn writes(&self) -> bool {
-        self.effect != ProductEffect::Idempotent
-    }
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-/// A product of each kind, mostly read.
-pub fn usual_products() -> Vec<Product> {
-    let product = |name: &str, effect, value, share| Product {
-        name: name.into(),
-        effect,
-        slo_ms: 400,
-        timeout_ms: 1000,
-        value,
-        share,
-    };
-    vec![
-        product("summary", ProductEffect::Idempotent, 1.0, 0.9),
-        product("rename", ProductEffect::Deduplicated, 2.0, 0.06),
-        product("transfer", ProductEffect::NonIdempotent, 4.0, 0.04),
-    ]
-}
-
-/// How clients ask.
+/// Rate and distribution of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Calls a second over all nodes, before phases.
+    /// Requests per second over all nodes, before [`LoadPhase`] factors.
     pub rate: f64,
+    /// The number of different keys.
     pub keys: u64,
-    /// The exponent of the keys' popularity.
+    /// The exponent of the Zipf distribution of key popularity.
     pub zipf: f64,
-    /// Writes go to a key of their own kind of popularity: this share of the keys is ever written.
-    pub written: f64,
-    /// How much of the keys the caches hold when the run begins.
+    /// The fraction of keys that writes go to. A written key's popularity among reads does not matter.
+    #[serde(rename = "written")]
+    pub written_key_share: f64,
+    /// Whether the caches hold the keys when the run starts.
     pub preloaded: bool,
-    /// Arrivals come in groups of this mean size.
+    /// The mean number of requests that arrive together.
     pub burst: f64,
-    /// How uneven calls are over nodes: the n-th gets one part in n to this power. All the same by 0.
-    pub uneven: f64,
+    /// How unevenly requests are spread over nodes: the n-th node's weight is n to the power of minus this. At 0 all nodes
+    /// get the same.
+    #[serde(rename = "uneven")]
+    pub node_skew: f64,
+    /// Tenants to draw from for each request; without any, requests name no tenant.
     pub tenants: Vec<String>,
-    pub phase: Vec<Phase>,
-    pub clients: Clients,
+    /// Changes of the rate over time, in order of time.
+    #[serde(rename = "phase")]
+    pub phases: Vec<LoadPhase>,
+    /// How clients behave.
+    pub clients: ClientBehavior,
 }
 
 impl Default for Load {
@@ -83,77 +40,99 @@
             rate: 300.0,
             keys: 2000,
             zipf: 0.9,
-            written: 1.0,
+            written_key_share: 1.0,
             preloaded: true,
             burst: 1.0,
-            uneven: 0.0,
+            node_skew: 0.0,
             tenants: Vec::new(),
-            phase: Vec::new(),
-            clients: Clients::default(),
+            phases: Vec::new(),
+            clients: ClientBehavior::default(),
         }
     }
 }
 
-/// From `at_s` on, until the next phase, the rate is this many times as high.
+/// A change of the request rate that lasts until the next phase.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Phase {
+pub struct LoadPhase {
+    /// When the phase starts, in seconds from the start of the run.
     pub at_s: f64,
+    /// The multiple of [`Load::rate`].
     pub factor: f64,
 }
 
-/// What clients do on their own.
+/// What clients do on their own: retries, new connections, abandoned requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Clients {
-    /// Most repeats of a call that was not fulfilled. A non-idempotent call is repeated only if rate-limited.
-    pub retries: u8,
-    /// Whether a repeat says that it is one.
-    pub marks: bool,
-    /// The mean wait before a repeat.
+pub struct ClientBehavior {
+    /// The most retries of a request that was not fulfilled. A non-idempotent request is only retried if it was
+    /// rate-limited.
+    #[serde(rename = "retries")]
+    pub max_retries: u8,
+    /// Whether a retry is marked as one.
+    #[serde(rename = "marks")]
+    pub mark_retries: bool,
+    /// The mean delay before a retry, in milliseconds.
     pub backoff_ms: f64,
-    /// The share of clients that heed a time to come back.
-    pub honour: f64,
-    /// The share of calls whose client comes with a new connection and does not keep it.
-    pub once: f64,
-    /// The share of tries whose client gives up early, at any time within `leave_ms`.
-    pub leave: f64,
-    pub leave_ms: f64,
+    /// The fraction of clients that honor `Retry-After`.
+    #[serde(rename = "honour")]
+    pub honor_retry_after_share: f64,
+    /// The fraction of requests that are sent on a new connection, which is closed after the answer.
+    #[serde(rename = "once")]
+    pub single_use_share: f64,
+    /// The fraction of attempts that the client abandons before the answer.
+    #[serde(rename = "leave")]
+    pub abandon_share: f64,
+    /// An abandoning client leaves at a random time within this many milliseconds.
+    #[serde(rename = "leave_ms")]
+    pub abandon_within_ms: f64,
 }
 
-impl Default for Clients {
-    fn default() -> Clients {
-        Clients {
-            retries: 1,
-            marks: false,
+impl Default for ClientBehavior {
+    fn default() -> ClientBehavior {
+        ClientBehavior {
+            max_retries: 1,
+            mark_retries: false,
             backoff_ms: 60.0,
-            honour: 0.8,
-            once: 0.02,
-            leave: 0.0,
-            leave_ms: 200.0,
+            honor_retry_after_share: 0.8,
+            single_use_share: 0.02,
+            abandon_share: 0.0,
+            abandon_within_ms: 200.0,
         }
     }
 }
 
 impl Load {
-    pub fn check(&self) -> Result<(), (String, String)> {
-        let ranges = [
-            ("load.rate", self.rate, 0.1, 50_000.0),
-            ("load.keys", self.keys as f64, 1.0, 1e8),
-            ("load.zipf", self.zipf, 0.0, 5.0),
-            ("load.written", self.written, 0.0, 1.0),
-            ("load.burst", self.burst, 1.0, 1000.0),
-            ("load.uneven", self.uneven, 0.0, 3.0),
-            ("load.clients.backoff_ms", self.clients.backoff_ms, 0.0, 60_000.0),
-            ("load.clients.honour", self.clients.honour, 0.0, 1.0),
-            ("load.clients.once", self.clients.once, 0.0, 1.0),
-            ("load.clients.leave", self.clients.leave, 0.0, 1.0),
-            ("load.clients.leave_ms", self.clients.leave_ms, 1.0, 60_000.0),
-        ];
-        within(&ranges)?;
-        match self.phase.iter().find(|p| !(p.factor >= 0.0 && p.at_s >= 0.0)) {
-            Some(_) => Err(("load.phase".into(), "neither time nor factor may be negative".into())),
-            None => Ok(()),
+    pub(super) fn check(&self) -> Result<(), InvalidValue> {
+        check_ranges(&[
+            Range::new("load.rate", self.rate, 0.1, 50_000.0),
+            Range::new("load.keys", self.keys as f64, 1.0, 1e8),
+            Range::new("load.zipf", self.zipf, 0.0, 5.0),
+            Range::new("load.written", self.written_key_share, 0.0, 1.0),
+            Range::new("load.burst", self.burst, 1.0, 1000.0),
+            Range::new("load.uneven", self.node_skew, 0.0, 3.0),
+            Range::new("load.clients.backoff_ms", self.clients.backoff_ms, 0.0, 60_000.0),
+            Range::new("load.clients.honour", self.clients.honor_retry_after_share, 0.0, 1.0),
+            Range::new("load.clients.once", self.clients.single_use_share, 0.0, 1.0),
+            Range::new("load.clients.leave", self.clients.abandon_share, 0.0, 1.0),
+            Range::new("load.clients.leave_ms", self.clients.abandon_within_ms, 1.0, 60_000.0),
+        ])?;
+        // Written so that a NaN is invalid, too.
+        let is_valid = |phase: &LoadPhase| phase.factor >= 0.0 && phase.at_s >= 0.0;
+        if !self.phases.iter().all(is_valid) {
+            return Err(InvalidValue::rule("load.phase", "neither time nor factor may be negative"));
         }
+        Ok(())
+    }
+
+    /// The factor of the phase that is current at a time, in seconds from the start; 1 before the first phase.
+    pub fn factor_at(&self, at_s: f64) -> f64 {
+        let current = self.phases.iter().rev().find(|phase| phase.at_s <= at_s);
+        current.map_or(1.0, |phase| phase.factor)
+    }
+
+    /// The largest factor of any phase, at least 1.
+    pub fn max_factor(&self) -> f64 {
+        self.phases.iter().map(|phase| phase.factor).fold(1.0, f64::max)
     }
 }
--- /dev/null
+++ b/crates/testbed/src/hunt/timeline.rs
@@ -0,0 +1,230 @@
+//! Random timelines of overlapping faults.
+//!
+//! The order in which numbers are drawn is part of the format: a change gives other timelines for the same seeds.
+
+use std::fmt::Write as _;
+use std::path::Path;
+
+use rand::{Rng, RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use crate::experiment::{Experiment, ExperimentError};
+
+/// Nodes of the world.
+const NODES: usize = 6;
+/// Cache servers of the world.
+const CACHES: usize = 8;
+/// Planners of the world.
+const PLANNERS: usize = 2;
+/// The fewest faults of a timeline.
+const MIN_FAULTS: usize = 4;
+/// The most faults of a timeline.
+const MAX_FAULTS: usize = 9;
+/// The earliest start of a fault, in seconds.
+const MIN_START_S: f64 = 1.0;
+/// Faults start at least this many seconds before the end, so that effects on later requests are seen.
+const MIN_TIME_AFTER_START_S: f64 = 4.0;
+/// The earliest limit of start times, in seconds, however short the run is.
+const MIN_LATEST_START_S: f64 = 1.5;
+/// Faults end at least this many seconds before the end of the run, where a shortest fault allows it.
+const MIN_TIME_AFTER_END_S: f64 = 2.0;
+/// The shortest duration of a fault, in seconds.
+const MIN_DURATION_S: f64 = 0.3;
+/// The longest duration of a fault, in seconds.
+const MAX_DURATION_S: f64 = 4.0;
+/// The most caches that one fault of the endpoint list affects.
+const MAX_LISTED_CACHES: usize = 2;
+
+/// A timeline of faults and the run that it is for.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Timeline {
+    /// The seed that it was drawn from, and that it is run with.
+    pub seed: u64,
+    seconds: f64,
+    /// The faults, each as the body of a `[[fault]]` table.
+    pub faults: Vec<String>,
+}
+
+/// The faults that a timeline is drawn from: a kind, then the parameters that it needs as `key=value`, separated by blanks.
+/// These values are replaced by random ones:
+///
+/// - `{some}`: up to a third of the caches
+/// - `{own}`: one or two caches that no other fault of this timeline changes in the endpoint list
+/// - `{node}`, `{nodes}`: one node, up to half of the nodes
+/// - `{planner}`: one planner
+/// - `{span}`: a duration in seconds
+/// - `{low..high}`: a number in this range
+const FAULT_TEMPLATES: &[&str] = &[
+    "hang caches={some} for_s={span}",
+    "slow caches={some} factor={2..6} for_s={span}",
+    "crash caches={own} for_s={span}",
+    "drain caches={own} for_s={span}",
+    "remove caches={own} for_s={span}",
+    "replace caches={own} stagger_s={0.1..0.8}",
+    "reset caches={some} for_s={span}",
+    "knock_late caches={some} for_s={span}",
+    "void",
+    "origin_slow factor={1.5..3} for_s={span}",
+    "origin_stop for_s={0.3..1.2}",
+    "discovery_silent for_s={span}",
+    "discovery_stale for_s={span}",
+    "discovery_down for_s={span}",
+    "discovery_down renumber=true for_s={span}",
+    "discovery_move",
+    "watches_silent",
+    "watches_reset",
+    "node_kill nodes={node} for_s={0.3..2}",
+    "node_freeze nodes={node} for_s={0.3..2}",
+    "node_restart nodes={nodes} stagger_s={0.1..0.8}",
+    "link_silent nodes={nodes} caches={some} for_s={span}",
+    "link_silent nodes={nodes} caches={some} toward='nodes' for_s={span}",
+    "link_silent caches={some} for_s={span}",
+    "spoil caches={some} how='noise' share={0.1..0.5} for_s={span}",
+    "spoil caches={some} how='cut' share={0.1..0.5} for_s={span}",
+    "spoil caches={some} how='half_line' share={0.1..0.5} ms={1..10} for_s={span}",
+    "spoil caches={some} how='no_length' share={0.1..0.5} for_s={span}",
+    "spoil caches={some} how='endless' share={0.1..0.3} for_s={span}",
+    "spoil how='reset' share={0.1..0.4} for_s={span}",
+    "spoil how='error' share={0.1..0.4} for_s={span}",
+    "clients_leave share={0.3..1}",
+    "bad_clients count={5..20}",
+    "planner_kill planners={planner} for_s={span}",
+    "planner_kill planners={planner} store='torn' for_s={span}",
+    "planner_restart planners={planner} store='empty' for_s={span}",
+    "planner_freeze planners={planner} for_s={span}",
+    "letters_lost share={0.1..0.6} for_s={span}",
+    "letters_late share={0.1..0.6} ms={100..1500} for_s={span}",
+    "letters_doubled share={0.1..0.6} ms={100..1500} for_s={span}",
+    "letters_spoilt share={0.05..0.3} for_s={span}",
+    "letters_cut planners={planner} nodes={nodes} for_s={span}",
+    "letters_lost share=1 toward='nodes' planners={planner} for_s={span}",
+];
+
+impl Timeline {
+    /// Draws a timeline for a run of `seconds`.
+    pub fn draw(seed: u64, seconds: f64) -> Timeline {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let count = rng.random_range(MIN_FAULTS..=MAX_FAULTS);
+        let mut unlisted_caches: Vec<usize> = (0..CACHES).collect();
+        let mut faults = Vec::new();
+        while faults.len() < count {
+            let template = FAULT_TEMPLATES[rng.random_range(0..FAULT_TEMPLATES.len())];
+            let latest_start_s = (seconds - MIN_TIME_AFTER_START_S).max(MIN_LATEST_START_S);
+            let at_s = rng.random_range(MIN_START_S..latest_start_s);
+            let longest_s = (seconds - MIN_TIME_AFTER_END_S - at_s).clamp(MIN_DURATION_S, MAX_DURATION_S);
+            let mut values =
+                ValueGenerator { longest_s, unlisted_caches: &mut unlisted_caches, rng: &mut rng };
+            if let Some(fault) = values.fill_in(template, at_s) {
+                faults.push(fault);
+            }
+        }
+        Timeline { seed, seconds, faults }
+    }
+
+    /// The timeline as an experiment file.
+    pub fn text(&self) -> String {
+        let mut text = format!(
+            "name = \"hunt-{}\"\nabout = \"a timeline drawn from seed {}\"\nseconds = {:.1}\nseeds = [{}]\n\n\
+             [world]\nnodes = {NODES}\ncaches = {CACHES}\n\n[fleet]\nplanners = {PLANNERS}\n\
+             operator.turns = {{}}\n\n[fleet.leases]\norigin_per_s = 200\nreserve = 0.4\n\n\
+             [load]\nrate = 300\nkeys = 3000\nclients.leave = 0.02\n",
+            self.seed, self.seed, self.seconds, self.seed
+        );
+        for fault in &self.faults {
+            let _ = write!(text, "\n[[fault]]\n{fault}");
+        }
+        text
+    }
+
+    /// The timeline as an experiment.
+    ///
+    /// # Errors
+    /// The text is not a valid experiment, which is a fault of this module's templates.
+    pub fn experiment(&self) -> Result<Experiment, ExperimentError> {
+        Experiment::read(Path::new("hunt"), &self.text())
+    }
+
+    /// The same timeline without one of its faults.
+    pub(super) fn without(&self, fault: usize) -> Timeline {
+        let mut reduced = self.clone();
+        reduced.faults.remove(fault);
+        reduced
+    }
+}
+
+/// Draws the values of one fault.
+struct ValueGenerator<'a, R> {
+    /// The longest duration, in seconds.
+    longest_s: f64,
+    /// Caches that no fault has changed in the endpoint list so far. Each is changed once, and half of them never.
+    unlisted_caches: &'a mut Vec<usize>,
+    rng: &'a mut R,
+}
+
+impl<R: Rng> ValueGenerator<'_, R> {
+    /// The body of a `[[fault]]` table by a template; none where no cache is left for it.
+    fn fill_in(&mut self, template: &str, at_s: f64) -> Option<String> {
+        let mut parts = template.split(' ');
+        let mut text = format!("kind = \"{}\"\nat_s = {at_s:.2}\n", parts.next()?);
+        for part in parts {
+            let (key, placeholder) = part.split_once('=')?;
+            let value = self.value(key, placeholder)?;
+            let _ = writeln!(text, "{key} = {value}");
+        }
+        Some(text)
+    }
+
+    fn value(&mut self, key: &str, placeholder: &str) -> Option<String> {
+        match placeholder {
+            "{some}" => Some(self.indices(CACHES, CACHES / 3)),
+            "{own}" => self.unlisted_caches(),
+            "{node}" => Some(self.indices(NODES, 1)),
+            "{nodes}" => Some(self.indices(NODES, NODES / 2)),
+            "{planner}" => Some(self.indices(PLANNERS, 1)),
+            "{span}" => {
+                let duration_s = self.rng.random_range(MIN_DURATION_S..=self.longest_s);
+                Some(format!("{duration_s:.2}"))
+            }
+            range if range.starts_with('{') => self.number(key, range),
+            literal => Some(literal.into()),
+        }
+    }
+
+    /// From 1 to `max` different indices of `count`, in ascending order.
+    fn indices(&mut self, count: usize, max: usize) -> String {
+        let mut remaining: Vec<usize> = (0..count).collect();
+        let number = self.rng.random_range(1..=max.max(1));
+        let mut drawn = Vec::new();
+        for _ in 0..number {
+            drawn.push(remaining.swap_remove(self.rng.random_range(0..remaining.len())));
+        }
+        drawn.sort_unstable();
+        format!("{drawn:?}")
+    }
+
+    fn unlisted_caches(&mut self) -> Option<String> {
+        if self.unlisted_caches.len() <= CACHES / 2 {
+            return None;
+        }
+        let number = self.rng.random_range(1..=MAX_LISTED_CACHES);
+        let mut drawn = Vec::new();
+        for _ in 0..number {
+            let position = self.rng.random_range(0..self.unlisted_caches.len());
+            drawn.push(self.unlisted_caches.swap_remove(position));
+        }
+        Some(format!("{drawn:?}"))
+    }
+
+    /// A number in a range written as `{low..high}`; an integer where the key is `count`.
+    fn number(&mut self, key: &str, range: &str) -> Option<String> {
+        let (low, high) = range.trim_matches(['{', '}']).split_once("..")?;
+        let low: f64 = low.parse().ok()?;
+        let high: f64 = high.parse().ok()?;
+        let drawn = self.rng.random_range(low..=high);
+        let text = if key == "count" { format!("{drawn:.0}") } else { format!("{drawn:.2}") };
+        Some(text)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,3 +1,5 @@
+//! The program `granitelb-testbed`.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -89,8 +89,8 @@
         std::fs::create_dir_all(folder).map_err(|e| told(folder, e))?;
     }
     let report = json!({
-        "experiment": experiment.name, "about": experiment.about, "seed": seed, "verdict": played.verdict,
-        "events": played.event_log.events, "holds": played.verdict.holds(),
+        "experiment": experiment.name, "about": experiment.about, "seed": seed, "verdict": played.audit_result,
+        "events": played.event_log.events, "holds": played.audit_result.holds(),
     });
     let path = file.with_extension("json");
     std::fs::write(&path, format!("{report:#}")).map_err(|e| told(&path, e))?;
@@ -98,7 +98,7 @@
         let path = file.with_extension("book.json");
         std::fs::write(&path, json!(played.event_log).to_string()).map_err(|e| told(&path, e))?;
     }
-    let page = page::page(experiment, seed, &played.verdict, &played.event_log.events)?;
+    let page = page::page(experiment, seed, &played.audit_result, &played.event_log.events)?;
     let path = file.with_extension("html");
     std::fs::write(&path, page).map_err(|e| told(&path, e))
 }
--- a/crates/testbed/src/world/byzantine_planner.rs
+++ b/crates/testbed/src/world/byzantine_planner.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 
 use super::planner::number_of;
-use crate::experiment::Lie;
+use crate::experiment::FalseClaim;
 use crate::message_reference::{
     self, AuditResult, Beat, Health, Hindsight, Lease, Part, Said, Sender, Signer, Standing,
 };
@@ -19,7 +19,14 @@
 const NAMED: usize = 40;
 
 /// Lies until it is dropped.
-pub async fn stand(planner: usize, at: SocketAddr, secret: Vec<u8>, lie: Lie, whole: [u32; 2], lasts: u32) {
+pub async fn stand(
+    planner: usize,
+    at: SocketAddr,
+    secret: Vec<u8>,
+    lie: FalseClaim,
+    whole: [u32; 2],
+    lasts: u32,
+) {
     let Ok(socket) = UdpSocket::bind(at).await else { return };
     let life = UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
     let mut number = 0;
@@ -41,13 +48,13 @@
                     let verdicts = caches.iter().map(|c| (*c, AuditResult::Fails { ago: 0 })).collect();
                     let plan = Health::Plan { version, part: Part(0, 1), forwarders: 99, verdicts };
                     let letter = message_reference::write(&secret, message_reference::VERDICTS, sender(), &plan);
-                    if lie == Lie::Verdicts {
+                    if lie == FalseClaim::CachesFail {
                         let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     }
                     let worse = |c: &u64| Said { cache: *c, product: 0, standing: Standing::Worse, more: 3.0, low: 2.0, high: 4.0 };
                     let said = Hindsight::Times(caches.iter().map(worse).collect());
                     let letter = message_reference::write(&secret, message_reference::HINDSIGHT, sender(), &said);
-                    if lie == Lie::Standings {
+                    if lie == FalseClaim::CachesSlow {
                         let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     }
                 }
@@ -63,7 +70,7 @@
                     caches.extend(seen.iter().map(|s| s.cache).take(NAMED - caches.len().min(NAMED)));
                 }
                 let read = message_reference::read::<Lease>(&secret, message_reference::LEASES, &bytes[..count]);
-                let (Some((_, Lease::Ask { ask, needs })), Lie::Grants) = (read, lie) else { continue };
+                let (Some((_, Lease::Ask { ask, needs })), FalseClaim::GrantEverything) = (read, lie) else { continue };
                 let all = |r| whole[usize::from(r != message_reference::Resource::Origin)];
                 let granted = needs.iter().map(|n| (n.resource, all(n.resource))).collect();
                 let grant = Lease::Grant { ask, granted, lasts };
--- a/crates/testbed/src/world/cache.rs
+++ b/crates/testbed/src/world/cache.rs
@@ -15,7 +15,7 @@
 use super::service_queue::{Bench, Window};
 use super::wire::{self, Call};
 use crate::event_log::{Event, EventLogWriter, ServerAttemptEnd, ServerId, Timestamp, Version};
-use crate::experiment::CacheForm;
+use crate::experiment::CacheConfig;
 
 /// A box that fell over is back after this, cold.
 const FALLEN: Duration = Duration::from_secs(3);
@@ -33,7 +33,7 @@
 
 pub struct Seat {
     pub number: usize,
-    form: CacheForm,
+    form: CacheConfig,
     event_log: EventLogWriter,
     origin: Arc<Origin>,
     standing: Mutex<Arc<Standing>>,
@@ -44,30 +44,30 @@
 }
 
 impl Standing {
-    fn new(form: &CacheForm, id: ServerId, started: Option<Timestamp>) -> Arc<Standing> {
-        let values = NonZeroUsize::new(form.values).unwrap_or(NonZeroUsize::MIN);
+    fn new(form: &CacheConfig, id: ServerId, started: Option<Timestamp>) -> Arc<Standing> {
+        let values = NonZeroUsize::new(form.capacity_values).unwrap_or(NonZeroUsize::MIN);
         Arc::new(Standing {
             id,
             started,
             values: Mutex::new(LruCache::new(values)),
-            bench: Bench::new(form.cores, form.queue),
-            work: Window::new(Duration::from_secs_f64(form.fall_s)),
+            bench: Bench::new(form.cores, form.queue_capacity),
+            work: Window::new(Duration::from_secs_f64(form.overload_window_s)),
             draining: AtomicBool::new(false),
             fallen: AtomicBool::new(false),
         })
     }
 
     /// The share of its speed that it has.
-    fn warmth(&self, form: &CacheForm, now: Timestamp) -> f64 {
+    fn warmth(&self, form: &CacheConfig, now: Timestamp) -> f64 {
         let age = self.started.map_or(f64::INFINITY, |s| now.ms_since(s) / 1e3);
-        form.cold_from + (1.0 - form.cold_from) * (age / form.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
+        form.cold_speed + (1.0 - form.cold_speed) * (age / form.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
     }
 }
 
 impl Seat {
     pub fn new(
         number: usize,
-        form: CacheForm,
+        form: CacheConfig,
         event_log: EventLogWriter,
         origin: Arc<Origin>,
         id: ServerId,
@@ -185,8 +185,9 @@
         let now = self.event_log.now();
         let warmth = standing.warmth(&self.form, now);
         let sent = standing.work.add(now.0, self.form.hit_ms / 1000.0);
-        let mut stands = self.form.fall_multiple * self.form.cores as f64 * warmth * self.form.fall_s;
-        if self.form.fall_by_chance {
+        let mut stands =
+            self.form.overload_multiple * self.form.cores as f64 * warmth * self.form.overload_window_s;
+        if self.form.random_overload_limit {
             let one = self.form.hit_ms / 1000.0;
             stands += (3.0 * (stands / one).sqrt() + 3.0) * one;
         }
@@ -218,6 +219,6 @@
     }
 
     fn connections(&self) -> usize {
-        self.form.connections
+        self.form.max_connections
     }
 }
--- a/crates/testbed/src/world/clients.rs
+++ b/crates/testbed/src/world/clients.rs
@@ -15,8 +15,8 @@
 use super::wire::{self, Value};
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, Event, EventLogWriter, NodeId, RequestId, Version};
 use crate::experiment::Experiment;
-use crate::experiment::ProductEffect::{Deduplicated, NonIdempotent};
-use crate::schedule::{Planned, Schedule};
+use crate::experiment::RequestEffect::{Deduplicated, NonIdempotent};
+use crate::schedule::{Schedule, ScheduledRequest};
 use crate::shard_workload;
 
 /// An answer is waited for so much past the client's timeout, so that a late one can be told from none.
@@ -67,7 +67,7 @@
         let clients = self.clone();
         // A thread of its own: the runtime's timers go by the millisecond.
         let clock = std::thread::spawn(move || {
-            for (n, call) in clients.schedule.calls.iter().enumerate() {
+            for (n, call) in clients.schedule.requests.iter().enumerate() {
                 sleep_until(clients.event_log.instant(call.due()));
                 if due.send(RequestId(n)).is_err() {
                     return;
@@ -77,7 +77,7 @@
         let mut calls = tokio::task::JoinSet::new();
         while let Some(id) = arrivals.recv().await {
             let now = self.event_log.now();
-            let late = (now.0 - self.schedule.call(id).at_us).max(0) as u64;
+            let late = (now.0 - self.schedule.request(id).at_us).max(0) as u64;
             self.event_log.write(|b| b.lateness.push(late));
             calls.spawn(self.clone().call(id));
             while calls.try_join_next().is_some() {}
@@ -88,19 +88,19 @@
 
     /// One call with its client's own repeats.
     async fn call(self: Arc<Self>, id: RequestId) {
-        let planned = self.schedule.call(id);
+        let planned = self.schedule.request(id);
         for nth in 0u8.. {
             let end = self.one_try(id, nth).await;
-            let product = &self.experiment.product[planned.product];
+            let product = &self.experiment.request_classes[planned.class];
             let again = match &end {
                 ClientAttemptEnd::Fulfilled { .. } => return,
                 ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::Unreached => true,
                 // Nobody repeats what may have run unless that does no harm.
                 _ => product.effect != NonIdempotent,
             };
-            let Some(mut wait) = planned.wait(nth).filter(|_| again) else { return };
+            let Some(mut wait) = planned.retry_delay(nth).filter(|_| again) else { return };
             if let ClientAttemptEnd::RateLimited { come_back: Some(advised) } = end
-                && planned.heeds
+                && planned.honors_retry_after
             {
                 wait = wait.max(advised);
             }
@@ -109,10 +109,10 @@
     }
 
     async fn one_try(&self, id: RequestId, nth: u8) -> ClientAttemptEnd {
-        let planned = self.schedule.call(id);
-        let product = &self.experiment.product[planned.product];
+        let planned = self.schedule.request(id);
+        let product = &self.experiment.request_classes[planned.class];
         let timeout = Duration::from_millis(product.timeout_ms);
-        let name = planned.name(nth);
+        let name = planned.attempt_id(nth);
         let write = product.writes();
         let deduplicated = product.effect == Deduplicated;
         let idempotency_key = deduplicated.then(|| planned.idempotency_key());
@@ -127,8 +127,8 @@
             nth,
             id: name,
             idempotency_key,
-            node: planned.node(),
-            product: planned.product,
+            node: planned.node_id(),
+            product: planned.class,
             key: planned.key,
             due: planned.due(),
             sent,
@@ -143,8 +143,8 @@
     async fn leaves(&self, name: &str, node: usize) {
         let clients = &self.experiment.load.clients;
         let early = async {
-            if wire::chance_of(name, 17) < clients.leave {
-                let ms = clients.leave_ms * wire::chance_of(name, 19);
+            if wire::chance_of(name, 17) < clients.abandon_share {
+                let ms = clients.abandon_within_ms * wire::chance_of(name, 19);
                 tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await;
             } else {
                 std::future::pending().await
@@ -171,11 +171,11 @@
         &self,
         name: &str,
         idempotency_key: Option<&str>,
-        planned: &Planned,
+        planned: &ScheduledRequest,
         nth: u8,
         write: bool,
     ) -> ClientAttemptEnd {
-        let product = &self.experiment.product[planned.product];
+        let product = &self.experiment.request_classes[planned.class];
         let pool = &self.pools[planned.node];
         let call = || {
             let method = if write { "PUT" } else { "GET" };
@@ -192,13 +192,13 @@
             if let Some(tenant) = planned.tenant {
                 call = call.header("X-Tenant-Id", &self.experiment.load.tenants[tenant]);
             }
-            if nth > 0 && self.experiment.load.clients.marks {
+            if nth > 0 && self.experiment.load.clients.mark_retries {
                 call = call.header("X-Retried", "1");
             }
             let body = if write { shard_workload::written(planned.key) } else { Bytes::new() };
             call.body(Full::new(body)).expect("a call is well formed")
         };
-        let kept = if planned.once { None } else { pool.take() };
+        let kept = if planned.single_use_connection { None } else { pool.take() };
         if let Some(mut sender) = kept {
             match sender.send_request(call()).await {
                 Ok(answer) => return self.read(answer, sender, planned).await,
@@ -209,7 +209,7 @@
                 Err(_) => return ClientAttemptEnd::Torn { used_before: true },
             }
         }
-        let Ok(mut sender) = self.connect(pool.address, planned.node()).await else {
+        let Ok(mut sender) = self.connect(pool.address, planned.node_id()).await else {
             return ClientAttemptEnd::Unreached;
         };
         match sender.send_request(call()).await {
@@ -233,12 +233,17 @@
         Ok(sender)
     }
 
-    async fn read(&self, answer: Response<Incoming>, sender: Sender, planned: &Planned) -> ClientAttemptEnd {
+    async fn read(
+        &self,
+        answer: Response<Incoming>,
+        sender: Sender,
+        planned: &ScheduledRequest,
+    ) -> ClientAttemptEnd {
         let (head, body) = answer.into_parts();
         let Ok(body) = Limited::new(body, 1 << 20).collect().await else {
             return ClientAttemptEnd::Torn { used_before: false };
         };
-        if !planned.once {
+        if !planned.single_use_connection {
             self.pools[planned.node].keep(sender);
         }
         match head.status.as_u16() {
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -14,7 +14,7 @@
 use super::malformed_clients;
 use super::origin::Spoilt;
 use crate::event_log::{Event, Listed, NodeId, Timestamp};
-use crate::experiment::{Fault, FaultKind, Toward};
+use crate::experiment::{Fault, FaultKind, LinkDirection, NodeAction, NodeChange};
 
 /// Between two resets of a cache's connections.
 const RESETS: Duration = Duration::from_millis(150);
@@ -34,9 +34,9 @@
 }
 
 async fn one(world: Arc<World>, id: usize, fault: Fault) {
-    let caches = fault.named(&world.experiment);
+    let caches = fault.target_caches(&world.experiment);
     let nodes = named_or_all(&fault.nodes, world.nodes.len());
-    use FaultKind::{PlannerFreeze, PlannerKill, PlannerLies, PlannerRestart};
+    use FaultKind::{PlannerByzantine, PlannerFreeze, PlannerKill, PlannerRestart};
     let what = describe(&fault, &caches);
     let Some(fault) = growth::awaits_step(&world, fault).await else { return };
     world.event_log.event(Event::FaultBegan { what: what.clone() });
@@ -62,17 +62,18 @@
                 at_node(&world, &fault, node).await;
             });
         }
-    } else if matches!(fault.kind, PlannerKill | PlannerFreeze | PlannerRestart | PlannerLies) {
+    } else if matches!(fault.kind, PlannerKill | PlannerFreeze | PlannerRestart | PlannerByzantine) {
         for planner in named_or_all(&fault.planners, world.planners.len()) {
             let (world, fault) = (world.clone(), fault.clone());
             parts.spawn(async move { at_planner(&world, &fault, planner).await });
         }
     } else if fault.kind == FaultKind::Resize {
-        for (node, at, starts) in world.experiment.resized(fault.at_s) {
+        for NodeChange { node, at_s: at, action } in world.experiment.node_changes(fault.at_s) {
+            let starts = action == NodeAction::Start;
             let world = world.clone();
             parts.spawn(async move { resize(&world, node, at, starts).await });
         }
-    } else if fault.kind.befalls_letters() {
+    } else if fault.kind.affects_messages() {
         let Some(relay) = &world.relay else { return };
         relay.trouble(id, &fault, true);
         until(&world, fault.end_s()).await;
@@ -91,7 +92,7 @@
 }
 
 fn describe(fault: &Fault, caches: &[usize]) -> String {
-    let kind = format!("{:?}", fault.kind);
+    let kind = fault.kind.to_string();
     match caches.len() {
         0 => kind,
         1..=4 => format!("{kind} {caches:?}"),
@@ -101,12 +102,12 @@
 
 fn on_each_cache(kind: FaultKind) -> bool {
     use FaultKind::*;
-    matches!(kind, Hang | Slow | Crash | Drain | Remove | Replace | Reset | KnockLate)
+    matches!(kind, Hang | Slow | Crash | Drain | Remove | Replace | Reset | ConnectDelayed)
 }
 
 fn on_each_node(kind: FaultKind) -> bool {
     use FaultKind::*;
-    matches!(kind, NodeKill | NodeFreeze | NodeRestart | NodeSettings | BadClients)
+    matches!(kind, NodeKill | NodeFreeze | NodeRestart | NodeSettings | MalformedClients)
 }
 
 async fn at_cache(world: &World, fault: &Fault, number: usize, begins: bool) {
@@ -124,8 +125,8 @@
                 break;
             }
         },
-        (FaultKind::KnockLate, true) => seat.set_doors(Stance::Deaf),
-        (FaultKind::KnockLate, false) => seat.set_doors(Stance::Open),
+        (FaultKind::ConnectDelayed, true) => seat.set_doors(Stance::Deaf),
+        (FaultKind::ConnectDelayed, false) => seat.set_doors(Stance::Open),
         (FaultKind::Crash, true) => seat.set_doors(Stance::Refusing),
         (FaultKind::Crash, false) => {
             seat.stand(seat.id(), Some(world.event_log.now()));
@@ -178,13 +179,13 @@
         FaultKind::NodeSettings => {
             let mut node = node.lock().await;
             node.set_settings(&fault.settings);
-            match fault.fresh {
+            match fault.restart_nodes {
                 true => restart(world, &mut node).await,
                 // A node that is down reads the file when it starts.
                 false => node.read_again().unwrap_or_default(),
             }
         }
-        FaultKind::BadClients => {
+        FaultKind::MalformedClients => {
             malformed_clients::come(
                 world.node_addresses[number],
                 world.event_log.clone(),
@@ -218,12 +219,12 @@
         FaultKind::PlannerRestart => planner.stop().await,
         _ => planner.kill().await,
     }
-    match fault.lie.filter(|_| fault.kind == FaultKind::PlannerLies) {
+    match fault.false_claim.filter(|_| fault.kind == FaultKind::PlannerByzantine) {
         Some(lie) => {
             let leases = world.experiment.fleet.as_ref().and_then(|f| f.leases.clone()).unwrap_or_default();
-            let whole = [leases.origin_per_s * 1e3, leases.cold_work * 1e6].map(|whole| whole as u32);
+            let whole = [leases.origin_per_s * 1e3, leases.cold_cache_work * 1e6].map(|whole| whole as u32);
             let secret = world.secret.clone();
-            let lasts = leases.lasts_ms as u32 * 1000;
+            let lasts = leases.lease_ms as u32 * 1000;
             let lies = byzantine_planner::stand(number, planner.address, secret, lie, whole, lasts);
             tokio::select! {
                 () = lies => {}
@@ -248,7 +249,7 @@
         world.event_log.event(Event::NodeUp { node: node.id });
         return;
     }
-    let longest = world.experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
+    let longest = world.experiment.request_classes.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
     world.event_log.event(Event::NodeStops { node: node.id });
     node.stop(Duration::from_millis(longest)).await;
 }
@@ -256,7 +257,7 @@
 /// Stopping in order it owes an answer to all that it has taken: it is not down until it has ended.
 async fn restart(world: &World, node: &mut super::Node) {
     let known = world.discovery.known_to(node.id);
-    let longest = world.experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
+    let longest = world.experiment.request_classes.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
     world.event_log.event(Event::NodeStops { node: node.id });
     node.stop(Duration::from_millis(longest)).await;
     start_again(world, node, Some(known)).await;
@@ -271,12 +272,12 @@
 
 async fn at_world(world: &World, fault: &Fault, caches: &[usize], nodes: &[usize], begins: bool) {
     match (fault.kind, begins) {
-        (FaultKind::Void, true) => {
+        (FaultKind::FlushCaches, true) => {
             let all: Vec<_> = (0..world.seats.len()).collect();
             let meant = if caches.is_empty() { &all } else { caches };
             meant.iter().for_each(|c| world.seats[*c].void());
         }
-        (FaultKind::Grow, true) => {
+        (FaultKind::AddCaches, true) => {
             let first = world.experiment.world.caches;
             for seat in (first..world.seats.len()).take(fault.count) {
                 world.renew(seat);
@@ -301,7 +302,7 @@
         (FaultKind::DiscoveryStale, stale) => world.discovery.set_stale(stale),
         (FaultKind::DiscoveryDown, true) => world.discovery.set(Stance::Refusing),
         (FaultKind::DiscoveryDown, false) => {
-            if fault.renumber {
+            if fault.restart_revisions {
                 world.discovery.renumber();
             }
             world.discovery.set(Stance::Open);
@@ -313,12 +314,12 @@
                 let _ = node.lock().await.move_discovery(to);
             }
         }
-        (FaultKind::Spoil, true) => {
+        (FaultKind::CorruptResponses, true) => {
             let late = Duration::from_secs_f64(fault.ms.unwrap_or(5.0) / 1000.0);
-            let spoil = fault.share.zip(fault.how).map(|(share, how)| Spoilt { share, how, late });
+            let spoil = fault.share.zip(fault.corruption).map(|(share, how)| Spoilt { share, how, late });
             set_spoil(world, caches, spoil);
         }
-        (FaultKind::Spoil, false) => set_spoil(world, caches, None),
+        (FaultKind::CorruptResponses, false) => set_spoil(world, caches, None),
         (kind, begins) => set_links(world, fault, kind, begins, caches, nodes),
     }
 }
@@ -349,10 +350,10 @@
     for seat in caches.iter().map(|c| &world.seats[*c]) {
         for door in nodes.iter().filter_map(|n| seat.doors.get().and_then(|d| d.get(*n))) {
             door.link.send_modify(|link: &mut LinkState| {
-                if fault.toward != Toward::Nodes && kind != FaultKind::LinkReset {
+                if fault.direction != LinkDirection::Nodes && kind != FaultKind::LinkReset {
                     link.toward_server = way;
                 }
-                if fault.toward != Toward::Caches {
+                if fault.direction != LinkDirection::Caches {
                     link.toward_node = way;
                 }
             });
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -10,9 +10,9 @@
 use super::cache::Seat;
 use super::planner::number_of;
 use crate::event_log::{EventLogWriter, Member, Timestamp, Version};
-use crate::experiment::{Experiment, Fault, GrowthForm};
+use crate::experiment::{Experiment, Fault, GrowthConfig};
 use crate::message_reference::{self, Sender, Signer};
-use crate::schedule::mixed;
+use crate::schedule::mix64;
 use crate::shard_map_reference::{GROWTH, Growth, KnownDay, Places, Step, keys_of};
 
 /// A planner that has not taken the days by then is not going to.
@@ -25,7 +25,7 @@
 
 /// How much earlier than its calls such a world begins.
 pub fn lead(of: &Experiment) -> Duration {
-    let taught = of.growth.as_ref().is_some_and(|g| g.known_days > 0);
+    let taught = of.growth.as_ref().is_some_and(|g| g.history_days > 0);
     if taught { Duration::from_secs(3) } else { Duration::ZERO }
 }
 
@@ -44,16 +44,16 @@
 }
 
 /// The days before the run: what a shard kept on each, give or take half a part of a hundred.
-fn known(form: &GrowthForm, of: &Experiment, event_log: &EventLogWriter, shard: u8) -> Vec<KnownDay> {
-    let day_ms = 1000.0 / of.days_at(1.0).max(1e-9);
+fn known(form: &GrowthConfig, of: &Experiment, event_log: &EventLogWriter, shard: u8) -> Vec<KnownDay> {
+    let day_ms = 1000.0 / of.accounting_days_at(1.0).max(1e-9);
     let start = event_log.unix_start_ms as f64 / day_ms;
     let today = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as f64 / day_ms;
     // Two of the last may be counted still.
     let last = today as u32 - 2;
-    let days = (last + 1).saturating_sub(form.known_days)..=last;
+    let days = (last + 1).saturating_sub(form.history_days)..=last;
     days.map(|day| {
-        let drawn = (mixed(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
-        let keys = form.keys_on(f64::from(day) - start) * (0.995 + 0.01 * drawn);
+        let drawn = (mix64(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
+        let keys = form.keys_after(f64::from(day) - start) * (0.995 + 0.01 * drawn);
         (day, (keys * crate::shard_map_reference::VALUE_BYTES as f64) as f32, keys as f32)
     })
     .collect()
@@ -65,7 +65,7 @@
 /// # Errors
 /// It did not take them.
 pub async fn teach(world: &World) -> Result<(), String> {
-    let Some(form) = world.experiment.growth.as_ref().filter(|g| g.known_days > 0) else { return Ok(()) };
+    let Some(form) = world.experiment.growth.as_ref().filter(|g| g.history_days > 0) else { return Ok(()) };
     let (address, secret) = (world.planners[0].lock().await.address, &world.secret);
     world.planners[0].lock().await.start()?;
     let socket = UdpSocket::bind(("127.0.0.1", 0)).await.map_err(|e| e.to_string())?;
--- a/crates/testbed/src/world/malformed_clients.rs
+++ b/crates/testbed/src/world/malformed_clients.rs
@@ -33,7 +33,7 @@
 }
 
 pub async fn come(node: SocketAddr, event_log: EventLogWriter, fault: &Fault, of: &Experiment) {
-    let texts = texts(&of.product[0].name);
+    let texts = texts(&of.request_classes[0].name);
     let mut clients = tokio::task::JoinSet::new();
     for n in 0..fault.count {
         let (what, text) = texts[n % texts.len()].clone();
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -28,7 +28,7 @@
     Event, EventLog, EventLogWriter, Listed, Member, NodeId, ServerId, ServerInfo, Timestamp,
 };
 use crate::experiment::Experiment;
-use crate::schedule::{Schedule, mixed};
+use crate::schedule::{Schedule, mix64};
 use cache::Seat;
 use clients::{Clients, Leave};
 use discovery::{Discovery, Entry};
@@ -114,12 +114,12 @@
     let starts = world
         .nodes
         .iter()
-        .take(experiment.begins_with())
+        .take(experiment.initial_nodes())
         .map(|node| async move { node.lock().await.start(None).await });
     for started in join_all(starts).await {
         started?;
     }
-    for late in world.nodes.iter().skip(experiment.begins_with()) {
+    for late in world.nodes.iter().skip(experiment.initial_nodes()) {
         event_log.event(Event::NodeStops { node: late.lock().await.id });
     }
     if event_log.now() > Timestamp(0) {
@@ -134,7 +134,7 @@
     let _ = faults.await;
     looks.abort();
     pulse.abort();
-    let longest = experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
+    let longest = experiment.request_classes.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
     let stops = world.nodes.iter().map(|node| async move {
         let mut node = node.lock().await;
         node.look();
@@ -237,7 +237,7 @@
             origin_doors.push(Door::open(ip, NodeId(node), Stance::Open, origin.clone()).await?);
         }
         let mut seats = Vec::new();
-        for seat in 0..experiment.seats() {
+        for seat in 0..experiment.max_caches() {
             let there = seat < form.caches;
             let id = note_server(&event_log, name(seat, 0), Some(seat), None);
             let (form, event_log, origin) = (form.cache.clone(), event_log.clone(), origin.clone());
@@ -251,7 +251,7 @@
             let _ = seat.doors.set(doors);
             if there && experiment.load.preloaded {
                 // The most popular ones last, lest they go first.
-                let keys = experiment.load.keys.min(experiment.world.cache.values as u64);
+                let keys = experiment.load.keys.min(experiment.world.cache.capacity_values as u64);
                 let zero = crate::event_log::Version(0);
                 (0..keys).rev().for_each(|key| seat.store(key, zero, zero));
             }
@@ -275,7 +275,7 @@
             planners: Vec::new(),
             relay: None,
             leave: tokio::sync::watch::Sender::default(),
-            secret: (0..4).flat_map(|n| mixed(run.seed, n).to_be_bytes()).collect(),
+            secret: (0..4).flat_map(|n| mix64(run.seed, n).to_be_bytes()).collect(),
         };
         world.add_planners(number, run).await?;
         world.discovery.put(world.origin_entry());
@@ -315,7 +315,7 @@
         let place = |member, other| relay_address(number, member, other);
         let relay = Relay::open(nodes, &addresses, place, run.seed, self.event_log.clone()).await?;
         self.relay = Some(relay);
-        let forgetful = self.experiment.fleet.as_ref().is_some_and(|f| f.forgetful);
+        let forgetful = self.experiment.fleet.as_ref().is_some_and(|f| f.volatile_planners);
         for (p, at) in addresses.iter().enumerate() {
             let operator = self.operators_file_with(Member::Planner(p), &addresses).unwrap_or_default();
             let event_log = self.event_log.clone();
--- a/crates/testbed/src/world/node.rs
+++ b/crates/testbed/src/world/node.rs
@@ -12,7 +12,7 @@
 use tokio::process::{Child, Command};
 
 use crate::event_log::{Event, EventLogWriter, NodeId, Usage};
-use crate::experiment::{Experiment, ProductEffect};
+use crate::experiment::{Experiment, RequestEffect};
 
 /// A node that is not ready by then is not going to be.
 const READY: Duration = Duration::from_secs(8);
@@ -53,32 +53,32 @@
 /// The configuration of a node, by the deployment page.
 pub fn config(of: &Experiment, node: NodeId, listen: SocketAddr, discovery: SocketAddr, seed: u64) -> Value {
     let world = &of.world;
-    let product = |p: &crate::experiment::Product| {
+    let product = |p: &crate::experiment::RequestClass| {
         let effect = match p.effect {
-            ProductEffect::Idempotent => "read_like",
-            ProductEffect::Deduplicated => "idempotency_key",
-            ProductEffect::NonIdempotent => "non_idempotent",
+            RequestEffect::Idempotent => "read_like",
+            RequestEffect::Deduplicated => "idempotency_key",
+            RequestEffect::NonIdempotent => "non_idempotent",
         };
         json!({"Name": p.name, "Effect": effect, "DedupScope": "all",
-            "WindowUs": (world.origin.repeats_s * 1e6) as u64, "LatencySloUs": p.slo_ms * 1000,
+            "WindowUs": (world.origin.idempotency_window_s * 1e6) as u64, "LatencySloUs": p.slo_ms * 1000,
             "ClientTimeoutUs": p.timeout_ms * 1000, "BilledValue": p.value})
     };
     json!({
         "name": format!("node-{}", node.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed ^ (node.0 as u64 + 1)),
-        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
+        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.max_sockets},
         "settings": {
             "Discovery": "ask", "Siblings": world.nodes, "Zones": world.zones, "Shapes": ["plain", "origin"],
             "Specifics": {"Mode": "aside", "OriginKind": 1},
-            "Products": of.product.iter().map(product).collect::<Vec<_>>(),
+            "Products": of.request_classes.iter().map(product).collect::<Vec<_>>(),
             "Tenants": of.load.tenants.iter().map(|t| json!({"Name": t, "QuotaPerS": 1e6})).collect::<Vec<_>>(),
-            "Bounds": {"MostShots": world.most_shots, "MayCancel": world.may_cancel,
-                "SecondCopies": world.second_copies, "RetryAfter": world.max_retry_after_ms > 0,
+            "Bounds": {"MostShots": world.max_attempts, "MayCancel": world.may_cancel,
+                "SecondCopies": world.hedging, "RetryAfter": world.max_retry_after_ms > 0,
                 "MaxRetryAfterUs": world.max_retry_after_ms * 1000, "ConnectTimeoutUs": 250_000,
                 "KeepaliveUs": (world.cache.keepalive_s * 1e6) as u64},
-            "Rules": {"MustAskInUs": 10_000_000, "ColdFrom": world.cache.cold_from,
+            "Rules": {"MustAskInUs": 10_000_000, "ColdFrom": world.cache.cold_speed,
                 "WarmAfterUs": (world.cache.warm_after_s * 1e6) as u64,
-                "FallMultiple": world.cache.fall_multiple, "FallUs": (world.cache.fall_s * 1e6) as u64},
+                "FallMultiple": world.cache.overload_multiple, "FallUs": (world.cache.overload_window_s * 1e6) as u64},
         },
     })
 }
--- a/crates/testbed/src/world/origin.rs
+++ b/crates/testbed/src/world/origin.rs
@@ -17,13 +17,13 @@
 use crate::event_log::{
     Effect, Event, EventLogWriter, Fetch, ServerAttemptEnd, ServerId, Timestamp, Version,
 };
-use crate::experiment::{OriginForm, Spoil};
+use crate::experiment::{OriginConfig, ResponseCorruption};
 
 /// Answers are spoilt: a share of them, how, and how late what comes after them.
 #[derive(Clone, Copy, Debug)]
 pub struct Spoilt {
     pub share: f64,
-    pub how: Spoil,
+    pub how: ResponseCorruption,
     pub late: Duration,
 }
 
@@ -35,7 +35,7 @@
 
 pub struct Origin {
     pub id: ServerId,
-    form: OriginForm,
+    form: OriginConfig,
     event_log: EventLogWriter,
     bench: Bench,
     asked: Window,
@@ -53,10 +53,10 @@
 }
 
 impl Origin {
-    pub fn new(id: ServerId, form: OriginForm, event_log: EventLogWriter) -> Origin {
+    pub fn new(id: ServerId, form: OriginConfig, event_log: EventLogWriter) -> Origin {
         Origin {
             id,
-            bench: Bench::new(form.cores, form.queue),
+            bench: Bench::new(form.cores, form.queue_capacity),
             asked: Window::new(Duration::from_secs(1)),
             slowed: AtomicU64::new(1000),
             stopped: watch::Sender::new(false),
@@ -125,7 +125,7 @@
         // From here on it has run, whatever becomes of its answer.
         let at = self.event_log.now();
         if let Some(key) = &call.idempotency_key {
-            let lasts = (self.form.repeats_s * 1e6) as i64;
+            let lasts = (self.form.idempotency_window_s * 1e6) as i64;
             let mut repeats = self.repeats.lock().expect("no holder panics");
             repeats.retain(|_, (then, _)| at.0 - then.0 < lasts);
             if let Some((_, version)) = repeats.get(key) {
@@ -247,7 +247,7 @@
         shot.end(ServerAttemptEnd::Answered);
         return Ok(wire::value(call, version, word));
     };
-    if how == Spoil::Error {
+    if how == ResponseCorruption::ErrorStatus {
         shot.end(ServerAttemptEnd::Failed);
         return Ok(wire::plain(500));
     }
--- a/crates/testbed/src/world/planner.rs
+++ b/crates/testbed/src/world/planner.rs
@@ -10,7 +10,7 @@
 use tokio::process::{Child, Command};
 
 use crate::event_log::{Event, EventLogWriter};
-use crate::experiment::{Experiment, Store};
+use crate::experiment::{Experiment, StoreCondition};
 
 /// A planner told to stop ends by then.
 const STOPS: Duration = Duration::from_millis(1500);
@@ -43,15 +43,15 @@
     if let Some(l) = &fleet.leases {
         let mut leases = toml::Table::new();
         leases.insert("origin_per_s".into(), l.origin_per_s.into());
-        leases.insert("cold_work".into(), l.cold_work.into());
+        leases.insert("cold_work".into(), l.cold_cache_work.into());
         leases.insert("reserve".into(), l.reserve.into());
-        if l.standing > 0.0 {
-            leases.insert("standing".into(), l.standing.into());
+        if l.long_term_share > 0.0 {
+            leases.insert("standing".into(), l.long_term_share.into());
         }
-        leases.insert("lasts_ms".into(), (l.lasts_ms as i64).into());
+        leases.insert("lasts_ms".into(), (l.lease_ms as i64).into());
         file.insert("leases".into(), leases.into());
     }
-    file.extend(fleet.operator);
+    file.extend(fleet.fleet_config);
     file.to_string()
 }
 
@@ -144,13 +144,13 @@
     }
 
     /// Does to what it kept what a fault says.
-    pub fn treat(&self, store: Store) -> std::io::Result<()> {
+    pub fn treat(&self, store: StoreCondition) -> std::io::Result<()> {
         for entry in std::fs::read_dir(&self.state)? {
             let file = entry?.path();
             match store {
-                Store::Kept => {}
-                Store::Empty => std::fs::remove_file(file)?,
-                Store::Torn => {
+                StoreCondition::Intact => {}
+                StoreCondition::Empty => std::fs::remove_file(file)?,
+                StoreCondition::Torn => {
                     let mut bytes = std::fs::read(&file)?;
                     bytes.truncate(bytes.len() / 2);
                     bytes.extend(b"torn here");
--- a/crates/testbed/src/world/relay.rs
+++ b/crates/testbed/src/world/relay.rs
@@ -11,8 +11,8 @@
 use tokio::net::UdpSocket;
 
 use crate::event_log::{EventLogWriter, Member, RelayedMessage};
-use crate::experiment::{Fault, FaultKind, Toward};
-use crate::schedule::mixed;
+use crate::experiment::{Fault, FaultKind, LinkDirection};
+use crate::schedule::mix64;
 
 /// No datagram is longer.
 const LONGEST: usize = 65_536;
@@ -58,7 +58,7 @@
             let socket = UdpSocket::bind((place(way.0, way.1), 0)).await?;
             addresses.insert(way, socket.local_addr()?);
             sockets.insert(way, Arc::new(socket));
-            chance.insert(way, ChaCha8Rng::seed_from_u64(mixed(seed, n as u64)));
+            chance.insert(way, ChaCha8Rng::seed_from_u64(mix64(seed, n as u64)));
             if let Member::Planner(p) = way.0 {
                 homes.insert(way, planners[p]);
             }
@@ -117,10 +117,10 @@
             let late = Duration::from_secs_f64(ms / 1000.0);
             match fault.kind {
                 _ if !hit => {}
-                FaultKind::LettersLost | FaultKind::LettersCut => copies.clear(),
-                FaultKind::LettersDoubled => copies.push(late),
-                FaultKind::LettersLate => copies.iter_mut().for_each(|c| *c += late),
-                FaultKind::LettersSpoilt if !bytes.is_empty() => {
+                FaultKind::MessagesLost | FaultKind::MessagesBlocked => copies.clear(),
+                FaultKind::MessagesDuplicated => copies.push(late),
+                FaultKind::MessagesDelayed => copies.iter_mut().for_each(|c| *c += late),
+                FaultKind::MessagesCorrupted if !bytes.is_empty() => {
                     changed = true;
                     let bit = chance.random_range(0..bytes.len() * 8);
                     bytes[bit / 8] ^= 1 << (bit % 8);
@@ -170,14 +170,14 @@
         Member::Node(n) => fault.nodes.contains(&n),
         Member::Planner(p) => fault.planners.contains(&p),
     };
-    if fault.kind == FaultKind::LettersCut {
+    if fault.kind == FaultKind::MessagesBlocked {
         return named(from) != named(to);
     }
     let planner = [from, to].into_iter().any(|m| matches!(m, Member::Planner(_)) && named(m));
     let node = [from, to].into_iter().any(|m| matches!(m, Member::Node(_)) && named(m));
-    let toward = match fault.toward {
-        Toward::Nodes => matches!(to, Member::Node(_)),
-        Toward::Planners => matches!(to, Member::Planner(_)),
+    let toward = match fault.direction {
+        LinkDirection::Nodes => matches!(to, Member::Node(_)),
+        LinkDirection::Planners => matches!(to, Member::Planner(_)),
         _ => true,
     };
     toward && (planner || fault.planners.is_empty()) && (node || fault.nodes.is_empty())
--- a/crates/testbed/src/world/wire.rs
+++ b/crates/testbed/src/world/wire.rs
@@ -11,8 +11,8 @@
 
 use super::link::Rough;
 use crate::event_log::Version;
-use crate::experiment::Spoil;
-use crate::schedule::mixed;
+use crate::experiment::ResponseCorruption;
+use crate::schedule::mix64;
 use crate::shard_workload;
 
 /// Bodies hold no more.
@@ -61,7 +61,7 @@
 /// A number from 0 to 1 that hangs on a name alone.
 pub fn chance_of(id: &str, kind: u64) -> f64 {
     let number = id.bytes().fold(0u64, |n, b| n.wrapping_mul(31).wrapping_add(u64::from(b)));
-    (mixed(number, kind) >> 11) as f64 / (1u64 << 53) as f64
+    (mix64(number, kind) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 pub fn body(text: impl Into<Bytes>) -> BoxBody<Bytes, Infallible> {
@@ -87,29 +87,38 @@
 }
 
 /// What comes behind an answer that is whole.
-pub fn after(how: Spoil, call: &Call, version: Version, word: &str) -> Option<Vec<u8>> {
+pub fn after(how: ResponseCorruption, call: &Call, version: Version, word: &str) -> Option<Vec<u8>> {
     match how {
-        Spoil::Second => {
+        ResponseCorruption::Duplicate => {
             let pad = shard_workload::pad(call.key);
             let value = Value { made_for: call.id.clone(), key: call.key, version: version.0, pad };
             let text = serde_json::to_string(&value).expect("plain values");
             let head = format!("HTTP/1.1 200 OK\r\nX-Cache-Status: {word}\r\nContent-Length: {}", text.len());
             Some(format!("{head}\r\n\r\n{text}").into_bytes())
         }
-        Spoil::HalfLine => Some(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()),
+        ResponseCorruption::PartialStatusLine => Some(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()),
         _ => None,
     }
 }
 
 /// What is sent in place of an answer.
-pub fn spoilt(how: Spoil) -> Rough {
+pub fn spoilt(how: ResponseCorruption) -> Rough {
     let raw = |text: &str, then_close| Rough::Raw { bytes: text.as_bytes().to_vec(), then_close };
     match how {
-        Spoil::Noise => raw("\u{1}\u{2}\u{3}noise that is no answer\r\n\r\n", false),
-        Spoil::Cut => raw("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nhalf of", true),
-        Spoil::Length => raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmuch", false),
-        Spoil::NoLength => Rough::RawThenReset(b"HTTP/1.1 200 OK\r\n\r\n{\"made_for\":\"".to_vec()),
-        Spoil::Endless => Rough::Endless,
-        Spoil::Reset | Spoil::Error | Spoil::Second | Spoil::HalfLine => Rough::Reset,
+        ResponseCorruption::Noise => raw("\u{1}\u{2}\u{3}noise that is no answer\r\n\r\n", false),
+        ResponseCorruption::TruncatedBody => {
+            raw("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nhalf of", true)
+        }
+        ResponseCorruption::ExcessiveLength => {
+            raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmuch", false)
+        }
+        ResponseCorruption::MissingLength => {
+            Rough::RawThenReset(b"HTTP/1.1 200 OK\r\n\r\n{\"made_for\":\"".to_vec())
+        }
+        ResponseCorruption::Endless => Rough::Endless,
+        ResponseCorruption::Reset
+        | ResponseCorruption::ErrorStatus
+        | ResponseCorruption::Duplicate
+        | ResponseCorruption::PartialStatusLine => Rough::Reset,
     }
 }
--- a/crates/testbed/tests/hunt.rs
+++ b/crates/testbed/tests/hunt.rs
@@ -1,4 +1,4 @@
-//! Two timelines of overlapping faults, short, played by the real program. Others are for `granitelb-testbed hunt`.
+//! Two short timelines of overlapping faults, run with the real program. `granitelb-testbed hunt` runs more.
 
 use granitelb_testbed::{hunt, program};
 use test_case::test_case;
@@ -7,12 +7,14 @@
 
 #[test_case(3)]
 #[test_case(7)]
-fn a_timeline_breaks_no_rule(seed: u64) {
-    let node = program::node(None).expect("the program");
+fn timeline_breaks_no_rule(seed: u64) {
+    let node = program::find_node(None).expect("the program is built");
     let timeline = hunt::Timeline::draw(seed, SECONDS);
-    // A machine that is too busy each time says nothing of the program, here as in a hunt.
+    // If the machine was too busy in each run, nothing is judged, as in a search.
     match hunt::play(&timeline, &node) {
-        Ok(verdict) => assert_eq!(hunt::broke(&verdict), Vec::<String>::new(), "{}", timeline.text()),
-        Err(trouble) => println!("seed {seed}: {trouble}"),
+        Ok(audit_result) => {
+            assert_eq!(hunt::violations(&audit_result), Vec::<String>::new(), "{}", timeline.text());
+        }
+        Err(error) => println!("seed {seed}: {error}"),
     }
 }
