--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -119,7 +119,7 @@
     let experiment = Experiment::load(file)?;
     let node = program::find_node(node)?;
     let schedule = Schedule::draw(&experiment, seed);
-    let result = run_result::play_schedule(&experiment, &schedule, seed, &node)?;
+    let result = run_result::run_schedule(&experiment, &schedule, seed, &node)?;
     let text = recording::record(&experiment, &schedule, &result.event_log);
     std::fs::write(out, text).map_err(CommandError::file(out))?;
     let requests = schedule.requests.len();
@@ -134,7 +134,7 @@
     let text = std::fs::read_to_string(recording).map_err(CommandError::file(recording))?;
     let schedule = recording::read(recording, &text, &experiment)?;
     let seed = options.seed.unwrap_or(experiment.seeds[0]);
-    let result = run_result::play_schedule(&experiment, &schedule, seed, &node)?;
+    let result = run_result::run_schedule(&experiment, &schedule, seed, &node)?;
     println!("{}", report::summary(&format!("{} replayed", experiment.name), &result.audit_result));
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-replayed", experiment.name));
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -6,7 +6,7 @@
 
 use crate::audit::AuditResult;
 use crate::experiment::Experiment;
-use crate::run_result::{ON_TIME_MS, RunResult, play};
+use crate::run_result::{ON_TIME_MS, RunResult, run_experiment};
 use crate::stats::{Interval, difference_of_ratios};
 
 /// Seconds that are drawn together: a fault's effect spans more than one.
@@ -56,7 +56,7 @@
 
 fn on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, String> {
     for _ in 0..AGAIN {
-        let played = play(experiment, seed, node).map_err(|e| e.to_string())?;
+        let played = run_experiment(experiment, seed, node).map_err(|e| e.to_string())?;
         if played.audit_result.figures.rig_late_ms <= ON_TIME_MS {
             return Ok(played);
         }
--- a/crates/testbed/src/experiment/fault_kind.rs
+++ b/crates/testbed/src/experiment/fault_kind.rs
@@ -66,7 +66,7 @@
     LinkThrottle,
     /// The links between `nodes` and `caches` reset each connection after `bytes` toward the node.
     LinkReset,
-    /// A `share` of the responses of `caches` is corrupted as `how` says; of the origin if no cache is named.
+    /// A `share` of the responses of `caches` is corrupted in the way set by `how`; of the origin if no cache is named.
     #[serde(rename = "spoil")]
     CorruptResponses,
     /// A `share` of the clients that wait for `nodes` disconnect, all at once.
@@ -76,11 +76,11 @@
     MalformedClients,
     /// From now on `count` nodes run: others start, or stop gracefully, one after the other until the end.
     Resize,
-    /// `planners` are killed, and started again at the end with the state that `store` says.
+    /// `planners` are killed, and started again at the end with the state set by `store`.
     PlannerKill,
     /// `planners` are suspended.
     PlannerFreeze,
-    /// `planners` are stopped gracefully and started again at the end, with the state that `store` says.
+    /// `planners` are stopped gracefully and started again at the end, with the state set by `store`.
     PlannerRestart,
     /// `planners` are replaced by one that has the shared secret and makes the false claim `lie`.
     #[serde(rename = "planner_lies")]
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -81,10 +81,10 @@
 ///
 /// # Errors
 /// The timeline could not be run, or the testbed was late each time.
-pub fn play(timeline: &Timeline, node: &Path) -> Result<AuditResult, HuntError> {
+pub fn run_timeline(timeline: &Timeline, node: &Path) -> Result<AuditResult, HuntError> {
     let experiment = timeline.experiment().map_err(HuntError::Experiment)?;
     for _ in 0..=MAX_RERUNS {
-        let result = run_result::play(&experiment, timeline.seed, node).map_err(HuntError::Run)?;
+        let result = run_result::run_experiment(&experiment, timeline.seed, node).map_err(HuntError::Run)?;
         let figures = &result.audit_result.figures;
         if figures.rig_late_ms <= MAX_LATENESS_MS && figures.rig_stalled_ms <= MAX_STALL_MS {
             return Ok(result.audit_result);
@@ -101,7 +101,7 @@
         index -= 1;
         runs += 1;
         let reduced = timeline.without(index);
-        let Ok(audit_result) = play(&reduced, node) else { continue };
+        let Ok(audit_result) = run_timeline(&reduced, node) else { continue };
         if violations(&audit_result).iter().any(|violation| violation.starts_with(kind)) {
             timeline = reduced;
         }
@@ -133,7 +133,7 @@
 
 fn run_seed(hunt: &Hunt, seed: u64, node: &Path) -> RunOutcome {
     let timeline = Timeline::draw(seed, hunt.seconds);
-    let audit_result = match play(&timeline, node) {
+    let audit_result = match run_timeline(&timeline, node) {
         Ok(audit_result) => audit_result,
         Err(error) => {
             println!("seed {seed}: could not run: {error}");
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -58,16 +58,16 @@
 ///
 /// # Errors
 /// The experiment could not be run.
-pub fn play(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, RunError> {
+pub fn run_experiment(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, RunError> {
     let schedule = Schedule::draw(experiment, seed);
-    play_schedule(experiment, &schedule, seed, node)
+    run_schedule(experiment, &schedule, seed, node)
 }
 
-/// As [`play`], with requests that are drawn or recorded already.
+/// As [`run_experiment`], with requests that are drawn or recorded already.
 ///
 /// # Errors
 /// The experiment could not be run.
-pub fn play_schedule(
+pub fn run_schedule(
     experiment: &Experiment,
     schedule: &Schedule,
     seed: u64,
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -8,7 +8,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 
 use crate::experiment::Experiment;
-use crate::run_result::{RunError, RunOutcome, RunResult, play};
+use crate::run_result::{RunError, RunOutcome, RunResult, run_experiment};
 use crate::{report, world};
 
 /// How often a run is repeated because the testbed itself was late.
@@ -141,12 +141,12 @@
     experiment: &Experiment,
     seed: u64,
 ) -> Result<RunResult, RunError> {
-    let mut result = play(experiment, seed, node)?;
+    let mut result = run_experiment(experiment, seed, node)?;
     for _ in 0..MAX_LATE_RERUNS {
         if result.audit_result.figures.rig_late_ms <= options.late_ms {
             break;
         }
-        result = play(experiment, seed, node)?;
+        result = run_experiment(experiment, seed, node)?;
     }
     Ok(result)
 }
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -5,13 +5,13 @@
 //! between clients and server. What is added is the difference from the latter.
 #![warn(missing_docs)]
 
+mod curve;
 mod relay;
 
 use std::fmt;
 use std::path::Path;
 
 use hdrhistogram::Histogram;
-use serde::{Serialize, Serializer};
 
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, EventLog};
 use crate::experiment::{Experiment, ExperimentError};
@@ -19,16 +19,13 @@
 use crate::schedule::Schedule;
 use crate::world::{self, Front, Run};
 
+pub use curve::{ComparedPoint, Curve, Point};
 pub use relay::{RelayError, relay};
 
 /// Rates that are measured, in requests per second, until one is too high.
 const RATES: [f64; 12] = [
     1000.0, 2000.0, 3000.0, 4000.0, 5000.0, 6000.0, 8000.0, 10_000.0, 12_000.0, 15_000.0, 20_000.0, 25_000.0,
 ];
-/// The most that may be added to the latency at p99, in milliseconds.
-const MAX_ADDED_MS: f64 = 1.0;
-/// The smallest fraction of requests that have to be fulfilled.
-const MIN_FULFILLED: f64 = 0.999;
 /// The first seconds of each run are not counted, because connections are opened in them.
 const WARMUP_S: f64 = 0.5;
 /// The most runs of one rate before it counts as too high: a single stall of the machine must not decide.
@@ -38,57 +35,6 @@
 /// The precision of recorded latencies, in decimal digits.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What was measured of one proxy, or of none, at one rate.
-#[derive(Clone, Copy, Debug, Serialize)]
-pub struct Point {
-    /// Requests per second.
-    pub rate: f64,
-    /// The median latency, in milliseconds.
-    pub p50_ms: f64,
-    /// The latency at p99, in milliseconds.
-    pub p99_ms: f64,
-    /// CPU time of the proxy per request, in microseconds.
-    #[serde(rename = "cpu_us_a_call")]
-    pub cpu_us_per_request: f64,
-    /// The fraction of requests that were fulfilled.
-    pub fulfilled: f64,
-    /// How late the testbed itself was for 99.9% of its requests, in milliseconds.
-    #[serde(rename = "rig_late_ms")]
-    pub testbed_late_ms: f64,
-}
-
-/// A proxy's [`Point`] and what the proxy adds to the latency. In JSON it is an array of the point and both numbers.
-#[derive(Clone, Copy, Debug)]
-pub struct ComparedPoint {
-    /// What was measured with the proxy.
-    pub point: Point,
-    /// What the proxy adds at the median, in milliseconds.
-    pub added_p50_ms: f64,
-    /// What the proxy adds at p99, in milliseconds.
-    pub added_p99_ms: f64,
-}
-
-impl Serialize for ComparedPoint {
-    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        (self.point, self.added_p50_ms, self.added_p99_ms).serialize(serializer)
-    }
-}
-
-impl ComparedPoint {
-    fn is_fast_enough(&self) -> bool {
-        self.added_p99_ms < MAX_ADDED_MS && self.point.fulfilled >= MIN_FULFILLED
-    }
-}
-
-/// One proxy at rising rates.
-#[derive(Debug, Serialize)]
-pub struct Curve {
-    /// The name of the proxy.
-    pub front: &'static str,
-    /// What was measured, ordered by rate.
-    pub points: Vec<ComparedPoint>,
-}
-
 /// The curves of the node and of the bare relay.
 #[derive(Debug)]
 pub struct Curves {
@@ -227,7 +173,7 @@
         if best.is_none_or(|best| compared.added_p99_ms < best.added_p99_ms) {
             best = Some(compared);
         }
-        if compared.added_p99_ms < MAX_ADDED_MS {
+        if compared.adds_little() {
             break;
         }
     }
@@ -274,42 +220,3 @@
     }
     Ok(Curves { node: node_curve.curve, relay: relay_curve.curve })
 }
-
-impl Curve {
-    /// The point of the highest rate that the proxy is fast enough for.
-    pub fn highest(&self) -> Option<&ComparedPoint> {
-        self.points.iter().rfind(|compared| compared.is_fast_enough())
-    }
-
-    /// The point whose rate is nearest to half of the highest one.
-    pub fn at_half(&self) -> Option<&ComparedPoint> {
-        let half_rate = self.highest()?.point.rate / 2.0;
-        let distance = |compared: &ComparedPoint| (compared.point.rate - half_rate).abs();
-        self.points.iter().min_by(|a, b| distance(a).total_cmp(&distance(b)))
-    }
-}
-
-impl fmt::Display for Curve {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}:", self.front)?;
-        for ComparedPoint { point, added_p50_ms, added_p99_ms } in &self.points {
-            writeln!(
-                f,
-                "    {:>6.0}/s  adds {added_p50_ms:.3} ms p50, {added_p99_ms:.3} ms p99; {:.1} us of a core a call; \
-                 {:.2}% fulfilled; rig late {:.2} ms",
-                point.rate,
-                point.cpu_us_per_request,
-                point.fulfilled * 100.0,
-                point.testbed_late_ms
-            )?;
-        }
-        match (self.highest(), self.at_half()) {
-            (Some(highest), Some(half)) => write!(
-                f,
-                "    under {MAX_ADDED_MS} ms at p99 up to {:.0}/s; at {:.0}/s adds {:.3} ms p50, {:.3} ms p99",
-                highest.point.rate, half.point.rate, half.added_p50_ms, half.added_p99_ms
-            ),
-            _ => write!(f, "    at no rate under {MAX_ADDED_MS} ms at p99"),
-        }
-    }
-}
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -8,7 +8,7 @@
 
 use granitelb_testbed::audit::AuditResult;
 use granitelb_testbed::experiment::Experiment;
-use support::play;
+use support::run_experiment;
 use test_case::test_case;
 
 /// A short run in which a violation can occur. Faults and other properties are appended where a violation needs them.
@@ -110,7 +110,7 @@
     let text = WORLD.replace("NAME", &name).replace("nodes = 1", nodes) + faults;
     let experiment = Experiment::read(Path::new("world.toml"), &text).expect("a valid experiment");
     let program = faulty_node(violation, &name);
-    let audit_result = play(&experiment, 7, &program).audit_result;
+    let audit_result = run_experiment(&experiment, 7, &program).audit_result;
     let _ = std::fs::remove_file(&program);
     audit_result
 }
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -7,7 +7,7 @@
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::program;
 use granitelb_testbed::run_result::RunResult;
-use support::{experiment_file, play};
+use support::{experiment_file, run_experiment};
 use test_case::test_case;
 
 #[test_case("partition")]
@@ -22,11 +22,11 @@
     let experiment =
         Experiment::load(&experiment_file(&format!("together-{name}"))).expect("a valid experiment");
     let node = program::find_node(None).expect("the program is built");
-    let RunResult { audit_result, event_log } = play(&experiment, experiment.seeds[0], &node);
+    let RunResult { audit_result, event_log } = run_experiment(&experiment, experiment.seeds[0], &node);
     let figures = &audit_result.figures;
     let fleet = &figures.fleet;
     println!("{name}: service {:.4}, {fleet:?}", figures.service);
-    println!("rig late {:.1} ms, stalled {:.1} ms", figures.rig_late_ms, figures.rig_stalled_ms);
+    println!("testbed late {:.1} ms, stalled {:.1} ms", figures.rig_late_ms, figures.rig_stalled_ms);
     assert!(audit_result.breaches.is_empty(), "{:#?}", audit_result.breaches);
     // Planners have sent messages: a fleet of nodes without a control plane would pass all other checks.
     let is_from_planner =
--- a/crates/testbed/tests/counterfactual.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -9,7 +9,7 @@
 use granitelb_testbed::audit::AuditResult;
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::program;
-use support::play;
+use support::run_experiment;
 use test_case::test_case;
 
 const WORLD: &str = r#"
@@ -66,7 +66,7 @@
 
 fn run_and_audit(experiment: &Experiment) -> AuditResult {
     let node = program::find_node(None).expect("the program is built");
-    play(experiment, 1, &node).audit_result
+    run_experiment(experiment, 1, &node).audit_result
 }
 
 /// A test of the audit itself: a planner that claims that every cache is slow.
@@ -116,7 +116,7 @@
     let audit_result = run_and_audit(&experiment);
     let figures = &audit_result.figures;
     let fleet = &figures.fleet;
-    println!("{name}: service {:.4}, rig late {:.1} ms, {fleet:?}", figures.service, figures.rig_late_ms);
+    println!("{name}: service {:.4}, testbed late {:.1} ms, {fleet:?}", figures.service, figures.rig_late_ms);
     assert!(audit_result.breaches.is_empty(), "{:#?}", audit_result.breaches);
     assert_eq!((fleet.named, fleet.named_wrongly, fleet.planners_crashed), (reported, 0, 0), "{fleet:?}");
 }
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -10,7 +10,7 @@
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::schedule::Schedule;
 use granitelb_testbed::{program, recording, run_result, stats};
-use support::{RunPermit, experiment_file, play};
+use support::{RunPermit, experiment_file, run_experiment};
 use test_case::test_case;
 
 #[test_case("calm")]
@@ -31,7 +31,7 @@
 fn rules_hold_and_service_recovers(name: &str) {
     let experiment = Experiment::load(&experiment_file(name)).expect("a valid experiment");
     let node = program::find_node(None).expect("the program is built");
-    let audit_result = play(&experiment, experiment.seeds[0], &node).audit_result;
+    let audit_result = run_experiment(&experiment, experiment.seeds[0], &node).audit_result;
     assert!(audit_result.breaches.is_empty(), "{:#?}", audit_result.breaches);
     let figures = &audit_result.figures;
     assert!(figures.longest_recovery().is_some(), "{:?}", figures.recoveries);
@@ -85,7 +85,7 @@
 /// Runs `settings-in-service` and counts before and after the settings are applied.
 fn count_around_settings(experiment: &Experiment, may_reset_connections: bool) -> [PeriodCounts; 2] {
     let node = program::find_node(None).expect("the program is built");
-    let result = run_result::play(experiment, 1, &node).expect("the experiment can be run");
+    let result = run_result::run_experiment(experiment, 1, &node).expect("the experiment can be run");
     let breaches = &result.audit_result.breaches;
     assert!(may_reset_connections || breaches.is_empty(), "{breaches:#?}");
     let before = SETTINGS_AT_S - COMPARED_S..SETTINGS_AT_S;
@@ -192,7 +192,7 @@
     let drawn = Schedule::draw(&experiment, 3);
     let result = {
         let _permit = RunPermit::acquire();
-        run_result::play_schedule(&experiment, &drawn, 3, &node).expect("the experiment can be run")
+        run_result::run_schedule(&experiment, &drawn, 3, &node).expect("the experiment can be run")
     };
     assert!(result.event_log.tries.len() > drawn.requests.len(), "no client retried anything");
     let text = recording::record(&experiment, &drawn, &result.event_log);
--- a/crates/testbed/tests/hunt.rs
+++ b/crates/testbed/tests/hunt.rs
@@ -11,7 +11,7 @@
     let node = program::find_node(None).expect("the program is built");
     let timeline = hunt::Timeline::draw(seed, SECONDS);
     // If the machine was too busy in each run, nothing is judged, as in a search.
-    match hunt::play(&timeline, &node) {
+    match hunt::run_timeline(&timeline, &node) {
         Ok(audit_result) => {
             assert_eq!(hunt::violations(&audit_result), Vec::<String>::new(), "{}", timeline.text());
         }
--- a/crates/testbed/tests/shard_growth.rs
+++ b/crates/testbed/tests/shard_growth.rs
@@ -6,7 +6,7 @@
 use granitelb_testbed::audit::UnmetExpectation;
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::program;
-use support::{experiment_file, play_strictly};
+use support::{experiment_file, run_experiment_strictly};
 use test_case::test_case;
 
 /// Emulated servers that stall for longer than the audit's tolerance of clocks record cancelled attempts late.
@@ -31,7 +31,8 @@
     let experiment =
         Experiment::load(&experiment_file(&format!("growth-{name}"))).expect("a valid experiment");
     let node = program::find_node(None).expect("the program is built");
-    let audit_result = play_strictly(&experiment, experiment.seeds[0], &node, MAX_STALL_MS).audit_result;
+    let audit_result =
+        run_experiment_strictly(&experiment, experiment.seeds[0], &node, MAX_STALL_MS).audit_result;
     let growth = audit_result.figures.growth.as_ref().expect("the experiment has growing shards");
     let figures = &audit_result.figures;
     let (service, late, stalled) = (figures.service, figures.rig_late_ms, figures.rig_stalled_ms);
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -11,12 +11,12 @@
 /// The most runs at once, so that each has enough cores. With three on six cores one answer came 4 ms after its deadline; it is
 /// not shown that the number was the cause.
 const MAX_CONCURRENT_RUNS: usize = 2;
-/// A run for which the testbed was later than this, in milliseconds, says nothing of the program.
+/// A run for which the testbed was later than this, in milliseconds, is not judged.
 const MAX_LATENESS_MS: f64 = 40.0;
-/// A run whose emulated servers stalled for longer than this, in milliseconds, says nothing of the program. Seen on a busy
+/// A run whose emulated servers stalled for longer than this, in milliseconds, is not judged. Seen on a busy
 /// machine: all of them stall for 0.4 s, and what is due then is late whoever answers.
 const MAX_STALL_MS: f64 = 100.0;
-/// How often a run that says nothing is repeated.
+/// How often a run that is not judged is repeated.
 const MAX_RERUNS: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
@@ -49,13 +49,18 @@
 }
 
 /// Runs an experiment until the testbed was on time.
-pub fn play(experiment: &Experiment, seed: u64, program: &Path) -> RunResult {
-    play_strictly(experiment, seed, program, MAX_STALL_MS)
+pub fn run_experiment(experiment: &Experiment, seed: u64, program: &Path) -> RunResult {
+    run_experiment_strictly(experiment, seed, program, MAX_STALL_MS)
 }
 
-/// As [`play`], where emulated servers may stall for at most `max_stall_ms`. A run that could not be done is repeated as well: a
+/// As [`run_experiment`], where emulated servers may stall for at most `max_stall_ms`. A run that could not be done is repeated as well: a
 /// busy machine may be too slow to start a fleet in time.
-pub fn play_strictly(experiment: &Experiment, seed: u64, program: &Path, max_stall_ms: f64) -> RunResult {
+pub fn run_experiment_strictly(
+    experiment: &Experiment,
+    seed: u64,
+    program: &Path,
+    max_stall_ms: f64,
+) -> RunResult {
     let is_on_time = |audit_result: &AuditResult| {
         let figures = &audit_result.figures;
         figures.rig_late_ms <= MAX_LATENESS_MS && figures.rig_stalled_ms <= max_stall_ms
@@ -63,7 +68,7 @@
     let _permit = RunPermit::acquire();
     let mut reruns = 0;
     loop {
-        let result = run_result::play(experiment, seed, program);
+        let result = run_result::run_experiment(experiment, seed, program);
         if reruns == MAX_RERUNS || result.as_ref().is_ok_and(|result| is_on_time(&result.audit_result)) {
             return result.expect("the experiment can be run");
         }
