--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -23,10 +23,10 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use error::{InvalidValue, Range, check_ranges};
+use error::{Range, check_ranges};
 use source_text::SourceText;
 
-pub use error::{ExperimentError, ExperimentErrorKind, InvalidReason};
+pub use error::{ExperimentError, ExperimentErrorKind, InvalidReason, InvalidValue};
 pub use expectations::Expectations;
 pub use fault::{FalseClaim, Fault, LinkDirection, ResponseCorruption, StoreCondition};
 pub use fault_kind::FaultKind;
