--- a/crates/testbed/src/audit/fleet.rs
+++ b/crates/testbed/src/audit/fleet.rs
@@ -7,7 +7,9 @@
 use super::figures::{Second, served_calls};
 use crate::event_log::{Event, EventLog, Member, RelayedMessage, Timestamp};
 use crate::experiment::{Experiment, FaultKind, LeasesForm, Lie};
-use crate::message_reference::{self, Hindsight, Lease, Resource, Standing};
+use crate::message_reference::{
+    self, Comparison, CounterfactualMessage, LeaseMessage, MessageKind, Resource,
+};
 use crate::schedule::Schedule;
 
 /// Trials of a cache that hangs are counted from so long after it began: until then nobody can know.
@@ -112,24 +114,29 @@
         letters.sort_by_key(|l| l.taken);
         for letter in letters {
             if let (Member::Node(node), Some(sender)) =
-                (letter.from, message_reference::sender(&event_log.secret, &letter.bytes))
-                && lives.insert(node, sender.life).is_some_and(|before| before < sender.life)
+                (letter.from, message_reference::decode_sender(&event_log.secret, &letter.bytes))
+                && lives.insert(node, sender.incarnation).is_some_and(|before| before < sender.incarnation)
             {
                 // What an earlier life held went with it.
-                end_all(&mut held, node, None, letter.taken, |h| h.life < sender.life);
+                end_all(&mut held, node, None, letter.taken, |h| h.life < sender.incarnation);
             }
-            let lease =
-                message_reference::read::<Lease>(&event_log.secret, message_reference::LEASES, &letter.bytes);
-            let life = lease.as_ref().map_or(0, |(sender, _)| sender.life);
+            let lease = message_reference::decode::<LeaseMessage>(
+                &event_log.secret,
+                MessageKind::Leases,
+                &letter.bytes,
+            );
+            let life = lease.as_ref().map_or(0, |(sender, _)| sender.incarnation);
             let Some((_, message)) = lease else { continue };
             match (letter.from, letter.to) {
                 (Member::Node(node), Member::Planner(planner)) => {
                     let (lasting, ask, back) = match message {
-                        Lease::Ask { ask, .. } => (Lasting::Lease, ask, false),
-                        Lease::AskStanding { ask, .. } => (Lasting::Standing, ask, false),
-                        Lease::Return { ask } => (Lasting::Lease, ask, true),
-                        Lease::ReturnStanding { ask } => (Lasting::Standing, ask, true),
-                        Lease::Grant { .. } | Lease::Standing { .. } => continue,
+                        LeaseMessage::Request { request: ask, .. } => (Lasting::Lease, ask, false),
+                        LeaseMessage::RequestAllocation { request: ask, .. } => {
+                            (Lasting::Standing, ask, false)
+                        }
+                        LeaseMessage::Return { request: ask } => (Lasting::Lease, ask, true),
+                        LeaseMessage::ReturnAllocation { request: ask } => (Lasting::Standing, ask, true),
+                        LeaseMessage::Grant { .. } | LeaseMessage::Allocation { .. } => continue,
                     };
                     if !back {
                         asks.insert((node, planner, lasting, ask), (letter.taken, life));
@@ -142,8 +149,10 @@
                 }
                 (Member::Planner(planner), Member::Node(node)) => {
                     let (lasting, ask, granted, lasts) = match message {
-                        Lease::Grant { ask, granted, lasts } => (Lasting::Lease, ask, granted, lasts),
-                        Lease::Standing { ask, amount, lasts } if lasts > 0 => {
+                        LeaseMessage::Grant { request: ask, granted, duration: lasts } => {
+                            (Lasting::Lease, ask, granted, lasts)
+                        }
+                        LeaseMessage::Allocation { request: ask, amount, duration: lasts } if lasts > 0 => {
                             (Lasting::Standing, ask, vec![(Resource::Origin, amount)], lasts)
                         }
                         _ => continue,
@@ -191,7 +200,7 @@
             // Thousandths of a fetch, millionths of a second of work.
             let whole = match resource {
                 Resource::Origin => form.origin_per_s * 1e3,
-                Resource::Cold(_) => form.cold_work * 1e6,
+                Resource::WarmingCache(_) => form.cold_work * 1e6,
             };
             changes.sort_unstable();
             let mut sum = 0;
@@ -282,20 +291,24 @@
 fn named(experiment: &Experiment, event_log: &EventLog) -> (usize, usize) {
     let mut said = BTreeSet::new();
     for letter in event_log.letters.iter().filter(|l| matches!(l.from, Member::Planner(_)) && !l.changed) {
-        let read = message_reference::read::<Hindsight>(
+        let read = message_reference::decode::<CounterfactualMessage>(
             &event_log.secret,
-            message_reference::HINDSIGHT,
+            MessageKind::Counterfactual,
             &letter.bytes,
         );
-        let Some((_, Hindsight::Standing(all) | Hindsight::Times(all))) = read else { continue };
-        said.extend(all.iter().filter(|s| s.standing == Standing::Worse).map(|s| s.cache));
+        let Some((_, CounterfactualMessage::Comparisons(all) | CounterfactualMessage::LatencyRatios(all))) =
+            read
+        else {
+            continue;
+        };
+        said.extend(all.iter().filter(|s| s.comparison == Comparison::Worse).map(|s| s.cache));
     }
     let faults = experiment.faults();
     let slow = faults.iter().filter(|f| f.kind == FaultKind::Slow).flat_map(|f| f.named(experiment));
     let slow: BTreeSet<usize> = slow.collect();
     let (mut right, mut wrong) = (0, 0);
     for server in
-        event_log.servers.iter().filter(|s| said.contains(&message_reference::cache_number(&s.name)))
+        event_log.servers.iter().filter(|s| said.contains(&message_reference::endpoint_number(&s.name)))
     {
         let is_slow = server.seat.is_some_and(|s| slow.contains(&s));
         *if is_slow { &mut right } else { &mut wrong } += 1;
--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -1,20 +1,21 @@
 use super::*;
-use crate::message_reference::{LEASES, Need, Sender, Signer};
+use crate::message_reference::{Demand, Sender, Signer};
 
 const SECRET: &[u8] = b"a secret of sixteen or more";
 
-fn letter(from: Member, to: Member, at: i64, message: &Lease) -> RelayedMessage {
-    let sender = Sender { member: Signer::Planner(1), life: 1, number: at as u64 };
-    let bytes = message_reference::write(SECRET, LEASES, sender, message).expect("a letter");
+fn letter(from: Member, to: Member, at: i64, message: &LeaseMessage) -> RelayedMessage {
+    let sender = Sender { member: Signer::Planner(1), incarnation: 1, sequence: at as u64 };
+    let bytes = message_reference::encode(SECRET, MessageKind::Leases, sender, message).expect("a letter");
     let (taken, passed) = (Timestamp(at), vec![Timestamp(at)]);
     RelayedMessage { from, to, taken, passed, changed: false, bytes }
 }
 
 /// Two nodes get 60 of 100 from a planner, each for 2 s, the second one so long after the first.
 fn over_whole(second_after: i64) -> f64 {
-    let need = Need { resource: Resource::Origin, amount: 1, using: 0, heads: 1, has: 0 };
-    let ask = Lease::Ask { ask: 1, needs: vec![need] };
-    let grant = Lease::Grant { ask: 1, granted: vec![(Resource::Origin, 60_000)], lasts: 2_000_000 };
+    let need = Demand { resource: Resource::Origin, amount: 1, request_in_use: 0, claimants: 1, held: 0 };
+    let ask = LeaseMessage::Request { request: 1, demands: vec![need] };
+    let grant =
+        LeaseMessage::Grant { request: 1, granted: vec![(Resource::Origin, 60_000)], duration: 2_000_000 };
     let planner = Member::Planner(0);
     let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     for (node, at) in [(0, 0), (1, second_after)] {
@@ -45,14 +46,21 @@
         [[fault]]\nkind = \"slow\"\nat_s = 1\nfor_s = 6\nfactor = 3\ncaches = [1]\n";
     let experiment = Experiment::read(std::path::Path::new("x.toml"), text).expect("a sound experiment");
     let said = |name: &str, standing| {
-        let cache = message_reference::cache_number(name);
-        message_reference::Said { cache, product: 0, standing, more: 0.1, low: 0.0, high: 0.2 }
+        let cache = message_reference::endpoint_number(name);
+        message_reference::ComparisonReport {
+            cache,
+            request_class: 0,
+            comparison: standing,
+            effect: 0.1,
+            low: 0.0,
+            high: 0.2,
+        }
     };
-    let all = [("a", Standing::AsGood), ("b", Standing::Worse), ("c", Standing::Worse)];
-    let message = Hindsight::Standing(all.iter().map(|(n, s)| said(n, *s)).collect());
-    let sender = Sender { member: Signer::Planner(1), life: 1, number: 1 };
+    let all = [("a", Comparison::AsGood), ("b", Comparison::Worse), ("c", Comparison::Worse)];
+    let message = CounterfactualMessage::Comparisons(all.iter().map(|(n, s)| said(n, *s)).collect());
+    let sender = Sender { member: Signer::Planner(1), incarnation: 1, sequence: 1 };
     let bytes =
-        message_reference::write(SECRET, message_reference::HINDSIGHT, sender, &message).expect("a letter");
+        message_reference::encode(SECRET, MessageKind::Counterfactual, sender, &message).expect("a letter");
     let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     let (from, to, taken) = (Member::Planner(0), Member::Node(0), Timestamp(5));
     event_log.letters.push(RelayedMessage { from, to, taken, passed: vec![taken], changed: false, bytes });
@@ -67,14 +75,25 @@
 #[test]
 fn a_standing_part_counts_beside_a_lease_until_the_next_one() {
     let (node, planner) = (Member::Node(0), Member::Planner(0));
-    let need = Need { resource: Resource::Origin, amount: 1, using: 0, heads: 1, has: 0 };
-    let ask_standing = |ask| Lease::AskStanding { ask, need: 1, using: 0, to: 1, has: 0 };
-    let standing = |ask, amount| Lease::Standing { ask, amount, lasts: 20_000_000 };
+    let need = Demand { resource: Resource::Origin, amount: 1, request_in_use: 0, claimants: 1, held: 0 };
+    let ask_standing = |ask| LeaseMessage::RequestAllocation {
+        request: ask,
+        demand: 1,
+        request_in_use: 0,
+        until: 1,
+        held: 0,
+    };
+    let standing = |ask, amount| LeaseMessage::Allocation { request: ask, amount, duration: 20_000_000 };
     let most = |second: u32| {
         let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
-        let grant = Lease::Grant { ask: 1, granted: vec![(Resource::Origin, 40_000)], lasts: 2_000_000 };
+        let grant = LeaseMessage::Grant {
+            request: 1,
+            granted: vec![(Resource::Origin, 40_000)],
+            duration: 2_000_000,
+        };
         let lasting = [ask_standing(1), standing(1, 50_000), ask_standing(2), standing(2, second)];
-        let all = lasting.into_iter().chain([Lease::Ask { ask: 1, needs: vec![need] }, grant]);
+        let all =
+            lasting.into_iter().chain([LeaseMessage::Request { request: 1, demands: vec![need] }, grant]);
         for (n, message) in all.enumerate() {
             let (from, to) = if n % 2 == 0 { (node, planner) } else { (planner, node) };
             event_log.letters.push(letter(from, to, n as i64, &message));
--- a/crates/testbed/src/audit/growth.rs
+++ b/crates/testbed/src/audit/growth.rs
@@ -9,8 +9,8 @@
 use super::rules::{self, Found, Rule, RuleViolation};
 use crate::event_log::{ClientAttempt, Event, EventLog, Member, ServerAttempt, ServerAttemptEnd, Timestamp};
 use crate::experiment::{Experiment, GrowthExpect, GrowthForm};
-use crate::message_reference;
-use crate::shard_map_reference::{Form, GROWTH, Growth, Places, ShardForm, Step, shard_of};
+use crate::message_reference::{self, MessageKind};
+use crate::shard_map_reference::{Placement, ShardGrowthMessage, ShardMap, ShardState, SplitPhase, shard_of};
 
 /// Until the origin's slowness can be known. In trials nodes remember fetches for 3 s: after 2.1 s of slow ones those are
 /// half; a fetch that is slow itself, a beat, and one whose letters are lost come on top.
@@ -22,14 +22,14 @@
 pub struct GrowthFigures {
     pub forms: usize,
     /// Whatever steps there were, in order: seconds, shard, where it came to.
-    pub steps: Vec<(f64, u8, ShardForm)>,
+    pub steps: Vec<(f64, u8, ShardState)>,
     pub settled: usize,
     pub withdrawn: usize,
     pub steps_while_slow: usize,
     /// Kills of planners, and those after which another one took the next step meanwhile.
     pub kills: usize,
     /// Where splits stood at each.
-    pub killed_at: Vec<ShardForm>,
+    pub killed_at: Vec<ShardState>,
     pub gone_on: usize,
     /// Reads that missed at the new place while both were read; of them those that the old place had, those that went to the
     /// origin, and those of the latter that asked the old place first.
@@ -73,14 +73,14 @@
             self.nodes_behind
         )?;
         for of in &self.killed_at {
-            write!(f, "\n        killed at {:?} after {} splits", of.step, of.bits)?;
+            write!(f, "\n        killed at {:?} after {} splits", of.phase, of.bits)?;
         }
         let mut last = None;
         for (at, shard, of) in &self.steps {
             // Of the copying its first part alone.
-            let copies = matches!(of.step, Some(Step::Copying(n)) if n > 1);
+            let copies = matches!(of.phase, Some(SplitPhase::Copying(n)) if n > 1);
             if !copies && last != Some((*shard, *of)) {
-                let step = of.step.map_or(format!("{} bits", of.bits), |s| format!("{s:?}"));
+                let step = of.phase.map_or(format!("{} bits", of.bits), |s| format!("{s:?}"));
                 write!(f, "\n        {at:.2} s: shard {shard} {step}")?;
             }
             last = Some((*shard, *of));
@@ -124,7 +124,7 @@
 #[derive(Default)]
 struct EndpointNotification {
     /// By version: who told it first, and when.
-    first: BTreeMap<u64, (Timestamp, usize, Form)>,
+    first: BTreeMap<u64, (Timestamp, usize, ShardMap)>,
     /// When a node was told of each.
     nodes: BTreeMap<usize, Vec<(Timestamp, u64)>>,
     /// The last that each node said it goes by, after the life in which it said so.
@@ -136,13 +136,15 @@
         let mut told = EndpointNotification::default();
         let mut lives: BTreeMap<(usize, usize), (u64, u64)> = BTreeMap::new();
         for letter in event_log.letters.iter().filter(|l| !l.changed) {
-            let Some((sender, message)) =
-                message_reference::read::<Growth>(&event_log.secret, GROWTH, &letter.bytes)
-            else {
+            let Some((sender, message)) = message_reference::decode::<ShardGrowthMessage>(
+                &event_log.secret,
+                MessageKind::ShardGrowth,
+                &letter.bytes,
+            ) else {
                 continue;
             };
             match (letter.from, letter.to, message) {
-                (Member::Planner(planner), Member::Node(node), Growth::Table { form }) => {
+                (Member::Planner(planner), Member::Node(node), ShardGrowthMessage::Map { map: form }) => {
                     let version = form.version;
                     let known =
                         told.first.entry(version).or_insert_with(|| (letter.taken, planner, form.clone()));
@@ -153,16 +155,16 @@
                     let passed = letter.passed.iter().min();
                     told.nodes.entry(node).or_default().extend(passed.map(|at| (*at, version)));
                 }
-                (Member::Node(node), Member::Planner(planner), Growth::Holds { version }) => {
+                (Member::Node(node), Member::Planner(planner), ShardGrowthMessage::MapInUse { version }) => {
                     // Letters overtake each other in the relay and not before it, but for those to several planners.
                     let (life, last) =
-                        lives.insert((node, planner), (sender.life, version)).unwrap_or_default();
-                    if life == sender.life && version < last {
+                        lives.insert((node, planner), (sender.incarnation, version)).unwrap_or_default();
+                    if life == sender.incarnation && version < last {
                         let text = format!("node {node} held {last}, then {version}");
                         found.push((Rule::Growth, "a node went back to an older form", text));
                     }
                     let held = told.held.entry(node).or_default();
-                    *held = (*held).max((sender.life, version));
+                    *held = (*held).max((sender.incarnation, version));
                 }
                 _ => {}
             }
@@ -172,7 +174,7 @@
     }
 
     /// The form that a node went by for all of a time, as far as it is known.
-    fn held(&self, node: usize, from: Timestamp, to: Timestamp) -> Option<&Form> {
+    fn held(&self, node: usize, from: Timestamp, to: Timestamp) -> Option<&ShardMap> {
         let all = self.nodes.get(&node)?;
         let sure = Timestamp(from.0 - (TAKEN_S * 1e6) as i64);
         let best = |until: Timestamp| all.iter().filter(|(at, _)| *at <= until).map(|(_, v)| *v).max();
@@ -191,7 +193,7 @@
     let told = EndpointNotification::read(event_log, &mut found);
     let mut figures = GrowthFigures { forms: told.first.len(), ..GrowthFigures::default() };
     let names = event_log.servers.iter().filter(|s| s.seat.is_some()).map(|s| s.name.as_str());
-    let places = Places::of(names);
+    let places = Placement::new(names);
     check_steps(&told, &places, &mut figures, &mut found);
     figures.steps_while_slow = steps_while_slow(&told, event_log);
     (figures.kills, figures.gone_on) = gone_on(&told, event_log);
@@ -212,33 +214,38 @@
 }
 
 /// Whether a split may come from one to the other at once.
-fn follows(from: ShardForm, to: ShardForm) -> bool {
+fn follows(from: ShardState, to: ShardState) -> bool {
     if to.bits == from.bits + 1 {
-        return from.step == Some(Step::Switched) && to.step.is_none();
+        return from.phase == Some(SplitPhase::Switched) && to.phase.is_none();
     }
-    let place = |s: ShardForm| s.step.map_or(Some(0), Step::place);
+    let place = |s: ShardState| s.phase.map_or(Some(0), SplitPhase::rank);
     let on = place(from).zip(place(to)).is_some_and(|(a, b)| b == a + 1);
-    let back = match (from.step, to.step) {
-        (Some(Step::Withdrawn | Step::Foreseen | Step::Planned), None) => true,
-        (Some(Step::Planned), Some(Step::Foreseen)) => true,
-        (Some(Step::Withdrawn), Some(Step::Withdrawn)) => false,
-        (Some(_), Some(Step::Withdrawn)) => true,
+    let back = match (from.phase, to.phase) {
+        (Some(SplitPhase::Withdrawn | SplitPhase::Forecast | SplitPhase::Planned), None) => true,
+        (Some(SplitPhase::Planned), Some(SplitPhase::Forecast)) => true,
+        (Some(SplitPhase::Withdrawn), Some(SplitPhase::Withdrawn)) => false,
+        (Some(_), Some(SplitPhase::Withdrawn)) => true,
         _ => false,
     };
     to.bits == from.bits && (on || back)
 }
 
-fn check_steps(told: &EndpointNotification, places: &Places, figures: &mut GrowthFigures, found: &mut Found) {
-    let mut before = Form::default();
+fn check_steps(
+    told: &EndpointNotification,
+    places: &Placement,
+    figures: &mut GrowthFigures,
+    found: &mut Found,
+) {
+    let mut before = ShardMap::default();
     for (version, (at, _, form)) in &told.first {
         let shards: BTreeSet<u8> = before.shards.keys().chain(form.shards.keys()).copied().collect();
-        let changed: Vec<u8> = shards.into_iter().filter(|s| before.of(*s) != form.of(*s)).collect();
+        let changed: Vec<u8> = shards.into_iter().filter(|s| before.shard(*s) != form.shard(*s)).collect();
         for shard in &changed {
-            figures.steps.push((at.seconds(), *shard, form.of(*shard)));
-            let (from, to) = (before.of(*shard), form.of(*shard));
+            figures.steps.push((at.seconds(), *shard, form.shard(*shard)));
+            let (from, to) = (before.shard(*shard), form.shard(*shard));
             figures.settled += usize::from(to.bits > from.bits);
-            let withdrawn = Some(Step::Withdrawn);
-            figures.withdrawn += usize::from(to.step == withdrawn && from.step != withdrawn);
+            let withdrawn = Some(SplitPhase::Withdrawn);
+            figures.withdrawn += usize::from(to.phase == withdrawn && from.phase != withdrawn);
         }
         // Of a version that no node was told of nothing is known: what follows it may be two steps on.
         if *version == before.version + 1 {
@@ -249,17 +256,18 @@
                     format!("version {version}: {changed:?}"),
                 ));
             }
-            for shard in changed.iter().filter(|s| !follows(before.of(**s), form.of(**s))) {
+            for shard in changed.iter().filter(|s| !follows(before.shard(**s), form.shard(**s))) {
                 let text = format!(
                     "version {version}, shard {shard}: {:?} to {:?}",
-                    before.of(*shard),
-                    form.of(*shard)
+                    before.shard(*shard),
+                    form.shard(*shard)
                 );
                 found.push((Rule::Growth, "a step out of order", text));
             }
         }
-        let active = form.shards.iter().filter(|(_, of)| of.step.is_some_and(Step::is_active));
-        let taken: Vec<_> = active.map(|(shard, of)| (shard, places.of_shard(*shard, of.bits + 1))).collect();
+        let active = form.shards.iter().filter(|(_, of)| of.phase.is_some_and(SplitPhase::is_active));
+        let taken: Vec<_> =
+            active.map(|(shard, of)| (shard, places.caches_of_shard(*shard, of.bits + 1))).collect();
         for (n, (shard, caches)) in taken.iter().enumerate() {
             if let Some((other, _)) = taken[..n].iter().find(|(_, theirs)| !theirs.is_disjoint(caches)) {
                 let text = format!("version {version}: shards {other} and {shard}");
@@ -288,12 +296,12 @@
     steps
 }
 
-fn steps_on(told: &EndpointNotification, form: &Form) -> bool {
+fn steps_on(told: &EndpointNotification, form: &ShardMap) -> bool {
     let Some((_, _, before)) = told.first.get(&form.version.wrapping_sub(1)) else { return false };
     form.shards.iter().any(|(shard, to)| {
-        let place = |s: ShardForm| s.step.and_then(Step::place);
-        let on = place(before.of(*shard)).zip(place(*to)).is_some_and(|(a, b)| b > a);
-        on && to.step.is_some_and(Step::is_active)
+        let place = |s: ShardState| s.phase.and_then(SplitPhase::rank);
+        let on = place(before.shard(*shard)).zip(place(*to)).is_some_and(|(a, b)| b > a);
+        on && to.phase.is_some_and(SplitPhase::is_active)
     })
 }
 
@@ -317,21 +325,21 @@
 fn reads_behind(
     event_log: &EventLog,
     told: &EndpointNotification,
-    places: &Places,
+    places: &Placement,
     read: &ClientAttempt,
     shots: Option<&Vec<&ServerAttempt>>,
     figures: &mut GrowthFigures,
 ) {
     let sure = Timestamp(read.sent.0 - (TAKEN_S * 1e6) as i64);
     let newest = told.first.values().rfind(|(at, _, _)| *at < sure);
-    let Some(newest) = newest.map(|(_, _, form)| form.of(shard_of(read.key))) else { return };
+    let Some(newest) = newest.map(|(_, _, form)| form.shard(shard_of(read.key))) else { return };
     // Bits by which all its keys are told apart.
-    let whole = |of: ShardForm| match of.step {
+    let whole = |of: ShardState| match of.phase {
         None => Some(of.bits),
-        Some(Step::BothRead | Step::Switched) => Some(of.bits + 1),
+        Some(SplitPhase::DualRead | SplitPhase::Switched) => Some(of.bits + 1),
         Some(_) => None,
     };
-    let none = Form::default();
+    let none = ShardMap::default();
     let held = match told.nodes.get(&read.node.0) {
         // It was told of none yet.
         Some(all) if all.iter().any(|(at, _)| *at < read.ended) => {
@@ -340,11 +348,11 @@
         _ => Some(&none),
     };
     let (Some(bits), Some(held)) = (whole(newest), held) else { return };
-    let of = held.of(shard_of(read.key));
+    let of = held.shard(shard_of(read.key));
     let old_bits = whole(of).unwrap_or(of.bits);
-    let [first, old, new] = [0, old_bits, bits].map(|bits| places.place(read.key, bits));
+    let [first, old, new] = [0, old_bits, bits].map(|bits| places.cache_of(read.key, bits));
     let at_origin = shots.is_some_and(|all| all.iter().any(|s| event_log.servers[s.server.0].seat.is_none()));
-    if old != new && matches!(of.step, None | Some(Step::Foreseen | Step::Planned)) {
+    if old != new && matches!(of.phase, None | Some(SplitPhase::Forecast | SplitPhase::Planned)) {
         figures.behind += 1;
         figures.behind_at_origin += usize::from(at_origin);
     } else if old == new && first != new {
@@ -358,23 +366,25 @@
     growth: &GrowthForm,
     event_log: &EventLog,
     told: &EndpointNotification,
-    places: &Places,
+    places: &Placement,
     figures: &mut GrowthFigures,
 ) {
     let mut shots: HashMap<&str, Vec<&ServerAttempt>> = HashMap::new();
     event_log.shots.iter().for_each(|shot| shots.entry(&shot.id).or_default().push(shot));
     let seat = |shot: &ServerAttempt| event_log.servers[shot.server.0].seat;
     for read in event_log.tries.iter().filter(|t| !experiment.product[t.product].writes()) {
-        if read.key < crate::shard_map_reference::FIRST_KEY || !growth.shards.contains(&shard_of(read.key)) {
+        if read.key < crate::shard_map_reference::FIRST_GROWING_KEY
+            || !growth.shards.contains(&shard_of(read.key))
+        {
             continue;
         }
         reads_behind(event_log, told, places, read, shots.get(read.id.as_str()), figures);
         let Some(form) = told.held(read.node.0, read.sent, read.ended) else { continue };
-        let of = form.of(shard_of(read.key));
-        if of.step != Some(Step::BothRead) {
+        let of = form.shard(shard_of(read.key));
+        if of.phase != Some(SplitPhase::DualRead) {
             continue;
         }
-        let [old, new] = [of.bits, of.bits + 1].map(|bits| places.place(read.key, bits));
+        let [old, new] = [of.bits, of.bits + 1].map(|bits| places.cache_of(read.key, bits));
         let Some(all) = shots.get(read.id.as_str()).filter(|_| old != new) else { continue };
         let mut all = all.clone();
         all.sort_by_key(|s| s.arrived);
--- a/crates/testbed/src/audit/growth/tests.rs
+++ b/crates/testbed/src/audit/growth/tests.rs
@@ -22,21 +22,22 @@
     event_log
 }
 
-fn letter(event_log: &mut EventLog, from: Member, to: Member, at_s: f64, message: &Growth) {
+fn letter(event_log: &mut EventLog, from: Member, to: Member, at_s: f64, message: &ShardGrowthMessage) {
     let signer = match from {
         Member::Planner(p) => Signer::Planner(p as u8 + 1),
-        Member::Node(n) => Signer::Forwarder(n as u64),
+        Member::Node(n) => Signer::Node(n as u64),
     };
     let taken = Timestamp::from_s(at_s);
-    let sender = Sender { member: signer, life: 1, number: taken.0 as u64 };
-    let bytes = message_reference::write(SECRET, GROWTH, sender, message).expect("a letter");
+    let sender = Sender { member: signer, incarnation: 1, sequence: taken.0 as u64 };
+    let bytes =
+        message_reference::encode(SECRET, MessageKind::ShardGrowth, sender, message).expect("a letter");
     event_log.letters.push(RelayedMessage { from, to, taken, passed: vec![taken], changed: false, bytes });
 }
 
-fn tells(event_log: &mut EventLog, at_s: f64, version: u64, shards: &[(u8, u8, Option<Step>)]) {
-    let shards = shards.iter().map(|(shard, bits, step)| (*shard, ShardForm { bits: *bits, step: *step }));
-    let form = Form { version, shards: shards.collect() };
-    letter(event_log, Member::Planner(0), Member::Node(0), at_s, &Growth::Table { form });
+fn tells(event_log: &mut EventLog, at_s: f64, version: u64, shards: &[(u8, u8, Option<SplitPhase>)]) {
+    let shards = shards.iter().map(|(shard, bits, step)| (*shard, ShardState { bits: *bits, phase: *step }));
+    let form = ShardMap { version, shards: shards.collect() };
+    letter(event_log, Member::Planner(0), Member::Node(0), at_s, &ShardGrowthMessage::Map { map: form });
 }
 
 fn judged(event_log: &EventLog) -> (GrowthFigures, Vec<&'static str>) {
@@ -48,14 +49,20 @@
 #[test]
 fn a_split_that_goes_its_way_breaks_nothing() {
     let mut event_log = event_log();
-    let copied = (1..=16).map(|n| Some(Step::Copying(n)));
-    let steps = [Some(Step::Foreseen), Some(Step::Planned)].into_iter().chain(copied);
-    let steps = steps.chain([Some(Step::BothRead), Some(Step::Switched)]);
+    let copied = (1..=16).map(|n| Some(SplitPhase::Copying(n)));
+    let steps = [Some(SplitPhase::Forecast), Some(SplitPhase::Planned)].into_iter().chain(copied);
+    let steps = steps.chain([Some(SplitPhase::DualRead), Some(SplitPhase::Switched)]);
     for (n, step) in steps.enumerate() {
         tells(&mut event_log, n as f64 / 10.0, n as u64 + 1, &[(SHARD, 0, step)]);
     }
     tells(&mut event_log, 9.0, 21, &[(SHARD, 1, None)]);
-    letter(&mut event_log, Member::Node(0), Member::Planner(0), 9.1, &Growth::Holds { version: 21 });
+    letter(
+        &mut event_log,
+        Member::Node(0),
+        Member::Planner(0),
+        9.1,
+        &ShardGrowthMessage::MapInUse { version: 21 },
+    );
     let (figures, kinds) = judged(&event_log);
     assert_eq!((kinds, figures.settled, figures.withdrawn, figures.nodes_behind), (vec![], 1, 0, 0));
 }
@@ -63,12 +70,24 @@
 #[test]
 fn forms_that_differ_or_leap_or_share_a_cache_are_caught() {
     let leaps: [(&[_], &[_], &str); 4] = [
-        (&[(SHARD, 0, Some(Step::Planned))], &[(SHARD, 0, Some(Step::BothRead))], "a step out of order"),
-        (&[(SHARD, 0, Some(Step::Switched))], &[(SHARD, 1, Some(Step::Copying(1)))], "a step out of order"),
-        (&[], &[(17, 0, Some(Step::Foreseen)), (90, 0, Some(Step::Foreseen))], "two shards changed at once"),
         (
-            &[(17, 0, Some(Step::BothRead)), (90, 0, Some(Step::Foreseen))],
-            &[(17, 0, Some(Step::BothRead)), (90, 0, Some(Step::Planned))],
+            &[(SHARD, 0, Some(SplitPhase::Planned))],
+            &[(SHARD, 0, Some(SplitPhase::DualRead))],
+            "a step out of order",
+        ),
+        (
+            &[(SHARD, 0, Some(SplitPhase::Switched))],
+            &[(SHARD, 1, Some(SplitPhase::Copying(1)))],
+            "a step out of order",
+        ),
+        (
+            &[],
+            &[(17, 0, Some(SplitPhase::Forecast)), (90, 0, Some(SplitPhase::Forecast))],
+            "two shards changed at once",
+        ),
+        (
+            &[(17, 0, Some(SplitPhase::DualRead)), (90, 0, Some(SplitPhase::Forecast))],
+            &[(17, 0, Some(SplitPhase::DualRead)), (90, 0, Some(SplitPhase::Planned))],
             "two splits on one cache",
         ),
     ];
@@ -79,10 +98,16 @@
         assert_eq!(judged(&event_log).1, [kind]);
     }
     let mut event_log = event_log();
-    tells(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(Step::Foreseen))]);
-    tells(&mut event_log, 2.0, 1, &[(90, 0, Some(Step::Foreseen))]);
+    tells(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(SplitPhase::Forecast))]);
+    tells(&mut event_log, 2.0, 1, &[(90, 0, Some(SplitPhase::Forecast))]);
     for (at, version) in [(2.0, 4), (3.0, 3)] {
-        letter(&mut event_log, Member::Node(0), Member::Planner(0), at, &Growth::Holds { version });
+        letter(
+            &mut event_log,
+            Member::Node(0),
+            Member::Planner(0),
+            at,
+            &ShardGrowthMessage::MapInUse { version },
+        );
     }
     assert_eq!(judged(&event_log).1, ["two forms of one version", "a node went back to an older form"]);
 }
@@ -94,7 +119,7 @@
     event_log.events.push(event(1.0, Event::FaultBegan { what: "OriginSlow".into() }));
     event_log.events.push(event(1.0, Event::PlannerDown { planner: 0 }));
     for (at, n) in [(0.5, 1), (2.0, 2), (5.0, 3), (9.0, 4)] {
-        tells(&mut event_log, at, u64::from(n), &[(SHARD, 0, Some(Step::Copying(n)))]);
+        tells(&mut event_log, at, u64::from(n), &[(SHARD, 0, Some(SplitPhase::Copying(n)))]);
     }
     event_log.events.push(event(8.0, Event::FaultEnded { what: "OriginSlow".into() }));
     event_log.events.push(event(8.0, Event::PlannerUp { planner: 0 }));
@@ -108,12 +133,12 @@
 /// A read of a key that moves misses at its new place while both are read.
 fn missed(old_first: bool) -> GrowthFigures {
     let mut event_log = event_log();
-    tells(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(Step::BothRead))]);
+    tells(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(SplitPhase::DualRead))]);
     let names: Vec<String> = (0..12).map(|seat| format!("box-{seat}.0")).collect();
-    let places = Places::of(names.iter().map(String::as_str));
-    let moves = |key: &&u64| places.place(**key, 0) != places.place(**key, 1);
+    let places = Placement::new(names.iter().map(String::as_str));
+    let moves = |key: &&u64| places.cache_of(**key, 0) != places.cache_of(**key, 1);
     let key = *keys_of(SHARD, 40).iter().find(moves).expect("half of them");
-    let [old, new] = [0, 1].map(|bits| places.place(key, bits).expect("a place"));
+    let [old, new] = [0, 1].map(|bits| places.cache_of(key, bits).expect("a place"));
     let mut ways = vec![
         (new, ServerAttemptEnd::Lacked),
         (old, ServerAttemptEnd::Lacked),
--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -184,7 +184,9 @@
         }
         Command::Throughput { node, seconds } => measure_throughput(node.as_deref(), seconds),
         Command::Relay { listen, to } => throughput::relay(listen, to).map(|()| Ended::Held),
-        Command::StandIn { vice, config } => faulty_node::serve(vice, &config).map(|()| Ended::Held),
+        Command::StandIn { vice, config } => {
+            faulty_node::serve(vice, &config).map(|()| Ended::Held).map_err(|error| error.to_string())
+        }
     };
     match ended {
         Ok(Ended::Held) => ExitCode::SUCCESS,
--- a/crates/testbed/src/experiment/faults.rs
+++ b/crates/testbed/src/experiment/faults.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 
 use super::Experiment;
-use crate::shard_map_reference::Step;
+use crate::shard_map_reference::SplitPhase;
 
 /// What breaks. Each says which of the fault's keys it heeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -168,7 +168,7 @@
     pub at_s: f64,
     /// Not before a node is told of a split at this step.
     #[serde(default)]
-    pub at_step: Option<Step>,
+    pub at_step: Option<SplitPhase>,
     #[serde(default)]
     pub for_s: f64,
     /// Caches by the place they were listed in, from 0.
--- /dev/null
+++ b/crates/testbed/src/faulty_node/mod.rs
@@ -0,0 +1,360 @@
+//! A stand-in node that breaks one rule on purpose: the auditor is tested against it.
+//!
+//! It takes the place of the real program, with the same configuration, and is no example of how to write one.
+
+mod endpoints;
+mod http;
+
+use std::collections::{BTreeMap, HashMap};
+use std::fmt;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use serde::Deserialize;
+use serde::de::IntoDeserializer;
+use serde_json::Value;
+use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+
+use endpoints::{DrainHandling, Endpoints};
+use http::{HttpMessage, UpstreamResponse, encode_response, forward};
+
+/// The violation applies to one request in this many, unless it says otherwise.
+const VIOLATION_INTERVAL: usize = 9;
+/// Later than an auditor allows after a client has disconnected.
+const DELAY_PAST_DISCONNECT: Duration = Duration::from_millis(550);
+/// Later than the client timeout of a test's request classes.
+const DELAY_PAST_TIMEOUT: Duration = Duration::from_millis(1070);
+/// From a response to the attempt that must no longer be sent.
+const DELAY_PAST_RESPONSE: Duration = Duration::from_millis(200);
+/// The only node that [`InjectedViolation::UnfairNodes`] serves.
+const FAVOURED_NODE: &str = "node-0";
+const READY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+
+/// The rule that the node breaks. The command line keeps the former names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+pub enum InjectedViolation {
+    /// None: the control of a test.
+    #[serde(rename = "none")]
+    None,
+    /// Leaves requests without a response.
+    #[serde(rename = "mute", alias = "no-response")]
+    NoResponse,
+    /// Closes connections in place of a response.
+    #[serde(rename = "close", alias = "connection-closed")]
+    ConnectionClosed,
+    /// Responds after the client timeout.
+    #[serde(rename = "late", alias = "late-response")]
+    LateResponse,
+    /// Responds twice.
+    #[serde(rename = "second-answer", alias = "duplicate-response")]
+    DuplicateResponse,
+    /// Sends an attempt for a request that has its response.
+    #[serde(rename = "shot-after", alias = "attempt-after-response")]
+    AttemptAfterResponse,
+    /// Sends a write again that has been executed; applies to each such write.
+    #[serde(rename = "resend", alias = "repeated-write")]
+    RepeatedWrite,
+    /// Reports a write as rate-limited that has been executed.
+    #[serde(rename = "rate-limit-ran", alias = "rate-limited-after-execution")]
+    RateLimitedAfterExecution,
+    /// Sends a read to two caches at once.
+    #[serde(rename = "second-copy", alias = "unwanted-hedge")]
+    UnwantedHedge,
+    /// Goes on sending to each cache that was ever listed.
+    #[serde(rename = "undrained", alias = "ignored-drain")]
+    IgnoredDrain,
+    /// Sends all reads to the cache that was listed last.
+    #[serde(rename = "cold-rush", alias = "newest-cache-only")]
+    NewestCacheOnly,
+    /// Responds with an earlier value, as if it were made for the request.
+    #[serde(rename = "stale", alias = "stale-value")]
+    StaleValue,
+    /// Responds with what was made for another request.
+    #[serde(rename = "another", alias = "wrong-response")]
+    WrongResponse,
+    /// Sends all reads to the origin.
+    #[serde(rename = "stampede", alias = "origin-stampede")]
+    OriginStampede,
+    /// Forwards each request half a second late, whether or not its client has disconnected.
+    #[serde(rename = "unheeding", alias = "ignored-disconnect")]
+    IgnoredDisconnect,
+    /// Rate-limits all requests, unless it is the first node.
+    #[serde(rename = "favour", alias = "unfair-nodes")]
+    UnfairNodes,
+}
+
+impl std::str::FromStr for InjectedViolation {
+    type Err = serde::de::value::Error;
+
+    fn from_str(name: &str) -> Result<InjectedViolation, serde::de::value::Error> {
+        InjectedViolation::deserialize(name.into_deserializer())
+    }
+}
+
+/// Why the faulty node can't serve.
+#[derive(Debug)]
+pub enum ServeError {
+    /// The configuration file can't be read.
+    ReadConfig { file: PathBuf, error: std::io::Error },
+    /// The configuration file is not JSON.
+    ParseConfig { file: PathBuf, error: serde_json::Error },
+    /// The configuration lacks an address, or it is malformed.
+    NoAddress { key: &'static str },
+    /// The runtime can't be started.
+    StartRuntime(std::io::Error),
+    /// The address of the configuration can't be listened on.
+    Listen { address: SocketAddr, error: std::io::Error },
+}
+
+impl fmt::Display for ServeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ServeError::ReadConfig { file, error } => write!(f, "{}: {error}", file.display()),
+            ServeError::ParseConfig { file, error } => write!(f, "{}: {error}", file.display()),
+            ServeError::NoAddress { key } => write!(f, "no address {key}"),
+            ServeError::StartRuntime(error) => write!(f, "the runtime can't be started: {error}"),
+            ServeError::Listen { address, error } => write!(f, "{address} can't be listened on: {error}"),
+        }
+    }
+}
+
+impl std::error::Error for ServeError {}
+
+/// What the faulty node reads of its configuration.
+struct NodeConfig {
+    name: String,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    /// The effect of each request class by its name.
+    effects: BTreeMap<String, String>,
+}
+
+impl NodeConfig {
+    fn read(file: &Path) -> Result<NodeConfig, ServeError> {
+        let text = std::fs::read_to_string(file)
+            .map_err(|error| ServeError::ReadConfig { file: file.into(), error })?;
+        let config: Value = serde_json::from_str(&text)
+            .map_err(|error| ServeError::ParseConfig { file: file.into(), error })?;
+        let address = |key: &'static str| {
+            let address = config[key].as_str().and_then(|address| address.parse().ok());
+            address.ok_or(ServeError::NoAddress { key })
+        };
+        let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
+        let mut effects = BTreeMap::new();
+        for class in config["settings"]["Products"].as_array().into_iter().flatten() {
+            effects.insert(text(&class["Name"]), text(&class["Effect"]));
+        }
+        Ok(NodeConfig {
+            name: text(&config["name"]),
+            listen: address("listen")?,
+            discovery: address("discovery")?,
+            effects,
+        })
+    }
+}
+
+/// Serves by a configuration until the process is killed.
+///
+/// # Errors
+/// Says why the node can't serve.
+pub fn serve(violation: InjectedViolation, config: &Path) -> Result<(), ServeError> {
+    let config = NodeConfig::read(config)?;
+    let listen = config.listen;
+    let node = Arc::new(FaultyNode {
+        violation,
+        config,
+        endpoints: Endpoints::default(),
+        request_count: AtomicUsize::new(0),
+        first_values: Mutex::default(),
+    });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(ServeError::StartRuntime)?;
+    runtime.block_on(async move {
+        let watching = node.clone();
+        tokio::spawn(async move { watching.watch().await });
+        let listener =
+            TcpListener::bind(listen).await.map_err(|error| ServeError::Listen { address: listen, error })?;
+        while let Ok((stream, _)) = listener.accept().await {
+            let node = node.clone();
+            tokio::spawn(async move { node.serve_connection(stream).await });
+        }
+        Ok(())
+    })
+}
+
+struct FaultyNode {
+    violation: InjectedViolation,
+    config: NodeConfig,
+    endpoints: Endpoints,
+    request_count: AtomicUsize,
+    /// The first value read for each key.
+    first_values: Mutex<HashMap<String, FirstValue>>,
+}
+
+#[derive(Clone)]
+struct FirstValue {
+    request_id: String,
+    body: String,
+}
+
+/// What a violation depends on in a request.
+struct RequestInfo {
+    key: String,
+    id: String,
+    is_write: bool,
+    is_non_idempotent: bool,
+    /// Whether this is the one request in [`VIOLATION_INTERVAL`].
+    is_selected: bool,
+}
+
+impl FaultyNode {
+    async fn watch(&self) {
+        let draining = match self.violation {
+            InjectedViolation::IgnoredDrain => DrainHandling::Ignore,
+            _ => DrainHandling::Remove,
+        };
+        // A test ends the watch by ending the world: the list then stays as it is.
+        let _ = self.endpoints.watch(self.config.discovery, draining).await;
+    }
+
+    async fn serve_connection(&self, stream: TcpStream) -> Option<()> {
+        let (reader, mut writer) = stream.into_split();
+        let mut reader = BufReader::new(reader);
+        while let Some(request) = HttpMessage::read(&mut reader).await {
+            if request.start_line.starts_with("GET /health/ready") {
+                writer.write_all(READY_RESPONSE).await.ok()?;
+                continue;
+            }
+            let response = self.respond(&request).await?;
+            writer.write_all(response.as_bytes()).await.ok()?;
+        }
+        Some(())
+    }
+
+    /// The bytes for the client; `None` where the connection is to be closed.
+    async fn respond(&self, request: &HttpMessage) -> Option<String> {
+        let info = self.inspect(request)?;
+        let origin = self.endpoints.origin()?;
+        match self.violation {
+            InjectedViolation::NoResponse if info.is_selected => std::future::pending().await,
+            InjectedViolation::ConnectionClosed if info.is_selected => return None,
+            InjectedViolation::UnfairNodes if self.config.name != FAVOURED_NODE => {
+                return Some(encode_response(429, ""));
+            }
+            InjectedViolation::IgnoredDisconnect => tokio::time::sleep(DELAY_PAST_DISCONNECT).await,
+            InjectedViolation::LateResponse if info.is_selected => {
+                tokio::time::sleep(DELAY_PAST_TIMEOUT).await;
+            }
+            _ => {}
+        }
+        let cache = self.cache_for(&info.key);
+        if self.violation == InjectedViolation::UnwantedHedge
+            && !info.is_write
+            && info.is_selected
+            && let Some(first) = cache
+            && let Some(second) = self.cache_for(&format!("{}x", info.key))
+        {
+            let (response, _) = tokio::join!(forward(first, request), forward(second, request));
+            return response.map(|response| response.encode());
+        }
+        let response = self.fetch(request, &info, cache, origin).await;
+        self.after_fetch(request, info, cache.unwrap_or(origin), origin, response).await
+    }
+
+    fn inspect(&self, request: &HttpMessage) -> Option<RequestInfo> {
+        let path = request.start_line.split(' ').nth(1)?;
+        let mut segments = path.trim_start_matches('/').split('/');
+        let class = segments.next()?;
+        let key = segments.next()?.to_string();
+        let id = request.headers.get("x-request-id")?.clone();
+        let count = self.request_count.fetch_add(1, Ordering::Relaxed);
+        Some(RequestInfo {
+            key,
+            id,
+            is_write: request.start_line.starts_with("PUT"),
+            is_non_idempotent: self.config.effects.get(class).is_some_and(|e| e == "non_idempotent"),
+            is_selected: count % VIOLATION_INTERVAL == VIOLATION_INTERVAL - 1,
+        })
+    }
+
+    fn cache_for(&self, key: &str) -> Option<SocketAddr> {
+        match self.violation {
+            InjectedViolation::NewestCacheOnly => self.endpoints.newest_cache(),
+            _ => self.endpoints.cache_for(key),
+        }
+    }
+
+    /// Reads from the cache, then from the origin; writes go to the origin.
+    async fn fetch(
+        &self,
+        request: &HttpMessage,
+        info: &RequestInfo,
+        cache: Option<SocketAddr>,
+        origin: SocketAddr,
+    ) -> UpstreamResponse {
+        if let Some(cache) = cache
+            && !info.is_write
+            && self.violation != InjectedViolation::OriginStampede
+            && let Some(response) = forward(cache, request).await
+            && response.status == 200
+        {
+            return response;
+        }
+        let response = forward(origin, request).await;
+        response.unwrap_or(UpstreamResponse { status: 502, body: String::new() })
+    }
+
+    /// Applies the violations that need an upstream's response first.
+    async fn after_fetch(
+        &self,
+        request: &HttpMessage,
+        info: RequestInfo,
+        upstream: SocketAddr,
+        origin: SocketAddr,
+        response: UpstreamResponse,
+    ) -> Option<String> {
+        let encoded = response.encode();
+        // Writes are few: a violation of theirs that needs no selection applies to each.
+        let is_unrepeatable = info.is_write && info.is_non_idempotent;
+        match self.violation {
+            InjectedViolation::RepeatedWrite if is_unrepeatable => {
+                forward(origin, request).await;
+            }
+            InjectedViolation::RateLimitedAfterExecution if is_unrepeatable && info.is_selected => {
+                return Some(encode_response(429, ""));
+            }
+            InjectedViolation::DuplicateResponse if info.is_selected => {
+                return Some(format!("{encoded}{encoded}"));
+            }
+            InjectedViolation::AttemptAfterResponse if info.is_selected && !info.is_write => {
+                let request = request.without_body();
+                tokio::spawn(async move {
+                    tokio::time::sleep(DELAY_PAST_RESPONSE).await;
+                    forward(upstream, &request).await;
+                });
+            }
+            InjectedViolation::StaleValue if !info.is_write => {
+                let first = self.first_value(&info, response.body);
+                return Some(encode_response(200, &first.body.replace(&first.request_id, &info.id)));
+            }
+            InjectedViolation::WrongResponse if !info.is_write => {
+                return Some(encode_response(200, &self.first_value(&info, response.body).body));
+            }
+            _ => {}
+        }
+        Some(encoded)
+    }
+
+    /// The first value that was read for the key; `body`, where this request is the first.
+    fn first_value(&self, info: &RequestInfo, body: String) -> FirstValue {
+        let mut values = self.first_values.lock().unwrap_or_else(PoisonError::into_inner);
+        let request_id = info.id.clone();
+        values.entry(info.key.clone()).or_insert(FirstValue { request_id, body }).clone()
+    }
+}
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -100,7 +100,7 @@
                 calls.extend(kept.then_some(call));
             }
         }
-        calls.extend(shard_workload::calls(experiment, seed));
+        calls.extend(shard_workload::requests(experiment, seed));
         // Stable: without shards that grow nothing changes.
         calls.sort_by_key(|c| c.at_us);
         Schedule { calls }
--- a/crates/testbed/src/shard_workload.rs
+++ b/crates/testbed/src/shard_workload.rs
@@ -1,5 +1,8 @@
-//! The calls of shards whose keys grow in number: each key is asked for so often a day of the book, whatever the day,
-//! so that what is seen of a shard in a day is what it has to keep.
+//! The requests for shards whose number of keys grows.
+//!
+//! Each key is requested equally often on every accounting day, so that what is seen of a shard in a day is what it has
+//! to store. All draws come from one generator for each shard, seeded by the run's seed and the shard: their order is
+//! part of the workload.
 
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
@@ -7,54 +10,99 @@
 
 use crate::experiment::{Experiment, GrowthForm, ProductEffect};
 use crate::schedule::{Planned, mixed};
-use crate::shard_map_reference::{FIRST_KEY, VALUE_BYTES, keys_of};
+use crate::shard_map_reference::{FIRST_GROWING_KEY, VALUE_BYTES, keys_of};
 
-/// Beside what is in an answer anyway, about a hundred bytes.
-pub fn pad(key: u64) -> String {
-    if key < FIRST_KEY { String::new() } else { "x".repeat(VALUE_BYTES - 100) }
+/// The approximate size of a response body without padding.
+const UNPADDED_RESPONSE_BYTES: usize = 100;
+/// Offset of a shard in the generators' streams: those below belong to the other draws of a schedule.
+const FIRST_SHARD_STREAM: u64 = 256;
+const MICROS_PER_MILLI: f64 = 1000.0;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Keeps the length of an accounting day finite where days don't pass.
+const MIN_DAYS_PER_SECOND: f64 = 1e-9;
+
+/// The padding that brings the response for a key to its size; empty for keys outside growing shards.
+pub fn response_padding(key: u64) -> String {
+    if key < FIRST_GROWING_KEY { String::new() } else { "x".repeat(VALUE_BYTES - UNPADDED_RESPONSE_BYTES) }
+}
+
+/// The body of a write to a key.
+pub fn write_body(key: u64) -> Bytes {
+    if key < FIRST_GROWING_KEY { Bytes::from_static(b"a new value") } else { "x".repeat(VALUE_BYTES).into() }
+}
+
+/// All requests for growing shards, shard by shard.
+pub fn requests(experiment: &Experiment, seed: u64) -> Vec<Planned> {
+    let Some(growth) = &experiment.growth else { return Vec::new() };
+    let mut requests = Vec::new();
+    for shard in &growth.shards {
+        requests.extend(shard_requests(experiment, growth, *shard, seed));
+    }
+    requests
 }
 
-/// What is written at a key.
-pub fn written(key: u64) -> Bytes {
-    if key < FIRST_KEY { Bytes::from_static(b"a new value") } else { "x".repeat(VALUE_BYTES).into() }
+/// The indices of the request classes that a growing shard is read and written with.
+struct RequestClasses {
+    read: usize,
+    write: usize,
 }
 
-/// All of them, shard by shard, from a seed.
-pub fn calls(of: &Experiment, seed: u64) -> Vec<Planned> {
-    let Some(form) = &of.growth else { return Vec::new() };
-    form.shards.iter().flat_map(|shard| of_shard(of, form, *shard, seed)).collect()
+impl RequestClasses {
+    fn new(experiment: &Experiment) -> RequestClasses {
+        let first_with = |effect| experiment.product.iter().position(|class| class.effect == effect);
+        let read = first_with(ProductEffect::Idempotent).unwrap_or(0);
+        let write = first_with(ProductEffect::Deduplicated).unwrap_or(read);
+        RequestClasses { read, write }
+    }
+}
+
+fn shard_requests(experiment: &Experiment, growth: &GrowthForm, shard: u8, seed: u64) -> Vec<Planned> {
+    let mut random = ChaCha8Rng::seed_from_u64(mixed(seed, FIRST_SHARD_STREAM + u64::from(shard)));
+    let max_keys = growth.keys_on(experiment.days_at(experiment.seconds)).ceil() as usize;
+    let keys = keys_of(shard, max_keys.max(1));
+    let classes = RequestClasses::new(experiment);
+    let day_s = 1.0 / experiment.days_at(1.0).max(MIN_DAYS_PER_SECOND);
+    let mut requests = Vec::new();
+    let mut at_s = 0.0;
+    let mut next_key = 0;
+    while at_s < experiment.seconds {
+        let key_count = growth.keys_on(experiment.days_at(at_s));
+        // Round robin: each key is requested within a day, whenever the day begins.
+        if next_key >= key_count as usize {
+            next_key = 0;
+        }
+        let key = keys[next_key.min(keys.len() - 1)];
+        requests.push(draw_request(experiment, growth, &classes, at_s, key, &mut random));
+        next_key += 1;
+        at_s += day_s / (key_count * growth.asked) * (0.5 + random.random::<f64>());
+    }
+    requests
 }
 
-fn of_shard(of: &Experiment, form: &GrowthForm, shard: u8, seed: u64) -> Vec<Planned> {
-    let mut chance = ChaCha8Rng::seed_from_u64(mixed(seed, 256 + u64::from(shard)));
-    let most = form.keys_on(of.days_at(of.seconds)).ceil() as usize;
-    let keys = keys_of(shard, most.max(1));
-    let product = |effect| of.product.iter().position(|p| p.effect == effect);
-    let read = product(ProductEffect::Idempotent).unwrap_or(0);
-    let write = product(ProductEffect::Deduplicated).unwrap_or(read);
-    let day_s = 1.0 / of.days_at(1.0).max(1e-9);
-    let backoff = of.load.clients.backoff_ms * 1000.0;
-    let (mut calls, mut at, mut next) = (Vec::new(), 0.0, 0);
-    while at < of.seconds {
-        let there = form.keys_on(of.days_at(at));
-        // One after the other, around and around: each is asked for in a day, whenever that begins.
-        next = if next >= there as usize { 0 } else { next };
-        let writes = chance.random::<f64>() < form.written;
-        let repeats_us =
-            (0..of.load.clients.retries).map(|_| (backoff * (0.5 + chance.random::<f64>())) as u64).collect();
-        calls.push(Planned {
-            at_us: (at * 1e6) as i64,
-            node: chance.random_range(0..of.asked_at(at)),
-            product: if writes { write } else { read },
-            key: keys[next.min(keys.len() - 1)],
-            tenant: (!of.load.tenants.is_empty()).then(|| chance.random_range(0..of.load.tenants.len())),
-            once: false,
-            heeds: chance.random::<f64>() < of.load.clients.honour,
-            repeats_us,
-            salt: chance.random(),
-        });
-        next += 1;
-        at += day_s / (there * form.asked) * (0.5 + chance.random::<f64>());
+/// One request; the order of the draws is part of the workload.
+fn draw_request(
+    experiment: &Experiment,
+    growth: &GrowthForm,
+    classes: &RequestClasses,
+    at_s: f64,
+    key: u64,
+    random: &mut ChaCha8Rng,
+) -> Planned {
+    let clients = &experiment.load.clients;
+    let tenants = experiment.load.tenants.len();
+    let is_write = random.random::<f64>() < growth.written;
+    let backoff_us = clients.backoff_ms * MICROS_PER_MILLI;
+    let repeats_us =
+        (0..clients.retries).map(|_| (backoff_us * (0.5 + random.random::<f64>())) as u64).collect();
+    Planned {
+        at_us: (at_s * MICROS_PER_SECOND) as i64,
+        node: random.random_range(0..experiment.asked_at(at_s)),
+        product: if is_write { classes.write } else { classes.read },
+        key,
+        tenant: if tenants > 0 { Some(random.random_range(0..tenants)) } else { None },
+        once: false,
+        heeds: random.random::<f64>() < clients.honour,
+        repeats_us,
+        salt: random.random(),
     }
-    calls
 }
--- a/crates/testbed/src/world/byzantine_planner.rs
+++ b/crates/testbed/src/world/byzantine_planner.rs
@@ -9,7 +9,8 @@
 use super::planner::number_of;
 use crate::experiment::Lie;
 use crate::message_reference::{
-    self, AuditResult, Beat, Health, Hindsight, Lease, Part, Said, Sender, Signer, Standing,
+    self, Comparison, ComparisonReport, CounterfactualMessage, Fragment, HealthMessage, HealthStatus,
+    LeaseMessage, MembershipMessage, MessageKind, Sender, Signer,
 };
 
 const BEATS: Duration = Duration::from_millis(300);
@@ -25,7 +26,7 @@
     let mut number = 0;
     let mut sender = || {
         number += 1;
-        Sender { member: Signer::Planner(number_of(planner)), life, number }
+        Sender { member: Signer::Planner(number_of(planner)), incarnation: life, sequence: number }
     };
     let (mut heard, mut caches) = (BTreeSet::new(), BTreeSet::new());
     let mut version = 0;
@@ -35,18 +36,18 @@
         tokio::select! {
             _ = beat.tick() => {
                 for to in &heard {
-                    let letter = message_reference::write(&secret, message_reference::MEMBERS, sender(), &Beat::Beat);
+                    let letter = message_reference::encode(&secret, MessageKind::Membership, sender(), &MembershipMessage::Heartbeat);
                     let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     version += 1;
-                    let verdicts = caches.iter().map(|c| (*c, AuditResult::Fails { ago: 0 })).collect();
-                    let plan = Health::Plan { version, part: Part(0, 1), forwarders: 99, verdicts };
-                    let letter = message_reference::write(&secret, message_reference::VERDICTS, sender(), &plan);
+                    let verdicts = caches.iter().map(|c| (*c, HealthStatus::Failing { ago: 0 })).collect();
+                    let plan = HealthMessage::Plan { version, fragment: Fragment { index: 0, count: 1 }, nodes: 99, statuses: verdicts };
+                    let letter = message_reference::encode(&secret, MessageKind::EndpointHealth, sender(), &plan);
                     if lie == Lie::Verdicts {
                         let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     }
-                    let worse = |c: &u64| Said { cache: *c, product: 0, standing: Standing::Worse, more: 3.0, low: 2.0, high: 4.0 };
-                    let said = Hindsight::Times(caches.iter().map(worse).collect());
-                    let letter = message_reference::write(&secret, message_reference::HINDSIGHT, sender(), &said);
+                    let worse = |c: &u64| ComparisonReport { cache: *c, request_class: 0, comparison: Comparison::Worse, effect: 3.0, low: 2.0, high: 4.0 };
+                    let said = CounterfactualMessage::LatencyRatios(caches.iter().map(worse).collect());
+                    let letter = message_reference::encode(&secret, MessageKind::Counterfactual, sender(), &said);
                     if lie == Lie::Standings {
                         let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
                     }
@@ -57,17 +58,17 @@
                 if heard.len() < MOST {
                     heard.insert(from);
                 }
-                if let Some((_, Health::Report { caches: seen, .. })) =
-                    message_reference::read(&secret, message_reference::VERDICTS, &bytes[..count])
+                if let Some((_, HealthMessage::Report { caches: seen, .. })) =
+                    message_reference::decode(&secret, MessageKind::EndpointHealth, &bytes[..count])
                 {
                     caches.extend(seen.iter().map(|s| s.cache).take(NAMED - caches.len().min(NAMED)));
                 }
-                let read = message_reference::read::<Lease>(&secret, message_reference::LEASES, &bytes[..count]);
-                let (Some((_, Lease::Ask { ask, needs })), Lie::Grants) = (read, lie) else { continue };
+                let read = message_reference::decode::<LeaseMessage>(&secret, MessageKind::Leases, &bytes[..count]);
+                let (Some((_, LeaseMessage::Request { request: ask, demands: needs })), Lie::Grants) = (read, lie) else { continue };
                 let all = |r| whole[usize::from(r != message_reference::Resource::Origin)];
                 let granted = needs.iter().map(|n| (n.resource, all(n.resource))).collect();
-                let grant = Lease::Grant { ask, granted, lasts };
-                let letter = message_reference::write(&secret, message_reference::LEASES, sender(), &grant);
+                let grant = LeaseMessage::Grant { request: ask, granted, duration: lasts };
+                let letter = message_reference::encode(&secret, MessageKind::Leases, sender(), &grant);
                 let _ = socket.send_to(&letter.unwrap_or_default(), from).await;
             }
         }
--- a/crates/testbed/src/world/clients.rs
+++ b/crates/testbed/src/world/clients.rs
@@ -195,7 +195,7 @@
             if nth > 0 && self.experiment.load.clients.marks {
                 call = call.header("X-Retried", "1");
             }
-            let body = if write { shard_workload::written(planned.key) } else { Bytes::new() };
+            let body = if write { shard_workload::write_body(planned.key) } else { Bytes::new() };
             call.body(Full::new(body)).expect("a call is well formed")
         };
         let kept = if planned.once { None } else { pool.take() };
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -11,9 +11,9 @@
 use super::planner::number_of;
 use crate::event_log::{EventLogWriter, Member, Timestamp, Version};
 use crate::experiment::{Experiment, Fault, GrowthForm};
-use crate::message_reference::{self, Sender, Signer};
+use crate::message_reference::{self, MessageKind, Sender, Signer};
 use crate::schedule::mixed;
-use crate::shard_map_reference::{GROWTH, Growth, KnownDay, Places, Step, keys_of};
+use crate::shard_map_reference::{DaySize, Placement, ShardGrowthMessage, SplitPhase, VALUE_BYTES, keys_of};
 
 /// A planner that has not taken the days by then is not going to.
 const TAKES: Duration = Duration::from_secs(4);
@@ -35,16 +35,16 @@
     let there = &seats[..of.world.caches];
     let names: Vec<String> =
         event_log.write(|b| there.iter().map(|seat| b.servers[seat.id().0].name.clone()).collect());
-    let places = Places::of(names.iter().map(String::as_str));
+    let places = Placement::new(names.iter().map(String::as_str));
     for key in form.shards.iter().flat_map(|shard| keys_of(*shard, form.keys as usize)) {
-        if let Some(place) = places.place(key, 0) {
+        if let Some(place) = places.cache_of(key, 0) {
             there[place].store(key, Version(0), Version(0));
         }
     }
 }
 
 /// The days before the run: what a shard kept on each, give or take half a part of a hundred.
-fn known(form: &GrowthForm, of: &Experiment, event_log: &EventLogWriter, shard: u8) -> Vec<KnownDay> {
+fn known(form: &GrowthForm, of: &Experiment, event_log: &EventLogWriter, shard: u8) -> Vec<DaySize> {
     let day_ms = 1000.0 / of.days_at(1.0).max(1e-9);
     let start = event_log.unix_start_ms as f64 / day_ms;
     let today = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as f64 / day_ms;
@@ -54,7 +54,7 @@
     days.map(|day| {
         let drawn = (mixed(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
         let keys = form.keys_on(f64::from(day) - start) * (0.995 + 0.01 * drawn);
-        (day, (keys * crate::shard_map_reference::VALUE_BYTES as f64) as f32, keys as f32)
+        DaySize { day, bytes: (keys * VALUE_BYTES as f64) as f32, keys: keys as f32 }
     })
     .collect()
 }
@@ -75,9 +75,11 @@
         for shard in &form.shards {
             for days in known(form, &world.experiment, &world.event_log, *shard).chunks(IN_A_LETTER) {
                 number += 1;
-                let sender = Sender { member: Signer::Planner(number_of(1)), life: 1, number };
-                let message = Growth::Ended { shard: *shard, days: days.to_vec() };
-                let letter = message_reference::write(secret, GROWTH, sender, &message).unwrap_or_default();
+                let sender =
+                    Sender { member: Signer::Planner(number_of(1)), incarnation: 1, sequence: number };
+                let message = ShardGrowthMessage::EndedDays { shard: *shard, days: days.to_vec() };
+                let letter = message_reference::encode(secret, MessageKind::ShardGrowth, sender, &message)
+                    .unwrap_or_default();
                 let _ = socket.send_to(&letter, address).await;
             }
         }
@@ -86,11 +88,12 @@
         let told = world.event_log.write(|b| {
             let from = |l: &&crate::event_log::RelayedMessage| l.from == Member::Planner(0);
             let read = |l: &crate::event_log::RelayedMessage| {
-                message_reference::read::<Growth>(secret, GROWTH, &l.bytes)
+                message_reference::decode::<ShardGrowthMessage>(secret, MessageKind::ShardGrowth, &l.bytes)
             };
             let told = b.letters.iter().filter(from).filter_map(read);
-            let shards = told
-                .filter_map(|(_, m)| if let Growth::Ended { shard, .. } = m { Some(shard) } else { None });
+            let shards = told.filter_map(|(_, m)| {
+                if let ShardGrowthMessage::EndedDays { shard, .. } = m { Some(shard) } else { None }
+            });
             shards.collect::<std::collections::BTreeSet<u8>>()
         });
         if form.shards.iter().all(|shard| told.contains(shard)) {
@@ -126,9 +129,11 @@
     }
 }
 
-fn tells_of(secret: &[u8], letter: &[u8], step: Step) -> bool {
-    let Some((_, Growth::Table { form })) = message_reference::read::<Growth>(secret, GROWTH, letter) else {
+fn tells_of(secret: &[u8], letter: &[u8], step: SplitPhase) -> bool {
+    let Some((_, ShardGrowthMessage::Map { map: form })) =
+        message_reference::decode::<ShardGrowthMessage>(secret, MessageKind::ShardGrowth, letter)
+    else {
         return false;
     };
-    form.shards.values().any(|s| s.step == Some(step))
+    form.shards.values().any(|s| s.phase == Some(step))
 }
--- a/crates/testbed/src/world/wire.rs
+++ b/crates/testbed/src/world/wire.rs
@@ -74,7 +74,7 @@
 
 /// The value that a call asked for or made, and the server's word for how it came by it.
 pub fn value(call: &Call, version: Version, word: &str) -> Response<BoxBody<Bytes, Infallible>> {
-    let pad = shard_workload::pad(call.key);
+    let pad = shard_workload::response_padding(call.key);
     let value = Value { made_for: call.id.clone(), key: call.key, version: version.0, pad };
     let text = serde_json::to_string(&value).expect("plain values");
     let answer = Response::builder().status(200).header("X-Cache-Status", word);
@@ -90,7 +90,7 @@
 pub fn after(how: Spoil, call: &Call, version: Version, word: &str) -> Option<Vec<u8>> {
     match how {
         Spoil::Second => {
-            let pad = shard_workload::pad(call.key);
+            let pad = shard_workload::response_padding(call.key);
             let value = Value { made_for: call.id.clone(), key: call.key, version: version.0, pad };
             let text = serde_json::to_string(&value).expect("plain values");
             let head = format!("HTTP/1.1 200 OK\r\nX-Cache-Status: {word}\r\nContent-Length: {}", text.len());
