--- a/crates/testbed/src/audit/expectations.rs
+++ b/crates/testbed/src/audit/expectations.rs
@@ -1,4 +1,4 @@
-//! The bars of an experiment, held against what was measured.
+//! Compares an experiment's expectations with what was measured.
 
 use serde::Serialize;
 
@@ -6,50 +6,73 @@
 use super::fleet;
 use crate::experiment::Experiment;
 
-/// A bar that was not reached.
+/// An expectation that was not met.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct UnmetExpectation {
-    /// As the experiment's file names it.
-    pub bar: &'static str,
-    pub asked: f64,
+    /// The expectation's key in the experiment file.
+    #[serde(rename = "bar")]
+    pub expectation: &'static str,
+    /// The bound that the experiment sets.
+    #[serde(rename = "asked")]
+    pub bound: f64,
+    /// What was measured.
     pub measured: f64,
 }
 
-pub fn hold(experiment: &Experiment, figures: &Figures) -> Vec<UnmetExpectation> {
-    let (expect, together) = (&experiment.expect, &figures.fleet);
-    let tries = figures.tries.max(1) as f64;
-    // What never came about was measured as endless.
-    let recovery = figures.longest_recovery().unwrap_or(f64::INFINITY);
-    let at_least = [
-        ("service", expect.service, figures.service),
-        ("service_after", expect.service_after, figures.service_after.unwrap_or(figures.service)),
-        ("bad_clients_met", expect.bad_clients_met, figures.bad_clients_met),
-        ("fairness", expect.fairness, together.fairness),
-        ("named", expect.named.map(|n| n as f64), together.named as f64),
-    ];
-    let at_most = [
-        ("recover_s", expect.recover_s, recovery),
-        ("max_over_mean", expect.max_over_mean, figures.max_over_mean),
-        ("origin_fetches", expect.origin_fetches, figures.origin_fetches),
-        ("drain_stop_ms", expect.drain_stop_ms, figures.drain_stop_ms),
-        ("stale_reads", Some(expect.stale_reads as f64), figures.stale_reads as f64),
-        ("errored", expect.errored, figures.errored as f64 / tries),
-        ("memory_mb", expect.memory_mb, figures.memory_mb),
-        ("descriptors", expect.descriptors, figures.descriptors as f64),
-        ("leases", fleet::asked_of_leases(experiment), together.leases),
-        ("origin_over_whole", expect.origin_over_whole, together.origin_over_whole),
-        ("cold_over_whole", expect.cold_over_whole, together.cold_over_whole),
-        ("sick_trials", expect.sick_trials, together.sick_trials),
-        ("named_wrongly", expect.named_wrongly.map(|n| n as f64), together.named_wrongly as f64),
-        ("step", expect.step, together.step),
-        ("loss", expect.loss, together.loss.unwrap_or(0.0)),
+/// A lower bound: unmet if less was measured. Without a bound there is nothing to meet.
+pub(super) fn at_least(
+    expectation: &'static str,
+    bound: Option<f64>,
+    measured: f64,
+) -> Option<UnmetExpectation> {
+    let bound = bound?;
+    if measured >= bound { None } else { Some(UnmetExpectation { expectation, bound, measured }) }
+}
+
+/// An upper bound: unmet if more was measured. Without a bound there is nothing to meet.
+pub(super) fn at_most(
+    expectation: &'static str,
+    bound: Option<f64>,
+    measured: f64,
+) -> Option<UnmetExpectation> {
+    let bound = bound?;
+    if measured <= bound { None } else { Some(UnmetExpectation { expectation, bound, measured }) }
+}
+
+/// The expectations that the figures don't meet, lower bounds first.
+pub(super) fn unmet(experiment: &Experiment, figures: &Figures) -> Vec<UnmetExpectation> {
+    let expect = &experiment.expect;
+    let fleet = &figures.fleet;
+    let attempts = figures.attempts.max(1) as f64;
+    // A recovery that did not come about took for ever.
+    let recovery_s = figures.longest_recovery().unwrap_or(f64::INFINITY);
+    let service_after = figures.service_after.unwrap_or(figures.service);
+    let detected = fleet.slow_caches_detected as f64;
+    let detected_wrongly = fleet.false_detections as f64;
+    let max_false_detections = expect.named_wrongly.map(|count| count as f64);
+    let max_stale_reads = Some(expect.stale_reads as f64);
+    let max_leased = fleet::max_leased_ratio(experiment);
+    let checks = [
+        at_least("service", expect.service, figures.service),
+        at_least("service_after", expect.service_after, service_after),
+        at_least("bad_clients_met", expect.bad_clients_met, figures.malformed_clients_handled),
+        at_least("fairness", expect.fairness, fleet.fairness),
+        at_least("named", expect.named.map(|count| count as f64), detected),
+        at_most("recover_s", expect.recover_s, recovery_s),
+        at_most("max_over_mean", expect.max_over_mean, figures.max_over_mean),
+        at_most("origin_fetches", expect.origin_fetches, figures.origin_fetches),
+        at_most("drain_stop_ms", expect.drain_stop_ms, figures.drain_stop_ms),
+        at_most("stale_reads", max_stale_reads, figures.stale_reads as f64),
+        at_most("errored", expect.errored, figures.errored as f64 / attempts),
+        at_most("memory_mb", expect.memory_mb, figures.memory_mb),
+        at_most("descriptors", expect.descriptors, figures.descriptors as f64),
+        at_most("leases", max_leased, fleet.leased_ratio),
+        at_most("origin_over_whole", expect.origin_over_whole, fleet.origin_over_capacity),
+        at_most("cold_over_whole", expect.cold_over_whole, fleet.warming_over_capacity),
+        at_most("sick_trials", expect.sick_trials, fleet.hung_cache_attempts_per_s),
+        at_most("named_wrongly", max_false_detections, detected_wrongly),
+        at_most("step", expect.step, fleet.service_drop),
+        at_most("loss", expect.loss, fleet.service_loss.unwrap_or(0.0)),
     ];
-    let short = at_least.into_iter().map(|(bar, asked, m)| (bar, asked, m, true));
-    let short = short.chain(at_most.into_iter().map(|(bar, asked, m)| (bar, asked, m, false)));
-    let short = short.filter_map(|(bar, asked, measured, least)| {
-        let asked = asked?;
-        let holds = if least { measured >= asked } else { measured <= asked };
-        (!holds).then_some(UnmetExpectation { bar, asked, measured })
-    });
-    short.collect()
+    checks.into_iter().flatten().collect()
 }
--- /dev/null
+++ b/crates/testbed/src/audit/figures/recovery.rs
@@ -0,0 +1,42 @@
+//! How long service takes to recover from faults.
+
+use serde::Serialize;
+
+use super::timeline::{Second, service_of};
+use crate::experiment::Experiment;
+
+/// Service has recovered once two successive seconds reach this share of what it was before the faults.
+const RECOVERED_SHARE: f64 = 0.9;
+/// The first second is left out of the service before the faults: nodes learn in it.
+const LEARNING_S: usize = 1;
+
+/// How long after a fault's end service had recovered.
+#[derive(Clone, Debug, Serialize)]
+pub struct Recovery {
+    /// The fault's kind.
+    pub fault: String,
+    /// When the fault ended, in seconds of the run.
+    pub ended_s: f64,
+    /// Seconds from then to recovery; `None` where it did not come about by the end of the run.
+    pub after_s: Option<f64>,
+}
+
+pub(super) fn recoveries(experiment: &Experiment, seconds: &[Second]) -> Vec<Recovery> {
+    let faults = experiment.faults();
+    let Some(first) = faults.first() else { return Vec::new() };
+    let calm = seconds.get(LEARNING_S..first.at_s as usize).unwrap_or(&[]);
+    let threshold = RECOVERED_SHARE * service_of(calm);
+    // What lies past the end of the run counts as recovered.
+    let is_recovered = |n: usize| seconds.get(n).is_none_or(|second| second.service() >= threshold);
+    let mut recoveries = Vec::new();
+    for fault in &faults {
+        let from = fault.end_s().floor() as usize;
+        let recovered = (from..seconds.len()).find(|n| is_recovered(*n) && is_recovered(n + 1));
+        recoveries.push(Recovery {
+            fault: format!("{:?}", fault.kind),
+            ended_s: fault.end_s(),
+            after_s: recovered.map(|n| (n as f64 - fault.end_s()).max(0.0)),
+        });
+    }
+    recoveries
+}
--- /dev/null
+++ b/crates/testbed/src/audit/fleet/leases.rs
@@ -0,0 +1,251 @@
+//! The leases that nodes held, from the signed messages on the relay.
+//!
+//! A holder counts a lease's duration from when it sent the request. The relay received the request no earlier, so that
+//! the auditor counts each lease as held for at least as long as its holder does.
+
+use std::collections::BTreeMap;
+
+use crate::event_log::{EventLog, Member, RelayedMessage, Timestamp};
+use crate::experiment::LeasesForm;
+use crate::message_reference::{self, LeaseMessage, MessageKind, Resource};
+
+/// Leases count thousandths of a fetch from the origin.
+const ORIGIN_UNITS_PER_FETCH: f64 = 1e3;
+/// Leases count millionths of a second of work at a cache.
+const WORK_UNITS_PER_SECOND: f64 = 1e6;
+
+/// How long a grant is meant to last. Neither kind replaces a grant of the other.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Term {
+    Lease,
+    Allocation,
+}
+
+/// Grants for one key replace each other.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct GrantKey {
+    node: usize,
+    planner: usize,
+    resource: Resource,
+    term: Term,
+}
+
+/// A grant as its holder has it.
+struct Grant {
+    /// The holder's incarnation.
+    incarnation: u64,
+    requested: Timestamp,
+    /// When it was received.
+    from: Timestamp,
+    to: Timestamp,
+    amount: u32,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    node: usize,
+    planner: usize,
+    term: Term,
+    request: u64,
+}
+
+#[derive(Clone, Copy)]
+struct LeaseRequest {
+    at: Timestamp,
+    incarnation: u64,
+}
+
+/// What a planner granted with one message.
+struct Granted {
+    term: Term,
+    request: u64,
+    amounts: Vec<(Resource, u32)>,
+    duration_us: u32,
+}
+
+/// All grants of a run.
+#[derive(Default)]
+pub(super) struct LeaseHistory {
+    /// In the order in which they were received.
+    grants: BTreeMap<GrantKey, Vec<Grant>>,
+    requests: BTreeMap<RequestKey, LeaseRequest>,
+    /// The latest incarnation of each node.
+    incarnations: BTreeMap<usize, u64>,
+}
+
+/// The change of what is held of a resource at a time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Change {
+    at: Timestamp,
+    amount: i64,
+}
+
+impl LeaseHistory {
+    pub fn read(event_log: &EventLog) -> LeaseHistory {
+        let mut history = LeaseHistory::default();
+        let mut messages: Vec<&RelayedMessage> =
+            event_log.messages.iter().filter(|message| !message.corrupted).collect();
+        messages.sort_by_key(|message| message.received_at);
+        for message in messages {
+            history.on_message(&event_log.secret, message);
+        }
+        for grants in history.grants.values_mut() {
+            grants.sort_by_key(|grant| (grant.from, grant.requested));
+        }
+        history
+    }
+
+    pub fn grant_count(&self) -> usize {
+        self.grants.values().map(Vec::len).sum()
+    }
+
+    fn on_message(&mut self, secret: &[u8], message: &RelayedMessage) {
+        if let Member::Node(node) = message.from
+            && let Some(sender) = message_reference::decode_sender(secret, &message.bytes)
+        {
+            self.on_incarnation(node, sender.incarnation, message.received_at);
+        }
+        let decoded = message_reference::decode(secret, MessageKind::Leases, &message.bytes);
+        let Some((sender, lease)) = decoded else { return };
+        match (message.from, message.to) {
+            (Member::Node(node), Member::Planner(planner)) => {
+                let request = LeaseRequest { at: message.received_at, incarnation: sender.incarnation };
+                self.on_node_message(node, planner, request, &lease);
+            }
+            (Member::Planner(planner), Member::Node(node)) => {
+                if let Some(granted) = Granted::from_message(lease) {
+                    self.on_grant(node, planner, &granted, &message.forwarded_at);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// A node that starts again loses what its earlier incarnation held.
+    fn on_incarnation(&mut self, node: usize, incarnation: u64, at: Timestamp) {
+        let before = self.incarnations.insert(node, incarnation);
+        if before.is_none_or(|before| before >= incarnation) {
+            return;
+        }
+        for (key, grants) in &mut self.grants {
+            for grant in grants {
+                if key.node == node && grant.incarnation < incarnation {
+                    grant.to = grant.to.min(at);
+                }
+            }
+        }
+    }
+
+    fn on_node_message(&mut self, node: usize, planner: usize, sent: LeaseRequest, message: &LeaseMessage) {
+        let key = |term, request: &u64| RequestKey { node, planner, term, request: *request };
+        match message {
+            LeaseMessage::Request { request, .. } => {
+                self.requests.insert(key(Term::Lease, request), sent);
+            }
+            LeaseMessage::RequestAllocation { request, .. } => {
+                self.requests.insert(key(Term::Allocation, request), sent);
+            }
+            LeaseMessage::Return { request } => self.on_return(key(Term::Lease, request), sent.at),
+            LeaseMessage::ReturnAllocation { request } => {
+                self.on_return(key(Term::Allocation, request), sent.at);
+            }
+            LeaseMessage::Grant { .. } | LeaseMessage::Allocation { .. } => {}
+        }
+    }
+
+    /// Ends all grants for requests up to the returned one.
+    fn on_return(&mut self, returned: RequestKey, at: Timestamp) {
+        let Some(request) = self.requests.get(&returned) else { return };
+        for (key, grants) in &mut self.grants {
+            if key.node != returned.node || key.planner != returned.planner || key.term != returned.term {
+                continue;
+            }
+            for grant in grants {
+                if grant.requested <= request.at {
+                    grant.to = grant.to.min(at);
+                }
+            }
+        }
+    }
+
+    fn on_grant(&mut self, node: usize, planner: usize, granted: &Granted, received: &[Timestamp]) {
+        let term = granted.term;
+        // A node that starts again numbers its requests anew: the last one of the number is meant.
+        let key = RequestKey { node, planner, term, request: granted.request };
+        let Some(LeaseRequest { at: requested, incarnation }) = self.requests.get(&key).copied() else {
+            return;
+        };
+        let to = Timestamp(requested.0 + i64::from(granted.duration_us));
+        for from in received {
+            for (resource, amount) in &granted.amounts {
+                let key = GrantKey { node, planner, resource: *resource, term };
+                let grant = Grant { incarnation, requested, from: *from, to, amount: *amount };
+                self.grants.entry(key).or_default().push(grant);
+            }
+        }
+    }
+
+    /// The greatest sum of what was held at a moment and of the nodes' permanent reserve, over the resource's capacity.
+    pub fn max_leased_ratio(&self, form: &LeasesForm, nodes: usize) -> f64 {
+        let mut worst = 0.0_f64;
+        for (resource, mut changes) in self.changes() {
+            let capacity = match resource {
+                Resource::Origin => form.origin_per_s * ORIGIN_UNITS_PER_FETCH,
+                Resource::WarmingCache(_) => form.cold_work * WORK_UNITS_PER_SECOND,
+            };
+            // At one time, what ends counts before what begins.
+            changes.sort_unstable();
+            let mut held = 0;
+            let mut max_held = i64::MIN;
+            for change in &changes {
+                held += change.amount;
+                max_held = max_held.max(held);
+            }
+            let max_held = if changes.is_empty() { 0 } else { max_held };
+            let reserve = (capacity * form.reserve / nodes as f64).floor() * nodes as f64;
+            worst = worst.max((max_held as f64 + reserve) / capacity);
+        }
+        worst
+    }
+
+    fn changes(&self) -> BTreeMap<Resource, Vec<Change>> {
+        let mut changes: BTreeMap<Resource, Vec<Change>> = BTreeMap::new();
+        for (key, grants) in &self.grants {
+            let changes = changes.entry(key.resource).or_default();
+            let mut last_requested = None;
+            for (n, grant) in grants.iter().enumerate() {
+                // A duplicate, or a grant that arrives after a later one: the holder keeps the later one.
+                if last_requested.is_some_and(|last| last >= grant.requested) {
+                    continue;
+                }
+                last_requested = Some(grant.requested);
+                let replacement = grants[n + 1..].iter().find(|later| later.requested > grant.requested);
+                let to = replacement.map_or(grant.to, |later| later.from.min(grant.to));
+                if to > grant.from {
+                    let amount = i64::from(grant.amount);
+                    changes.push(Change { at: grant.from, amount });
+                    changes.push(Change { at: to, amount: -amount });
+                }
+            }
+        }
+        changes
+    }
+}
+
+impl Granted {
+    /// What a message grants; `None` for one that grants nothing.
+    fn from_message(message: LeaseMessage) -> Option<Granted> {
+        match message {
+            LeaseMessage::Grant { request, granted, duration } => {
+                Some(Granted { term: Term::Lease, request, amounts: granted, duration_us: duration })
+            }
+            LeaseMessage::Allocation { request, amount, duration } if duration > 0 => Some(Granted {
+                term: Term::Allocation,
+                request,
+                amounts: vec![(Resource::Origin, amount)],
+                duration_us: duration,
+            }),
+            _ => None,
+        }
+    }
+}
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,11 +1,15 @@
-//! Judges a run from its book alone.
+//! Judges a run from its event log alone.
+//!
+//! The audit has three parts: [`rules`] that hold for each run, figures that are measured, and the experiment's own
+//! expectations of those figures. It trusts nothing that the program under test says of itself, but for the signed
+//! messages that the relay saw.
 
+mod disconnects;
 mod expectations;
 mod figures;
 mod fleet;
-mod growth;
-mod leaving;
 mod rules;
+mod shard_growth;
 
 use serde::Serialize;
 
@@ -13,48 +17,54 @@
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
 
+pub use disconnects::DisconnectFigures;
 pub use expectations::UnmetExpectation;
 pub use figures::{Figures, Recovery, Second};
 pub use fleet::FleetFigures;
-pub use growth::GrowthFigures;
-pub use leaving::Leaving;
 pub use rules::{Rule, RuleViolation};
+pub use shard_growth::{PhaseChange, ShardGrowthFigures};
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Debug, Serialize)]
 pub struct AuditResult {
-    pub breaches: Vec<RuleViolation>,
-    pub shortfalls: Vec<UnmetExpectation>,
+    /// The rules that were broken.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<RuleViolation>,
+    /// The experiment's expectations that were not met.
+    #[serde(rename = "shortfalls")]
+    pub unmet_expectations: Vec<UnmetExpectation>,
+    /// What was measured.
     pub figures: Figures,
 }
 
 impl AuditResult {
+    /// Whether no rule was broken and each expectation was met.
     pub fn holds(&self) -> bool {
-        self.breaches.is_empty() && self.shortfalls.is_empty()
+        self.violations.is_empty() && self.unmet_expectations.is_empty()
     }
 }
 
-/// The whole judgement: the four rules, what was measured, and the experiment's bars.
-pub fn judge(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> AuditResult {
-    judge_beside(experiment, schedule, event_log, None)
+/// Checks the rules, measures the figures and compares them with the experiment's expectations.
+pub fn audit(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> AuditResult {
+    audit_against(experiment, schedule, event_log, None)
 }
 
-/// The same, beside what the service was on the same calls with nothing befalling planners and letters.
-pub fn judge_beside(
+/// The same as [`audit`], with the service of a run of the same requests without faults of planners and messages.
+pub fn audit_against(
     experiment: &Experiment,
     schedule: &Schedule,
     event_log: &EventLog,
-    undisturbed: Option<f64>,
+    undisturbed_service: Option<f64>,
 ) -> AuditResult {
     let mut figures = Figures::measure(experiment, schedule, event_log);
-    figures.fleet.loss = undisturbed.map(|service| service - figures.service);
-    let mut breaches = rules::check(experiment, event_log);
-    let mut shortfalls = expectations::hold(experiment, &figures);
-    if let Some(form) = &experiment.growth {
-        let (growth, found) = growth::judge(experiment, form, event_log);
-        breaches.extend(found);
-        shortfalls.extend(growth.hold(&form.expect));
-        figures.growth = Some(growth);
+    figures.fleet.service_loss = undisturbed_service.map(|service| service - figures.service);
+    let mut violations = rules::check(experiment, event_log);
+    let mut unmet_expectations = expectations::unmet(experiment, &figures);
+    if let Some(growth) = &experiment.growth {
+        let audited = shard_growth::audit(experiment, growth, event_log);
+        violations.extend(audited.violations);
+        unmet_expectations.extend(audited.figures.unmet(&growth.expect));
+        figures.shard_growth = Some(audited.figures);
     }
-    AuditResult { breaches, shortfalls, figures }
+    AuditResult { violations, unmet_expectations, figures }
 }
--- /dev/null
+++ b/crates/testbed/src/audit/rules/draining.rs
@@ -0,0 +1,72 @@
+//! Nothing new is sent to a draining or removed cache after the grace period.
+
+use std::collections::{BTreeMap, HashMap};
+
+use super::index::RunIndex;
+use super::{DRAIN_GRACE_MS, Findings, Rule, TOLERANCE_MS};
+use crate::event_log::{EndpointState, EventLog, NodeId, ServerAttempt, ServerId, Timestamp};
+
+/// The attempts of a node at a cache while it knew the cache as draining or removed.
+pub(in crate::audit) struct Drain<'a> {
+    pub node: NodeId,
+    pub server: ServerId,
+    /// When the node was notified.
+    pub notified: Timestamp,
+    pub attempts: Vec<&'a ServerAttempt>,
+}
+
+pub(super) fn check(index: &RunIndex<'_>, findings: &mut Findings) {
+    let max_delay_ms = DRAIN_GRACE_MS + TOLERANCE_MS + index.link_delay_ms;
+    for drain in drains(index.event_log) {
+        for attempt in &drain.attempts {
+            let delay_ms = attempt.arrived.ms_since(drain.notified);
+            if delay_ms > max_delay_ms && !index.was_cut_off(attempt) {
+                let name = &index.event_log.servers[drain.server.0].name;
+                let example = format!("node {} to {name}, {delay_ms:.0} ms after", drain.node.0);
+                findings.add(Rule::Draining, "a new shot to a draining or gone cache", example);
+            }
+        }
+    }
+}
+
+/// When a node knew a cache as draining or removed; `to` is when it was listed as ready again.
+struct DrainPeriod {
+    from: Timestamp,
+    to: Timestamp,
+}
+
+/// All drains of a run, by node and server.
+pub(in crate::audit) fn drains(event_log: &EventLog) -> Vec<Drain<'_>> {
+    let mut attempts: HashMap<(NodeId, ServerId), Vec<&ServerAttempt>> = HashMap::new();
+    for attempt in &event_log.server_attempts {
+        attempts.entry((attempt.node, attempt.server)).or_default().push(attempt);
+    }
+    let mut drains = Vec::new();
+    for ((node, server), periods) in drain_periods(event_log) {
+        let attempts = attempts.get(&(node, server)).map_or(&[][..], Vec::as_slice);
+        for DrainPeriod { from, to } in periods {
+            let within = |attempt: &&&ServerAttempt| attempt.arrived > from && attempt.arrived <= to;
+            let attempts = attempts.iter().filter(within).copied().collect();
+            drains.push(Drain { node, server, notified: from, attempts });
+        }
+    }
+    drains
+}
+
+fn drain_periods(event_log: &EventLog) -> BTreeMap<(NodeId, ServerId), Vec<DrainPeriod>> {
+    let mut notifications: Vec<_> = event_log.endpoint_notifications.iter().collect();
+    notifications.sort_by_key(|notification| notification.at);
+    let mut periods: BTreeMap<(NodeId, ServerId), Vec<DrainPeriod>> = BTreeMap::new();
+    for notification in notifications {
+        let known = periods.entry((notification.node, notification.server)).or_default();
+        let open = known.last_mut().filter(|period| period.to == Timestamp::MAX);
+        match (notification.state, open) {
+            (EndpointState::Ready, Some(period)) => period.to = notification.at,
+            (EndpointState::Draining | EndpointState::Removed, None) => {
+                known.push(DrainPeriod { from: notification.at, to: Timestamp::MAX });
+            }
+            _ => {}
+        }
+    }
+    periods
+}
--- /dev/null
+++ b/crates/testbed/src/audit/shard_growth/mod.rs
@@ -0,0 +1,200 @@
+//! How shards were split, from the messages on the relay and the servers' records.
+//!
+//! It is judged with [`crate::shard_map_reference`] alone: no code of the program decides what a shard map means here.
+
+mod map_history;
+mod phases;
+mod reads;
+
+use std::fmt;
+
+use serde::{Serialize, Serializer};
+
+use super::expectations::{UnmetExpectation, at_least, at_most};
+use super::rules::{Findings, RuleViolation};
+use crate::event_log::{Event, EventLog};
+use crate::experiment::{Experiment, GrowthExpect, GrowthForm};
+use crate::shard_map_reference::{Placement, ShardState, SplitPhase};
+use map_history::MapHistory;
+
+/// A node need not have reported a shard map that was first sent this shortly before the end of the run.
+const REPORT_DELAY_S: f64 = 3.0;
+
+/// A change of a shard's state. It is serialized as a triple.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PhaseChange {
+    /// When the new state was first sent, in seconds of the run.
+    pub at_s: f64,
+    /// The shard.
+    pub shard: u8,
+    /// Its new state.
+    pub state: ShardState,
+}
+
+impl Serialize for PhaseChange {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.at_s, self.shard, self.state).serialize(serializer)
+    }
+}
+
+/// What was measured of splits. Reports keep the former names of fields.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct ShardGrowthFigures {
+    /// Versions of the shard map that were sent to nodes.
+    #[serde(rename = "forms")]
+    pub maps: usize,
+    /// All changes of shards, in order.
+    #[serde(rename = "steps")]
+    pub phase_changes: Vec<PhaseChange>,
+    /// Splits that were completed.
+    #[serde(rename = "settled")]
+    pub completed: usize,
+    /// Splits that were abandoned.
+    pub withdrawn: usize,
+    /// Steps forward while the origin was slow for long enough to be known.
+    #[serde(rename = "steps_while_slow")]
+    pub advances_while_slow: usize,
+    /// Planners that were killed.
+    pub kills: usize,
+    /// The shards' states at each kill.
+    #[serde(rename = "killed_at")]
+    pub states_at_kills: Vec<ShardState>,
+    /// Kills during which another planner sent the next shard map.
+    #[serde(rename = "gone_on")]
+    pub taken_over: usize,
+    /// Reads that missed at the new place in the dual-read phase.
+    pub missed: usize,
+    /// Of these, reads that the old place answered.
+    #[serde(rename = "spared")]
+    pub answered_by_old: usize,
+    /// Of the missed ones, reads that went to the origin.
+    pub at_origin: usize,
+    /// Of these, reads that went to the old place first.
+    pub old_first: usize,
+    /// Reads at nodes with an older shard map, of keys that the newest one places elsewhere.
+    #[serde(rename = "behind")]
+    pub reads_by_older_map: usize,
+    /// Of these, reads that the origin answered.
+    #[serde(rename = "behind_at_origin")]
+    pub older_map_at_origin: usize,
+    /// Reads at nodes with the newest shard map, of keys that have moved.
+    #[serde(rename = "moved")]
+    pub reads_of_moved: usize,
+    /// Of these, reads that the origin answered.
+    #[serde(rename = "moved_at_origin")]
+    pub moved_at_origin: usize,
+    /// Faults that never began, because the phase that they wait for did not.
+    pub faults_missing: usize,
+    /// Nodes that did not end with the last shard map.
+    pub nodes_behind: usize,
+}
+
+impl fmt::Display for ShardGrowthFigures {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} maps, {} completed, {} withdrawn; {} of {} kills taken over, {} advances while slow; dual read: \
+             {} missed, {} answered by the old place, {} at the origin, {} of them after the old place; by an older \
+             map {} reads, {} at the origin, by the newest {}, {}; {} nodes behind at the end",
+            self.maps,
+            self.completed,
+            self.withdrawn,
+            self.taken_over,
+            self.kills,
+            self.advances_while_slow,
+            self.missed,
+            self.answered_by_old,
+            self.at_origin,
+            self.old_first,
+            self.reads_by_older_map,
+            self.older_map_at_origin,
+            self.reads_of_moved,
+            self.moved_at_origin,
+            self.nodes_behind
+        )?;
+        for state in &self.states_at_kills {
+            write!(f, "\n        killed at {:?} after {} splits", state.phase, state.bits)?;
+        }
+        self.fmt_phase_changes(f)
+    }
+}
+
+impl ShardGrowthFigures {
+    fn fmt_phase_changes(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let mut last = None;
+        for change in &self.phase_changes {
+            // Of copying, the first step stands for all.
+            let is_later_copy = matches!(change.state.phase, Some(SplitPhase::Copying(n)) if n > 1);
+            let current = (change.shard, change.state);
+            if !is_later_copy && last != Some(current) {
+                write!(f, "\n        {:.2} s: shard {} ", change.at_s, change.shard)?;
+                match change.state.phase {
+                    Some(phase) => write!(f, "{phase:?}")?,
+                    None => write!(f, "{} bits", change.state.bits)?,
+                }
+            }
+            last = Some(current);
+        }
+        Ok(())
+    }
+
+    /// The expectations that are not met. Two bounds hold for each experiment: all faults begin, and no node ends with an
+    /// older shard map.
+    pub(super) fn unmet(&self, expect: &GrowthExpect) -> Vec<UnmetExpectation> {
+        let count = |bound: Option<usize>| bound.map(|bound| bound as f64);
+        let old_first_share =
+            if self.at_origin > 0 { self.old_first as f64 / self.at_origin as f64 } else { 1.0 };
+        let advances_while_slow = self.advances_while_slow as f64;
+        let checks = [
+            at_least("growth.expect.settled", count(expect.settled), self.completed as f64),
+            at_least("growth.expect.given_up", count(expect.given_up), self.withdrawn as f64),
+            at_least("growth.expect.gone_on", count(expect.gone_on), self.taken_over as f64),
+            at_least("growth.expect.old_first", expect.old_first, old_first_share),
+            at_least("growth.expect.behind", count(expect.behind), self.reads_by_older_map as f64),
+            at_most("growth.expect.withdrawn", count(expect.withdrawn), self.withdrawn as f64),
+            at_most("growth.expect.steps_while_slow", count(expect.steps_while_slow), advances_while_slow),
+            at_most("growth: faults that never came about", Some(0.0), self.faults_missing as f64),
+            at_most("growth: nodes without the last form", Some(0.0), self.nodes_behind as f64),
+        ];
+        checks.into_iter().flatten().collect()
+    }
+}
+
+/// The outcome of the audit of splits.
+pub(super) struct ShardGrowthAudit {
+    pub figures: ShardGrowthFigures,
+    pub violations: Vec<RuleViolation>,
+}
+
+/// Measures splits and checks the rule about them.
+pub(super) fn audit(experiment: &Experiment, growth: &GrowthForm, event_log: &EventLog) -> ShardGrowthAudit {
+    let mut findings = Findings::default();
+    let history = MapHistory::read(event_log, &mut findings);
+    let caches = event_log.servers.iter().filter(|server| server.slot.is_some());
+    let placement = Placement::new(caches.map(|server| server.name.as_str()));
+    let mut figures = ShardGrowthFigures { maps: history.first_sent.len(), ..ShardGrowthFigures::default() };
+    phases::check_phases(&history, &placement, &mut figures, &mut findings);
+    phases::measure_kills(&history, event_log, &mut figures);
+    figures.advances_while_slow = phases::advances_while_slow(&history, event_log);
+    reads::measure(experiment, growth, event_log, &history, &placement, &mut figures);
+    figures.faults_missing = faults_missing(experiment, event_log);
+    figures.nodes_behind = nodes_behind(experiment, &history);
+    ShardGrowthAudit { figures, violations: findings.into_violations() }
+}
+
+fn faults_missing(experiment: &Experiment, event_log: &EventLog) -> usize {
+    let began = event_log.events.iter().filter(|timed| matches!(timed.event, Event::FaultBegan { .. }));
+    experiment.faults().len().saturating_sub(began.count())
+}
+
+fn nodes_behind(experiment: &Experiment, history: &MapHistory) -> usize {
+    let Some((last_version, last)) = history.first_sent.last_key_value() else { return 0 };
+    if last.at.seconds() + REPORT_DELAY_S >= experiment.seconds {
+        return 0;
+    }
+    let is_behind = |node: &usize| history.reported_version(*node) != Some(*last_version);
+    (0..experiment.begins_with()).filter(is_behind).count()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -231,7 +231,8 @@
     let mut done = Vec::new();
     for experiment in &experiments {
         let seeds = options.seed.map_or_else(|| experiment.seeds.clone(), |s| vec![s]);
-        let comparison = comparison::compare(experiment, &seeds, options.repeat, [&a, &b])?;
+        let comparison = comparison::compare(experiment, &seeds, options.repeat, [&a, &b])
+            .map_err(|error| error.to_string())?;
         println!("{comparison}");
         done.push(comparison);
     }
@@ -239,7 +240,7 @@
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         write(&folder.join("comparison.json"), &serde_json::json!(done))?;
     }
-    let broken = done.iter().any(|c| c.breaches[1] > 0);
+    let broken = done.iter().any(|c| c.violations[1] > 0);
     Ok(if broken { Ended::FellShort } else { Ended::Held })
 }
 
@@ -254,7 +255,7 @@
     let played = run_result::play_schedule(&experiment, &schedule, seed, &node)?;
     let text = recordings::record(&experiment, &schedule, &played.event_log);
     std::fs::write(out, &text).map_err(|e| format!("{}: {e}", out.display()))?;
-    let repeats = played.event_log.tries.len() - schedule.calls.len();
+    let repeats = played.event_log.client_attempts.len() - schedule.calls.len();
     println!("{}: {} calls and {repeats} repeats of clients", out.display(), schedule.calls.len());
     Ok(Ended::Held)
 }
@@ -269,7 +270,10 @@
     println!("{}", report::summary(&format!("{} replayed", experiment.name), &played.verdict));
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-replayed", experiment.name));
-        report::write(&file, &experiment, seed, &played, options.event_log)?;
+        report::write(&file, &experiment, seed, &played).map_err(|error| error.to_string())?;
+        if options.event_log {
+            report::write_event_log(&file, &played).map_err(|error| error.to_string())?;
+        }
     }
     Ok(if played.verdict.holds() { Ended::Held } else { Ended::FellShort })
 }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,5 +1,6 @@
-//! Plays the same schedules on two builds, in turn, and says in what they differ.
+//! Plays the same schedules on two builds and measures the difference.
 
+use std::fmt;
 use std::path::Path;
 
 use serde::Serialize;
@@ -7,119 +8,219 @@
 use crate::audit::AuditResult;
 use crate::experiment::Experiment;
 use crate::run_result::{ON_TIME_MS, RunResult, play};
-use crate::stats::{Interval, difference_of_ratios};
+use crate::stats::{Interval, PairedBlock, Ratio, difference_of_ratios};
 
-/// Seconds that are drawn together: a fault's effect spans more than one.
-const BLOCK: usize = 2;
-/// A pair in which the rig was late is played again so often.
-const AGAIN: usize = 3;
+/// Seconds that are resampled together: a fault's effect spans more than one.
+const BLOCK_SECONDS: usize = 2;
+/// How often a run is played before the testbed counts as too slow.
+const MAX_PLAYS: usize = 3;
+/// Seconds after the last fault that still count as affected by faults.
+const AFTERMATH_S: f64 = 5.0;
+/// The seed of the bootstrap.
+const BOOTSTRAP_SEED: u64 = 1;
 
-/// What a comparison came to, the second build less the first.
+/// Why builds could not be compared.
+#[derive(Debug)]
+pub enum CompareError {
+    /// A run can't be played.
+    Play(String),
+    /// The testbed began requests too late, each time that a run was played.
+    TestbedLate {
+        /// The experiment's name.
+        experiment: String,
+        /// The run's seed.
+        seed: u64,
+    },
+}
+
+impl fmt::Display for CompareError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CompareError::Play(error) => f.write_str(error),
+            CompareError::TestbedLate { experiment, seed } => write!(
+                f,
+                "{experiment} seed {seed}: the testbed was late {MAX_PLAYS} times: this machine is too busy"
+            ),
+        }
+    }
+}
+
+impl std::error::Error for CompareError {}
+
+/// The result of a comparison: pairs are the baseline's and the candidate's figures, in this order.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
+    /// The experiment's name.
     pub experiment: String,
+    /// How many pairs of runs were played.
     pub pairs: usize,
-    /// Service of each, over all pairs.
+    /// The mean service of each build.
     pub service: [f64; 2],
+    /// The candidate's service less the baseline's.
     pub difference: Option<Interval>,
-    /// The same over the seconds from the first fault's beginning to 5 s past the last one's end.
-    pub in_trouble: Option<Interval>,
-    /// Errored and lost tries over all, of each.
+    /// The same from the beginning of the first fault until shortly after the last one's end.
+    #[serde(rename = "in_trouble")]
+    pub difference_during_faults: Option<Interval>,
+    /// The share of errored and lost attempts of each.
     pub failed: [f64; 2],
-    /// The longest recovery of each; none where one was not back.
+    /// The longest recovery of each; `None` where one did not come about.
     pub recovery_s: [Option<f64>; 2],
-    /// Broken rules of each, over all pairs.
-    pub breaches: [usize; 2],
-    pub cpu_us_a_call: [f64; 2],
+    /// Violations of rules by each, over all pairs.
+    #[serde(rename = "breaches")]
+    pub violations: [usize; 2],
+    /// Microseconds of a core for each client attempt.
+    #[serde(rename = "cpu_us_a_call")]
+    pub cpu_us_per_attempt: [f64; 2],
+}
+
+/// The results of one seed on both builds.
+struct Pair {
+    baseline: AuditResult,
+    candidate: AuditResult,
 }
 
-/// Plays every seed of an experiment `repeat` times on both.
+/// Plays each seed of an experiment `repeat` times on both builds, the baseline's first.
 ///
 /// # Errors
-/// Where a run can't be played, or the rig is late time and again.
+/// Where a run can't be played, or the testbed is late time and again.
 pub fn compare(
     experiment: &Experiment,
     seeds: &[u64],
     repeat: usize,
-    nodes: [&Path; 2],
-) -> Result<Comparison, String> {
-    let mut pairs: Vec<[AuditResult; 2]> = Vec::new();
-    for (n, seed) in seeds.iter().flat_map(|s| std::iter::repeat_n(*s, repeat.max(1))).enumerate() {
-        // Which goes first changes, lest a drift of the machine's favour one.
-        let (first, second) = (n % 2, 1 - n % 2);
-        let a = on_time(experiment, seed, nodes[first])?.verdict;
-        let b = on_time(experiment, seed, nodes[second])?.verdict;
-        pairs.push(if first == 0 { [a, b] } else { [b, a] });
+    builds: [&Path; 2],
+) -> Result<Comparison, CompareError> {
+    let [baseline, candidate] = builds;
+    let mut pairs = Vec::new();
+    for seed in seeds {
+        for _ in 0..repeat.max(1) {
+            // The order alternates, so that a drift of the machine favours neither build.
+            let pair = if pairs.len() % 2 == 0 {
+                let baseline = play_on_time(experiment, *seed, baseline)?.verdict;
+                let candidate = play_on_time(experiment, *seed, candidate)?.verdict;
+                Pair { baseline, candidate }
+            } else {
+                let candidate = play_on_time(experiment, *seed, candidate)?.verdict;
+                let baseline = play_on_time(experiment, *seed, baseline)?.verdict;
+                Pair { baseline, candidate }
+            };
+            pairs.push(pair);
+        }
     }
-    Ok(summed(experiment, &pairs))
+    Ok(summarize(experiment, &pairs))
 }
 
-fn on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, String> {
-    for _ in 0..AGAIN {
-        let played = play(experiment, seed, node)?;
-        if played.verdict.figures.rig_late_ms <= ON_TIME_MS {
-            return Ok(played);
+fn play_on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, CompareError> {
+    for _ in 0..MAX_PLAYS {
+        let result = play(experiment, seed, node).map_err(CompareError::Play)?;
+        if result.verdict.figures.harness_late_ms <= ON_TIME_MS {
+            return Ok(result);
         }
     }
-    Err(format!("{} seed {seed}: the rig was late {AGAIN} times: this machine is too busy", experiment.name))
+    Err(CompareError::TestbedLate { experiment: experiment.name.clone(), seed })
 }
 
-fn summed(experiment: &Experiment, pairs: &[[AuditResult; 2]]) -> Comparison {
+fn summarize(experiment: &Experiment, pairs: &[Pair]) -> Comparison {
     let faults = experiment.faults();
-    let from = faults.iter().map(|f| f.at_s).fold(f64::INFINITY, f64::min);
-    let to = faults.iter().map(|f| f.end_s() + 5.0).fold(0.0, f64::max);
-    let blocks = |within: &dyn Fn(f64) -> bool| -> Vec<[(f64, f64); 2]> {
-        let mut blocks = Vec::new();
-        for pair in pairs {
-            let count = pair[0].figures.seconds.len();
-            for start in (0..count).step_by(BLOCK).filter(|s| within(*s as f64)) {
-                blocks.push([0, 1].map(|side: usize| {
-                    let part = pair[side].figures.seconds.iter().skip(start).take(BLOCK);
-                    part.fold((0.0, 0.0), |sum, s| (sum.0 + s.served, sum.1 + s.asked))
-                }));
-            }
-        }
-        blocks
-    };
-    let of = |figure: &dyn Fn(&AuditResult) -> f64| {
-        [0, 1].map(|s: usize| pairs.iter().map(|p| figure(&p[s])).sum())
-    };
-    let mean =
-        |figure: &dyn Fn(&AuditResult) -> f64| of(figure).map(|sum: f64| sum / pairs.len().max(1) as f64);
-    let recovery = |side: usize| {
-        pairs.iter().try_fold(0.0, |most: f64, p| Some(most.max(p[side].figures.longest_recovery()?)))
-    };
-    let failed =
-        |v: &AuditResult| (v.figures.errored + v.figures.lost) as f64 / v.figures.tries.max(1) as f64;
+    let from_s = faults.iter().map(|fault| fault.at_s).fold(f64::INFINITY, f64::min).floor();
+    let to_s = faults.iter().map(|fault| fault.end_s() + AFTERMATH_S).fold(0.0, f64::max);
+    let all_blocks = paired_blocks(pairs, |_| true);
+    let fault_blocks = paired_blocks(pairs, |second| second >= from_s && second < to_s);
     Comparison {
         experiment: experiment.name.clone(),
         pairs: pairs.len(),
-        service: mean(&|v| v.figures.service),
-        difference: difference_of_ratios(&blocks(&|_| true), 1),
-        in_trouble: difference_of_ratios(&blocks(&|s| s >= from.floor() && s < to), 1),
-        failed: mean(&failed),
-        recovery_s: [recovery(0), recovery(1)],
-        breaches: of(&|v| v.breaches.iter().map(|b| b.count).sum::<usize>() as f64).map(|n| n as usize),
-        cpu_us_a_call: mean(&|v| v.figures.cpu_us_a_call),
+        service: means(pairs, |result| result.figures.service),
+        difference: difference_of_ratios(&all_blocks, BOOTSTRAP_SEED),
+        difference_during_faults: difference_of_ratios(&fault_blocks, BOOTSTRAP_SEED),
+        failed: means(pairs, failed_share),
+        recovery_s: [
+            longest_recovery(pairs.iter().map(|pair| &pair.baseline)),
+            longest_recovery(pairs.iter().map(|pair| &pair.candidate)),
+        ],
+        violations: [
+            pairs.iter().map(|pair| violation_count(&pair.baseline)).sum(),
+            pairs.iter().map(|pair| violation_count(&pair.candidate)).sum(),
+        ],
+        cpu_us_per_attempt: means(pairs, |result| result.figures.cpu_us_per_attempt),
+    }
+}
+
+/// The blocks of all pairs whose first second is selected.
+fn paired_blocks(pairs: &[Pair], is_selected: impl Fn(f64) -> bool) -> Vec<PairedBlock> {
+    let mut blocks = Vec::new();
+    for pair in pairs {
+        for start in (0..pair.baseline.figures.seconds.len()).step_by(BLOCK_SECONDS) {
+            if is_selected(start as f64) {
+                blocks.push(PairedBlock {
+                    baseline: service_in_block(&pair.baseline, start),
+                    candidate: service_in_block(&pair.candidate, start),
+                });
+            }
+        }
+    }
+    blocks
+}
+
+fn service_in_block(result: &AuditResult, start: usize) -> Ratio {
+    let mut service = Ratio::default();
+    for second in result.figures.seconds.iter().skip(start).take(BLOCK_SECONDS) {
+        service.add(Ratio { numerator: second.served, denominator: second.requested });
+    }
+    service
+}
+
+fn means(pairs: &[Pair], figure: impl Fn(&AuditResult) -> f64) -> [f64; 2] {
+    let count = pairs.len().max(1) as f64;
+    let baseline: f64 = pairs.iter().map(|pair| figure(&pair.baseline)).sum();
+    let candidate: f64 = pairs.iter().map(|pair| figure(&pair.candidate)).sum();
+    [baseline / count, candidate / count]
+}
+
+fn failed_share(result: &AuditResult) -> f64 {
+    let figures = &result.figures;
+    (figures.errored + figures.lost) as f64 / figures.attempts.max(1) as f64
+}
+
+fn longest_recovery<'a>(results: impl Iterator<Item = &'a AuditResult>) -> Option<f64> {
+    let mut longest = 0.0_f64;
+    for result in results {
+        longest = longest.max(result.figures.longest_recovery()?);
+    }
+    Some(longest)
+}
+
+fn violation_count(result: &AuditResult) -> usize {
+    result.violations.iter().map(|violation| violation.count).sum()
+}
+
+fn format_interval(interval: Option<Interval>) -> String {
+    match interval {
+        Some(Interval { mean, low, high }) => format!("{mean:+.4} ({low:+.4} to {high:+.4})"),
+        None => "-".into(),
+    }
+}
+
+fn format_recovery(seconds: Option<f64>) -> String {
+    match seconds {
+        Some(seconds) => format!("{seconds:.1} s"),
+        None => "never".into(),
     }
 }
 
-impl std::fmt::Display for Comparison {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Comparison { experiment, pairs, service: [a, b], failed, breaches, cpu_us_a_call: cpu, .. } =
-            self;
-        let interval = |i: &Option<Interval>| match i {
-            Some(i) => format!("{:+.4} ({:+.4} to {:+.4})", i.mean, i.low, i.high),
-            None => "-".into(),
-        };
-        let back = |s: Option<f64>| s.map_or("never".into(), |s| format!("{s:.1} s"));
-        let [back_a, back_b] = self.recovery_s.map(back);
-        writeln!(f, "{experiment}, {pairs} pairs: A, B, and B less A with the interval of 95 in 100")?;
-        writeln!(f, "    service       {a:.4}  {b:.4}  {}", interval(&self.difference))?;
-        writeln!(f, "    in trouble                    {}", interval(&self.in_trouble))?;
-        writeln!(f, "    errored, lost {:.4}  {:.4}", failed[0], failed[1])?;
-        writeln!(f, "    back after    {back_a}  {back_b}")?;
-        writeln!(f, "    rules broken  {}  {}", breaches[0], breaches[1])?;
-        write!(f, "    core a call   {:.0} us  {:.0} us", cpu[0], cpu[1])
+impl fmt::Display for Comparison {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let [service_a, service_b] = self.service;
+        let [failed_a, failed_b] = self.failed;
+        let [recovery_a, recovery_b] = self.recovery_s.map(format_recovery);
+        let [violations_a, violations_b] = self.violations;
+        let [cpu_a, cpu_b] = self.cpu_us_per_attempt;
+        let difference = format_interval(self.difference);
+        let during_faults = format_interval(self.difference_during_faults);
+        writeln!(f, "{}, {} pairs: A, B, and B less A with its 95% interval", self.experiment, self.pairs)?;
+        writeln!(f, "    service        {service_a:.4}  {service_b:.4}  {difference}")?;
+        writeln!(f, "    during faults                  {during_faults}")?;
+        writeln!(f, "    errored, lost  {failed_a:.4}  {failed_b:.4}")?;
+        writeln!(f, "    recovery       {recovery_a}  {recovery_b}")?;
+        writeln!(f, "    violations     {violations_a}  {violations_b}")?;
+        write!(f, "    CPU an attempt {cpu_a:.0} us  {cpu_b:.0} us")
     }
 }
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -182,11 +182,11 @@
 /// What a timeline broke: the kinds of breaches, and the sum of leases.
 pub fn broke(verdict: &AuditResult) -> Vec<String> {
     let mut broke: Vec<String> = verdict
-        .breaches
+        .violations
         .iter()
         .map(|b| format!("{} ({} times): {}", b.kind, b.count, b.examples.join("; ")))
         .collect();
-    let sums = verdict.shortfalls.iter().filter(|s| s.bar == "leases");
+    let sums = verdict.unmet_expectations.iter().filter(|s| s.expectation == "leases");
     broke.extend(sums.map(|s| format!("leases: {:.3} of the whole", s.measured)));
     broke
 }
@@ -200,7 +200,7 @@
     for _ in 0..=AGAIN {
         let verdict = run_result::play(&experiment, timeline.seed, node)?.verdict;
         let figures = &verdict.figures;
-        if figures.rig_late_ms <= LATE_MS && figures.rig_stalled_ms <= STALLED_MS {
+        if figures.harness_late_ms <= LATE_MS && figures.harness_stall_ms <= STALLED_MS {
             return Ok(verdict);
         }
     }
@@ -265,8 +265,8 @@
         if broken.is_empty() { "held" } else { "BROKE" },
         timeline.faults.len(),
         f.service,
-        f.fleet.leases,
-        f.rig_late_ms
+        f.fleet.leased_ratio,
+        f.harness_late_ms
     );
     let Some(first) = broken.first() else { return Ended::Held };
     broken.iter().for_each(|b| println!("    {b}"));
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -37,16 +37,16 @@
 /// The recording of a run, in order of time.
 pub fn record(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> String {
     let mut lines: Vec<Line> = Vec::new();
-    for t in &event_log.tries {
-        let call = schedule.call(t.call);
+    for t in &event_log.client_attempts {
+        let call = schedule.call(t.request);
         lines.push(Line {
             // A first try came when it was due; the rig's lateness is no part of the traffic.
-            at_us: if t.nth == 0 { t.due.0 } else { t.sent.0 },
+            at_us: if t.number == 0 { t.due.0 } else { t.sent.0 },
             node: call.node,
             product: experiment.product[call.product].name.clone(),
             key: call.key,
             tenant: call.tenant.map(|n| experiment.load.tenants[n].clone()),
-            repeat: t.nth > 0,
+            repeat: t.number > 0,
             once: call.once,
             heeds: call.heeds,
             repeats_us: call.repeats_us.clone(),
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,104 +1,153 @@
-//! What came of a run, for people and programs.
+//! Reports of a run, for people and programs: a summary as text, a JSON file, a page, and the event log.
 
 mod page;
 mod plots;
 
-use std::path::Path;
+use std::fmt;
+use std::path::{Path, PathBuf};
 
 use serde_json::json;
 
-use crate::audit::AuditResult;
+use crate::audit::{AuditResult, Figures};
 use crate::experiment::Experiment;
 use crate::run_result::RunResult;
 
-/// A line, and one more for each thing that did not hold.
-pub fn summary(name: &str, verdict: &AuditResult) -> String {
-    let f = &verdict.figures;
-    let word = if verdict.holds() { "held" } else { "FELL SHORT" };
-    let recovery = match (f.recoveries.is_empty(), f.longest_recovery()) {
-        (true, _) => "-".into(),
-        (false, Some(s)) => format!("{s:.1} s"),
-        (false, None) => "never".into(),
-    };
-    let mut text = format!(
-        "{name}: {word}; service {:.4}, {} calls, {} rate-limited, {} errored, {} lost, p50 {:.1} ms, p99 {:.1} ms, \
-         back after {recovery}, max/mean {:.2}, origin {:.2}, {:.0} us a call",
-        f.service,
-        f.calls,
-        f.rate_limited,
-        f.errored,
-        f.lost,
-        f.p50_ms,
-        f.p99_ms,
-        f.max_over_mean,
-        f.origin_fetches,
-        f.cpu_us_a_call
-    );
-    if f.leaving.left > 0 {
-        let l = f.leaving;
-        text += &format!(
-            "\n    clients left {} tries, {} before a first attempt, {} sent on late for them",
-            l.left, l.waited, l.sent_late
-        );
+pub use plots::PlotError;
+
+/// Why a report could not be written.
+#[derive(Debug)]
+pub enum ReportError {
+    /// A file or folder can't be written.
+    Write { path: PathBuf, error: std::io::Error },
+    /// A plot of the page can't be drawn.
+    Plot(PlotError),
+}
+
+impl fmt::Display for ReportError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReportError::Write { path, error } => write!(f, "{}: {error}", path.display()),
+            ReportError::Plot(error) => write!(f, "a plot: {error}"),
+        }
     }
-    if f.fleet.letters > 0 {
-        let fleet = &f.fleet;
+}
+
+impl std::error::Error for ReportError {}
+
+impl From<PlotError> for ReportError {
+    fn from(error: PlotError) -> ReportError {
+        ReportError::Plot(error)
+    }
+}
+
+/// One line for a run, and one more for each violation and unmet expectation.
+pub fn summary(name: &str, result: &AuditResult) -> String {
+    let figures = &result.figures;
+    let mut text = format!("{name}: {}", overview(result));
+    if figures.disconnects.disconnected > 0 {
+        let disconnects = &figures.disconnects;
         text += &format!(
-            "\n    together: {} letters ({} lost, {} changed), {:.0} bytes/s, {} grants, leases {:.3} of the whole, \
-             origin {:.3}, cold {:.3}; {:.2} trials/s at a sick cache; fairness {:.4}, step {:.4}, loss {}",
-            fleet.letters,
-            fleet.letters_lost,
-            fleet.letters_changed,
-            fleet.bytes_per_s,
-            fleet.grants,
-            fleet.leases,
-            fleet.origin_over_whole,
-            fleet.cold_over_whole,
-            fleet.sick_trials,
-            fleet.fairness,
-            fleet.step,
-            fleet.loss.map_or("-".into(), |l| format!("{l:.4}")),
+            "\n    clients disconnected in {} attempts, {} of them before anything was sent upstream; {} sent late",
+            disconnects.disconnected, disconnects.waiting, disconnects.sent_late
         );
     }
-    if let Some(growth) = &f.growth {
-        text += &format!("\n    growth: {growth}");
+    if figures.fleet.messages > 0 {
+        text += &format!("\n    {}", fleet_overview(figures));
     }
-    for breach in &verdict.breaches {
-        text += &format!("\n    rule {:?} broken: {} ({} times)", breach.rule, breach.kind, breach.count);
-        text += &format!(": {}", breach.examples.join("; "));
+    if let Some(growth) = &figures.shard_growth {
+        text += &format!("\n    shard growth: {growth}");
+    }
+    for violation in &result.violations {
+        text += &format!(
+            "\n    rule {:?} broken: {} ({} times): {}",
+            violation.rule,
+            violation.kind,
+            violation.count,
+            violation.examples.join("; ")
+        );
     }
-    for short in &verdict.shortfalls {
-        text += &format!("\n    {}: {:.3}, asked {:.3}", short.bar, short.measured, short.asked);
+    for unmet in &result.unmet_expectations {
+        text += &format!("\n    {}: {:.3}, expected {:.3}", unmet.expectation, unmet.measured, unmet.bound);
     }
     text
 }
 
-/// Writes a run's report beside `file`, with endings of its own.
+fn overview(result: &AuditResult) -> String {
+    let figures = &result.figures;
+    let outcome = if result.holds() { "passed" } else { "FAILED" };
+    let recovery = match figures.longest_recovery() {
+        _ if figures.recoveries.is_empty() => "-".into(),
+        Some(seconds) => format!("{seconds:.1} s"),
+        None => "never".into(),
+    };
+    format!(
+        "{outcome}; service {:.4}, {} requests, {} rate-limited, {} errored, {} lost, p50 {:.1} ms, p99 {:.1} ms, \
+         recovery {recovery}, max/mean {:.2}, origin {:.2}, {:.0} us an attempt",
+        figures.service,
+        figures.requests,
+        figures.rate_limited,
+        figures.errored,
+        figures.lost,
+        figures.p50_ms,
+        figures.p99_ms,
+        figures.max_over_mean,
+        figures.origin_fetches,
+        figures.cpu_us_per_attempt
+    )
+}
+
+fn fleet_overview(figures: &Figures) -> String {
+    let fleet = &figures.fleet;
+    let loss = match fleet.service_loss {
+        Some(loss) => format!("{loss:.4}"),
+        None => "-".into(),
+    };
+    format!(
+        "fleet: {} messages ({} lost, {} corrupted), {:.0} bytes/s, {} grants, leases {:.3} of capacity, origin {:.3}, \
+         warming caches {:.3}; {:.2} attempts/s at a hung cache; fairness {:.4}, service drop {:.4}, loss {loss}",
+        fleet.messages,
+        fleet.messages_lost,
+        fleet.messages_corrupted,
+        fleet.bytes_per_s,
+        fleet.grants,
+        fleet.leased_ratio,
+        fleet.origin_over_capacity,
+        fleet.warming_over_capacity,
+        fleet.hung_cache_attempts_per_s,
+        fleet.fairness,
+        fleet.service_drop,
+    )
+}
+
+/// Writes a run's report as JSON and as a page: `file` with these extensions.
 ///
 /// # Errors
-/// Names the file that can't be written.
-pub fn write(
-    file: &Path,
-    experiment: &Experiment,
-    seed: u64,
-    played: &RunResult,
-    whole_book: bool,
-) -> Result<(), String> {
-    let told = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
+/// Names the file that can't be written, or the plot that can't be drawn.
+pub fn write(file: &Path, experiment: &Experiment, seed: u64, result: &RunResult) -> Result<(), ReportError> {
     if let Some(folder) = file.parent() {
-        std::fs::create_dir_all(folder).map_err(|e| told(folder, e))?;
+        std::fs::create_dir_all(folder).map_err(|error| ReportError::Write { path: folder.into(), error })?;
     }
     let report = json!({
-        "experiment": experiment.name, "about": experiment.about, "seed": seed, "verdict": played.verdict,
-        "events": played.event_log.events, "holds": played.verdict.holds(),
+        "experiment": experiment.name,
+        "about": experiment.about,
+        "seed": seed,
+        "verdict": result.verdict,
+        "events": result.event_log.events,
+        "holds": result.verdict.holds(),
     });
-    let path = file.with_extension("json");
-    std::fs::write(&path, format!("{report:#}")).map_err(|e| told(&path, e))?;
-    if whole_book {
-        let path = file.with_extension("book.json");
-        std::fs::write(&path, json!(played.event_log).to_string()).map_err(|e| told(&path, e))?;
-    }
-    let page = page::page(experiment, seed, &played.verdict, &played.event_log.events)?;
-    let path = file.with_extension("html");
-    std::fs::write(&path, page).map_err(|e| told(&path, e))
+    write_file(file.with_extension("json"), &format!("{report:#}"))?;
+    let page = page::render(experiment, seed, &result.verdict, &result.event_log.events)?;
+    write_file(file.with_extension("html"), &page)
+}
+
+/// Writes all records of a run beside its report.
+///
+/// # Errors
+/// Names the file that can't be written.
+pub fn write_event_log(file: &Path, result: &RunResult) -> Result<(), ReportError> {
+    write_file(file.with_extension("book.json"), &json!(result.event_log).to_string())
+}
+
+fn write_file(path: PathBuf, text: &str) -> Result<(), ReportError> {
+    std::fs::write(&path, text).map_err(|error| ReportError::Write { path, error })
 }
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -1,111 +1,134 @@
-//! Pictures of a run, as SVG texts.
+//! Plots of a run, as SVG texts.
 
-use plotters::prelude::*;
+use plotters::chart::ChartBuilder;
+use plotters::drawing::{DrawingAreaErrorKind, IntoDrawingArea};
+use plotters::element::{PathElement, Rectangle};
+use plotters::prelude::{BLUE, Color, LineSeries, MAGENTA, RED, RGBColor, SVGBackend, WHITE};
 
-use crate::audit::Figures;
+use crate::audit::{Figures, Second};
 use crate::experiment::Experiment;
 
-const SIZE: (u32, u32) = (960, 260);
+/// Why a plot can't be drawn.
+pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
 
-/// A line of a plot: its word, its colour, its points.
-type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
+/// Width and height of a plot in pixels.
+const SIZE: (u32, u32) = (960, 260);
+const MARGIN: u32 = 8;
+const X_LABELS_HEIGHT: u32 = 28;
+const Y_LABELS_WIDTH: u32 = 48;
+const CAPTION_FONT: (&str, i32) = ("sans-serif", 16);
+const LINE_WIDTH: u32 = 2;
+const LEGEND_LINE_LENGTH: i32 = 16;
+/// Room above the greatest value.
+const HEADROOM: f64 = 1.05;
+/// A fault is shown at least as wide as this share of the run.
+const MIN_FAULT_WIDTH: f64 = 1.0 / 300.0;
+/// How far a bar begins and ends within its unit of the x axis.
+const BAR_BEGIN: f64 = 0.15;
+const BAR_END: f64 = 0.85;
 
-type Drawn = Result<String, String>;
+/// A line of a plot.
+struct Line {
+    label: &'static str,
+    colour: RGBColor,
+    points: Vec<(f64, f64)>,
+}
 
-fn told(e: impl std::fmt::Display) -> String {
-    format!("a plot: {e}")
+/// All plots of a run.
+///
+/// # Errors
+/// Says what the drawing library reports.
+pub(super) fn all(experiment: &Experiment, figures: &Figures) -> Result<Vec<String>, PlotError> {
+    let line = |label, colour, value: fn(&Second) -> f64| {
+        // A second's figure is shown in its middle.
+        let seconds = figures.seconds.iter().enumerate();
+        let points = seconds.map(|(n, second)| (n as f64 + 0.5, value(second))).collect();
+        Line { label, colour, points }
+    };
+    let capacity = experiment.world.origin.capacity();
+    let capacity_points = vec![(0.0, capacity), (experiment.seconds, capacity)];
+    let service = [line("service", BLUE, Second::service)];
+    let latencies = [line("p50", BLUE, |second| second.p50_ms), line("p99", MAGENTA, |second| second.p99_ms)];
+    let fetches = [
+        line("fetches", BLUE, |second| second.fetches as f64),
+        Line { label: "capacity", colour: RED, points: capacity_points },
+    ];
+    Ok(vec![
+        plot_over_time(experiment, "service", &service)?,
+        plot_over_time(experiment, "latency of fulfilled attempts, ms", &latencies)?,
+        plot_over_time(experiment, "the origin's fetches a second", &fetches)?,
+        plot_load(figures)?,
+    ])
 }
 
-/// Lines over the seconds of the run, the faults shaded behind them.
-fn over_time(experiment: &Experiment, title: &str, least: f64, lines: &[Line<'_>]) -> Drawn {
+/// Lines over the seconds of the run, with the faults shaded behind them. The y axis reaches 1 at least.
+fn plot_over_time(experiment: &Experiment, title: &str, lines: &[Line]) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(told)?;
-        let points = lines.iter().flat_map(|l| &l.2);
-        let most = points.map(|p| p.1).fold(least, f64::max) * 1.05;
+        area.fill(&WHITE)?;
+        let values = lines.iter().flat_map(|line| &line.points).map(|point| point.1);
+        let top = values.fold(1.0, f64::max) * HEADROOM;
         let mut chart = ChartBuilder::on(&area)
-            .caption(title, ("sans-serif", 16))
-            .margin(8)
-            .x_label_area_size(28)
-            .y_label_area_size(48)
-            .build_cartesian_2d(0.0..experiment.seconds, 0.0..most)
-            .map_err(told)?;
-        chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw().map_err(told)?;
-        let shade = experiment.faults().into_iter().map(|f| {
-            // What happens in one stroke is shown by a thin one.
-            let to = f.end_s().max(f.at_s + experiment.seconds / 300.0);
-            Rectangle::new([(f.at_s, 0.0), (to, most)], RED.mix(0.10).filled())
-        });
-        chart.draw_series(shade).map_err(told)?;
-        for (word, colour, points) in lines {
+            .caption(title, CAPTION_FONT)
+            .margin(MARGIN)
+            .x_label_area_size(X_LABELS_HEIGHT)
+            .y_label_area_size(Y_LABELS_WIDTH)
+            .build_cartesian_2d(0.0..experiment.seconds, 0.0..top)?;
+        chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw()?;
+        chart.draw_series(experiment.faults().into_iter().map(|fault| {
+            let end = fault.end_s().max(fault.at_s + experiment.seconds * MIN_FAULT_WIDTH);
+            Rectangle::new([(fault.at_s, 0.0), (end, top)], RED.mix(0.10).filled())
+        }))?;
+        for line in lines {
+            let colour = line.colour;
             chart
-                .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))
-                .map_err(told)?
-                .label(*word)
-                .legend(|(x, y)| PathElement::new([(x, y), (x + 16, y)], *colour));
+                .draw_series(LineSeries::new(line.points.iter().copied(), colour.stroke_width(LINE_WIDTH)))?
+                .label(line.label)
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], colour));
         }
         if lines.len() > 1 {
-            chart.configure_series_labels().background_style(WHITE).draw().map_err(told)?;
+            chart.configure_series_labels().background_style(WHITE).draw()?;
         }
-        area.present().map_err(told)?;
+        area.present()?;
     }
     Ok(svg)
 }
 
-/// Every picture of a run.
-///
-/// # Errors
-/// Says what could not be drawn.
-pub fn all(experiment: &Experiment, figures: &Figures) -> Result<Vec<String>, String> {
-    let points = |of: &dyn Fn(&crate::audit::Second) -> f64| -> Vec<(f64, f64)> {
-        figures.seconds.iter().enumerate().map(|(n, s)| (n as f64 + 0.5, of(s))).collect()
-    };
-    let latencies = [("p50", BLUE, points(&|s| s.p50_ms)), ("p99", MAGENTA, points(&|s| s.p99_ms))];
-    let capacity = experiment.world.origin.capacity();
-    let fetches = [
-        ("fetches", BLUE, points(&|s| s.fetches as f64)),
-        ("capacity", RED, vec![(0.0, capacity), (experiment.seconds, capacity)]),
-    ];
-    Ok(vec![
-        over_time(experiment, "service", 1.0, &[("service", BLUE, points(&|s| s.service()))])?,
-        over_time(experiment, "latency of fulfilled tries, ms", 1.0, &latencies)?,
-        over_time(experiment, "the origin's fetches a second", 1.0, &fetches)?,
-        load(figures)?,
-    ])
-}
-
-/// Answered shots by cache.
-fn load(figures: &Figures) -> Drawn {
+/// Answered attempts by server.
+fn plot_load(figures: &Figures) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(told)?;
+        area.fill(&WHITE)?;
         let names: Vec<&String> = figures.load.keys().collect();
-        let most = figures.load.values().copied().max().unwrap_or(1).max(1) as f64 * 1.05;
+        let top = figures.load.values().copied().max().unwrap_or(1).max(1) as f64 * HEADROOM;
         let mut chart = ChartBuilder::on(&area)
-            .caption("answered shots by server", ("sans-serif", 16))
-            .margin(8)
-            .x_label_area_size(28)
-            .y_label_area_size(48)
-            .build_cartesian_2d(0.0..names.len().max(1) as f64, 0.0..most)
-            .map_err(told)?;
-        let name = |x: &f64| {
-            let middle = (x.fract() - 0.5).abs() < 1e-6;
-            names.get(*x as usize).filter(|_| middle).map_or(String::new(), |n| n.to_string())
+            .caption("answered attempts by server", CAPTION_FONT)
+            .margin(MARGIN)
+            .x_label_area_size(X_LABELS_HEIGHT)
+            .y_label_area_size(Y_LABELS_WIDTH)
+            .build_cartesian_2d(0.0..names.len().max(1) as f64, 0.0..top)?;
+        // Labels stand at halves and at whole numbers: a bar's name belongs to its middle.
+        let label = |x: &f64| {
+            let is_middle = (x.fract() - 0.5).abs() < 1e-6;
+            match names.get(*x as usize) {
+                Some(name) if is_middle => name.to_string(),
+                _ => String::new(),
+            }
         };
         chart
             .configure_mesh()
             .disable_x_mesh()
             .x_labels(names.len() * 2 + 1)
-            .x_label_formatter(&name)
-            .draw()
-            .map_err(told)?;
-        let bars = figures.load.values().enumerate().map(|(n, count)| {
-            Rectangle::new([(n as f64 + 0.15, 0.0), (n as f64 + 0.85, *count as f64)], BLUE.mix(0.6).filled())
-        });
-        chart.draw_series(bars).map_err(told)?;
-        area.present().map_err(told)?;
+            .x_label_formatter(&label)
+            .draw()?;
+        chart.draw_series(figures.load.values().enumerate().map(|(n, count)| {
+            let left = n as f64 + BAR_BEGIN;
+            let right = n as f64 + BAR_END;
+            Rectangle::new([(left, 0.0), (right, *count as f64)], BLUE.mix(0.6).filled())
+        }))?;
+        area.present()?;
     }
     Ok(svg)
 }
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -43,7 +43,7 @@
         Some(_) => Some(undisturbed(experiment, schedule, seed, node)?),
         None => None,
     };
-    let verdict = audit::judge_beside(experiment, schedule, &event_log, undisturbed);
+    let verdict = audit::audit_against(experiment, schedule, &event_log, undisturbed);
     if verdict.holds() {
         // What nodes logged is kept only where something is to be looked into.
         let _ = std::fs::remove_dir_all(&folder);
@@ -58,5 +58,5 @@
     let event_log =
         world::play(&Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder })?;
     let _ = std::fs::remove_dir_all(&folder);
-    Ok(audit::judge(experiment, schedule, &event_log).figures.service)
+    Ok(audit::audit(experiment, schedule, &event_log).figures.service)
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -77,7 +77,7 @@
     let mut played = play(experiment, seed, node);
     for _ in 0..AGAIN {
         // A rig that was late has not asked what it was to ask: that is judged of nobody.
-        if played.as_ref().is_ok_and(|p| p.verdict.figures.rig_late_ms > options.late_ms) {
+        if played.as_ref().is_ok_and(|p| p.verdict.figures.harness_late_ms > options.late_ms) {
             played = play(experiment, seed, node);
         }
     }
@@ -88,11 +88,15 @@
     let mut text = report::summary(&name, &played.verdict);
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-{seed}-{n}", experiment.name));
-        if let Err(trouble) = report::write(&file, experiment, seed, &played, options.event_log) {
+        let mut written = report::write(&file, experiment, seed, &played);
+        if written.is_ok() && options.event_log {
+            written = report::write_event_log(&file, &played);
+        }
+        if let Err(trouble) = written {
             return (format!("{name}: {trouble}"), Ended::CouldNotRun);
         }
     }
-    let late = played.verdict.figures.rig_late_ms;
+    let late = played.verdict.figures.harness_late_ms;
     if late > options.late_ms {
         text += &format!("\n    the rig was late: {late:.1} ms at 99.9%, {} ms is on time", options.late_ms);
         return (text, Ended::CouldNotRun);
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -57,20 +57,20 @@
 
 fn measure(event_log: &EventLog, rate: f64) -> Point {
     let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
-    let counted: Vec<_> = event_log.tries.iter().filter(|t| t.due.seconds() >= LEARNS_S).collect();
+    let counted: Vec<_> = event_log.client_attempts.iter().filter(|t| t.due.seconds() >= LEARNS_S).collect();
     let fulfilled: Vec<_> =
         counted.iter().filter(|t| matches!(t.end, ClientAttemptEnd::Fulfilled { .. })).copied().collect();
     for t in &fulfilled {
         latencies.saturating_record((t.ended.ms_since(t.sent) * 1000.0) as u64);
     }
     let mut late = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
-    event_log.lateness.iter().for_each(|us| late.saturating_record(*us));
+    event_log.lateness_us.iter().for_each(|us| late.saturating_record(*us));
     let cpu = event_log.usage.last().map_or(0.0, |u| u.cpu_s);
     Point {
         rate,
         p50_ms: latencies.value_at_quantile(0.5) as f64 / 1000.0,
         p99_ms: latencies.value_at_quantile(0.99) as f64 / 1000.0,
-        cpu_us_a_call: cpu * 1e6 / event_log.tries.len().max(1) as f64,
+        cpu_us_a_call: cpu * 1e6 / event_log.client_attempts.len().max(1) as f64,
         fulfilled: fulfilled.len() as f64 / counted.len().max(1) as f64,
         rig_late_ms: late.value_at_quantile(0.999) as f64 / 1000.0,
     }
--- a/crates/testbed/src/world/cache.rs
+++ b/crates/testbed/src/world/cache.rs
@@ -149,7 +149,7 @@
             tokio::time::sleep(Duration::from_secs_f64(self.form.connect_ms / 1000.0)).await;
         }
         if standing.draining.load(Ordering::Relaxed) {
-            shot.end(ServerAttemptEnd::TurnedAway);
+            shot.end(ServerAttemptEnd::Rejected);
             return Ok(wire::turned_away());
         }
         self.weigh(&standing);
@@ -160,7 +160,7 @@
             Duration::from_secs_f64(ms / 1000.0 / standing.warmth(&self.form, self.event_log.now()))
         };
         if standing.bench.run(span).await.is_err() {
-            shot.end(ServerAttemptEnd::TurnedAway);
+            shot.end(ServerAttemptEnd::Rejected);
             return Ok(wire::turned_away());
         }
         // Hung in the midst of it, it keeps its answers too.
@@ -174,7 +174,7 @@
                 if !call.write {
                     self.origin.note_missed(&call.id, &self);
                 }
-                shot.end(ServerAttemptEnd::Lacked);
+                shot.end(ServerAttemptEnd::CacheMiss);
                 Ok(wire::plain(404))
             }
         }
@@ -193,7 +193,7 @@
         if warmth >= 1.0 || sent <= stands || standing.fallen.swap(true, Ordering::Relaxed) {
             return;
         }
-        self.event_log.event(Event::FellOver { server: standing.id });
+        self.event_log.event(Event::CacheOverloaded { server: standing.id });
         let (seat, id) = (self.clone(), standing.id);
         tokio::spawn(async move {
             seat.set_doors(Stance::Refusing);
--- a/crates/testbed/src/world/clients.rs
+++ b/crates/testbed/src/world/clients.rs
@@ -78,7 +78,7 @@
         while let Some(id) = arrivals.recv().await {
             let now = self.event_log.now();
             let late = (now.0 - self.schedule.call(id).at_us).max(0) as u64;
-            self.event_log.write(|b| b.lateness.push(late));
+            self.event_log.write(|b| b.lateness_us.push(late));
             calls.spawn(self.clone().call(id));
             while calls.try_join_next().is_some() {}
         }
@@ -94,12 +94,12 @@
             let product = &self.experiment.product[planned.product];
             let again = match &end {
                 ClientAttemptEnd::Fulfilled { .. } => return,
-                ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::Unreached => true,
+                ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::ConnectFailed => true,
                 // Nobody repeats what may have run unless that does no harm.
                 _ => product.effect != NonIdempotent,
             };
             let Some(mut wait) = planned.wait(nth).filter(|_| again) else { return };
-            if let ClientAttemptEnd::RateLimited { come_back: Some(advised) } = end
+            if let ClientAttemptEnd::RateLimited { retry_after: Some(advised) } = end
                 && planned.heeds
             {
                 wait = wait.max(advised);
@@ -119,23 +119,23 @@
         let sent = self.event_log.now();
         let asked = self.ask(&name, idempotency_key.as_deref(), planned, nth, write);
         let end = tokio::select! {
-            end = tokio::time::timeout(timeout + LATE, asked) => end.unwrap_or(ClientAttemptEnd::Unanswered),
-            () = self.leaves(&name, planned.node) => ClientAttemptEnd::Left,
+            end = tokio::time::timeout(timeout + LATE, asked) => end.unwrap_or(ClientAttemptEnd::TimedOut),
+            () = self.leaves(&name, planned.node) => ClientAttemptEnd::Cancelled,
         };
         let record = ClientAttempt {
-            call: id,
-            nth,
+            request: id,
+            number: nth,
             id: name,
             idempotency_key,
             node: planned.node(),
-            product: planned.product,
+            request_class: planned.product,
             key: planned.key,
             due: planned.due(),
             sent,
             ended: self.event_log.now(),
             end: end.clone(),
         };
-        self.event_log.write(|b| b.tries.push(record));
+        self.event_log.write(|b| b.client_attempts.push(record));
         end
     }
 
@@ -206,15 +206,15 @@
                 // The node closed it before it read this: the client asks once more on a new one, where that is
                 // harmless if it was read after all.
                 Err(fault) if fault.is_incomplete_message() && product.effect != NonIdempotent => {}
-                Err(_) => return ClientAttemptEnd::Torn { used_before: true },
+                Err(_) => return ClientAttemptEnd::ConnectionLost { reused: true },
             }
         }
         let Ok(mut sender) = self.connect(pool.address, planned.node()).await else {
-            return ClientAttemptEnd::Unreached;
+            return ClientAttemptEnd::ConnectFailed;
         };
         match sender.send_request(call()).await {
             Ok(answer) => self.read(answer, sender, planned).await,
-            Err(_) => ClientAttemptEnd::Torn { used_before: false },
+            Err(_) => ClientAttemptEnd::ConnectionLost { reused: false },
         }
     }
 
@@ -227,7 +227,7 @@
             if let Err(fault) = connection.await
                 && fault.to_string().contains("unexpected message")
             {
-                event_log.event(Event::Stray { node });
+                event_log.event(Event::UnexpectedBytes { node });
             }
         });
         Ok(sender)
@@ -236,7 +236,7 @@
     async fn read(&self, answer: Response<Incoming>, sender: Sender, planned: &Planned) -> ClientAttemptEnd {
         let (head, body) = answer.into_parts();
         let Ok(body) = Limited::new(body, 1 << 20).collect().await else {
-            return ClientAttemptEnd::Torn { used_before: false };
+            return ClientAttemptEnd::ConnectionLost { reused: false };
         };
         if !planned.once {
             self.pools[planned.node].keep(sender);
@@ -252,7 +252,7 @@
             429 | 503 => {
                 let advised = head.headers.get("retry-after").and_then(|v| v.to_str().ok());
                 let seconds = advised.and_then(|v| v.parse::<f64>().ok()).filter(|s| (0.0..1e4).contains(s));
-                ClientAttemptEnd::RateLimited { come_back: seconds.map(Duration::from_secs_f64) }
+                ClientAttemptEnd::RateLimited { retry_after: seconds.map(Duration::from_secs_f64) }
             }
             status => ClientAttemptEnd::Errored { status },
         }
--- a/crates/testbed/src/world/discovery.rs
+++ b/crates/testbed/src/world/discovery.rs
@@ -17,7 +17,7 @@
 
 use super::listener::{Answers, Broken, Door, Peer, Reply, Stance};
 use super::wire;
-use crate::event_log::{EndpointNotification, EventLogWriter, Listed, NodeId, ServerId, Timestamp};
+use crate::event_log::{EndpointNotification, EventLogWriter, EndpointState, NodeId, ServerId, Timestamp};
 
 /// An empty line comes so often while nothing changes.
 const BEAT: Duration = Duration::from_secs(2);
@@ -34,7 +34,7 @@
     pub endpoints: Vec<std::net::SocketAddr>,
     pub zone: String,
     pub kind: &'static str,
-    pub listed: Listed,
+    pub listed: EndpointState,
     pub boot_ms: u64,
 }
 
@@ -118,7 +118,7 @@
             changed.borrow_and_update();
             if let Some((revision, _, told)) = self.news(node, after) {
                 after = Some(revision);
-                self.event_log.write(|b| b.told.extend(told));
+                self.event_log.write(|b| b.endpoint_notifications.extend(told));
             }
             // And whatever changes while the node goes on waiting for it to speak.
             tokio::select! {
@@ -134,7 +134,7 @@
         list.revision += 1;
         let revision = list.revision;
         list.entries.retain(|e| e.id != entry.id);
-        if entry.listed != Listed::Gone {
+        if entry.listed != EndpointState::Removed {
             list.entries.push(entry.clone());
         }
         if !list.known.contains(&entry.id) {
@@ -174,12 +174,12 @@
         let stale = self.stale.lock().expect("no holder panics").clone();
         let list = stale.unwrap_or_else(|| self.list.lock().expect("no holder panics").clone());
         let at = self.event_log.now();
-        let told = |server, listed| EndpointNotification { node, server, listed, at };
+        let told = |server, listed| EndpointNotification { node, server, state: listed, at };
         let whole = after.is_none_or(|a| a < list.from || a > list.revision);
         let (targets, told): (Vec<_>, Vec<_>) = if whole {
             let gone = list.known.iter().filter(|k| list.entries.iter().all(|e| e.id != **k));
             let mut said: Vec<_> = list.entries.iter().map(|e| told(e.id, e.listed)).collect();
-            said.extend(gone.map(|id| told(*id, Listed::Gone)));
+            said.extend(gone.map(|id| told(*id, EndpointState::Removed)));
             (list.entries.iter().map(|e| target(e, node)).collect(), said)
         } else if after == Some(list.revision) {
             return None;
@@ -201,7 +201,7 @@
         let named = |name| query.split('&').find_map(|p| p.split_once('=').filter(|(n, _)| *n == name));
         if named("watch").is_none() {
             let (_, text, told) = self.news(node, None).ok_or(Broken)?;
-            self.event_log.write(|b| b.told.extend(told));
+            self.event_log.write(|b| b.endpoint_notifications.extend(told));
             return Ok(Response::new(wire::body(text)));
         }
         let after = named("after").and_then(|(_, n)| n.parse().ok());
@@ -228,7 +228,7 @@
             if let Some((revision, text, told)) = self.news(node, after) {
                 after = Some(revision);
                 line = text;
-                self.event_log.write(|b| b.told.extend(told));
+                self.event_log.write(|b| b.endpoint_notifications.extend(told));
             }
             line.push('\n');
             if lines.send(Bytes::from(line)).await.is_err() {
@@ -250,9 +250,9 @@
 /// A list's entry as the protocol words it.
 fn target(entry: &Entry, node: NodeId) -> Value {
     let state = match entry.listed {
-        Listed::Ready => "active",
-        Listed::Draining => "leaving",
-        Listed::Gone => "left",
+        EndpointState::Ready => "active",
+        EndpointState::Draining => "leaving",
+        EndpointState::Removed => "left",
     };
     json!({"uid": entry.uid, "endpoint": entry.endpoints[node.0].to_string(), "az": entry.zone,
         "model": entry.kind, "pod_group": 0, "state": state, "capacity_hint": 1.0, "boot_ms": entry.boot_ms})
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -13,7 +13,7 @@
 use super::listener::Stance;
 use super::malformed_clients;
 use super::origin::Spoilt;
-use crate::event_log::{Event, Listed, NodeId, Timestamp};
+use crate::event_log::{Event, EndpointState, NodeId, Timestamp};
 use crate::experiment::{Fault, FaultKind, Toward};
 
 /// Between two resets of a cache's connections.
@@ -130,21 +130,21 @@
         (FaultKind::Crash, false) => {
             seat.stand(seat.id(), Some(world.event_log.now()));
             seat.set_doors(Stance::Open);
-            world.list(number, Listed::Ready);
+            world.list(number, EndpointState::Ready);
         }
         (FaultKind::Drain, true) => {
-            world.list(number, Listed::Draining);
+            world.list(number, EndpointState::Draining);
             // Whoever has not heard yet is not turned away in the same moment.
             tokio::time::sleep(Duration::from_millis(500)).await;
             seat.drain();
         }
-        (FaultKind::Drain, false) | (FaultKind::Remove, true) => world.list(number, Listed::Gone),
+        (FaultKind::Drain, false) | (FaultKind::Remove, true) => world.list(number, EndpointState::Removed),
         (FaultKind::Remove, false) => seat.set_doors(Stance::Refusing),
         (FaultKind::Replace, true) => {
-            world.list(number, Listed::Gone);
+            world.list(number, EndpointState::Removed);
             seat.reset_connections();
             world.renew(number);
-            world.list(number, Listed::Ready);
+            world.list(number, EndpointState::Ready);
         }
         _ => {}
     }
@@ -249,7 +249,7 @@
         return;
     }
     let longest = world.experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
-    world.event_log.event(Event::NodeStops { node: node.id });
+    world.event_log.event(Event::NodeStopping { node: node.id });
     node.stop(Duration::from_millis(longest)).await;
 }
 
@@ -257,7 +257,7 @@
 async fn restart(world: &World, node: &mut super::Node) {
     let known = world.discovery.known_to(node.id);
     let longest = world.experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
-    world.event_log.event(Event::NodeStops { node: node.id });
+    world.event_log.event(Event::NodeStopping { node: node.id });
     node.stop(Duration::from_millis(longest)).await;
     start_again(world, node, Some(known)).await;
     world.event_log.event(Event::NodeUp { node: node.id });
@@ -281,7 +281,7 @@
             for seat in (first..world.seats.len()).take(fault.count) {
                 world.renew(seat);
                 world.seats[seat].set_doors(Stance::Open);
-                world.list(seat, Listed::Ready);
+                world.list(seat, EndpointState::Ready);
             }
         }
         (FaultKind::OriginSlow, true) => world.origin.slow_by(fault.factor.unwrap_or(1.0)),
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -90,7 +90,7 @@
             let read = |l: &crate::event_log::RelayedMessage| {
                 message_reference::decode::<ShardGrowthMessage>(secret, MessageKind::ShardGrowth, &l.bytes)
             };
-            let told = b.letters.iter().filter(from).filter_map(read);
+            let told = b.messages.iter().filter(from).filter_map(read);
             let shards = told.filter_map(|(_, m)| {
                 if let ShardGrowthMessage::EndedDays { shard, .. } = m { Some(shard) } else { None }
             });
@@ -115,10 +115,10 @@
             return None;
         }
         let told = world.event_log.write(|b| {
-            let new = b.letters[seen.min(b.letters.len())..].iter();
+            let new = b.messages[seen.min(b.messages.len())..].iter();
             let to_node = new.filter(|l| matches!(l.to, Member::Node(_))).map(|l| l.bytes.clone());
             let letters: Vec<Vec<u8>> = to_node.collect();
-            seen = b.letters.len();
+            seen = b.messages.len();
             letters
         });
         if told.iter().any(|bytes| tells_of(&world.secret, bytes, step)) {
--- a/crates/testbed/src/world/malformed_clients.rs
+++ b/crates/testbed/src/world/malformed_clients.rs
@@ -40,7 +40,7 @@
         let event_log = event_log.clone();
         clients.spawn(async move {
             let met = tokio::time::timeout(OWED, one(node, &text)).await.unwrap_or(false);
-            event_log.event(Event::BadClient { met, what: what.into() });
+            event_log.event(Event::MalformedClient { handled: met, what: what.into() });
         });
     }
     while clients.join_next().await.is_some() {}
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Mutex;
 
 use crate::event_log::{
-    Event, EventLog, EventLogWriter, Listed, Member, NodeId, ServerId, ServerInfo, Timestamp,
+    Event, EventLog, EventLogWriter, EndpointState, Member, NodeId, ServerId, ServerInfo, Timestamp,
 };
 use crate::experiment::Experiment;
 use crate::schedule::{Schedule, mixed};
@@ -120,7 +120,7 @@
         started?;
     }
     for late in world.nodes.iter().skip(experiment.begins_with()) {
-        event_log.event(Event::NodeStops { node: late.lock().await.id });
+        event_log.event(Event::NodeStopping { node: late.lock().await.id });
     }
     if event_log.now() > Timestamp(0) {
         return Err("the nodes took too long to start: this machine is too busy to judge them".into());
@@ -163,7 +163,7 @@
         tokio::time::sleep(PULSE).await;
         let late = before.elapsed().saturating_sub(PULSE).as_micros() as u64;
         if event_log.now() > Timestamp(0) {
-            event_log.write(|b| b.stalled = b.stalled.max(late));
+            event_log.write(|b| b.max_stall_us = b.max_stall_us.max(late));
         }
     }
 }
@@ -280,7 +280,7 @@
         world.add_planners(number, run).await?;
         world.discovery.put(world.origin_entry());
         for seat in 0..form.caches {
-            world.list(seat, Listed::Ready);
+            world.list(seat, EndpointState::Ready);
         }
         for node in nodes {
             let first_cache = world.seats[0].doors.get().map(|doors| doors[node].address);
@@ -344,13 +344,13 @@
             endpoints: self.origin_doors.iter().map(|d| d.address).collect(),
             zone: self.experiment.world.zones[0].clone(),
             kind: "origin",
-            listed: Listed::Ready,
+            listed: EndpointState::Ready,
             boot_ms: 0,
         }
     }
 
     /// Lists what stands at a seat.
-    fn list(&self, seat: usize, listed: Listed) {
+    fn list(&self, seat: usize, listed: EndpointState) {
         let seat = &self.seats[seat];
         let id = seat.id();
         let uid = self.event_log.write(|b| b.servers[id.0].name.clone());
@@ -369,7 +369,7 @@
     /// A new box under a new name stands at a seat, cold.
     fn renew(&self, seat: usize) {
         let now = self.event_log.now();
-        let generation = self.event_log.write(|b| b.servers.iter().filter(|s| s.seat == Some(seat)).count());
+        let generation = self.event_log.write(|b| b.servers.iter().filter(|s| s.slot == Some(seat)).count());
         let id = note_server(&self.event_log, name(seat, generation), Some(seat), Some(now));
         self.seats[seat].stand(id, Some(now));
     }
@@ -386,7 +386,7 @@
     started: Option<Timestamp>,
 ) -> ServerId {
     event_log.write(|b| {
-        b.servers.push(ServerInfo { name, seat, started });
+        b.servers.push(ServerInfo { name, slot: seat, started });
         ServerId(b.servers.len() - 1)
     })
 }
--- a/crates/testbed/src/world/node.rs
+++ b/crates/testbed/src/world/node.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-use crate::event_log::{Event, EventLogWriter, NodeId, Usage};
+use crate::event_log::{Event, EventLogWriter, NodeId, ResourceUsage};
 use crate::experiment::{Experiment, ProductEffect};
 
 /// A node that is not ready by then is not going to be.
@@ -227,7 +227,7 @@
 }
 
 /// What a process uses, as the system tells it.
-pub fn usage(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<Usage> {
+pub fn usage(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<ResourceUsage> {
     let folder = format!("/proc/{}", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(format!("{folder}/stat")).ok()?;
     // After the name, which may hold anything: state, then the 14th and 15th field are ticks in user and system.
@@ -238,5 +238,5 @@
     let descriptors = std::fs::read_dir(format!("{folder}/fd")).ok()?.count();
     let memory_mb = pages * rustix::param::page_size() as f64 / (1024.0 * 1024.0);
     let cpu_s = ticks as f64 / rustix::param::clock_ticks_per_second() as f64;
-    Some(Usage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
+    Some(ResourceUsage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
 }
--- a/crates/testbed/src/world/origin.rs
+++ b/crates/testbed/src/world/origin.rs
@@ -106,7 +106,7 @@
             ms *= 2.0;
         }
         if asked > 2.0 * self.form.degrade_multiple && !self.overrun.swap(true, Ordering::Relaxed) {
-            self.event_log.event(Event::OriginOverrun);
+            self.event_log.event(Event::OriginOverloaded);
         }
         self.wait_while_stopped().await;
         self.bench.run(|| self.span(ms, id)).await?;
@@ -169,7 +169,7 @@
         let shot = Recorded::new(&self.event_log, self.id, &peer, &call, work);
         let result = if call.write { self.write(&call).await } else { self.read(call.key, &call.id).await };
         let Ok(version) = result else {
-            shot.end(ServerAttemptEnd::TurnedAway);
+            shot.end(ServerAttemptEnd::Rejected);
             return Ok(wire::turned_away());
         };
         let lacked = self.missed.lock().expect("no holder panics").remove(&call.id);
@@ -216,11 +216,11 @@
         call: &Call,
         work: f64,
     ) -> Recorded<'a> {
-        Recorded { event_log, number: event_log.shot(server, peer.node, &call.id, work), ended: false }
+        Recorded { event_log, number: event_log.attempt_arrived(server, peer.node, &call.id, work), ended: false }
     }
 
     pub fn end(mut self, end: ServerAttemptEnd) {
-        self.event_log.shot_ended(self.number, end);
+        self.event_log.attempt_ended(self.number, end);
         self.ended = true;
     }
 }
@@ -228,7 +228,7 @@
 impl Drop for Recorded<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.event_log.shot_ended(self.number, ServerAttemptEnd::Dropped);
+            self.event_log.attempt_ended(self.number, ServerAttemptEnd::Dropped);
         }
     }
 }
--- a/crates/testbed/src/world/relay.rs
+++ b/crates/testbed/src/world/relay.rs
@@ -135,10 +135,17 @@
         let taken = self.event_log.now();
         let (copies, changed) = self.fate(way, &mut bytes);
         let (from, to) = way;
-        let record = RelayedMessage { from, to, taken, passed: Vec::new(), changed, bytes: bytes.clone() };
+        let record = RelayedMessage {
+            from,
+            to,
+            received_at: taken,
+            forwarded_at: Vec::new(),
+            corrupted: changed,
+            bytes: bytes.clone(),
+        };
         let number = self.event_log.write(|b| {
-            b.letters.push(record);
-            b.letters.len() - 1
+            b.messages.push(record);
+            b.messages.len() - 1
         });
         for late in copies {
             if late.is_zero() {
@@ -159,7 +166,8 @@
         let Some(home) = home else { return };
         let now = self.event_log.now();
         if self.sockets[&(to, from)].try_send_to(bytes, home).is_ok() {
-            self.event_log.write(|b| b.letters.get_mut(number).into_iter().for_each(|l| l.passed.push(now)));
+            self.event_log
+                .write(|b| b.messages.get_mut(number).into_iter().for_each(|l| l.forwarded_at.push(now)));
         }
     }
 }
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -131,7 +131,7 @@
 #[test_case("stampede", WEAK, "the origin overrun"; "the origin overrun")]
 fn a_breach_is_caught_and_named(vice: &str, faults: &str, kind: &str) {
     let verdict = judged(vice, faults);
-    let kinds: Vec<_> = verdict.breaches.iter().map(|b| b.kind).collect();
+    let kinds: Vec<_> = verdict.violations.iter().map(|b| b.kind).collect();
     assert!(kinds.contains(&kind), "{vice}: found {kinds:?}");
 }
 
@@ -141,8 +141,8 @@
 fn a_node_that_stops_in_order_owes_what_it_took_and_nothing_else() {
     let restart = "[[fault]]\nkind = \"node_restart\"\nat_s = 2\n";
     let verdict = judged("none", &(SLOW.to_string() + restart));
-    let kinds: Vec<_> = verdict.breaches.iter().map(|b| b.kind).collect();
-    assert_eq!(kinds, ["connection ended without an answer"], "{:#?}", verdict.breaches);
+    let kinds: Vec<_> = verdict.violations.iter().map(|b| b.kind).collect();
+    assert_eq!(kinds, ["connection ended without an answer"], "{:#?}", verdict.violations);
 }
 
 const SHARED: &str = "[fleet.leases]\norigin_per_s = 20\ncold_work = 0.002\n[expect]\n";
@@ -155,20 +155,23 @@
 #[test_case("favour", "[expect]\n", "fairness = 0.9"; "a node that has it all")]
 fn what_adds_up_wrong_is_caught(vice: &str, faults: &str, bar: &str) {
     let asked = bar.split(' ').next().expect("a bar");
-    let short = judged(vice, &format!("{faults}{bar}\n")).shortfalls;
-    assert!(short.iter().any(|s| s.bar == asked), "{vice}: {short:?}");
+    let short = judged(vice, &format!("{faults}{bar}\n")).unmet_expectations;
+    assert!(short.iter().any(|s| s.expectation == asked), "{vice}: {short:?}");
 }
 
 #[test]
 fn stale_values_are_counted() {
     let verdict = judged("stale", "");
-    assert!(verdict.figures.stale_reads > 0 && verdict.shortfalls.iter().any(|s| s.bar == "stale_reads"));
+    assert!(
+        verdict.figures.stale_reads > 0
+            && verdict.unmet_expectations.iter().any(|s| s.expectation == "stale_reads")
+    );
 }
 
 #[test]
 fn nothing_is_found_where_nothing_is_wrong() {
     let verdict = judged("none", DRAIN);
-    assert!(verdict.breaches.is_empty(), "{:?}", verdict.breaches);
+    assert!(verdict.violations.is_empty(), "{:?}", verdict.violations);
     assert_eq!(verdict.figures.stale_reads, 0);
     assert_eq!(verdict.figures.drains, 1);
     assert!(verdict.figures.fulfilled > 1000, "{:?}", verdict.figures);
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -23,18 +23,18 @@
     let figures = &verdict.figures;
     let together = &figures.fleet;
     println!("{name}: service {:.4}, {together:?}", figures.service);
-    println!("rig late {:.1} ms, stalled {:.1} ms", figures.rig_late_ms, figures.rig_stalled_ms);
-    assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
+    println!("rig late {:.1} ms, stalled {:.1} ms", figures.harness_late_ms, figures.harness_stall_ms);
+    assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
     // Letters went both ways: a fleet of lone nodes would hold to all else.
     let heard = |l: &&granitelb_testbed::event_log::RelayedMessage| {
-        matches!(l.from, granitelb_testbed::event_log::Member::Planner(_)) && !l.passed.is_empty()
+        matches!(l.from, granitelb_testbed::event_log::Member::Planner(_)) && !l.forwarded_at.is_empty()
     };
-    assert!(event_log.letters.iter().filter(heard).count() > 100, "{together:?}");
+    assert!(event_log.messages.iter().filter(heard).count() > 100, "{together:?}");
     let fell = verdict
-        .shortfalls
+        .unmet_expectations
         .iter()
-        .find(|s| matches!(s.bar, "leases" | "loss" | "stale_reads" | "sick_trials"));
+        .find(|s| matches!(s.expectation, "leases" | "loss" | "stale_reads" | "sick_trials"));
     assert_eq!(fell, None, "{together:?}");
-    assert!(figures.fulfilled * 2 > figures.calls, "{} of {}", figures.fulfilled, figures.calls);
+    assert!(figures.fulfilled * 2 > figures.requests, "{} of {}", figures.fulfilled, figures.requests);
     assert!(figures.longest_recovery().is_some(), "{:?}", figures.recoveries);
 }
--- a/crates/testbed/tests/counterfactual.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -102,8 +102,16 @@
     let experiment = Experiment::read(Path::new("lies.toml"), LIES).expect("a sound experiment");
     let verdict = judged(&experiment);
     let fleet = &verdict.figures.fleet;
-    assert_eq!((fleet.named, fleet.named_wrongly), (0, experiment.world.caches), "{fleet:?}");
-    assert!(verdict.shortfalls.iter().any(|s| s.bar == "named_wrongly"), "{:?}", verdict.shortfalls);
+    assert_eq!(
+        (fleet.slow_caches_detected, fleet.false_detections),
+        (0, experiment.world.caches),
+        "{fleet:?}"
+    );
+    assert!(
+        verdict.unmet_expectations.iter().any(|s| s.expectation == "named_wrongly"),
+        "{:?}",
+        verdict.unmet_expectations
+    );
 }
 
 #[test_case("slow", SLOW, 1; "one cache takes six times as long")]
@@ -113,7 +121,11 @@
     let experiment = Experiment::read(Path::new("short.toml"), &text).expect("a sound experiment");
     let verdict = judged(&experiment);
     let (figures, fleet) = (&verdict.figures, &verdict.figures.fleet);
-    println!("{name}: service {:.4}, rig late {:.1} ms, {fleet:?}", figures.service, figures.rig_late_ms);
-    assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
-    assert_eq!((fleet.named, fleet.named_wrongly, fleet.planners_crashed), (named, 0, 0), "{fleet:?}");
+    println!("{name}: service {:.4}, rig late {:.1} ms, {fleet:?}", figures.service, figures.harness_late_ms);
+    assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
+    assert_eq!(
+        (fleet.slow_caches_detected, fleet.false_detections, fleet.planners_crashed),
+        (named, 0, 0),
+        "{fleet:?}"
+    );
 }
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -31,12 +31,16 @@
     let experiment = Experiment::load(&file(name)).expect("a sound experiment");
     let node = program::node(None).expect("the program");
     let verdict = play(&experiment, experiment.seeds[0], &node).verdict;
-    assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
+    assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
     let figures = &verdict.figures;
     assert!(figures.longest_recovery().is_some(), "{:?}", figures.recoveries);
     assert_eq!(figures.stale_reads, 0);
-    assert!((figures.bad_clients_met - 1.0).abs() < 1e-9, "{} met", figures.bad_clients_met);
-    assert!(figures.fulfilled * 2 > figures.calls, "{} of {}", figures.fulfilled, figures.calls);
+    assert!(
+        (figures.malformed_clients_handled - 1.0).abs() < 1e-9,
+        "{} met",
+        figures.malformed_clients_handled
+    );
+    assert!(figures.fulfilled * 2 > figures.requests, "{} of {}", figures.fulfilled, figures.requests);
 }
 
 /// In the two seconds after other settings are taken up: the origin's reads, and shots to the hung and the cold caches.
@@ -52,10 +56,10 @@
         let played = run_result::play(&experiment, 1, &node).expect("a run");
         // A node that stops may reset a connection that it has not taken yet; that is not what is asked here.
         let starts_anew = experiment.name.starts_with("fresh-");
-        assert!(starts_anew || played.verdict.breaches.is_empty(), "{:#?}", played.verdict.breaches);
+        assert!(starts_anew || played.verdict.violations.is_empty(), "{:#?}", played.verdict.violations);
         let event_log = played.event_log;
         let seats = |wanted: &[usize]| -> Vec<usize> {
-            let latest = |seat: &usize| event_log.servers.iter().rposition(|s| s.seat == Some(*seat));
+            let latest = |seat: &usize| event_log.servers.iter().rposition(|s| s.slot == Some(*seat));
             wanted.iter().filter_map(latest).collect()
         };
         let [hung, cold] = [seats(&[3]), seats(&[6, 7])];
@@ -63,7 +67,7 @@
             let within = |at: Timestamp| span.contains(&at.seconds());
             let to = |servers: &[usize]| {
                 let meant = |s: &&ServerAttempt| within(s.arrived) && servers.contains(&s.server.0);
-                event_log.shots.iter().filter(meant).count()
+                event_log.server_attempts.iter().filter(meant).count()
             };
             (event_log.fetches.iter().filter(|f| within(f.at)).count(), to(&hung), to(&cold))
         })
@@ -148,9 +152,9 @@
         let _turn = Turn::wait();
         run_result::play_schedule(&experiment, &drawn, 3, &node).expect("a run")
     };
-    assert!(played.event_log.tries.len() > drawn.calls.len(), "no client repeated anything");
+    assert!(played.event_log.client_attempts.len() > drawn.calls.len(), "no client repeated anything");
     let text = recording::record(&experiment, &drawn, &played.event_log);
-    assert_eq!(text.lines().count(), played.event_log.tries.len());
+    assert_eq!(text.lines().count(), played.event_log.client_attempts.len());
     let replayed = recording::read(Path::new("recorded"), &text, &experiment).expect("a sound recording");
     assert_eq!(replayed.text(), drawn.text());
 }
@@ -174,9 +178,12 @@
 #[test]
 fn an_interval_holds_a_difference_that_is_there_and_none_that_is_not() {
     // Blocks that differ by chance alone, and the same with a tenth more on the second side.
-    let blocks = |more: f64| -> Vec<[(f64, f64); 2]> {
+    let block = |numerator| stats::Ratio { numerator, denominator: 100.0 };
+    let blocks = |more: f64| -> Vec<stats::PairedBlock> {
         let wave = |n: usize| 80.0 + ((n * 37) % 11) as f64;
-        (0..60).map(|n| [(wave(n), 100.0), (wave(n + 5) + more, 100.0)]).collect()
+        let paired =
+            |n| stats::PairedBlock { baseline: block(wave(n)), candidate: block(wave(n + 5) + more) };
+        (0..60).map(paired).collect()
     };
     let none = stats::difference_of_ratios(&blocks(0.0), 1).expect("blocks");
     assert!(none.low < 0.0 && none.high > 0.0, "{none:?}");
--- a/crates/testbed/tests/shard_growth.rs
+++ b/crates/testbed/tests/shard_growth.rs
@@ -30,14 +30,14 @@
     let experiment = Experiment::load(&file(&format!("growth-{name}"))).expect("a sound experiment");
     let node = program::node(None).expect("the program");
     let verdict = play_strictly(&experiment, experiment.seeds[0], &node, STALLED_MS).verdict;
-    let growth = verdict.figures.growth.as_ref().expect("it grows");
+    let growth = verdict.figures.shard_growth.as_ref().expect("it grows");
     let figures = &verdict.figures;
-    let (service, late, stalled) = (figures.service, figures.rig_late_ms, figures.rig_stalled_ms);
+    let (service, late, stalled) = (figures.service, figures.harness_late_ms, figures.harness_stall_ms);
     println!("{name}: service {service:.4}, late {late:.1} ms, stalled {stalled:.1} ms, {growth}");
-    assert!(verdict.breaches.is_empty(), "{:#?}", verdict.breaches);
+    assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
     let grew = |s: &&granitelb_testbed::audit::UnmetExpectation| {
-        s.bar.starts_with("growth") || s.bar == "stale_reads"
+        s.expectation.starts_with("growth") || s.expectation == "stale_reads"
     };
-    assert_eq!(verdict.shortfalls.iter().find(grew), None, "{growth}");
+    assert_eq!(verdict.unmet_expectations.iter().find(grew), None, "{growth}");
     assert!(service > 0.8, "{service:.4}");
 }
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -51,7 +51,8 @@
 /// The same, with stand-ins that may stand still for so many milliseconds. A machine too busy to start a fleet in time
 /// says nothing either.
 pub fn play_strictly(experiment: &Experiment, seed: u64, program: &Path, stalled: f64) -> RunResult {
-    let on_time = |v: &AuditResult| v.figures.rig_late_ms <= LATE && v.figures.rig_stalled_ms <= stalled;
+    let on_time =
+        |v: &AuditResult| v.figures.harness_late_ms <= LATE && v.figures.harness_stall_ms <= stalled;
     let _turn = Turn::wait();
     let mut again = 0;
     loop {
