--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -4,6 +4,8 @@
 //! expectations of those figures. It trusts nothing that the program under test says of itself, but for the signed
 //! messages that the relay saw.
 
+#![warn(missing_docs)]
+
 mod disconnects;
 mod expectations;
 mod figures;
--- a/crates/testbed/src/faulty_node/mod.rs
+++ b/crates/testbed/src/faulty_node/mod.rs
@@ -2,6 +2,8 @@
 //!
 //! It takes the place of the real program, with the same configuration, and is no example of how to write one.
 
+#![warn(missing_docs)]
+
 mod endpoints;
 mod http;
 
@@ -99,15 +101,33 @@
 #[derive(Debug)]
 pub enum ServeError {
     /// The configuration file can't be read.
-    ReadConfig { file: PathBuf, error: std::io::Error },
+    ReadConfig {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        error: std::io::Error,
+    },
     /// The configuration file is not JSON.
-    ParseConfig { file: PathBuf, error: serde_json::Error },
+    ParseConfig {
+        /// The file.
+        file: PathBuf,
+        /// The cause.
+        error: serde_json::Error,
+    },
     /// The configuration lacks an address, or it is malformed.
-    NoAddress { key: &'static str },
+    NoAddress {
+        /// The key of the address.
+        key: &'static str,
+    },
     /// The runtime can't be started.
     StartRuntime(std::io::Error),
     /// The address of the configuration can't be listened on.
-    Listen { address: SocketAddr, error: std::io::Error },
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The cause.
+        error: std::io::Error,
+    },
 }
 
 impl fmt::Display for ServeError {
--- a/crates/testbed/src/message_reference.rs
+++ b/crates/testbed/src/message_reference.rs
@@ -7,6 +7,8 @@
 //!
 //! Bodies are encoded with postcard: the order of fields and of enum variants is the wire format and must not change.
 
+#![warn(missing_docs)]
+
 use hmac::{Hmac, KeyInit, Mac};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -81,17 +83,53 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseMessage {
     /// Asks for leases.
-    Request { request: u64, demands: Vec<Demand> },
+    Request {
+        /// The number of the request; rises within an incarnation.
+        request: u64,
+        /// What is asked for, by resource.
+        demands: Vec<Demand>,
+    },
     /// Grants leases, from the time at which the request was sent.
-    Grant { request: u64, granted: Vec<(Resource, u32)>, duration: u32 },
+    Grant {
+        /// The request that is answered.
+        request: u64,
+        /// The amount of each resource.
+        granted: Vec<(Resource, u32)>,
+        /// How long the leases last.
+        duration: u32,
+    },
     /// Returns all that was granted up to this request.
-    Return { request: u64 },
+    Return {
+        /// The last request whose grant is returned.
+        request: u64,
+    },
     /// Asks for a long-term allocation of the origin.
-    RequestAllocation { request: u64, demand: u32, request_in_use: u64, until: u64, held: u32 },
+    RequestAllocation {
+        /// The number of the request; rises within an incarnation.
+        request: u64,
+        /// The amount that is asked for.
+        demand: u32,
+        /// The request whose grant is in use.
+        request_in_use: u64,
+        /// When the allocation is to end.
+        until: u64,
+        /// What the sender holds already without this lender.
+        held: u32,
+    },
     /// Grants a long-term allocation; a duration of zero refuses it.
-    Allocation { request: u64, amount: u32, duration: u32 },
+    Allocation {
+        /// The request that is answered.
+        request: u64,
+        /// The amount that is granted.
+        amount: u32,
+        /// How long the allocation lasts.
+        duration: u32,
+    },
     /// Returns the long-term allocations granted up to this request.
-    ReturnAllocation { request: u64 },
+    ReturnAllocation {
+        /// The last request whose grant is returned.
+        request: u64,
+    },
 }
 
 /// The place of a fragment among those of a report that does not fit into one message.
@@ -120,20 +158,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HealthStatus {
     /// The cache does not answer.
-    Failing { ago: u64 },
+    Failing {
+        /// The age of the last failure.
+        ago: u64,
+    },
     /// The cache was failing, and the receiver is to probe it.
-    Probe { ago: u64 },
+    Probe {
+        /// The age of the last failure.
+        ago: u64,
+    },
     /// The cache answers again.
-    Recovered { ago: u64 },
+    Recovered {
+        /// The time since the recovery.
+        ago: u64,
+    },
 }
 
 /// Endpoint health between nodes and planners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HealthMessage {
     /// From a node: what it has seen of caches.
-    Report { number: u64, fragment: Fragment, caches: Vec<AttemptCounts> },
+    Report {
+        /// The number of the report; its fragments share it.
+        number: u64,
+        /// Which part of the report this is.
+        fragment: Fragment,
+        /// The counts of each cache.
+        caches: Vec<AttemptCounts>,
+    },
     /// From a planner: the caches that are not plainly healthy.
-    Plan { version: u64, fragment: Fragment, nodes: u64, statuses: Vec<(u64, HealthStatus)> },
+    Plan {
+        /// The version of the plan; its fragments share it.
+        version: u64,
+        /// Which part of the plan this is.
+        fragment: Fragment,
+        /// The number of nodes that the plan rests on.
+        nodes: u64,
+        /// The status of caches by endpoint number.
+        statuses: Vec<(u64, HealthStatus)>,
+    },
 }
 
 /// The outcome of a comparison of one cache with the others.
@@ -185,9 +248,17 @@
     /// The sender is alive.
     Heartbeat,
     /// The receiver was taken for failed under this incarnation.
-    DeclaredFailed { incarnation: u64 },
+    DeclaredFailed {
+        /// The incarnation whose messages are ignored from now on.
+        incarnation: u64,
+    },
     /// A greater incarnation of the receiver was seen.
-    Superseded { incarnation: u64, by: u64 },
+    Superseded {
+        /// The older incarnation, whose messages are ignored.
+        incarnation: u64,
+        /// The incarnation that replaces it.
+        by: u64,
+    },
 }
 
 /// The endpoint number of a cache in messages, from its name in the endpoint list: FNV-1a with a final mix.
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,5 +1,7 @@
 //! Reports of a run, for people and programs: a summary as text, a JSON file, a page, and the event log.
 
+#![warn(missing_docs)]
+
 mod page;
 mod plots;
 
@@ -18,7 +20,12 @@
 #[derive(Debug)]
 pub enum ReportError {
     /// A file or folder can't be written.
-    Write { path: PathBuf, error: std::io::Error },
+    Write {
+        /// The file or folder.
+        path: PathBuf,
+        /// The cause.
+        error: std::io::Error,
+    },
     /// A plot of the page can't be drawn.
     Plot(PlotError),
 }
--- a/crates/testbed/src/shard_map_reference.rs
+++ b/crates/testbed/src/shard_map_reference.rs
@@ -5,6 +5,8 @@
 //! the program's faults. Slot and shard of a key depend on its hash alone; the cache of a slot is chosen by rendezvous
 //! hashing over all caches.
 
+#![warn(missing_docs)]
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
 
@@ -115,17 +117,31 @@
     /// Acknowledges a sketch.
     SketchCounted,
     /// From a node: the version of the shard map in use.
-    MapInUse { version: u64 },
+    MapInUse {
+        /// The version.
+        version: u64,
+    },
     /// The current accounting day.
-    CurrentDay { day: u32 },
+    CurrentDay {
+        /// The day, counted from the Unix epoch.
+        day: u32,
+    },
     /// From a planner: a shard map.
-    Map { map: ShardMap },
+    Map {
+        /// The shard map.
+        map: ShardMap,
+    },
     /// A message of the consensus on shard maps.
     Consensus,
     /// The endpoint list.
     Endpoints,
     /// Accounting days of a shard that have ended.
-    EndedDays { shard: u8, days: Vec<DaySize> },
+    EndedDays {
+        /// The shard.
+        shard: u8,
+        /// Its size on each day.
+        days: Vec<DaySize>,
+    },
     /// From a node: the origin is slow.
     OriginSlow,
 }
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -1,5 +1,7 @@
 //! Bootstrap intervals for differences of ratios.
 
+#![warn(missing_docs)]
+
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
--- a/crates/testbed/src/world/byzantine_planner.rs
+++ b/crates/testbed/src/world/byzantine_planner.rs
@@ -1,76 +1,158 @@
-//! A planner that holds the secret and lies: it stands at a planner's address while that one is stopped.
+//! A Byzantine planner: it holds the secret and sends forged messages from a planner's address while that one is stopped.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, UNIX_EPOCH};
 
+use serde::Serialize;
 use tokio::net::UdpSocket;
+use tokio::time::interval;
 
 use super::planner::number_of;
 use crate::experiment::Lie;
 use crate::message_reference::{
-    self, Comparison, ComparisonReport, CounterfactualMessage, Fragment, HealthMessage, HealthStatus,
-    LeaseMessage, MembershipMessage, MessageKind, Sender, Signer,
+    Comparison, ComparisonReport, CounterfactualMessage, Demand, Fragment, HealthMessage, HealthStatus,
+    LeaseMessage, MembershipMessage, MessageKind, Resource, Sender, Signer, decode, encode,
 };
 
-const BEATS: Duration = Duration::from_millis(300);
-/// More members than a world has are none of it.
-const MOST: usize = 128;
-/// Caches named in a letter.
-const NAMED: usize = 40;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// The most nodes and planners that it sends to: more than any experiment has.
+const MAX_MEMBERS: usize = 128;
+/// The most caches that it names in a message.
+const MAX_CACHES: usize = 40;
+/// The number of nodes that its plans claim to rest on.
+const CLAIMED_NODES: u64 = 99;
+const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// Lies until it is dropped.
-pub async fn stand(planner: usize, at: SocketAddr, secret: Vec<u8>, lie: Lie, whole: [u32; 2], lasts: u32) {
-    let Ok(socket) = UdpSocket::bind(at).await else { return };
-    let life = UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
-    let mut number = 0;
-    let mut sender = || {
-        number += 1;
-        Sender { member: Signer::Planner(number_of(planner)), incarnation: life, sequence: number }
+/// What forged grants give: the whole of a resource to each node.
+pub struct ForgedGrants {
+    /// The amount of the origin, in thousandths of a fetch.
+    pub origin: u32,
+    /// The amount of each warming cache, in millionths of a second of work.
+    pub warming_cache: u32,
+    /// How long each grant lasts, in microseconds.
+    pub duration: u32,
+}
+
+/// Sends forged messages until it is dropped. It does nothing where the address can't be bound.
+pub async fn run(planner: usize, address: SocketAddr, secret: Vec<u8>, lie: Lie, grants: ForgedGrants) {
+    let Ok(socket) = UdpSocket::bind(address).await else { return };
+    let incarnation = UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
+    let mut forger = ByzantinePlanner {
+        signer: Signer::Planner(number_of(planner)),
+        incarnation,
+        sequence: 0,
+        socket,
+        secret,
+        lie,
+        grants,
+        members: BTreeSet::new(),
+        caches: BTreeSet::new(),
+        plan_version: 0,
     };
-    let (mut heard, mut caches) = (BTreeSet::new(), BTreeSet::new());
-    let mut version = 0;
-    let mut beat = tokio::time::interval(BEATS);
-    let mut bytes = vec![0; 2048];
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         tokio::select! {
-            _ = beat.tick() => {
-                for to in &heard {
-                    let letter = message_reference::encode(&secret, MessageKind::Membership, sender(), &MembershipMessage::Heartbeat);
-                    let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
-                    version += 1;
-                    let verdicts = caches.iter().map(|c| (*c, HealthStatus::Failing { ago: 0 })).collect();
-                    let plan = HealthMessage::Plan { version, fragment: Fragment { index: 0, count: 1 }, nodes: 99, statuses: verdicts };
-                    let letter = message_reference::encode(&secret, MessageKind::EndpointHealth, sender(), &plan);
-                    if lie == Lie::Verdicts {
-                        let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
-                    }
-                    let worse = |c: &u64| ComparisonReport { cache: *c, request_class: 0, comparison: Comparison::Worse, effect: 3.0, low: 2.0, high: 4.0 };
-                    let said = CounterfactualMessage::LatencyRatios(caches.iter().map(worse).collect());
-                    let letter = message_reference::encode(&secret, MessageKind::Counterfactual, sender(), &said);
-                    if lie == Lie::Standings {
-                        let _ = socket.send_to(&letter.unwrap_or_default(), to).await;
-                    }
-                }
+            _ = heartbeat.tick() => forger.on_heartbeat().await,
+            received = forger.socket.recv_from(&mut buffer) => {
+                // An error here is of a message that could not be delivered before.
+                let Ok((count, from)) = received else { continue };
+                forger.on_message(&buffer[..count], from).await;
             }
-            came = socket.recv_from(&mut bytes) => {
-                let Ok((count, from)) = came else { continue };
-                if heard.len() < MOST {
-                    heard.insert(from);
-                }
-                if let Some((_, HealthMessage::Report { caches: seen, .. })) =
-                    message_reference::decode(&secret, MessageKind::EndpointHealth, &bytes[..count])
-                {
-                    caches.extend(seen.iter().map(|s| s.cache).take(NAMED - caches.len().min(NAMED)));
+        }
+    }
+}
+
+struct ByzantinePlanner {
+    signer: Signer,
+    incarnation: u64,
+    /// The sequence number of the last message.
+    sequence: u64,
+    socket: UdpSocket,
+    secret: Vec<u8>,
+    lie: Lie,
+    grants: ForgedGrants,
+    /// Whoever has sent a message.
+    members: BTreeSet<SocketAddr>,
+    /// The endpoint numbers of caches that nodes reported.
+    caches: BTreeSet<u64>,
+    plan_version: u64,
+}
+
+impl ByzantinePlanner {
+    async fn on_heartbeat(&mut self) {
+        for member in self.members.clone() {
+            self.send(MessageKind::Membership, &MembershipMessage::Heartbeat, member).await;
+            self.plan_version += 1;
+            match self.lie {
+                Lie::Verdicts => self.send(MessageKind::EndpointHealth, &self.forged_plan(), member).await,
+                Lie::Standings => {
+                    self.send(MessageKind::Counterfactual, &self.forged_comparisons(), member).await;
                 }
-                let read = message_reference::decode::<LeaseMessage>(&secret, MessageKind::Leases, &bytes[..count]);
-                let (Some((_, LeaseMessage::Request { request: ask, demands: needs })), Lie::Grants) = (read, lie) else { continue };
-                let all = |r| whole[usize::from(r != message_reference::Resource::Origin)];
-                let granted = needs.iter().map(|n| (n.resource, all(n.resource))).collect();
-                let grant = LeaseMessage::Grant { request: ask, granted, duration: lasts };
-                let letter = message_reference::encode(&secret, MessageKind::Leases, sender(), &grant);
-                let _ = socket.send_to(&letter.unwrap_or_default(), from).await;
+                Lie::Grants => {}
             }
         }
     }
+
+    async fn on_message(&mut self, bytes: &[u8], from: SocketAddr) {
+        if self.members.len() < MAX_MEMBERS {
+            self.members.insert(from);
+        }
+        if let Some((_, HealthMessage::Report { caches, .. })) =
+            decode(&self.secret, MessageKind::EndpointHealth, bytes)
+        {
+            let room = MAX_CACHES - self.caches.len().min(MAX_CACHES);
+            self.caches.extend(caches.iter().map(|counts| counts.cache).take(room));
+        }
+        if self.lie == Lie::Grants
+            && let Some((_, LeaseMessage::Request { request, demands })) =
+                decode(&self.secret, MessageKind::Leases, bytes)
+        {
+            self.send(MessageKind::Leases, &self.forged_grant(request, &demands), from).await;
+        }
+    }
+
+    /// All caches are failing.
+    fn forged_plan(&self) -> HealthMessage {
+        let failing = |cache: &u64| (*cache, HealthStatus::Failing { ago: 0 });
+        HealthMessage::Plan {
+            version: self.plan_version,
+            fragment: Fragment { index: 0, count: 1 },
+            nodes: CLAIMED_NODES,
+            statuses: self.caches.iter().map(failing).collect(),
+        }
+    }
+
+    /// All caches are worse than the others.
+    fn forged_comparisons(&self) -> CounterfactualMessage {
+        let worse = |cache: &u64| ComparisonReport {
+            cache: *cache,
+            request_class: 0,
+            comparison: Comparison::Worse,
+            effect: 3.0,
+            low: 2.0,
+            high: 4.0,
+        };
+        CounterfactualMessage::LatencyRatios(self.caches.iter().map(worse).collect())
+    }
+
+    /// All of each resource that is asked for.
+    fn forged_grant(&self, request: u64, demands: &[Demand]) -> LeaseMessage {
+        let all = |demand: &Demand| match demand.resource {
+            Resource::Origin => (demand.resource, self.grants.origin),
+            Resource::WarmingCache(_) => (demand.resource, self.grants.warming_cache),
+        };
+        let granted = demands.iter().map(all).collect();
+        LeaseMessage::Grant { request, granted, duration: self.grants.duration }
+    }
+
+    async fn send(&mut self, kind: MessageKind, message: &impl Serialize, to: SocketAddr) {
+        self.sequence += 1;
+        let sender = Sender { member: self.signer, incarnation: self.incarnation, sequence: self.sequence };
+        if let Some(bytes) = encode(&self.secret, kind, sender, message) {
+            // Datagrams may be lost anyway.
+            let _ = self.socket.send_to(&bytes, to).await;
+        }
+    }
 }
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -38,7 +38,7 @@
     let nodes = named_or_all(&fault.nodes, world.nodes.len());
     use FaultKind::{PlannerFreeze, PlannerKill, PlannerLies, PlannerRestart};
     let what = describe(&fault, &caches);
-    let Some(fault) = growth::awaits_step(&world, fault).await else { return };
+    let Some(fault) = growth::await_phase(&world, fault).await else { return };
     world.event_log.event(Event::FaultBegan { what: what.clone() });
     let mut parts = tokio::task::JoinSet::new();
     if on_each_cache(fault.kind) {
@@ -221,10 +221,13 @@
     match fault.lie.filter(|_| fault.kind == FaultKind::PlannerLies) {
         Some(lie) => {
             let leases = world.experiment.fleet.as_ref().and_then(|f| f.leases.clone()).unwrap_or_default();
-            let whole = [leases.origin_per_s * 1e3, leases.cold_work * 1e6].map(|whole| whole as u32);
+            let grants = byzantine_planner::ForgedGrants {
+                origin: (leases.origin_per_s * 1e3) as u32,
+                warming_cache: (leases.cold_work * 1e6) as u32,
+                duration: leases.lasts_ms as u32 * 1000,
+            };
             let secret = world.secret.clone();
-            let lasts = leases.lasts_ms as u32 * 1000;
-            let lies = byzantine_planner::stand(number, planner.address, secret, lie, whole, lasts);
+            let lies = byzantine_planner::run(number, planner.address, secret, lie, grants);
             tokio::select! {
                 () = lies => {}
                 () = until(world, fault.end_s()) => {}
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -1,139 +1,203 @@
-//! What a world does for shards that grow: caches hold their keys, planners are told of the days before, and faults wait for
-//! a split's step.
+//! What a world does for shards that grow: it fills caches with their first keys, gives planners the history of earlier
+//! days, and holds back faults until a split reaches a phase.
 
+use std::collections::BTreeSet;
+use std::fmt;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, UNIX_EPOCH};
 
 use tokio::net::UdpSocket;
+use tokio::time::{Instant, sleep, sleep_until};
 
 use super::World;
 use super::cache::Seat;
 use super::planner::number_of;
-use crate::event_log::{EventLogWriter, Member, Timestamp, Version};
+use crate::event_log::{EventLogWriter, Member, RelayedMessage, Timestamp, Version};
 use crate::experiment::{Experiment, Fault, GrowthForm};
-use crate::message_reference::{self, MessageKind, Sender, Signer};
+use crate::message_reference::{MessageKind, Sender, Signer, decode, encode};
 use crate::schedule::mixed;
 use crate::shard_map_reference::{DaySize, Placement, ShardGrowthMessage, SplitPhase, VALUE_BYTES, keys_of};
 
-/// A planner that has not taken the days by then is not going to.
-const TAKES: Duration = Duration::from_secs(4);
-const AGAIN: Duration = Duration::from_millis(50);
-/// How often it is looked for a step.
-const LOOKS: Duration = Duration::from_millis(10);
-/// Days in one letter.
-const IN_A_LETTER: usize = 75;
-
-/// How much earlier than its calls such a world begins.
-pub fn lead(of: &Experiment) -> Duration {
-    let taught = of.growth.as_ref().is_some_and(|g| g.known_days > 0);
-    if taught { Duration::from_secs(3) } else { Duration::ZERO }
+/// A planner that has not accepted the history by then is not going to.
+const HISTORY_TIMEOUT: Duration = Duration::from_secs(4);
+const HISTORY_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How much earlier than its requests a world with history begins.
+const HISTORY_LEAD: Duration = Duration::from_secs(3);
+/// How often the messages are searched for a phase.
+const PHASE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Days in one message: more do not fit into a datagram.
+const DAYS_PER_MESSAGE: usize = 75;
+/// The last days before today that planners may still be counting themselves.
+const OPEN_DAYS: u32 = 2;
+/// A day's size varies from this factor on, over a range of `SIZE_VARIATION`.
+const MIN_SIZE_FACTOR: f64 = 0.995;
+const SIZE_VARIATION: f64 = 0.01;
+const MILLIS_PER_SECOND: f64 = 1000.0;
+/// Keeps the length of a day finite where days don't pass.
+const MIN_DAYS_PER_SECOND: f64 = 1e-9;
+
+/// Why the history could not be given to a planner.
+#[derive(Debug)]
+pub enum HistoryError {
+    /// The planner's program can't be started.
+    Start(String),
+    /// No socket can be opened.
+    Socket(std::io::Error),
+    /// The planner did not accept the history in time.
+    Timeout,
+}
+
+impl fmt::Display for HistoryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            HistoryError::Start(error) => f.write_str(error),
+            HistoryError::Socket(error) => write!(f, "{error}"),
+            HistoryError::Timeout => f.write_str("the first planner took no history"),
+        }
+    }
+}
+
+impl std::error::Error for HistoryError {}
+
+/// How much earlier than its requests a world begins.
+pub fn lead_time(experiment: &Experiment) -> Duration {
+    match &experiment.growth {
+        Some(growth) if growth.known_days > 0 => HISTORY_LEAD,
+        _ => Duration::ZERO,
+    }
 }
 
-/// The keys that there are at first, each where it stands by the table.
-pub fn preload(of: &Experiment, seats: &[Arc<Seat>], event_log: &EventLogWriter) {
-    let Some(form) = &of.growth else { return };
-    let there = &seats[..of.world.caches];
+/// Stores the first keys of growing shards, each at the cache that an unsplit shard map places it at.
+pub fn preload(experiment: &Experiment, slots: &[Arc<Seat>], event_log: &EventLogWriter) {
+    let Some(growth) = &experiment.growth else { return };
+    let slots = &slots[..experiment.world.caches];
     let names: Vec<String> =
-        event_log.write(|b| there.iter().map(|seat| b.servers[seat.id().0].name.clone()).collect());
-    let places = Placement::new(names.iter().map(String::as_str));
-    for key in form.shards.iter().flat_map(|shard| keys_of(*shard, form.keys as usize)) {
-        if let Some(place) = places.cache_of(key, 0) {
-            there[place].store(key, Version(0), Version(0));
+        event_log.write(|log| slots.iter().map(|slot| log.servers[slot.id().0].name.clone()).collect());
+    let placement = Placement::new(names.iter().map(String::as_str));
+    for shard in &growth.shards {
+        for key in keys_of(*shard, growth.keys as usize) {
+            if let Some(index) = placement.cache_of(key, 0) {
+                slots[index].store(key, Version(0), Version(0));
+            }
         }
     }
 }
 
-/// The days before the run: what a shard kept on each, give or take half a part of a hundred.
-fn known(form: &GrowthForm, of: &Experiment, event_log: &EventLogWriter, shard: u8) -> Vec<DaySize> {
-    let day_ms = 1000.0 / of.days_at(1.0).max(1e-9);
-    let start = event_log.unix_start_ms as f64 / day_ms;
+/// A shard's sizes on the days before the run.
+fn past_sizes(growth: &GrowthForm, experiment: &Experiment, unix_start_ms: u64, shard: u8) -> Vec<DaySize> {
+    let day_ms = MILLIS_PER_SECOND / experiment.days_at(1.0).max(MIN_DAYS_PER_SECOND);
+    let start_day = unix_start_ms as f64 / day_ms;
     let today = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as f64 / day_ms;
-    // Two of the last may be counted still.
-    let last = today as u32 - 2;
-    let days = (last + 1).saturating_sub(form.known_days)..=last;
-    days.map(|day| {
+    let last = today as u32 - OPEN_DAYS;
+    let first = (last + 1).saturating_sub(growth.known_days);
+    let mut sizes = Vec::new();
+    for day in first..=last {
         let drawn = (mixed(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
-        let keys = form.keys_on(f64::from(day) - start) * (0.995 + 0.01 * drawn);
-        DaySize { day, bytes: (keys * VALUE_BYTES as f64) as f32, keys: keys as f32 }
-    })
-    .collect()
+        let factor = MIN_SIZE_FACTOR + SIZE_VARIATION * drawn;
+        let keys = growth.keys_on(f64::from(day) - start_day) * factor;
+        sizes.push(DaySize { day, bytes: (keys * VALUE_BYTES as f64) as f32, keys: keys as f32 });
+    }
+    sizes
 }
 
-/// Starts the first planner and tells it of the days before, as another planner that knew them would: an earlier life of
-/// the second one. It tells the others.
+/// Starts the first planner and sends it the sizes of the days before the run, as another planner that knows them does:
+/// in the name of an earlier incarnation of the second one. The first planner passes them on.
 ///
 /// # Errors
-/// It did not take them.
-pub async fn teach(world: &World) -> Result<(), String> {
-    let Some(form) = world.experiment.growth.as_ref().filter(|g| g.known_days > 0) else { return Ok(()) };
-    let (address, secret) = (world.planners[0].lock().await.address, &world.secret);
-    world.planners[0].lock().await.start()?;
-    let socket = UdpSocket::bind(("127.0.0.1", 0)).await.map_err(|e| e.to_string())?;
-    let began = tokio::time::Instant::now();
-    let mut number = 0;
-    while began.elapsed() < TAKES {
-        for shard in &form.shards {
-            for days in known(form, &world.experiment, &world.event_log, *shard).chunks(IN_A_LETTER) {
-                number += 1;
-                let sender =
-                    Sender { member: Signer::Planner(number_of(1)), incarnation: 1, sequence: number };
-                let message = ShardGrowthMessage::EndedDays { shard: *shard, days: days.to_vec() };
-                let letter = message_reference::encode(secret, MessageKind::ShardGrowth, sender, &message)
-                    .unwrap_or_default();
-                let _ = socket.send_to(&letter, address).await;
+/// Says why the planner has not accepted them.
+pub async fn seed_history(world: &World) -> Result<(), HistoryError> {
+    let Some(growth) = world.experiment.growth.as_ref().filter(|growth| growth.known_days > 0) else {
+        return Ok(());
+    };
+    let planner = world.planners[0].lock().await.address;
+    world.planners[0].lock().await.start().map_err(HistoryError::Start)?;
+    let socket = UdpSocket::bind(("127.0.0.1", 0)).await.map_err(HistoryError::Socket)?;
+    let began = Instant::now();
+    let mut sequence = 0;
+    while began.elapsed() < HISTORY_TIMEOUT {
+        for shard in &growth.shards {
+            let sizes = past_sizes(growth, &world.experiment, world.event_log.unix_start_ms, *shard);
+            for days in sizes.chunks(DAYS_PER_MESSAGE) {
+                sequence += 1;
+                send_days(world, &socket, planner, sequence, *shard, days).await;
             }
         }
-        tokio::time::sleep(AGAIN).await;
-        // What it tells the others it has.
-        let told = world.event_log.write(|b| {
-            let from = |l: &&crate::event_log::RelayedMessage| l.from == Member::Planner(0);
-            let read = |l: &crate::event_log::RelayedMessage| {
-                message_reference::decode::<ShardGrowthMessage>(secret, MessageKind::ShardGrowth, &l.bytes)
-            };
-            let told = b.messages.iter().filter(from).filter_map(read);
-            let shards = told.filter_map(|(_, m)| {
-                if let ShardGrowthMessage::EndedDays { shard, .. } = m { Some(shard) } else { None }
-            });
-            shards.collect::<std::collections::BTreeSet<u8>>()
-        });
-        if form.shards.iter().all(|shard| told.contains(shard)) {
+        sleep(HISTORY_RETRY_INTERVAL).await;
+        let accepted = shards_passed_on(world);
+        if growth.shards.iter().all(|shard| accepted.contains(shard)) {
             return Ok(());
         }
     }
-    Err("the first planner took no history".into())
+    Err(HistoryError::Timeout)
 }
 
-/// The fault with the time at which it comes about: at its own, or when a node is told of its step after that. None where
-/// that never was.
-pub async fn awaits_step(world: &World, mut fault: Fault) -> Option<Fault> {
-    tokio::time::sleep_until(world.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
-    let Some(step) = fault.at_step else { return Some(fault) };
+async fn send_days(
+    world: &World,
+    socket: &UdpSocket,
+    planner: SocketAddr,
+    sequence: u64,
+    shard: u8,
+    days: &[DaySize],
+) {
+    let sender = Sender { member: Signer::Planner(number_of(1)), incarnation: 1, sequence };
+    let message = ShardGrowthMessage::EndedDays { shard, days: days.to_vec() };
+    if let Some(bytes) = encode(&world.secret, MessageKind::ShardGrowth, sender, &message) {
+        // A lost datagram is sent again with the next round.
+        let _ = socket.send_to(&bytes, planner).await;
+    }
+}
+
+fn decode_growth(world: &World, message: &RelayedMessage) -> Option<ShardGrowthMessage> {
+    let (_, growth) = decode(&world.secret, MessageKind::ShardGrowth, &message.bytes)?;
+    Some(growth)
+}
+
+/// The shards whose history the first planner passes on to others, and has accepted therefore.
+fn shards_passed_on(world: &World) -> BTreeSet<u8> {
+    world.event_log.write(|log| {
+        let mut shards = BTreeSet::new();
+        for message in &log.messages {
+            if message.from == Member::Planner(0)
+                && let Some(ShardGrowthMessage::EndedDays { shard, .. }) = decode_growth(world, message)
+            {
+                shards.insert(shard);
+            }
+        }
+        shards
+    })
+}
+
+/// Waits until a fault begins: at its own time or, if it names a phase, when some node is sent a shard map with a split in
+/// this phase after that. Returns the fault with the time at which it begins; `None` where it can't end within the run.
+pub async fn await_phase(world: &World, mut fault: Fault) -> Option<Fault> {
+    sleep_until(world.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
+    let Some(phase) = fault.at_step else { return Some(fault) };
     let mut seen = 0;
     loop {
-        let now = world.event_log.now().seconds();
-        if now + fault.for_s > world.experiment.seconds {
+        let now_s = world.event_log.now().seconds();
+        if now_s + fault.for_s > world.experiment.seconds {
             return None;
         }
-        let told = world.event_log.write(|b| {
-            let new = b.messages[seen.min(b.messages.len())..].iter();
-            let to_node = new.filter(|l| matches!(l.to, Member::Node(_))).map(|l| l.bytes.clone());
-            let letters: Vec<Vec<u8>> = to_node.collect();
-            seen = b.messages.len();
-            letters
-        });
-        if told.iter().any(|bytes| tells_of(&world.secret, bytes, step)) {
-            fault.at_s = now;
+        let new = messages_to_nodes_since(world, &mut seen);
+        if new.iter().any(|message| has_split_in(world, message, phase)) {
+            fault.at_s = now_s;
             return Some(fault);
         }
-        tokio::time::sleep(LOOKS).await;
+        sleep(PHASE_POLL_INTERVAL).await;
     }
 }
 
-fn tells_of(secret: &[u8], letter: &[u8], step: SplitPhase) -> bool {
-    let Some((_, ShardGrowthMessage::Map { map: form })) =
-        message_reference::decode::<ShardGrowthMessage>(secret, MessageKind::ShardGrowth, letter)
-    else {
-        return false;
-    };
-    form.shards.values().any(|s| s.phase == Some(step))
+/// The messages to nodes from index `seen` on, which moves to the end of the log.
+fn messages_to_nodes_since(world: &World, seen: &mut usize) -> Vec<RelayedMessage> {
+    world.event_log.write(|log| {
+        let new = &log.messages[(*seen).min(log.messages.len())..];
+        *seen = log.messages.len();
+        new.iter().filter(|message| matches!(message.to, Member::Node(_))).cloned().collect()
+    })
+}
+
+fn has_split_in(world: &World, message: &RelayedMessage, phase: SplitPhase) -> bool {
+    let Some(ShardGrowthMessage::Map { map }) = decode_growth(world, message) else { return false };
+    map.shards.values().any(|state| state.phase == Some(phase))
 }
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -103,10 +103,10 @@
     let schedule = Arc::new(run.schedule.clone());
     // The start is known before anything stands, so that boxes can be as old as they are to be.
     let lead = Duration::from_millis(300 + 60 * experiment.world.nodes as u64) + SETTLES;
-    let event_log = EventLogWriter::new(Instant::now() + lead + growth::lead(&experiment));
+    let event_log = EventLogWriter::new(Instant::now() + lead + growth::lead_time(&experiment));
     let world = World::build(&experiment, run, event_log.clone()).await.map_err(|e| e.to_string())?;
     let world = Arc::new(world);
-    growth::teach(&world).await?;
+    growth::seed_history(&world).await.map_err(|e| e.to_string())?;
     for planner in &world.planners {
         planner.lock().await.start()?;
     }
