--- a/crates/testbed/src/world/byzantine_planner.rs
+++ b/crates/testbed/src/world/byzantine_planner.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::interval;
 
-use super::planner::number_of;
+use super::planner::planner_number;
 use crate::experiment::Lie;
 use crate::message_reference::{
     Comparison, ComparisonReport, CounterfactualMessage, Demand, Fragment, HealthMessage, HealthStatus,
@@ -39,7 +39,7 @@
     let Ok(socket) = UdpSocket::bind(address).await else { return };
     let incarnation = UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
     let mut forger = ByzantinePlanner {
-        signer: Signer::Planner(number_of(planner)),
+        signer: Signer::Planner(planner_number(planner)),
         incarnation,
         sequence: 0,
         socket,
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -74,9 +74,9 @@
         }
     } else if fault.kind.befalls_letters() {
         let Some(relay) = &world.relay else { return };
-        relay.trouble(id, &fault, true);
+        relay.begin_fault(id, &fault);
         until(&world, fault.end_s()).await;
-        relay.trouble(id, &fault, false);
+        relay.end_fault(id);
     } else {
         at_world(&world, &fault, &caches, &nodes, true).await;
         until(&world, fault.end_s()).await;
@@ -235,8 +235,8 @@
         }
         None => until(world, fault.end_s()).await,
     }
-    let treated = planner.treat(fault.store).map_err(|e| e.to_string());
-    if let Err(how) = treated.and_then(|()| planner.start()) {
+    let treated = planner.damage_state(fault.store).map_err(|e| e.to_string());
+    if let Err(how) = treated.and_then(|()| planner.start().map_err(|e| e.to_string())) {
         world.event_log.event(Event::PlannerCrashed { planner: number, how });
     }
     down(false);
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -12,7 +12,7 @@
 
 use super::World;
 use super::cache::Seat;
-use super::planner::number_of;
+use super::planner::{StartError, planner_number};
 use crate::event_log::{EventLogWriter, Member, RelayedMessage, Timestamp, Version};
 use crate::experiment::{Experiment, Fault, GrowthForm};
 use crate::message_reference::{MessageKind, Sender, Signer, decode, encode};
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub enum HistoryError {
     /// The planner's program can't be started.
-    Start(String),
+    Start(StartError),
     /// No socket can be opened.
     Socket(std::io::Error),
     /// The planner did not accept the history in time.
@@ -51,7 +51,7 @@
 impl fmt::Display for HistoryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HistoryError::Start(error) => f.write_str(error),
+            HistoryError::Start(error) => write!(f, "{error}"),
             HistoryError::Socket(error) => write!(f, "{error}"),
             HistoryError::Timeout => f.write_str("the first planner took no history"),
         }
@@ -140,7 +140,7 @@
     shard: u8,
     days: &[DaySize],
 ) {
-    let sender = Sender { member: Signer::Planner(number_of(1)), incarnation: 1, sequence };
+    let sender = Sender { member: Signer::Planner(planner_number(1)), incarnation: 1, sequence };
     let message = ShardGrowthMessage::EndedDays { shard, days: days.to_vec() };
     if let Some(bytes) = encode(&world.secret, MessageKind::ShardGrowth, sender, &message) {
         // A lost datagram is sent again with the next round.
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -35,7 +35,7 @@
 use listener::{Door, Stance};
 use node::{Node, Program};
 use origin::Origin;
-use planner::Planner;
+use planner::{Persistence, Planner, PlannerSetup};
 use relay::Relay;
 
 /// Between the nodes' being ready and the first call: each has its watch by then.
@@ -108,7 +108,7 @@
     let world = Arc::new(world);
     growth::seed_history(&world).await.map_err(|e| e.to_string())?;
     for planner in &world.planners {
-        planner.lock().await.start()?;
+        planner.lock().await.start().map_err(|e| e.to_string())?;
     }
     // Side by side: one after the other, forty take longer than a run.
     let starts = world
@@ -143,7 +143,7 @@
     join_all(stops).await;
     for planner in &world.planners {
         let mut planner = planner.lock().await;
-        planner.look();
+        planner.check_exit();
         planner.stop().await;
     }
     event_log.write(|b| b.secret.clone_from(&world.secret));
@@ -177,7 +177,7 @@
         }
         for planner in &world.planners {
             if let Ok(mut planner) = planner.try_lock() {
-                planner.look();
+                planner.check_exit();
             }
         }
         tokio::time::sleep(LOOKS).await;
@@ -315,11 +315,22 @@
         let place = |member, other| relay_address(number, member, other);
         let relay = Relay::open(nodes, &addresses, place, run.seed, self.event_log.clone()).await?;
         self.relay = Some(relay);
-        let forgetful = self.experiment.fleet.as_ref().is_some_and(|f| f.forgetful);
+        let persistence = match &self.experiment.fleet {
+            Some(fleet) if fleet.forgetful => Persistence::InMemory,
+            _ => Persistence::Persistent,
+        };
         for (p, at) in addresses.iter().enumerate() {
             let operator = self.operators_file_with(Member::Planner(p), &addresses).unwrap_or_default();
             let event_log = self.event_log.clone();
-            let planner = Planner::new(p, *at, program, run.folder, &operator, forgetful, event_log)?;
+            let setup = PlannerSetup {
+                index: p,
+                address: *at,
+                program,
+                folder: run.folder,
+                fleet_config: &operator,
+                persistence,
+            };
+            let planner = Planner::new(setup, event_log)?;
             self.planners.push(Mutex::new(planner));
         }
         Ok(())
@@ -334,7 +345,7 @@
         let relay = self.relay.as_ref()?;
         let planners = (0..self.experiment.planners())
             .filter_map(|p| relay.address(member, Member::Planner(p)).or_else(|| own.get(p).copied()));
-        Some(planner::operators_file(&self.experiment, &self.secret, &planners.collect::<Vec<_>>()))
+        Some(planner::fleet_config(&self.experiment, &self.secret, &planners.collect::<Vec<_>>()))
     }
 
     fn origin_entry(&self) -> Entry {
--- a/crates/testbed/src/world/planner.rs
+++ b/crates/testbed/src/world/planner.rs
@@ -1,5 +1,6 @@
-//! The planners: the real program, each a process of its own, and the files that members read.
+//! The planners: the real program, each in a process of its own, and the fleet configuration that members read.
 
+use std::fmt;
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,144 +9,203 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, Command};
+use tokio::time::timeout;
 
 use crate::event_log::{Event, EventLogWriter};
-use crate::experiment::{Experiment, Store};
+use crate::experiment::{Experiment, LeasesForm, Store};
 
-/// A planner told to stop ends by then.
-const STOPS: Duration = Duration::from_millis(1500);
+/// A planner that is asked to stop exits within this time.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
+/// What is appended to a state file that is torn.
+const GARBAGE: &[u8] = b"torn here";
 
+/// Whether a planner has a directory for its state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Persistence {
+    /// It persists its state.
+    Persistent,
+    /// It has no directory, and starts each time without state.
+    InMemory,
+}
+
+/// Why a planner's program can't be started.
+#[derive(Debug)]
+pub struct StartError {
+    /// The program, or the file that it logs to.
+    path: PathBuf,
+    error: std::io::Error,
+}
+
+impl fmt::Display for StartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.path.display(), self.error)
+    }
+}
+
+impl std::error::Error for StartError {}
+
+/// What a planner is set up with.
+pub struct PlannerSetup<'a> {
+    /// The planner's index, from 0.
+    pub index: usize,
+    /// Where it listens for messages.
+    pub address: SocketAddr,
+    /// The program to start.
+    pub program: &'a Path,
+    /// Where its files are written.
+    pub folder: &'a Path,
+    /// The text of its fleet configuration.
+    pub fleet_config: &'a str,
+    /// Whether it persists its state.
+    pub persistence: Persistence,
+}
+
+/// A planner's process and its files.
 pub struct Planner {
-    pub number: usize,
+    /// The planner's index, from 0.
+    pub index: usize,
+    /// Where it listens for messages.
     pub address: SocketAddr,
     program: PathBuf,
-    file: PathBuf,
-    log: PathBuf,
-    state: PathBuf,
+    config_file: PathBuf,
+    log_file: PathBuf,
+    state_folder: PathBuf,
+    /// The process while it runs.
     child: Option<Child>,
     event_log: EventLogWriter,
 }
 
-/// What all members agree on, with the planners where this member finds them.
-pub fn operators_file(of: &Experiment, secret: &[u8], planners: &[SocketAddr]) -> String {
-    let fleet = of.fleet.clone().unwrap_or_default();
+/// The text of the fleet configuration, with the planners at the addresses where one member sees them.
+pub fn fleet_config(experiment: &Experiment, secret: &[u8], planners: &[SocketAddr]) -> String {
+    let fleet = experiment.fleet.clone().unwrap_or_default();
+    let hex_secret: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
     let mut file = toml::Table::new();
-    let hex: String = secret.iter().map(|b| format!("{b:02x}")).collect();
-    file.insert("secret".into(), hex.into());
-    file.insert("forwarders".into(), (of.world.nodes as i64).into());
-    let planner = |(n, at): (usize, &SocketAddr)| {
+    file.insert("secret".into(), hex_secret.into());
+    file.insert("forwarders".into(), (experiment.world.nodes as i64).into());
+    let mut planner_tables = Vec::new();
+    for (index, address) in planners.iter().enumerate() {
         let mut planner = toml::Table::new();
-        planner.insert("number".into(), i64::from(number_of(n)).into());
-        planner.insert("letters".into(), at.to_string().into());
-        toml::Value::Table(planner)
-    };
-    file.insert("planner".into(), planners.iter().enumerate().map(planner).collect::<Vec<_>>().into());
-    if let Some(l) = &fleet.leases {
-        let mut leases = toml::Table::new();
-        leases.insert("origin_per_s".into(), l.origin_per_s.into());
-        leases.insert("cold_work".into(), l.cold_work.into());
-        leases.insert("reserve".into(), l.reserve.into());
-        if l.standing > 0.0 {
-            leases.insert("standing".into(), l.standing.into());
-        }
-        leases.insert("lasts_ms".into(), (l.lasts_ms as i64).into());
-        file.insert("leases".into(), leases.into());
+        planner.insert("number".into(), i64::from(planner_number(index)).into());
+        planner.insert("letters".into(), address.to_string().into());
+        planner_tables.push(toml::Value::Table(planner));
+    }
+    file.insert("planner".into(), planner_tables.into());
+    if let Some(leases) = &fleet.leases {
+        file.insert("leases".into(), lease_config(leases).into());
     }
     file.extend(fleet.operator);
     file.to_string()
 }
 
-/// In members' files planners are counted from 1.
-pub fn number_of(planner: usize) -> u8 {
-    planner as u8 + 1
+fn lease_config(leases: &LeasesForm) -> toml::Table {
+    let mut table = toml::Table::new();
+    table.insert("origin_per_s".into(), leases.origin_per_s.into());
+    table.insert("cold_work".into(), leases.cold_work.into());
+    table.insert("reserve".into(), leases.reserve.into());
+    if leases.standing > 0.0 {
+        table.insert("standing".into(), leases.standing.into());
+    }
+    table.insert("lasts_ms".into(), (leases.lasts_ms as i64).into());
+    table
+}
+
+/// A planner's number in configurations and messages, where planners are counted from 1.
+pub fn planner_number(index: usize) -> u8 {
+    index as u8 + 1
 }
 
 impl Planner {
-    pub fn new(
-        number: usize,
-        address: SocketAddr,
-        program: &Path,
-        folder: &Path,
-        operator: &str,
-        forgetful: bool,
-        event_log: EventLogWriter,
-    ) -> std::io::Result<Planner> {
-        let place = |end: &str| folder.join(format!("planner-{number}{end}"));
-        let state = place(".state");
-        let _ = std::fs::remove_dir_all(&state);
-        std::fs::create_dir_all(&state)?;
-        let operators_file = place(".operator.toml");
-        std::fs::write(&operators_file, operator)?;
-        let mut file = toml::Table::new();
-        file.insert("number".into(), i64::from(number_of(number)).into());
-        file.insert("operator".into(), operators_file.display().to_string().into());
-        if !forgetful {
-            file.insert("state".into(), state.display().to_string().into());
+    /// Writes a planner's files; [`Planner::start`] starts it.
+    ///
+    /// # Errors
+    /// The system's, where a file can't be written.
+    pub fn new(setup: PlannerSetup<'_>, event_log: EventLogWriter) -> std::io::Result<Planner> {
+        let path = |ending: &str| setup.folder.join(format!("planner-{}{ending}", setup.index));
+        let state_folder = path(".state");
+        // An earlier run may have left state, or none.
+        let _ = std::fs::remove_dir_all(&state_folder);
+        std::fs::create_dir_all(&state_folder)?;
+        let fleet_config_file = path(".operator.toml");
+        std::fs::write(&fleet_config_file, setup.fleet_config)?;
+        let mut config = toml::Table::new();
+        config.insert("number".into(), i64::from(planner_number(setup.index)).into());
+        config.insert("operator".into(), fleet_config_file.display().to_string().into());
+        if setup.persistence == Persistence::Persistent {
+            config.insert("state".into(), state_folder.display().to_string().into());
         }
-        std::fs::write(place(".toml"), file.to_string())?;
-        let program = program.into();
+        let config_file = path(".toml");
+        std::fs::write(&config_file, config.to_string())?;
         Ok(Planner {
-            number,
-            address,
-            program,
-            file: place(".toml"),
-            log: place(".log"),
-            state,
+            index: setup.index,
+            address: setup.address,
+            program: setup.program.into(),
+            config_file,
+            log_file: path(".log"),
+            state_folder,
             child: None,
             event_log,
         })
     }
 
-    /// Starts the program, if it is not there.
+    /// Starts the program unless it runs.
     ///
     /// # Errors
-    /// What kept it from starting.
-    pub fn start(&mut self) -> Result<(), String> {
+    /// Names the program or log file that is at fault.
+    pub fn start(&mut self) -> Result<(), StartError> {
         if self.child.is_some() {
             return Ok(());
         }
-        let log = File::options().create(true).append(true).open(&self.log);
-        let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log_file)
+            .map_err(|error| StartError { path: self.log_file.clone(), error })?;
         let child = Command::new(&self.program)
             .args(["plan", "--config"])
-            .arg(&self.file)
+            .arg(&self.config_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .kill_on_drop(true)
-            .spawn();
-        self.child = Some(child.map_err(|e| format!("{}: {e}", self.program.display()))?);
+            .spawn()
+            .map_err(|error| StartError { path: self.program.clone(), error })?;
+        self.child = Some(child);
         Ok(())
     }
 
+    /// Sends a signal to the process, if it runs.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id);
         if let Some(pid) = id.and_then(|id| Pid::from_raw(id as i32)) {
+            // It fails only for a process that has ended.
             let _ = kill_process(pid, signal);
         }
     }
 
+    /// Kills the process, if it runs.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await;
         }
     }
 
-    /// Tells it to stop, and kills it where it does not.
+    /// Asks the process to stop. One that does not exit in time is killed, and recorded as crashed.
     pub async fn stop(&mut self) {
         self.signal(Signal::TERM);
-        if let Some(mut child) = self.child.take()
-            && tokio::time::timeout(STOPS, child.wait()).await.is_err()
-        {
-            let how = format!("it went on for {STOPS:?} after it was told to stop");
-            self.event_log.event(Event::PlannerCrashed { planner: self.number, how });
+        let Some(mut child) = self.child.take() else { return };
+        if timeout(SHUTDOWN_TIMEOUT, child.wait()).await.is_err() {
+            let how = format!("it went on for {SHUTDOWN_TIMEOUT:?} after it was told to stop");
+            self.event_log.event(Event::PlannerCrashed { planner: self.index, how });
             let _ = child.kill().await;
         }
     }
 
-    /// Does to what it kept what a fault says.
-    pub fn treat(&self, store: Store) -> std::io::Result<()> {
-        for entry in std::fs::read_dir(&self.state)? {
+    /// Does to the persisted state what a fault says.
+    ///
+    /// # Errors
+    /// The system's, where a file can't be read or changed.
+    pub fn damage_state(&self, store: Store) -> std::io::Result<()> {
+        for entry in std::fs::read_dir(&self.state_folder)? {
             let file = entry?.path();
             match store {
                 Store::Kept => {}
@@ -153,7 +213,7 @@
                 Store::Torn => {
                     let mut bytes = std::fs::read(&file)?;
                     bytes.truncate(bytes.len() / 2);
-                    bytes.extend(b"torn here");
+                    bytes.extend(GARBAGE);
                     std::fs::write(&file, bytes)?;
                 }
             }
@@ -161,15 +221,13 @@
         Ok(())
     }
 
-    /// Notes whether it has ended by itself.
-    pub fn look(&mut self) {
-        if let Some(child) = &mut self.child
-            && let Ok(Some(status)) = child.try_wait()
-        {
-            self.child = None;
-            let last = std::fs::read_to_string(&self.log).unwrap_or_default();
-            let how = format!("{status}, {}", last.lines().last().unwrap_or("it logged nothing"));
-            self.event_log.event(Event::PlannerCrashed { planner: self.number, how });
-        }
+    /// Records a crash if the process has ended by itself.
+    pub fn check_exit(&mut self) {
+        let Some(child) = &mut self.child else { return };
+        let Ok(Some(status)) = child.try_wait() else { return };
+        self.child = None;
+        let log = std::fs::read_to_string(&self.log_file).unwrap_or_default();
+        let how = format!("{status}, {}", log.lines().last().unwrap_or("it logged nothing"));
+        self.event_log.event(Event::PlannerCrashed { planner: self.index, how });
     }
 }
--- /dev/null
+++ b/crates/testbed/src/world/relay/impairment.rs
@@ -0,0 +1,79 @@
+//! What faults do to a message.
+
+use std::time::Duration;
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+use super::{ActiveFault, Route};
+use crate::event_log::Member;
+use crate::experiment::{Fault, FaultKind, Toward};
+
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// The outcome for one message.
+pub(super) struct Impairment {
+    /// The delay of each copy that is forwarded; none if the message is lost.
+    pub copy_delays: Vec<Duration>,
+    /// Whether a bit was flipped.
+    pub is_corrupted: bool,
+}
+
+/// Applies all faults to a message. Each fault that applies to the route draws the same numbers, whether or not it hits.
+pub(super) fn impair(
+    faults: &[ActiveFault],
+    route: Route,
+    bytes: &mut [u8],
+    generator: &mut ChaCha8Rng,
+) -> Impairment {
+    let mut impairment = Impairment { copy_delays: vec![Duration::ZERO], is_corrupted: false };
+    for ActiveFault { fault, .. } in faults {
+        if !applies(fault, route) {
+            continue;
+        }
+        let is_hit = generator.random::<f64>() < fault.share.unwrap_or(1.0);
+        let delay_ms = fault.ms.unwrap_or(0.0) * (0.5 + generator.random::<f64>());
+        if !is_hit {
+            continue;
+        }
+        let delay = Duration::from_secs_f64(delay_ms / MILLIS_PER_SECOND);
+        match fault.kind {
+            FaultKind::LettersLost | FaultKind::LettersCut => impairment.copy_delays.clear(),
+            FaultKind::LettersDoubled => impairment.copy_delays.push(delay),
+            FaultKind::LettersLate => {
+                for copy_delay in &mut impairment.copy_delays {
+                    *copy_delay += delay;
+                }
+            }
+            FaultKind::LettersSpoilt if !bytes.is_empty() => {
+                impairment.is_corrupted = true;
+                let bit = generator.random_range(0..bytes.len() * 8);
+                bytes[bit / 8] ^= 1 << (bit % 8);
+            }
+            _ => {}
+        }
+    }
+    impairment
+}
+
+/// Whether a fault applies to messages on a route.
+pub(super) fn applies(fault: &Fault, route: Route) -> bool {
+    let is_named = |member: Member| match member {
+        Member::Node(node) => fault.nodes.contains(&node),
+        Member::Planner(planner) => fault.planners.contains(&planner),
+    };
+    if fault.kind == FaultKind::LettersCut {
+        return is_named(route.from) != is_named(route.to);
+    }
+    let ends = [route.from, route.to];
+    let has_named_planner = ends.iter().any(|m| matches!(m, Member::Planner(_)) && is_named(*m));
+    let has_named_node = ends.iter().any(|m| matches!(m, Member::Node(_)) && is_named(*m));
+    let is_direction = match fault.toward {
+        Toward::Nodes => matches!(route.to, Member::Node(_)),
+        Toward::Planners => matches!(route.to, Member::Planner(_)),
+        _ => true,
+    };
+    is_direction
+        && (has_named_planner || fault.planners.is_empty())
+        && (has_named_node || fault.nodes.is_empty())
+}
