--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -25,17 +25,17 @@
 use tokio::sync::Mutex;
 
 use crate::event_log::{
-    Event, EventLog, EventLogWriter, Listed, Member, NodeId, ServerId, ServerInfo, Timestamp,
+    Event, EventLog, EventLogWriter, EndpointState, Member, NodeId, ServerId, ServerInfo, Timestamp,
 };
 use crate::experiment::Experiment;
-use crate::schedule::{Schedule, mix64};
+use crate::schedule::{Schedule, mixed};
 use cache::Seat;
 use clients::{Clients, Leave};
 use discovery::{Discovery, Entry};
 use listener::{Door, Stance};
 use node::{Node, Program};
 use origin::Origin;
-use planner::Planner;
+use planner::{Persistence, Planner, PlannerSetup};
 use relay::Relay;
 
 /// Between the nodes' being ready and the first call: each has its watch by then.
@@ -103,24 +103,24 @@
     let schedule = Arc::new(run.schedule.clone());
     // The start is known before anything stands, so that boxes can be as old as they are to be.
     let lead = Duration::from_millis(300 + 60 * experiment.world.nodes as u64) + SETTLES;
-    let event_log = EventLogWriter::new(Instant::now() + lead + growth::lead(&experiment));
+    let event_log = EventLogWriter::new(Instant::now() + lead + growth::lead_time(&experiment));
     let world = World::build(&experiment, run, event_log.clone()).await.map_err(|e| e.to_string())?;
     let world = Arc::new(world);
-    growth::teach(&world).await?;
+    growth::seed_history(&world).await.map_err(|e| e.to_string())?;
     for planner in &world.planners {
-        planner.lock().await.start()?;
+        planner.lock().await.start().map_err(|e| e.to_string())?;
     }
     // Side by side: one after the other, forty take longer than a run.
     let starts = world
         .nodes
         .iter()
-        .take(experiment.initial_nodes())
+        .take(experiment.begins_with())
         .map(|node| async move { node.lock().await.start(None).await });
     for started in join_all(starts).await {
         started?;
     }
-    for late in world.nodes.iter().skip(experiment.initial_nodes()) {
-        event_log.event(Event::NodeStops { node: late.lock().await.id });
+    for late in world.nodes.iter().skip(experiment.begins_with()) {
+        event_log.event(Event::NodeStopping { node: late.lock().await.id });
     }
     if event_log.now() > Timestamp(0) {
         return Err("the nodes took too long to start: this machine is too busy to judge them".into());
@@ -134,7 +134,7 @@
     let _ = faults.await;
     looks.abort();
     pulse.abort();
-    let longest = experiment.request_classes.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
+    let longest = experiment.product.iter().map(|p| p.timeout_ms).max().unwrap_or(0);
     let stops = world.nodes.iter().map(|node| async move {
         let mut node = node.lock().await;
         node.look();
@@ -143,7 +143,7 @@
     join_all(stops).await;
     for planner in &world.planners {
         let mut planner = planner.lock().await;
-        planner.look();
+        planner.check_exit();
         planner.stop().await;
     }
     event_log.write(|b| b.secret.clone_from(&world.secret));
@@ -163,7 +163,7 @@
         tokio::time::sleep(PULSE).await;
         let late = before.elapsed().saturating_sub(PULSE).as_micros() as u64;
         if event_log.now() > Timestamp(0) {
-            event_log.write(|b| b.stalled = b.stalled.max(late));
+            event_log.write(|b| b.max_stall_us = b.max_stall_us.max(late));
         }
     }
 }
@@ -177,7 +177,7 @@
         }
         for planner in &world.planners {
             if let Ok(mut planner) = planner.try_lock() {
-                planner.look();
+                planner.check_exit();
             }
         }
         tokio::time::sleep(LOOKS).await;
@@ -237,7 +237,7 @@
             origin_doors.push(Door::open(ip, NodeId(node), Stance::Open, origin.clone()).await?);
         }
         let mut seats = Vec::new();
-        for seat in 0..experiment.max_caches() {
+        for seat in 0..experiment.seats() {
             let there = seat < form.caches;
             let id = note_server(&event_log, name(seat, 0), Some(seat), None);
             let (form, event_log, origin) = (form.cache.clone(), event_log.clone(), origin.clone());
@@ -251,7 +251,7 @@
             let _ = seat.doors.set(doors);
             if there && experiment.load.preloaded {
                 // The most popular ones last, lest they go first.
-                let keys = experiment.load.keys.min(experiment.world.cache.capacity_values as u64);
+                let keys = experiment.load.keys.min(experiment.world.cache.values as u64);
                 let zero = crate::event_log::Version(0);
                 (0..keys).rev().for_each(|key| seat.store(key, zero, zero));
             }
@@ -275,12 +275,12 @@
             planners: Vec::new(),
             relay: None,
             leave: tokio::sync::watch::Sender::default(),
-            secret: (0..4).flat_map(|n| mix64(run.seed, n).to_be_bytes()).collect(),
+            secret: (0..4).flat_map(|n| mixed(run.seed, n).to_be_bytes()).collect(),
         };
         world.add_planners(number, run).await?;
         world.discovery.put(world.origin_entry());
         for seat in 0..form.caches {
-            world.list(seat, Listed::Ready);
+            world.list(seat, EndpointState::Ready);
         }
         for node in nodes {
             let first_cache = world.seats[0].doors.get().map(|doors| doors[node].address);
@@ -315,11 +315,22 @@
         let place = |member, other| relay_address(number, member, other);
         let relay = Relay::open(nodes, &addresses, place, run.seed, self.event_log.clone()).await?;
         self.relay = Some(relay);
-        let forgetful = self.experiment.fleet.as_ref().is_some_and(|f| f.volatile_planners);
+        let persistence = match &self.experiment.fleet {
+            Some(fleet) if fleet.forgetful => Persistence::InMemory,
+            _ => Persistence::Persistent,
+        };
         for (p, at) in addresses.iter().enumerate() {
             let operator = self.operators_file_with(Member::Planner(p), &addresses).unwrap_or_default();
             let event_log = self.event_log.clone();
-            let planner = Planner::new(p, *at, program, run.folder, &operator, forgetful, event_log)?;
+            let setup = PlannerSetup {
+                index: p,
+                address: *at,
+                program,
+                folder: run.folder,
+                fleet_config: &operator,
+                persistence,
+            };
+            let planner = Planner::new(setup, event_log)?;
             self.planners.push(Mutex::new(planner));
         }
         Ok(())
@@ -334,7 +345,7 @@
         let relay = self.relay.as_ref()?;
         let planners = (0..self.experiment.planners())
             .filter_map(|p| relay.address(member, Member::Planner(p)).or_else(|| own.get(p).copied()));
-        Some(planner::operators_file(&self.experiment, &self.secret, &planners.collect::<Vec<_>>()))
+        Some(planner::fleet_config(&self.experiment, &self.secret, &planners.collect::<Vec<_>>()))
     }
 
     fn origin_entry(&self) -> Entry {
@@ -344,13 +355,13 @@
             endpoints: self.origin_doors.iter().map(|d| d.address).collect(),
             zone: self.experiment.world.zones[0].clone(),
             kind: "origin",
-            listed: Listed::Ready,
+            listed: EndpointState::Ready,
             boot_ms: 0,
         }
     }
 
     /// Lists what stands at a seat.
-    fn list(&self, seat: usize, listed: Listed) {
+    fn list(&self, seat: usize, listed: EndpointState) {
         let seat = &self.seats[seat];
         let id = seat.id();
         let uid = self.event_log.write(|b| b.servers[id.0].name.clone());
@@ -369,7 +380,7 @@
     /// A new box under a new name stands at a seat, cold.
     fn renew(&self, seat: usize) {
         let now = self.event_log.now();
-        let generation = self.event_log.write(|b| b.servers.iter().filter(|s| s.seat == Some(seat)).count());
+        let generation = self.event_log.write(|b| b.servers.iter().filter(|s| s.slot == Some(seat)).count());
         let id = note_server(&self.event_log, name(seat, generation), Some(seat), Some(now));
         self.seats[seat].stand(id, Some(now));
     }
@@ -386,7 +397,7 @@
     started: Option<Timestamp>,
 ) -> ServerId {
     event_log.write(|b| {
-        b.servers.push(ServerInfo { name, seat, started });
+        b.servers.push(ServerInfo { name, slot: seat, started });
         ServerId(b.servers.len() - 1)
     })
 }
--- a/crates/testbed/src/world/node.rs
+++ b/crates/testbed/src/world/node.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-use crate::event_log::{Event, EventLogWriter, NodeId, Usage};
-use crate::experiment::{Experiment, RequestEffect};
+use crate::event_log::{Event, EventLogWriter, NodeId, ResourceUsage};
+use crate::experiment::{Experiment, ProductEffect};
 
 /// A node that is not ready by then is not going to be.
 const READY: Duration = Duration::from_secs(8);
@@ -53,32 +53,32 @@
 /// The configuration of a node, by the deployment page.
 pub fn config(of: &Experiment, node: NodeId, listen: SocketAddr, discovery: SocketAddr, seed: u64) -> Value {
     let world = &of.world;
-    let product = |p: &crate::experiment::RequestClass| {
+    let product = |p: &crate::experiment::Product| {
         let effect = match p.effect {
-            RequestEffect::Idempotent => "read_like",
-            RequestEffect::Deduplicated => "idempotency_key",
-            RequestEffect::NonIdempotent => "non_idempotent",
+            ProductEffect::Idempotent => "read_like",
+            ProductEffect::Deduplicated => "idempotency_key",
+            ProductEffect::NonIdempotent => "non_idempotent",
         };
         json!({"Name": p.name, "Effect": effect, "DedupScope": "all",
-            "WindowUs": (world.origin.idempotency_window_s * 1e6) as u64, "LatencySloUs": p.slo_ms * 1000,
+            "WindowUs": (world.origin.repeats_s * 1e6) as u64, "LatencySloUs": p.slo_ms * 1000,
             "ClientTimeoutUs": p.timeout_ms * 1000, "BilledValue": p.value})
     };
     json!({
         "name": format!("node-{}", node.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed ^ (node.0 as u64 + 1)),
-        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.max_sockets},
+        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
         "settings": {
             "Discovery": "ask", "Siblings": world.nodes, "Zones": world.zones, "Shapes": ["plain", "origin"],
             "Specifics": {"Mode": "aside", "OriginKind": 1},
-            "Products": of.request_classes.iter().map(product).collect::<Vec<_>>(),
+            "Products": of.product.iter().map(product).collect::<Vec<_>>(),
             "Tenants": of.load.tenants.iter().map(|t| json!({"Name": t, "QuotaPerS": 1e6})).collect::<Vec<_>>(),
-            "Bounds": {"MostShots": world.max_attempts, "MayCancel": world.may_cancel,
-                "SecondCopies": world.hedging, "RetryAfter": world.max_retry_after_ms > 0,
+            "Bounds": {"MostShots": world.most_shots, "MayCancel": world.may_cancel,
+                "SecondCopies": world.second_copies, "RetryAfter": world.max_retry_after_ms > 0,
                 "MaxRetryAfterUs": world.max_retry_after_ms * 1000, "ConnectTimeoutUs": 250_000,
                 "KeepaliveUs": (world.cache.keepalive_s * 1e6) as u64},
-            "Rules": {"MustAskInUs": 10_000_000, "ColdFrom": world.cache.cold_speed,
+            "Rules": {"MustAskInUs": 10_000_000, "ColdFrom": world.cache.cold_from,
                 "WarmAfterUs": (world.cache.warm_after_s * 1e6) as u64,
-                "FallMultiple": world.cache.overload_multiple, "FallUs": (world.cache.overload_window_s * 1e6) as u64},
+                "FallMultiple": world.cache.fall_multiple, "FallUs": (world.cache.fall_s * 1e6) as u64},
         },
     })
 }
@@ -227,7 +227,7 @@
 }
 
 /// What a process uses, as the system tells it.
-pub fn usage(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<Usage> {
+pub fn usage(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<ResourceUsage> {
     let folder = format!("/proc/{}", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(format!("{folder}/stat")).ok()?;
     // After the name, which may hold anything: state, then the 14th and 15th field are ticks in user and system.
@@ -238,5 +238,5 @@
     let descriptors = std::fs::read_dir(format!("{folder}/fd")).ok()?.count();
     let memory_mb = pages * rustix::param::page_size() as f64 / (1024.0 * 1024.0);
     let cpu_s = ticks as f64 / rustix::param::clock_ticks_per_second() as f64;
-    Some(Usage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
+    Some(ResourceUsage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
 }
