--- a/crates/testbed/src/faulty_node/mod.rs
+++ b/crates/testbed/src/faulty_node/mod.rs
@@ -4,26 +4,28 @@
 
 #![warn(missing_docs)]
 
+mod config;
 mod endpoints;
 mod http;
+mod violation;
 
-use std::collections::{BTreeMap, HashMap};
-use std::fmt;
+use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use serde::Deserialize;
-use serde::de::IntoDeserializer;
-use serde_json::Value;
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
+use config::NodeConfig;
 use endpoints::{DrainHandling, Endpoints};
 use http::{HttpMessage, UpstreamResponse, encode_response, forward};
 
+pub use config::ServeError;
+pub use violation::InjectedViolation;
+
 /// The violation applies to one request in this many, unless it says otherwise.
 const VIOLATION_INTERVAL: usize = 9;
 /// Later than an auditor allows after a client has disconnected.
@@ -36,147 +38,6 @@
 const FAVOURED_NODE: &str = "node-0";
 const READY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// The rule that the node breaks. The command line keeps the former names.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum InjectedViolation {
-    /// None: the control of a test.
-    #[serde(rename = "none")]
-    None,
-    /// Leaves requests without a response.
-    #[serde(rename = "mute", alias = "no-response")]
-    NoResponse,
-    /// Closes connections in place of a response.
-    #[serde(rename = "close", alias = "connection-closed")]
-    ConnectionClosed,
-    /// Responds after the client timeout.
-    #[serde(rename = "late", alias = "late-response")]
-    LateResponse,
-    /// Responds twice.
-    #[serde(rename = "second-answer", alias = "duplicate-response")]
-    DuplicateResponse,
-    /// Sends an attempt for a request that has its response.
-    #[serde(rename = "shot-after", alias = "attempt-after-response")]
-    AttemptAfterResponse,
-    /// Sends a write again that has been executed; applies to each such write.
-    #[serde(rename = "resend", alias = "repeated-write")]
-    RepeatedWrite,
-    /// Reports a write as rate-limited that has been executed.
-    #[serde(rename = "rate-limit-ran", alias = "rate-limited-after-execution")]
-    RateLimitedAfterExecution,
-    /// Sends a read to two caches at once.
-    #[serde(rename = "second-copy", alias = "unwanted-hedge")]
-    UnwantedHedge,
-    /// Goes on sending to each cache that was ever listed.
-    #[serde(rename = "undrained", alias = "ignored-drain")]
-    IgnoredDrain,
-    /// Sends all reads to the cache that was listed last.
-    #[serde(rename = "cold-rush", alias = "newest-cache-only")]
-    NewestCacheOnly,
-    /// Responds with an earlier value, as if it were made for the request.
-    #[serde(rename = "stale", alias = "stale-value")]
-    StaleValue,
-    /// Responds with what was made for another request.
-    #[serde(rename = "another", alias = "wrong-response")]
-    WrongResponse,
-    /// Sends all reads to the origin.
-    #[serde(rename = "stampede", alias = "origin-stampede")]
-    OriginStampede,
-    /// Forwards each request half a second late, whether or not its client has disconnected.
-    #[serde(rename = "unheeding", alias = "ignored-disconnect")]
-    IgnoredDisconnect,
-    /// Rate-limits all requests, unless it is the first node.
-    #[serde(rename = "favour", alias = "unfair-nodes")]
-    UnfairNodes,
-}
-
-impl std::str::FromStr for InjectedViolation {
-    type Err = serde::de::value::Error;
-
-    fn from_str(name: &str) -> Result<InjectedViolation, serde::de::value::Error> {
-        InjectedViolation::deserialize(name.into_deserializer())
-    }
-}
-
-/// Why the faulty node can't serve.
-#[derive(Debug)]
-pub enum ServeError {
-    /// The configuration file can't be read.
-    ReadConfig {
-        /// The file.
-        file: PathBuf,
-        /// The cause.
-        error: std::io::Error,
-    },
-    /// The configuration file is not JSON.
-    ParseConfig {
-        /// The file.
-        file: PathBuf,
-        /// The cause.
-        error: serde_json::Error,
-    },
-    /// The configuration lacks an address, or it is malformed.
-    NoAddress {
-        /// The key of the address.
-        key: &'static str,
-    },
-    /// The runtime can't be started.
-    StartRuntime(std::io::Error),
-    /// The address of the configuration can't be listened on.
-    Listen {
-        /// The address.
-        address: SocketAddr,
-        /// The cause.
-        error: std::io::Error,
-    },
-}
-
-impl fmt::Display for ServeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ServeError::ReadConfig { file, error } => write!(f, "{}: {error}", file.display()),
-            ServeError::ParseConfig { file, error } => write!(f, "{}: {error}", file.display()),
-            ServeError::NoAddress { key } => write!(f, "no address {key}"),
-            ServeError::StartRuntime(error) => write!(f, "the runtime can't be started: {error}"),
-            ServeError::Listen { address, error } => write!(f, "{address} can't be listened on: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for ServeError {}
-
-/// What the faulty node reads of its configuration.
-struct NodeConfig {
-    name: String,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    /// The effect of each request class by its name.
-    effects: BTreeMap<String, String>,
-}
-
-impl NodeConfig {
-    fn read(file: &Path) -> Result<NodeConfig, ServeError> {
-        let text = std::fs::read_to_string(file)
-            .map_err(|error| ServeError::ReadConfig { file: file.into(), error })?;
-        let config: Value = serde_json::from_str(&text)
-            .map_err(|error| ServeError::ParseConfig { file: file.into(), error })?;
-        let address = |key: &'static str| {
-            let address = config[key].as_str().and_then(|address| address.parse().ok());
-            address.ok_or(ServeError::NoAddress { key })
-        };
-        let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
-        let mut effects = BTreeMap::new();
-        for class in config["settings"]["Products"].as_array().into_iter().flatten() {
-            effects.insert(text(&class["Name"]), text(&class["Effect"]));
-        }
-        Ok(NodeConfig {
-            name: text(&config["name"]),
-            listen: address("listen")?,
-            discovery: address("discovery")?,
-            effects,
-        })
-    }
-}
-
 /// Serves by a configuration until the process is killed.
 ///
 /// # Errors
