--- a/crates/testbed/src/audit/expectations.rs
+++ b/crates/testbed/src/audit/expectations.rs
@@ -41,7 +41,7 @@
 
 /// The expectations that the figures don't meet, lower bounds first.
 pub(super) fn unmet(experiment: &Experiment, figures: &Figures) -> Vec<UnmetExpectation> {
-    let expect = &experiment.expect;
+    let expectations = &experiment.expectations;
     let fleet = &figures.fleet;
     let attempts = figures.attempts.max(1) as f64;
     // A recovery that did not come about took for ever.
@@ -49,30 +49,34 @@
     let service_after = figures.service_after.unwrap_or(figures.service);
     let detected = fleet.slow_caches_detected as f64;
     let detected_wrongly = fleet.false_detections as f64;
-    let max_false_detections = expect.named_wrongly.map(|count| count as f64);
-    let max_stale_reads = Some(expect.stale_reads as f64);
+    let max_false_detections = expectations.falsely_reported_caches.map(|count| count as f64);
+    let max_stale_reads = Some(expectations.stale_reads as f64);
     let max_leased = fleet::max_leased_ratio(experiment);
     let checks = [
-        at_least("service", expect.service, figures.service),
-        at_least("service_after", expect.service_after, service_after),
-        at_least("bad_clients_met", expect.bad_clients_met, figures.malformed_clients_handled),
-        at_least("fairness", expect.fairness, fleet.fairness),
-        at_least("named", expect.named.map(|count| count as f64), detected),
-        at_most("recover_s", expect.recover_s, recovery_s),
-        at_most("max_over_mean", expect.max_over_mean, figures.max_over_mean),
-        at_most("origin_fetches", expect.origin_fetches, figures.origin_fetches),
-        at_most("drain_stop_ms", expect.drain_stop_ms, figures.drain_stop_ms),
+        at_least("service", expectations.service, figures.service),
+        at_least("service_after", expectations.service_after, service_after),
+        at_least(
+            "bad_clients_met",
+            expectations.malformed_clients_handled,
+            figures.malformed_clients_handled,
+        ),
+        at_least("fairness", expectations.fairness, fleet.fairness),
+        at_least("named", expectations.slow_caches_reported.map(|count| count as f64), detected),
+        at_most("recover_s", expectations.recovery_s, recovery_s),
+        at_most("max_over_mean", expectations.max_over_mean, figures.max_over_mean),
+        at_most("origin_fetches", expectations.peak_origin_load, figures.origin_fetches),
+        at_most("drain_stop_ms", expectations.drain_stop_ms, figures.drain_stop_ms),
         at_most("stale_reads", max_stale_reads, figures.stale_reads as f64),
-        at_most("errored", expect.errored, figures.errored as f64 / attempts),
-        at_most("memory_mb", expect.memory_mb, figures.memory_mb),
-        at_most("descriptors", expect.descriptors, figures.descriptors as f64),
+        at_most("errored", expectations.error_rate, figures.errored as f64 / attempts),
+        at_most("memory_mb", expectations.memory_mb, figures.memory_mb),
+        at_most("descriptors", expectations.descriptors, figures.descriptors as f64),
         at_most("leases", max_leased, fleet.leased_ratio),
-        at_most("origin_over_whole", expect.origin_over_whole, fleet.origin_over_capacity),
-        at_most("cold_over_whole", expect.cold_over_whole, fleet.warming_over_capacity),
-        at_most("sick_trials", expect.sick_trials, fleet.hung_cache_attempts_per_s),
+        at_most("origin_over_whole", expectations.origin_over_limit, fleet.origin_over_capacity),
+        at_most("cold_over_whole", expectations.cold_cache_over_limit, fleet.warming_over_capacity),
+        at_most("sick_trials", expectations.hung_cache_attempts_per_s, fleet.hung_cache_attempts_per_s),
         at_most("named_wrongly", max_false_detections, detected_wrongly),
-        at_most("step", expect.step, fleet.service_drop),
-        at_most("loss", expect.loss, fleet.service_loss.unwrap_or(0.0)),
+        at_most("step", expectations.service_step, fleet.service_drop),
+        at_most("loss", expectations.service_loss, fleet.service_loss.unwrap_or(0.0)),
     ];
     checks.into_iter().flatten().collect()
 }
--- a/crates/testbed/src/audit/figures/mod.rs
+++ b/crates/testbed/src/audit/figures/mod.rs
@@ -108,7 +108,7 @@
     /// Measures a run, but for its shard growth.
     pub fn measure(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Figures {
         let mut figures = Figures {
-            requests: schedule.calls.len(),
+            requests: schedule.requests.len(),
             attempts: event_log.client_attempts.len(),
             ..Figures::default()
         };
@@ -282,7 +282,7 @@
 fn count_stale_reads(experiment: &Experiment, event_log: &EventLog) -> usize {
     let mut writes: BTreeMap<u64, Vec<AnsweredWrite>> = BTreeMap::new();
     for attempt in &event_log.client_attempts {
-        if experiment.product[attempt.request_class].writes()
+        if experiment.request_classes[attempt.request_class].writes()
             && let Some(version) = version_of(&attempt.end)
         {
             writes.entry(attempt.key).or_default().push(AnsweredWrite { at: attempt.ended, version });
@@ -290,7 +290,7 @@
     }
     let mut stale = 0;
     for read in &event_log.client_attempts {
-        if experiment.product[read.request_class].writes() {
+        if experiment.request_classes[read.request_class].writes() {
             continue;
         }
         let Some(version) = version_of(&read.end) else { continue };
--- a/crates/testbed/src/audit/figures/recovery.rs
+++ b/crates/testbed/src/audit/figures/recovery.rs
@@ -33,7 +33,7 @@
         let from = fault.end_s().floor() as usize;
         let recovered = (from..seconds.len()).find(|n| is_recovered(*n) && is_recovered(n + 1));
         recoveries.push(Recovery {
-            fault: format!("{:?}", fault.kind),
+            fault: fault.kind.to_string(),
             ended_s: fault.end_s(),
             after_s: recovered.map(|n| (n as f64 - fault.end_s()).max(0.0)),
         });
--- a/crates/testbed/src/audit/figures/timeline.rs
+++ b/crates/testbed/src/audit/figures/timeline.rs
@@ -45,13 +45,13 @@
     schedule: &Schedule,
     event_log: &EventLog,
 ) -> Vec<bool> {
-    let mut served = vec![false; schedule.calls.len()];
+    let mut served = vec![false; schedule.requests.len()];
     for attempt in &event_log.client_attempts {
         let ClientAttemptEnd::Fulfilled { made_for, .. } = &attempt.end else { continue };
         if *made_for != attempt.id {
             continue;
         }
-        let objective_ms = experiment.product[attempt.request_class].slo_ms as f64;
+        let objective_ms = experiment.request_classes[attempt.request_class].slo_ms as f64;
         served[attempt.request.0] |= attempt.ended.ms_since(attempt.due) <= objective_ms;
     }
     served
@@ -62,9 +62,9 @@
     let mut seconds = vec![Second::default(); count];
     let index = |at: Timestamp| (at.seconds().max(0.0) as usize).min(count - 1);
     let served = served_requests(experiment, schedule, event_log);
-    for (request, is_served) in schedule.calls.iter().zip(served) {
+    for (request, is_served) in schedule.requests.iter().zip(served) {
         let second = &mut seconds[index(request.due())];
-        let value = experiment.product[request.product].value;
+        let value = experiment.request_classes[request.class].value;
         second.requested += value;
         second.served += if is_served { value } else { 0.0 };
     }
--- a/crates/testbed/src/audit/fleet/detections.rs
+++ b/crates/testbed/src/audit/fleet/detections.rs
@@ -21,7 +21,7 @@
         let mut slow_slots = BTreeSet::new();
         for fault in experiment.faults() {
             if fault.kind == FaultKind::Slow {
-                slow_slots.extend(fault.named(experiment));
+                slow_slots.extend(fault.target_caches(experiment));
             }
         }
         let mut detections = Detections { slow: 0, not_slow: 0 };
--- a/crates/testbed/src/audit/fleet/leases.rs
+++ b/crates/testbed/src/audit/fleet/leases.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::event_log::{EventLog, Member, RelayedMessage, Timestamp};
-use crate::experiment::LeasesForm;
+use crate::experiment::LeasesConfig;
 use crate::message_reference::{self, LeaseMessage, MessageKind, Resource};
 
 /// Leases count thousandths of a fetch from the origin.
@@ -186,12 +186,12 @@
     }
 
     /// The greatest sum of what was held at a moment and of the nodes' permanent reserve, over the resource's capacity.
-    pub fn max_leased_ratio(&self, form: &LeasesForm, nodes: usize) -> f64 {
+    pub fn max_leased_ratio(&self, form: &LeasesConfig, nodes: usize) -> f64 {
         let mut worst = 0.0_f64;
         for (resource, mut changes) in self.changes() {
             let capacity = match resource {
                 Resource::Origin => form.origin_per_s * ORIGIN_UNITS_PER_FETCH,
-                Resource::WarmingCache(_) => form.cold_work * WORK_UNITS_PER_SECOND,
+                Resource::WarmingCache(_) => form.cold_cache_work * WORK_UNITS_PER_SECOND,
             };
             // At one time, what ends counts before what begins.
             changes.sort_unstable();
--- a/crates/testbed/src/audit/fleet/mod.rs
+++ b/crates/testbed/src/audit/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 use super::figures::{Second, served_requests, service_of};
 use crate::event_log::{Event, EventLog};
-use crate::experiment::{Experiment, Lie};
+use crate::experiment::{Experiment, FalseClaim};
 use crate::schedule::Schedule;
 use detections::Detections;
 use leases::LeaseHistory;
@@ -107,10 +107,11 @@
 /// The bound of the leased ratio: the experiment's own, or 1 where there are leases. There is none where a planner forges
 /// grants.
 pub(super) fn max_leased_ratio(experiment: &Experiment) -> Option<f64> {
-    let forges_grants = experiment.faults().iter().any(|fault| fault.lie == Some(Lie::Grants));
+    let forges_grants =
+        experiment.faults().iter().any(|fault| fault.false_claim == Some(FalseClaim::GrantEverything));
     let has_leases = experiment.fleet.as_ref().is_some_and(|fleet| fleet.leases.is_some());
     let default = if has_leases && !forges_grants { Some(1.0) } else { None };
-    experiment.expect.leases.or(default)
+    experiment.expectations.leased_fraction.or(default)
 }
 
 /// What became of a node's requests.
@@ -123,7 +124,8 @@
 /// Jain's fairness index of the nodes' shares of served requests: 1 if all are alike.
 fn fairness(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> f64 {
     let mut nodes: BTreeMap<usize, NodeRequests> = BTreeMap::new();
-    for (request, is_served) in schedule.calls.iter().zip(served_requests(experiment, schedule, event_log)) {
+    for (request, is_served) in schedule.requests.iter().zip(served_requests(experiment, schedule, event_log))
+    {
         let node = nodes.entry(request.node).or_default();
         node.served += usize::from(is_served);
         node.requested += 1;
@@ -139,7 +141,7 @@
 fn service_drop(experiment: &Experiment, seconds: &[Second]) -> f64 {
     let mut worst = 0.0_f64;
     for fault in experiment.faults() {
-        if !fault.kind.befalls_planners() || fault.kind.befalls_letters() {
+        if !fault.kind.affects_planners() || fault.kind.affects_messages() {
             continue;
         }
         let returned = (fault.end_s() as usize).min(seconds.len());
--- a/crates/testbed/src/audit/fleet/quotas.rs
+++ b/crates/testbed/src/audit/fleet/quotas.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use crate::event_log::{EventLog, Timestamp};
-use crate::experiment::{Experiment, FaultKind, LeasesForm};
+use crate::experiment::{Experiment, FaultKind, LeasesConfig};
 
 const WINDOW_US: i64 = 1_000_000;
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -36,8 +36,12 @@
 }
 
 /// Reads at the origin in the busiest second over the rate that all nodes share.
-pub(super) fn origin_over_capacity(form: &LeasesForm, experiment: &Experiment, event_log: &EventLog) -> f64 {
-    let is_read = |class: usize| !experiment.product[class].writes();
+pub(super) fn origin_over_capacity(
+    form: &LeasesConfig,
+    experiment: &Experiment,
+    event_log: &EventLog,
+) -> f64 {
+    let is_read = |class: usize| !experiment.request_classes[class].writes();
     let client_attempts = event_log.client_attempts.iter();
     let reads: HashSet<&str> =
         client_attempts.filter(|a| is_read(a.request_class)).map(|a| a.id.as_str()).collect();
@@ -52,7 +56,11 @@
 }
 
 /// Work at a cache that warms up in its busiest second over what all nodes share, at the worst cache.
-pub(super) fn warming_over_capacity(form: &LeasesForm, experiment: &Experiment, event_log: &EventLog) -> f64 {
+pub(super) fn warming_over_capacity(
+    form: &LeasesConfig,
+    experiment: &Experiment,
+    event_log: &EventLog,
+) -> f64 {
     let warm_after_ms = experiment.world.cache.warm_after_s * MILLIS_PER_SECOND;
     let mut arrivals: BTreeMap<usize, Vec<Arrival>> = BTreeMap::new();
     for attempt in &event_log.server_attempts {
@@ -62,7 +70,7 @@
             arrivals.entry(attempt.server.0).or_default().push(arrival);
         }
     }
-    arrivals.into_values().map(busiest_second).fold(0.0, f64::max) / form.cold_work
+    arrivals.into_values().map(busiest_second).fold(0.0, f64::max) / form.cold_cache_work
 }
 
 /// Attempts a second at a cache that hangs, at the worst cache.
@@ -74,7 +82,7 @@
         if fault.kind != FaultKind::Hang || to_s - from_s < MIN_PERIOD_S {
             continue;
         }
-        for slot in fault.named(experiment) {
+        for slot in fault.target_caches(experiment) {
             let is_at_slot = |server: usize| event_log.servers[server].slot == Some(slot);
             let attempts = event_log.server_attempts.iter();
             let counted = attempts
--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -5,7 +5,7 @@
 use super::service_drop;
 use crate::audit::Second;
 use crate::event_log::{EventLog, Member, RelayedMessage, ServerInfo, Timestamp};
-use crate::experiment::{Experiment, LeasesForm};
+use crate::experiment::{Experiment, LeasesConfig};
 use crate::message_reference::{
     Comparison, ComparisonReport, CounterfactualMessage, Demand, LeaseMessage, MessageKind, Resource, Sender,
     Signer, encode, endpoint_number,
@@ -33,7 +33,7 @@
         event_log.messages.push(message(node, planner, at, &request));
         event_log.messages.push(message(planner, node, at + 500, &grant));
     }
-    let form = LeasesForm { origin_per_s: 100.0, reserve: 0.2, ..LeasesForm::default() };
+    let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
     LeaseHistory::read(&event_log).max_leased_ratio(&form, 2)
 }
 
@@ -110,7 +110,7 @@
             let (from, to) = if n % 2 == 0 { (node, planner) } else { (planner, node) };
             event_log.messages.push(message(from, to, n as i64, &lease));
         }
-        let form = LeasesForm { origin_per_s: 100.0, reserve: 0.2, ..LeasesForm::default() };
+        let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
         LeaseHistory::read(&event_log).max_leased_ratio(&form, 2)
     };
     assert!((max_ratio(50_000) - 1.1).abs() < 1e-9 && (max_ratio(30_000) - 0.9).abs() < 1e-9);
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -65,7 +65,7 @@
     if let Some(growth) = &experiment.growth {
         let audited = shard_growth::audit(experiment, growth, event_log);
         violations.extend(audited.violations);
-        unmet_expectations.extend(audited.figures.unmet(&growth.expect));
+        unmet_expectations.extend(audited.figures.unmet(&growth.expectations));
         figures.shard_growth = Some(audited.figures);
     }
     AuditResult { violations, unmet_expectations, figures }
--- a/crates/testbed/src/audit/rules/effects.rs
+++ b/crates/testbed/src/audit/rules/effects.rs
@@ -5,7 +5,7 @@
 use super::index::RunIndex;
 use super::{Findings, Rule, TOLERANCE_MS};
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, ServerAttempt, ServerAttemptEnd};
-use crate::experiment::ProductEffect;
+use crate::experiment::RequestEffect;
 
 /// Checks the writes that the origin executed.
 pub(super) fn check_effects(index: &RunIndex<'_>, findings: &mut Findings) {
@@ -27,7 +27,7 @@
         }
     }
     for attempt in &index.event_log.client_attempts {
-        if index.effect(attempt) == ProductEffect::NonIdempotent {
+        if index.effect(attempt) == RequestEffect::NonIdempotent {
             let executions = executions_by_id.get(attempt.id.as_str()).copied().unwrap_or(0);
             check_non_idempotent(index, attempt, executions, findings);
         }
@@ -60,7 +60,7 @@
 
 /// Checks that no attempt is sent while another one for the same request is in flight.
 pub(super) fn check_hedging(index: &RunIndex<'_>, findings: &mut Findings) {
-    if index.experiment.world.second_copies {
+    if index.experiment.world.hedging {
         return;
     }
     for id in index.forwarded_ids() {
--- a/crates/testbed/src/audit/rules/index.rs
+++ b/crates/testbed/src/audit/rules/index.rs
@@ -4,7 +4,7 @@
 
 use super::link_delay_ms;
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, Event, EventLog, NodeId, ServerAttempt, Timestamp};
-use crate::experiment::{Experiment, FaultKind, ProductEffect};
+use crate::experiment::{Experiment, FaultKind, RequestEffect};
 
 /// A period of a node, both ends included; an open one ends at [`Timestamp::MAX`].
 struct Period {
@@ -81,8 +81,8 @@
         self.server_attempts.keys().copied()
     }
 
-    pub fn effect(&self, attempt: &ClientAttempt) -> ProductEffect {
-        self.experiment.product[attempt.request_class].effect
+    pub fn effect(&self, attempt: &ClientAttempt) -> RequestEffect {
+        self.experiment.request_classes[attempt.request_class].effect
     }
 
     /// Whether the node owes the attempt no response, because it was down or accepted nothing new.
@@ -105,7 +105,7 @@
         let Some(slot) = server.and_then(|server| server.slot) else { return false };
         self.experiment.faults().iter().any(|fault| {
             let is_silent =
-                fault.kind == FaultKind::LinkSilent && fault.named(self.experiment).contains(&slot);
+                fault.kind == FaultKind::LinkSilent && fault.target_caches(self.experiment).contains(&slot);
             let is_from_node = fault.nodes.is_empty() || fault.nodes.contains(&attempt.node.0);
             let from = Timestamp::from_s(fault.at_s);
             let to = Timestamp::from_s(fault.end_s());
--- a/crates/testbed/src/audit/rules/responses.rs
+++ b/crates/testbed/src/audit/rules/responses.rs
@@ -24,7 +24,7 @@
 }
 
 fn response_violation(index: &RunIndex<'_>, attempt: &ClientAttempt) -> Option<&'static str> {
-    let timeout_ms = index.experiment.product[attempt.request_class].timeout_ms as f64;
+    let timeout_ms = index.experiment.request_classes[attempt.request_class].timeout_ms as f64;
     let is_late = attempt.ended.ms_since(attempt.sent) > timeout_ms + TOLERANCE_MS;
     let is_forwarded = !index.server_attempts(&attempt.id).is_empty();
     match &attempt.end {
--- a/crates/testbed/src/audit/shard_growth/mod.rs
+++ b/crates/testbed/src/audit/shard_growth/mod.rs
@@ -13,7 +13,7 @@
 use super::expectations::{UnmetExpectation, at_least, at_most};
 use super::rules::{Findings, RuleViolation};
 use crate::event_log::{Event, EventLog};
-use crate::experiment::{Experiment, GrowthExpect, GrowthForm};
+use crate::experiment::{Experiment, GrowthConfig, GrowthExpectations};
 use crate::shard_map_reference::{Placement, ShardState, SplitPhase};
 use map_history::MapHistory;
 
@@ -140,19 +140,27 @@
 
     /// The expectations that are not met. Two bounds hold for each experiment: all faults begin, and no node ends with an
     /// older shard map.
-    pub(super) fn unmet(&self, expect: &GrowthExpect) -> Vec<UnmetExpectation> {
+    pub(super) fn unmet(&self, expectations: &GrowthExpectations) -> Vec<UnmetExpectation> {
         let count = |bound: Option<usize>| bound.map(|bound| bound as f64);
         let old_first_share =
             if self.at_origin > 0 { self.old_first as f64 / self.at_origin as f64 } else { 1.0 };
         let advances_while_slow = self.advances_while_slow as f64;
         let checks = [
-            at_least("growth.expect.settled", count(expect.settled), self.completed as f64),
-            at_least("growth.expect.given_up", count(expect.given_up), self.withdrawn as f64),
-            at_least("growth.expect.gone_on", count(expect.gone_on), self.taken_over as f64),
-            at_least("growth.expect.old_first", expect.old_first, old_first_share),
-            at_least("growth.expect.behind", count(expect.behind), self.reads_by_older_map as f64),
-            at_most("growth.expect.withdrawn", count(expect.withdrawn), self.withdrawn as f64),
-            at_most("growth.expect.steps_while_slow", count(expect.steps_while_slow), advances_while_slow),
+            at_least("growth.expect.settled", count(expectations.min_completed), self.completed as f64),
+            at_least("growth.expect.given_up", count(expectations.min_withdrawn), self.withdrawn as f64),
+            at_least("growth.expect.gone_on", count(expectations.min_takeovers), self.taken_over as f64),
+            at_least("growth.expect.old_first", expectations.min_old_owner_first, old_first_share),
+            at_least(
+                "growth.expect.behind",
+                count(expectations.min_outdated_map_reads),
+                self.reads_by_older_map as f64,
+            ),
+            at_most("growth.expect.withdrawn", count(expectations.max_withdrawn), self.withdrawn as f64),
+            at_most(
+                "growth.expect.steps_while_slow",
+                count(expectations.max_steps_while_origin_slow),
+                advances_while_slow,
+            ),
             at_most("growth: faults that never came about", Some(0.0), self.faults_missing as f64),
             at_most("growth: nodes without the last form", Some(0.0), self.nodes_behind as f64),
         ];
@@ -167,7 +175,11 @@
 }
 
 /// Measures splits and checks the rule about them.
-pub(super) fn audit(experiment: &Experiment, growth: &GrowthForm, event_log: &EventLog) -> ShardGrowthAudit {
+pub(super) fn audit(
+    experiment: &Experiment,
+    growth: &GrowthConfig,
+    event_log: &EventLog,
+) -> ShardGrowthAudit {
     let mut findings = Findings::default();
     let history = MapHistory::read(event_log, &mut findings);
     let caches = event_log.servers.iter().filter(|server| server.slot.is_some());
@@ -193,7 +205,7 @@
         return 0;
     }
     let is_behind = |node: &usize| history.reported_version(*node) != Some(*last_version);
-    (0..experiment.begins_with()).filter(is_behind).count()
+    (0..experiment.initial_nodes()).filter(is_behind).count()
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/audit/shard_growth/phases.rs
+++ b/crates/testbed/src/audit/shard_growth/phases.rs
@@ -86,8 +86,8 @@
     let rank = |state: ShardState| state.phase.map_or(Some(0), SplitPhase::rank);
     let is_next = matches!((rank(from), rank(to)), (Some(before), Some(after)) if after == before + 1);
     let is_back = match (from.phase, to.phase) {
-        (Some(SplitPhase::Withdrawn | SplitPhase::Forecast | SplitPhase::Planned), None) => true,
-        (Some(SplitPhase::Planned), Some(SplitPhase::Forecast)) => true,
+        (Some(SplitPhase::Withdrawn | SplitPhase::Forecast | SplitPhase::ScheduledRequest), None) => true,
+        (Some(SplitPhase::ScheduledRequest), Some(SplitPhase::Forecast)) => true,
         (Some(SplitPhase::Withdrawn), Some(SplitPhase::Withdrawn)) => false,
         (Some(_), Some(SplitPhase::Withdrawn)) => true,
         _ => false,
--- a/crates/testbed/src/audit/shard_growth/reads.rs
+++ b/crates/testbed/src/audit/shard_growth/reads.rs
@@ -5,7 +5,7 @@
 use super::ShardGrowthFigures;
 use super::map_history::MapHistory;
 use crate::event_log::{ClientAttempt, EventLog, ServerAttempt, ServerAttemptEnd};
-use crate::experiment::{Experiment, GrowthForm};
+use crate::experiment::{Experiment, GrowthConfig};
 use crate::shard_map_reference::{FIRST_GROWING_KEY, Placement, ShardMap, ShardState, SplitPhase, shard_of};
 
 /// What a read is judged by.
@@ -18,7 +18,7 @@
 /// Counts the reads of growing shards by where they went.
 pub(super) fn measure(
     experiment: &Experiment,
-    growth: &GrowthForm,
+    growth: &GrowthConfig,
     event_log: &EventLog,
     history: &MapHistory,
     placement: &Placement,
@@ -33,7 +33,7 @@
         attempts.sort_by_key(|attempt| attempt.arrived);
     }
     for read in &event_log.client_attempts {
-        let is_write = experiment.product[read.request_class].writes();
+        let is_write = experiment.request_classes[read.request_class].writes();
         let is_growing = read.key >= FIRST_GROWING_KEY && growth.shards.contains(&shard_of(read.key));
         if is_write || !is_growing {
             continue;
@@ -72,7 +72,9 @@
         let old = self.placement.cache_of(read.key, old_bits);
         let new = self.placement.cache_of(read.key, new_bits);
         let is_at_origin = attempts.iter().any(|attempt| self.slot(attempt).is_none());
-        if old != new && matches!(state.phase, None | Some(SplitPhase::Forecast | SplitPhase::Planned)) {
+        if old != new
+            && matches!(state.phase, None | Some(SplitPhase::Forecast | SplitPhase::ScheduledRequest))
+        {
             figures.reads_by_older_map += 1;
             figures.older_map_at_origin += usize::from(is_at_origin);
         } else if old == new && unsplit != new {
--- a/crates/testbed/src/audit/shard_growth/tests.rs
+++ b/crates/testbed/src/audit/shard_growth/tests.rs
@@ -5,7 +5,7 @@
     ClientAttempt, ClientAttemptEnd, Event, EventLog, Member, NodeId, RelayedMessage, RequestId,
     ServerAttempt, ServerAttemptEnd, ServerId, ServerInfo, TimedEvent, Timestamp, Version,
 };
-use crate::experiment::{Experiment, GrowthExpect};
+use crate::experiment::{Experiment, GrowthExpectations};
 use crate::message_reference::{self, MessageKind, Sender, Signer};
 use crate::shard_map_reference::{Placement, ShardGrowthMessage, ShardMap, ShardState, SplitPhase, keys_of};
 
@@ -64,7 +64,7 @@
 fn a_regular_split_violates_nothing() {
     let mut event_log = event_log();
     let copied = (1..=16).map(|n| Some(SplitPhase::Copying(n)));
-    let steps = [Some(SplitPhase::Forecast), Some(SplitPhase::Planned)].into_iter().chain(copied);
+    let steps = [Some(SplitPhase::Forecast), Some(SplitPhase::ScheduledRequest)].into_iter().chain(copied);
     let steps = steps.chain([Some(SplitPhase::DualRead), Some(SplitPhase::Switched)]);
     for (n, step) in steps.enumerate() {
         send_map(&mut event_log, n as f64 / 10.0, n as u64 + 1, &[(SHARD, 0, step)]);
@@ -85,7 +85,7 @@
 fn maps_that_differ_skip_phases_or_share_a_cache_are_found() {
     let violations: [(&[_], &[_], &str); 4] = [
         (
-            &[(SHARD, 0, Some(SplitPhase::Planned))],
+            &[(SHARD, 0, Some(SplitPhase::ScheduledRequest))],
             &[(SHARD, 0, Some(SplitPhase::DualRead))],
             "a step out of order",
         ),
@@ -101,7 +101,7 @@
         ),
         (
             &[(17, 0, Some(SplitPhase::DualRead)), (90, 0, Some(SplitPhase::Forecast))],
-            &[(17, 0, Some(SplitPhase::DualRead)), (90, 0, Some(SplitPhase::Planned))],
+            &[(17, 0, Some(SplitPhase::DualRead)), (90, 0, Some(SplitPhase::ScheduledRequest))],
             "two splits on one cache",
         ),
     ];
@@ -139,7 +139,8 @@
     event_log.events.push(event(8.0, Event::PlannerUp { planner: 0 }));
     let figures = audited(&event_log).0;
     assert_eq!((figures.advances_while_slow, figures.kills, figures.taken_over), (1, 1, 0));
-    let expect = GrowthExpect { gone_on: Some(1), steps_while_slow: Some(0), ..GrowthExpect::default() };
+    let expect =
+        GrowthExpectations { gone_on: Some(1), steps_while_slow: Some(0), ..GrowthExpectations::default() };
     let unmet: Vec<_> = figures.unmet(&expect).iter().map(|s| s.expectation).collect();
     assert!(unmet.contains(&"growth.expect.gone_on") && unmet.contains(&"growth.expect.steps_while_slow"));
 }
@@ -189,7 +190,7 @@
 
 #[test]
 fn reads_that_skip_the_old_place_are_found() {
-    let expect = GrowthExpect { old_first: Some(0.9), ..GrowthExpect::default() };
+    let expect = GrowthExpectations { old_first: Some(0.9), ..GrowthExpectations::default() };
     let is_unmet =
         |f: &ShardGrowthFigures| f.unmet(&expect).iter().any(|s| s.expectation == "growth.expect.old_first");
     let (right, wrong) = (missed(true), missed(false));
--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -51,8 +51,7 @@
             Ok(RunOutcome::Passed)
         }
         Command::FaultyNode { violation, config } => {
-            faulty_node::serve(violation, &config)
-                .map_err(|error| CommandError::FaultyNode { cause: error.to_string() })?;
+            faulty_node::serve(violation, &config)?;
             Ok(RunOutcome::Passed)
         }
     }
@@ -95,8 +94,7 @@
     let mut comparisons = Vec::new();
     for experiment in &experiments {
         let seeds = options.seeds(experiment);
-        let comparison = compare::compare(experiment, &seeds, options.repeat, [&node_a, &node_b])
-            .map_err(|error| CommandError::Compare { cause: error.to_string() })?;
+        let comparison = compare::compare(experiment, &seeds, options.repeat, [&node_a, &node_b])?;
         println!("{comparison}");
         comparisons.push(comparison);
     }
@@ -106,7 +104,7 @@
         let text = format!("{:#}", serde_json::json!(comparisons));
         std::fs::write(&file, text).map_err(CommandError::file(&file))?;
     }
-    let second_build_broke_a_rule = comparisons.iter().any(|comparison| comparison.breaches[1] > 0);
+    let second_build_broke_a_rule = comparisons.iter().any(|comparison| comparison.violations[1] > 0);
     Ok(if second_build_broke_a_rule { RunOutcome::Failed } else { RunOutcome::Passed })
 }
 
@@ -123,7 +121,7 @@
     let text = recording::record(&experiment, &schedule, &result.event_log);
     std::fs::write(out, text).map_err(CommandError::file(out))?;
     let requests = schedule.requests.len();
-    let retries = result.event_log.tries.len() - requests;
+    let retries = result.event_log.client_attempts.len() - requests;
     println!("{}: {requests} calls and {retries} repeats of clients", out.display());
     Ok(RunOutcome::Passed)
 }
@@ -138,8 +136,7 @@
     println!("{}", report::summary(&format!("{} replayed", experiment.name), &result.audit_result));
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-replayed", experiment.name));
-        report::write(&file, &experiment, seed, &result, options.event_log)
-            .map_err(|error| CommandError::Report { cause: error.to_string() })?;
+        options.write_report(&file, &experiment, seed, &result)?;
     }
     Ok(RunOutcome::of(&result.audit_result))
 }
--- a/crates/testbed/src/command/error.rs
+++ b/crates/testbed/src/command/error.rs
@@ -4,9 +4,12 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+use crate::compare::CompareError;
 use crate::experiment::ExperimentError;
+use crate::faulty_node::ServeError;
 use crate::program::ProgramError;
 use crate::recording::RecordingError;
+use crate::report::ReportError;
 use crate::run_result::RunError;
 use crate::throughput::{RelayError, ThroughputError};
 
@@ -26,11 +29,11 @@
     /// The bare relay could not be started.
     Relay(RelayError),
     /// Two builds could not be compared.
-    Compare { cause: String },
+    Compare(CompareError),
     /// A report could not be written.
-    Report { cause: String },
+    Report(ReportError),
     /// The faulty node of the audit's tests could not be started.
-    FaultyNode { cause: String },
+    FaultyNode(ServeError),
     /// A file or folder could not be read or written.
     File { path: PathBuf, error: io::Error },
     /// The path of this program can't be determined.
@@ -53,9 +56,9 @@
             CommandError::Recording(error) => write!(f, "{error}"),
             CommandError::Throughput(error) => write!(f, "{error}"),
             CommandError::Relay(error) => write!(f, "{error}"),
-            CommandError::Compare { cause }
-            | CommandError::Report { cause }
-            | CommandError::FaultyNode { cause } => f.write_str(cause),
+            CommandError::Compare(error) => write!(f, "{error}"),
+            CommandError::Report(error) => write!(f, "{error}"),
+            CommandError::FaultyNode(error) => write!(f, "{error}"),
             CommandError::File { path, error } => write!(f, "{}: {error}", path.display()),
             CommandError::OwnPath(error) => write!(f, "{error}"),
         }
@@ -99,3 +102,21 @@
         CommandError::Relay(error)
     }
 }
+
+impl From<CompareError> for CommandError {
+    fn from(error: CompareError) -> CommandError {
+        CommandError::Compare(error)
+    }
+}
+
+impl From<ReportError> for CommandError {
+    fn from(error: ReportError) -> CommandError {
+        CommandError::Report(error)
+    }
+}
+
+impl From<ServeError> for CommandError {
+    fn from(error: ServeError) -> CommandError {
+        CommandError::FaultyNode(error)
+    }
+}
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -9,7 +9,7 @@
 
 use crate::audit::AuditResult;
 use crate::experiment::Experiment;
-use crate::run_result::{ON_TIME_MS, RunResult, play};
+use crate::run_result::{ON_TIME_MS, RunError, RunResult, run_experiment};
 use crate::stats::{Interval, PairedBlock, Ratio, difference_of_ratios};
 
 /// Seconds that are resampled together: a fault's effect spans more than one.
@@ -24,8 +24,8 @@
 /// Why builds could not be compared.
 #[derive(Debug)]
 pub enum CompareError {
-    /// A run can't be played.
-    Play(String),
+    /// A run failed to execute.
+    Run(RunError),
     /// The testbed began requests too late, each time that a run was played.
     TestbedLate {
         /// The experiment's name.
@@ -38,7 +38,7 @@
 impl fmt::Display for CompareError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CompareError::Play(error) => f.write_str(error),
+            CompareError::Run(error) => write!(f, "{error}"),
             CompareError::TestbedLate { experiment, seed } => write!(
                 f,
                 "{experiment} seed {seed}: the testbed was late {MAX_PLAYS} times: this machine is too busy"
@@ -97,12 +97,12 @@
         for _ in 0..repeat.max(1) {
             // The order alternates, so that a drift of the machine favours neither build.
             let pair = if pairs.len() % 2 == 0 {
-                let baseline = play_on_time(experiment, *seed, baseline)?.verdict;
-                let candidate = play_on_time(experiment, *seed, candidate)?.verdict;
+                let baseline = play_on_time(experiment, *seed, baseline)?.audit_result;
+                let candidate = play_on_time(experiment, *seed, candidate)?.audit_result;
                 Pair { baseline, candidate }
             } else {
-                let candidate = play_on_time(experiment, *seed, candidate)?.verdict;
-                let baseline = play_on_time(experiment, *seed, baseline)?.verdict;
+                let candidate = play_on_time(experiment, *seed, candidate)?.audit_result;
+                let baseline = play_on_time(experiment, *seed, baseline)?.audit_result;
                 Pair { baseline, candidate }
             };
             pairs.push(pair);
@@ -113,8 +113,8 @@
 
 fn play_on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, CompareError> {
     for _ in 0..MAX_PLAYS {
-        let result = play(experiment, seed, node).map_err(CompareError::Play)?;
-        if result.verdict.figures.harness_late_ms <= ON_TIME_MS {
+        let result = run_experiment(experiment, seed, node).map_err(CompareError::Run)?;
+        if result.audit_result.figures.harness_late_ms <= ON_TIME_MS {
             return Ok(result);
         }
     }
--- a/crates/testbed/src/experiment/fault.rs
+++ b/crates/testbed/src/experiment/fault.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 
 use super::{Experiment, FaultKind, InvalidReason, InvalidValue};
-use crate::shard_map_reference::Step;
+use crate::shard_map_reference::SplitPhase;
 
 /// The stored state that a planner finds when it starts again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -90,7 +90,7 @@
     pub at_s: f64,
     /// If set, it does not start before a node is notified of a split at this step.
     #[serde(default)]
-    pub at_step: Option<Step>,
+    pub at_step: Option<SplitPhase>,
     /// How long it lasts, in seconds.
     #[serde(default)]
     pub for_s: f64,
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -67,12 +67,12 @@
 /// What a run broke, one line each: the kinds of breaches, and the sum of leases.
 pub fn violations(audit_result: &AuditResult) -> Vec<String> {
     let mut violations = Vec::new();
-    for breach in &audit_result.breaches {
-        let examples = breach.examples.join("; ");
-        violations.push(format!("{} ({} times): {examples}", breach.kind, breach.count));
+    for violation in &audit_result.violations {
+        let examples = violation.examples.join("; ");
+        violations.push(format!("{} ({} times): {examples}", violation.kind, violation.count));
     }
-    for shortfall in audit_result.shortfalls.iter().filter(|shortfall| shortfall.bar == "leases") {
-        violations.push(format!("leases: {:.3} of the whole", shortfall.measured));
+    for unmet in audit_result.unmet_expectations.iter().filter(|unmet| unmet.expectation == "leases") {
+        violations.push(format!("leases: {:.3} of the whole", unmet.measured));
     }
     violations
 }
@@ -86,7 +86,7 @@
     for _ in 0..=MAX_RERUNS {
         let result = run_result::run_experiment(&experiment, timeline.seed, node).map_err(HuntError::Run)?;
         let figures = &result.audit_result.figures;
-        if figures.rig_late_ms <= MAX_LATENESS_MS && figures.rig_stalled_ms <= MAX_STALL_MS {
+        if figures.harness_late_ms <= MAX_LATENESS_MS && figures.harness_stall_ms <= MAX_STALL_MS {
             return Ok(result.audit_result);
         }
     }
@@ -164,8 +164,8 @@
         if violations.is_empty() { "held" } else { "BROKE" },
         timeline.faults.len(),
         figures.service,
-        figures.fleet.leases,
-        figures.rig_late_ms
+        figures.fleet.leased_ratio,
+        figures.harness_late_ms
     );
     for violation in violations {
         println!("    {violation}");
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -109,9 +109,9 @@
 /// The recording of a run, ordered by time.
 pub fn record(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> String {
     let mut attempts: Vec<RecordedAttempt> = Vec::new();
-    for attempt in &event_log.tries {
-        let request = schedule.request(attempt.call);
-        let is_retry = attempt.nth > 0;
+    for attempt in &event_log.client_attempts {
+        let request = schedule.request(attempt.request);
+        let is_retry = attempt.number > 0;
         attempts.push(RecordedAttempt {
             // A first attempt is recorded at its due time: the delay of the testbed itself is not part of the traffic.
             at_us: if is_retry { attempt.sent.0 } else { attempt.due.0 },
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -138,12 +138,12 @@
         "experiment": experiment.name,
         "about": experiment.about,
         "seed": seed,
-        "verdict": result.verdict,
+        "verdict": result.audit_result,
         "events": result.event_log.events,
-        "holds": result.verdict.holds(),
+        "holds": result.audit_result.holds(),
     });
     write_file(file.with_extension("json"), &format!("{report:#}"))?;
-    let page = page::render(experiment, seed, &result.verdict, &result.event_log.events)?;
+    let page = page::render(experiment, seed, &result.audit_result, &result.event_log.events)?;
     write_file(file.with_extension("html"), &page)
 }
 
--- a/crates/testbed/src/request_generator.rs
+++ b/crates/testbed/src/request_generator.rs
@@ -22,7 +22,7 @@
     pub fn draw(experiment: &Experiment, seed: u64) -> Schedule {
         let mut generator = RequestGenerator::new(experiment, seed);
         let mut requests = generator.draw_all();
-        requests.extend(shard_workload::calls(experiment, seed));
+        requests.extend(shard_workload::requests(experiment, seed));
         // A stable sort: without growing shards nothing changes.
         requests.sort_by_key(|request| request.at_us);
         Schedule { requests }
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -8,7 +8,7 @@
 use crate::event_log::EventLog;
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
-use crate::world::{self, Front, Run};
+use crate::world::{self, Front, Run, WorldError};
 
 /// The testbed itself is on time if it sends 99.9% of its requests within this many milliseconds of their due time.
 pub const ON_TIME_MS: f64 = 2.0;
@@ -43,12 +43,12 @@
 #[derive(Debug)]
 pub struct RunError {
     /// What failed.
-    pub cause: String,
+    pub cause: WorldError,
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.cause)
+        write!(f, "{}", self.cause)
     }
 }
 
@@ -78,7 +78,7 @@
         Some(_) => Some(baseline_service(experiment, schedule, seed, node)?),
         None => None,
     };
-    let audit_result = audit::judge_beside(experiment, schedule, &event_log, baseline_service);
+    let audit_result = audit::audit_against(experiment, schedule, &event_log, baseline_service);
     if audit_result.holds() {
         // The nodes' logs are only needed to examine a failure.
         remove_scratch_folder(experiment, seed);
@@ -96,7 +96,7 @@
     let baseline = experiment.without_control_plane_faults();
     let event_log = run_world(&baseline, schedule, seed, node)?;
     remove_scratch_folder(&baseline, seed);
-    Ok(audit::judge(&baseline, schedule, &event_log).figures.service)
+    Ok(audit::audit(&baseline, schedule, &event_log).figures.service)
 }
 
 fn run_world(
@@ -107,7 +107,7 @@
 ) -> Result<EventLog, RunError> {
     let folder = world::scratch(&experiment.name, seed);
     let run = Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder };
-    world::play(&run).map_err(|error| RunError { cause: error.to_string() })
+    world::play(&run).map_err(|cause| RunError { cause })
 }
 
 /// Removes a run's scratch folder. A failure is ignored: the folder is a temporary one.
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -8,6 +8,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 
 use crate::experiment::Experiment;
+use crate::report::ReportError;
 use crate::run_result::{RunError, RunOutcome, RunResult, run_experiment};
 use crate::{report, world};
 
@@ -34,6 +35,24 @@
 }
 
 impl Options {
+    /// Writes a run's report, and its event log if the options ask for it.
+    ///
+    /// # Errors
+    /// The report or the event log could not be written.
+    pub fn write_report(
+        &self,
+        file: &Path,
+        experiment: &Experiment,
+        seed: u64,
+        result: &RunResult,
+    ) -> Result<(), ReportError> {
+        report::write(file, experiment, seed, result)?;
+        if self.event_log {
+            report::write_event_log(file, result)?;
+        }
+        Ok(())
+    }
+
     /// The seeds to run an experiment with.
     pub fn seeds(&self, experiment: &Experiment) -> Vec<u64> {
         match self.seed {
@@ -115,11 +134,11 @@
     let mut text = report::summary(&name, &result.audit_result);
     if let Some(folder) = &options.report {
         let file = folder.join(format!("{}-{seed}-{repetition}", experiment.name));
-        if let Err(error) = report::write(&file, experiment, seed, &result, options.event_log) {
+        if let Err(error) = options.write_report(&file, experiment, seed, &result) {
             return RunSummary::not_run(format!("{name}: {error}"));
         }
     }
-    let late_ms = result.audit_result.figures.rig_late_ms;
+    let late_ms = result.audit_result.figures.harness_late_ms;
     if late_ms > options.late_ms {
         text +=
             &format!("\n    the rig was late: {late_ms:.1} ms at 99.9%, {} ms is on time", options.late_ms);
@@ -143,7 +162,7 @@
 ) -> Result<RunResult, RunError> {
     let mut result = run_experiment(experiment, seed, node)?;
     for _ in 0..MAX_LATE_RERUNS {
-        if result.audit_result.figures.rig_late_ms <= options.late_ms {
+        if result.audit_result.figures.harness_late_ms <= options.late_ms {
             break;
         }
         result = run_experiment(experiment, seed, node)?;
--- a/crates/testbed/src/shard_map_reference.rs
+++ b/crates/testbed/src/shard_map_reference.rs
@@ -38,7 +38,7 @@
     Forecast,
     /// The split's caches are reserved; no key moves yet.
     #[serde(rename = "planned")]
-    Planned,
+    ScheduledRequest,
     /// The number of sixteenths of the moving keys that are read at their new place.
     #[serde(rename = "copying")]
     Copying(u8),
@@ -63,7 +63,7 @@
     pub fn rank(self) -> Option<u8> {
         match self {
             SplitPhase::Forecast => Some(1),
-            SplitPhase::Planned => Some(RANK_PLANNED),
+            SplitPhase::ScheduledRequest => Some(RANK_PLANNED),
             SplitPhase::Copying(sixteenths) => Some(RANK_PLANNED + sixteenths),
             SplitPhase::DualRead => Some(RANK_DUAL_READ),
             SplitPhase::Switched => Some(RANK_DUAL_READ + 1),
--- a/crates/testbed/src/shard_workload.rs
+++ b/crates/testbed/src/shard_workload.rs
@@ -10,8 +10,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::experiment::{Experiment, GrowthForm, ProductEffect};
-use crate::schedule::{Planned, mixed};
+use crate::experiment::{Experiment, GrowthConfig, RequestEffect};
+use crate::schedule::{ScheduledRequest, mix64};
 use crate::shard_map_reference::{FIRST_GROWING_KEY, VALUE_BYTES, keys_of};
 
 /// The approximate size of a response body without padding.
@@ -34,7 +34,7 @@
 }
 
 /// All requests for growing shards, shard by shard.
-pub fn requests(experiment: &Experiment, seed: u64) -> Vec<Planned> {
+pub fn requests(experiment: &Experiment, seed: u64) -> Vec<ScheduledRequest> {
     let Some(growth) = &experiment.growth else { return Vec::new() };
     let mut requests = Vec::new();
     for shard in &growth.shards {
@@ -51,24 +51,29 @@
 
 impl RequestClasses {
     fn new(experiment: &Experiment) -> RequestClasses {
-        let first_with = |effect| experiment.product.iter().position(|class| class.effect == effect);
-        let read = first_with(ProductEffect::Idempotent).unwrap_or(0);
-        let write = first_with(ProductEffect::Deduplicated).unwrap_or(read);
+        let first_with = |effect| experiment.request_classes.iter().position(|class| class.effect == effect);
+        let read = first_with(RequestEffect::Idempotent).unwrap_or(0);
+        let write = first_with(RequestEffect::Deduplicated).unwrap_or(read);
         RequestClasses { read, write }
     }
 }
 
-fn shard_requests(experiment: &Experiment, growth: &GrowthForm, shard: u8, seed: u64) -> Vec<Planned> {
-    let mut random = ChaCha8Rng::seed_from_u64(mixed(seed, FIRST_SHARD_STREAM + u64::from(shard)));
-    let max_keys = growth.keys_on(experiment.days_at(experiment.seconds)).ceil() as usize;
+fn shard_requests(
+    experiment: &Experiment,
+    growth: &GrowthConfig,
+    shard: u8,
+    seed: u64,
+) -> Vec<ScheduledRequest> {
+    let mut random = ChaCha8Rng::seed_from_u64(mix64(seed, FIRST_SHARD_STREAM + u64::from(shard)));
+    let max_keys = growth.keys_after(experiment.accounting_days_at(experiment.seconds)).ceil() as usize;
     let keys = keys_of(shard, max_keys.max(1));
     let classes = RequestClasses::new(experiment);
-    let day_s = 1.0 / experiment.days_at(1.0).max(MIN_DAYS_PER_SECOND);
+    let day_s = 1.0 / experiment.accounting_days_at(1.0).max(MIN_DAYS_PER_SECOND);
     let mut requests = Vec::new();
     let mut at_s = 0.0;
     let mut next_key = 0;
     while at_s < experiment.seconds {
-        let key_count = growth.keys_on(experiment.days_at(at_s));
+        let key_count = growth.keys_after(experiment.accounting_days_at(at_s));
         // Round robin: each key is requested within a day, whenever the day begins.
         if next_key >= key_count as usize {
             next_key = 0;
@@ -76,7 +81,7 @@
         let key = keys[next_key.min(keys.len() - 1)];
         requests.push(draw_request(experiment, growth, &classes, at_s, key, &mut random));
         next_key += 1;
-        at_s += day_s / (key_count * growth.asked) * (0.5 + random.random::<f64>());
+        at_s += day_s / (key_count * growth.requests_per_key_per_day) * (0.5 + random.random::<f64>());
     }
     requests
 }
@@ -84,27 +89,27 @@
 /// One request; the order of the draws is part of the workload.
 fn draw_request(
     experiment: &Experiment,
-    growth: &GrowthForm,
+    growth: &GrowthConfig,
     classes: &RequestClasses,
     at_s: f64,
     key: u64,
     random: &mut ChaCha8Rng,
-) -> Planned {
+) -> ScheduledRequest {
     let clients = &experiment.load.clients;
     let tenants = experiment.load.tenants.len();
-    let is_write = random.random::<f64>() < growth.written;
+    let is_write = random.random::<f64>() < growth.write_share;
     let backoff_us = clients.backoff_ms * MICROS_PER_MILLI;
-    let repeats_us =
-        (0..clients.retries).map(|_| (backoff_us * (0.5 + random.random::<f64>())) as u64).collect();
-    Planned {
+    let retry_delays_us =
+        (0..clients.max_retries).map(|_| (backoff_us * (0.5 + random.random::<f64>())) as u64).collect();
+    ScheduledRequest {
         at_us: (at_s * MICROS_PER_SECOND) as i64,
-        node: random.random_range(0..experiment.asked_at(at_s)),
-        product: if is_write { classes.write } else { classes.read },
+        node: random.random_range(0..experiment.active_nodes_at(at_s)),
+        class: if is_write { classes.write } else { classes.read },
         key,
         tenant: if tenants > 0 { Some(random.random_range(0..tenants)) } else { None },
-        once: false,
-        heeds: random.random::<f64>() < clients.honour,
-        repeats_us,
-        salt: random.random(),
+        single_use_connection: false,
+        honors_retry_after: random.random::<f64>() < clients.honor_retry_after_share,
+        retry_delays_us,
+        id_seed: random.random(),
     }
 }
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -89,7 +89,7 @@
     let mut latencies_us = latency_histogram();
     let mut counted: usize = 0;
     let mut fulfilled: usize = 0;
-    for attempt in event_log.tries.iter().filter(|attempt| attempt.due.seconds() >= WARMUP_S) {
+    for attempt in event_log.client_attempts.iter().filter(|attempt| attempt.due.seconds() >= WARMUP_S) {
         counted += 1;
         if is_fulfilled(attempt) {
             fulfilled += 1;
@@ -97,7 +97,7 @@
         }
     }
     let mut lateness_us = latency_histogram();
-    for late_us in &event_log.lateness {
+    for late_us in &event_log.lateness_us {
         lateness_us.saturating_record(*late_us);
     }
     let cpu_s = event_log.usage.last().map_or(0.0, |usage| usage.cpu_s);
@@ -105,7 +105,7 @@
         rate,
         p50_ms: quantile_ms(&latencies_us, 0.5),
         p99_ms: quantile_ms(&latencies_us, 0.99),
-        cpu_us_per_request: cpu_s * 1e6 / event_log.tries.len().max(1) as f64,
+        cpu_us_per_request: cpu_s * 1e6 / event_log.client_attempts.len().max(1) as f64,
         fulfilled: fulfilled as f64 / counted.max(1) as f64,
         testbed_late_ms: quantile_ms(&lateness_us, 0.999),
     }
@@ -124,8 +124,7 @@
     let schedule = Schedule::draw(&experiment, seed);
     let folder = world::scratch("throughput", seed);
     let run = Run { experiment: &experiment, schedule: &schedule, seed, front, folder: &folder };
-    let event_log =
-        world::play(&run).map_err(|error| ThroughputError::Run(RunError { cause: error.to_string() }))?;
+    let event_log = world::play(&run).map_err(|cause| ThroughputError::Run(RunError { cause }))?;
     // The folder is a temporary one.
     let _ = std::fs::remove_dir_all(&folder);
     Ok(measure(&event_log, rate))
--- a/crates/testbed/src/world/attempt_record.rs
+++ b/crates/testbed/src/world/attempt_record.rs
@@ -20,13 +20,13 @@
         request: &ServerRequest,
         work: f64,
     ) -> AttemptRecord<'a> {
-        let number = event_log.shot(server, connection.node, &request.id, work);
+        let number = event_log.attempt_arrived(server, connection.node, &request.id, work);
         AttemptRecord { event_log, number, is_finished: false }
     }
 
     /// Records how the attempt ended.
     pub fn finish(mut self, end: ServerAttemptEnd) {
-        self.event_log.shot_ended(self.number, end);
+        self.event_log.attempt_ended(self.number, end);
         self.is_finished = true;
     }
 }
@@ -34,7 +34,7 @@
 impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
         if !self.is_finished {
-            self.event_log.shot_ended(self.number, ServerAttemptEnd::Dropped);
+            self.event_log.attempt_ended(self.number, ServerAttemptEnd::Dropped);
         }
     }
 }
--- a/crates/testbed/src/world/byzantine_planner.rs
+++ b/crates/testbed/src/world/byzantine_planner.rs
@@ -9,7 +9,7 @@
 use tokio::time::interval;
 
 use super::planner::planner_number;
-use crate::experiment::Lie;
+use crate::experiment::FalseClaim;
 use crate::message_reference::{
     Comparison, ComparisonReport, CounterfactualMessage, Demand, Fragment, HealthMessage, HealthStatus,
     LeaseMessage, MembershipMessage, MessageKind, Resource, Sender, Signer, decode, encode,
@@ -35,7 +35,13 @@
 }
 
 /// Sends forged messages until it is dropped. It does nothing where the address can't be bound.
-pub async fn run(planner: usize, address: SocketAddr, secret: Vec<u8>, lie: Lie, grants: ForgedGrants) {
+pub async fn run(
+    planner: usize,
+    address: SocketAddr,
+    secret: Vec<u8>,
+    false_claim: FalseClaim,
+    grants: ForgedGrants,
+) {
     let Ok(socket) = UdpSocket::bind(address).await else { return };
     let incarnation = UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
     let mut forger = ByzantinePlanner {
@@ -44,7 +50,7 @@
         sequence: 0,
         socket,
         secret,
-        lie,
+        false_claim,
         grants,
         members: BTreeSet::new(),
         caches: BTreeSet::new(),
@@ -71,7 +77,7 @@
     sequence: u64,
     socket: UdpSocket,
     secret: Vec<u8>,
-    lie: Lie,
+    false_claim: FalseClaim,
     grants: ForgedGrants,
     /// Whoever has sent a message.
     members: BTreeSet<SocketAddr>,
@@ -85,12 +91,14 @@
         for member in self.members.clone() {
             self.send(MessageKind::Membership, &MembershipMessage::Heartbeat, member).await;
             self.plan_version += 1;
-            match self.lie {
-                Lie::Verdicts => self.send(MessageKind::EndpointHealth, &self.forged_plan(), member).await,
-                Lie::Standings => {
+            match self.false_claim {
+                FalseClaim::CachesFail => {
+                    self.send(MessageKind::EndpointHealth, &self.forged_plan(), member).await
+                }
+                FalseClaim::CachesSlow => {
                     self.send(MessageKind::Counterfactual, &self.forged_comparisons(), member).await;
                 }
-                Lie::Grants => {}
+                FalseClaim::GrantEverything => {}
             }
         }
     }
@@ -105,7 +113,7 @@
             let room = MAX_CACHES - self.caches.len().min(MAX_CACHES);
             self.caches.extend(caches.iter().map(|counts| counts.cache).take(room));
         }
-        if self.lie == Lie::Grants
+        if self.false_claim == FalseClaim::GrantEverything
             && let Some((_, LeaseMessage::Request { request, demands })) =
                 decode(&self.secret, MessageKind::Leases, bytes)
         {
--- a/crates/testbed/src/world/cache.rs
+++ b/crates/testbed/src/world/cache.rs
@@ -14,11 +14,11 @@
 use super::attempt_record::AttemptRecord;
 use super::listener::{Handler, HandlerFuture, HandlerResult, Listener, ListenerState, ServerConnection};
 use super::origin::Origin;
-use super::response_corruption::{ResponseCorruption, respond};
+use super::response_corruption::{ActiveCorruption, respond};
 use super::service_queue::{ServiceQueue, SlidingWindow};
 use super::wire::{self, ServerRequest, hash_stream};
 use crate::event_log::{Event, EventLogWriter, ServerAttemptEnd, ServerId, Timestamp, Version};
-use crate::experiment::CacheForm;
+use crate::experiment::CacheConfig;
 
 /// Time for which a server that crashed under load stays down; it comes back cold.
 const OVERLOAD_CRASH_DURATION: Duration = Duration::from_secs(3);
@@ -41,29 +41,31 @@
 }
 
 impl CacheServer {
-    fn new(config: &CacheForm, id: ServerId, started: Option<Timestamp>) -> Arc<CacheServer> {
-        let capacity = NonZeroUsize::new(config.values).unwrap_or(NonZeroUsize::MIN);
+    fn new(config: &CacheConfig, id: ServerId, started: Option<Timestamp>) -> Arc<CacheServer> {
+        let capacity = NonZeroUsize::new(config.capacity_values).unwrap_or(NonZeroUsize::MIN);
         Arc::new(CacheServer {
             id,
             started,
             values: Mutex::new(LruCache::new(capacity)),
-            queue: ServiceQueue::new(config.cores, config.queue),
-            arrived_work: SlidingWindow::new(Duration::from_secs_f64(config.fall_s)),
+            queue: ServiceQueue::new(config.cores, config.queue_capacity),
+            arrived_work: SlidingWindow::new(Duration::from_secs_f64(config.overload_window_s)),
             is_draining: AtomicBool::new(false),
             has_crashed: AtomicBool::new(false),
         })
     }
 
     /// The share of its full speed that the server has at a time, from `cold_from` to 1.
-    fn warmup_factor(&self, config: &CacheForm, now: Timestamp) -> f64 {
+    fn warmup_factor(&self, config: &CacheConfig, now: Timestamp) -> f64 {
         let age_s = self.started.map_or(f64::INFINITY, |s| now.ms_since(s) / 1e3);
-        config.cold_from + (1.0 - config.cold_from) * (age_s / config.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
+        config.cold_speed
+            + (1.0 - config.cold_speed) * (age_s / config.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
     }
 
     /// The work within the window that a server survives, in core seconds.
-    fn overload_limit(&self, config: &CacheForm, warmup_factor: f64) -> f64 {
-        let mut limit = config.fall_multiple * config.cores as f64 * warmup_factor * config.fall_s;
-        if config.fall_by_chance {
+    fn overload_limit(&self, config: &CacheConfig, warmup_factor: f64) -> f64 {
+        let mut limit =
+            config.overload_multiple * config.cores as f64 * warmup_factor * config.overload_window_s;
+        if config.random_overload_limit {
             let work_per_request = config.hit_ms / 1000.0;
             let requests = limit / work_per_request;
             limit += (RANDOM_LOAD_DEVIATIONS * requests.sqrt() + RANDOM_LOAD_DEVIATIONS) * work_per_request;
@@ -76,7 +78,7 @@
 pub struct CacheSlot {
     /// Number of the slot in the world, from 0.
     pub number: usize,
-    config: CacheForm,
+    config: CacheConfig,
     event_log: EventLogWriter,
     origin: Arc<Origin>,
     server: Mutex<Arc<CacheServer>>,
@@ -87,14 +89,14 @@
     /// Factor on all service times, in thousandths.
     slowdown_permille: AtomicU64,
     /// The corruption of responses, if any.
-    pub corruption: Mutex<Option<ResponseCorruption>>,
+    pub corruption: Mutex<Option<ActiveCorruption>>,
 }
 
 impl CacheSlot {
     /// Creates a slot that a server without listeners occupies.
     pub fn new(
         number: usize,
-        config: CacheForm,
+        config: CacheConfig,
         event_log: EventLogWriter,
         origin: Arc<Origin>,
         id: ServerId,
@@ -194,13 +196,13 @@
             tokio::time::sleep(Duration::from_secs_f64(self.config.connect_ms / 1000.0)).await;
         }
         if server.is_draining.load(Ordering::Relaxed) {
-            attempt.finish(ServerAttemptEnd::TurnedAway);
+            attempt.finish(ServerAttemptEnd::Rejected);
             return Ok(wire::rejection());
         }
         self.crash_if_overloaded(&server);
         self.wait_while_hung().await;
         if server.queue.run(|| self.service_time(&server, &request)).await.is_err() {
-            attempt.finish(ServerAttemptEnd::TurnedAway);
+            attempt.finish(ServerAttemptEnd::Rejected);
             return Ok(wire::rejection());
         }
         // A server that hangs while it works on a request holds the response back too.
@@ -220,12 +222,12 @@
         let corruption = *self.corruption.lock().expect("no holder panics");
         let cached = server.values.lock().expect("no holder panics").get(&request.key).copied();
         if request.is_write {
-            attempt.finish(ServerAttemptEnd::Lacked);
+            attempt.finish(ServerAttemptEnd::CacheMiss);
             return Ok(wire::empty_response(StatusCode::NOT_FOUND));
         }
         let Some(version) = cached else {
             self.origin.record_cache_miss(&request.id, self);
-            attempt.finish(ServerAttemptEnd::Lacked);
+            attempt.finish(ServerAttemptEnd::CacheMiss);
             return Ok(wire::empty_response(StatusCode::NOT_FOUND));
         };
         respond(corruption, connection, request, version, "hit", attempt).await
@@ -254,7 +256,7 @@
         if server.has_crashed.swap(true, Ordering::Relaxed) {
             return;
         }
-        self.event_log.event(Event::FellOver { server: server.id });
+        self.event_log.event(Event::CacheOverloaded { server: server.id });
         tokio::spawn(self.clone().restart_after_crash(server.id));
     }
 
@@ -280,6 +282,6 @@
     }
 
     fn max_connections(&self) -> usize {
-        self.config.connections
+        self.config.max_connections
     }
 }
--- a/crates/testbed/src/world/clients/disconnect.rs
+++ b/crates/testbed/src/world/clients/disconnect.rs
@@ -22,7 +22,7 @@
 pub async fn wait_for_disconnect(
     attempt_id: &str,
     node: usize,
-    clients: &experiment::Clients,
+    clients: &experiment::ClientBehavior,
     mass_disconnect: watch::Receiver<MassDisconnect>,
 ) {
     tokio::select! {
@@ -32,9 +32,10 @@
 }
 
 /// Returns when the client gives up early by its own chance.
-async fn early_disconnect(attempt_id: &str, clients: &experiment::Clients) {
-    if wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT) < clients.leave {
-        let ms = clients.leave_ms * wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT_DELAY);
+async fn early_disconnect(attempt_id: &str, clients: &experiment::ClientBehavior) {
+    if wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT) < clients.abandon_share {
+        let ms =
+            clients.abandon_within_ms * wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT_DELAY);
         tokio::time::sleep(Duration::from_secs_f64(ms / 1000.0)).await;
     } else {
         std::future::pending().await
--- a/crates/testbed/src/world/clients/mod.rs
+++ b/crates/testbed/src/world/clients/mod.rs
@@ -18,9 +18,9 @@
 
 use super::wire::ValueBody;
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, Event, EventLogWriter, NodeId, RequestId, Version};
-use crate::experiment::ProductEffect::{Deduplicated, NonIdempotent};
-use crate::experiment::{Experiment, Product};
-use crate::schedule::{Planned, Schedule};
+use crate::experiment::RequestEffect::{Deduplicated, NonIdempotent};
+use crate::experiment::{Experiment, RequestClass};
+use crate::schedule::{Schedule, ScheduledRequest};
 use crate::shard_workload;
 use connection_pool::{ConnectionPool, RequestSender};
 
@@ -49,8 +49,8 @@
     /// ID of the attempt.
     id: &'a str,
     idempotency_key: Option<&'a str>,
-    planned: &'a Planned,
-    request_class: &'a Product,
+    scheduled: &'a ScheduledRequest,
+    request_class: &'a RequestClass,
     /// Number of the attempt: later ones than 0 are the client's retries.
     number: u8,
 }
@@ -77,8 +77,8 @@
         let mut requests = tokio::task::JoinSet::new();
         while let Some(id) = arrivals.recv().await {
             let now = self.event_log.now();
-            let lateness_us = (now.0 - self.schedule.call(id).at_us).max(0) as u64;
-            self.event_log.write(|log| log.lateness.push(lateness_us));
+            let lateness_us = (now.0 - self.schedule.request(id).at_us).max(0) as u64;
+            self.event_log.write(|log| log.lateness_us.push(lateness_us));
             requests.spawn(self.clone().run_request(id));
             while requests.try_join_next().is_some() {}
         }
@@ -88,8 +88,8 @@
 
     /// Sends the ID of each request when it is due.
     fn announce_due_requests(&self, due: &mpsc::UnboundedSender<RequestId>) {
-        for (number, planned) in self.schedule.calls.iter().enumerate() {
-            sleep_until(self.event_log.instant(planned.due()));
+        for (number, scheduled) in self.schedule.requests.iter().enumerate() {
+            sleep_until(self.event_log.instant(scheduled.due()));
             if due.send(RequestId(number)).is_err() {
                 return;
             }
@@ -98,16 +98,16 @@
 
     /// Runs a request with its client's retries.
     async fn run_request(self: Arc<Self>, id: RequestId) {
-        let planned = self.schedule.call(id);
-        let request_class = &self.experiment.product[planned.product];
+        let scheduled = self.schedule.request(id);
+        let request_class = &self.experiment.request_classes[scheduled.class];
         for number in 0u8.. {
             let end = self.run_attempt(id, number).await;
             if !may_retry(&end, request_class) {
                 return;
             }
-            let Some(mut backoff) = planned.wait(number) else { return };
-            if let ClientAttemptEnd::RateLimited { come_back: Some(retry_after) } = end
-                && planned.heeds
+            let Some(mut backoff) = scheduled.retry_delay(number) else { return };
+            if let ClientAttemptEnd::RateLimited { retry_after: Some(retry_after) } = end
+                && scheduled.honors_retry_after
             {
                 backoff = backoff.max(retry_after);
             }
@@ -117,17 +117,17 @@
 
     /// Runs one attempt and records it.
     async fn run_attempt(&self, id: RequestId, number: u8) -> ClientAttemptEnd {
-        let planned = self.schedule.call(id);
-        let request_class = &self.experiment.product[planned.product];
+        let scheduled = self.schedule.request(id);
+        let request_class = &self.experiment.request_classes[scheduled.class];
         let timeout = Duration::from_millis(request_class.timeout_ms);
-        let attempt_id = planned.name(number);
+        let attempt_id = scheduled.attempt_id(number);
         let is_deduplicated = request_class.effect == Deduplicated;
-        let idempotency_key = is_deduplicated.then(|| planned.idempotency_key());
+        let idempotency_key = is_deduplicated.then(|| scheduled.idempotency_key());
         let sent = self.event_log.now();
         let request = AttemptRequest {
             id: &attempt_id,
             idempotency_key: idempotency_key.as_deref(),
-            planned,
+            scheduled,
             request_class,
             number,
         };
@@ -135,60 +135,60 @@
         let clients = &self.experiment.load.clients;
         let disconnects = self.mass_disconnect.clone();
         let end = tokio::select! {
-            end = response => end.unwrap_or(ClientAttemptEnd::Unanswered),
-            () = disconnect::wait_for_disconnect(&attempt_id, planned.node, clients, disconnects) => {
-                ClientAttemptEnd::Left
+            end = response => end.unwrap_or(ClientAttemptEnd::TimedOut),
+            () = disconnect::wait_for_disconnect(&attempt_id, scheduled.node, clients, disconnects) => {
+                ClientAttemptEnd::Cancelled
             }
         };
         let record = ClientAttempt {
-            call: id,
-            nth: number,
+            request: id,
+            number,
             id: attempt_id,
             idempotency_key,
-            node: planned.node(),
-            product: planned.product,
-            key: planned.key,
-            due: planned.due(),
+            node: scheduled.node_id(),
+            request_class: scheduled.class,
+            key: scheduled.key,
+            due: scheduled.due(),
             sent,
             ended: self.event_log.now(),
             end: end.clone(),
         };
-        self.event_log.write(|log| log.tries.push(record));
+        self.event_log.write(|log| log.client_attempts.push(record));
         end
     }
 
     /// Sends an attempt over an idle connection or a new one and reads its response.
     async fn send(&self, request: &AttemptRequest<'_>) -> ClientAttemptEnd {
-        let planned = request.planned;
-        let pool = &self.pools[planned.node];
-        let pooled = if planned.once { None } else { pool.take() };
+        let scheduled = request.scheduled;
+        let pool = &self.pools[scheduled.node];
+        let pooled = if scheduled.single_use_connection { None } else { pool.take() };
         if let Some(mut sender) = pooled {
             match sender.send_request(self.http_request(request)).await {
-                Ok(response) => return self.read_response(response, sender, planned).await,
+                Ok(response) => return self.read_response(response, sender, scheduled).await,
                 Err(error) if error.is_canceled() || error.is_closed() => {}
                 // The node closed the connection before it read the request. The client sends it again on a new
                 // connection if that is harmless in case that the node has read it after all.
                 Err(error)
                     if error.is_incomplete_message() && request.request_class.effect != NonIdempotent => {}
-                Err(_) => return ClientAttemptEnd::Torn { used_before: true },
+                Err(_) => return ClientAttemptEnd::ConnectionLost { reused: true },
             }
         }
-        let Ok(mut sender) = self.connect(pool.address, planned.node()).await else {
-            return ClientAttemptEnd::Unreached;
+        let Ok(mut sender) = self.connect(pool.address, scheduled.node_id()).await else {
+            return ClientAttemptEnd::ConnectFailed;
         };
         match sender.send_request(self.http_request(request)).await {
-            Ok(response) => self.read_response(response, sender, planned).await,
-            Err(_) => ClientAttemptEnd::Torn { used_before: false },
+            Ok(response) => self.read_response(response, sender, scheduled).await,
+            Err(_) => ClientAttemptEnd::ConnectionLost { reused: false },
         }
     }
 
     fn http_request(&self, request: &AttemptRequest<'_>) -> Request<Full<Bytes>> {
         let request_class = request.request_class;
-        let planned = request.planned;
+        let scheduled = request.scheduled;
         let is_write = request_class.writes();
         let mut builder = Request::builder()
             .method(if is_write { "PUT" } else { "GET" })
-            .uri(format!("/{}/{:016x}", request_class.name, planned.key))
+            .uri(format!("/{}/{:016x}", request_class.name, scheduled.key))
             .header("Host", "service.internal")
             .header("X-Request-ID", request.id)
             .header("X-Priority-Class", &request_class.name)
@@ -196,13 +196,13 @@
         if let Some(key) = request.idempotency_key {
             builder = builder.header("Idempotency-Key", key);
         }
-        if let Some(tenant) = planned.tenant {
+        if let Some(tenant) = scheduled.tenant {
             builder = builder.header("X-Tenant-Id", &self.experiment.load.tenants[tenant]);
         }
-        if request.number > 0 && self.experiment.load.clients.marks {
+        if request.number > 0 && self.experiment.load.clients.mark_retries {
             builder = builder.header("X-Retried", "1");
         }
-        let body = if is_write { shard_workload::written(planned.key) } else { Bytes::new() };
+        let body = if is_write { shard_workload::write_body(scheduled.key) } else { Bytes::new() };
         builder.body(Full::new(body)).expect("names of the experiment are valid header values")
     }
 
@@ -217,7 +217,7 @@
             if let Err(error) = connection.await
                 && error.to_string().contains("unexpected message")
             {
-                event_log.event(Event::Stray { node });
+                event_log.event(Event::UnexpectedBytes { node });
             }
         });
         Ok(sender)
@@ -227,14 +227,14 @@
         &self,
         response: Response<Incoming>,
         sender: RequestSender,
-        planned: &Planned,
+        scheduled: &ScheduledRequest,
     ) -> ClientAttemptEnd {
         let (head, body) = response.into_parts();
         let Ok(body) = Limited::new(body, MAX_RESPONSE_BODY).collect().await else {
-            return ClientAttemptEnd::Torn { used_before: false };
+            return ClientAttemptEnd::ConnectionLost { reused: false };
         };
-        if !planned.once {
-            self.pools[planned.node].put_back(sender);
+        if !scheduled.single_use_connection {
+            self.pools[scheduled.node].put_back(sender);
         }
         match head.status {
             StatusCode::OK => match serde_json::from_slice::<ValueBody>(&body.to_bytes()) {
@@ -245,7 +245,7 @@
                 Err(_) => ClientAttemptEnd::Fulfilled { made_for: String::new(), version: None },
             },
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                ClientAttemptEnd::RateLimited { come_back: retry_after(&head.headers) }
+                ClientAttemptEnd::RateLimited { retry_after: retry_after(&head.headers) }
             }
             status => ClientAttemptEnd::Errored { status: status.as_u16() },
         }
@@ -253,10 +253,10 @@
 }
 
 /// Whether a client may retry after an attempt: nobody repeats what may have been executed unless that does no harm.
-fn may_retry(end: &ClientAttemptEnd, request_class: &Product) -> bool {
+fn may_retry(end: &ClientAttemptEnd, request_class: &RequestClass) -> bool {
     match end {
         ClientAttemptEnd::Fulfilled { .. } => false,
-        ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::Unreached => true,
+        ClientAttemptEnd::RateLimited { .. } | ClientAttemptEnd::ConnectFailed => true,
         _ => request_class.effect != NonIdempotent,
     }
 }
--- a/crates/testbed/src/world/discovery.rs
+++ b/crates/testbed/src/world/discovery.rs
@@ -153,7 +153,7 @@
         let query = request.uri().query().unwrap_or_default();
         if query_parameter(query, "watch").is_none() {
             let update = self.update_since(node, None).ok_or(ConnectionAborted)?;
-            self.event_log.write(|log| log.told.extend(update.notifications));
+            self.event_log.write(|log| log.endpoint_notifications.extend(update.notifications));
             return Ok(Response::new(wire::text_body(update.text)));
         }
         let after = query_parameter(query, "after").and_then(|revision| revision.parse().ok());
@@ -185,7 +185,7 @@
             if let Some(update) = self.update_since(node, after) {
                 after = Some(update.revision);
                 line = update.text;
-                self.event_log.write(|log| log.told.extend(update.notifications));
+                self.event_log.write(|log| log.endpoint_notifications.extend(update.notifications));
             }
             line.push('\n');
             if lines.send(Bytes::from(line)).await.is_err() {
@@ -212,7 +212,7 @@
             changes.borrow_and_update();
             if let Some(update) = self.update_since(node, after) {
                 after = Some(update.revision);
-                self.event_log.write(|log| log.told.extend(update.notifications));
+                self.event_log.write(|log| log.endpoint_notifications.extend(update.notifications));
             }
             tokio::select! {
                 () = watch.closed() => return,
--- a/crates/testbed/src/world/endpoint_list.rs
+++ b/crates/testbed/src/world/endpoint_list.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use crate::event_log::{EndpointNotification, Listed, NodeId, ServerId, Timestamp};
+use crate::event_log::{EndpointNotification, EndpointState, NodeId, ServerId, Timestamp};
 
 /// Changes in the history; a watch that asks for older ones receives the complete list.
 const MAX_CHANGES: usize = 4096;
@@ -30,7 +30,7 @@
     /// Model of the server in the protocol: `plain` or `origin`.
     pub model: &'static str,
     /// State of the server.
-    pub state: Listed,
+    pub state: EndpointState,
     /// Unix time of the server's start in milliseconds, 0 if unknown.
     pub boot_ms: u64,
 }
@@ -82,7 +82,7 @@
     pub fn put(&mut self, endpoint: ListedEndpoint) {
         self.revision += 1;
         self.endpoints.retain(|listed| listed.id != endpoint.id);
-        if endpoint.state != Listed::Gone {
+        if endpoint.state != EndpointState::Removed {
             self.endpoints.push(endpoint.clone());
         }
         if !self.known.contains(&endpoint.id) {
@@ -111,7 +111,7 @@
     /// The next update of a node's watch that knows the list up to the revision `after`, or none if the watch is up to
     /// date. A watch that knows nothing receives the complete list.
     pub fn update_since(&self, node: NodeId, after: Option<u64>, at: Timestamp) -> Option<ListUpdate> {
-        let notify = |server, listed| EndpointNotification { node, server, listed, at };
+        let notify = |server, state| EndpointNotification { node, server, state, at };
         let is_complete = after.is_none_or(|after| after < self.oldest_revision || after > self.revision);
         if !is_complete && after == Some(self.revision) {
             return None;
@@ -121,7 +121,7 @@
         if is_complete {
             targets = self.all_targets(node);
             notifications = self.endpoints.iter().map(|e| notify(e.id, e.state)).collect();
-            notifications.extend(self.gone().map(|id| notify(id, Listed::Gone)));
+            notifications.extend(self.gone().map(|id| notify(id, EndpointState::Removed)));
         } else {
             let changes = self.changes.iter().filter(|change| Some(change.revision) > after);
             let endpoints: Vec<&ListedEndpoint> = changes.map(|change| &change.endpoint).collect();
@@ -146,9 +146,9 @@
 /// An endpoint in the protocol's JSON form.
 fn target(endpoint: &ListedEndpoint, node: NodeId) -> Value {
     let state = match endpoint.state {
-        Listed::Ready => "active",
-        Listed::Draining => "leaving",
-        Listed::Gone => "left",
+        EndpointState::Ready => "active",
+        EndpointState::Draining => "leaving",
+        EndpointState::Removed => "left",
     };
     json!({"uid": endpoint.uid, "endpoint": endpoint.addresses[node.0].to_string(), "az": endpoint.zone,
         "model": endpoint.model, "pod_group": 0, "state": state, "capacity_hint": 1.0,
--- a/crates/testbed/src/world/faults/caches.rs
+++ b/crates/testbed/src/world/faults/caches.rs
@@ -6,7 +6,7 @@
 use super::super::cache::CacheSlot;
 use super::super::listener::ListenerState;
 use super::Phase;
-use crate::event_log::{Listed, Timestamp};
+use crate::event_log::{EndpointState, Timestamp};
 use crate::experiment::{Fault, FaultKind};
 
 /// Time between two resets of a cache's connections.
@@ -26,28 +26,28 @@
         (FaultKind::Reset, Phase::Begin) => {
             reset_until(world, slot, Timestamp::from_s(fault.at_s + fault.for_s)).await;
         }
-        (FaultKind::KnockLate, Phase::Begin) => slot.set_listener_state(ListenerState::Unresponsive),
-        (FaultKind::KnockLate, Phase::End) => slot.set_listener_state(ListenerState::Accepting),
+        (FaultKind::ConnectDelayed, Phase::Begin) => slot.set_listener_state(ListenerState::Unresponsive),
+        (FaultKind::ConnectDelayed, Phase::End) => slot.set_listener_state(ListenerState::Accepting),
         (FaultKind::Crash, Phase::Begin) => slot.set_listener_state(ListenerState::Refusing),
         (FaultKind::Crash, Phase::End) => {
             slot.replace_server(slot.id(), Some(world.event_log.now()));
             slot.set_listener_state(ListenerState::Accepting);
-            world.list_slot(number, Listed::Ready);
+            world.list_slot(number, EndpointState::Ready);
         }
         (FaultKind::Drain, Phase::Begin) => {
-            world.list_slot(number, Listed::Draining);
+            world.list_slot(number, EndpointState::Draining);
             tokio::time::sleep(DRAIN_NOTICE).await;
             slot.drain();
         }
         (FaultKind::Drain, Phase::End) | (FaultKind::Remove, Phase::Begin) => {
-            world.list_slot(number, Listed::Gone);
+            world.list_slot(number, EndpointState::Removed);
         }
         (FaultKind::Remove, Phase::End) => slot.set_listener_state(ListenerState::Refusing),
         (FaultKind::Replace, Phase::Begin) => {
-            world.list_slot(number, Listed::Gone);
+            world.list_slot(number, EndpointState::Removed);
             slot.reset_connections();
             world.replace_server(number);
-            world.list_slot(number, Listed::Ready);
+            world.list_slot(number, EndpointState::Ready);
         }
         _ => {}
     }
--- a/crates/testbed/src/world/faults/environment.rs
+++ b/crates/testbed/src/world/faults/environment.rs
@@ -5,9 +5,9 @@
 use super::super::World;
 use super::super::clients::MassDisconnect;
 use super::super::listener::ListenerState;
-use super::super::response_corruption::ResponseCorruption;
+use super::super::response_corruption::ActiveCorruption;
 use super::{Phase, links};
-use crate::event_log::Listed;
+use crate::event_log::EndpointState;
 use crate::experiment::{Fault, FaultKind};
 
 /// Time for which discovery serves the watches at its former address after it has moved.
@@ -18,8 +18,8 @@
 /// Begins or ends a fault.
 pub async fn apply(world: &World, fault: &Fault, caches: &[usize], nodes: &[usize], phase: Phase) {
     match (fault.kind, phase) {
-        (FaultKind::Void, Phase::Begin) => clear_caches(world, caches),
-        (FaultKind::Grow, Phase::Begin) => add_caches(world, fault.count),
+        (FaultKind::FlushCaches, Phase::Begin) => clear_caches(world, caches),
+        (FaultKind::AddCaches, Phase::Begin) => add_caches(world, fault.count),
         (FaultKind::OriginSlow, Phase::Begin) => world.origin.set_slowdown(fault.factor.unwrap_or(1.0)),
         (FaultKind::OriginSlow, Phase::End) => world.origin.set_slowdown(1.0),
         (FaultKind::OriginStop, phase) => {
@@ -36,14 +36,14 @@
             world.discovery.set_listener_state(ListenerState::Refusing);
         }
         (FaultKind::DiscoveryDown, Phase::End) => {
-            if fault.renumber {
+            if fault.restart_revisions {
                 world.discovery.restart_revisions();
             }
             world.discovery.set_listener_state(ListenerState::Accepting);
         }
         (FaultKind::DiscoveryMove, Phase::Begin) => move_discovery(world).await,
-        (FaultKind::Spoil, Phase::Begin) => set_corruption(world, caches, corruption(fault)),
-        (FaultKind::Spoil, Phase::End) => set_corruption(world, caches, None),
+        (FaultKind::CorruptResponses, Phase::Begin) => set_corruption(world, caches, corruption(fault)),
+        (FaultKind::CorruptResponses, Phase::End) => set_corruption(world, caches, None),
         (_, phase) => links::apply(world, fault, caches, nodes, phase),
     }
 }
@@ -64,7 +64,7 @@
     for slot in (first_free..world.slots.len()).take(count) {
         world.replace_server(slot);
         world.slots[slot].set_listener_state(ListenerState::Accepting);
-        world.list_slot(slot, Listed::Ready);
+        world.list_slot(slot, EndpointState::Ready);
     }
 }
 
@@ -87,13 +87,13 @@
 }
 
 /// The corruption of responses that a fault describes, if it names both the share and the kind.
-fn corruption(fault: &Fault) -> Option<ResponseCorruption> {
+fn corruption(fault: &Fault) -> Option<ActiveCorruption> {
     let delay = Duration::from_secs_f64(fault.ms.unwrap_or(DEFAULT_CORRUPTION_DELAY_MS) / 1000.0);
-    Some(ResponseCorruption { share: fault.share?, kind: fault.how?, delay })
+    Some(ActiveCorruption { share: fault.share?, kind: fault.corruption?, delay })
 }
 
 /// Sets the corruption of responses at the named caches, or at the origin if none is named.
-fn set_corruption(world: &World, caches: &[usize], corruption: Option<ResponseCorruption>) {
+fn set_corruption(world: &World, caches: &[usize], corruption: Option<ActiveCorruption>) {
     if caches.is_empty() {
         *world.origin.corruption.lock().expect("no holder panics") = corruption;
     }
--- a/crates/testbed/src/world/faults/links.rs
+++ b/crates/testbed/src/world/faults/links.rs
@@ -6,7 +6,7 @@
 use super::super::link::{DirectionState, LinkState};
 use super::super::listener::ListenerState;
 use super::Phase;
-use crate::experiment::{Fault, FaultKind, Toward};
+use crate::experiment::{Fault, FaultKind, LinkDirection};
 
 /// Begins or ends a fault of the links between the named caches and nodes. Faults of other kinds are ignored.
 pub fn apply(world: &World, fault: &Fault, caches: &[usize], nodes: &[usize], phase: Phase) {
@@ -47,10 +47,10 @@
 
 /// Sets the directions that the fault affects. A reset after a number of bytes affects the direction toward the node only.
 fn set_directions(link: &mut LinkState, fault: &Fault, state: DirectionState) {
-    if fault.toward != Toward::Nodes && fault.kind != FaultKind::LinkReset {
+    if fault.direction != LinkDirection::Nodes && fault.kind != FaultKind::LinkReset {
         link.toward_server = state;
     }
-    if fault.toward != Toward::Caches {
+    if fault.direction != LinkDirection::Caches {
         link.toward_node = state;
     }
 }
--- a/crates/testbed/src/world/faults/mod.rs
+++ b/crates/testbed/src/world/faults/mod.rs
@@ -15,7 +15,7 @@
 
 use super::{World, growth};
 use crate::event_log::{Event, Timestamp};
-use crate::experiment::{Fault, FaultKind};
+use crate::experiment::{Fault, FaultKind, NodeAction};
 
 /// The most caches that the description of a fault names one by one.
 const MAX_DESCRIBED_CACHES: usize = 4;
@@ -60,18 +60,18 @@
             | FaultKind::Remove
             | FaultKind::Replace
             | FaultKind::Reset
-            | FaultKind::KnockLate => Scope::EachCache,
+            | FaultKind::ConnectDelayed => Scope::EachCache,
             FaultKind::NodeKill
             | FaultKind::NodeFreeze
             | FaultKind::NodeRestart
             | FaultKind::NodeSettings
-            | FaultKind::BadClients => Scope::EachNode,
+            | FaultKind::MalformedClients => Scope::EachNode,
             FaultKind::PlannerKill
             | FaultKind::PlannerFreeze
             | FaultKind::PlannerRestart
-            | FaultKind::PlannerLies => Scope::EachPlanner,
+            | FaultKind::PlannerByzantine => Scope::EachPlanner,
             FaultKind::Resize => Scope::NodeCount,
-            _ if kind.befalls_letters() => Scope::Messages,
+            _ if kind.affects_messages() => Scope::Messages,
             _ => Scope::Environment,
         }
     }
@@ -93,10 +93,10 @@
 
 /// Injects one fault from its beginning to its end.
 async fn inject(world: Arc<World>, id: usize, fault: Fault) {
-    let caches = fault.named(&world.experiment);
+    let caches = fault.target_caches(&world.experiment);
     let nodes = named_or_all(&fault.nodes, world.nodes.len());
     let what = describe(&fault, &caches);
-    let Some(fault) = growth::awaits_step(&world, fault).await else { return };
+    let Some(fault) = growth::await_phase(&world, fault).await else { return };
     world.event_log.event(Event::FaultBegan { what: what.clone() });
     match Scope::of(fault.kind) {
         Scope::EachCache => inject_at_each_cache(&world, &fault, caches).await,
@@ -105,9 +105,9 @@
         Scope::NodeCount => resize(&world, &fault).await,
         Scope::Messages => {
             let Some(relay) = &world.relay else { return };
-            relay.trouble(id, &fault, true);
+            relay.begin_fault(id, &fault);
             sleep_until(&world, fault.end_s()).await;
-            relay.trouble(id, &fault, false);
+            relay.end_fault(id);
         }
         Scope::Environment => {
             environment::apply(&world, &fault, &caches, &nodes, Phase::Begin).await;
@@ -163,14 +163,13 @@
 /// Starts or stops nodes until as many run as the fault says.
 async fn resize(world: &Arc<World>, fault: &Fault) {
     let mut tasks = JoinSet::new();
-    for (node, at_s, starts) in world.experiment.resized(fault.at_s) {
+    for change in world.experiment.node_changes(fault.at_s) {
         let world = world.clone();
         tasks.spawn(async move {
-            sleep_until(&world, at_s).await;
-            if starts {
-                nodes::start(&world, node).await;
-            } else {
-                nodes::stop(&world, node).await;
+            sleep_until(&world, change.at_s).await;
+            match change.action {
+                NodeAction::Start => nodes::start(&world, change.node).await,
+                NodeAction::Stop => nodes::stop(&world, change.node).await,
             }
         });
     }
@@ -183,7 +182,7 @@
 
 /// The text of a fault in the event log.
 fn describe(fault: &Fault, caches: &[usize]) -> String {
-    let kind = format!("{:?}", fault.kind);
+    let kind = fault.kind.to_string();
     match caches.len() {
         0 => kind,
         1..=MAX_DESCRIBED_CACHES => format!("{kind} {caches:?}"),
--- a/crates/testbed/src/world/faults/nodes.rs
+++ b/crates/testbed/src/world/faults/nodes.rs
@@ -17,7 +17,7 @@
         FaultKind::NodeFreeze => freeze(world, fault, &*node.lock().await).await,
         FaultKind::NodeRestart => restart(world, &mut *node.lock().await).await,
         FaultKind::NodeSettings => change_settings(world, fault, &mut *node.lock().await).await,
-        FaultKind::BadClients => {
+        FaultKind::MalformedClients => {
             let address = world.node_addresses[number];
             malformed_clients::run(address, world.event_log.clone(), fault, &world.experiment).await;
         }
@@ -68,7 +68,7 @@
 
 async fn change_settings(world: &World, fault: &Fault, node: &mut NodeProcess) {
     node.merge_settings(&fault.settings);
-    if fault.fresh {
+    if fault.restart_nodes {
         restart(world, node).await;
     } else {
         // A node that is down reads the file when it starts.
@@ -83,7 +83,7 @@
 }
 
 async fn stop_process(world: &World, node: &mut NodeProcess) {
-    world.event_log.event(Event::NodeStops { node: node.id });
+    world.event_log.event(Event::NodeStopping { node: node.id });
     node.stop(world.max_client_timeout()).await;
 }
 
--- a/crates/testbed/src/world/faults/planners.rs
+++ b/crates/testbed/src/world/faults/planners.rs
@@ -4,11 +4,12 @@
 
 use rustix::process::Signal;
 
+use super::super::World;
+use super::super::byzantine_planner::{self, ForgedGrants};
 use super::super::planner::Planner;
-use super::super::{World, byzantine_planner};
 use super::sleep_until;
 use crate::event_log::Event;
-use crate::experiment::{Fault, FaultKind, Lie, Store};
+use crate::experiment::{FalseClaim, Fault, FaultKind, StoreCondition};
 
 /// Carries out a fault at a planner from its beginning to its end.
 pub async fn apply(world: &World, fault: &Fault, number: usize) {
@@ -25,10 +26,10 @@
             sleep_until(world, fault.end_s()).await;
             start_again(world, fault, &mut planner);
         }
-        FaultKind::PlannerLies => {
+        FaultKind::PlannerByzantine => {
             planner.kill().await;
-            match fault.lie {
-                Some(lie) => impersonate(world, fault, &planner, lie).await,
+            match fault.false_claim {
+                Some(false_claim) => impersonate(world, fault, &planner, false_claim).await,
                 None => sleep_until(world, fault.end_s()).await,
             }
             start_again(world, fault, &mut planner);
@@ -43,14 +44,16 @@
 }
 
 /// Runs a byzantine planner at a planner's address until the end of the fault.
-async fn impersonate(world: &World, fault: &Fault, planner: &Planner, lie: Lie) {
+async fn impersonate(world: &World, fault: &Fault, planner: &Planner, false_claim: FalseClaim) {
     let leases = world.experiment.fleet.as_ref().and_then(|fleet| fleet.leases.clone()).unwrap_or_default();
     // In the units of the lease messages: thousandths of a request a second, and microseconds.
-    let capacities = [leases.origin_per_s * 1e3, leases.cold_work * 1e6].map(|capacity| capacity as u32);
-    let lease_duration_us = leases.lasts_ms as u32 * 1000;
+    let grants = ForgedGrants {
+        origin: (leases.origin_per_s * 1e3) as u32,
+        warming_cache: (leases.cold_cache_work * 1e6) as u32,
+        duration: leases.lease_ms as u32 * 1000,
+    };
     let secret = world.secret.clone();
-    let byzantine =
-        byzantine_planner::stand(planner.number, planner.address, secret, lie, capacities, lease_duration_us);
+    let byzantine = byzantine_planner::run(planner.index, planner.address, secret, false_claim, grants);
     tokio::select! {
         () = byzantine => {}
         () = sleep_until(world, fault.end_s()) => {}
@@ -60,12 +63,15 @@
 /// Starts a planner with its state files as the fault leaves them, and records a failure to do so.
 fn start_again(world: &World, fault: &Fault, planner: &mut Planner) {
     if let Err(error) = prepare_and_start(planner, fault.store) {
-        world.event_log.event(Event::PlannerCrashed { planner: planner.number, how: error.to_string() });
+        world.event_log.event(Event::PlannerCrashed { planner: planner.index, how: error.to_string() });
     }
 }
 
-fn prepare_and_start(planner: &mut Planner, store: Store) -> Result<(), Box<dyn Error + Send + Sync>> {
-    planner.treat(store)?;
+fn prepare_and_start(
+    planner: &mut Planner,
+    store: StoreCondition,
+) -> Result<(), Box<dyn Error + Send + Sync>> {
+    planner.damage_state(store)?;
     planner.start()?;
     Ok(())
 }
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/world/growth.rs
@@ -11,12 +11,12 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::World;
-use super::cache::Seat;
+use super::cache::CacheSlot;
 use super::planner::{StartError, planner_number};
 use crate::event_log::{EventLogWriter, Member, RelayedMessage, Timestamp, Version};
-use crate::experiment::{Experiment, Fault, GrowthForm};
+use crate::experiment::{Experiment, Fault, GrowthConfig};
 use crate::message_reference::{MessageKind, Sender, Signer, decode, encode};
-use crate::schedule::mixed;
+use crate::schedule::mix64;
 use crate::shard_map_reference::{DaySize, Placement, ShardGrowthMessage, SplitPhase, VALUE_BYTES, keys_of};
 
 /// A planner that has not accepted the history by then is not going to.
@@ -63,13 +63,13 @@
 /// How much earlier than its requests a world begins.
 pub fn lead_time(experiment: &Experiment) -> Duration {
     match &experiment.growth {
-        Some(growth) if growth.known_days > 0 => HISTORY_LEAD,
+        Some(growth) if growth.history_days > 0 => HISTORY_LEAD,
         _ => Duration::ZERO,
     }
 }
 
 /// Stores the first keys of growing shards, each at the cache that an unsplit shard map places it at.
-pub fn preload(experiment: &Experiment, slots: &[Arc<Seat>], event_log: &EventLogWriter) {
+pub fn preload(experiment: &Experiment, slots: &[Arc<CacheSlot>], event_log: &EventLogWriter) {
     let Some(growth) = &experiment.growth else { return };
     let slots = &slots[..experiment.world.caches];
     let names: Vec<String> =
@@ -85,17 +85,17 @@
 }
 
 /// A shard's sizes on the days before the run.
-fn past_sizes(growth: &GrowthForm, experiment: &Experiment, unix_start_ms: u64, shard: u8) -> Vec<DaySize> {
-    let day_ms = MILLIS_PER_SECOND / experiment.days_at(1.0).max(MIN_DAYS_PER_SECOND);
+fn past_sizes(growth: &GrowthConfig, experiment: &Experiment, unix_start_ms: u64, shard: u8) -> Vec<DaySize> {
+    let day_ms = MILLIS_PER_SECOND / experiment.accounting_days_at(1.0).max(MIN_DAYS_PER_SECOND);
     let start_day = unix_start_ms as f64 / day_ms;
     let today = UNIX_EPOCH.elapsed().unwrap_or_default().as_millis() as f64 / day_ms;
     let last = today as u32 - OPEN_DAYS;
-    let first = (last + 1).saturating_sub(growth.known_days);
+    let first = (last + 1).saturating_sub(growth.history_days);
     let mut sizes = Vec::new();
     for day in first..=last {
-        let drawn = (mixed(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
+        let drawn = (mix64(u64::from(day), u64::from(shard)) >> 11) as f64 / (1u64 << 53) as f64;
         let factor = MIN_SIZE_FACTOR + SIZE_VARIATION * drawn;
-        let keys = growth.keys_on(f64::from(day) - start_day) * factor;
+        let keys = growth.keys_after(f64::from(day) - start_day) * factor;
         sizes.push(DaySize { day, bytes: (keys * VALUE_BYTES as f64) as f32, keys: keys as f32 });
     }
     sizes
@@ -107,7 +107,7 @@
 /// # Errors
 /// Says why the planner has not accepted them.
 pub async fn seed_history(world: &World) -> Result<(), HistoryError> {
-    let Some(growth) = world.experiment.growth.as_ref().filter(|growth| growth.known_days > 0) else {
+    let Some(growth) = world.experiment.growth.as_ref().filter(|growth| growth.history_days > 0) else {
         return Ok(());
     };
     let planner = world.planners[0].lock().await.address;
--- a/crates/testbed/src/world/malformed_clients.rs
+++ b/crates/testbed/src/world/malformed_clients.rs
@@ -62,7 +62,7 @@
 
 /// Connects as many malformed clients to a node as the fault says and records whether each got what it has to.
 pub async fn run(node: SocketAddr, event_log: EventLogWriter, fault: &Fault, experiment: &Experiment) {
-    let requests = malformed_requests(&experiment.product[0].name);
+    let requests = malformed_requests(&experiment.request_classes[0].name);
     let mut clients = tokio::task::JoinSet::new();
     for number in 0..fault.count {
         let MalformedRequest { description, bytes } = requests[number % requests.len()].clone();
@@ -70,7 +70,7 @@
         clients.spawn(async move {
             let is_rejected =
                 tokio::time::timeout(RESPONSE_DEADLINE, is_rejected(node, &bytes)).await.unwrap_or(false);
-            event_log.event(Event::BadClient { met: is_rejected, what: description.into() });
+            event_log.event(Event::MalformedClient { handled: is_rejected, what: description.into() });
         });
     }
     while clients.join_next().await.is_some() {}
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -131,7 +131,8 @@
 impl World {
     /// The longest timeout that a client has for a request.
     fn max_client_timeout(&self) -> Duration {
-        let timeouts_ms = self.experiment.product.iter().map(|request_class| request_class.timeout_ms);
+        let timeouts_ms =
+            self.experiment.request_classes.iter().map(|request_class| request_class.timeout_ms);
         Duration::from_millis(timeouts_ms.max().unwrap_or(0))
     }
 }
--- a/crates/testbed/src/world/monitor.rs
+++ b/crates/testbed/src/world/monitor.rs
@@ -21,7 +21,7 @@
         }
         for planner in &world.planners {
             if let Ok(mut planner) = planner.try_lock() {
-                planner.look();
+                planner.check_exit();
             }
         }
         tokio::time::sleep(SAMPLE_INTERVAL).await;
@@ -35,7 +35,7 @@
         tokio::time::sleep(STALL_CHECK_INTERVAL).await;
         let late_us = before.elapsed().saturating_sub(STALL_CHECK_INTERVAL).as_micros() as u64;
         if event_log.now() > Timestamp(0) {
-            event_log.write(|log| log.stalled = log.stalled.max(late_us));
+            event_log.write(|log| log.max_stall_us = log.max_stall_us.max(late_us));
         }
     }
 }
--- a/crates/testbed/src/world/node_config.rs
+++ b/crates/testbed/src/world/node_config.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::event_log::NodeId;
-use crate::experiment::{Experiment, Product, ProductEffect};
+use crate::experiment::{Experiment, RequestClass, RequestEffect};
 
 /// Time within which a node has to open a connection, in microseconds.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
@@ -24,7 +24,7 @@
 ) -> Value {
     let world = &experiment.world;
     let classes: Vec<Value> =
-        experiment.product.iter().map(|class| request_class(experiment, class)).collect();
+        experiment.request_classes.iter().map(|class| request_class(experiment, class)).collect();
     let tenants: Vec<Value> = experiment
         .load
         .tenants
@@ -34,31 +34,31 @@
     json!({
         "name": format!("node-{}", node.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed ^ (node.0 as u64 + 1)),
-        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
+        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.max_sockets},
         "settings": {
             "Discovery": "ask", "Siblings": world.nodes, "Zones": world.zones, "Shapes": ["plain", "origin"],
             "Specifics": {"Mode": "aside", "OriginKind": 1},
             "Products": classes,
             "Tenants": tenants,
-            "Bounds": {"MostShots": world.most_shots, "MayCancel": world.may_cancel,
-                "SecondCopies": world.second_copies, "RetryAfter": world.max_retry_after_ms > 0,
+            "Bounds": {"MostShots": world.max_attempts, "MayCancel": world.may_cancel,
+                "SecondCopies": world.hedging, "RetryAfter": world.max_retry_after_ms > 0,
                 "MaxRetryAfterUs": world.max_retry_after_ms * 1000, "ConnectTimeoutUs": CONNECT_TIMEOUT_US,
                 "KeepaliveUs": microseconds(world.cache.keepalive_s)},
-            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": world.cache.cold_from,
+            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": world.cache.cold_speed,
                 "WarmAfterUs": microseconds(world.cache.warm_after_s),
-                "FallMultiple": world.cache.fall_multiple, "FallUs": microseconds(world.cache.fall_s)},
+                "FallMultiple": world.cache.overload_multiple, "FallUs": microseconds(world.cache.overload_window_s)},
         },
     })
 }
 
-fn request_class(experiment: &Experiment, class: &Product) -> Value {
+fn request_class(experiment: &Experiment, class: &RequestClass) -> Value {
     let effect = match class.effect {
-        ProductEffect::Idempotent => "read_like",
-        ProductEffect::Deduplicated => "idempotency_key",
-        ProductEffect::NonIdempotent => "non_idempotent",
+        RequestEffect::Idempotent => "read_like",
+        RequestEffect::Deduplicated => "idempotency_key",
+        RequestEffect::NonIdempotent => "non_idempotent",
     };
     json!({"Name": class.name, "Effect": effect, "DedupScope": "all",
-        "WindowUs": microseconds(experiment.world.origin.repeats_s), "LatencySloUs": class.slo_ms * 1000,
+        "WindowUs": microseconds(experiment.world.origin.idempotency_window_s), "LatencySloUs": class.slo_ms * 1000,
         "ClientTimeoutUs": class.timeout_ms * 1000, "BilledValue": class.value})
 }
 
--- a/crates/testbed/src/world/origin.rs
+++ b/crates/testbed/src/world/origin.rs
@@ -13,13 +13,13 @@
 use super::attempt_record::AttemptRecord;
 use super::cache::CacheSlot;
 use super::listener::{Handler, HandlerFuture, HandlerResult, ServerConnection};
-use super::response_corruption::{ResponseCorruption, respond};
+use super::response_corruption::{ActiveCorruption, respond};
 use super::service_queue::{QueueFull, ServiceQueue, SlidingWindow};
 use super::wire::{self, ServerRequest, hash_stream};
 use crate::event_log::{
     Effect, Event, EventLogWriter, Fetch, ServerAttemptEnd, ServerId, Timestamp, Version,
 };
-use crate::experiment::OriginForm;
+use crate::experiment::OriginConfig;
 
 /// Time for which a cache miss is remembered for the fetch that follows it, in microseconds.
 const CACHE_MISS_LIFETIME_US: i64 = 5_000_000;
@@ -56,7 +56,7 @@
 pub struct Origin {
     /// ID of the origin in the event log.
     pub id: ServerId,
-    config: OriginForm,
+    config: OriginConfig,
     event_log: EventLogWriter,
     queue: ServiceQueue,
     recent_reads: SlidingWindow,
@@ -74,15 +74,15 @@
     /// All cache slots, set once while the world starts.
     pub cache_slots: OnceLock<Vec<Arc<CacheSlot>>>,
     /// The corruption of responses, if any.
-    pub corruption: Mutex<Option<ResponseCorruption>>,
+    pub corruption: Mutex<Option<ActiveCorruption>>,
 }
 
 impl Origin {
     /// Creates an origin at which every key has version 0.
-    pub fn new(id: ServerId, config: OriginForm, event_log: EventLogWriter) -> Origin {
+    pub fn new(id: ServerId, config: OriginConfig, event_log: EventLogWriter) -> Origin {
         Origin {
             id,
-            queue: ServiceQueue::new(config.cores, config.queue),
+            queue: ServiceQueue::new(config.cores, config.queue_capacity),
             recent_reads: SlidingWindow::new(READ_RATE_WINDOW),
             slowdown_permille: AtomicU64::new(NORMAL_SPEED_PERMILLE as u64),
             is_stopped: watch::Sender::new(false),
@@ -136,7 +136,7 @@
         if load > STOP_OVER_DEGRADE * self.config.degrade_multiple
             && !self.is_overloaded.swap(true, Ordering::Relaxed)
         {
-            self.event_log.event(Event::OriginOverrun);
+            self.event_log.event(Event::OriginOverloaded);
         }
         self.wait_while_stopped().await;
         self.queue.run(|| self.service_time(mean_ms, &request.id)).await?;
@@ -174,7 +174,7 @@
     /// version that the request is about to make.
     fn deduplicate(&self, request: &ServerRequest, at: Timestamp) -> Option<Version> {
         let key = request.idempotency_key.as_ref()?;
-        let lifetime_us = (self.config.repeats_s * 1e6) as i64;
+        let lifetime_us = (self.config.idempotency_window_s * 1e6) as i64;
         let mut writes = self.deduplicated_writes.lock().expect("no holder panics");
         writes.retain(|_, write| at.0 - write.at.0 < lifetime_us);
         if let Some(write) = writes.get(key) {
@@ -214,7 +214,7 @@
         let attempt = AttemptRecord::new(&self.event_log, self.id, &connection, &request, mean_ms / 1000.0);
         let result = if request.is_write { self.write(&request).await } else { self.read(&request).await };
         let Ok(version) = result else {
-            attempt.finish(ServerAttemptEnd::TurnedAway);
+            attempt.finish(ServerAttemptEnd::Rejected);
             return Ok(wire::rejection());
         };
         self.fill_caches(&request, version);
--- a/crates/testbed/src/world/planner.rs
+++ b/crates/testbed/src/world/planner.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use crate::event_log::{Event, EventLogWriter};
-use crate::experiment::{Experiment, LeasesForm, Store};
+use crate::experiment::{Experiment, LeasesConfig, StoreCondition};
 
 /// A planner that is asked to stop exits within this time.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -93,19 +93,19 @@
     if let Some(leases) = &fleet.leases {
         file.insert("leases".into(), lease_config(leases).into());
     }
-    file.extend(fleet.operator);
+    file.extend(fleet.fleet_config);
     file.to_string()
 }
 
-fn lease_config(leases: &LeasesForm) -> toml::Table {
+fn lease_config(leases: &LeasesConfig) -> toml::Table {
     let mut table = toml::Table::new();
     table.insert("origin_per_s".into(), leases.origin_per_s.into());
-    table.insert("cold_work".into(), leases.cold_work.into());
+    table.insert("cold_work".into(), leases.cold_cache_work.into());
     table.insert("reserve".into(), leases.reserve.into());
-    if leases.standing > 0.0 {
-        table.insert("standing".into(), leases.standing.into());
+    if leases.long_term_share > 0.0 {
+        table.insert("standing".into(), leases.long_term_share.into());
     }
-    table.insert("lasts_ms".into(), (leases.lasts_ms as i64).into());
+    table.insert("lasts_ms".into(), (leases.lease_ms as i64).into());
     table
 }
 
@@ -204,13 +204,13 @@
     ///
     /// # Errors
     /// The system's, where a file can't be read or changed.
-    pub fn damage_state(&self, store: Store) -> std::io::Result<()> {
+    pub fn damage_state(&self, store: StoreCondition) -> std::io::Result<()> {
         for entry in std::fs::read_dir(&self.state_folder)? {
             let file = entry?.path();
             match store {
-                Store::Kept => {}
-                Store::Empty => std::fs::remove_file(file)?,
-                Store::Torn => {
+                StoreCondition::Intact => {}
+                StoreCondition::Empty => std::fs::remove_file(file)?,
+                StoreCondition::Torn => {
                     let mut bytes = std::fs::read(&file)?;
                     bytes.truncate(bytes.len() / 2);
                     bytes.extend(GARBAGE);
--- a/crates/testbed/src/world/process_usage.rs
+++ b/crates/testbed/src/world/process_usage.rs
@@ -2,7 +2,7 @@
 
 use rustix::process::Pid;
 
-use crate::event_log::{EventLogWriter, NodeId, Usage};
+use crate::event_log::{EventLogWriter, NodeId, ResourceUsage};
 
 /// Index of the user time among the fields of `/proc/PID/stat` that follow the process's name.
 const USER_TICKS_FIELD: usize = 11;
@@ -13,7 +13,7 @@
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
 /// Samples the memory, file descriptors and processor time of a node's process. None if the process has ended.
-pub fn sample(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<Usage> {
+pub fn sample(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<ResourceUsage> {
     let directory = format!("/proc/{}", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(format!("{directory}/stat")).ok()?;
     // The name is in parentheses and may hold anything, spaces and parentheses too.
@@ -26,5 +26,5 @@
     let descriptors = std::fs::read_dir(format!("{directory}/fd")).ok()?.count();
     let memory_mb = pages * rustix::param::page_size() as f64 / BYTES_PER_MB;
     let cpu_s = (user_ticks + system_ticks) as f64 / rustix::param::clock_ticks_per_second() as f64;
-    Some(Usage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
+    Some(ResourceUsage { node, at: event_log.now(), memory_mb, descriptors, cpu_s })
 }
--- a/crates/testbed/src/world/relay/impairment.rs
+++ b/crates/testbed/src/world/relay/impairment.rs
@@ -7,7 +7,7 @@
 
 use super::{ActiveFault, Route};
 use crate::event_log::Member;
-use crate::experiment::{Fault, FaultKind, Toward};
+use crate::experiment::{Fault, FaultKind, LinkDirection};
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
@@ -38,14 +38,14 @@
         }
         let delay = Duration::from_secs_f64(delay_ms / MILLIS_PER_SECOND);
         match fault.kind {
-            FaultKind::LettersLost | FaultKind::LettersCut => impairment.copy_delays.clear(),
-            FaultKind::LettersDoubled => impairment.copy_delays.push(delay),
-            FaultKind::LettersLate => {
+            FaultKind::MessagesLost | FaultKind::MessagesBlocked => impairment.copy_delays.clear(),
+            FaultKind::MessagesDuplicated => impairment.copy_delays.push(delay),
+            FaultKind::MessagesDelayed => {
                 for copy_delay in &mut impairment.copy_delays {
                     *copy_delay += delay;
                 }
             }
-            FaultKind::LettersSpoilt if !bytes.is_empty() => {
+            FaultKind::MessagesCorrupted if !bytes.is_empty() => {
                 impairment.is_corrupted = true;
                 let bit = generator.random_range(0..bytes.len() * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
@@ -62,15 +62,15 @@
         Member::Node(node) => fault.nodes.contains(&node),
         Member::Planner(planner) => fault.planners.contains(&planner),
     };
-    if fault.kind == FaultKind::LettersCut {
+    if fault.kind == FaultKind::MessagesBlocked {
         return is_named(route.from) != is_named(route.to);
     }
     let ends = [route.from, route.to];
     let has_named_planner = ends.iter().any(|m| matches!(m, Member::Planner(_)) && is_named(*m));
     let has_named_node = ends.iter().any(|m| matches!(m, Member::Node(_)) && is_named(*m));
-    let is_direction = match fault.toward {
-        Toward::Nodes => matches!(route.to, Member::Node(_)),
-        Toward::Planners => matches!(route.to, Member::Planner(_)),
+    let is_direction = match fault.direction {
+        LinkDirection::Nodes => matches!(route.to, Member::Node(_)),
+        LinkDirection::Planners => matches!(route.to, Member::Planner(_)),
         _ => true,
     };
     is_direction
--- a/crates/testbed/src/world/relay/mod.rs
+++ b/crates/testbed/src/world/relay/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::event_log::{EventLogWriter, Member, RelayedMessage};
 use crate::experiment::Fault;
-use crate::schedule::mixed;
+use crate::schedule::mix64;
 use impairment::impair;
 
 /// The greatest datagram.
@@ -85,7 +85,7 @@
             let socket = UdpSocket::bind((place(route.from, route.to), 0)).await?;
             addresses.insert(route, socket.local_addr()?);
             sockets.insert(route, Arc::new(socket));
-            generators.insert(route, ChaCha8Rng::seed_from_u64(mixed(seed, n as u64)));
+            generators.insert(route, ChaCha8Rng::seed_from_u64(mix64(seed, n as u64)));
             if let Member::Planner(planner) = route.from {
                 sources.insert(route, planners[planner]);
             }
--- a/crates/testbed/src/world/response_corruption.rs
+++ b/crates/testbed/src/world/response_corruption.rs
@@ -10,15 +10,15 @@
 use super::listener::{ConnectionAborted, HandlerResult, ServerConnection};
 use super::wire::{self, ServerRequest, hash_stream};
 use crate::event_log::{ServerAttemptEnd, Version};
-use crate::experiment::Spoil;
+use crate::experiment::ResponseCorruption;
 
 /// A server corrupts a share of its responses.
 #[derive(Clone, Copy, Debug)]
-pub struct ResponseCorruption {
+pub struct ActiveCorruption {
     /// Share of the responses, from 0 to 1.
     pub share: f64,
     /// How a response is corrupted.
-    pub kind: Spoil,
+    pub kind: ResponseCorruption,
     /// Mean delay of bytes that follow a complete response.
     pub delay: Duration,
 }
@@ -29,7 +29,7 @@
 /// # Errors
 /// [`ConnectionAborted`] if there is no response; the future is usually dropped before, with its connection.
 pub async fn respond(
-    corruption: Option<ResponseCorruption>,
+    corruption: Option<ActiveCorruption>,
     connection: &ServerConnection,
     request: &ServerRequest,
     version: Version,
@@ -38,11 +38,11 @@
 ) -> HandlerResult {
     let corruption =
         corruption.filter(|c| wire::uniform_hash(&request.id, hash_stream::CORRUPTION) < c.share);
-    let Some(ResponseCorruption { kind, delay, .. }) = corruption else {
+    let Some(ActiveCorruption { kind, delay, .. }) = corruption else {
         attempt.finish(ServerAttemptEnd::Answered);
         return Ok(wire::value_response(request, version, cache_status));
     };
-    if kind == Spoil::Error {
+    if kind == ResponseCorruption::ErrorStatus {
         attempt.finish(ServerAttemptEnd::Failed);
         return Ok(wire::empty_response(StatusCode::INTERNAL_SERVER_ERROR));
     }
@@ -61,13 +61,13 @@
 
 /// The bytes that follow a complete response.
 fn trailing_bytes(
-    kind: Spoil,
+    kind: ResponseCorruption,
     request: &ServerRequest,
     version: Version,
     cache_status: &str,
 ) -> Option<Vec<u8>> {
     match kind {
-        Spoil::Second => {
+        ResponseCorruption::Duplicate => {
             let text = wire::value_text(request, version);
             let head = format!(
                 "HTTP/1.1 200 OK\r\nX-Cache-Status: {cache_status}\r\nContent-Length: {}",
@@ -75,27 +75,30 @@
             );
             Some(format!("{head}\r\n\r\n{text}").into_bytes())
         }
-        Spoil::HalfLine => Some(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()),
+        ResponseCorruption::PartialStatusLine => Some(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()),
         _ => None,
     }
 }
 
 /// What the server sends in place of a response.
-fn replacement(kind: Spoil) -> ConnectionFault {
+fn replacement(kind: ResponseCorruption) -> ConnectionFault {
     match kind {
-        Spoil::Noise => ConnectionFault::SendThenHold(
+        ResponseCorruption::Noise => ConnectionFault::SendThenHold(
             "\u{1}\u{2}\u{3}noise that is no answer\r\n\r\n".as_bytes().to_vec(),
         ),
-        Spoil::Cut => {
+        ResponseCorruption::TruncatedBody => {
             ConnectionFault::SendThenClose(b"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nhalf of".to_vec())
         }
-        Spoil::Length => ConnectionFault::SendThenHold(
+        ResponseCorruption::ExcessiveLength => ConnectionFault::SendThenHold(
             b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmuch".to_vec(),
         ),
-        Spoil::NoLength => {
+        ResponseCorruption::MissingLength => {
             ConnectionFault::SendThenReset(b"HTTP/1.1 200 OK\r\n\r\n{\"made_for\":\"".to_vec())
         }
-        Spoil::Endless => ConnectionFault::SendEndlessBody,
-        Spoil::Reset | Spoil::Error | Spoil::Second | Spoil::HalfLine => ConnectionFault::Reset,
+        ResponseCorruption::Endless => ConnectionFault::SendEndlessBody,
+        ResponseCorruption::Reset
+        | ResponseCorruption::ErrorStatus
+        | ResponseCorruption::Duplicate
+        | ResponseCorruption::PartialStatusLine => ConnectionFault::Reset,
     }
 }
--- a/crates/testbed/src/world/run.rs
+++ b/crates/testbed/src/world/run.rs
@@ -45,16 +45,16 @@
 /// as old as they have to be.
 fn start_duration(experiment: &Experiment) -> Duration {
     let nodes = experiment.world.nodes as u32;
-    BASE_START_TIME + START_TIME_PER_NODE * nodes + SETTLING_TIME + growth::lead(experiment)
+    BASE_START_TIME + START_TIME_PER_NODE * nodes + SETTLING_TIME + growth::lead_time(experiment)
 }
 
 /// Starts the planners, and then the nodes with which the run begins.
 async fn start_processes(world: &World) -> Result<(), WorldError> {
-    growth::teach(world).await.map_err(|error| WorldError::PlannerStart(error.into()))?;
+    growth::seed_history(world).await.map_err(|error| WorldError::PlannerStart(error.into()))?;
     for planner in &world.planners {
         planner.lock().await.start().map_err(|error| WorldError::PlannerStart(error.into()))?;
     }
-    let initial = world.experiment.begins_with();
+    let initial = world.experiment.initial_nodes();
     // Several at a time: one after the other, forty nodes take longer than a run.
     let starts =
         world.nodes.iter().take(initial).map(|node| async move { node.lock().await.start(None).await });
@@ -62,7 +62,7 @@
         result?;
     }
     for node in world.nodes.iter().skip(initial) {
-        world.event_log.event(Event::NodeStops { node: node.lock().await.id });
+        world.event_log.event(Event::NodeStopping { node: node.lock().await.id });
     }
     Ok(())
 }
@@ -96,7 +96,7 @@
     run_concurrently(stops).await;
     for planner in &world.planners {
         let mut planner = planner.lock().await;
-        planner.look();
+        planner.check_exit();
         planner.stop().await;
     }
 }
--- a/crates/testbed/src/world/startup.rs
+++ b/crates/testbed/src/world/startup.rs
@@ -16,12 +16,14 @@
 use super::node::{NodeProcess, Program};
 use super::node_config::node_config;
 use super::origin::Origin;
-use super::planner::{self, Planner};
+use super::planner::{self, Persistence, Planner, PlannerSetup};
 use super::relay::Relay;
 use super::{Front, Run, World, growth};
-use crate::event_log::{EventLogWriter, Listed, Member, NodeId, ServerId, ServerInfo, Timestamp, Version};
+use crate::event_log::{
+    EndpointState, EventLogWriter, Member, NodeId, ServerId, ServerInfo, Timestamp, Version,
+};
 use crate::experiment::Experiment;
-use crate::schedule::mixed;
+use crate::schedule::mix64;
 
 /// Words of 64 bits in the secret with which members sign messages.
 const SECRET_WORDS: u64 = 4;
@@ -53,7 +55,7 @@
     }
 
     /// Lists the server that occupies a slot, in a state.
-    pub fn list_slot(&self, slot: usize, state: Listed) {
+    pub fn list_slot(&self, slot: usize, state: EndpointState) {
         let slot = &self.slots[slot];
         let id = slot.id();
         let uid = self.event_log.write(|log| log.servers[id.0].name.clone());
@@ -73,7 +75,7 @@
     pub fn replace_server(&self, slot: usize) {
         let now = self.event_log.now();
         let generation =
-            self.event_log.write(|log| log.servers.iter().filter(|s| s.seat == Some(slot)).count());
+            self.event_log.write(|log| log.servers.iter().filter(|s| s.slot == Some(slot)).count());
         let id = record_server(&self.event_log, server_name(slot, generation), Some(slot), Some(now));
         self.slots[slot].replace_server(id, Some(now));
     }
@@ -85,7 +87,7 @@
             addresses: self.origin_listeners.iter().map(|listener| listener.address).collect(),
             zone: self.experiment.world.zones[0].clone(),
             model: "origin",
-            state: Listed::Ready,
+            state: EndpointState::Ready,
             boot_ms: 0,
         });
     }
@@ -100,7 +102,7 @@
                 relayed.or_else(|| planner_addresses.get(planner).copied())
             })
             .collect();
-        Some(planner::operators_file(&self.experiment, &self.secret, &planners))
+        Some(planner::fleet_config(&self.experiment, &self.secret, &planners))
     }
 }
 
@@ -129,13 +131,13 @@
             node_addresses: Vec::new(),
             planners: Vec::new(),
             relay: None,
-            secret: (0..SECRET_WORDS).flat_map(|n| mixed(self.run.seed, n).to_be_bytes()).collect(),
+            secret: (0..SECRET_WORDS).flat_map(|n| mix64(self.run.seed, n).to_be_bytes()).collect(),
             mass_disconnect: watch::Sender::default(),
         };
         self.add_planners(&mut world).await?;
         world.list_origin();
         for slot in 0..self.experiment.world.caches {
-            world.list_slot(slot, Listed::Ready);
+            world.list_slot(slot, EndpointState::Ready);
         }
         self.add_nodes(&mut world, &discovery_addresses);
         Ok(world)
@@ -154,7 +156,7 @@
     /// Builds all slots. Those beyond the first servers refuse connections until a fault adds servers there.
     async fn build_slots(&self, origin: &Arc<Origin>) -> std::io::Result<Vec<Arc<CacheSlot>>> {
         let mut slots = Vec::new();
-        for number in 0..self.experiment.seats() {
+        for number in 0..self.experiment.max_caches() {
             let is_occupied = number < self.experiment.world.caches;
             let id = record_server(&self.event_log, server_name(number, 0), Some(number), None);
             let config = self.experiment.world.cache.clone();
@@ -177,7 +179,7 @@
 
     /// Fills a cache with as many values as it holds: the most popular ones last, so that they are evicted last.
     fn preload(&self, slot: &CacheSlot) {
-        let keys = self.experiment.load.keys.min(self.experiment.world.cache.values as u64);
+        let keys = self.experiment.load.keys.min(self.experiment.world.cache.capacity_values as u64);
         for key in (0..keys).rev() {
             slot.store(key, INITIAL_VERSION, INITIAL_VERSION);
         }
@@ -196,13 +198,19 @@
         let event_log = self.event_log.clone();
         let relay = Relay::open(nodes, &planner_addresses, place, self.run.seed, event_log).await?;
         world.relay = Some(relay);
-        let is_forgetful = self.experiment.fleet.as_ref().is_some_and(|fleet| fleet.forgetful);
-        for (number, address) in planner_addresses.iter().enumerate() {
-            let config = world.fleet_config(Member::Planner(number), &planner_addresses).unwrap_or_default();
-            let directory = self.run.folder;
-            let event_log = self.event_log.clone();
-            let planner =
-                Planner::new(number, *address, program, directory, &config, is_forgetful, event_log)?;
+        let is_volatile = self.experiment.fleet.as_ref().is_some_and(|fleet| fleet.volatile_planners);
+        let persistence = if is_volatile { Persistence::InMemory } else { Persistence::Persistent };
+        for (index, address) in planner_addresses.iter().enumerate() {
+            let config = world.fleet_config(Member::Planner(index), &planner_addresses).unwrap_or_default();
+            let setup = PlannerSetup {
+                index,
+                address: *address,
+                program,
+                folder: self.run.folder,
+                fleet_config: &config,
+                persistence,
+            };
+            let planner = Planner::new(setup, self.event_log.clone())?;
             world.planners.push(Mutex::new(planner));
         }
         Ok(())
@@ -251,7 +259,7 @@
     started: Option<Timestamp>,
 ) -> ServerId {
     event_log.write(|log| {
-        log.servers.push(ServerInfo { name, seat: slot, started });
+        log.servers.push(ServerInfo { name, slot, started });
         ServerId(log.servers.len() - 1)
     })
 }
--- a/crates/testbed/src/world/wire.rs
+++ b/crates/testbed/src/world/wire.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::event_log::Version;
-use crate::schedule::mixed;
+use crate::schedule::mix64;
 use crate::shard_workload;
 
 /// The longest request body that a server reads, in bytes.
@@ -91,7 +91,7 @@
 /// A number in `[0, 1)` that depends on the request ID and the [`hash_stream`] alone.
 pub fn uniform_hash(id: &str, stream: u64) -> f64 {
     let number = id.bytes().fold(0u64, |n, b| n.wrapping_mul(31).wrapping_add(u64::from(b)));
-    (mixed(number, stream) >> 11) as f64 / (1u64 << 53) as f64
+    (mix64(number, stream) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// A body that consists of a text.
@@ -108,7 +108,7 @@
 
 /// The text of the body that carries a value.
 pub fn value_text(request: &ServerRequest, version: Version) -> String {
-    let pad = shard_workload::pad(request.key);
+    let pad = shard_workload::response_padding(request.key);
     let body = ValueBody { made_for: request.id.clone(), key: request.key, version: version.0, pad };
     serde_json::to_string(&body).expect("the body holds numbers and strings only")
 }
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -131,7 +131,7 @@
 #[test_case("stampede", WEAK_ORIGIN, "the origin overrun"; "the origin overloaded")]
 fn violation_is_detected_and_named(violation: &str, faults: &str, kind: &str) {
     let audit_result = run_and_audit(violation, faults);
-    let kinds: Vec<_> = audit_result.breaches.iter().map(|b| b.kind).collect();
+    let kinds: Vec<_> = audit_result.violations.iter().map(|b| b.kind).collect();
     assert!(kinds.contains(&kind), "{violation}: found {kinds:?}");
 }
 
@@ -141,8 +141,8 @@
 fn stopped_node_has_to_answer_only_accepted_requests() {
     let restart = "[[fault]]\nkind = \"node_restart\"\nat_s = 2\n";
     let audit_result = run_and_audit("none", &(SLOW.to_string() + restart));
-    let kinds: Vec<_> = audit_result.breaches.iter().map(|b| b.kind).collect();
-    assert_eq!(kinds, ["connection ended without an answer"], "{:#?}", audit_result.breaches);
+    let kinds: Vec<_> = audit_result.violations.iter().map(|b| b.kind).collect();
+    assert_eq!(kinds, ["connection ended without an answer"], "{:#?}", audit_result.violations);
 }
 
 const SHARED_LIMITS: &str = "[fleet.leases]\norigin_per_s = 20\ncold_work = 0.002\n[expect]\n";
@@ -155,21 +155,21 @@
 #[test_case("favour", "[expect]\n", "fairness = 0.9"; "one node serves all requests")]
 fn unmet_expectation_is_detected(violation: &str, faults: &str, expectation: &str) {
     let name = expectation.split(' ').next().expect("an expectation");
-    let unmet = run_and_audit(violation, &format!("{faults}{expectation}\n")).shortfalls;
+    let unmet = run_and_audit(violation, &format!("{faults}{expectation}\n")).unmet_expectations;
     assert!(unmet.iter().any(|unmet| unmet.bar == name), "{violation}: {unmet:?}");
 }
 
 #[test]
 fn stale_values_are_counted() {
     let audit_result = run_and_audit("stale", "");
-    let is_unmet = audit_result.shortfalls.iter().any(|unmet| unmet.bar == "stale_reads");
+    let is_unmet = audit_result.unmet_expectations.iter().any(|unmet| unmet.bar == "stale_reads");
     assert!(audit_result.figures.stale_reads > 0 && is_unmet);
 }
 
 #[test]
 fn no_violation_is_found_in_a_correct_run() {
     let audit_result = run_and_audit("none", DRAIN);
-    assert!(audit_result.breaches.is_empty(), "{:?}", audit_result.breaches);
+    assert!(audit_result.violations.is_empty(), "{:?}", audit_result.violations);
     assert_eq!(audit_result.figures.stale_reads, 0);
     assert_eq!(audit_result.figures.drains, 1);
     assert!(audit_result.figures.fulfilled > 1000, "{:?}", audit_result.figures);
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -26,14 +26,14 @@
     let figures = &audit_result.figures;
     let fleet = &figures.fleet;
     println!("{name}: service {:.4}, {fleet:?}", figures.service);
-    println!("testbed late {:.1} ms, stalled {:.1} ms", figures.rig_late_ms, figures.rig_stalled_ms);
-    assert!(audit_result.breaches.is_empty(), "{:#?}", audit_result.breaches);
+    println!("testbed late {:.1} ms, stalled {:.1} ms", figures.harness_late_ms, figures.harness_stall_ms);
+    assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
     // Planners have sent messages: a fleet of nodes without a control plane would pass all other checks.
     let is_from_planner =
         |message: &&RelayedMessage| matches!(message.from, Member::Planner(_)) && !message.passed.is_empty();
     assert!(event_log.letters.iter().filter(is_from_planner).count() > 100, "{fleet:?}");
     let unmet = audit_result
-        .shortfalls
+        .unmet_expectations
         .iter()
         .find(|unmet| matches!(unmet.bar, "leases" | "loss" | "stale_reads" | "sick_trials"));
     assert_eq!(unmet, None, "{fleet:?}");
--- a/crates/testbed/tests/counterfactual.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -104,7 +104,7 @@
     let audit_result = run_and_audit(&experiment);
     let fleet = &audit_result.figures.fleet;
     assert_eq!((fleet.named, fleet.named_wrongly), (0, experiment.world.caches), "{fleet:?}");
-    let unmet = &audit_result.shortfalls;
+    let unmet = &audit_result.unmet_expectations;
     assert!(unmet.iter().any(|unmet| unmet.bar == "named_wrongly"), "{unmet:?}");
 }
 
@@ -116,7 +116,10 @@
     let audit_result = run_and_audit(&experiment);
     let figures = &audit_result.figures;
     let fleet = &figures.fleet;
-    println!("{name}: service {:.4}, testbed late {:.1} ms, {fleet:?}", figures.service, figures.rig_late_ms);
-    assert!(audit_result.breaches.is_empty(), "{:#?}", audit_result.breaches);
+    println!(
+        "{name}: service {:.4}, testbed late {:.1} ms, {fleet:?}",
+        figures.service, figures.harness_late_ms
+    );
+    assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
     assert_eq!((fleet.named, fleet.named_wrongly, fleet.planners_crashed), (reported, 0, 0), "{fleet:?}");
 }
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -32,7 +32,7 @@
     let experiment = Experiment::load(&experiment_file(name)).expect("a valid experiment");
     let node = program::find_node(None).expect("the program is built");
     let audit_result = run_experiment(&experiment, experiment.seeds[0], &node).audit_result;
-    assert!(audit_result.breaches.is_empty(), "{:#?}", audit_result.breaches);
+    assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
     let figures = &audit_result.figures;
     assert!(figures.longest_recovery().is_some(), "{:?}", figures.recoveries);
     assert_eq!(figures.stale_reads, 0);
@@ -70,7 +70,7 @@
 
 /// The last server at each of these positions of the endpoint list.
 fn latest_servers(event_log: &EventLog, seats: &[usize]) -> Vec<usize> {
-    let latest = |seat: &usize| event_log.servers.iter().rposition(|server| server.seat == Some(*seat));
+    let latest = |seat: &usize| event_log.servers.iter().rposition(|server| server.slot == Some(*seat));
     seats.iter().filter_map(latest).collect()
 }
 
@@ -86,7 +86,7 @@
 fn count_around_settings(experiment: &Experiment, may_reset_connections: bool) -> [PeriodCounts; 2] {
     let node = program::find_node(None).expect("the program is built");
     let result = run_result::run_experiment(experiment, 1, &node).expect("the experiment can be run");
-    let breaches = &result.audit_result.breaches;
+    let breaches = &result.audit_result.violations;
     assert!(may_reset_connections || breaches.is_empty(), "{breaches:#?}");
     let before = SETTINGS_AT_S - COMPARED_S..SETTINGS_AT_S;
     let after = SETTINGS_AT_S..SETTINGS_AT_S + COMPARED_S;
@@ -194,9 +194,9 @@
         let _permit = RunPermit::acquire();
         run_result::run_schedule(&experiment, &drawn, 3, &node).expect("the experiment can be run")
     };
-    assert!(result.event_log.tries.len() > drawn.requests.len(), "no client retried anything");
+    assert!(result.event_log.client_attempts.len() > drawn.requests.len(), "no client retried anything");
     let text = recording::record(&experiment, &drawn, &result.event_log);
-    assert_eq!(text.lines().count(), result.event_log.tries.len());
+    assert_eq!(text.lines().count(), result.event_log.client_attempts.len());
     let replayed = recording::read(Path::new("recorded"), &text, &experiment).expect("a valid recording");
     assert_eq!(replayed.text(), drawn.text());
 }
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -63,7 +63,7 @@
 ) -> RunResult {
     let is_on_time = |audit_result: &AuditResult| {
         let figures = &audit_result.figures;
-        figures.rig_late_ms <= MAX_LATENESS_MS && figures.rig_stalled_ms <= max_stall_ms
+        figures.harness_late_ms <= MAX_LATENESS_MS && figures.harness_stall_ms <= max_stall_ms
     };
     let _permit = RunPermit::acquire();
     let mut reruns = 0;
