--- a/crates/testbed/src/audit/shard_growth/tests.rs
+++ b/crates/testbed/src/audit/shard_growth/tests.rs
@@ -139,8 +139,11 @@
     event_log.events.push(event(8.0, Event::PlannerUp { planner: 0 }));
     let figures = audited(&event_log).0;
     assert_eq!((figures.advances_while_slow, figures.kills, figures.taken_over), (1, 1, 0));
-    let expect =
-        GrowthExpectations { gone_on: Some(1), steps_while_slow: Some(0), ..GrowthExpectations::default() };
+    let expect = GrowthExpectations {
+        min_takeovers: Some(1),
+        max_steps_while_origin_slow: Some(0),
+        ..GrowthExpectations::default()
+    };
     let unmet: Vec<_> = figures.unmet(&expect).iter().map(|s| s.expectation).collect();
     assert!(unmet.contains(&"growth.expect.gone_on") && unmet.contains(&"growth.expect.steps_while_slow"));
 }
@@ -190,7 +193,7 @@
 
 #[test]
 fn reads_that_skip_the_old_place_are_found() {
-    let expect = GrowthExpectations { old_first: Some(0.9), ..GrowthExpectations::default() };
+    let expect = GrowthExpectations { min_old_owner_first: Some(0.9), ..GrowthExpectations::default() };
     let is_unmet =
         |f: &ShardGrowthFigures| f.unmet(&expect).iter().any(|s| s.expectation == "growth.expect.old_first");
     let (right, wrong) = (missed(true), missed(false));
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -156,13 +156,13 @@
 fn unmet_expectation_is_detected(violation: &str, faults: &str, expectation: &str) {
     let name = expectation.split(' ').next().expect("an expectation");
     let unmet = run_and_audit(violation, &format!("{faults}{expectation}\n")).unmet_expectations;
-    assert!(unmet.iter().any(|unmet| unmet.bar == name), "{violation}: {unmet:?}");
+    assert!(unmet.iter().any(|unmet| unmet.expectation == name), "{violation}: {unmet:?}");
 }
 
 #[test]
 fn stale_values_are_counted() {
     let audit_result = run_and_audit("stale", "");
-    let is_unmet = audit_result.unmet_expectations.iter().any(|unmet| unmet.bar == "stale_reads");
+    let is_unmet = audit_result.unmet_expectations.iter().any(|unmet| unmet.expectation == "stale_reads");
     assert!(audit_result.figures.stale_reads > 0 && is_unmet);
 }
 
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -29,14 +29,15 @@
     println!("testbed late {:.1} ms, stalled {:.1} ms", figures.harness_late_ms, figures.harness_stall_ms);
     assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
     // Planners have sent messages: a fleet of nodes without a control plane would pass all other checks.
-    let is_from_planner =
-        |message: &&RelayedMessage| matches!(message.from, Member::Planner(_)) && !message.passed.is_empty();
-    assert!(event_log.letters.iter().filter(is_from_planner).count() > 100, "{fleet:?}");
+    let is_from_planner = |message: &&RelayedMessage| {
+        matches!(message.from, Member::Planner(_)) && !message.forwarded_at.is_empty()
+    };
+    assert!(event_log.messages.iter().filter(is_from_planner).count() > 100, "{fleet:?}");
     let unmet = audit_result
         .unmet_expectations
         .iter()
-        .find(|unmet| matches!(unmet.bar, "leases" | "loss" | "stale_reads" | "sick_trials"));
+        .find(|unmet| matches!(unmet.expectation, "leases" | "loss" | "stale_reads" | "sick_trials"));
     assert_eq!(unmet, None, "{fleet:?}");
-    assert!(figures.fulfilled * 2 > figures.calls, "{} of {}", figures.fulfilled, figures.calls);
+    assert!(figures.fulfilled * 2 > figures.requests, "{} of {}", figures.fulfilled, figures.requests);
     assert!(figures.longest_recovery().is_some(), "{:?}", figures.recoveries);
 }
--- a/crates/testbed/tests/counterfactual.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -103,9 +103,13 @@
     let experiment = Experiment::read(Path::new("lies.toml"), FALSE_REPORTS).expect("a valid experiment");
     let audit_result = run_and_audit(&experiment);
     let fleet = &audit_result.figures.fleet;
-    assert_eq!((fleet.named, fleet.named_wrongly), (0, experiment.world.caches), "{fleet:?}");
+    assert_eq!(
+        (fleet.slow_caches_detected, fleet.false_detections),
+        (0, experiment.world.caches),
+        "{fleet:?}"
+    );
     let unmet = &audit_result.unmet_expectations;
-    assert!(unmet.iter().any(|unmet| unmet.bar == "named_wrongly"), "{unmet:?}");
+    assert!(unmet.iter().any(|unmet| unmet.expectation == "named_wrongly"), "{unmet:?}");
 }
 
 #[test_case("slow", SLOW, 1; "one cache takes six times as long")]
@@ -121,5 +125,9 @@
         figures.service, figures.harness_late_ms
     );
     assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
-    assert_eq!((fleet.named, fleet.named_wrongly, fleet.planners_crashed), (reported, 0, 0), "{fleet:?}");
+    assert_eq!(
+        (fleet.slow_caches_detected, fleet.false_detections, fleet.planners_crashed),
+        (reported, 0, 0),
+        "{fleet:?}"
+    );
 }
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -9,6 +9,7 @@
 use granitelb_testbed::event_log::{EventLog, ServerAttempt, Timestamp};
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::schedule::Schedule;
+use granitelb_testbed::stats::{PairedBlock, Ratio};
 use granitelb_testbed::{program, recording, run_result, stats};
 use support::{RunPermit, experiment_file, run_experiment};
 use test_case::test_case;
@@ -36,8 +37,12 @@
     let figures = &audit_result.figures;
     assert!(figures.longest_recovery().is_some(), "{:?}", figures.recoveries);
     assert_eq!(figures.stale_reads, 0);
-    assert!((figures.bad_clients_met - 1.0).abs() < 1e-9, "{} handled", figures.bad_clients_met);
-    assert!(figures.fulfilled * 2 > figures.calls, "{} of {}", figures.fulfilled, figures.calls);
+    assert!(
+        (figures.malformed_clients_handled - 1.0).abs() < 1e-9,
+        "{} handled",
+        figures.malformed_clients_handled
+    );
+    assert!(figures.fulfilled * 2 > figures.requests, "{} of {}", figures.fulfilled, figures.requests);
 }
 
 /// What happened within some seconds of a run.
@@ -58,7 +63,7 @@
             let servers = latest_servers(event_log, seats);
             let counted =
                 |attempt: &&ServerAttempt| in_period(attempt.arrived) && servers.contains(&attempt.server.0);
-            event_log.shots.iter().filter(counted).count()
+            event_log.server_attempts.iter().filter(counted).count()
         };
         PeriodCounts {
             origin_reads: event_log.fetches.iter().filter(|fetch| in_period(fetch.at)).count(),
@@ -220,9 +225,12 @@
 #[test]
 fn interval_contains_the_true_difference() {
     // Blocks that differ only randomly, and the same with a tenth more on the second side.
-    let blocks = |more: f64| -> Vec<[(f64, f64); 2]> {
+    let blocks = |more: f64| -> Vec<PairedBlock> {
         let wave = |n: usize| 80.0 + ((n * 37) % 11) as f64;
-        (0..60).map(|n| [(wave(n), 100.0), (wave(n + 5) + more, 100.0)]).collect()
+        let ratio = |numerator| Ratio { numerator, denominator: 100.0 };
+        (0..60)
+            .map(|n| PairedBlock { baseline: ratio(wave(n)), candidate: ratio(wave(n + 5) + more) })
+            .collect()
     };
     let none = stats::difference_of_ratios(&blocks(0.0), 1).expect("blocks");
     assert!(none.low < 0.0 && none.high > 0.0, "{none:?}");
--- a/crates/testbed/tests/shard_growth.rs
+++ b/crates/testbed/tests/shard_growth.rs
@@ -33,13 +33,14 @@
     let node = program::find_node(None).expect("the program is built");
     let audit_result =
         run_experiment_strictly(&experiment, experiment.seeds[0], &node, MAX_STALL_MS).audit_result;
-    let growth = audit_result.figures.growth.as_ref().expect("the experiment has growing shards");
+    let growth = audit_result.figures.shard_growth.as_ref().expect("the experiment has growing shards");
     let figures = &audit_result.figures;
     let (service, late, stalled) = (figures.service, figures.harness_late_ms, figures.harness_stall_ms);
     println!("{name}: service {service:.4}, late {late:.1} ms, stalled {stalled:.1} ms, {growth}");
     assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
-    let is_of_growth =
-        |unmet: &&UnmetExpectation| unmet.bar.starts_with("growth") || unmet.bar == "stale_reads";
+    let is_of_growth = |unmet: &&UnmetExpectation| {
+        unmet.expectation.starts_with("growth") || unmet.expectation == "stale_reads"
+    };
     assert_eq!(audit_result.unmet_expectations.iter().find(is_of_growth), None, "{growth}");
     assert!(service > 0.8, "{service:.4}");
 }
