--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -11,7 +11,7 @@
     /// The endpoint that the attempt goes to.
     pub cache: EndpointId,
     /// The attempt times out after this time.
-    pub give_up_after: Span,
+    pub timeout: Span,
     /// The first byte may leave within this time only. Establishing a connection may take long, and the
     /// endpoint must still recognize a repeat as one when it arrives.
     pub begin_within: Span,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -37,8 +37,6 @@
 use std::collections::VecDeque;
 
 pub use self::endpoint_list::REMOVED_ENDPOINT_TTL;
-/// The former name of [`REMOVED_ENDPOINT_TTL`], for crates that still import it.
-pub use self::endpoint_list::REMOVED_ENDPOINT_TTL as REMEMBERED;
 
 use self::attempt_tracking::{InFlightAttempts, record_result};
 use self::concurrency_limit::ConcurrencyLimit;
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -203,7 +203,7 @@
         let attempt = Attempt {
             request: id,
             cache: target,
-            give_up_after: pending.client_deadline - now,
+            timeout: pending.client_deadline - now,
             begin_within: begin_deadline - now,
         };
         self.attempts.insert(id, number, sent);
--- a/crates/balancer/src/decaying.rs
+++ b/crates/balancer/src/decaying.rs
@@ -10,9 +10,6 @@
     memory: Span,
 }
 
-/// The former name of [`DecayingSum`], for crates that still import it.
-pub type FadingSum = DecayingSum;
-
 impl DecayingSum {
     /// An empty sum.
     pub fn new(memory: Span, now: Time) -> DecayingSum {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -4,7 +4,7 @@
 //! except from the seed that it is given. A host reports what happens and carries out what is decided. Start
 //! reading at [`balancer`].
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod attempt;
 pub mod balancer;
@@ -24,11 +24,3 @@
 pub use control_plane::{ControlPlaneUpdate, Lease, MigrationPhase, ShardMap, ShardSplit};
 pub use endpoint::{EndpointRole, EndpointUpdate, LoadReport};
 pub use request::{LocalReply, Request};
-
-/// The border types under their former module, for crates that still import them from there.
-pub mod calls {
-    pub use crate::attempt::{Attempt, AttemptOutcome, AttemptResult};
-    pub use crate::control_plane::{ControlPlaneUpdate, Lease, MigrationPhase, ShardMap, ShardSplit};
-    pub use crate::endpoint::{EndpointUpdate, LoadReport};
-    pub use crate::request::{LocalReply, Request};
-}
--- a/crates/balancer/tests/request_terms.rs
+++ b/crates/balancer/tests/request_terms.rs
@@ -62,7 +62,7 @@
     balancer.on_endpoints_update(START, &list, true);
     balancer.on_request(START, RequestId(1), read());
     let first = balancer.poll_attempt(START).expect("an attempt");
-    assert_eq!(first.begin_within, first.give_up_after, "it repeats nothing");
+    assert_eq!(first.begin_within, first.timeout, "it repeats nothing");
     let result = AttemptResult {
         number: AttemptNumber(0),
         cache: first.cache,
@@ -73,5 +73,5 @@
     balancer.on_attempt_finished(at(60), RequestId(1), &result);
     let repeat = balancer.poll_attempt(at(60)).expect("a repeat");
     assert_eq!(repeat.begin_within, Span::from_millis(90));
-    assert_eq!(repeat.give_up_after, Span::from_millis(340));
+    assert_eq!(repeat.timeout, Span::from_millis(340));
 }
--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::{ControlPlaneUpdate, Lease};
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Time;
+use granitelb_balancer::{ControlPlaneUpdate, Lease};
 use granitelb_coordination::component::{Component, Event};
 use granitelb_coordination::membership::Membership;
 use granitelb_coordination::message::{ComponentKind, Message};
@@ -73,7 +73,7 @@
     }
 
     fn on_observation(&mut self, now: Time, observation: &Observation) {
-        self.seen(now, observation);
+        leases::ForwarderComponent::on_observation(self, now, observation);
     }
 
     fn add_to_update(&mut self, now: Time, update: &mut ControlPlaneUpdate) {
@@ -98,7 +98,7 @@
     }
 
     fn on_observation(&mut self, now: Time, observation: &Observation) {
-        self.seen(now, observation);
+        shard_growth::ForwarderComponent::on_observation(self, now, observation);
     }
 
     fn add_to_update(&mut self, _now: Time, update: &mut ControlPlaneUpdate) {
--- a/crates/control-plane/src/agent/handle.rs
+++ b/crates/control-plane/src/agent/handle.rs
@@ -24,7 +24,7 @@
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use std::time::Duration;
 
-use granitelb_balancer::calls::ControlPlaneUpdate;
+use granitelb_balancer::ControlPlaneUpdate;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::observation::ObservedEndpoint;
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
--- a/crates/control-plane/src/agent/handle/tests.rs
+++ b/crates/control-plane/src/agent/handle/tests.rs
@@ -1,6 +1,6 @@
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, ControlPlaneUpdate};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, AttemptResult, ControlPlaneUpdate};
 
 use super::super::observations::{RawObservation, TimedObservation};
 use super::{AgentChannel, Disconnected, UPDATE_MAX_AGE, channel};
--- a/crates/control-plane/src/agent/mod.rs
+++ b/crates/control-plane/src/agent/mod.rs
@@ -16,8 +16,6 @@
 //!   new incarnation, and so is one that the planners took for failed. Leases that the balancer got from the former
 //!   incarnation end when they would have ended.
 
-#![warn(missing_docs)]
-
 mod components;
 mod handle;
 mod metrics;
--- a/crates/control-plane/src/agent/observations.rs
+++ b/crates/control-plane/src/agent/observations.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::{AttemptResult, Request};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptResult, Request};
 use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint};
 
 /// An event as the event loop records it.
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -6,9 +6,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, ControlPlaneUpdate, Request};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, Key, RequestClassId, RequestId};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, AttemptResult, ControlPlaneUpdate, Request};
 use granitelb_coordination::leases::LeaseMessage;
 use granitelb_coordination::membership::MembershipMessage;
 use granitelb_coordination::message::{self, Message};
--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,8 +1,6 @@
 //! The clock of a process. It is set by the Unix clock at the start and then only goes forward, also while the process or
 //! its machine is suspended: a process that resumes must find that time has passed.
 
-#![warn(missing_docs)]
-
 use granitelb_balancer::time::Time;
 use rustix::time::{ClockId, clock_gettime};
 
--- a/crates/control-plane/src/config_error.rs
+++ b/crates/control-plane/src/config_error.rs
@@ -1,7 +1,5 @@
 //! Errors in configuration files. Each names the file, the line and the key, and says what an operator can do.
 
-#![warn(missing_docs)]
-
 use std::io;
 use std::path::{Path, PathBuf};
 
--- a/crates/control-plane/src/fault_injection.rs
+++ b/crates/control-plane/src/fault_injection.rs
@@ -1,8 +1,6 @@
 //! Faults that a planner injects into itself, for tests of a fleet only. A planner's configuration file has them in its
 //! table `[trial]`; a planner that runs with one logs an error at its start.
 
-#![warn(missing_docs)]
-
 use std::thread;
 
 use granitelb_balancer::time::Span;
--- a/crates/control-plane/src/fleet_config/mod.rs
+++ b/crates/control-plane/src/fleet_config/mod.rs
@@ -5,8 +5,6 @@
 //! `sections` has the file's tables, `validation` checks them, and `settings` converts them into the settings of
 //! the components.
 
-#![warn(missing_docs)]
-
 mod sections;
 mod settings;
 mod validation;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,6 +1,8 @@
 //! The control plane of a fleet as processes: configuration files, planners that exchange messages on sockets, the agent
 //! of a node, and state on disk. The decisions are made in `granitelb-coordination`.
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod agent;
 pub mod clock;
 pub mod config_error;
--- a/crates/control-plane/src/planner/mod.rs
+++ b/crates/control-plane/src/planner/mod.rs
@@ -5,8 +5,6 @@
 //! heartbeats, or others would take the planner for dead. All messages come in through one socket in one task, which spends
 //! some microseconds on each.
 
-#![warn(missing_docs)]
-
 mod component_status;
 mod component_task;
 mod components;
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -13,8 +13,6 @@
 //!   all that an earlier incarnation can have granted has ended, and shard growth votes on nothing until all other
 //!   planners have reported their state.
 
-#![warn(missing_docs)]
-
 mod error;
 mod state_file;
 mod writer;
--- a/crates/control-plane/tests/counterfactual.rs
+++ b/crates/control-plane/tests/counterfactual.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_control_plane::clock::Clock;
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-use granitelb_balancer::calls::{AttemptOutcome, ShardMap};
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::slot_table::{caches_of, shard_of};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, ShardMap};
 use granitelb_control_plane::fleet_config::FleetConfig;
 use granitelb_control_plane::storage::StateFile;
 use granitelb_coordination::component::Component;
@@ -115,7 +115,7 @@
             started: None,
             warm_after: Span::ZERO,
         };
-        growth.seen(now, &Observation::EndpointsChanged((0..CACHES).map(endpoint).collect()));
+        growth.on_observation(now, &Observation::EndpointsChanged((0..CACHES).map(endpoint).collect()));
         Node { socket: bind_socket(), me: Member::Forwarder(id), last_number: 0, members, growth }
     }
 
@@ -426,7 +426,7 @@
         let count = key_count((day - self.first_day) as f64) as usize;
         for key in self.keys.values().flat_map(|keys| keys.iter().take(count)) {
             let node = &mut self.nodes[(*key % FORWARDERS as u64) as usize];
-            node.growth.seen(now, &Observation::AttemptFinished(Box::new(read_of(*key))));
+            node.growth.on_observation(now, &Observation::AttemptFinished(Box::new(read_of(*key))));
         }
     }
 }
--- a/crates/coordination/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -5,10 +5,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use granitelb_balancer::calls::{MigrationPhase, ShardMap};
 use granitelb_balancer::ids::{EndpointId, Key};
 use granitelb_balancer::slot_table::{place_of, shard_of};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{MigrationPhase, ShardMap};
 use granitelb_coordination::shard_growth::accounting_day::{AccountingDay, DayOfMonth, FrozenPeriod};
 use granitelb_coordination::shard_growth::capacity_forecast::CapacityForecast;
 use granitelb_coordination::shard_growth::history::{ClosedDay, GrowthHistory};
--- a/crates/coordination/examples/growth_traffic.rs
+++ b/crates/coordination/examples/growth_traffic.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
@@ -94,7 +94,7 @@
         let now = START + Span::from_millis(tick * TICK_MILLIS);
         for request in 0..requests_per_tick {
             let attempt = finished_attempt(id, tick, request);
-            forwarder.seen(now, &Observation::AttemptFinished(Box::new(attempt)));
+            forwarder.on_observation(now, &Observation::AttemptFinished(Box::new(attempt)));
         }
         while let Some((_, message)) = forwarder.poll_message(now) {
             let encoded = postcard::to_stdvec(&message).expect("messages can be encoded");
--- a/crates/coordination/src/component.rs
+++ b/crates/coordination/src/component.rs
@@ -3,8 +3,6 @@
 //! A component is a state machine without I/O: messages arrive, time passes, and the host polls what follows. It reads
 //! no clock. `now` is always the host's own clock and is never compared with the clock of another member.
 
-#![warn(missing_docs)]
-
 use granitelb_balancer::time::{Span, Time};
 
 use crate::member::{Member, Sender};
--- a/crates/coordination/src/counterfactual/forwarder/mod.rs
+++ b/crates/coordination/src/counterfactual/forwarder/mod.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::time::{Span, Time};
 
 use self::byte_budget::ByteBudget;
--- a/crates/coordination/src/counterfactual/forwarder/selection.rs
+++ b/crates/coordination/src/counterfactual/forwarder/selection.rs
@@ -1,6 +1,6 @@
 //! Turns a finished attempt into the report of a selection.
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 
 use crate::counterfactual::sampled_request::{
     MAX_CANDIDATES, SampledRequest, ServiceOutcome, tenths_of_millisecond, work_class,
--- a/crates/coordination/src/counterfactual/mod.rs
+++ b/crates/coordination/src/counterfactual/mod.rs
@@ -33,8 +33,6 @@
 //! - The planner component owns the reports, the comparisons and the times of cache starts; a forwarder component owns
 //!   the reports that are not sent yet. Nothing is persisted.
 
-#![warn(missing_docs)]
-
 mod cache_effect;
 mod cluster_variance;
 mod comparison;
--- a/crates/coordination/src/endpoint_health/endpoint_view.rs
+++ b/crates/coordination/src/endpoint_health/endpoint_view.rs
@@ -1,6 +1,6 @@
 //! One endpoint by the reports of all forwarders together.
 
-use granitelb_balancer::decaying::FadingSum;
+use granitelb_balancer::decaying::DecayingSum;
 use granitelb_balancer::time::{Span, Time};
 
 use super::report::EndpointCounts;
@@ -44,10 +44,10 @@
 
 /// The merged reports on one endpoint.
 pub struct EndpointView {
-    answered: FadingSum,
-    failed: FadingSum,
+    answered: DecayingSum,
+    failed: DecayingSum,
     /// All attempts that finished while the endpoint was not failing.
-    finished: FadingSum,
+    finished: DecayingSum,
     created_at: Time,
     /// Forwarders that reported failures.
     failure_reporters: RecentReporters,
@@ -69,9 +69,9 @@
     /// The view of an endpoint without any evidence.
     pub fn new(now: Time) -> EndpointView {
         EndpointView {
-            answered: FadingSum::new(EVIDENCE_MEMORY, now),
-            failed: FadingSum::new(EVIDENCE_MEMORY, now),
-            finished: FadingSum::new(RATE_MEMORY, now),
+            answered: DecayingSum::new(EVIDENCE_MEMORY, now),
+            failed: DecayingSum::new(EVIDENCE_MEMORY, now),
+            finished: DecayingSum::new(RATE_MEMORY, now),
             created_at: now,
             failure_reporters: RecentReporters::default(),
             reporters: RecentReporters::default(),
--- a/crates/coordination/src/endpoint_health/merger.rs
+++ b/crates/coordination/src/endpoint_health/merger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::calls::ControlPlaneUpdate;
+use granitelb_balancer::ControlPlaneUpdate;
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 
--- a/crates/coordination/src/endpoint_health/mod.rs
+++ b/crates/coordination/src/endpoint_health/mod.rs
@@ -8,8 +8,6 @@
 //! once, and none makes another one of the same batch stale. While the latest version of an update is incomplete, the
 //! previous one remains valid for the endpoints that the latest does not name.
 
-#![warn(missing_docs)]
-
 mod aggregator;
 mod components;
 mod endpoint_view;
--- a/crates/coordination/src/endpoint_health/reporter.rs
+++ b/crates/coordination/src/endpoint_health/reporter.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Span;
 
--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -13,8 +13,6 @@
 //!   are rotated without a moment in which members reject each other: first the new one is distributed while the
 //!   previous one stays valid, then the previous one is removed.
 
-#![warn(missing_docs)]
-
 use std::fmt;
 
 use hmac::{Hmac, KeyInit, Mac};
--- a/crates/coordination/src/leases/forwarder/limits.rs
+++ b/crates/coordination/src/leases/forwarder/limits.rs
@@ -1,6 +1,6 @@
 //! The limits that a forwarder's balancer goes by: the guaranteed share, leases and long-term allocations together.
 
-use granitelb_balancer::calls::Lease;
+use granitelb_balancer::Lease;
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 
--- a/crates/coordination/src/leases/forwarder/mod.rs
+++ b/crates/coordination/src/leases/forwarder/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// Takes note of what the balancer did.
-    pub fn seen(&mut self, now: Time, observation: &Observation) {
+    pub fn on_observation(&mut self, now: Time, observation: &Observation) {
         match observation {
             Observation::EndpointsChanged(endpoints) => self.on_endpoints_changed(now, endpoints),
             Observation::AttemptSent { is_origin: true, write: false, .. } | Observation::FetchDenied => {
--- a/crates/coordination/src/leases/forwarder/usage.rs
+++ b/crates/coordination/src/leases/forwarder/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter;
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
 
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -55,8 +55,6 @@
 //! At most N forwarders are up. One process runs under each planner's number, and all have the same settings. Clocks
 //! advance while a process is suspended, and their rates differ by less than the margin.
 
-#![warn(missing_docs)]
-
 mod demand_estimator;
 mod error;
 mod forwarder;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -4,6 +4,8 @@
 //! state, and the host polls the outputs that follow from them (see [`component::Component`]). Transport is elsewhere:
 //! `crates/control-plane` runs the components in processes, `crates/fleet-simulator` runs all of them in one process.
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod component;
 pub mod counterfactual;
 pub mod endpoint_health;
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -1,7 +1,5 @@
 //! The identities of a fleet's members.
 
-#![warn(missing_docs)]
-
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -20,8 +20,6 @@
 //! - **A member that was itself stalled judges nobody by that time.** The others seemed silent because nobody received.
 //! - **Memory is bounded.** Members past the bounds are rejected; those that failed longest ago are evicted first.
 
-#![warn(missing_docs)]
-
 mod error;
 mod heartbeat_schedule;
 mod own_incarnation;
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -2,8 +2,6 @@
 //!
 //! Their encoding as signed datagrams is in [`crate::envelope`], whose items are re-exported here.
 
-#![warn(missing_docs)]
-
 use std::fmt;
 
 pub use crate::envelope::{EnvelopeError, MAX_DATAGRAM_BYTES, MIN_SECRET_BYTES, Secret, Secrets, open, seal};
--- a/crates/coordination/src/observation.rs
+++ b/crates/coordination/src/observation.rs
@@ -2,9 +2,7 @@
 //!
 //! Observations travel by value over a bounded channel; no request ever waits for them.
 
-#![warn(missing_docs)]
-
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
 
--- a/crates/coordination/src/probe_scheduling/mod.rs
+++ b/crates/coordination/src/probe_scheduling/mod.rs
@@ -18,8 +18,6 @@
 //!   case, with planners that do not see one another, there are as many times the probes as there are planners.
 //! - **Nothing depends on it.** A forwarder that is not assigned still probes by its own backoff when planners are silent.
 
-#![warn(missing_docs)]
-
 mod assignment;
 mod scheduler;
 
--- a/crates/coordination/src/shard_growth/forwarder.rs
+++ b/crates/coordination/src/shard_growth/forwarder.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use granitelb_balancer::calls::ShardMap;
+use granitelb_balancer::ShardMap;
 use granitelb_balancer::slot_table::{key_hash, shard_of};
 use granitelb_balancer::time::{Span, Time};
 
@@ -119,7 +119,7 @@
     }
 
     /// Takes what the node's event loop observed.
-    pub fn seen(&mut self, now: Time, observation: &Observation) {
+    pub fn on_observation(&mut self, now: Time, observation: &Observation) {
         match observation {
             Observation::AttemptFinished(attempt) => self.on_attempt_finished(now, attempt),
             Observation::EndpointsChanged(endpoints) => {
--- a/crates/coordination/src/shard_growth/mod.rs
+++ b/crates/coordination/src/shard_growth/mod.rs
@@ -6,11 +6,9 @@
 //! of the shard map ([`consensus`]), which forwarders then apply ([`shard_map`]).
 //!
 //! Two shard maps occur in this workspace. [`shard_map::VersionedShardMap`] is the one that planners agree on; it also
-//! has splits that have not moved a key yet. `granitelb_balancer::calls::ShardMap` is what a node's balancer routes by,
+//! has splits that have not moved a key yet. `granitelb_balancer::ShardMap` is what a node's balancer routes by,
 //! and is derived from it.
 
-#![warn(missing_docs)]
-
 pub mod accounting_day;
 pub mod capacity_forecast;
 pub mod consensus;
--- a/crates/coordination/src/shard_growth/origin_latency.rs
+++ b/crates/coordination/src/shard_growth/origin_latency.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::time::{Span, Time};
 
 use crate::member::ForwarderId;
--- a/crates/coordination/src/shard_growth/shard_activity.rs
+++ b/crates/coordination/src/shard_growth/shard_activity.rs
@@ -1,6 +1,6 @@
 //! What one forwarder sees of a shard on one day, and which keys it has recently seen stored.
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::time::{Span, Time};
 
 use super::accounting_day::AccountingDay;
--- a/crates/coordination/src/shard_growth/shard_map.rs
+++ b/crates/coordination/src/shard_growth/shard_map.rs
@@ -1,12 +1,11 @@
 //! The shard map that planners agree on: which shards are split into how many parts, and which splits are in progress.
 //!
 //! The map is small and is always sent in full, so a member that holds the highest version needs none of the earlier
-//! ones. A balancer is given a [`calls::ShardMap`], which [`VersionedShardMap::to_balancer_shard_map`] derives.
+//! ones. A balancer is given a [`granitelb_balancer::ShardMap`], which [`VersionedShardMap::to_balancer_shard_map`] derives.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use granitelb_balancer::calls;
 use serde::{Deserialize, Serialize};
 
 /// A shard: a fixed range of the slots of the shared slot table.
@@ -144,12 +143,13 @@
     }
 
     /// The map that a node's balancer routes by.
-    pub fn to_balancer_shard_map(&self) -> calls::ShardMap {
+    pub fn to_balancer_shard_map(&self) -> granitelb_balancer::ShardMap {
         let shards = self.shards.iter().map(|(shard, layout)| {
-            let split = calls::ShardSplit { bits: layout.bits, moving: migration_phase(layout.phase) };
+            let split =
+                granitelb_balancer::ShardSplit { bits: layout.bits, moving: migration_phase(layout.phase) };
             (shard.0, split)
         });
-        calls::ShardMap { version: self.version.0, shards: shards.collect() }
+        granitelb_balancer::ShardMap { version: self.version.0, shards: shards.collect() }
     }
 }
 
@@ -162,13 +162,13 @@
     layout.bits.saturating_add(u8::from(layout.phase.is_some())) <= MAX_SPLIT_BITS
 }
 
-fn migration_phase(phase: Option<SplitPhase>) -> calls::MigrationPhase {
+fn migration_phase(phase: Option<SplitPhase>) -> granitelb_balancer::MigrationPhase {
     match phase {
-        Some(SplitPhase::Copying(step)) => calls::MigrationPhase::Copying { sixteenths: step },
-        Some(SplitPhase::DualRead) => calls::MigrationPhase::DualRead,
-        Some(SplitPhase::Switched) => calls::MigrationPhase::Switched,
+        Some(SplitPhase::Copying(step)) => granitelb_balancer::MigrationPhase::Copying { sixteenths: step },
+        Some(SplitPhase::DualRead) => granitelb_balancer::MigrationPhase::DualRead,
+        Some(SplitPhase::Switched) => granitelb_balancer::MigrationPhase::Switched,
         Some(SplitPhase::Foreseen | SplitPhase::Planned | SplitPhase::Withdrawn) | None => {
-            calls::MigrationPhase::Stable
+            granitelb_balancer::MigrationPhase::Stable
         }
     }
 }
--- a/crates/coordination/tests/counterfactual.rs
+++ b/crates/coordination/tests/counterfactual.rs
@@ -1,6 +1,6 @@
 //! Both sides of counterfactual estimation: what is stored and sent, whatever the input.
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
--- a/crates/coordination/tests/endpoint_health.rs
+++ b/crates/coordination/tests/endpoint_health.rs
@@ -2,9 +2,9 @@
 
 use std::iter;
 
-use granitelb_balancer::calls::{AttemptOutcome, ControlPlaneUpdate};
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, ControlPlaneUpdate};
 use granitelb_coordination::component::Component;
 use granitelb_coordination::endpoint_health::{
     ForwarderComponent, Fragment, HealthError, HealthMessage, MAX_ENDPOINTS, PlannerComponent,
--- a/crates/coordination/tests/growth_components.rs
+++ b/crates/coordination/tests/growth_components.rs
@@ -81,7 +81,7 @@
 fn one_forwarder_with_false_endpoints_changes_nothing() {
     let mut simulation = Simulation::new(6);
     let now = simulation.now;
-    simulation.forwarder(0).seen(now, &observed_endpoints(0..400, 0..400, now));
+    simulation.forwarder(0).on_observation(now, &observed_endpoints(0..400, 0..400, now));
     simulation.run(8);
     simulation.assert_split_complete();
 }
@@ -91,7 +91,7 @@
     let mut simulation = Simulation::new(6);
     let now = simulation.now;
     for id in [0, 3] {
-        simulation.forwarder(id).seen(now, &observed_endpoints(0..60, 0..60, now));
+        simulation.forwarder(id).on_observation(now, &observed_endpoints(0..60, 0..60, now));
     }
     simulation.run(8);
     let is_active = |shard_map: &VersionedShardMap| {
@@ -211,7 +211,7 @@
     let message = GrowthMessage::CurrentDay { day: AccountingDay(7) };
     forwarder.on_message(now, sender(planner), message).expect("the message is valid");
     for key in 0..5000 {
-        forwarder.seen(now, &observed_read(key));
+        forwarder.on_observation(now, &observed_read(key));
     }
     let mut reported = BTreeSet::new();
     for _ in 0..41 {
@@ -243,7 +243,7 @@
             let latency_millis = if forwarder < slow_forwarders { 300 } else { 20 };
             for fetch in 0..5 {
                 let observation = observed_fetch(tick * 5 + fetch, latency_millis);
-                simulation.forwarder(forwarder).seen(now, &observation);
+                simulation.forwarder(forwarder).on_observation(now, &observation);
             }
         }
         simulation.tick();
--- a/crates/coordination/tests/growth_simulation.rs
+++ b/crates/coordination/tests/growth_simulation.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
 use granitelb_balancer::slot_table::shard_of;
 use granitelb_balancer::time::{Span, Time};
@@ -179,7 +179,7 @@
         let settings = ForwarderSettings { report_round: Span(DAY.0 / 8), ..ForwarderSettings::default() };
         for id in (0..FORWARDERS).map(ForwarderId) {
             let mut forwarder = ForwarderComponent::new(settings.clone(), id, Incarnation(1), self.now);
-            forwarder.seen(self.now, &observed_endpoints(0..60, 0..0, self.now));
+            forwarder.on_observation(self.now, &observed_endpoints(0..60, 0..0, self.now));
             self.forwarders.insert(id, forwarder);
         }
     }
@@ -244,7 +244,7 @@
         let now = self.now;
         for key in self.keys.clone().into_iter().take(count) {
             let forwarder = self.draw(FORWARDERS);
-            self.forwarder(forwarder).seen(now, &observed_read(key));
+            self.forwarder(forwarder).on_observation(now, &observed_read(key));
         }
     }
 
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -108,11 +108,11 @@
 #[test]
 fn rejected_reads_count_as_demand() {
     let mut forwarder = forwarder(Settings::default(), Incarnation(1));
-    forwarder.seen(at(0), &Observation::EndpointsChanged(vec![origin()]));
+    forwarder.on_observation(at(0), &Observation::EndpointsChanged(vec![origin()]));
     let mut requested = 0;
     for ms in (0..4000).step_by(100) {
         if ms >= 1000 {
-            forwarder.seen(at(ms), &Observation::FetchDenied);
+            forwarder.on_observation(at(ms), &Observation::FetchDenied);
         }
         if let Some(amount) = poll_requested_amount(&mut forwarder, at(ms)) {
             requested = amount;
@@ -131,7 +131,7 @@
     let mut requested = 0;
     for ms in (0..20_000).step_by(500) {
         let fetch = Observation::AttemptSent { cache: EndpointId(1), is_origin: true, write: false };
-        forwarder.seen(at(ms), &fetch);
+        forwarder.on_observation(at(ms), &fetch);
         if let Some(amount) = poll_requested_amount(&mut forwarder, at(ms)) {
             requested = amount;
         }
@@ -160,7 +160,7 @@
     // Without endpoints the notification is empty: the balancer still has the lease of before.
     forwarder.current_leases(at(0));
     assert_eq!(count_requests(&mut forwarder, 600), 0);
-    forwarder.seen(at(600), &Observation::EndpointsChanged(vec![origin()]));
+    forwarder.on_observation(at(600), &Observation::EndpointsChanged(vec![origin()]));
     assert_eq!(count_requests(&mut forwarder, 1200), 0);
     forwarder.current_leases(at(1200));
     assert_eq!(count_requests(&mut forwarder, 1800), 1);
@@ -172,7 +172,7 @@
 fn restarted_planner_grants_again_what_a_forwarder_reports() {
     let settings = Settings { long_term_per_mille: 500, ..Settings::default() };
     let mut forwarder = forwarder(settings.clone(), Incarnation(1));
-    forwarder.seen(at(0), &Observation::EndpointsChanged(vec![origin()]));
+    forwarder.on_observation(at(0), &Observation::EndpointsChanged(vec![origin()]));
     let mut incarnation = Incarnation(1);
     let mut planner = PlannerComponent::new(settings.clone(), PLANNER, incarnation, Time(0));
     let mut limits = Vec::new();
--- a/crates/fleet-simulator/src/cold_model.rs
+++ b/crates/fleet-simulator/src/cold_model.rs
@@ -7,12 +7,12 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
 use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::{Attempt, AttemptOutcome, AttemptResult, EndpointUpdate, Request};
 use granitelb_balancer::ids::{
     AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
 };
 use granitelb_balancer::settings::{Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{Attempt, AttemptOutcome, AttemptResult, EndpointUpdate, Request};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -520,7 +520,7 @@
         let id = ShotId { node, incarnation: n.incarnation, call: shot.request.0, number };
         self.out.insert(id, (cache, self.now, work));
         self.later(NET, What::Comes { shot: id, told });
-        self.later(shot.give_up_after, What::Ends { shot: id, outcome: AttemptOutcome::TimedOut });
+        self.later(shot.timeout, What::Ends { shot: id, outcome: AttemptOutcome::TimedOut });
     }
 
     fn warmth(&self, started: Option<Time>) -> f64 {
--- a/crates/fleet-simulator/src/counterfactual/replay.rs
+++ b/crates/fleet-simulator/src/counterfactual/replay.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, RequestClassId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::{Component, Event};
--- a/crates/fleet-simulator/src/lease_simulation/lifecycle.rs
+++ b/crates/fleet-simulator/src/lease_simulation/lifecycle.rs
@@ -67,7 +67,7 @@
             Member::Forwarder(id) => {
                 let mut component = ForwarderComponent::new(settings, id, incarnation, clock);
                 component.on_membership_change(clock, &alive);
-                component.seen(clock, &Observation::EndpointsChanged(vec![origin()]));
+                component.on_observation(clock, &Observation::EndpointsChanged(vec![origin()]));
                 process.lease = component.current_leases(clock).first().map(|(_, lease)| *lease);
                 Side::Forwarder(Box::new(component))
             }
--- a/crates/fleet-simulator/src/lease_simulation/process.rs
+++ b/crates/fleet-simulator/src/lease_simulation/process.rs
@@ -1,6 +1,6 @@
 //! One simulated process: a planner or a forwarder with a clock of its own.
 
-use granitelb_balancer::calls::Lease;
+use granitelb_balancer::Lease;
 use granitelb_balancer::time::Time;
 use granitelb_coordination::component::Component;
 use granitelb_coordination::leases::{ForwarderComponent, LeaseMessage, PlannerComponent};
--- a/crates/fleet-simulator/src/lease_simulation/workload.rs
+++ b/crates/fleet-simulator/src/lease_simulation/workload.rs
@@ -100,11 +100,11 @@
         let fetches = (rate * TICK.as_secs_f64() + rounding).floor() as usize;
         for _ in 0..fetches {
             let sent = Observation::AttemptSent { cache: ORIGIN, is_origin: true, write: false };
-            component.seen(clock, &sent);
+            component.on_observation(clock, &sent);
         }
         let rejected = (excess * TICK.as_secs_f64() + rounding).floor() as usize;
         for _ in 0..rejected {
-            component.seen(clock, &Observation::FetchDenied);
+            component.on_observation(clock, &Observation::FetchDenied);
         }
         if is_measured {
             process.used += rate;
--- a/crates/fleet-simulator/src/mind.rs
+++ b/crates/fleet-simulator/src/mind.rs
@@ -4,12 +4,12 @@
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::{
-    AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LocalReply, Request,
-};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, Key, KindId, RequestId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{
+    AttemptOutcome, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LocalReply, Request,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -29,7 +29,7 @@
 
 /// What is to be carried out.
 pub enum Order {
-    Shoot { call: RequestId, cache: EndpointId, give_up_after: Span },
+    Shoot { call: RequestId, cache: EndpointId, timeout: Span },
     LocalReply { call: RequestId, answer: LocalReply },
     Recall { call: RequestId, number: AttemptNumber },
 }
@@ -85,8 +85,8 @@
                         orders.push(Order::Recall { call, number });
                     }
                     if let Some(s) = balancer.poll_attempt(now) {
-                        let (call, cache, give_up_after) = (s.request, s.cache, s.give_up_after);
-                        orders.push(Order::Shoot { call, cache, give_up_after });
+                        let (call, cache, timeout) = (s.request, s.cache, s.timeout);
+                        orders.push(Order::Shoot { call, cache, timeout });
                     } else if let Some((call, answer)) = balancer.poll_response(now) {
                         orders.push(Order::LocalReply { call, answer });
                     } else {
@@ -233,7 +233,7 @@
                 let open = self.open.get_mut(&id).expect("looked at above");
                 open.out = true;
                 open.shots += 1;
-                orders.push(Order::Shoot { call: id, cache, give_up_after: open.end - now });
+                orders.push(Order::Shoot { call: id, cache, timeout: open.end - now });
             }
         }
         orders
--- a/crates/fleet-simulator/src/two_levels/mod.rs
+++ b/crates/fleet-simulator/src/two_levels/mod.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
 use granitelb_balancer::ids::{
     AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
 };
 use granitelb_balancer::settings::{Effect, RequestClass, Settings as ModuleSettings};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
@@ -356,7 +356,7 @@
             let out = ShotOut { call: shot.request.0, number: *number, cache: shot.cache.0, sent: self.now };
             *number += 1;
             f.out.insert((out.call, out.number), out);
-            let (after, outcome) = if hung { (shot.give_up_after, 1) } else { (ANSWER, 0) };
+            let (after, outcome) = if hung { (shot.timeout, 1) } else { (ANSWER, 0) };
             self.later(after, What::Ends { forwarder: n, shot: out, outcome });
         }
         while let Some((id, answer)) = self.forwarders[n].balancer.poll_response(self.now) {
--- a/crates/fleet-simulator/src/world/events.rs
+++ b/crates/fleet-simulator/src/world/events.rs
@@ -1,8 +1,8 @@
 //! What happens in a fleet, in order of time.
 
-use granitelb_balancer::calls::{AttemptOutcome, EndpointUpdate};
 use granitelb_balancer::ids::Key;
 use granitelb_balancer::time::Time;
+use granitelb_balancer::{AttemptOutcome, EndpointUpdate};
 use granitelb_coordination::Sender;
 use granitelb_coordination::message::Message;
 
--- a/crates/fleet-simulator/src/world/fellows.rs
+++ b/crates/fleet-simulator/src/world/fellows.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use granitelb_balancer::calls::ControlPlaneUpdate;
+use granitelb_balancer::ControlPlaneUpdate;
 use granitelb_balancer::time::Time;
 use granitelb_coordination::component::Component;
 use granitelb_coordination::membership::Membership;
@@ -159,9 +159,9 @@
 }
 
 impl Forwarder {
-    pub fn seen(&mut self, now: Time, sight: Observation) {
+    pub fn on_observation(&mut self, now: Time, sight: Observation) {
         self.verdicts.iter_mut().for_each(|v| v.on_observation(now, &sight));
-        self.leases.iter_mut().for_each(|l| l.seen(now, &sight));
+        self.leases.iter_mut().for_each(|l| l.on_observation(now, &sight));
         if let Observation::EndpointsChanged(_) = sight {
             self.listed = Some(sight);
         }
@@ -172,7 +172,7 @@
         if std::mem::take(&mut self.is_new)
             && let Some(listed) = self.listed.take()
         {
-            self.seen(now, listed);
+            self.on_observation(now, listed);
         }
         let mut advice = self.verdicts.as_ref().map(|v| v.control_plane_update(now)).unwrap_or_default();
         advice.leases = self.leases.as_mut().map(|l| l.current_leases(now)).unwrap_or_default();
--- a/crates/fleet-simulator/src/world/mod.rs
+++ b/crates/fleet-simulator/src/world/mod.rs
@@ -10,12 +10,12 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
 use granitelb_balancer::ids::{
     AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
 };
 use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal};
--- a/crates/fleet-simulator/src/world/nodes.rs
+++ b/crates/fleet-simulator/src/world/nodes.rs
@@ -69,9 +69,7 @@
         };
         for order in self.nodes[n].mind.pull(now, &sight) {
             match order {
-                Order::Shoot { call, cache, give_up_after } => {
-                    self.shoot(n, call.0, cache.0 as usize, give_up_after)
-                }
+                Order::Shoot { call, cache, timeout } => self.shoot(n, call.0, cache.0 as usize, timeout),
                 Order::LocalReply { call, answer } => self.answered_by_node(n, call.0, answer),
                 Order::Recall { call, number } => {
                     let shot = ShotId {
@@ -102,7 +100,7 @@
         node.shots.get(&(id.call, id.number)).filter(|_| node.incarnation == id.incarnation)
     }
 
-    pub(super) fn shoot(&mut self, n: usize, call_id: u64, server: usize, give_up_after: Span) {
+    pub(super) fn shoot(&mut self, n: usize, call_id: u64, server: usize, timeout: Span) {
         let incarnation = self.nodes[n].incarnation;
         let Some(call) = self.nodes[n].calls.get_mut(&call_id) else {
             self.came.unsound += 1;
@@ -136,7 +134,7 @@
         idle.retain(|since| now - *since < keep);
         let up = idle.pop().is_some();
         self.nodes[n].shots.insert((call_id, number), Attempt { server, at: now, up, job });
-        self.later(give_up_after, What::GiveUp { shot });
+        self.later(timeout, What::GiveUp { shot });
         if up {
             self.write(shot);
             return;
--- a/crates/fleet-simulator/src/world/talk.rs
+++ b/crates/fleet-simulator/src/world/talk.rs
@@ -1,7 +1,7 @@
 //! Letters between nodes and planners, what nodes tell of themselves, and what they are told. Chance is drawn apart, so
 //! that with no planner a day is the same to the last call.
 
-use granitelb_balancer::calls::ControlPlaneUpdate;
+use granitelb_balancer::ControlPlaneUpdate;
 use granitelb_coordination::message::Message;
 use granitelb_coordination::observation::{FinishedAttempt, Observation, ObservedEndpoint as Listed};
 use granitelb_coordination::{ForwarderId, Member, PlannerId, Sender};
@@ -77,7 +77,7 @@
         }
         let sight = sight(self);
         let now = self.now;
-        self.talk.iter_mut().for_each(|t| t.nodes[node].seen(now, sight.clone()));
+        self.talk.iter_mut().for_each(|t| t.nodes[node].on_observation(now, sight.clone()));
     }
 
     /// A node hears of a line of the list.
@@ -98,7 +98,7 @@
             warm_after: WARM_AFTER,
         };
         let servers = talk.known[node].values().filter(|l| l.ready).map(server).collect();
-        talk.nodes[node].seen(self.now, Observation::EndpointsChanged(servers));
+        talk.nodes[node].on_observation(self.now, Observation::EndpointsChanged(servers));
     }
 
     pub(super) fn saw_end(&mut self, shot: &Attempt, outcome: AttemptOutcome) {
--- a/crates/node/src/cli/config/file.rs
+++ b/crates/node/src/cli/config/file.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use granitelb_settings::{Decoded, Fault};
+use granitelb_settings::{DecodedSettings, SettingsError};
 use rustix::process::{Resource, getrlimit};
 use serde::Deserialize;
 use serde_json::Value;
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// Returns the key that is missing or has a value that is not allowed, or the path that cannot be read.
-    pub fn load(path: Option<&Path>) -> Result<Config, Fault> {
+    pub fn load(path: Option<&Path>) -> Result<Config, SettingsError> {
         let path = match path {
             Some(path) => path.to_path_buf(),
             None => variable(CONFIG_VARIABLE)
@@ -68,7 +68,7 @@
         Config::parse(&text)
     }
 
-    fn parse(text: &str) -> Result<Config, Fault> {
+    fn parse(text: &str) -> Result<Config, SettingsError> {
         let file: ConfigFile<'_> = granitelb_settings::read(text.as_bytes())?;
         let settings = decode_settings(file.settings)?;
         validate_load_header(file.load_header.as_deref())?;
@@ -97,15 +97,15 @@
     }
 }
 
-fn fault(key: impl Into<String>, trouble: impl ToString) -> Fault {
-    Fault { key: key.into(), trouble: trouble.to_string() }
+fn fault(key: impl Into<String>, description: impl ToString) -> SettingsError {
+    SettingsError { key: key.into(), description: description.to_string() }
 }
 
 fn variable(name: &str) -> Option<String> {
     env::var(name).ok()
 }
 
-fn decode_settings(settings: &RawValue) -> Result<Decoded, Fault> {
+fn decode_settings(settings: &RawValue) -> Result<DecodedSettings, SettingsError> {
     let settings =
         granitelb_settings::decode(settings.get().as_bytes()).map_err(|fault| fault.under("settings"))?;
     let classes = &settings.names.request_classes;
@@ -116,7 +116,7 @@
 }
 
 /// Checks that the name of the header with load reports is one that HTTP allows.
-fn validate_load_header(name: Option<&str>) -> Result<(), Fault> {
+fn validate_load_header(name: Option<&str>) -> Result<(), SettingsError> {
     let Some(name) = name else { return Ok(()) };
     let is_valid = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
     if !is_valid {
@@ -126,7 +126,7 @@
 }
 
 /// The lower of the configured limit and the one that the system enforces.
-fn descriptor_limit(configured: Option<u64>) -> Result<u64, Fault> {
+fn descriptor_limit(configured: Option<u64>) -> Result<u64, SettingsError> {
     let enforced = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let limit = configured.unwrap_or(DEFAULT_MAX_DESCRIPTORS).min(enforced);
     if limit < MIN_DESCRIPTORS {
@@ -137,7 +137,11 @@
 }
 
 /// An address from the file, or from an environment variable if the file leaves it out.
-fn address(key: &str, variable_name: &str, configured: Option<SocketAddr>) -> Result<SocketAddr, Fault> {
+fn address(
+    key: &str,
+    variable_name: &str,
+    configured: Option<SocketAddr>,
+) -> Result<SocketAddr, SettingsError> {
     if let Some(address) = configured {
         return Ok(address);
     }
--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::UNIX_EPOCH;
 
-use granitelb_settings::{Decoded, Fault};
+use granitelb_settings::{DecodedSettings, SettingsError};
 
 use crate::http::EndpointListUpdate;
 use crate::proxy::{NodeConfig, ReloadableConfig};
@@ -33,7 +33,7 @@
     /// The endpoint list that the node uses until discovery answers.
     known_endpoints: Option<EndpointListUpdate>,
     load_header: Option<Box<str>>,
-    settings: Decoded,
+    settings: DecodedSettings,
 }
 
 impl Config {
@@ -65,7 +65,7 @@
             discovery: self.discovery,
             descriptors: self.max_descriptors as usize,
             memory: self.max_memory_mb.map_or(usize::MAX, |mb| (mb as usize).saturating_mul(BYTES_PER_MB)),
-            connect_limit: self.settings.connect_limit,
+            connect_timeout: self.settings.connect_timeout,
             keepalive: self.settings.keepalive,
             load_header: self.load_header.clone(),
             settings: None,
@@ -78,7 +78,10 @@
     /// # Errors
     /// Returns the key that a running node cannot apply. The configuration has the running settings then, except for the
     /// timeouts of connections.
-    pub fn merge_settings(&mut self, running: &Config) -> Result<Option<Box<Decoded>>, Fault> {
+    pub fn merge_settings(
+        &mut self,
+        running: &Config,
+    ) -> Result<Option<Box<DecodedSettings>>, SettingsError> {
         let merged = match self.settings.after(&running.settings) {
             Ok(merged) => merged,
             Err(fault) => {
@@ -94,9 +97,9 @@
     }
 
     /// Takes other settings, but keeps this configuration's own timeouts of connections.
-    fn replace_settings(&mut self, settings: Decoded) {
-        self.settings = Decoded {
-            connect_limit: self.settings.connect_limit,
+    fn replace_settings(&mut self, settings: DecodedSettings) {
+        self.settings = DecodedSettings {
+            connect_timeout: self.settings.connect_timeout,
             keepalive: self.settings.keepalive,
             ..settings
         };
--- a/crates/node/src/cli/error.rs
+++ b/crates/node/src/cli/error.rs
@@ -7,13 +7,13 @@
 use granitelb_control_plane::config_error::ConfigError;
 use granitelb_control_plane::planner::PlannerError;
 use granitelb_coordination::component::Remediation;
-use granitelb_settings::Fault;
+use granitelb_settings::SettingsError;
 
 /// Why a command failed, with what an operator can do about it.
 #[derive(Debug)]
 pub enum CommandError {
     /// The node's configuration is not valid.
-    NodeConfig(Fault),
+    NodeConfig(SettingsError),
     /// The fleet configuration of a node is not valid.
     FleetConfig(ConfigError),
     /// A file that was to be checked is not valid.
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -1,7 +1,5 @@
 //! The program: its command line, its configuration, its log and its signals.
 
-#![warn(missing_docs)]
-
 mod arguments;
 mod config;
 mod error;
--- a/crates/node/src/cli/signals.rs
+++ b/crates/node/src/cli/signals.rs
@@ -5,7 +5,7 @@
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
-use granitelb_settings::Decoded;
+use granitelb_settings::DecodedSettings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::backend::SignalDelivery;
 use signal_hook::iterator::exfiltrator::SignalOnly;
@@ -71,7 +71,7 @@
         reloadable
     }
 
-    fn merge_settings(&self, config: &mut Config) -> Option<Box<Decoded>> {
+    fn merge_settings(&self, config: &mut Config) -> Option<Box<DecodedSettings>> {
         match config.merge_settings(&self.running) {
             Ok(settings) => settings,
             Err(fault) => {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,10 +2,9 @@
 //!
 //! The layers, each of which uses only those below it: [`cli`], [`proxy`], [`http`], [`transport`].
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod cli;
-#[warn(missing_docs)]
 pub mod http;
-#[warn(missing_docs)]
 pub mod proxy;
-#[warn(missing_docs)]
 pub mod transport;
--- a/crates/node/src/proxy/attempt_end.rs
+++ b/crates/node/src/proxy/attempt_end.rs
@@ -1,7 +1,7 @@
 //! How attempts end, and what the balancer learns of it. This is the one place that maps the one to the
 //! other.
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 
 use crate::http::Message;
 use crate::transport::CloseReason;
--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -1,7 +1,7 @@
 //! Reports to the balancer what has happened, and carries out what it decides.
 
+use granitelb_balancer::EndpointUpdate;
 use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::EndpointUpdate;
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::Time;
 use granitelb_settings::Names;
--- a/crates/node/src/proxy/downstream/mod.rs
+++ b/crates/node/src/proxy/downstream/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::LocalReply;
+use granitelb_balancer::LocalReply;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Names;
 
--- a/crates/node/src/proxy/downstream/request_decoder.rs
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -1,6 +1,6 @@
 //! Reads from a message's head what the client asks for.
 
-use granitelb_balancer::calls::Request;
+use granitelb_balancer::Request;
 use granitelb_balancer::ids::{Key, RequestClassId};
 use granitelb_balancer::time::Span;
 use granitelb_settings::Names;
--- a/crates/node/src/proxy/endpoint_directory.rs
+++ b/crates/node/src/proxy/endpoint_directory.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use granitelb_balancer::balancer::REMEMBERED;
-use granitelb_balancer::calls::EndpointUpdate;
+use granitelb_balancer::EndpointUpdate;
+use granitelb_balancer::balancer::REMOVED_ENDPOINT_TTL;
 use granitelb_balancer::ids::{CellId, EndpointId, KindId, ZoneId};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_settings::Names;
@@ -118,7 +118,7 @@
                 }
             }
         }
-        let kept_for = if self.keep_unlisted { REMEMBERED } else { Span::ZERO };
+        let kept_for = if self.keep_unlisted { REMOVED_ENDPOINT_TTL } else { Span::ZERO };
         let unlisted_since = &self.unlisted_since;
         self.endpoints.retain(|id, _| unlisted_since.get(id).is_none_or(|since| now - *since < kept_for));
         let endpoints = &self.endpoints;
--- a/crates/node/src/proxy/final_response.rs
+++ b/crates/node/src/proxy/final_response.rs
@@ -1,6 +1,6 @@
 //! The final response to a request.
 
-use granitelb_balancer::calls::LocalReply;
+use granitelb_balancer::LocalReply;
 
 use crate::http::Message;
 
--- a/crates/node/src/proxy/load_report.rs
+++ b/crates/node/src/proxy/load_report.rs
@@ -1,6 +1,6 @@
 //! Load reports that endpoints attach to their responses.
 
-use granitelb_balancer::calls::LoadReport;
+use granitelb_balancer::LoadReport;
 use granitelb_settings::Column;
 
 /// Parses a load report in ORCA's text form, such as `TEXT named_metrics.backlog=3, rps_fractional=20`.
--- a/crates/node/src/proxy/node/config.rs
+++ b/crates/node/src/proxy/node/config.rs
@@ -4,7 +4,7 @@
 
 use granitelb_balancer::time::Span;
 use granitelb_control_plane::agent::Agent;
-use granitelb_settings::Decoded;
+use granitelb_settings::DecodedSettings;
 use rustix::fd::AsFd;
 
 use crate::http::EndpointListUpdate;
@@ -26,7 +26,7 @@
     /// The endpoint list that is used until discovery answers.
     pub known: Option<EndpointListUpdate>,
     /// The decoded settings.
-    pub settings: Decoded,
+    pub settings: DecodedSettings,
     /// What can be changed while the node serves.
     pub reloadable: ReloadableConfig,
     /// The control-plane agent of a node that is part of a fleet with a control plane.
@@ -42,13 +42,13 @@
     /// The memory that the node may use, in bytes.
     pub memory: usize,
     /// The time within which a connection has to be established.
-    pub connect_limit: Span,
+    pub connect_timeout: Span,
     /// The time after which endpoints close idle connections.
     pub keepalive: Span,
     /// The response header that carries load reports, if there is one.
     pub load_header: Option<Box<str>>,
     /// Changed settings, for a node that serves.
-    pub settings: Option<Box<Decoded>>,
+    pub settings: Option<Box<DecodedSettings>>,
 }
 
 impl ReloadableConfig {
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -10,7 +10,7 @@
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
 use granitelb_control_plane::agent::Agent;
-use granitelb_settings::Decoded;
+use granitelb_settings::DecodedSettings;
 
 use self::capacity::{AcceptProgress, reserved_connections};
 pub use self::config::{CommandSource, NodeCommand, NodeConfig, ReloadableConfig};
@@ -66,7 +66,7 @@
         let mut transport = Transport::new(limits.connections)?;
         let listener = Listener::open(&mut transport, listen, LISTENER)?;
         let now = transport.now();
-        let Decoded { decisions, names, client_timeouts, .. } = settings;
+        let DecodedSettings { decisions, names, client_timeouts, .. } = settings;
         let is_list_pushed = !decisions.list_on_request;
         let retry_after = decisions.max_retry_after;
         let recorder = start_agent(&transport, control_plane_agent, &decisions)?;
@@ -76,7 +76,7 @@
         requests.set_load_report_header(reloadable.load_header);
         let revision = known.as_ref().map(|list| list.revision);
         let discovery = reloadable.discovery;
-        let connect_timeout = reloadable.connect_limit;
+        let connect_timeout = reloadable.connect_timeout;
         let mut node = Node {
             longest_client_timeout: longest(&client_timeouts),
             downstream: Downstream::new(DOWNSTREAM, limits, names, client_timeouts, retry_after),
@@ -159,19 +159,19 @@
         self.transport.set_max_connections(limits.connections);
         self.downstream.set_limits(limits);
         self.reserved_connections = reserved_connections(limits.connections);
-        self.upstream.set_timeouts(config.connect_limit, config.keepalive);
+        self.upstream.set_timeouts(config.connect_timeout, config.keepalive);
         self.requests.set_load_report_header(config.load_header);
         if let Some(settings) = config.settings {
             self.apply_settings(now, *settings);
         }
         let event =
-            self.watch.set_discovery(&mut self.transport, now, config.discovery, config.connect_limit);
+            self.watch.set_discovery(&mut self.transport, now, config.discovery, config.connect_timeout);
         self.on_watch_events(now, event.as_slice());
     }
 
     /// Uses other settings from now on, and keeps what was learnt.
-    fn apply_settings(&mut self, now: Time, settings: Decoded) {
-        let Decoded { decisions, names, client_timeouts, .. } = settings;
+    fn apply_settings(&mut self, now: Time, settings: DecodedSettings) {
+        let DecodedSettings { decisions, names, client_timeouts, .. } = settings;
         log::info!(event = "settings_applied"; "settings applied; requests in progress keep their terms");
         // The timeouts of former request classes, whose requests may still be in progress, are among them.
         self.longest_client_timeout = longest(&client_timeouts);
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -4,10 +4,10 @@
 //! Nodes without a fleet configuration have no recorder, and nothing here costs them anything.
 
 use granitelb_balancer::balancer::Balancer;
-use granitelb_balancer::calls::{Attempt, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LocalReply};
 use granitelb_balancer::ids::{AttemptNumber, RequestId};
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{Attempt, AttemptResult, ControlPlaneUpdate, EndpointUpdate, LocalReply};
 use granitelb_control_plane::agent::{AgentHandle, RawObservation, SentAttempt, hash_request_name};
 use granitelb_coordination::counterfactual::is_sampled;
 use granitelb_coordination::observation::ObservedEndpoint;
--- a/crates/node/src/proxy/request_metrics.rs
+++ b/crates/node/src/proxy/request_metrics.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use granitelb_balancer::calls::{AttemptOutcome, LocalReply};
+use granitelb_balancer::{AttemptOutcome, LocalReply};
 
 use super::final_response::FinalResponse;
 
--- a/crates/node/src/proxy/request_table.rs
+++ b/crates/node/src/proxy/request_table.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use granitelb_balancer::calls::{AttemptOutcome, AttemptResult, LoadReport, Request};
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::Span;
+use granitelb_balancer::{AttemptOutcome, AttemptResult, LoadReport, Request};
 
 use super::attempt_end::AttemptEnd;
 use super::final_response::FinalResponse;
--- a/crates/node/src/proxy/upstream/mod.rs
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use granitelb_balancer::calls::Attempt;
+use granitelb_balancer::Attempt;
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::{Span, Time};
 
@@ -112,7 +112,7 @@
             started_at: cx.now,
             connect_deadline: cx.now + self.connect_timeout,
             start_deadline: cx.now + attempt.begin_within,
-            response_deadline: cx.now + attempt.give_up_after,
+            response_deadline: cx.now + attempt.timeout,
             request_bytes: None,
             has_early_data: false,
         };
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -193,7 +193,7 @@
         assert_eq!(Some(decisions.hedged_requests), allow["second_copies"].as_bool(), "{name}");
         assert_eq!(Some(u64::from(decisions.max_attempts)), allow["max_attempts"].as_u64(), "{name}");
         assert_eq!(decisions.max_retry_after, us(&site["clients"]["max_retry_after_ms"], 1e3), "{name}");
-        assert_eq!(decoded.connect_limit, us(&tier["conn"]["connect_timeout_ms"], 1e3), "{name}");
+        assert_eq!(decoded.connect_timeout, us(&tier["conn"]["connect_timeout_ms"], 1e3), "{name}");
         assert_eq!(decoded.keepalive, us(&tier["conn"]["idle_s"], 1e6), "{name}");
         assert_eq!(Some(decisions.fall_multiple), rules["fall_multiple"].as_f64(), "{name}");
         assert_eq!(decisions.fall_window, us(&rules["fall_ms"], 1e3), "{name}");
--- a/crates/node/tests/upstream/connecting.rs
+++ b/crates/node/tests/upstream/connecting.rs
@@ -1,6 +1,6 @@
 //! Attempts that wait for their connection, and connections whose attempt is gone.
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::time::Span;
 
 use crate::fixture::{Fixture, is_silent, read_head, response, write};
--- a/crates/node/tests/upstream/duplicates.rs
+++ b/crates/node/tests/upstream/duplicates.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use granitelb_balancer::calls::AttemptOutcome;
+use granitelb_balancer::AttemptOutcome;
 
 use crate::fixture::{Fixture, read_head, response, write};
 
--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -5,11 +5,11 @@
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use granitelb_balancer::calls::{Attempt, AttemptOutcome, EndpointUpdate, Request};
 use granitelb_balancer::ids::{
     AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
 };
 use granitelb_balancer::time::{Span, Time};
+use granitelb_balancer::{Attempt, AttemptOutcome, EndpointUpdate, Request};
 use granitelb_node::http::{Message, MessageHead};
 use granitelb_node::proxy::{FinalResponse, KnownEndpoint, RequestTable, TurnContext, Upstream};
 use granitelb_node::transport::{ConnectionId, Owner, ReadinessEvent, Transport};
@@ -121,7 +121,7 @@
         let inserted = self.requests.insert(self.client, request, client_request_id, message);
         let id = inserted.expect("a new identifier");
         let attempt_number = self.requests.start_attempt(id).expect("a pending request");
-        let attempt = Attempt { request: id, cache: ENDPOINT, give_up_after: REQUEST_TIMEOUT, begin_within };
+        let attempt = Attempt { request: id, cache: ENDPOINT, timeout: REQUEST_TIMEOUT, begin_within };
         self.with_upstream(|upstream, turn| upstream.send(turn, &attempt, attempt_number));
         (id, attempt_number)
     }
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -47,7 +47,7 @@
     Ok(DecodedSettings {
         decisions: balancer_settings(&params, origin),
         client_timeouts: params.request_classes.iter().map(|class| Span(class.client_timeout_us)).collect(),
-        connect_limit: Span(params.bounds.connect_timeout_us),
+        connect_timeout: Span(params.bounds.connect_timeout_us),
         keepalive: Span(params.bounds.keepalive_us),
         columns: params.load_info.columns.iter().map(|name| Column::of_name(name)).collect(),
         names: Names {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -9,12 +9,12 @@
     /// description then names.
     pub key: String,
     /// Describes what is wrong.
-    pub trouble: String,
+    pub description: String,
 }
 
 impl SettingsError {
     pub(crate) fn new(key: impl Into<String>, description: impl Into<String>) -> SettingsError {
-        SettingsError { key: key.into(), trouble: description.into() }
+        SettingsError { key: key.into(), description: description.into() }
     }
 
     /// The same error as one of a text that holds this one under `key`.
@@ -27,7 +27,7 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let key = if self.key.is_empty() { "at its top" } else { &self.key };
-        write!(f, "{key}: {}", self.trouble)
+        write!(f, "{key}: {}", self.description)
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 //! Keys that are not known are skipped. [`DecodedSettings::after`] merges new settings into those of a running node.
 //! Errors name the key that they are at.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
 mod decode;
 mod error;
@@ -19,11 +19,6 @@
 pub use error::SettingsError;
 pub use load_report::{Column, report};
 
-/// The former name of [`SettingsError`], for crates that still import it.
-pub type Fault = SettingsError;
-/// The former name of [`DecodedSettings`], for crates that still import it.
-pub type Decoded = DecodedSettings;
-
 /// The settings of the balancer, and those of its host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedSettings {
@@ -34,7 +29,7 @@
     /// The client timeout of each request class, for a request that names none.
     pub client_timeouts: Vec<Span>,
     /// The connect timeout: a connection that is not established by then never will be.
-    pub connect_limit: Span,
+    pub connect_timeout: Span,
     /// How long a cache keeps an idle connection.
     pub keepalive: Span,
     /// The meanings of the figures of a load report, in their order.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -167,7 +167,7 @@
         while let Some(attempt) = self.balancer.poll_attempt(now) {
             let id = attempt.request.0.to_be_bytes();
             let endpoint = endpoint_bytes(attempt.cache);
-            reply.push(action::SEND_ATTEMPT, number, &[&id, &endpoint, &span_bytes(attempt.give_up_after)]);
+            reply.push(action::SEND_ATTEMPT, number, &[&id, &endpoint, &span_bytes(attempt.timeout)]);
         }
         while let Some((id, response)) = self.balancer.poll_response(now) {
             let id = id.0.to_be_bytes();
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Joins the balancer to the simulator's wire: batches of events on standard input, one reply to each on standard
 //! output. Nothing is decided here, and the nodes' instances share no state.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
 mod error;
 mod frame;
