--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,11 +1,9 @@
 //! Judges a run from its event log alone.
 //!
-//! The audit has three parts: [`rules`] that hold for each run, figures that are measured, and the experiment's own
+//! The audit has three parts: `rules` that hold for each run, figures that are measured, and the experiment's own
 //! expectations of those figures. It trusts nothing that the program under test says of itself, but for the signed
 //! messages that the relay saw.
 
-#![warn(missing_docs)]
-
 mod disconnects;
 mod expectations;
 mod figures;
--- a/crates/testbed/src/audit/shard_growth/tests.rs
+++ b/crates/testbed/src/audit/shard_growth/tests.rs
@@ -82,6 +82,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one case after the other on the same maps")]
 fn maps_that_differ_skip_phases_or_share_a_cache_are_found() {
     let violations: [(&[_], &[_], &str); 4] = [
         (
--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -1,6 +1,4 @@
 //! Runs the commands of the command line.
-#![warn(missing_docs)]
-
 mod arguments;
 mod error;
 
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,7 +1,5 @@
 //! Plays the same schedules on two builds and measures the difference.
 
-#![warn(missing_docs)]
-
 use std::fmt;
 use std::path::Path;
 
--- a/crates/testbed/src/event_log/mod.rs
+++ b/crates/testbed/src/event_log/mod.rs
@@ -3,8 +3,6 @@
 //! Plain records, written down as things happen and judged afterwards by [`crate::audit`]. Nothing here comes from the
 //! program under test. Reports and logs on disk keep the former names of fields and variants.
 
-#![warn(missing_docs)]
-
 mod event;
 mod identity;
 mod records;
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -4,8 +4,6 @@
 //! A file is read and checked here, before anything is started. An error names the file, the line and the key. The types
 //! in the submodules are plain data: they are read once and never change while the experiment runs. TOML keys are mapped
 //! to field names by `#[serde(rename = "…")]`.
-#![warn(missing_docs)]
-
 mod error;
 mod expectations;
 mod fault;
--- a/crates/testbed/src/faulty_node/mod.rs
+++ b/crates/testbed/src/faulty_node/mod.rs
@@ -2,8 +2,6 @@
 //!
 //! It takes the place of the real program, with the same configuration, and is no example of how to write one.
 
-#![warn(missing_docs)]
-
 mod config;
 mod endpoints;
 mod http;
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -2,8 +2,6 @@
 //!
 //! Each seed gives a random [`Timeline`] of overlapping faults. It is run on a fleet, and the audit's rules and the sum of
 //! leases are checked. A timeline that breaks one is shrunk: faults are removed as long as the same rule breaks without them.
-#![warn(missing_docs)]
-
 mod timeline;
 
 use std::fmt;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -15,6 +15,8 @@
 //! 7. [`runs`], [`compare`], [`hunt`], [`throughput`]: what commands do; [`program`] finds the program under test
 //! 8. [`command`]: the command line
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod audit;
 pub mod command;
 pub mod compare;
--- a/crates/testbed/src/message_reference/mod.rs
+++ b/crates/testbed/src/message_reference/mod.rs
@@ -7,8 +7,6 @@
 //!
 //! Bodies are encoded with postcard: the order of fields and of enum variants is the wire format and must not change.
 
-#![warn(missing_docs)]
-
 mod counterfactual;
 mod health;
 mod leases;
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,6 +1,4 @@
 //! Finds the program under test.
-#![warn(missing_docs)]
-
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -2,8 +2,6 @@
 //!
 //! A recording marks what clients retried on their own. A replay sends each request once, and its own clients retry as the
 //! experiment has them.
-#![warn(missing_docs)]
-
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,7 +1,5 @@
 //! Reports of a run, for people and programs: a summary as text, a JSON file, a page, and the event log.
 
-#![warn(missing_docs)]
-
 mod page;
 mod plots;
 
--- a/crates/testbed/src/request_generator.rs
+++ b/crates/testbed/src/request_generator.rs
@@ -2,8 +2,6 @@
 //!
 //! The order in which numbers are drawn is part of the format: a change gives other schedules for the same seeds, and
 //! results recorded with them could no longer be compared.
-#![warn(missing_docs)]
-
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -1,6 +1,4 @@
 //! One run: an experiment is executed with one seed and audited.
-#![warn(missing_docs)]
-
 use std::fmt;
 use std::path::Path;
 
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,6 +1,4 @@
 //! Runs experiments side by side, prints a summary of each, and writes reports.
-#![warn(missing_docs)]
-
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -2,8 +2,6 @@
 //!
 //! A schedule is drawn from a seed (see [`request_generator`](crate::request_generator)) or read from a recording. The same
 //! seed gives the same schedule, byte for byte. A [`RequestId`] is a request's position in its schedule.
-#![warn(missing_docs)]
-
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
--- a/crates/testbed/src/shard_map_reference.rs
+++ b/crates/testbed/src/shard_map_reference.rs
@@ -5,8 +5,6 @@
 //! the program's faults. Slot and shard of a key depend on its hash alone; the cache of a slot is chosen by rendezvous
 //! hashing over all caches.
 
-#![warn(missing_docs)]
-
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
 
--- a/crates/testbed/src/shard_workload.rs
+++ b/crates/testbed/src/shard_workload.rs
@@ -4,8 +4,6 @@
 //! to store. All draws come from one generator for each shard, seeded by the run's seed and the shard: their order is
 //! part of the workload.
 
-#![warn(missing_docs)]
-
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -1,7 +1,5 @@
 //! Bootstrap intervals for differences of ratios.
 
-#![warn(missing_docs)]
-
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -3,8 +3,6 @@
 //!
 //! Each rate is run with the node, with a bare relay of bytes, which is the least that any proxy costs, and without anything
 //! between clients and server. What is added is the difference from the latter.
-#![warn(missing_docs)]
-
 mod curve;
 mod relay;
 
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -5,8 +5,6 @@
 //! one process and write that log; nodes and planners are processes of their own. The world owns every listener, process
 //! and simulated server of its run.
 
-#![warn(missing_docs)]
-
 mod addresses;
 mod attempt_record;
 mod byzantine_planner;
