--- a/crates/fleet-simulator/examples/turns.rs
+++ b/crates/fleet-simulator/examples/turns.rs
@@ -4,7 +4,7 @@
 use granitelb_balancer::ids::EndpointId;
 use granitelb_coordination::ForwarderId;
 use granitelb_coordination::probe_scheduling::{Task, Window, assignees};
-use granitelb_fleet_simulator::two_levels::{Came, Play, play};
+use granitelb_fleet_simulator::control_plane::{Period, Scenario, SimulationResult, simulate};
 
 const SEEDS: std::ops::Range<u64> = 301..306;
 
@@ -19,16 +19,19 @@
     }
 }
 
-fn trials(what: &str, of: impl Fn(u64) -> Play) {
-    let came: Vec<(Play, Came)> = SEEDS.map(|seed| (of(seed), play(&of(seed)))).collect();
-    let each = |f: fn(&Play, &Came) -> Option<f64>| spread(came.iter().filter_map(|(p, c)| f(p, c)));
+fn print_probes(label: &str, scenario: impl Fn(u64) -> Scenario) {
+    let runs: Vec<(Scenario, SimulationResult)> =
+        SEEDS.map(|seed| (scenario(seed), simulate(&scenario(seed)))).collect();
+    let each = |measure: fn(&Scenario, &SimulationResult) -> Option<f64>| {
+        spread(runs.iter().filter_map(|(scenario, result)| measure(scenario, result)))
+    };
     println!(
-        "| {what} | {} | {} | {} | {} | {} |",
-        each(|p, c| Some(c.wasted_late as f64 / (p.hang.1 - p.hang.0 - 3.0))),
-        each(|_, c| c.longest_quiet),
-        each(|_, c| c.back_after),
-        each(|_, c| c.taken_over_after),
-        each(|_, c| Some(c.died as f64)),
+        "| {label} | {} | {} | {} | {} | {} |",
+        each(|s, r| Some(r.late_wasted_attempts as f64 / (s.hang.to - s.hang.from - 3.0))),
+        each(|_, r| r.longest_probe_gap),
+        each(|_, r| r.recovery_time),
+        each(|_, r| r.takeover_time),
+        each(|_, r| Some(r.killed_forwarders as f64)),
     );
 }
 
@@ -75,21 +78,23 @@
     println!("| --- | --- | --- | --- | --- | --- |");
     for forwarders in [3, 10, 30, 100, 300] {
         let rate = 600.0 / forwarders as f64;
-        let of = |planners, seed| Play {
+        let of = |planners, seed| Scenario {
             forwarders,
             planners,
             rate,
             seconds: 50.0,
-            hang: (8.0, 40.0),
+            hang: Period { from: 8.0, to: 40.0 },
             seed,
-            ..Play::default()
+            ..Scenario::default()
         };
-        trials(&format!("{forwarders} lone"), |seed| of(0, seed));
-        trials(&format!("{forwarders}, two planners"), |seed| of(2, seed));
-        let die = |seed| Play { holders_die: Some(20.0), ..of(2, seed) };
-        trials(&format!("{forwarders}, all holders die at 20 s"), die);
-        let stands = |seed| Play { planners_dead: Some((15.0, 25.0)), dead: 1, ..of(2, seed) };
-        trials(&format!("{forwarders}, the first planner stands still from 15 to 25 s"), stands);
+        print_probes(&format!("{forwarders} lone"), |seed| of(0, seed));
+        print_probes(&format!("{forwarders}, two planners"), |seed| of(2, seed));
+        let die = |seed| Scenario { probers_killed_at: Some(20.0), ..of(2, seed) };
+        print_probes(&format!("{forwarders}, all holders die at 20 s"), die);
+        let outage = Period { from: 15.0, to: 25.0 };
+        let suspended =
+            |seed| Scenario { planner_outage: Some(outage), suspended_planners: 1, ..of(2, seed) };
+        print_probes(&format!("{forwarders}, the first planner stands still from 15 to 25 s"), suspended);
     }
     println!(
         "\n| forwarders | duties | held by | Jain's index over a minute | share of a minute's duties moved when one goes, times n |"
--- a/crates/fleet-simulator/examples/two_levels.rs
+++ b/crates/fleet-simulator/examples/two_levels.rs
@@ -1,44 +1,60 @@
 //! Prints what planners bring a fleet with a hung cache, beside the same fleet without: simulated figures.
 
-use granitelb_fleet_simulator::two_levels::{Came, Play, play};
+use granitelb_fleet_simulator::control_plane::{Period, Scenario, SimulationResult, simulate};
 
-fn row(what: &str, came: &Came) {
-    let back = came.back_after.map_or("never".into(), |s| format!("{s:.0} s"));
-    let of = |n: usize| 100.0 * n as f64 / came.calls as f64;
+/// Requests in a second of a whole fleet, where fleets of different sizes are compared.
+const FLEET_RATE: f64 = 600.0;
+
+fn print_row(label: &str, result: &SimulationResult) {
+    let percent = |count: usize| 100.0 * count as f64 / result.requests as f64;
+    let recovery = match result.recovery_time {
+        Some(seconds) => format!("{seconds:.0} s"),
+        None => "never".to_string(),
+    };
     println!(
-        "| {what} | {:.2}% | {:.2}% | {} | {} | {back} | {} | {:.0} |",
-        of(came.in_time),
-        of(came.errored),
-        came.wasted,
-        came.wasted_late,
-        came.letters,
-        came.bytes as f64 / came.letters.max(1) as f64
+        "| {label} | {:.2}% | {:.2}% | {} | {} | {recovery} | {} | {:.0} |",
+        percent(result.fulfilled_in_time),
+        percent(result.errored),
+        result.wasted_attempts,
+        result.late_wasted_attempts,
+        result.messages,
+        result.message_bytes as f64 / result.messages.max(1) as f64
     );
 }
 
+fn print_fault_rows(seed: u64) {
+    let with_planners = |planners| Scenario { planners, seed, ..Scenario::default() };
+    let suspended = Scenario { planner_outage: Some(Period { from: 0.0, to: 30.0 }), ..with_planners(2) };
+    let byzantine = Scenario { has_byzantine_members: true, ..with_planners(2) };
+    let corrupting = Scenario { corruption: 0.5, ..with_planners(2) };
+    let lossy = Scenario { loss: 0.5, ..with_planners(2) };
+    let rows = [
+        ("no planner", with_planners(0)),
+        ("two planners", with_planners(2)),
+        ("one planner", with_planners(1)),
+        ("two planners suspended for 30 s", suspended),
+        ("a byzantine planner among two", byzantine),
+        ("half of the messages with a bit changed", corrupting),
+        ("half of the messages lost", lossy),
+    ];
+    for (label, scenario) in rows {
+        print_row(&format!("{label}, seed {seed}"), &simulate(&scenario));
+    }
+}
+
 fn main() {
     println!(
-        "| fleet | in time | errored | shots wasted | of them after 3 s | back after | letters | bytes each |"
+        "| fleet | in time | errored | attempts wasted | after 3 s | recovered after | messages | bytes each |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for seed in 1..=3 {
-        let of = |planners| Play { planners, seed, ..Play::default() };
-        row(&format!("lone, seed {seed}"), &play(&of(0)));
-        row(&format!("two planners, seed {seed}"), &play(&of(2)));
-        row(&format!("one planner, seed {seed}"), &play(&of(1)));
-        let dead = Play { planners_dead: Some((0.0, 30.0)), ..of(2) };
-        row(&format!("two planners silent for 30 s, seed {seed}"), &play(&dead));
-        row(&format!("a liar among two, seed {seed}"), &play(&Play { liar: true, ..of(2) }));
-        row(
-            &format!("half of the letters with a bit changed, seed {seed}"),
-            &play(&Play { spoilt: 0.5, ..of(2) }),
-        );
-        row(&format!("half of the letters lost, seed {seed}"), &play(&Play { loss: 0.5, ..of(2) }));
+        print_fault_rows(seed);
     }
     for forwarders in [20, 50, 100] {
-        let few =
-            |planners| Play { forwarders, planners, rate: 600.0 / forwarders as f64, ..Play::default() };
-        row(&format!("{forwarders} lone, as many calls"), &play(&few(0)));
-        row(&format!("{forwarders} with two planners"), &play(&few(2)));
+        let rate = FLEET_RATE / forwarders as f64;
+        let with_planners = |planners| Scenario { forwarders, planners, rate, ..Scenario::default() };
+        let alone = simulate(&with_planners(0));
+        print_row(&format!("{forwarders} without planners, the same requests"), &alone);
+        print_row(&format!("{forwarders} with two planners"), &simulate(&with_planners(2)));
     }
 }
--- /dev/null
+++ b/crates/fleet-simulator/src/control_plane/mod.rs
@@ -0,0 +1,183 @@
+//! Simulation of the endpoint health component of the control plane: many forwarders with a balancer each, some
+//! planners, caches of which some hang, and a lossy network.
+//!
+//! A run is drawn from its seed; two runs of one seed are the same. Messages draw from a generator of their own, so that
+//! the requests of a fleet are the same with planners and without.
+
+#![warn(missing_docs)]
+
+mod faults;
+mod forwarder;
+mod member;
+mod messaging;
+mod result;
+mod scenario;
+
+use std::collections::BTreeMap;
+
+use granitelb_balancer::AttemptOutcome;
+use granitelb_balancer::time::{Span, Time};
+use granitelb_coordination::endpoint_health::PlannerComponent;
+use granitelb_coordination::message::{Secret, Secrets};
+use granitelb_coordination::{Member, PlannerId, Settings};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use crate::event_queue::EventQueue;
+
+pub use result::SimulationResult;
+pub use scenario::{Period, Scenario};
+
+use faults::RecoveryCounts;
+use forwarder::{Forwarder, InFlightAttempt};
+use member::MemberState;
+
+const SIMULATION_START: Time = Time(1_000_000_000);
+/// The shortest time between two events that follow from each other, so that time always advances.
+const CLOCK_TICK: Span = Span(1);
+/// The time over which forwarders start, in microseconds.
+const START_SPREAD_MICROS: f64 = 500_000.0;
+/// The secret that authenticates all messages; its length counts towards the measured bytes.
+const SHARED_SECRET: &[u8] = b"of all that are played";
+
+enum EventKind {
+    /// A client's request reaches a forwarder.
+    Request { forwarder: usize },
+    /// An attempt ends.
+    AttemptFinished { forwarder: usize, attempt: InFlightAttempt, outcome: AttemptOutcome },
+    /// A balancer's timeout.
+    Wake { forwarder: usize },
+    /// A member is polled for messages.
+    MemberPoll { member: MemberIndex },
+    /// A message arrives.
+    MessageArrived { to: MemberIndex, sealed: Vec<u8> },
+    /// All forwarders with a probe assignment are killed.
+    KillProbers,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum MemberIndex {
+    Planner(usize),
+    Forwarder(usize),
+}
+
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    now: Time,
+    rng: ChaCha8Rng,
+    /// Draws for messages alone.
+    network_rng: ChaCha8Rng,
+    forwarders: Vec<Forwarder>,
+    planners: Vec<MemberState<PlannerComponent>>,
+    events: EventQueue<EventKind>,
+    last_request: u64,
+    secrets: Secrets,
+    /// Responses after the end of the hang, by second.
+    recovery: BTreeMap<u64, RecoveryCounts>,
+    /// The last attempt at a cache that hung.
+    last_wasted_attempt: Time,
+    /// When probers were killed, until another forwarder takes over.
+    probers_killed_at: Option<Time>,
+    result: SimulationResult,
+}
+
+/// Runs a scenario.
+pub fn simulate(scenario: &Scenario) -> SimulationResult {
+    let mut simulation = Simulation::new(scenario);
+    simulation.schedule_start();
+    simulation.run();
+    simulation.summarize();
+    simulation.result
+}
+
+/// A time by its seconds from the start.
+fn time_at(seconds: f64) -> Time {
+    SIMULATION_START + Span::from_secs_f64(seconds)
+}
+
+fn new_planner(scenario: &Scenario, number: usize) -> MemberState<PlannerComponent> {
+    let id = PlannerId(number as u8);
+    let new_component =
+        move |incarnation, now| PlannerComponent::new(Settings::default(), id, incarnation, now);
+    MemberState::new(Member::Planner(id), scenario.planners, SIMULATION_START, new_component)
+}
+
+impl Simulation<'_> {
+    fn new(scenario: &Scenario) -> Simulation<'_> {
+        let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
+        let network_rng = ChaCha8Rng::seed_from_u64(rng.random());
+        let secret = Secret::new(SHARED_SECRET).expect("the constant is long enough");
+        Simulation {
+            scenario,
+            now: SIMULATION_START,
+            rng,
+            network_rng,
+            forwarders: (0..scenario.forwarders).map(|number| Forwarder::new(scenario, number)).collect(),
+            planners: (0..scenario.planners).map(|number| new_planner(scenario, number)).collect(),
+            events: EventQueue::new(),
+            last_request: 0,
+            secrets: Secrets::single(secret),
+            recovery: BTreeMap::new(),
+            last_wasted_attempt: SIMULATION_START,
+            probers_killed_at: None,
+            result: SimulationResult::default(),
+        }
+    }
+
+    /// Schedules the first request and the first poll of each member. Forwarders start one after the other.
+    fn schedule_start(&mut self) {
+        for forwarder in 0..self.scenario.forwarders {
+            self.schedule_next_request(forwarder);
+            let delay = Span((START_SPREAD_MICROS * self.rng.random::<f64>()) as u64);
+            let member = MemberIndex::Forwarder(forwarder);
+            self.schedule(delay, EventKind::MemberPoll { member });
+        }
+        for planner in 0..self.scenario.planners {
+            let member = MemberIndex::Planner(planner);
+            self.schedule(CLOCK_TICK, EventKind::MemberPoll { member });
+        }
+        if let Some(seconds) = self.scenario.probers_killed_at {
+            self.schedule(Span::from_secs_f64(seconds), EventKind::KillProbers);
+        }
+    }
+
+    fn schedule(&mut self, after: Span, kind: EventKind) {
+        self.events.schedule(self.now + after, kind);
+    }
+
+    /// The time from which clients and members send nothing more.
+    fn end(&self) -> Time {
+        time_at(self.scenario.seconds)
+    }
+
+    /// Handles events until none is left; what is in flight at the end is completed.
+    fn run(&mut self) {
+        while let Some(event) = self.events.pop() {
+            self.now = event.at;
+            self.handle(event.kind);
+        }
+    }
+
+    fn handle(&mut self, event: EventKind) {
+        match event {
+            EventKind::Request { forwarder } => {
+                if self.now < self.end() {
+                    self.on_request(forwarder);
+                }
+            }
+            EventKind::AttemptFinished { forwarder, attempt, outcome } => {
+                self.on_attempt_finished(forwarder, attempt, outcome);
+            }
+            EventKind::Wake { forwarder } => self.on_wake(forwarder),
+            EventKind::MemberPoll { member } => self.poll_member(member),
+            EventKind::MessageArrived { to, sealed } => self.on_message_arrived(to, &sealed),
+            EventKind::KillProbers => self.kill_probers(),
+        }
+    }
+
+    fn summarize(&mut self) {
+        let unanswered: usize = self.forwarders.iter().map(|forwarder| forwarder.pending.len()).sum();
+        self.result.invalid_requests += unanswered;
+        self.result.recovery_time = self.recovery_time();
+    }
+}
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -3,9 +3,10 @@
 //! two runs of one seed are the same. What it shows is simulated and is called so wherever it is quoted.
 
 pub mod came;
-pub mod cold_model;
+pub mod control_plane;
 pub mod counterfactual;
 pub mod days;
+mod event_queue;
 pub mod faults;
 pub mod lease_simulation;
 pub mod mind;
@@ -13,7 +14,7 @@
 pub mod play;
 pub mod popularity;
 mod server;
-pub mod two_levels;
+pub mod warmup_simulation;
 mod world;
 
 pub use came::Came;
