--- a/crates/fleet-simulator/examples/gain.rs
+++ b/crates/fleet-simulator/examples/gain.rs
@@ -1,98 +1,162 @@
-//! What deciding together brings 300 nodes before 200 crowded caches: means over seeds, beside lone nodes. Arguments are
-//! days, seeds, what the origin can take as a multiple of the usual, such as `origin=2`, and what is leased of it as a
-//! multiple of what it stands, such as `whole=4`; which shares of that are each node's own for ever and which are standing
-//! parts (`reserve=0.05 standing=0.85`); and how many seconds all goes on before the day (`warm=30`).
+//! What coordination gains for 300 nodes and 200 crowded caches: means over seeds, beside nodes without planners.
+//!
+//! Arguments are seeds and names of days, in any order, and options of the form `name=value`:
+//! - `origin=2`: capacity of the origin as a multiple of the usual load,
+//! - `whole=4`: leased fetches of the origin as a multiple of its capacity,
+//! - `reserve=0.05`, `standing=0.85`: shares of these that are guaranteed permanently, and granted as long-term
+//!   allocations,
+//! - `warm=30`: length of the warm-up in seconds.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use granitelb_fleet_simulator::{Came, Play, Together, days, play};
+use granitelb_fleet_simulator::{ControlPlaneScope, Outage, RunResult, Scenario, days, run};
 
-type Way = (&'static str, usize, Option<Together>, Option<(f64, f64)>);
+/// Scenarios that run at the same time.
+const WORKER_THREADS: usize = 6;
+/// Length of the interval whose service level is the worst, in seconds.
+const WORST_INTERVAL_S: usize = 10;
+/// The default day with warm-up and shutdown, in seconds: messages per second are a mean over it.
+const MESSAGING_TIME_S: f64 = 28.0;
+const OUTAGE: Outage = Outage { from_s: 5.0, to_s: 15.0 };
 
-const WAYS: [Way; 6] = [
-    ("lone", 0, None, None),
-    ("verdicts", 2, Some(Together::VERDICTS), None),
-    ("leases", 2, Some(Together::LEASES), None),
-    ("both", 2, Some(Together::ALL), None),
-    ("verdicts, planners dead 5 to 15 s", 2, Some(Together::VERDICTS), Some((5.0, 15.0))),
-    ("both, planners dead 5 to 15 s", 2, Some(Together::ALL), Some((5.0, 15.0))),
+/// A fleet to compare.
+struct Variant {
+    name: &'static str,
+    planners: usize,
+    control_plane: ControlPlaneScope,
+    planner_outage: Option<Outage>,
+}
+
+impl Variant {
+    const fn with_planners(
+        name: &'static str,
+        control_plane: ControlPlaneScope,
+        planner_outage: Option<Outage>,
+    ) -> Variant {
+        Variant { name, planners: 2, control_plane, planner_outage }
+    }
+}
+
+const VARIANTS: [Variant; 6] = [
+    Variant { name: "no planners", planners: 0, control_plane: ControlPlaneScope::ALL, planner_outage: None },
+    Variant::with_planners("endpoint health", ControlPlaneScope::ENDPOINT_HEALTH, None),
+    Variant::with_planners("leases", ControlPlaneScope::LEASES, None),
+    Variant::with_planners("both", ControlPlaneScope::ALL, None),
+    Variant::with_planners(
+        "endpoint health, planners down 5 to 15 s",
+        ControlPlaneScope::ENDPOINT_HEALTH,
+        Some(OUTAGE),
+    ),
+    Variant::with_planners("both, planners down 5 to 15 s", ControlPlaneScope::ALL, Some(OUTAGE)),
 ];
 
-fn main() {
-    let (seeds, days): (Vec<_>, Vec<_>) = std::env::args().skip(1).partition(|a| a.parse::<u64>().is_ok());
-    let seeds: Vec<u64> = seeds.iter().map(|s| s.parse().expect("looked at above")).collect();
-    let (figures, days): (Vec<_>, Vec<_>) = days.into_iter().partition(|a| a.contains('='));
-    let figure = |name| {
-        let of = figures.iter().find_map(|a| a.strip_prefix(name));
-        of.map(|f| f.parse::<f64>().expect("a figure"))
-    };
-    let origin_headroom = figure("origin=").unwrap_or(Play::default().origin_headroom);
-    let whole = figure("whole=").unwrap_or(Play::default().whole);
-    let share = |name, usual| figure(name).map_or(usual, |f| (f * 1000.0) as u32);
-    let (reserve, standing) =
-        (share("reserve=", Play::default().reserve), share("standing=", Play::default().standing));
-    let warm_up = figure("warm=").unwrap_or(Play::default().warm_up);
-    let plays = |day: &String, (_, planners, together, dead): Way| -> Vec<Play> {
-        let faults = days::named(day).expect("a day of `granitelb-fleet-simulator`");
-        let one = |seed: &u64| Play {
-            faults: faults.clone(),
-            planners,
-            together: together.unwrap_or(Together::ALL),
-            planners_dead: dead,
-            seed: *seed,
-            origin_headroom,
-            whole,
-            reserve,
-            standing,
-            warm_up,
-            ..Play::default()
-        };
-        seeds.iter().map(one).collect()
-    };
-    let all: Vec<Play> = days.iter().flat_map(|d| WAYS.iter().flat_map(|w| plays(d, *w))).collect();
-    let came: Vec<Mutex<Option<Came>>> = all.iter().map(|_| Mutex::new(None)).collect();
+/// What the command line asks for.
+struct Arguments {
+    seeds: Vec<u64>,
+    days: Vec<String>,
+    /// Scenario with the options applied.
+    base: Scenario,
+}
+
+fn per_mille(share: f64) -> u32 {
+    (share * 1000.0) as u32
+}
+
+fn parse_arguments(arguments: impl Iterator<Item = String>) -> Arguments {
+    let mut parsed = Arguments { seeds: Vec::new(), days: Vec::new(), base: Scenario::default() };
+    for argument in arguments {
+        if let Ok(seed) = argument.parse() {
+            parsed.seeds.push(seed);
+        } else if let Some((name, value)) = argument.split_once('=') {
+            let value: f64 = value.parse().expect("an option's value is a number");
+            match name {
+                "origin" => parsed.base.origin_headroom = value,
+                "whole" => parsed.base.leased_capacity_factor = value,
+                "reserve" => parsed.base.guaranteed_per_mille = per_mille(value),
+                "standing" => parsed.base.long_term_per_mille = per_mille(value),
+                "warm" => parsed.base.warm_up_s = value,
+                _ => {}
+            }
+        } else {
+            parsed.days.push(argument);
+        }
+    }
+    parsed
+}
+
+/// All scenarios, by day, variant and seed.
+fn scenarios(arguments: &Arguments) -> Vec<Scenario> {
+    let mut scenarios = Vec::new();
+    for day in &arguments.days {
+        let faults = days::faults_of_day(day).expect("a day of `granitelb-fleet-simulator`");
+        for variant in &VARIANTS {
+            for &seed in &arguments.seeds {
+                scenarios.push(Scenario {
+                    faults: faults.clone(),
+                    planners: variant.planners,
+                    control_plane: variant.control_plane,
+                    planner_outage: variant.planner_outage,
+                    seed,
+                    ..arguments.base.clone()
+                });
+            }
+        }
+    }
+    scenarios
+}
+
+/// Runs the scenarios on several threads. The results are in the scenarios' order.
+fn run_all(scenarios: &[Scenario]) -> Vec<RunResult> {
+    let results: Vec<Mutex<RunResult>> = scenarios.iter().map(|_| Mutex::new(RunResult::default())).collect();
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
-        for _ in 0..6 {
+        for _ in 0..WORKER_THREADS {
             scope.spawn(|| {
-                while let Some(n) = Some(next.fetch_add(1, Ordering::Relaxed)).filter(|n| *n < all.len()) {
-                    *came[n].lock().expect("no one fails with it") = Some(play(&all[n]));
+                loop {
+                    let n = next.fetch_add(1, Ordering::Relaxed);
+                    let Some(scenario) = scenarios.get(n) else { return };
+                    *results[n].lock().expect("no thread panics with the lock") = run(scenario);
                 }
             });
         }
     });
-    let mut came = came.into_iter().map(|c| c.into_inner().expect("as above").expect("all were played"));
+    results.into_iter().map(|result| result.into_inner().expect("no thread panicked")).collect()
+}
+
+fn main() {
+    let arguments = parse_arguments(std::env::args().skip(1));
+    let mut results = run_all(&scenarios(&arguments)).into_iter();
     println!(
-        "| day | fleet | in time | worst 10 s | turned away | trials | origin, busiest s | origin turned away | origin late | \
-         rate-limited | errored | letters/s |"
+        "| day | fleet | within SLO | worst 10 s | rejected | probes | origin, busiest s | origin rejected | \
+         origin late | rate-limited | errored | messages/s |"
     );
     println!("|{}", " --- |".repeat(12));
-    for day in &days {
-        for (name, ..) in WAYS {
-            let part: Vec<Came> = came.by_ref().take(seeds.len()).collect();
-            println!("| {day} | {name} | {}", row(&part));
+    for day in &arguments.days {
+        for variant in &VARIANTS {
+            let of_variant: Vec<RunResult> = results.by_ref().take(arguments.seeds.len()).collect();
+            println!("| {day} | {} | {}", variant.name, format_row(&of_variant));
         }
     }
 }
 
-fn row(part: &[Came]) -> String {
-    let mean = |of: &dyn Fn(&Came) -> f64| part.iter().map(of).sum::<f64>() / part.len() as f64;
-    let share = |of: &dyn Fn(&Came) -> usize| 100.0 * mean(&|c| c.per_call(of(c)));
-    let busiest = |c: &Came| c.origin_reads.iter().copied().max().unwrap_or(0) as f64;
-    let unsound: usize = part.iter().map(|c| c.unsound + c.copies).sum();
+fn format_row(results: &[RunResult]) -> String {
+    let mean = |of: &dyn Fn(&RunResult) -> f64| results.iter().map(of).sum::<f64>() / results.len() as f64;
+    let percent = |of: &dyn Fn(&RunResult) -> usize| 100.0 * mean(&|result| result.per_request(of(result)));
+    let busiest = |result: &RunResult| result.origin_reads.iter().copied().max().unwrap_or(0) as f64;
+    let is_sound = results.iter().all(|result| result.invariant_violations + result.duplicate_attempts == 0);
     format!(
         "{:.4} | {:.4} | {:.4} | {:.0} | {:.0} | {:.0} | {:.0} | {:.2}% | {:.2}% | {:.0} |{}",
-        mean(&Came::service),
-        mean(&|c| c.worst(10)),
-        mean(&Came::full_share),
-        mean(&|c| c.trials as f64),
+        mean(&RunResult::service_level),
+        mean(&|result| result.worst_service_level(WORST_INTERVAL_S)),
+        mean(&RunResult::rejection_ratio),
+        mean(&|result| result.probes_of_hung_caches as f64),
         mean(&busiest),
-        mean(&|c| c.origin_full as f64),
-        mean(&|c| c.origin_late as f64),
-        share(&|c| c.rate_limited),
-        share(&|c| c.errored),
-        mean(&|c| c.letters as f64 / 28.0),
-        if unsound > 0 { " unsound |" } else { "" }
+        mean(&|result| result.origin_rejections as f64),
+        mean(&|result| result.origin_late as f64),
+        percent(&|result| result.rate_limited),
+        percent(&|result| result.errored),
+        mean(&|result| result.messages_sent as f64 / MESSAGING_TIME_S),
+        if is_sound { "" } else { " unsound |" }
     )
 }
--- a/crates/fleet-simulator/examples/groups.rs
+++ b/crates/fleet-simulator/examples/groups.rs
@@ -1,27 +1,32 @@
-//! What it would cost in misses to have nodes share fewer caches: were nodes and caches parted into groups, each with a
-//! table of its own, a node would open connections to fewer caches, and each key would be kept once in each group.
-//! Reckoned, not played: hits of one pooled cache of the group's size, calls at a pair of node and cache by chance.
+//! Estimates the cost in misses of having nodes share fewer caches.
+//!
+//! If nodes and caches were split into groups, each with a table of its own, a node would open connections to fewer
+//! caches, and each group would store each key once. The figures are calculated, not simulated: hits of one pooled cache
+//! of the group's size, and random arrivals of requests at each pair of node and cache.
 
-use granitelb_fleet_simulator::Play;
+use granitelb_fleet_simulator::Scenario;
 use granitelb_fleet_simulator::popularity::Popularity;
 
-/// Connections idle for longer than this share of the limit are not used again.
-const IDLE_SHARE: f64 = 0.7;
+/// Connections that are idle for longer than this share of the servers' limit are not reused.
+const IDLE_REUSE_SHARE: f64 = 0.7;
+/// Most groups that are considered.
+const MAX_GROUPS: usize = 5;
 
 fn main() {
-    let play = Play::default();
-    let keys = Popularity::new(&play);
-    println!("| groups | hits | origin's reads | handshakes a shot |");
+    let scenario = Scenario::default();
+    let popularity = Popularity::new(&scenario);
+    println!("| groups | hits | origin's reads | handshakes per attempt |");
     println!("| --- | --- | --- | --- |");
-    let kept = play.idle.as_secs_f64() * IDLE_SHARE;
-    let misses = 1.0 - keys.pooled(&play).0;
-    for groups in 1..=5 {
-        let of = groups as f64;
-        // A group has its part of the calls and of the memory, and all of the keys.
-        let part = Play { load: play.load / of, ..play.clone() };
-        let hits = keys.pooled(&part).0;
-        let at_pair = play.rate() / play.nodes as f64 / (play.caches as f64 / of);
-        let handshakes = (-at_pair * kept).exp();
+    let max_idle_s = scenario.idle_timeout.as_secs_f64() * IDLE_REUSE_SHARE;
+    let misses = 1.0 - popularity.pooled_cache(&scenario).hit_ratio;
+    for groups in 1..=MAX_GROUPS {
+        let group_count = groups as f64;
+        // A group has its part of the requests and of the memory, and all of the keys.
+        let group = Scenario { load: scenario.load / group_count, ..scenario.clone() };
+        let hits = popularity.pooled_cache(&group).hit_ratio;
+        let caches_per_group = scenario.caches as f64 / group_count;
+        let rate_of_pair = scenario.request_rate() / scenario.nodes as f64 / caches_per_group;
+        let handshakes = (-rate_of_pair * max_idle_s).exp();
         println!("| {groups} | {hits:.3} | x {:.2} | {handshakes:.2} |", (1.0 - hits) / misses);
     }
 }
--- /dev/null
+++ b/crates/fleet-simulator/examples/probe_assignment.rs
@@ -0,0 +1,162 @@
+//! Prints how fleets of 3 to 300 forwarders probe a hung cache, how evenly probe tasks are assigned, and how many of them
+//! move when a forwarder leaves. The first table is simulated, the second one calculated.
+
+use std::collections::BTreeMap;
+
+use granitelb_balancer::ids::EndpointId;
+use granitelb_coordination::ForwarderId;
+use granitelb_coordination::probe_scheduling::{Task, Window, assignees};
+use granitelb_fleet_simulator::two_levels::{Came, Play, play};
+
+/// Seeds over which each figure is spread.
+const SEEDS: std::ops::Range<u64> = 301..306;
+/// Probe windows in a minute.
+const WINDOWS_PER_MINUTE: u64 = 30;
+/// Distance of the windows of different seeds.
+const WINDOWS_PER_SEED: u64 = 1000;
+/// Attempts at the hung cache count as probes from this many seconds after its failure.
+const HANG_DETECTION_S: f64 = 3.0;
+/// Requests per second of the whole fleet.
+const FLEET_REQUEST_RATE: f64 = 600.0;
+/// Start and end of the hang, in seconds.
+const HANG_S: (f64, f64) = (8.0, 40.0);
+
+/// A fleet whose assignment of probe tasks is calculated.
+struct AssignmentCase {
+    forwarders: usize,
+    tasks: u64,
+    /// Forwarders that hold each task.
+    holders: usize,
+}
+
+const ASSIGNMENT_CASES: [AssignmentCase; 5] = [
+    AssignmentCase { forwarders: 10, tasks: 30, holders: 1 },
+    AssignmentCase { forwarders: 30, tasks: 30, holders: 1 },
+    AssignmentCase { forwarders: 60, tasks: 40, holders: 1 },
+    AssignmentCase { forwarders: 300, tasks: 40, holders: 1 },
+    AssignmentCase { forwarders: 300, tasks: 40, holders: 8 },
+];
+
+/// Minimum, mean and maximum.
+fn format_spread(values: impl Iterator<Item = f64>) -> String {
+    let mut values: Vec<_> = values.collect();
+    values.sort_by(f64::total_cmp);
+    let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
+    match (values.first(), values.last()) {
+        (Some(min), Some(max)) => format!("{min:.2} / {mean:.2} / {max:.2}"),
+        _ => "none".into(),
+    }
+}
+
+/// Runs a scenario with all seeds and prints a row.
+fn print_probe_row(name: &str, scenario: impl Fn(u64) -> Play) {
+    let runs: Vec<(Play, Came)> = SEEDS.map(|seed| (scenario(seed), play(&scenario(seed)))).collect();
+    let spread_of = |value: fn(&Play, &Came) -> Option<f64>| {
+        format_spread(runs.iter().filter_map(|(scenario, result)| value(scenario, result)))
+    };
+    println!(
+        "| {name} | {} | {} | {} | {} | {} |",
+        spread_of(|p, c| Some(c.wasted_late as f64 / (p.hang.1 - p.hang.0 - HANG_DETECTION_S))),
+        spread_of(|_, c| c.longest_quiet),
+        spread_of(|_, c| c.back_after),
+        spread_of(|_, c| c.taken_over_after),
+        spread_of(|_, c| Some(c.died as f64)),
+    );
+}
+
+fn forwarder_ids(count: usize, seed: u64) -> Vec<ForwarderId> {
+    (0..count).map(|n| ForwarderId::of_name(&format!("{seed} {n}"))).collect()
+}
+
+fn probe_tasks(count: u64) -> Vec<Task> {
+    (0..count).map(|n| Task::Probe(EndpointId(n))).collect()
+}
+
+/// The windows of one minute.
+fn windows(seed: u64) -> impl Iterator<Item = Window> {
+    (0..WINDOWS_PER_MINUTE).map(move |n| Window(seed * WINDOWS_PER_SEED + n))
+}
+
+/// Jain's fairness index of the tasks that forwarders hold in a minute: 1 is an even assignment.
+fn fairness_index(case: &AssignmentCase, seed: u64) -> f64 {
+    let forwarders = forwarder_ids(case.forwarders, seed);
+    let mut held = BTreeMap::<ForwarderId, f64>::new();
+    for window in windows(seed) {
+        for task in probe_tasks(case.tasks) {
+            for holder in assignees(task, window, &forwarders, case.holders) {
+                *held.entry(holder).or_default() += 1.0;
+            }
+        }
+    }
+    let mut sum = 0.0;
+    let mut squares = 0.0;
+    for count in held.values() {
+        sum += count;
+        squares += count * count;
+    }
+    sum * sum / (case.forwarders as f64 * squares)
+}
+
+/// For each forwarder that leaves: the share of a minute's tasks that move, times the number of forwarders. 1 means that
+/// only its own tasks move.
+fn moved_tasks(case: &AssignmentCase, seed: u64) -> Vec<f64> {
+    let forwarders = forwarder_ids(case.forwarders, seed);
+    let mut assignments = Vec::new();
+    for window in windows(seed) {
+        for task in probe_tasks(case.tasks) {
+            assignments.push((task, window, assignees(task, window, &forwarders, 1)));
+        }
+    }
+    let mut shares = Vec::new();
+    for leaving in 0..case.forwarders {
+        let mut remaining = forwarders.clone();
+        remaining.remove(leaving);
+        let has_moved = |&&(task, window, ref before): &&(Task, Window, _)| {
+            assignees(task, window, &remaining, 1) != *before
+        };
+        let moved = assignments.iter().filter(has_moved).count();
+        shares.push(moved as f64 / assignments.len() as f64 * case.forwarders as f64);
+    }
+    shares
+}
+
+fn print_probe_table() {
+    println!("| fleet | probes a second | longest gap, s | back after, s | taken over after, s | died |");
+    println!("| --- | --- | --- | --- | --- | --- |");
+    for forwarders in [3, 10, 30, 100, 300] {
+        let scenario = |planners, seed| Play {
+            forwarders,
+            planners,
+            rate: FLEET_REQUEST_RATE / forwarders as f64,
+            seconds: 50.0,
+            hang: HANG_S,
+            seed,
+            ..Play::default()
+        };
+        print_probe_row(&format!("{forwarders} without planners"), |seed| scenario(0, seed));
+        print_probe_row(&format!("{forwarders}, two planners"), |seed| scenario(2, seed));
+        let holders_die = |seed| Play { holders_die: Some(20.0), ..scenario(2, seed) };
+        print_probe_row(&format!("{forwarders}, all assignees die at 20 s"), holders_die);
+        let planner_stalls = |seed| Play { planners_dead: Some((15.0, 25.0)), dead: 1, ..scenario(2, seed) };
+        print_probe_row(&format!("{forwarders}, the first planner stalls from 15 to 25 s"), planner_stalls);
+    }
+}
+
+fn print_assignment_table() {
+    println!(
+        "\n| forwarders | tasks | assignees | Jain's index over a minute | share of a minute's tasks moved when one \
+         leaves, times n |"
+    );
+    println!("| --- | --- | --- | --- | --- |");
+    for case in &ASSIGNMENT_CASES {
+        let fairness = format_spread(SEEDS.map(|seed| fairness_index(case, seed)));
+        let moved = format_spread(SEEDS.flat_map(|seed| moved_tasks(case, seed)));
+        let AssignmentCase { forwarders, tasks, holders } = case;
+        println!("| {forwarders} | {tasks} | {holders} | {fairness} | {moved} |");
+    }
+}
+
+fn main() {
+    print_probe_table();
+    print_assignment_table();
+}
--- a/crates/fleet-simulator/src/days.rs
+++ b/crates/fleet-simulator/src/days.rs
@@ -1,30 +1,34 @@
-//! Days that are played by name.
+//! Named days: fixed lists of faults that the binary and the examples run by name.
 
-use crate::faults::{Fault, Kind};
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
-/// The names of the days, for whoever asks for one that is not there.
-pub const NAMES: &[&str] =
+use crate::faults::{Fault, FaultKind};
+
+/// The names that [`faults_of_day`] accepts.
+pub const DAY_NAMES: &[&str] =
     &["calm", "burst", "hot", "hang", "slow", "split", "zone", "join", "herd", "restart"];
 
-/// The faults of a day.
-pub fn named(name: &str) -> Option<Vec<Fault>> {
-    let one = |kind, from, to| Some(vec![Fault::new(kind, from, to)]);
-    match name {
-        "calm" => Some(Vec::new()),
-        "burst" => one(Kind::Burst(1.5), 6.0, 14.0),
-        "hot" => one(Kind::HotKey(0.1), 6.0, 14.0),
-        "hang" => one(Kind::Hang(0.2), 6.0, 12.0),
-        "slow" => one(Kind::Slow(0.125, 4.0), 4.0, 16.0),
-        "split" => one(Kind::ZoneCut, 6.0, 12.0),
+/// A slowdown that affects every eighth cache.
+const SLOW_CACHES: FaultKind = FaultKind::Slow { share: 0.125, factor: 4.0 };
+
+/// The faults of a named day, or `None` if no day has this name.
+pub fn faults_of_day(name: &str) -> Option<Vec<Fault>> {
+    let faults = match name {
+        "calm" => Vec::new(),
+        "burst" => vec![Fault::new(FaultKind::Burst(1.5), 6.0, 14.0)],
+        "hot" => vec![Fault::new(FaultKind::HotKey(0.1), 6.0, 14.0)],
+        "hang" => vec![Fault::new(FaultKind::Hang(0.2), 6.0, 12.0)],
+        "slow" => vec![Fault::new(SLOW_CACHES, 4.0, 16.0)],
+        "split" => vec![Fault::new(FaultKind::ZoneCut, 6.0, 12.0)],
         "zone" => {
-            let slow = Fault::new(Kind::Slow(0.125, 4.0), 2.0, 18.0);
-            Some(vec![Fault::new(Kind::ZoneLost, 6.0, 11.0), slow])
+            vec![Fault::new(FaultKind::ZoneLost, 6.0, 11.0), Fault::new(SLOW_CACHES, 2.0, 18.0)]
         }
-        "join" => one(Kind::Replace(0.6), 4.0, 11.0),
-        "herd" => one(Kind::NodesKilled(0.7), 8.0, 8.0),
-        "restart" => one(Kind::NodesKilled(1.0 / 3.0), 8.0, 8.0),
-        _ => None,
-    }
+        "join" => vec![Fault::new(FaultKind::Replace(0.6), 4.0, 11.0)],
+        "herd" => vec![Fault::new(FaultKind::NodesKilled(0.7), 8.0, 8.0)],
+        "restart" => vec![Fault::new(FaultKind::NodesKilled(1.0 / 3.0), 8.0, 8.0)],
+        _ => return None,
+    };
+    Some(faults)
 }
 
 #[cfg(test)]
--- a/crates/fleet-simulator/src/days/tests.rs
+++ b/crates/fleet-simulator/src/days/tests.rs
@@ -1,6 +1,6 @@
-use super::*;
+use super::{DAY_NAMES, faults_of_day};
 
 #[test]
-fn every_name_is_a_day() {
-    assert!(NAMES.iter().all(|name| named(name).is_some()));
+fn every_listed_name_has_faults() {
+    assert!(DAY_NAMES.iter().all(|name| faults_of_day(name).is_some()));
 }
--- a/crates/fleet-simulator/src/faults.rs
+++ b/crates/fleet-simulator/src/faults.rs
@@ -1,39 +1,53 @@
-//! What goes wrong in a day.
+//! Faults that a scenario injects into the fleet.
 
-/// A fault and its time, in seconds from the day's start.
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
+/// A fault and the interval in which it is active, in seconds from the start of the day.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    pub kind: Kind,
+    /// What fails.
+    pub kind: FaultKind,
+    /// Start of the fault, inclusive, in seconds.
     pub from: f64,
+    /// End of the fault, exclusive, in seconds.
     pub to: f64,
 }
 
+/// What fails, and how much of the fleet is affected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// So many times the calls.
+pub enum FaultKind {
+    /// The request rate is multiplied by this factor.
     Burst(f64),
-    /// One key takes this share of the calls.
+    /// One key receives this share of the requests.
     HotKey(f64),
-    /// This share of the caches take calls and connections and answer nothing.
+    /// This share of the caches accepts connections and requests but never responds.
     Hang(f64),
-    /// This share of the caches take so many times as long.
-    Slow(f64, f64),
-    /// Nothing passes between the first zone and the others; discovery's list stays as it was.
+    /// Some caches work slower.
+    Slow {
+        /// Share of the caches that are affected.
+        share: f64,
+        /// Factor by which their service time grows.
+        factor: f64,
+    },
+    /// The network between the first zone and all others is partitioned. Service discovery does not change.
     ZoneCut,
-    /// The caches of the first zone are gone without a word, and come back cold and empty. The list tells late.
+    /// The caches of the first zone fail without notice and return cold and empty. Service discovery reports it late.
     ZoneLost,
-    /// This share of the caches is replaced, evenly over the time: each old one drains as a new, cold one is listed.
+    /// This share of the caches is replaced, evenly over the interval: each old one drains while a new, cold one is
+    /// added.
     Replace(f64),
-    /// This share of all nodes is killed at the start of the fault, and starts anew, knowing nothing.
+    /// This share of the nodes is killed at the start of the fault. They restart without state.
     NodesKilled(f64),
 }
 
 impl Fault {
-    pub fn new(kind: Kind, from: f64, to: f64) -> Fault {
+    /// A fault of this kind, active from `from` to `to` (seconds from the start of the day).
+    pub fn new(kind: FaultKind, from: f64, to: f64) -> Fault {
         Fault { kind, from, to }
     }
 
-    pub fn acts(&self, at: f64) -> bool {
+    /// Whether the fault is active at this time, in seconds from the start of the day.
+    pub fn is_active(&self, at: f64) -> bool {
         at >= self.from && at < self.to
     }
 }
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -1,23 +1,28 @@
-//! A whole fleet in one process and in simulated time: hundreds of nodes with the real module each, cache servers with
-//! one place at work and a short queue, an origin, clients that come again, and faults. Everything is drawn from a seed;
-//! two runs of one seed are the same. What it shows is simulated and is called so wherever it is quoted.
+//! Seeded discrete-event simulation of a whole fleet in one process.
+//!
+//! The crowded fleet ([`run`]) has hundreds of nodes that each run the real balancer, cache servers with one slot and a
+//! short queue, an origin, clients that retry, and injected faults. The other modules hold smaller models of single
+//! parts of the system.
+//!
+//! All random draws come from a seed: two runs of one [`Scenario`] give equal results. Figures from this crate are
+//! simulated and must be called so wherever they are quoted.
 
-pub mod came;
 pub mod cold_model;
 pub mod counterfactual;
 pub mod days;
 pub mod faults;
 pub mod lease_simulation;
-pub mod mind;
 mod network;
-pub mod play;
+pub mod policy;
 pub mod popularity;
+pub mod results;
+pub mod scenario;
 mod server;
 pub mod two_levels;
 mod world;
 
-pub use came::Came;
-pub use faults::{Fault, Kind};
-pub use mind::Policy;
-pub use play::{Play, Together};
-pub use world::play;
+pub use faults::{Fault, FaultKind};
+pub use policy::Policy;
+pub use results::RunResult;
+pub use scenario::{ControlPlaneScope, Outage, Scenario};
+pub use world::run;
--- a/crates/fleet-simulator/src/network.rs
+++ b/crates/fleet-simulator/src/network.rs
@@ -1,30 +1,44 @@
-//! Ways between zones: how long they take, and what is cut.
+//! The network between zones: latency and partitions.
+
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
 use granitelb_balancer::time::{Span, Time};
 use rand::{Rng, RngExt};
 
-use crate::faults::Kind;
-use crate::play::Play;
+use crate::faults::FaultKind;
+use crate::scenario::Scenario;
+
+/// A one-way latency is drawn evenly from this share of its mean, upwards.
+const MIN_LATENCY_FACTOR: f64 = 0.85;
+/// Width of the interval from which the latency factor is drawn.
+const LATENCY_FACTOR_RANGE: f64 = 0.3;
+/// The zone that [`FaultKind::ZoneCut`] partitions from the others.
+const PARTITIONED_ZONE: usize = 0;
 
+/// The network and the clock by which faults become active. It has no state of its own.
 pub struct Network<'a> {
-    pub play: &'a Play,
-    pub start: Time,
+    /// The scenario with latencies and faults.
+    pub scenario: &'a Scenario,
+    /// Start of the day, after the warm-up.
+    pub day_start: Time,
 }
 
 impl Network<'_> {
-    /// The faults that act now.
-    pub fn acting(&self, now: Time) -> impl Iterator<Item = Kind> {
-        let at = now.0 as f64 / 1e6 - self.start.0 as f64 / 1e6;
-        self.play.faults.iter().filter(move |f| f.acts(at)).map(|f| f.kind)
+    /// The faults that are active now.
+    pub fn active_faults(&self, now: Time) -> impl Iterator<Item = FaultKind> {
+        let at = now.0 as f64 / 1e6 - self.day_start.0 as f64 / 1e6;
+        self.scenario.faults.iter().filter(move |fault| fault.is_active(at)).map(|fault| fault.kind)
     }
 
-    pub fn is_cut(&self, now: Time, a: usize, b: usize) -> bool {
-        a != b && (a == 0 || b == 0) && self.acting(now).any(|k| k == Kind::ZoneCut)
+    /// Whether the two zones cannot reach each other now.
+    pub fn is_partitioned(&self, now: Time, a: usize, b: usize) -> bool {
+        let crosses_partition = a != b && (a == PARTITIONED_ZONE || b == PARTITIONED_ZONE);
+        crosses_partition && self.active_faults(now).any(|kind| kind == FaultKind::ZoneCut)
     }
 
-    /// How long a word takes one way.
-    pub fn way(&self, chance: &mut impl Rng, a: usize, b: usize) -> Span {
-        let mean = if a == b { self.play.near } else { self.play.far };
-        mean.scaled(0.85 + 0.3 * chance.random::<f64>())
+    /// Draws the one-way latency between two zones.
+    pub fn draw_latency(&self, rng: &mut impl Rng, a: usize, b: usize) -> Span {
+        let mean = if a == b { self.scenario.intra_zone_latency } else { self.scenario.inter_zone_latency };
+        mean.scaled(MIN_LATENCY_FACTOR + LATENCY_FACTOR_RANGE * rng.random::<f64>())
     }
 }
--- a/crates/fleet-simulator/src/popularity.rs
+++ b/crates/fleet-simulator/src/popularity.rs
@@ -1,68 +1,109 @@
-//! Which keys are asked for, and how many of them caches hold.
+//! Popularity and work of keys, and how many of them the caches retain.
+
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
 use granitelb_balancer::ids::Key;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 
-use crate::play::Play;
+use crate::scenario::Scenario;
+
+/// Fewest keys that the search for the number of keys considers.
+const MIN_KEYS: usize = 10;
+/// Most keys that the search considers.
+const MAX_KEYS: usize = 4_000_000;
+/// The search stops at a precision of one part in this many.
+const KEY_SEARCH_PRECISION: usize = 50;
+/// Separates the draws of keys' work from all other draws of the seed.
+const KEY_WORK_SEED: u64 = 0x512e;
 
+/// The keys of a scenario, in order of falling popularity.
 pub struct Popularity {
-    /// The work of each key as a multiple of the mean.
-    sizes: Vec<f64>,
-    /// Running sums of the shares, most asked for first.
-    sums: Vec<f64>,
+    /// Work of each key as a multiple of the mean.
+    key_work: Vec<f64>,
+    /// Cumulative shares of the requests, most popular key first.
+    cumulative_shares: Vec<f64>,
+}
+
+/// What one cache as large as all caches together would hold.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PooledCache {
+    /// Share of the reads that it answers.
+    pub hit_ratio: f64,
+    /// Mean number of keys that it retains.
+    pub keys: f64,
 }
 
 impl Popularity {
-    /// So many keys that one cache as large as all together would have the hits that are stated.
-    pub fn new(play: &Play) -> Popularity {
-        let (mut low, mut high) = (10usize, 4_000_000usize);
-        while high > low + low / 50 + 1 {
+    /// Draws the keys of a scenario. Their number is such that the pooled cache has the scenario's hit ratio.
+    pub fn new(scenario: &Scenario) -> Popularity {
+        let mut low = MIN_KEYS;
+        let mut high = MAX_KEYS;
+        while high > low + low / KEY_SEARCH_PRECISION + 1 {
             let middle = (low + high) / 2;
-            let of = Popularity::of(play, middle);
-            if of.pooled(play).0 > play.hits { low = middle } else { high = middle }
+            let candidate = Popularity::with_keys(scenario, middle);
+            if candidate.pooled_cache(scenario).hit_ratio > scenario.pooled_hit_ratio {
+                low = middle;
+            } else {
+                high = middle;
+            }
         }
-        let mut found = Popularity::of(play, low);
-        let spread = LogNormal::new(0.0, play.size_spread).expect("a sound spread");
-        let mut chance = ChaCha8Rng::seed_from_u64(play.seed ^ 0x512e);
-        let drawn: Vec<f64> = (0..low).map(|_| spread.sample(&mut chance)).collect();
-        let shares = found.sums.iter().scan(0.0, |before, sum| Some(sum - std::mem::replace(before, *sum)));
-        // By calls and not by keys: a heavy key asked for often must not make the day a heavier one.
-        let mean: f64 = shares.zip(&drawn).map(|(share, size)| share * size).sum();
-        found.sizes = drawn.into_iter().map(|size| size / mean).collect();
-        found
+        let mut popularity = Popularity::with_keys(scenario, low);
+        popularity.draw_key_work(scenario);
+        popularity
     }
 
-    fn of(play: &Play, keys: usize) -> Popularity {
-        let weight = |n: usize| (n as f64 + play.offset).powf(-play.zipf);
+    fn with_keys(scenario: &Scenario, keys: usize) -> Popularity {
+        let weight = |rank: usize| (rank as f64 + scenario.zipf_offset).powf(-scenario.zipf_exponent);
         let total: f64 = (0..keys).map(weight).sum();
-        let sums = (0..keys).scan(0.0, |sum, n| {
-            *sum += weight(n) / total;
-            Some(*sum)
-        });
-        Popularity { sums: sums.collect(), sizes: Vec::new() }
+        let mut cumulative_shares = Vec::with_capacity(keys);
+        let mut sum = 0.0;
+        for rank in 0..keys {
+            sum += weight(rank) / total;
+            cumulative_shares.push(sum);
+        }
+        Popularity { key_work: Vec::new(), cumulative_shares }
+    }
+
+    /// Draws the work of each key. The mean is weighted by requests and not by keys: a popular key with much work must
+    /// not add load to the day.
+    fn draw_key_work(&mut self, scenario: &Scenario) {
+        let spread = LogNormal::new(0.0, scenario.key_work_spread).expect("the spread is finite");
+        let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ KEY_WORK_SEED);
+        let drawn: Vec<f64> = self.cumulative_shares.iter().map(|_| spread.sample(&mut rng)).collect();
+        let mean: f64 = self.shares().zip(&drawn).map(|(share, work)| share * work).sum();
+        self.key_work = drawn.into_iter().map(|work| work / mean).collect();
+    }
+
+    /// Each key's share of the requests.
+    fn shares(&self) -> impl Iterator<Item = f64> {
+        self.cumulative_shares.iter().scan(0.0, |previous, sum| {
+            let share = sum - *previous;
+            *previous = *sum;
+            Some(share)
+        })
     }
 
-    /// Hits of one pooled cache that keeps what was asked for in `keep_s`, and how many keys that is.
-    pub fn pooled(&self, play: &Play) -> (f64, f64) {
-        let asked = play.rate() * (1.0 - play.writes) * play.keep_s;
-        let mut before = 0.0;
-        let mut both = (0.0, 0.0);
-        for sum in &self.sums {
-            let share = sum - before;
-            before = *sum;
-            let kept = 1.0 - (-share * asked).exp();
-            both = (both.0 + share * kept, both.1 + kept);
+    /// The pooled cache that retains a key for `retention_s` after each read.
+    pub fn pooled_cache(&self, scenario: &Scenario) -> PooledCache {
+        let reads = scenario.request_rate() * (1.0 - scenario.write_ratio) * scenario.retention_s;
+        let mut pooled = PooledCache { hit_ratio: 0.0, keys: 0.0 };
+        for share in self.shares() {
+            let retained = 1.0 - (-share * reads).exp();
+            pooled.hit_ratio += share * retained;
+            pooled.keys += retained;
         }
-        both
+        pooled
     }
 
-    pub fn size(&self, key: Key) -> f64 {
-        self.sizes.get(key.0 as usize).copied().unwrap_or(1.0)
+    /// Work of a key as a multiple of the mean. Keys outside of the popularity law have the mean work.
+    pub fn work_factor(&self, key: Key) -> f64 {
+        self.key_work.get(key.0 as usize).copied().unwrap_or(1.0)
     }
 
-    pub fn draw(&self, chance: f64) -> Key {
-        Key(self.sums.partition_point(|sum| *sum < chance) as u64)
+    /// The key for an even draw from 0 to 1.
+    pub fn key_at(&self, quantile: f64) -> Key {
+        Key(self.cumulative_shares.partition_point(|sum| *sum < quantile) as u64)
     }
 }
--- a/crates/fleet-simulator/src/world/events.rs
+++ b/crates/fleet-simulator/src/world/events.rs
@@ -1,65 +1,90 @@
-//! What happens in a fleet, in order of time.
+//! Events of the simulation and their order.
+
+use std::cmp::Ordering;
 
-use granitelb_balancer::ids::Key;
 use granitelb_balancer::time::Time;
 use granitelb_balancer::{AttemptOutcome, EndpointUpdate};
 use granitelb_coordination::Sender;
 use granitelb_coordination::message::Message;
 
-use super::talk::Seat;
-use crate::server::Job;
+use super::messaging::MemberIndex;
+use super::requests::ClientRequest;
+use crate::server::ServerJob;
 
-/// A shot, by its node's life.
+/// Identifies an attempt. The node's incarnation makes events of a killed node void.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ShotId {
+pub struct AttemptId {
     pub node: usize,
     pub incarnation: u32,
-    pub call: u64,
+    pub request: u64,
     pub number: u8,
 }
 
+/// What happens.
 #[derive(Debug)]
-pub enum What {
-    Call { node: usize },
-    Again { node: usize, first: Time, key: Key, write: bool, deadline: Time },
-    Connected { shot: ShotId },
-    Comes { shot: ShotId, server: usize, job: Job },
-    Done { server: usize, incarnation: u32, job: Job },
-    LocalReply { shot: ShotId, outcome: AttemptOutcome, stored: bool },
-    GiveUp { shot: ShotId },
-    Wake { node: usize, incarnation: u32 },
-    List { node: usize, incarnation: u32, listing: EndpointUpdate },
-    Loses { zone: usize },
-    Returns { zone: usize },
-    Replaces { old: usize },
-    Leaves { server: usize },
-    Kills { node: usize },
-    Message { to: Seat, incarnation: u32, sender: Sender, letter: Box<Message> },
-    Round { of: Seat, incarnation: u32 },
-    PlannersDie,
+pub enum EventKind {
+    /// A client submits a new request to a node.
+    RequestArrives { node: usize },
+    /// A client submits a request for the second time.
+    RequestRetried { node: usize, request: ClientRequest },
+    /// The connection for an attempt is established.
+    ConnectionEstablished { attempt: AttemptId },
+    /// An attempt arrives at a server.
+    AttemptArrives { attempt: AttemptId, server: usize, job: ServerJob },
+    /// A server has finished a job.
+    JobCompleted { server: usize, incarnation: u32, job: ServerJob },
+    /// The node learns how an attempt ended. `fills_caches`: the response carries a value that caches may store.
+    AttemptFinished { attempt: AttemptId, outcome: AttemptOutcome, fills_caches: bool },
+    /// The timeout of an attempt expires.
+    AttemptTimeout { attempt: AttemptId },
+    /// The timeout of a node's policy expires.
+    PolicyTimeout { node: usize, incarnation: u32 },
+    /// Service discovery reports an endpoint to a node.
+    EndpointReported { node: usize, incarnation: u32, endpoint: EndpointUpdate },
+    /// All caches of a zone fail.
+    ZoneFails { zone: usize },
+    /// The failed caches of a zone return.
+    ZoneReturns { zone: usize },
+    /// A cache starts to drain and a new one is added.
+    CacheReplaced { old: usize },
+    /// A drained cache stops.
+    CacheStops { server: usize },
+    /// A node is killed and restarts.
+    NodeKilled { node: usize },
+    /// A control-plane message arrives.
+    MessageArrives { to: MemberIndex, incarnation: u32, sender: Sender, message: Box<Message> },
+    /// The timeout of a control-plane member expires.
+    MemberTimeout { member: MemberIndex, incarnation: u32 },
+    /// All planners fail.
+    PlannersFail,
+    /// All planners restart without state.
     PlannersReturn,
 }
 
-/// An event at its time; the order of making parts those of one time.
-pub struct Next(pub Time, pub u64, pub What);
+/// An event and its time. Events of the same time happen in the order in which they were scheduled.
+pub struct ScheduledEvent {
+    pub at: Time,
+    pub sequence: u64,
+    pub kind: EventKind,
+}
 
-impl PartialEq for Next {
-    fn eq(&self, other: &Next) -> bool {
-        (self.0, self.1) == (other.0, other.1)
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
+        self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Next {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Next {
-    fn partial_cmp(&self, other: &Next) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Next {
-    fn cmp(&self, other: &Next) -> std::cmp::Ordering {
-        (self.0, self.1).cmp(&(other.0, other.1))
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> Ordering {
+        self.at.cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
--- a/crates/fleet-simulator/src/world/mod.rs
+++ b/crates/fleet-simulator/src/world/mod.rs
@@ -1,274 +1,184 @@
-//! The fleet as it runs: events in order of time, nodes, servers and what passes between them.
+//! The running fleet: a queue of events, nodes, servers and the network between them.
+//!
+//! [`World`] owns all state. It takes the earliest event, changes the state and schedules further events. All random
+//! draws of the data path come from one generator, so the order of draws is part of the behaviour.
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
+mod attempts;
 mod events;
-mod fellows;
-mod nodes;
+mod faults;
+mod members;
+mod messaging;
+mod observations;
+mod requests;
 mod servers;
-mod talk;
-mod troubles;
+mod setup;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use granitelb_balancer::ids::{
-    AttemptNumber, CellId, EndpointId, Key, KindId, RequestClassId, RequestId, ZoneId,
-};
-use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
 use granitelb_balancer::time::{Span, Time};
-use granitelb_balancer::{AttemptOutcome, AttemptResult, EndpointUpdate, LocalReply, Request};
-use rand::{RngExt, SeedableRng};
+use granitelb_balancer::{AttemptOutcome, EndpointUpdate};
 use rand_chacha::ChaCha8Rng;
-use rand_distr::{Distribution, Exp1, Gamma, LogNormal};
 
-use crate::came::Came;
-use crate::faults::Kind;
-use crate::mind::{Mind, Order};
 use crate::network::Network;
-use crate::play::{MOST_SHOTS, Play, READ_TIMEOUT, SLO, WRITE_TIMEOUT};
+use crate::policy::NodePolicy;
 use crate::popularity::Popularity;
-use crate::server::{Job, Server};
+use crate::results::RunResult;
+use crate::scenario::Scenario;
+use crate::server::{Server, ServerJob};
 
-use events::{Next, ShotId, What};
-use talk::Talk;
+use events::{EventKind, ScheduledEvent};
+use messaging::ControlPlane;
+use requests::TrackedRequest;
 
+/// Simulated time at which the warm-up begins.
 const START: Time = Time(1_000_000_000);
-const COLD_FROM: f64 = 0.25;
-const WARM_AFTER: Span = Span::from_millis(20_000);
-/// A client that does not heed the time to come back, or was told none, waits so long.
-const BACKOFF: Span = Span::from_millis(60);
-/// Connections that were idle for longer than this share of the servers' limit are not used.
-const IDLE_SHARE: f64 = 0.7;
-
-struct Call {
-    first: Time,
-    deadline: Time,
-    key: Key,
-    write: bool,
-    again: bool,
-    shots: u8,
-    out: usize,
-    missed: Vec<usize>,
-}
-
-struct Attempt {
+/// Share of its capacity that a cache has right after a cold start.
+const COLD_START_CAPACITY: f64 = 0.25;
+/// After this time a cache that started cold has its full capacity.
+const WARM_UP_TIME: Span = Span::from_millis(20_000);
+/// Work of a write at the origin relative to a read.
+const WRITE_WEIGHT: f64 = 2.0;
+
+/// An attempt that a node has in flight.
+struct InFlightAttempt {
     server: usize,
-    at: Time,
-    /// Its connection is up, and so may be used again.
-    up: bool,
-    job: Job,
+    sent_at: Time,
+    /// Whether its connection is established, and so can be reused afterwards.
+    is_connected: bool,
+    job: ServerJob,
 }
 
 struct Node {
-    mind: Mind,
+    policy: NodePolicy,
     zone: usize,
-    rate: f64,
+    /// Requests per second that arrive here.
+    request_rate: f64,
+    /// Counts restarts; events of an earlier incarnation are void.
     incarnation: u32,
-    calls: HashMap<u64, Call>,
-    shots: HashMap<(u64, u8), Attempt>,
-    idle: HashMap<usize, Vec<Time>>,
-    wake: Option<Time>,
+    requests: HashMap<u64, TrackedRequest>,
+    /// By request and number of the attempt.
+    attempts: HashMap<(u64, u8), InFlightAttempt>,
+    /// Idle connections by server, with the times since which they are idle.
+    idle_connections: HashMap<usize, Vec<Time>>,
+    /// When the policy's timeout event is due.
+    scheduled_wake: Option<Time>,
 }
 
 struct World<'a> {
-    play: &'a Play,
+    scenario: &'a Scenario,
     network: Network<'a>,
     now: Time,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     nodes: Vec<Node>,
+    /// Caches and the origin; caches that are added later come after it.
     servers: Vec<Server>,
-    listed: Vec<EndpointUpdate>,
+    /// The endpoints as service discovery knows them, by index of the server.
+    endpoints: Vec<EndpointUpdate>,
+    /// Index of the origin.
     origin: usize,
     origin_slots: usize,
     popularity: Popularity,
-    events: BinaryHeap<Reverse<Next>>,
-    order: u64,
-    calls: u64,
-    talk: Option<Talk>,
-    came: Came,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    last_event_sequence: u64,
+    last_request: u64,
+    /// `None` without planners and after the end of the day.
+    control_plane: Option<ControlPlane>,
+    result: RunResult,
 }
 
-/// Plays it through.
-pub fn play(play: &Play) -> Came {
-    let mut world = World::new(play);
-    world.run();
-    world.came
-}
-
-/// What every node is told of the site.
-fn settings(play: &Play) -> Settings {
-    let request_class = |billed_value, effect| RequestClass {
-        slo: SLO,
-        billed_value,
-        value_after_slo: 0.0,
-        offered: true,
-        effect,
-    };
-    let window = Span::from_millis(3000);
-    let dropped = Effect::Deduplicated { scope: DedupScope::All, window };
-    Settings {
-        origin: Some(KindId(1)),
-        request_classes: vec![request_class(1.0, Effect::Idempotent), request_class(2.0, dropped)],
-        nodes: play.nodes as f64,
-        list_on_request: false,
-        max_poll_interval: Span::from_millis(10_000),
-        only_draining_binds: false,
-        cold_from: COLD_FROM,
-        warm_after: WARM_AFTER,
-        fall_multiple: 3.0,
-        fall_window: Span::from_millis(2000),
-        max_attempts: MOST_SHOTS,
-        hedged_requests: false,
-        may_cancel: true,
-        max_retry_after: Span::from_millis(1500),
-        value_by_work: true,
-        steady_sizes: false,
-    }
+/// Runs a scenario to its end.
+pub fn run(scenario: &Scenario) -> RunResult {
+    let mut world = World::new(scenario);
+    world.process_events();
+    world.result
 }
 
 impl World<'_> {
-    fn new(play: &Play) -> World<'_> {
-        let mut chance = ChaCha8Rng::seed_from_u64(play.seed);
-        let popularity = Popularity::new(play);
-        let keeps = (popularity.pooled(play).1 / play.caches as f64).ceil() as usize;
-        let cache = |n: usize, chance: &mut ChaCha8Rng| {
-            let queue = chance.random_range(play.queue.0..=play.queue.1);
-            Server::new(n % play.zones, 1, queue, 0.9 + 0.2 * chance.random::<f64>(), keeps)
-        };
-        let mut servers: Vec<_> = (0..play.caches).map(|n| cache(n, &mut chance)).collect();
-        // What misses and writes ask of the origin on a usual day.
-        let asked = play.rate() * ((1.0 - play.writes) * (1.0 - play.hits) + play.writes * 2.0);
-        let slots = (asked * play.origin_headroom * play.origin_time.as_secs_f64()).ceil() as usize;
-        let origin = servers.len();
-        servers.push(Server::new(usize::from(play.zones > 1), 1_000_000, slots * 4, 1.0, 0));
-        let spread = LogNormal::new(0.0, play.node_spread).expect("a sound spread");
-        let shares: Vec<f64> = (0..play.nodes).map(|_| spread.sample(&mut chance)).collect();
-        let total: f64 = shares.iter().sum();
-        let mut world = World {
-            play,
-            network: Network { play, start: START + Span::from_secs_f64(play.warm_up) },
-            now: START,
-            nodes: Vec::new(),
-            servers,
-            listed: Vec::new(),
-            origin,
-            origin_slots: slots,
-            popularity,
-            events: BinaryHeap::new(),
-            order: 0,
-            calls: 0,
-            talk: None,
-            came: Came::of(play.seconds),
-            chance,
-        };
-        world.listed = (0..=origin).map(|n| world.listing(n)).collect();
-        for (n, share) in shares.iter().enumerate() {
-            let mut mind = Mind::new(play.policy, settings(play), play.seed ^ (n as u64) << 20, START);
-            mind.listed(START, &world.listed, true);
-            let rate = play.rate() * share / total;
-            let (calls, shots, idle) = (HashMap::new(), HashMap::new(), HashMap::new());
-            world.nodes.push(Node {
-                mind,
-                zone: n % play.zones,
-                rate,
-                incarnation: 0,
-                calls,
-                shots,
-                idle,
-                wake: None,
-            });
-            let first = world.gap(n);
-            world.later(first, What::Call { node: n });
-        }
-        world.plan_faults();
-        world.begin_talk();
-        world
+    fn schedule(&mut self, after: Span, kind: EventKind) {
+        self.last_event_sequence += 1;
+        let event = ScheduledEvent { at: self.now + after, sequence: self.last_event_sequence, kind };
+        self.events.push(Reverse(event));
     }
 
-    fn listing(&self, server: usize) -> EndpointUpdate {
-        let s = &self.servers[server];
-        EndpointUpdate {
-            cache: EndpointId(server as u64),
-            kind: KindId(u16::from(server == self.origin)),
-            size: 1.0,
-            zone: ZoneId(s.zone as u32),
-            cell: CellId(0),
-            ready: !s.left,
-            draining: false,
-            started: s.started,
-        }
+    /// Seconds since the day began; negative during the warm-up.
+    fn day_seconds(&self, at: Time) -> f64 {
+        at.0 as f64 / 1e6 - START.0 as f64 / 1e6 - self.scenario.warm_up_s
     }
 
-    fn later(&mut self, after: Span, what: What) {
-        self.order += 1;
-        self.events.push(Reverse(Next(self.now + after, self.order, what)));
+    /// The second of the day, or `None` during the warm-up.
+    fn second_of_day(&self, at: Time) -> Option<usize> {
+        let seconds = self.day_seconds(at);
+        if seconds >= 0.0 { Some(seconds as usize) } else { None }
     }
 
-    /// Seconds since the day began, after the warm-up.
-    fn day_s(&self, at: Time) -> f64 {
-        at.0 as f64 / 1e6 - START.0 as f64 / 1e6 - self.play.warm_up
+    /// The time from the start of the warm-up to this second of the day.
+    fn since_start(&self, seconds: f64) -> Span {
+        Span::from_secs_f64(self.scenario.warm_up_s + seconds)
     }
 
-    fn gap(&mut self, node: usize) -> Span {
-        let gap: f64 = Exp1.sample(&mut self.chance);
-        let burst = self.network.acting(self.now).find_map(|k| match k {
-            Kind::Burst(by) => Some(by),
-            _ => None,
-        });
-        let rate = self.nodes[node].rate * burst.unwrap_or(1.0);
-        Span::from_secs_f64(gap / rate)
-    }
-
-    fn run(&mut self) {
-        while let Some(Reverse(Next(time, _, what))) = self.events.pop() {
-            self.now = time;
-            self.happens(what);
+    fn process_events(&mut self) {
+        while let Some(Reverse(event)) = self.events.pop() {
+            self.now = event.at;
+            self.process(event.kind);
         }
-        let left: usize = self.nodes.iter().map(|n| n.calls.len()).sum();
-        self.came.unsound += left;
+        let unanswered: usize = self.nodes.iter().map(|node| node.requests.len()).sum();
+        self.result.invariant_violations += unanswered;
     }
 
-    fn happens(&mut self, what: What) {
-        match what {
-            What::Call { node } => self.call(node),
-            What::Again { node, first, key, write, deadline } => {
-                self.try_call(node, first, key, write, deadline, true);
+    fn process(&mut self, kind: EventKind) {
+        match kind {
+            EventKind::RequestArrives { node } => self.on_request_arrival(node),
+            EventKind::RequestRetried { node, request } => self.submit_request(node, request),
+            EventKind::ConnectionEstablished { attempt } => self.transmit_attempt(attempt),
+            EventKind::AttemptArrives { attempt, server, job } => {
+                self.on_attempt_arrival(attempt, server, job);
             }
-            What::Connected { shot } => self.write(shot),
-            What::Comes { shot, server, job } => self.comes(shot, server, job),
-            What::Done { server, incarnation, job } => self.done(server, incarnation, job),
-            What::LocalReply { shot, outcome, stored } => self.shot_ends(shot, outcome, stored),
-            What::GiveUp { shot } => {
-                let up = self.shot(shot).is_some_and(|s| s.up);
-                let outcome = if up { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
-                self.shot_ends(shot, outcome, false);
+            EventKind::JobCompleted { server, incarnation, job } => {
+                self.on_job_completed(server, incarnation, job);
             }
-            What::Wake { node, incarnation } if self.nodes[node].incarnation == incarnation => {
-                self.nodes[node].wake = None;
-                self.pull(node);
+            EventKind::AttemptFinished { attempt, outcome, fills_caches } => {
+                self.on_attempt_finished(attempt, outcome, fills_caches);
             }
-            What::List { node, incarnation, listing } if self.nodes[node].incarnation == incarnation => {
-                self.nodes[node].mind.listed(self.now, &[listing], false);
-                self.heard_list(node, listing);
-                self.pull(node);
+            EventKind::AttemptTimeout { attempt } => self.on_attempt_timeout(attempt),
+            EventKind::PolicyTimeout { node, incarnation } => self.on_policy_timeout(node, incarnation),
+            EventKind::EndpointReported { node, incarnation, endpoint } => {
+                self.on_endpoint_reported(node, incarnation, endpoint);
             }
-            What::Wake { .. } | What::List { .. } => {}
-            What::Loses { zone } => self.lose(zone),
-            What::Returns { zone } => self.bring_back(zone),
-            What::Replaces { old } => self.replace(old),
-            What::Leaves { server } => self.servers[server].down = true,
-            What::Kills { node } => self.kill(node),
-            What::Message { to, incarnation, sender, letter } => {
-                self.letter_comes(to, incarnation, sender, *letter)
+            EventKind::ZoneFails { zone } => self.fail_zone(zone),
+            EventKind::ZoneReturns { zone } => self.restore_zone(zone),
+            EventKind::CacheReplaced { old } => self.replace_cache(old),
+            EventKind::CacheStops { server } => self.servers[server].is_down = true,
+            EventKind::NodeKilled { node } => self.restart_node(node),
+            EventKind::MessageArrives { to, incarnation, sender, message } => {
+                self.on_message(to, incarnation, sender, *message);
             }
-            What::Round { of, incarnation } => self.round(of, incarnation),
-            What::PlannersDie => self.planners_die(),
-            What::PlannersReturn => self.planners_return(),
+            EventKind::MemberTimeout { member, incarnation } => self.on_member_timeout(member, incarnation),
+            EventKind::PlannersFail => self.fail_planners(),
+            EventKind::PlannersReturn => self.restart_planners(),
+        }
+    }
+
+    fn on_attempt_timeout(&mut self, attempt: events::AttemptId) {
+        let is_connected = self.attempt(attempt).is_some_and(|attempt| attempt.is_connected);
+        let outcome = if is_connected { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
+        self.on_attempt_finished(attempt, outcome, false);
+    }
+
+    fn on_policy_timeout(&mut self, node: usize, incarnation: u32) {
+        if self.nodes[node].incarnation == incarnation {
+            self.nodes[node].scheduled_wake = None;
+            self.run_policy(node);
         }
     }
 
-    /// The second of the day, once it has begun.
-    fn second(&self, at: Time) -> Option<usize> {
-        let second = self.day_s(at);
-        (second >= 0.0).then_some(second as usize)
+    fn on_endpoint_reported(&mut self, node: usize, incarnation: u32, endpoint: EndpointUpdate) {
+        if self.nodes[node].incarnation == incarnation {
+            self.nodes[node].policy.on_endpoints_update(self.now, &[endpoint], false);
+            self.observe_endpoint(node, endpoint);
+            self.run_policy(node);
+        }
     }
 }
--- a/crates/fleet-simulator/src/world/servers.rs
+++ b/crates/fleet-simulator/src/world/servers.rs
@@ -1,82 +1,126 @@
-//! What cache servers and the origin do with the shots that come.
+//! Cache servers and the origin: admission, service and responses.
 
-use super::troubles::{is_hung, slowness};
-use super::*;
+use granitelb_balancer::AttemptOutcome;
+use granitelb_balancer::time::Span;
+use rand_chacha::ChaCha8Rng;
+use rand_distr::{Distribution, Gamma, LogNormal};
+
+use super::events::{AttemptId, EventKind};
+use super::faults::{is_hung, slowdown};
+use super::setup::WARM_UP_ORIGIN_SLOTS;
+use super::{COLD_START_CAPACITY, WARM_UP_TIME, WRITE_WEIGHT, World};
+use crate::scenario::Scenario;
+use crate::server::ServerJob;
+
+/// Service time of a miss or a misdirected write at a cache.
+const MISS_WORK: Span = Span::from_millis(1);
+/// Mean of the logarithm of the origin's service time, relative to its nominal one; with the deviation below the mean
+/// of the service time is the nominal one.
+const ORIGIN_WORK_LOG_MEAN: f64 = -0.125;
+/// Standard deviation of that logarithm.
+const ORIGIN_WORK_LOG_DEVIATION: f64 = 0.5;
 
 impl World<'_> {
-    pub(super) fn reaches(&self, node: usize, server: usize) -> bool {
-        let s = &self.servers[server];
-        !s.down && !self.network.is_cut(self.now, self.nodes[node].zone, s.zone)
+    /// Whether a node and a server can exchange packets now.
+    pub(super) fn is_reachable(&self, node: usize, server: usize) -> bool {
+        let server = &self.servers[server];
+        !server.is_down && !self.network.is_partitioned(self.now, self.nodes[node].zone, server.zone)
     }
 
-    pub(super) fn comes(&mut self, id: ShotId, n: usize, mut job: Job) {
-        if !self.reaches(id.node, n) || is_hung(&self.network, self.now, n) {
+    /// Whether the server would respond to a node now.
+    fn is_responsive(&self, node: usize, server: usize) -> bool {
+        self.is_reachable(node, server) && !is_hung(&self.network, self.now, server)
+    }
+
+    pub(super) fn on_attempt_arrival(&mut self, attempt: AttemptId, n: usize, mut job: ServerJob) {
+        if !self.is_responsive(attempt.node, n) {
             return;
         }
         let is_origin = n == self.origin;
-        let most = if self.now < self.network.start { 1_000_000 } else { self.origin_slots };
-        let server = &mut self.servers[n];
         if is_origin {
-            server.slots = most;
+            let is_warm_up = self.now < self.network.day_start;
+            self.servers[n].slots = if is_warm_up { WARM_UP_ORIGIN_SLOTS } else { self.origin_slots };
         }
-        if server.is_full() || server.left {
-            return self.reply(id, n, AttemptOutcome::Rejected);
+        if self.servers[n].is_full() || self.servers[n].is_removed {
+            self.respond(attempt, n, AttemptOutcome::Rejected);
+            return;
         }
-        let size = self.popularity.size(job.key);
-        let drawn = self.play.work.as_secs_f64() * size * read_work(self.play, &mut self.chance);
+        // The work at a cache is drawn for the origin too.
+        let cache_work = self.draw_cache_work(&job);
         if is_origin {
-            let weight = if job.write { 2.0 } else { 1.0 };
-            let spread = LogNormal::new(-0.125, 0.5).expect("a sound spread").sample(&mut self.chance);
-            job.work = Span::from_secs_f64(self.play.origin_time.as_secs_f64() * weight * spread);
+            job.work = self.draw_origin_work(&job);
         } else {
-            job.lacks = job.write || !server.holds(job.key);
-            job.work = if job.lacks { Span::from_millis(1) } else { Span::from_secs_f64(drawn) };
+            job.is_miss = job.write || !self.servers[n].keys.lookup(job.key);
+            job.work = if job.is_miss { MISS_WORK } else { cache_work };
         }
         self.servers[n].queue.push_back(job);
-        self.begin(n);
+        self.start_jobs(n);
+    }
+
+    fn draw_cache_work(&mut self, job: &ServerJob) -> Span {
+        let work_factor = self.popularity.work_factor(job.key);
+        let mean = self.scenario.mean_work.as_secs_f64() * work_factor;
+        Span::from_secs_f64(mean * draw_read_work(self.scenario, &mut self.rng))
+    }
+
+    fn draw_origin_work(&mut self, job: &ServerJob) -> Span {
+        let weight = if job.write { WRITE_WEIGHT } else { 1.0 };
+        let spread = LogNormal::new(ORIGIN_WORK_LOG_MEAN, ORIGIN_WORK_LOG_DEVIATION)
+            .expect("the deviation is finite")
+            .sample(&mut self.rng);
+        Span::from_secs_f64(self.scenario.origin_service_time.as_secs_f64() * weight * spread)
     }
 
-    /// Puts queued shots to work while there is a place.
-    pub(super) fn begin(&mut self, n: usize) {
-        let slow = slowness(&self.network, self.now, n);
+    /// Starts queued jobs while there is a free slot.
+    fn start_jobs(&mut self, n: usize) {
+        let slowdown = slowdown(&self.network, self.now, n);
         while self.servers[n].busy < self.servers[n].slots {
             let server = &mut self.servers[n];
             let Some(job) = server.queue.pop_front() else { return };
             server.busy += 1;
-            let speed = server.speed * server.warmth(self.now, COLD_FROM, WARM_AFTER) / slow;
-            let speed = if n == self.origin { 1.0 } else { speed };
-            let debt = std::mem::take(&mut server.debt);
-            let takes = Span::from_secs_f64((job.work.as_secs_f64() + debt) / speed);
+            let warmup_factor = server.warmup_factor(self.now, COLD_START_CAPACITY, WARM_UP_TIME);
+            let cache_speed = server.speed * warmup_factor / slowdown;
+            let speed = if n == self.origin { 1.0 } else { cache_speed };
+            let handshakes_s = std::mem::take(&mut server.handshake_backlog_s);
+            let service_time = Span::from_secs_f64((job.work.as_secs_f64() + handshakes_s) / speed);
             let incarnation = server.incarnation;
-            self.later(takes, What::Done { server: n, incarnation, job });
+            self.schedule(service_time, EventKind::JobCompleted { server: n, incarnation, job });
         }
     }
 
-    pub(super) fn done(&mut self, n: usize, incarnation: u32, job: Job) {
+    /// A job is done, unless the server has crashed since it started.
+    pub(super) fn on_job_completed(&mut self, n: usize, incarnation: u32, job: ServerJob) {
         if self.servers[n].incarnation != incarnation {
             return;
         }
         self.servers[n].busy -= 1;
-        let id = ShotId { node: job.node, incarnation: job.incarnation, call: job.call, number: job.number };
         if n == self.origin && job.write {
-            self.servers.iter_mut().for_each(|s| s.drop_key(job.key));
+            for server in &mut self.servers {
+                server.keys.invalidate(job.key);
+            }
         }
-        let outcome = if job.lacks { AttemptOutcome::CacheMiss } else { AttemptOutcome::Fulfilled };
-        if self.reaches(job.node, n) && !is_hung(&self.network, self.now, n) {
-            self.reply(id, n, outcome);
+        let outcome = if job.is_miss { AttemptOutcome::CacheMiss } else { AttemptOutcome::Fulfilled };
+        if self.is_responsive(job.node, n) {
+            let attempt = AttemptId {
+                node: job.node,
+                incarnation: job.incarnation,
+                request: job.request,
+                number: job.number,
+            };
+            self.respond(attempt, n, outcome);
         }
-        self.begin(n);
+        self.start_jobs(n);
     }
 
-    pub(super) fn reply(&mut self, shot: ShotId, n: usize, outcome: AttemptOutcome) {
-        let (here, there) = (self.nodes[shot.node].zone, self.servers[n].zone);
-        let way = self.network.way(&mut self.chance, here, there);
-        let stored = n == self.origin && outcome == AttemptOutcome::Fulfilled;
-        self.later(way, What::LocalReply { shot, outcome, stored });
+    fn respond(&mut self, attempt: AttemptId, n: usize, outcome: AttemptOutcome) {
+        let latency = self.draw_latency(attempt.node, n);
+        let fills_caches = n == self.origin && outcome == AttemptOutcome::Fulfilled;
+        self.schedule(latency, EventKind::AttemptFinished { attempt, outcome, fills_caches });
     }
 }
 
-fn read_work(play: &Play, chance: &mut ChaCha8Rng) -> f64 {
-    let shape = 1.0 / (play.work_cv * play.work_cv);
-    Gamma::new(shape, 1.0 / shape).expect("a sound spread").sample(chance)
+/// Draws the work of a read relative to its mean.
+fn draw_read_work(scenario: &Scenario, rng: &mut ChaCha8Rng) -> f64 {
+    let shape = 1.0 / (scenario.work_variation * scenario.work_variation);
+    Gamma::new(shape, 1.0 / shape).expect("the variation is positive").sample(rng)
 }
