--- a/crates/fleet-simulator/src/network.rs
+++ b/crates/fleet-simulator/src/network.rs
@@ -12,6 +12,8 @@
 const MIN_LATENCY_FACTOR: f64 = 0.85;
 /// Width of the interval from which the latency factor is drawn.
 const LATENCY_FACTOR_RANGE: f64 = 0.3;
+/// The unit of [`Time`] is a microsecond.
+pub const MICROS_PER_SECOND: f64 = 1e6;
 /// The zone that [`FaultKind::ZoneCut`] partitions from the others.
 const PARTITIONED_ZONE: usize = 0;
 
@@ -26,7 +28,7 @@
 impl Network<'_> {
     /// The faults that are active now.
     pub fn active_faults(&self, now: Time) -> impl Iterator<Item = FaultKind> {
-        let at = now.0 as f64 / 1e6 - self.day_start.0 as f64 / 1e6;
+        let at = now.0 as f64 / MICROS_PER_SECOND - self.day_start.0 as f64 / MICROS_PER_SECOND;
         self.scenario.faults.iter().filter(move |fault| fault.is_active(at)).map(|fault| fault.kind)
     }
 
--- a/crates/fleet-simulator/src/world/mod.rs
+++ b/crates/fleet-simulator/src/world/mod.rs
@@ -22,7 +22,7 @@
 use granitelb_balancer::{AttemptOutcome, EndpointUpdate};
 use rand_chacha::ChaCha8Rng;
 
-use crate::network::Network;
+use crate::network::{MICROS_PER_SECOND, Network};
 use crate::policy::NodePolicy;
 use crate::popularity::Popularity;
 use crate::results::RunResult;
@@ -105,7 +105,7 @@
 
     /// Seconds since the day began; negative during the warm-up.
     fn day_seconds(&self, at: Time) -> f64 {
-        at.0 as f64 / 1e6 - START.0 as f64 / 1e6 - self.scenario.warm_up_s
+        at.0 as f64 / MICROS_PER_SECOND - START.0 as f64 / MICROS_PER_SECOND - self.scenario.warm_up_s
     }
 
     /// The second of the day, or `None` during the warm-up.
--- a/crates/fleet-simulator/src/world/setup.rs
+++ b/crates/fleet-simulator/src/world/setup.rs
@@ -25,6 +25,12 @@
 pub const WARM_UP_ORIGIN_SLOTS: usize = 1_000_000;
 /// Jobs that wait at the origin for each slot.
 const ORIGIN_QUEUE_PER_SLOT: usize = 4;
+/// A repeated write is deduplicated by the origin within this time.
+const DEDUPLICATION_WINDOW: Span = Span::from_millis(3000);
+/// Nodes poll service discovery at least this often.
+const MAX_POLL_INTERVAL: Span = Span::from_millis(10_000);
+/// Longest Retry-After that nodes answer with.
+const MAX_RETRY_AFTER: Span = Span::from_millis(1500);
 /// Lowest relative speed of a cache.
 const MIN_CACHE_SPEED: f64 = 0.9;
 /// Width of the interval from which a cache's relative speed is drawn.
@@ -41,13 +47,13 @@
         offered: true,
         effect,
     };
-    let deduplicated = Effect::Deduplicated { scope: DedupScope::All, window: Span::from_millis(3000) };
+    let deduplicated = Effect::Deduplicated { scope: DedupScope::All, window: DEDUPLICATION_WINDOW };
     Settings {
         origin: Some(ORIGIN_KIND),
         request_classes: vec![request_class(1.0, Effect::Idempotent), request_class(2.0, deduplicated)],
         nodes: scenario.nodes as f64,
         list_on_request: false,
-        max_poll_interval: Span::from_millis(10_000),
+        max_poll_interval: MAX_POLL_INTERVAL,
         only_draining_binds: false,
         cold_from: COLD_START_CAPACITY,
         warm_after: WARM_UP_TIME,
@@ -56,7 +62,7 @@
         max_attempts: MAX_ATTEMPTS,
         hedged_requests: false,
         may_cancel: true,
-        max_retry_after: Span::from_millis(1500),
+        max_retry_after: MAX_RETRY_AFTER,
         value_by_work: true,
         steady_sizes: false,
     }
