--- a/crates/fleet-simulator/src/control_plane/mod.rs
+++ b/crates/fleet-simulator/src/control_plane/mod.rs
@@ -4,8 +4,6 @@
 //! A run is drawn from its seed; two runs of one seed are the same. Messages draw from a generator of their own, so that
 //! the requests of a fleet are the same with planners and without.
 
-#![warn(missing_docs)]
-
 mod faults;
 mod forwarder;
 mod member;
--- a/crates/fleet-simulator/src/counterfactual.rs
+++ b/crates/fleet-simulator/src/counterfactual.rs
@@ -5,8 +5,6 @@
 //! numbers for all of them, and a selection rule of the nodes picks one. The estimators learn of that one alone; the
 //! others give the truth. One request does not move load here, as the estimators have to assume.
 
-#![warn(missing_docs)]
-
 mod config;
 mod generator;
 mod replay;
--- a/crates/fleet-simulator/src/lease_simulation/mod.rs
+++ b/crates/fleet-simulator/src/lease_simulation/mod.rs
@@ -2,8 +2,6 @@
 //! Members are killed, suspended, disconnected and restarted; everything is derived from a seed. An independent auditor
 //! adds up, at every event, what all balancers were permitted to send.
 
-#![warn(missing_docs)]
-
 mod audit;
 mod lifecycle;
 mod network;
--- a/crates/fleet-simulator/src/warmup_simulation/mod.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/mod.rs
@@ -4,8 +4,6 @@
 //! A run and its scenario are drawn from a seed; two runs of one seed are the same. An overloaded cache is counted and
 //! continues to serve, so that one fault can't hide the next.
 
-#![warn(missing_docs)]
-
 mod disturbance;
 mod node;
 mod result;
