--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -107,7 +107,7 @@
 
     fn has_same_decisions(&self, other: &Config) -> bool {
         let (own, other) = (&self.settings, &other.settings);
-        own.decisions == other.decisions
+        own.balancer_settings == other.balancer_settings
             && own.names == other.names
             && own.client_timeouts == other.client_timeouts
     }
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -66,12 +66,12 @@
         let mut transport = Transport::new(limits.connections)?;
         let listener = Listener::open(&mut transport, listen, LISTENER)?;
         let now = transport.now();
-        let DecodedSettings { decisions, names, client_timeouts, .. } = settings;
-        let is_list_pushed = !decisions.list_on_request;
-        let retry_after = decisions.max_retry_after;
-        let recorder = start_agent(&transport, control_plane_agent, &decisions)?;
-        let directory = EndpointDirectory::new(names.clone(), decisions.only_draining_binds);
-        let balancer = Balancer::new(decisions, seed, now);
+        let DecodedSettings { balancer_settings, names, client_timeouts, .. } = settings;
+        let is_list_pushed = !balancer_settings.list_on_request;
+        let retry_after = balancer_settings.max_retry_after;
+        let recorder = start_agent(&transport, control_plane_agent, &balancer_settings)?;
+        let directory = EndpointDirectory::new(names.clone(), balancer_settings.only_draining_binds);
+        let balancer = Balancer::new(balancer_settings, seed, now);
         let mut requests = RequestTable::default();
         requests.set_load_report_header(reloadable.load_header);
         let revision = known.as_ref().map(|list| list.revision);
@@ -171,12 +171,12 @@
 
     /// Uses other settings from now on, and keeps what was learnt.
     fn apply_settings(&mut self, now: Time, settings: DecodedSettings) {
-        let DecodedSettings { decisions, names, client_timeouts, .. } = settings;
+        let DecodedSettings { balancer_settings, names, client_timeouts, .. } = settings;
         log::info!(event = "settings_applied"; "settings applied; requests in progress keep their terms");
         // The timeouts of former request classes, whose requests may still be in progress, are among them.
         self.longest_client_timeout = longest(&client_timeouts);
-        self.downstream.on_settings_update(names.clone(), client_timeouts, decisions.max_retry_after);
-        self.driver.on_settings_update(now, decisions, names);
+        self.downstream.on_settings_update(names.clone(), client_timeouts, balancer_settings.max_retry_after);
+        self.driver.on_settings_update(now, balancer_settings, names);
     }
 
     /// Handles the events and timers of a turn.
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -160,7 +160,7 @@
         let (name, site) = (name(&file), parsed(&text(&file)));
         let decoded =
             decode(settings(&site).to_string().as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"));
-        let decisions = &decoded.decisions;
+        let decisions = &decoded.balancer_settings;
         let classes = site["class"].as_array().expect("classes");
         assert_eq!(decisions.request_classes.len(), classes.len(), "{name}");
         for (n, (class, request_class)) in classes.iter().zip(&decisions.request_classes).enumerate() {
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -45,7 +45,7 @@
         return Err(SettingsError::new("WeightKind", reason));
     }
     Ok(DecodedSettings {
-        decisions: balancer_settings(&params, origin),
+        balancer_settings: balancer_settings(&params, origin),
         client_timeouts: params.request_classes.iter().map(|class| Span(class.client_timeout_us)).collect(),
         connect_timeout: Span(params.bounds.connect_timeout_us),
         keepalive: Span(params.bounds.keepalive_us),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedSettings {
     /// The settings of the balancer.
-    pub decisions: Settings,
+    pub balancer_settings: Settings,
     /// The names behind the ids in the balancer's settings.
     pub names: Names,
     /// The client timeout of each request class, for a request that names none.
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -20,19 +20,19 @@
     pub fn after(&self, running: &DecodedSettings) -> Result<DecodedSettings, SettingsError> {
         self.check_reloadable(running)?;
         let mut merged = DecodedSettings {
-            decisions: Settings {
-                request_classes: running.decisions.request_classes.clone(),
-                ..self.decisions.clone()
+            balancer_settings: Settings {
+                request_classes: running.balancer_settings.request_classes.clone(),
+                ..self.balancer_settings.clone()
             },
             names: Names { request_classes: running.names.request_classes.clone(), ..self.names.clone() },
             client_timeouts: running.client_timeouts.clone(),
             ..self.clone()
         };
         merged.withdraw_all_classes();
-        for index in 0..self.decisions.request_classes.len() {
-            merged.offer_class(self, index, running.decisions.request_classes.len());
+        for index in 0..self.balancer_settings.request_classes.len() {
+            merged.offer_class(self, index, running.balancer_settings.request_classes.len());
         }
-        if merged.decisions.request_classes.len() > MAX_REQUEST_CLASSES {
+        if merged.balancer_settings.request_classes.len() > MAX_REQUEST_CLASSES {
             return Err(SettingsError::new("Products", "too many changed since the start"));
         }
         merged.mark_withdrawn_names();
@@ -41,7 +41,7 @@
 
     /// Checks what can't change while a node runs: the origin, and the positions of names that the endpoint list uses.
     fn check_reloadable(&self, running: &DecodedSettings) -> Result<(), SettingsError> {
-        if running.decisions.origin != self.decisions.origin {
+        if running.balancer_settings.origin != self.balancer_settings.origin {
             return Err(SettingsError::new("Specifics.OriginKind", "the origin is another"));
         }
         check_positions("Shapes", &running.names.kinds, &self.names.kinds)?;
@@ -50,7 +50,7 @@
 
     /// Takes all request classes off offer, and restores the names that they had on offer.
     fn withdraw_all_classes(&mut self) {
-        for class in &mut self.decisions.request_classes {
+        for class in &mut self.balancer_settings.request_classes {
             class.offered = false;
         }
         for name in &mut self.names.request_classes {
@@ -61,24 +61,24 @@
     /// Offers a request class of `new`: as the one of the first `known` classes that has the same terms, else as a new
     /// one.
     fn offer_class(&mut self, new: &DecodedSettings, index: usize, known: usize) {
-        let class = &new.decisions.request_classes[index];
+        let class = &new.balancer_settings.request_classes[index];
         let same = (0..known).find(|&position| {
             self.names.request_classes[position] == new.names.request_classes[index]
                 && self.client_timeouts[position] == new.client_timeouts[index]
-                && has_same_terms(&self.decisions.request_classes[position], class)
+                && has_same_terms(&self.balancer_settings.request_classes[position], class)
         });
         if let Some(position) = same {
-            self.decisions.request_classes[position].offered = true;
+            self.balancer_settings.request_classes[position].offered = true;
             return;
         }
-        self.decisions.request_classes.push(class.clone());
+        self.balancer_settings.request_classes.push(class.clone());
         self.names.request_classes.push(new.names.request_classes[index].clone());
         self.client_timeouts.push(new.client_timeouts[index]);
     }
 
     /// Marks the names of request classes that are not on offer.
     fn mark_withdrawn_names(&mut self) {
-        let classes = &self.decisions.request_classes;
+        let classes = &self.balancer_settings.request_classes;
         for (name, class) in self.names.request_classes.iter_mut().zip(classes) {
             if !class.offered {
                 name.insert(0, NOT_OFFERED);
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -6,7 +6,7 @@
 fn decode_with(rules: &str, specifics: &str) -> Result<Settings, SettingsError> {
     let text =
         format!("{{\"Bounds\":{{}},\"Products\":[],\"Rules\":{{{rules}}},\"Specifics\":{{{specifics}}}}}");
-    decode(text.as_bytes()).map(|decoded| decoded.decisions)
+    decode(text.as_bytes()).map(|decoded| decoded.balancer_settings)
 }
 
 #[test]
@@ -51,7 +51,7 @@
 }
 
 fn offered(settings: &DecodedSettings) -> Vec<bool> {
-    settings.decisions.request_classes.iter().map(|class| class.offered).collect()
+    settings.balancer_settings.request_classes.iter().map(|class| class.offered).collect()
 }
 
 #[test]
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -93,7 +93,7 @@
         let decoded = granitelb_settings::decode(text)
             .map_err(|error| AdapterError::Settings { record: record.position, error })?;
         let seed = record.u64(4);
-        let balancer = Balancer::new(decoded.decisions, seed, now);
+        let balancer = Balancer::new(decoded.balancer_settings, seed, now);
         Ok(Node { balancer, load_columns: decoded.columns, timer: None })
     }
 
