--- a/crates/node/src/cli/config/file.rs
+++ b/crates/node/src/cli/config/file.rs
@@ -69,7 +69,7 @@
     }
 
     fn parse(text: &str) -> Result<Config, SettingsError> {
-        let file: ConfigFile<'_> = granitelb_settings::read(text.as_bytes())?;
+        let file: ConfigFile<'_> = granitelb_settings::parse_json(text.as_bytes())?;
         let settings = decode_settings(file.settings)?;
         validate_load_header(file.load_header.as_deref())?;
         let known_endpoints = match file.known_endpoints {
@@ -106,8 +106,8 @@
 }
 
 fn decode_settings(settings: &RawValue) -> Result<DecodedSettings, SettingsError> {
-    let settings =
-        granitelb_settings::decode(settings.get().as_bytes()).map_err(|fault| fault.under("settings"))?;
+    let settings = granitelb_settings::decode(settings.get().as_bytes())
+        .map_err(|fault| fault.with_key_prefix("settings"))?;
     let classes = &settings.names.request_classes;
     if classes.is_empty() || classes.iter().any(String::is_empty) {
         return Err(fault("settings.Products", "each product needs a name, and there must be one"));
--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -82,11 +82,11 @@
         &mut self,
         running: &Config,
     ) -> Result<Option<Box<DecodedSettings>>, SettingsError> {
-        let merged = match self.settings.after(&running.settings) {
+        let merged = match self.settings.merged_into(&running.settings) {
             Ok(merged) => merged,
             Err(fault) => {
                 self.replace_settings(running.settings.clone());
-                return Err(fault.under("settings"));
+                return Err(fault.with_key_prefix("settings"));
             }
         };
         self.replace_settings(merged.clone());
--- a/crates/node/src/proxy/load_report.rs
+++ b/crates/node/src/proxy/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports that endpoints attach to their responses.
 
 use granitelb_balancer::LoadReport;
-use granitelb_settings::Column;
+use granitelb_settings::LoadColumn;
 
 /// Parses a load report in ORCA's text form, such as `TEXT named_metrics.backlog=3, rps_fractional=20`.
 ///
@@ -13,12 +13,12 @@
     for metric in metrics.split(',') {
         let (name, value) = metric.trim().split_once('=')?;
         let column = match name.strip_prefix("named_metrics.").unwrap_or(name) {
-            "rps_fractional" => Column::PerSecond,
-            name => Column::of_name(name),
+            "rps_fractional" => LoadColumn::ThroughputPerSecond,
+            name => LoadColumn::from_name(name),
         };
         let value = value.trim().parse::<f64>().ok()?;
         values.push((column, value));
     }
-    let report = granitelb_settings::report(values);
+    let report = granitelb_settings::load_report(values);
     (report != LoadReport::default()).then_some(report)
 }
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use crate::error::SettingsError;
-use crate::load_report::Column;
+use crate::load_report::LoadColumn;
 use crate::params::{Params, RequestClassParams, Specifics};
 use crate::{DecodedSettings, Names};
 
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// Names the key at which the text is not what `T` expects, or that the text is no JSON at all.
-pub fn read<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, SettingsError> {
+pub fn parse_json<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let path = error.path().to_string();
@@ -37,7 +37,7 @@
 ///
 /// Names the key that is missing, is of the wrong type, or has a value that can't be served.
 pub fn decode(text: &[u8]) -> Result<DecodedSettings, SettingsError> {
-    let params: Params = read(text)?;
+    let params: Params = parse_json(text)?;
     check_ranges(&params)?;
     let origin = origin(&params.specifics)?;
     if params.weight_kind == "live" {
@@ -49,7 +49,7 @@
         client_timeouts: params.request_classes.iter().map(|class| Span(class.client_timeout_us)).collect(),
         connect_timeout: Span(params.bounds.connect_timeout_us),
         keepalive: Span(params.bounds.keepalive_us),
-        columns: params.load_info.columns.iter().map(|name| Column::of_name(name)).collect(),
+        load_columns: params.load_info.columns.iter().map(|name| LoadColumn::from_name(name)).collect(),
         names: Names {
             request_classes: params.request_classes.into_iter().map(|class| class.name).collect(),
             zones: params.zones,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -18,7 +18,7 @@
     }
 
     /// The same error as one of a text that holds this one under `key`.
-    pub fn under(self, key: &str) -> SettingsError {
+    pub fn with_key_prefix(self, key: &str) -> SettingsError {
         let key = if self.key.is_empty() { key.into() } else { format!("{key}.{}", self.key) };
         SettingsError { key, ..self }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decodes the settings text, for the simulator's adapter and for the node alike.
 //!
 //! [`decode()`] turns a JSON text into [`DecodedSettings`]: the balancer's [`Settings`] and what a host needs beside them.
-//! Keys that are not known are skipped. [`DecodedSettings::after`] merges new settings into those of a running node.
+//! Keys that are not known are skipped. [`DecodedSettings::merged_into`] merges new settings into those of a running node.
 //! Errors name the key that they are at.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
@@ -15,9 +15,9 @@
 use granitelb_balancer::settings::Settings;
 use granitelb_balancer::time::Span;
 
-pub use decode::{decode, read};
+pub use decode::{decode, parse_json};
 pub use error::SettingsError;
-pub use load_report::{Column, report};
+pub use load_report::{LoadColumn, load_report};
 
 /// The settings of the balancer, and those of its host.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,7 +33,7 @@
     /// How long a cache keeps an idle connection.
     pub keepalive: Span,
     /// The meanings of the figures of a load report, in their order.
-    pub columns: Vec<Column>,
+    pub load_columns: Vec<LoadColumn>,
 }
 
 /// Names by the ids that stand for them.
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -17,7 +17,7 @@
     /// # Errors
     ///
     /// Names the key whose change needs a restart of the node.
-    pub fn after(&self, running: &DecodedSettings) -> Result<DecodedSettings, SettingsError> {
+    pub fn merged_into(&self, running: &DecodedSettings) -> Result<DecodedSettings, SettingsError> {
         self.check_reloadable(running)?;
         let mut merged = DecodedSettings {
             balancer_settings: Settings {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -57,10 +57,10 @@
 #[test]
 fn reload_keeps_positions_and_adds_changed_classes_as_new_ones() {
     let running = with_classes(&[("a", 1), ("b", 2)], "");
-    let merged = with_classes(&[("b", 3), ("a", 1)], "").after(&running).expect("reloadable");
+    let merged = with_classes(&[("b", 3), ("a", 1)], "").merged_into(&running).expect("reloadable");
     assert_eq!(merged.names.request_classes, ["a", "\nb", "b"]);
     assert_eq!(offered(&merged), [true, false, true]);
-    let back = with_classes(&[("b", 2)], "").after(&merged).expect("reloadable");
+    let back = with_classes(&[("b", 2)], "").merged_into(&merged).expect("reloadable");
     assert_eq!(back.names.request_classes, ["\na", "b", "\nb"]);
     assert_eq!(offered(&back), [false, true, false]);
     assert_eq!(back.client_timeouts.len(), 3);
@@ -69,19 +69,22 @@
 #[test]
 fn reload_names_the_key_that_needs_a_restart() {
     let running = with_classes(&[("a", 1)], "\"x\",\"y\"");
-    let error = with_classes(&[("a", 1)], "\"y\"").after(&running).expect_err("zones changed places");
+    let error = with_classes(&[("a", 1)], "\"y\"").merged_into(&running).expect_err("zones changed places");
     assert_eq!(error.key, "Zones");
-    assert!(with_classes(&[("a", 1)], "\"x\",\"y\",\"z\"").after(&running).is_ok());
+    assert!(with_classes(&[("a", 1)], "\"x\",\"y\",\"z\"").merged_into(&running).is_ok());
 }
 
 #[test]
 fn reload_has_a_limit_of_request_classes() {
     let mut running = with_classes(&[("a", 0)], "");
     for slo in 1..256 {
-        running = with_classes(&[("a", slo)], "").after(&running).expect("reloadable");
+        running = with_classes(&[("a", slo)], "").merged_into(&running).expect("reloadable");
     }
-    assert_eq!(with_classes(&[("a", 256)], "").after(&running).expect_err("too many").key, "Products");
-    assert!(with_classes(&[("a", 7)], "").after(&running).is_ok(), "a known class takes no new position");
+    assert_eq!(with_classes(&[("a", 256)], "").merged_into(&running).expect_err("too many").key, "Products");
+    assert!(
+        with_classes(&[("a", 7)], "").merged_into(&running).is_ok(),
+        "a known class takes no new position"
+    );
 }
 
 #[test]
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -4,7 +4,7 @@
 
 use granitelb_balancer::time::Time;
 use granitelb_balancer::{Balancer, EndpointUpdate, LocalReply};
-use granitelb_settings::Column;
+use granitelb_settings::LoadColumn;
 
 use crate::error::AdapterError;
 use crate::frame::{Batch, Record, Reply, endpoint_bytes, span_bytes};
@@ -20,7 +20,7 @@
 
 struct Node {
     balancer: Balancer,
-    load_columns: Vec<Column>,
+    load_columns: Vec<LoadColumn>,
     /// When the timer that is set comes due.
     timer: Option<Time>,
 }
@@ -94,7 +94,7 @@
             .map_err(|error| AdapterError::Settings { record: record.position, error })?;
         let seed = record.u64(4);
         let balancer = Balancer::new(decoded.balancer_settings, seed, now);
-        Ok(Node { balancer, load_columns: decoded.columns, timer: None })
+        Ok(Node { balancer, load_columns: decoded.load_columns, timer: None })
     }
 
     fn on_event(
@@ -154,7 +154,7 @@
         let figures = wire::load_figures(record);
         if !figures.is_empty() {
             let columns = self.load_columns.iter().copied();
-            let report = granitelb_settings::report(columns.zip(figures));
+            let report = granitelb_settings::load_report(columns.zip(figures));
             self.balancer.on_load_report(now, result.cache, &report);
         }
         self.balancer.on_attempt_finished(now, wire::request_id(record), &result);
