--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding and checking a settings text.
+//! Decodes and validates settings in their JSON form.
 
 use granitelb_balancer::ids::KindId;
 use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
@@ -10,38 +10,45 @@
 use crate::params::{Params, RequestClassParams, Specifics};
 use crate::{DecodedSettings, Names};
 
-/// Reads a JSON text.
+/// The key that an error names where the text is not JSON.
+const WHOLE_TEXT: &str = "the whole text";
+
+/// Parses a JSON text that contains one value and nothing after it.
 ///
 /// # Errors
 ///
-/// Names the key at which the text is not what `T` expects, or that the text is no JSON at all.
+/// Returns the key whose value `T` does not accept, or an error about the whole text where it is not JSON.
 pub fn parse_json<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let path = error.path().to_string();
         let cause = error.inner();
-        let key = match path.as_str() {
-            "." if cause.is_syntax() || cause.is_eof() => "the whole text",
-            "." => "",
-            path => path,
-        };
-        SettingsError::new(key, cause.to_string())
+        match path.as_str() {
+            "." if cause.is_syntax() || cause.is_eof() => not_json(cause),
+            "." => SettingsError::new("", cause.to_string()),
+            path => SettingsError::new(path, cause.to_string()),
+        }
     })?;
-    json.end().map_err(|error| SettingsError::new("after the text", error.to_string()))?;
+    json.end().map_err(|error| not_json(&error))?;
     Ok(value)
 }
 
-/// Decodes a settings text.
+fn not_json(error: &serde_json::Error) -> SettingsError {
+    SettingsError::new(WHOLE_TEXT, format!("it is not valid JSON: {error}"))
+}
+
+/// Decodes and validates settings in their JSON form.
 ///
 /// # Errors
 ///
-/// Names the key that is missing, is of the wrong type, or has a value that can't be served.
+/// Returns the key that is missing, has a value of the wrong type, or has a value that is not supported.
 pub fn decode(text: &[u8]) -> Result<DecodedSettings, SettingsError> {
     let params: Params = parse_json(text)?;
     check_ranges(&params)?;
-    let origin = origin(&params.specifics)?;
+    let origin = origin_kind(&params.specifics)?;
     if params.weight_kind == "live" {
-        let reason = "sizes that follow the load are not served; load comes with reports";
+        let reason = "\"live\" (sizes that follow the load) is not supported; set fixed sizes, and have the endpoints \
+                      send load reports";
         return Err(SettingsError::new("WeightKind", reason));
     }
     Ok(DecodedSettings {
@@ -81,19 +88,23 @@
     }
 }
 
-/// The kind of the origin; none where caches fetch by themselves.
-fn origin(specifics: &Specifics) -> Result<Option<KindId>, SettingsError> {
+/// The endpoint kind of the origin; `None` in the mode "through", in which caches fetch from the origin
+/// themselves.
+fn origin_kind(specifics: &Specifics) -> Result<Option<KindId>, SettingsError> {
     match specifics.mode.as_str() {
         "through" => Ok(None),
         "aside" => match u16::try_from(specifics.origin_kind) {
             Ok(kind) => Ok(Some(KindId(kind))),
             Err(_) => {
-                let reason = format!("{} is no place in Shapes", specifics.origin_kind);
+                let reason = format!(
+                    "{} is not a position in Shapes; set the position of the origin's kind, counted from 0",
+                    specifics.origin_kind
+                );
                 Err(SettingsError::new("Specifics.OriginKind", reason))
             }
         },
         other => {
-            let reason = format!("{other:?} is neither \"aside\" nor \"through\"");
+            let reason = format!("{other:?} is not a mode; set \"aside\" or \"through\"");
             Err(SettingsError::new("Specifics.Mode", reason))
         }
     }
@@ -113,13 +124,13 @@
         effect: match params.effect.as_str() {
             "read_like" => Effect::Idempotent,
             "idempotency_key" => Effect::Deduplicated { scope, window: Span(params.window_us) },
-            // An effect that is not known to be harmless counts as harmful.
+            // Requests of an unknown effect are not repeated, since a second execution may do harm.
             _ => Effect::NonIdempotent,
         },
     }
 }
 
-/// Checks the figures that must lie within a range.
+/// Checks that shares are from 0 to 1, and that values and multiples are not negative.
 fn check_ranges(params: &Params) -> Result<(), SettingsError> {
     check_share("Rules.ColdFrom", params.rules.cold_from)?;
     check_not_negative("Rules.FallMultiple", params.rules.fall_multiple)?;
@@ -134,12 +145,12 @@
     if (0.0..=1.0).contains(&value) {
         return Ok(());
     }
-    Err(SettingsError::new(key, format!("{value} is not between 0 and 1")))
+    Err(SettingsError::new(key, format!("{value} is out of range; set a number from 0 to 1")))
 }
 
 fn check_not_negative(key: &str, value: f64) -> Result<(), SettingsError> {
     if (0.0..=f64::MAX).contains(&value) {
         return Ok(());
     }
-    Err(SettingsError::new(key, format!("{value} is not 0 or more")))
+    Err(SettingsError::new(key, format!("{value} is out of range; set a number of 0 or more")))
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,14 +1,14 @@
-//! Errors in a settings text.
+//! The error of settings that are not valid.
 
 use std::fmt;
 
-/// What is wrong with a text, and at which key.
+/// Why settings, or a configuration that contains settings, are not valid.
 #[derive(Debug)]
 pub struct SettingsError {
-    /// The path of the key. It is empty where the text as a whole is wrong, such as for lack of a key, which the
-    /// description then names.
+    /// The path of the key that has an error, such as `Rules.ColdFrom`. It is empty for an error of the top
+    /// level, such as a missing key, which the description names.
     pub key: String,
-    /// Describes what is wrong.
+    /// What is wrong with the value of the key, and where possible how to correct it.
     pub description: String,
 }
 
@@ -17,7 +17,7 @@
         SettingsError { key: key.into(), description: description.into() }
     }
 
-    /// The same error as one of a text that holds this one under `key`.
+    /// The same error with its key inside the section `key` of an enclosing configuration.
     pub fn with_key_prefix(self, key: &str) -> SettingsError {
         let key = if self.key.is_empty() { key.into() } else { format!("{key}.{}", self.key) };
         SettingsError { key, ..self }
@@ -26,7 +26,7 @@
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let key = if self.key.is_empty() { "at its top" } else { &self.key };
+        let key = if self.key.is_empty() { "top level" } else { &self.key };
         write!(f, "{key}: {}", self.description)
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decodes the settings text, for the simulator's adapter and for the node alike.
+//! Decodes the JSON settings of a node, for the simulator adapter and for the node program.
 //!
-//! [`decode()`] turns a JSON text into [`DecodedSettings`]: the balancer's [`Settings`] and what a host needs beside them.
-//! Keys that are not known are skipped. [`DecodedSettings::merged_into`] merges new settings into those of a running node.
-//! Errors name the key that they are at.
+//! [`decode()`] turns the JSON text into [`DecodedSettings`]: the balancer's [`Settings`], and the settings
+//! of the program that runs the balancer. Unknown keys are ignored. [`DecodedSettings::merged_into`] merges
+//! new settings into those of a running node. Each error names the key that has to be corrected.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
@@ -19,24 +19,24 @@
 pub use error::SettingsError;
 pub use load_report::{LoadColumn, load_report};
 
-/// The settings of the balancer, and those of its host.
+/// The settings of the balancer, and of the program that runs the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedSettings {
     /// The settings of the balancer.
     pub balancer_settings: Settings,
-    /// The names behind the ids in the balancer's settings.
+    /// The names of the request classes, zones and endpoint kinds that the balancer knows by id.
     pub names: Names,
-    /// The client timeout of each request class, for a request that names none.
+    /// The client timeout by request class, for a request that does not state a timeout.
     pub client_timeouts: Vec<Span>,
-    /// The connect timeout: a connection that is not established by then never will be.
+    /// The connect timeout. A connection that is not established within this time has failed.
     pub connect_timeout: Span,
-    /// How long a cache keeps an idle connection.
+    /// The time for which a cache keeps an idle connection open.
     pub keepalive: Span,
-    /// The meanings of the figures of a load report, in their order.
+    /// The meanings of the numbers in a load report, in the order of the numbers.
     pub load_columns: Vec<LoadColumn>,
 }
 
-/// Names by the ids that stand for them.
+/// Names by id: each list is indexed by the id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// The names of request classes.
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,27 +1,27 @@
-//! Load reports: what their figures mean, by the columns that the settings name.
+//! Load reports: the meaning of their numbers, by the column names in the settings.
 
 use granitelb_balancer::LoadReport;
 use granitelb_balancer::time::Span;
 
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// The meaning of a figure in a load report.
+/// The meaning of a number in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadColumn {
-    /// Requests that the endpoint holds, queued ones included.
+    /// Number of requests at the endpoint, in service or queued.
     Outstanding,
-    /// Requests in its queue.
+    /// Number of requests in the endpoint's queue.
     Queued,
-    /// The recent service time of a request in milliseconds.
+    /// Recent service time of a request, in milliseconds.
     ServiceTimeMs,
-    /// Requests that it serves in a second.
+    /// Requests that the endpoint completes per second.
     ThroughputPerSecond,
-    /// A figure that the balancer does not use.
+    /// A number that the balancer does not use.
     Other,
 }
 
 impl LoadColumn {
-    /// The column of this name in the settings.
+    /// The column that the settings call `name`.
     pub fn from_name(name: &str) -> LoadColumn {
         match name {
             "outstanding" => LoadColumn::Outstanding,
@@ -33,20 +33,20 @@
     }
 }
 
-/// Makes a load report from its figures. Figures that are negative or not finite count as not reported.
-pub fn load_report(figures: impl IntoIterator<Item = (LoadColumn, f64)>) -> LoadReport {
+/// Builds a load report from its numbers. Numbers that are negative or not finite are ignored.
+pub fn load_report(values: impl IntoIterator<Item = (LoadColumn, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
-    for (column, figure) in figures {
-        if !figure.is_finite() || figure < 0.0 {
+    for (column, value) in values {
+        if !value.is_finite() || value < 0.0 {
             continue;
         }
         match column {
-            LoadColumn::Outstanding => report.held = Some(figure),
-            LoadColumn::Queued => report.waiting = Some(figure),
+            LoadColumn::Outstanding => report.held = Some(value),
+            LoadColumn::Queued => report.waiting = Some(value),
             LoadColumn::ServiceTimeMs => {
-                report.service = Some(Span::from_secs_f64(figure / MILLIS_PER_SECOND));
+                report.service = Some(Span::from_secs_f64(value / MILLIS_PER_SECOND));
             }
-            LoadColumn::ThroughputPerSecond => report.per_s = Some(figure),
+            LoadColumn::ThroughputPerSecond => report.per_s = Some(value),
             LoadColumn::Other => {}
         }
     }
--- a/crates/settings/src/params.rs
+++ b/crates/settings/src/params.rs
@@ -1,4 +1,4 @@
-//! The settings text as it is written. The names of the fields are the keys of the text.
+//! The JSON form of the settings. The fields are named after the keys, in `PascalCase` unless renamed.
 
 use serde::Deserialize;
 
@@ -42,7 +42,8 @@
 }
 
 impl Default for Bounds {
-    /// Nothing is allowed that the text does not allow; the timeouts are common ones.
+    /// Forbids what the settings do not allow: retries, hedged requests, cancellations and `Retry-After`. The
+    /// timeouts are common values.
     fn default() -> Bounds {
         Bounds {
             connect_timeout_us: 250_000,
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -1,22 +1,25 @@
-//! Merging new settings into those of a running node.
+//! Merges new settings into those of a running node.
 
 use granitelb_balancer::settings::{RequestClass, Settings};
 
 use crate::error::SettingsError;
 use crate::{DecodedSettings, Names};
 
-/// The most request classes that a node can have since its start.
+/// Largest number of request classes that a node can have from its start on, those no longer offered
+/// included.
 const MAX_REQUEST_CLASSES: usize = 256;
-/// Stands before the name of a request class that clients can't ask for any more; no path contains it.
-const NOT_OFFERED: char = '\n';
+/// Prefix of the names of request classes that are no longer offered. No request path contains a line break,
+/// so that no client can request them.
+const WITHDRAWN_PREFIX: char = '\n';
 
 impl DecodedSettings {
-    /// These settings for a node that runs under `running`. Its request classes keep their positions, also those that
-    /// clients can't ask for any more. A class whose terms differ is a new class.
+    /// Returns these settings for a node that runs with the settings `running`. All request classes of
+    /// `running` keep their positions, including those that are no longer offered. A class whose terms differ
+    /// is added as a new class.
     ///
     /// # Errors
     ///
-    /// Names the key whose change needs a restart of the node.
+    /// Returns the key whose change requires a restart of the node.
     pub fn merged_into(&self, running: &DecodedSettings) -> Result<DecodedSettings, SettingsError> {
         self.check_reloadable(running)?;
         let mut merged = DecodedSettings {
@@ -33,33 +36,42 @@
             merged.offer_class(self, index, running.balancer_settings.request_classes.len());
         }
         if merged.balancer_settings.request_classes.len() > MAX_REQUEST_CLASSES {
-            return Err(SettingsError::new("Products", "too many changed since the start"));
+            return Err(SettingsError::new(
+                "Products",
+                format!(
+                    "more than {MAX_REQUEST_CLASSES} request classes were in use since the start of the node"
+                ),
+            ));
         }
-        merged.mark_withdrawn_names();
+        merged.prefix_withdrawn_names();
         Ok(merged)
     }
 
-    /// Checks what can't change while a node runs: the origin, and the positions of names that the endpoint list uses.
+    /// Checks what cannot change while a node runs: the origin's kind, and the positions of the kinds and
+    /// zones, by which the endpoint list refers to them.
     fn check_reloadable(&self, running: &DecodedSettings) -> Result<(), SettingsError> {
         if running.balancer_settings.origin != self.balancer_settings.origin {
-            return Err(SettingsError::new("Specifics.OriginKind", "the origin is another"));
+            return Err(SettingsError::new(
+                "Specifics.OriginKind",
+                "the origin's kind differs, which cannot change while the node runs",
+            ));
         }
         check_positions("Shapes", &running.names.kinds, &self.names.kinds)?;
         check_positions("Zones", &running.names.zones, &self.names.zones)
     }
 
-    /// Takes all request classes off offer, and restores the names that they had on offer.
+    /// Withdraws all request classes, and restores the names that they had while offered.
     fn withdraw_all_classes(&mut self) {
         for class in &mut self.balancer_settings.request_classes {
             class.offered = false;
         }
         for name in &mut self.names.request_classes {
-            *name = name.trim_start_matches(NOT_OFFERED).into();
+            *name = name.trim_start_matches(WITHDRAWN_PREFIX).into();
         }
     }
 
-    /// Offers a request class of `new`: as the one of the first `known` classes that has the same terms, else as a new
-    /// one.
+    /// Offers the request class at `index` of `new`: as the class with the same name and terms among the
+    /// first `known` classes, else as a new class.
     fn offer_class(&mut self, new: &DecodedSettings, index: usize, known: usize) {
         let class = &new.balancer_settings.request_classes[index];
         let same = (0..known).find(|&position| {
@@ -76,27 +88,30 @@
         self.client_timeouts.push(new.client_timeouts[index]);
     }
 
-    /// Marks the names of request classes that are not on offer.
-    fn mark_withdrawn_names(&mut self) {
+    /// Prefixes the names of the request classes that are not offered, so that no request matches them.
+    fn prefix_withdrawn_names(&mut self) {
         let classes = &self.balancer_settings.request_classes;
         for (name, class) in self.names.request_classes.iter_mut().zip(classes) {
             if !class.offered {
-                name.insert(0, NOT_OFFERED);
+                name.insert(0, WITHDRAWN_PREFIX);
             }
         }
     }
 }
 
-/// Whether a class has the terms of a new one, on offer or not.
+/// Whether a known class, offered or not, has the same terms as a new class.
 fn has_same_terms(known: &RequestClass, new: &RequestClass) -> bool {
     let known = RequestClass { offered: true, ..known.clone() };
     known == *new
 }
 
-/// Checks that names keep their positions: new ones may only follow.
+/// Checks that all names in use keep their positions. New names may only be appended.
 fn check_positions(key: &str, running: &[String], new: &[String]) -> Result<(), SettingsError> {
     if new.starts_with(running) {
         return Ok(());
     }
-    Err(SettingsError::new(key, "names that the list has used would change places"))
+    Err(SettingsError::new(
+        key,
+        "names in use would change their positions; append new names, or restart the node",
+    ))
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -33,7 +33,7 @@
     assert_eq!(origin("\"Mode\":\"beside\"").expect_err("no mode").key, "Specifics.Mode");
 }
 
-/// Settings with request classes of these names and latency objectives in microseconds.
+/// Settings with request classes of these names and latency objectives (in microseconds).
 fn with_classes(classes: &[(&str, u64)], zones: &str) -> DecodedSettings {
     let classes: Vec<String> = classes
         .iter()
@@ -50,6 +50,7 @@
     decode(text.as_bytes()).expect("settings")
 }
 
+/// Whether each request class is offered, by position.
 fn offered(settings: &DecodedSettings) -> Vec<bool> {
     settings.balancer_settings.request_classes.iter().map(|class| class.offered).collect()
 }
@@ -67,15 +68,16 @@
 }
 
 #[test]
-fn reload_names_the_key_that_needs_a_restart() {
+fn reload_reports_the_key_that_requires_a_restart() {
     let running = with_classes(&[("a", 1)], "\"x\",\"y\"");
-    let error = with_classes(&[("a", 1)], "\"y\"").merged_into(&running).expect_err("zones changed places");
+    let error =
+        with_classes(&[("a", 1)], "\"y\"").merged_into(&running).expect_err("zones changed positions");
     assert_eq!(error.key, "Zones");
     assert!(with_classes(&[("a", 1)], "\"x\",\"y\",\"z\"").merged_into(&running).is_ok());
 }
 
 #[test]
-fn reload_has_a_limit_of_request_classes() {
+fn reload_limits_the_number_of_request_classes() {
     let mut running = with_classes(&[("a", 0)], "");
     for slo in 1..256 {
         running = with_classes(&[("a", slo)], "").merged_into(&running).expect("reloadable");
@@ -88,8 +90,11 @@
 }
 
 #[test]
-fn figures_out_of_range_are_named_by_their_key() {
+fn values_out_of_range_are_reported_with_their_key() {
     let key = |rules| decode_with(rules, "\"Mode\":\"through\"").expect_err("out of range").to_string();
-    assert_eq!(key("\"ColdFrom\":1.5"), "Rules.ColdFrom: 1.5 is not between 0 and 1");
-    assert_eq!(key("\"FallMultiple\":-1"), "Rules.FallMultiple: -1 is not 0 or more");
+    assert_eq!(key("\"ColdFrom\":1.5"), "Rules.ColdFrom: 1.5 is out of range; set a number from 0 to 1");
+    assert_eq!(
+        key("\"FallMultiple\":-1"),
+        "Rules.FallMultiple: -1 is out of range; set a number of 0 or more"
+    );
 }
