--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -34,7 +34,7 @@
 }
 
 fn not_json(error: &serde_json::Error) -> SettingsError {
-    SettingsError::new(WHOLE_TEXT, format!("it is not valid JSON: {error}"))
+    SettingsError::new(WHOLE_TEXT, format!("not valid JSON: {error}"))
 }
 
 /// Decodes and validates settings in their JSON form.
@@ -47,8 +47,8 @@
     check_ranges(&params)?;
     let origin = origin_kind(&params.specifics)?;
     if params.weight_kind == "live" {
-        let reason = "\"live\" (sizes that follow the load) is not supported; set fixed sizes, and have the endpoints \
-                      send load reports";
+        let reason = "\"live\" (sizes that follow the load) is not supported; set fixed sizes, \
+                      and have the endpoints send load reports";
         return Err(SettingsError::new("WeightKind", reason));
     }
     Ok(DecodedSettings {
@@ -124,7 +124,7 @@
         effect: match params.effect.as_str() {
             "read_like" => Effect::Idempotent,
             "idempotency_key" => Effect::Deduplicated { scope, window: Span(params.window_us) },
-            // Requests of an unknown effect are not repeated, since a second execution may do harm.
+            // An unknown effect counts as non-idempotent, since a second execution may do harm.
             _ => Effect::NonIdempotent,
         },
     }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,4 +1,6 @@
-//! Frames: a header, records of a fixed size, and a tail for data of variable size. All numbers are big-endian.
+//! Reads and writes frames of the wire protocol. All numbers are big-endian.
+//!
+//! A frame has a length field, a header, records of a fixed size, and a tail for data of variable size.
 
 use std::io::Read;
 use std::ops::Range;
@@ -12,14 +14,15 @@
 const ACTION_BYTES: usize = 24;
 const BATCH_HEADER_BYTES: usize = 12;
 const LENGTH_BYTES: u64 = 4;
-/// Far above any batch of the simulator, and far below what would exhaust a machine's memory.
-const MAX_FRAME_BYTES: usize = 1 << 30;
+/// Largest accepted frame in bytes: far above any batch of the simulator, and far below the memory of a
+/// machine.
+pub const MAX_FRAME_BYTES: usize = 1 << 30;
 
-/// Reads a frame without its length field; `None` where the input ends before it.
+/// Reads the next frame and returns its bytes after the length field, or `None` at the end of the input.
 ///
 /// # Errors
 ///
-/// The input ends inside the frame, the frame is too long, or reading fails.
+/// Returns an error if the input ends inside the frame, the frame is too long, or reading fails.
 pub fn read(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let mut length = Vec::new();
     input.take(LENGTH_BYTES).read_to_end(&mut length)?;
@@ -43,18 +46,18 @@
 
 /// A batch of events.
 pub struct Batch<'a> {
-    /// The time of all events, in microseconds.
+    /// The time at which all events of the batch happened, in microseconds.
     pub clock: u64,
     records: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
-    /// Splits a frame into its parts.
+    /// Splits the bytes of a frame into header, records and tail.
     ///
     /// # Errors
     ///
-    /// The frame is shorter than its header or its records.
+    /// Returns an error if the frame ends inside its header or its records.
     pub fn split(bytes: &'a [u8]) -> Result<Batch<'a>, AdapterError> {
         let Some((header, rest)) = bytes.split_at_checked(BATCH_HEADER_BYTES) else {
             return Err(AdapterError::TruncatedHeader { length: bytes.len() });
@@ -68,21 +71,28 @@
         Ok(Batch { clock: header.u64(4), records, tail })
     }
 
-    /// The events, in their order.
+    /// The event records, in the order of the batch.
     pub fn records(&self) -> impl Iterator<Item = Record<'a>> {
         let chunks = self.records.chunks_exact(EVENT_BYTES);
         chunks.enumerate().map(|(position, bytes)| Record { bytes, position })
     }
 
-    /// The part of the tail that a record refers to, in units of `unit` bytes: its field at `field` is the offset in
-    /// bytes, followed by the number of units.
+    /// The part of the tail that a record refers to.
+    ///
+    /// The record's field at `field_offset` is the offset of the part in the tail, in bytes. The next field
+    /// is the length of the part, in units of `unit` bytes.
     ///
     /// # Errors
     ///
-    /// The tail has no such part.
-    pub fn tail(&self, record: Record<'_>, field: usize, unit: usize) -> Result<&'a [u8], AdapterError> {
-        let offset = record.u32(field) as usize;
-        let count = record.u32(field + 4) as usize;
+    /// Returns an error if the part is not inside the tail.
+    pub fn tail(
+        &self,
+        record: Record<'_>,
+        field_offset: usize,
+        unit: usize,
+    ) -> Result<&'a [u8], AdapterError> {
+        let offset = record.u32(field_offset) as usize;
+        let count = record.u32(field_offset + 4) as usize;
         let part = tail_range(offset, count, unit).and_then(|range| self.tail.get(range));
         part.ok_or(AdapterError::OutsideTail {
             record: record.position,
@@ -99,12 +109,12 @@
     Some(offset..offset.checked_add(size)?)
 }
 
-/// One event or list entry; fields are read by their offsets.
+/// An event or an entry of an endpoint list. Its fields are read by their byte offsets.
 #[derive(Clone, Copy)]
 pub struct Record<'a> {
     /// The encoded fields.
     pub bytes: &'a [u8],
-    /// Its position in the batch.
+    /// The position of the event in the batch.
     pub position: usize,
 }
 
@@ -113,22 +123,22 @@
         self.bytes[offset..offset + N].try_into().expect("the range has N bytes")
     }
 
-    /// The number in the byte at `offset`.
+    /// The unsigned integer in the byte at `offset`.
     pub fn u8(self, offset: usize) -> u8 {
         self.bytes[offset]
     }
 
-    /// The number in the two bytes at `offset`.
+    /// The unsigned integer in the two bytes at `offset`.
     pub fn u16(self, offset: usize) -> u16 {
         u16::from_be_bytes(self.array(offset))
     }
 
-    /// The number in the four bytes at `offset`.
+    /// The unsigned integer in the four bytes at `offset`.
     pub fn u32(self, offset: usize) -> u32 {
         u32::from_be_bytes(self.array(offset))
     }
 
-    /// The number in the eight bytes at `offset`.
+    /// The unsigned integer in the eight bytes at `offset`.
     pub fn u64(self, offset: usize) -> u64 {
         u64::from_be_bytes(self.array(offset))
     }
@@ -138,13 +148,13 @@
         f32::from_be_bytes(self.array(offset))
     }
 
-    /// An endpoint: four bytes of address and two of port.
+    /// The endpoint in the six bytes at `offset`: four bytes of address and two of port.
     pub fn endpoint(self, offset: usize) -> EndpointId {
         EndpointId(u64::from(self.u32(offset)) << 16 | u64::from(self.u16(offset + 4)))
     }
 }
 
-/// The actions of a reply.
+/// A reply to a batch, which is built by appending actions.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -152,7 +162,7 @@
 }
 
 impl Reply {
-    /// Adds an action of a node with these fields, which follow each other.
+    /// Appends an action of a node. `fields` are written one after the other, without gaps.
     pub fn push(&mut self, code: u16, node: u16, fields: &[&[u8]]) {
         let end = self.records.len() + ACTION_BYTES;
         self.records.extend(code.to_be_bytes());
@@ -165,7 +175,7 @@
         self.count += 1;
     }
 
-    /// The frame of the reply, with its length field.
+    /// Encodes the reply as a frame, including the length field.
     pub fn encode(self) -> Vec<u8> {
         let length = (4 + self.records.len()) as u32;
         [&length.to_be_bytes()[..], &self.count.to_be_bytes(), &self.records].concat()
@@ -178,7 +188,8 @@
     bytes
 }
 
-/// A span for a field of 32 bits, which holds a little more than an hour.
+/// Encodes a span in microseconds in 32 bits. Spans longer than the field can hold (71 minutes) are cut to
+/// that.
 pub fn span_bytes(span: Span) -> [u8; 4] {
     u32::try_from(span.0).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! Hosts the balancers of all nodes: decodes each event into a call, then polls and encodes what is decided.
+//! Runs the balancers of all simulated nodes: decodes each event into a call of a balancer, and encodes the
+//! balancers' decisions as actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,27 +11,28 @@
 use crate::frame::{Batch, Record, Reply, endpoint_bytes, span_bytes};
 use crate::wire::{self, EventKind, ListScope, action};
 
-/// The balancers of all nodes, by the nodes' numbers.
+/// The balancers of all simulated nodes.
 #[derive(Default)]
 pub struct Host {
+    /// The running nodes by number.
     nodes: BTreeMap<u16, Node>,
-    /// Endpoint lists by number: the wire sends each once for all nodes.
+    /// Endpoint lists by number. The simulator sends each list once, and nodes refer to it by number.
     lists: BTreeMap<u32, Vec<EndpointUpdate>>,
 }
 
 struct Node {
     balancer: Balancer,
     load_columns: Vec<LoadColumn>,
-    /// When the timer that is set comes due.
+    /// When the timer comes due that the simulator was last asked to set; `None` once it has fired.
     timer: Option<Time>,
 }
 
 impl Host {
-    /// Processes a batch of events and returns the reply to it.
+    /// Processes a batch of events and returns the encoded reply.
     ///
     /// # Errors
     ///
-    /// The batch does not follow the wire format.
+    /// Returns an error if the batch violates the wire format.
     pub fn on_batch(&mut self, bytes: &[u8]) -> Result<Vec<u8>, AdapterError> {
         let batch = Batch::split(bytes)?;
         let now = Time(batch.clock);
@@ -49,7 +51,7 @@
         Ok(reply.encode())
     }
 
-    /// Processes one event, and returns the number of the node that it was for, if that node runs.
+    /// Processes an event, and returns the number of the node that received it, if that node is running.
     fn on_event(
         &mut self,
         batch: &Batch<'_>,
@@ -119,7 +121,8 @@
         Ok(())
     }
 
-    /// A timer is due. One timer counts at a time; all others are outdated.
+    /// Handles a timer that is due. Only the timer set last is in force; earlier ones are outdated and
+    /// ignored.
     fn on_timer(&mut self, due_at: Time) {
         if self.timer == Some(due_at) {
             self.timer = None;
@@ -151,17 +154,17 @@
 
     fn on_attempt_finished(&mut self, record: Record<'_>, now: Time) -> Result<(), AdapterError> {
         let result = wire::attempt_result(record)?;
-        let figures = wire::load_figures(record);
-        if !figures.is_empty() {
+        let values = wire::load_values(record);
+        if !values.is_empty() {
             let columns = self.load_columns.iter().copied();
-            let report = granitelb_settings::load_report(columns.zip(figures));
+            let report = granitelb_settings::load_report(columns.zip(values));
             self.balancer.on_load_report(now, result.cache, &report);
         }
         self.balancer.on_attempt_finished(now, wire::request_id(record), &result);
         Ok(())
     }
 
-    /// Encodes all that the balancer has decided.
+    /// Polls the balancer for all its decisions and appends them to the reply.
     fn poll(&mut self, number: u16, now: Time, reply: &mut Reply) {
         self.poll_cancellations(number, reply);
         while let Some(attempt) = self.balancer.poll_attempt(now) {
@@ -178,7 +181,7 @@
                 LocalReply::Errored => reply.push(action::FAIL_REQUEST, number, &[&id]),
             }
         }
-        // The attempts of requests that have just had their responses.
+        // The responses polled above make the balancer cancel the attempts of their requests.
         self.poll_cancellations(number, reply);
         if self.balancer.poll_watch_request(now) {
             reply.push(action::WATCH_ENDPOINTS, number, &[&[1]]);
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Sets the timer, unless it is set to an earlier time that has not passed.
+    /// Sets the timer to the balancer's next timeout, unless it is already set to an earlier time in the
+    /// future.
     fn set_timer(&mut self, number: u16, now: Time, reply: &mut Reply) {
         let Some(timeout) = self.balancer.poll_timeout(now) else { return };
         let is_needed = self.timer.is_none_or(|timer| timeout < timer || timer <= now);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Joins the balancer to the simulator's wire: batches of events on standard input, one reply to each on standard
-//! output. Nothing is decided here, and the nodes' instances share no state.
+//! Connects the balancer to the simulator's wire protocol: reads batches of events from standard input, and
+//! writes one reply for each batch to standard output. All decisions are the balancer's, and the balancers of
+//! different nodes share no state.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// Replies to batches until the input ends between two of them.
+/// Replies to each batch, until the input ends after a complete batch.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = host::Host::default();
     while let Some(batch) = frame::read(input)? {
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,10 +1,12 @@
 use super::serve;
 
-const EMPTY: [u8; 16] = [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80, 0x5c, 0x5a];
-const REPLY: [u8; 8] = [0, 0, 0, 4, 0, 0, 0, 0];
+/// A batch without events.
+const EMPTY_BATCH: [u8; 16] = [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80, 0x5c, 0x5a];
+/// The reply without actions.
+const EMPTY_REPLY: [u8; 8] = [0, 0, 0, 4, 0, 0, 0, 0];
 
-/// A frame of one record with this code and fields, and this tail.
-fn one_record(code: u16, fields: &[u8], tail: &[u8]) -> Vec<u8> {
+/// A batch of one event record with this code and fields, and with this tail.
+fn batch_of_one(code: u16, fields: &[u8], tail: &[u8]) -> Vec<u8> {
     let mut record = code.to_be_bytes().to_vec();
     record.extend(fields);
     record.resize(48, 0);
@@ -12,6 +14,7 @@
     [&length.to_be_bytes(), &1u32.to_be_bytes(), &7u64.to_be_bytes()[..], &record, tail].concat()
 }
 
+/// The output for this input, or the text of the error that ends the adapter.
 fn reply_to(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
     serve(&mut &input[..], &mut output).map(|()| output).map_err(|e| e.to_string())
@@ -19,18 +22,21 @@
 
 #[test]
 fn empty_batches_and_events_for_unknown_nodes_get_empty_replies() {
-    let unknown_node = one_record(11, &[0, 3], &[]);
-    assert_eq!(reply_to(&[&EMPTY[..], &unknown_node, &EMPTY].concat()), Ok(REPLY.repeat(3)));
+    let unknown_node = batch_of_one(11, &[0, 3], &[]);
+    assert_eq!(
+        reply_to(&[&EMPTY_BATCH[..], &unknown_node, &EMPTY_BATCH].concat()),
+        Ok(EMPTY_REPLY.repeat(3))
+    );
     assert_eq!(reply_to(&[]), Ok(Vec::new()));
 }
 
 #[test]
 fn malformed_input_fails_with_a_one_line_error() {
-    let outside = one_record(7, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9], &[]);
-    let settings = one_record(10, &[0, 3, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2], b"{]");
+    let outside = batch_of_one(7, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9], &[]);
+    let settings = batch_of_one(10, &[0, 3, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2], b"{]");
     for (input, word) in [
-        (&EMPTY[..9], "ends"),
-        (&EMPTY[..2], "ends"),
+        (&EMPTY_BATCH[..9], "ends"),
+        (&EMPTY_BATCH[..2], "ends"),
         (&[0, 0, 0, 3, 1, 2, 3], "header"),
         (&[&[0, 0, 0, 12, 0, 0, 0, 1][..], &[0; 8]].concat(), "records"),
         (&outside, "tail"),
@@ -41,18 +47,19 @@
     }
 }
 
-/// No input makes the decoder panic: every byte of small frames is corrupted in turn, and the frames are truncated.
+/// Guards against a panic on malformed input: each byte of small frames is corrupted in turn, and each frame
+/// is truncated at each length.
 #[test]
 fn corrupted_frames_never_panic() {
-    let frames = (0..=14).map(|code| one_record(code, &[1; 40], &[2; 60]));
-    for mut frame in frames.chain([EMPTY.to_vec()]) {
-        for at in 4..frame.len() {
+    let frames = (0..=14).map(|code| batch_of_one(code, &[1; 40], &[2; 60]));
+    for mut frame in frames.chain([EMPTY_BATCH.to_vec()]) {
+        for position in 4..frame.len() {
             for flipped_bits in [1u8, 0x80, 0xff] {
-                frame[at] ^= flipped_bits;
+                frame[position] ^= flipped_bits;
                 let _ = reply_to(&frame);
-                frame[at] ^= flipped_bits;
+                frame[position] ^= flipped_bits;
             }
-            let _ = reply_to(&frame[..at]);
+            let _ = reply_to(&frame[..position]);
         }
     }
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's codes, and the decoding of records into the balancer's types.
+//! The codes of the wire protocol, and the decoding of records into the balancer's types.
 
 use granitelb_balancer::ids::{AttemptNumber, CellId, Key, KindId, RequestClassId, RequestId, ZoneId};
 use granitelb_balancer::time::{Span, Time};
@@ -7,16 +7,16 @@
 use crate::error::AdapterError;
 use crate::frame::Record;
 
-/// Bytes of one entry of an endpoint list.
+/// Size of an entry of an endpoint list, in bytes.
 pub const LIST_ENTRY_BYTES: usize = 25;
-/// Most figures of a load report.
-const MAX_LOAD_FIGURES: u8 = 4;
-/// Bytes of one figure.
-const LOAD_FIGURE_BYTES: usize = 4;
-/// The flags of a request.
+/// Largest number of values in a load report.
+const MAX_LOAD_VALUES: u8 = 4;
+/// Size of a value of a load report, in bytes.
+const LOAD_VALUE_BYTES: usize = 4;
+/// Bits of the flags of a request.
 const REQUEST_HAS_WORK: u8 = 1;
 const REQUEST_IS_WRITE: u8 = 4;
-/// The states of a list entry; all others mean that the endpoint is gone.
+/// The states of a list entry. All other states mean that the endpoint was removed.
 const STATE_READY: u8 = 1;
 const STATE_DRAINING: u8 = 2;
 
@@ -26,41 +26,41 @@
     pub const SEND_ATTEMPT: u16 = 2;
     /// Set the node's timer.
     pub const SET_TIMER: u16 = 3;
-    /// Answer a request as rate-limited.
+    /// Answer a request with a rate-limited response.
     pub const RATE_LIMIT: u16 = 7;
     /// Answer a request with an error.
     pub const FAIL_REQUEST: u16 = 10;
     /// Cancel an attempt.
     pub const CANCEL_ATTEMPT: u16 = 11;
-    /// Request a watch on the endpoint list.
+    /// Open a watch on the endpoint list.
     pub const WATCH_ENDPOINTS: u16 = 12;
 }
 
-/// What an event record is about.
+/// The kind of an event record.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
     /// A node's timer is due.
     Timer,
-    /// A node receives an endpoint list, or hears that there is none.
+    /// A node receives an endpoint list, or its watch on the list has failed.
     Endpoints,
-    /// A client does not wait for its request any more.
+    /// A client has disconnected before its request was answered.
     ClientDisconnect,
     /// An attempt has ended.
     AttemptFinished,
-    /// An endpoint list, for all nodes that receive it.
+    /// The entries of an endpoint list, to which the events of all nodes refer by number.
     ListDefinition,
-    /// A client's request.
+    /// A request arrives from a client.
     Request,
     /// A node starts.
     NodeStart,
     /// A node stops.
     NodeStop,
-    /// An event that changes nothing.
+    /// An event that the adapter ignores.
     Other,
 }
 
 impl EventKind {
-    /// The kind of an event record.
+    /// Decodes the kind of an event record.
     pub fn of(record: Record<'_>) -> EventKind {
         match record.u16(0) {
             1 => EventKind::Timer,
@@ -76,21 +76,21 @@
     }
 }
 
-/// What a node hears of the endpoint list.
+/// What an event tells a node about the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed entries.
+    /// The changed entries of the list.
     Changes,
-    /// A complete list.
+    /// The complete list.
     Complete,
-    /// The list that the node's former process saw last.
+    /// The list that the node's previous process received last.
     Restored,
-    /// There is no list.
+    /// The watch on the list has failed.
     Failed,
 }
 
 impl ListScope {
-    /// The scope in an event about the endpoint list.
+    /// Decodes the scope of an event about the endpoint list.
     pub fn of(record: Record<'_>) -> ListScope {
         match record.u8(4) {
             1 => ListScope::Complete,
@@ -101,7 +101,7 @@
     }
 }
 
-/// The request that an event is about.
+/// Decodes the request that an event refers to.
 pub fn request_id(record: Record<'_>) -> RequestId {
     RequestId(record.u64(4))
 }
@@ -119,11 +119,11 @@
     }
 }
 
-/// Decodes the end of an attempt.
+/// Decodes the result of an attempt.
 ///
 /// # Errors
 ///
-/// The outcome's code is unknown.
+/// Returns an error if the code of the outcome is unknown.
 pub fn attempt_result(record: Record<'_>) -> Result<AttemptResult, AdapterError> {
     let Some(outcome) = outcome(record.u8(19)) else {
         return Err(AdapterError::UnknownOutcome { record: record.position, outcome: record.u8(19) });
@@ -137,10 +137,10 @@
     })
 }
 
-/// The figures of the load report that came with the end of an attempt; none where there was no report.
-pub fn load_figures(record: Record<'_>) -> Vec<f64> {
-    let count = usize::from(record.u8(26).min(MAX_LOAD_FIGURES));
-    (0..count).map(|n| f64::from(record.f32(27 + LOAD_FIGURE_BYTES * n))).collect()
+/// Decodes the values of the load report that the response to an attempt carried; empty without a report.
+pub fn load_values(record: Record<'_>) -> Vec<f64> {
+    let count = usize::from(record.u8(26).min(MAX_LOAD_VALUES));
+    (0..count).map(|n| f64::from(record.f32(27 + LOAD_VALUE_BYTES * n))).collect()
 }
 
 /// Decodes one entry of an endpoint list.
@@ -155,7 +155,7 @@
         cell: CellId(u32::from(entry.u16(23))),
         ready: state == STATE_READY,
         draining: state == STATE_DRAINING,
-        // Zero stands for a start long ago.
+        // 0 stands for a start long ago.
         started: if started != 0 { Some(Time(started)) } else { None },
     }
 }
