--- a/crates/simulator-adapter/tests/decisions/endpoint.rs
+++ b/crates/simulator-adapter/tests/decisions/endpoint.rs
@@ -1,91 +1,95 @@
-//! Simulated endpoints: caches and the origin, each with workers, a bounded queue and stored keys.
+//! Simulated caches and the simulated origin: each has workers, a bounded queue and a store of keys.
 
 use std::collections::VecDeque;
 
 use crate::random::Random;
-use crate::wire::{ERRORED, Entry, FULL, MISSED, NOT_SENT, RESET, SERVED, UNREACHABLE};
+use crate::wire::{CACHE_MISS, ERRORED, FULFILLED, ListEntry, NOT_SENT, REJECTED, RESET, UNREACHABLE};
 
 pub const MILLISECOND: u64 = 1000;
 pub const SECOND: u64 = 1_000_000;
-/// The way there and back.
+/// Range of the network round-trip time, in microseconds.
 const ROUND_TRIP: (u64, u64) = (MILLISECOND, 4 * MILLISECOND);
-/// More attempts than so many for each worker are turned away.
+/// Attempts per worker at which an endpoint rejects further ones.
 const QUEUE_PER_WORKER: usize = 12;
-/// A cache stores so many keys.
+/// Keys that a cache stores. The key stored first is evicted first.
 const STORED_KEYS: usize = 600;
-/// Saying that a key is missing takes this part of a request's work.
-const MISS_WORK: f64 = 0.2;
+/// Share of a request's work that a cache spends on the response to a cache miss.
+const MISS_WORK_SHARE: f64 = 0.2;
 
-/// What is wrong with an endpoint.
+/// How an endpoint is faulty.
 #[derive(Clone, Copy)]
-pub enum Trouble {
-    /// Takes attempts and never answers.
+pub enum Fault {
+    /// Accepts attempts and never responds.
     Hung,
+    /// Connections cannot be established.
     Unreachable,
-    /// Connections drop while attempts are out.
+    /// Connections are reset while attempts are in progress.
     Resetting,
+    /// Responds with an error.
     Failing,
-    /// Turns everything away.
-    Refusing,
-    /// Attempts never go out to it: their time expired here.
+    /// Rejects all attempts.
+    Rejecting,
+    /// Attempts to the endpoint expire at the node before they are sent.
     NotSent,
-    /// Takes so many times as long.
+    /// Service takes this many times as long.
     Slow(f64),
 }
 
-/// Trouble for a share of the attempts, until a time.
+/// A fault that affects a share of the attempts until a time.
 #[derive(Clone, Copy)]
-pub struct Spell {
-    pub trouble: Trouble,
+pub struct ActiveFault {
+    pub fault: Fault,
     pub share: f64,
     pub until: u64,
 }
 
-/// How an attempt will end, unless it is given up before: `None` where no answer ever comes.
-pub type Fate = Option<(u8, u64)>;
+/// The outcome and the time at which an attempt ends, unless it times out or is cancelled before. `None` if
+/// the endpoint never responds.
+pub type AttemptEnd = Option<(u8, u64)>;
 
-/// What an attempt asks of an endpoint.
-pub struct Task {
-    /// The time that it takes at a warm endpoint of size one.
+/// The work that an attempt causes at an endpoint.
+pub struct ServiceDemand {
+    /// Service time at a warm endpoint of size 1, in microseconds.
     pub work: u64,
-    /// Whether a cache has to answer that it lacks the key.
-    pub missing: bool,
-    /// How long the origin takes for what this cache fetches or forwards itself.
+    /// Whether the cache has to respond with a cache miss.
+    pub cache_miss: bool,
+    /// Time that the cache waits for its own request to the origin, in microseconds.
     pub fetch: u64,
 }
 
 pub struct Endpoint {
-    pub entry: Entry,
-    pub spell: Option<Spell>,
-    /// How long after its start it is slower.
+    pub entry: ListEntry,
+    pub fault: Option<ActiveFault>,
+    /// Time after its start until the endpoint has its full capacity, in microseconds.
     pub warm_after: u64,
-    /// When each worker is free.
+    /// The time at which each worker becomes free.
     workers: Vec<u64>,
-    /// When attempts end that are held or ended within the last second.
-    ends: Vec<u64>,
+    /// The end times of attempts that are in progress or ended within the last second.
+    completions: Vec<u64>,
     stored: VecDeque<u64>,
+    /// Service time of the latest attempt, in microseconds.
     recent_service: u64,
 }
 
 impl Endpoint {
-    pub fn new(entry: Entry, workers: usize, warm_after: u64) -> Endpoint {
+    pub fn new(entry: ListEntry, workers: usize, warm_after: u64) -> Endpoint {
         Endpoint {
             entry,
-            spell: None,
+            fault: None,
             warm_after,
             workers: vec![0; workers],
-            ends: Vec::new(),
+            completions: Vec::new(),
             stored: VecDeque::new(),
             recent_service: 0,
         }
     }
 
-    /// Starts anew: cold, with nothing stored.
+    /// Restarts the endpoint: cold, and with an empty store.
     pub fn restart(&mut self, now: u64) {
         self.entry.started = now;
         self.stored.clear();
         self.workers.fill(now);
-        self.ends.clear();
+        self.completions.clear();
     }
 
     pub fn store(&mut self, key: u64) {
@@ -102,63 +106,66 @@
         self.stored.contains(&key)
     }
 
-    /// Takes an attempt.
-    pub fn take(&mut self, now: u64, task: &Task, random: &mut Random) -> Fate {
+    /// Starts an attempt and returns how and when it ends.
+    pub fn start_attempt(&mut self, now: u64, demand: &ServiceDemand, random: &mut Random) -> AttemptEnd {
         let trip = random.between(ROUND_TRIP.0, ROUND_TRIP.1);
-        let trouble = self.trouble(now, random);
-        self.ends.retain(|end| end + SECOND > now);
-        match trouble {
-            Some(Trouble::Hung) => return None,
-            Some(Trouble::Unreachable) => return Some((UNREACHABLE, now + 20 * trip)),
-            Some(Trouble::NotSent) => return Some((NOT_SENT, now + 1)),
-            Some(Trouble::Refusing) => return Some((FULL, now + trip)),
-            _ if self.held(now) >= self.workers.len() * QUEUE_PER_WORKER => return Some((FULL, now + trip)),
+        let fault = self.draw_fault(now, random);
+        self.completions.retain(|end| end + SECOND > now);
+        match fault {
+            Some(Fault::Hung) => return None,
+            Some(Fault::Unreachable) => return Some((UNREACHABLE, now + 20 * trip)),
+            Some(Fault::NotSent) => return Some((NOT_SENT, now + 1)),
+            Some(Fault::Rejecting) => return Some((REJECTED, now + trip)),
+            _ if self.outstanding(now) >= self.workers.len() * QUEUE_PER_WORKER => {
+                return Some((REJECTED, now + trip));
+            }
             _ => {}
         }
-        let slower = if let Some(Trouble::Slow(times)) = trouble { times } else { 1.0 };
-        let part = if task.missing { MISS_WORK } else { 1.0 };
-        let end = self.occupy(now, task.work as f64 * slower * part, task.fetch);
-        match trouble {
-            Some(Trouble::Resetting) => Some((RESET, now + (end - now) / 2 + trip)),
-            Some(Trouble::Failing) => Some((ERRORED, end + trip)),
-            _ => Some((if task.missing { MISSED } else { SERVED }, end + trip)),
+        let slowdown = if let Some(Fault::Slow(factor)) = fault { factor } else { 1.0 };
+        let work_share = if demand.cache_miss { MISS_WORK_SHARE } else { 1.0 };
+        let end = self.schedule_work(now, demand.work as f64 * slowdown * work_share, demand.fetch);
+        match fault {
+            Some(Fault::Resetting) => Some((RESET, now + (end - now) / 2 + trip)),
+            Some(Fault::Failing) => Some((ERRORED, end + trip)),
+            _ => Some((if demand.cache_miss { CACHE_MISS } else { FULFILLED }, end + trip)),
         }
     }
 
-    /// The load report: attempts held and queued, milliseconds of the last service, answers a second.
+    /// The load report by column: attempts in progress, attempts queued, latest service time in milliseconds,
+    /// and attempts completed in the last second.
     pub fn report(&self, now: u64, columns: &[&str]) -> Vec<f32> {
-        let held = self.held(now);
-        let figure = |column: &&str| match *column {
-            "outstanding" => held as f32,
-            "backlog" => held.saturating_sub(self.workers.len()) as f32,
+        let outstanding = self.outstanding(now);
+        let value = |column: &&str| match *column {
+            "outstanding" => outstanding as f32,
+            "backlog" => outstanding.saturating_sub(self.workers.len()) as f32,
             "recent_ms" => self.recent_service as f32 / MILLISECOND as f32,
-            "throughput" => (self.ends.len() - held) as f32,
+            "throughput" => (self.completions.len() - outstanding) as f32,
             _ => 0.5,
         };
-        columns.iter().map(figure).collect()
+        columns.iter().map(value).collect()
     }
 
-    fn held(&self, now: u64) -> usize {
-        self.ends.iter().filter(|end| **end > now).count()
+    fn outstanding(&self, now: u64) -> usize {
+        self.completions.iter().filter(|end| **end > now).count()
     }
 
-    fn trouble(&mut self, now: u64, random: &mut Random) -> Option<Trouble> {
-        let spell = self.spell.filter(|spell| spell.until > now)?;
-        random.happens(spell.share).then_some(spell.trouble)
+    fn draw_fault(&mut self, now: u64, random: &mut Random) -> Option<Fault> {
+        let active = self.fault.filter(|active| active.until > now)?;
+        random.chance(active.share).then_some(active.fault)
     }
 
-    /// Puts work on the worker that is free first, and returns when it is done.
-    fn occupy(&mut self, now: u64, work: f64, fetch: u64) -> u64 {
-        let service = (work / f64::from(self.entry.size) / self.warmth(now)) as u64 + fetch;
+    /// Assigns work to the worker that becomes free first, and returns the time at which the work is done.
+    fn schedule_work(&mut self, now: u64, work: f64, fetch: u64) -> u64 {
+        let service = (work / f64::from(self.entry.size) / self.warm_share(now)) as u64 + fetch;
         let worker = self.workers.iter_mut().min().expect("an endpoint has workers");
         *worker = (*worker).max(now) + service;
         self.recent_service = service;
-        self.ends.push(*worker);
+        self.completions.push(*worker);
         *worker
     }
 
-    /// The share of its capacity that it has by now.
-    fn warmth(&self, now: u64) -> f64 {
+    /// The share of its full capacity that the endpoint has while it warms up.
+    fn warm_share(&self, now: u64) -> f64 {
         if self.entry.started == 0 || self.warm_after == 0 {
             return 1.0;
         }
--- a/crates/simulator-adapter/tests/decisions/main.rs
+++ b/crates/simulator-adapter/tests/decisions/main.rs
@@ -1,9 +1,9 @@
-//! Shows byte for byte that no decision changes: the adapter's replies to simulated streams are compared
-//! with those that were committed. What happens in a stream follows from the replies, so that equal replies
-//! to the end are equal decisions throughout.
+//! Guards against unintended changes of the balancer's decisions: the adapter's replies to simulated streams
+//! of events are compared byte for byte with recorded ones. The replies determine the rest of a stream, so
+//! that equal replies up to the end mean equal decisions throughout.
 //!
-//! A change that is meant to decide otherwise needs other fixtures: with `DECISIONS_WRITE=1` the test
-//! writes them into a temporary directory, and fails. They are copied by hand to `tests/fixtures`.
+//! A change that intends other decisions needs new fixtures. With `DECISIONS_WRITE=1` the tests write the
+//! fixtures to a temporary directory and fail. Copy the files to `tests/fixtures` by hand.
 
 mod endpoint;
 mod fixture;
@@ -20,7 +20,7 @@
 use simulator::Simulator;
 use streams::Site;
 
-/// The adapter as a process, which ends with this value.
+/// A running adapter process.
 struct Adapter {
     process: Child,
     input: Option<ChildStdin>,
@@ -37,7 +37,7 @@
         Adapter { process, input, output }
     }
 
-    /// Sends a batch, and returns the reply with its length field.
+    /// Sends a batch and returns the reply, including its length field.
     fn reply(&mut self, batch: &[u8]) -> Vec<u8> {
         let input = self.input.as_mut().expect("the input is open");
         input.write_all(batch).expect("the adapter reads");
@@ -48,7 +48,7 @@
         [&length[..], &reply].concat()
     }
 
-    /// Ends the input, and expects the adapter to end well.
+    /// Closes the input, and checks that the adapter exits successfully.
     fn finish(mut self) {
         self.input = None;
         let status = self.process.wait().expect("the adapter ends");
@@ -56,26 +56,26 @@
     }
 }
 
-/// Plays a stream to its end, or to the first reply that differs from the fixture of this name.
-fn play(name: &'static str, site: Site) {
+/// Runs a stream to its end. Panics at the first reply that differs from the fixture called `name`.
+fn run_stream(name: &'static str, site: Site) {
     let (mut simulator, mut adapter) = (Simulator::new(site), Adapter::start());
     let mut recording = Recording::new(name);
     while let Some((clock, batch)) = simulator.next_batch() {
         let reply = adapter.reply(&batch);
         recording.push(clock, &reply);
-        simulator.take_reply(&wire::actions(&reply));
+        simulator.on_reply(&wire::actions(&reply));
     }
     adapter.finish();
     recording.finish();
 }
 
-/// A test for each stream, whose fixture has the same name.
+/// Defines a test for each stream. The fixture of a stream has the same name.
 macro_rules! streams {
     ($($name:ident),* $(,)?) => {
         $(
             #[test]
             fn $name() {
-                play(stringify!($name), streams::$name());
+                run_stream(stringify!($name), streams::$name());
             }
         )*
     };
--- a/crates/simulator-adapter/tests/decisions/random.rs
+++ b/crates/simulator-adapter/tests/decisions/random.rs
@@ -1,8 +1,9 @@
-//! Random numbers that are the same on every machine: integers, and floats made without a math library.
+//! Reproducible random numbers: equal seeds yield equal integers and floats on every machine, since no math
+//! library is used.
 
 /// Multiplier of the xorshift64* generator.
 const MULTIPLIER: u64 = 0x2545_f491_4f6c_dd1d;
-/// Spreads small seeds over all bits.
+/// Multiplier that distributes small seeds over all bits.
 const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A xorshift64* generator.
@@ -30,7 +31,8 @@
         low + self.next() % (high - low)
     }
 
-    pub fn happens(&mut self, share: f64) -> bool {
+    /// Returns `true` with the probability `share`.
+    pub fn chance(&mut self, share: f64) -> bool {
         self.unit() < share
     }
 }
--- a/crates/simulator-adapter/tests/decisions/simulator.rs
+++ b/crates/simulator-adapter/tests/decisions/simulator.rs
@@ -1,74 +1,75 @@
-//! A small closed loop of clients, nodes, caches and an origin. The adapter decides for the nodes; what it
-//! sends, refuses and cancels settles what happens next.
+//! A closed-loop simulation of clients, nodes, caches and an origin. The adapter decides for the nodes: the
+//! attempts that it sends and cancels, and the requests that it rate-limits, determine the events that
+//! follow.
 
 use std::collections::BTreeMap;
 
-use crate::endpoint::{Endpoint, Fate, MILLISECOND, SECOND, Spell, Task};
+use crate::endpoint::{ActiveFault, AttemptEnd, Endpoint, MILLISECOND, SECOND, ServiceDemand};
 use crate::random::Random;
 use crate::streams::{Incident, Site};
 use crate::wire::*;
 
-/// One batch in so long, unless nothing happened.
+/// Interval between batches. Intervals without an event have no batch.
 const BATCH_EVERY: u64 = 10 * MILLISECOND;
 /// The clock at a stream's start.
 pub const START: u64 = 60 * SECOND;
-/// Until the list has reached a node, and so much more for each node's number.
+/// Delay until an endpoint list reaches a node: a fixed part, and a part multiplied by the node's number.
 const LIST_DELAY: u64 = 30 * MILLISECOND;
 const LIST_DELAY_PER_NODE: u64 = 5 * MILLISECOND;
-/// An unanswered client leaves so long after its time-out.
+/// Time between the timeout of an unanswered client and its disconnect.
 const ANSWER_SLACK: u64 = 20 * MILLISECOND;
-/// How long a cancelled attempt takes to end.
+/// Time between the cancellation of an attempt and its end.
 const CANCEL_DELAY: u64 = 5 * MILLISECOND;
-/// What a cache that fetches waits for where the origin never answers.
+/// Longest time that a cache waits for the origin.
 const FETCH_LIMIT: u64 = 400 * MILLISECOND;
-/// Of the refused clients so many come back, and wait so long at least.
-const RETRIES: f64 = 0.5;
-const RETRY_AFTER: u64 = 100 * MILLISECOND;
-/// Arrivals of a batch are drawn one by one, so many times.
+/// Share of the rate-limited clients that retry, and the shortest delay before a retry.
+const RETRY_SHARE: f64 = 0.5;
+const MIN_RETRY_DELAY: u64 = 100 * MILLISECOND;
+/// Number of random draws per batch, each of which can add one request.
 const ARRIVAL_DRAWS: u32 = 16;
-/// The origin takes so many times a cache's work.
+/// Work of a request at the origin, as a multiple of the work at a cache.
 const ORIGIN_WORK: u64 = 4;
-/// The number of the origin's endpoint; caches have those from 1 on.
+/// The endpoint number of the origin. Caches are numbered from 1.
 const ORIGIN: u16 = 0;
 
 struct Attempt {
     endpoint: u16,
     sent: u64,
     ended: bool,
-    /// How it will end, and when.
+    /// How and when the attempt ends.
     outcome: u8,
     due: u64,
 }
 
 struct Request {
     node: u16,
-    /// Which life of the node it belongs to.
-    life: u32,
-    arrival: Arrival,
+    /// The incarnation of the node that received the request.
+    incarnation: u32,
+    client_request: ClientRequest,
     work: u64,
     deadline: u64,
     finished: bool,
     is_retry: bool,
     attempts: Vec<Attempt>,
-    /// The cache that lacked the key.
-    missed_at: Option<u16>,
+    /// The cache that reported a cache miss.
+    cache_missed_at: Option<u16>,
 }
 
 #[derive(Default)]
 struct Node {
     running: bool,
-    life: u32,
+    incarnation: u32,
     watching: bool,
 }
 
-/// What will happen at a time that is already known.
+/// An event that is scheduled for a known time.
 enum Pending {
     AttemptEnds { request: u64, attempt: u8 },
-    Timer { node: u16, life: u32, token: u64 },
-    ClientLeaves { request: u64 },
-    ClientComes { node: u16, arrival: Arrival, is_retry: bool },
-    List { node: u16, life: u32, scope: u8, entries: Vec<Entry> },
-    WatchAnswer { node: u16, life: u32 },
+    Timer { node: u16, incarnation: u32, token: u64 },
+    ClientDisconnects { request: u64 },
+    ClientArrives { node: u16, client_request: ClientRequest, is_retry: bool },
+    List { node: u16, incarnation: u32, scope: u8, entries: Vec<ListEntry> },
+    WatchAnswer { node: u16, incarnation: u32 },
     Incident(Incident),
 }
 
@@ -83,12 +84,14 @@
     /// The origin, then the caches.
     endpoints: Vec<Endpoint>,
     requests: Vec<Request>,
-    crowd: (f64, u64),
-    lists_fail_until: u64,
-    /// How much later answers to watches come, and until when.
-    lists_slow: (u64, u64),
-    /// How many of the first caches the list leaves out.
-    forgotten: usize,
+    /// The factor on the request rate, and the time until which it applies.
+    load_surge: (f64, u64),
+    /// The time until which watches on the endpoint list are refused.
+    watches_refused_until: u64,
+    /// The additional delay of responses to watches, and the time until which it applies.
+    watch_delay: (u64, u64),
+    /// The number of caches, from the first on, that the endpoint list omits.
+    omitted_caches: usize,
 }
 
 impl Simulator {
@@ -102,10 +105,10 @@
             nodes: (0..site.settings.nodes).map(|_| Node::default()).collect(),
             endpoints: (0..=site.caches).map(|number| endpoint(&site, number)).collect(),
             requests: Vec::new(),
-            crowd: (1.0, 0),
-            lists_fail_until: 0,
-            lists_slow: (0, 0),
-            forgotten: 0,
+            load_surge: (1.0, 0),
+            watches_refused_until: 0,
+            watch_delay: (0, 0),
+            omitted_caches: 0,
             site,
         };
         let incidents = std::mem::take(&mut simulator.site.incidents);
@@ -116,7 +119,8 @@
         simulator
     }
 
-    /// The next batch and its clock; `None` when the stream has ended. Its reply has to be taken first.
+    /// The next batch and its time, or `None` at the end of the stream. The reply to the previous batch has
+    /// to be processed before.
     pub fn next_batch(&mut self) -> Option<(u64, Vec<u8>)> {
         while self.batch.is_empty() {
             if self.clock >= START + self.site.seconds * SECOND {
@@ -125,30 +129,30 @@
             self.clock += BATCH_EVERY;
             while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= self.clock) {
                 let pending = entry.remove();
-                self.happen(pending);
+                self.process(pending);
             }
-            self.clients_come();
+            self.generate_requests();
         }
         Some((self.clock, std::mem::take(&mut self.batch).encode(self.clock)))
     }
 
-    /// Carries out what the adapter decided.
-    pub fn take_reply(&mut self, actions: &[Action]) {
+    /// Carries out the actions that the adapter decided.
+    pub fn on_reply(&mut self, actions: &[Action]) {
         for action in actions {
             match action.kind {
-                ActionKind::Send { request, endpoint, give_up_after } => {
-                    self.send(request, endpoint, give_up_after);
+                ActionKind::Send { request, endpoint, timeout } => {
+                    self.send(request, endpoint, timeout);
                 }
                 ActionKind::Timer { due, token } => {
-                    let life = self.nodes[usize::from(action.node)].life;
+                    let incarnation = self.nodes[usize::from(action.node)].incarnation;
                     let due = due.max(self.clock + 1);
-                    self.schedule(due, Pending::Timer { node: action.node, life, token });
+                    self.schedule(due, Pending::Timer { node: action.node, incarnation, token });
                 }
-                ActionKind::Refuse { request, come_back } => self.refuse(request, come_back),
+                ActionKind::RateLimit { request, retry_after } => self.rate_limit(request, retry_after),
                 ActionKind::Fail { request } => self.requests[request as usize].finished = true,
                 ActionKind::Cancel { request, attempt } => self.cancel(request, attempt),
                 ActionKind::Watch => self.watch(action.node),
-                ActionKind::Other { code } => panic!("the simulator knows no action {code}"),
+                ActionKind::Other { code } => panic!("unknown action code {code}"),
             }
         }
     }
@@ -158,116 +162,122 @@
         self.pending.insert((at, self.scheduled), pending);
     }
 
-    fn happen(&mut self, pending: Pending) {
+    fn process(&mut self, pending: Pending) {
         match pending {
             Pending::AttemptEnds { request, attempt } => self.attempt_ends(request, attempt),
-            Pending::Timer { node, life, token } if self.lives(node, life) => self.batch.timer(node, token),
-            Pending::ClientLeaves { request } => self.client_leaves(request),
-            Pending::ClientComes { node, arrival, is_retry } => self.client_comes(node, arrival, is_retry),
-            Pending::List { node, life, scope, entries } if self.lives(node, life) => {
+            Pending::Timer { node, incarnation, token } if self.is_running(node, incarnation) => {
+                self.batch.timer(node, token);
+            }
+            Pending::ClientDisconnects { request } => self.disconnect_client(request),
+            Pending::ClientArrives { node, client_request, is_retry } => {
+                self.accept_request(node, client_request, is_retry);
+            }
+            Pending::List { node, incarnation, scope, entries } if self.is_running(node, incarnation) => {
                 self.batch.list(node, scope, &entries);
             }
-            Pending::WatchAnswer { node, life } if self.lives(node, life) => self.answer_watch(node),
+            Pending::WatchAnswer { node, incarnation } if self.is_running(node, incarnation) => {
+                self.answer_watch(node);
+            }
             Pending::Incident(incident) => self.incident(incident),
             _ => {}
         }
     }
 
-    fn lives(&self, node: u16, life: u32) -> bool {
+    fn is_running(&self, node: u16, incarnation: u32) -> bool {
         let known = &self.nodes[usize::from(node)];
-        known.running && known.life == life
+        known.running && known.incarnation == incarnation
     }
 }
 
-/// Clients.
+/// The clients and their requests.
 impl Simulator {
-    fn clients_come(&mut self) {
-        let crowd = if self.clock < self.crowd.1 { self.crowd.0 } else { 1.0 };
-        let expected = self.site.requests_per_s as f64 * crowd * BATCH_EVERY as f64 / SECOND as f64;
+    fn generate_requests(&mut self) {
+        let load_surge = if self.clock < self.load_surge.1 { self.load_surge.0 } else { 1.0 };
+        let expected = self.site.requests_per_s as f64 * load_surge * BATCH_EVERY as f64 / SECOND as f64;
         for _ in 0..ARRIVAL_DRAWS {
-            if self.random.happens(expected / f64::from(ARRIVAL_DRAWS)) {
-                let (node, arrival) = self.draw_arrival();
-                self.client_comes(node, arrival, false);
+            if self.random.chance(expected / f64::from(ARRIVAL_DRAWS)) {
+                let (node, client_request) = self.draw_arrival();
+                self.accept_request(node, client_request, false);
             }
         }
     }
 
-    /// The keys that are asked for most have low numbers.
-    fn draw_arrival(&mut self) -> (u16, Arrival) {
+    /// Draws the next request and its node. Keys with lower numbers are requested more often.
+    fn draw_arrival(&mut self) -> (u16, ClientRequest) {
         let node = self.random.between(0, u64::from(self.site.settings.nodes)) as u16;
-        let place = self.random.unit();
-        let key = (self.site.keys as f64 * place * place * place) as u64 + 1;
-        let write = self.random.happens(self.site.write_share);
-        let writes = self.site.settings.products.len() as u64 - 1;
-        let product = if write { self.random.between(0, writes) as u16 + 1 } else { 0 };
+        let position = self.random.unit();
+        let key = (self.site.keys as f64 * position * position * position) as u64 + 1;
+        let write = self.random.chance(self.site.write_share);
+        let writes = self.site.settings.request_classes.len() as u64 - 1;
+        let request_class = if write { self.random.between(0, writes) as u16 + 1 } else { 0 };
         let work = self.random.between(self.site.work_us.0, self.site.work_us.1) as u32;
-        let budget = self.site.settings.products[usize::from(product)].client_timeout_us;
-        (node, Arrival { product, key, budget, work: Some(work), write })
+        let budget = self.site.settings.request_classes[usize::from(request_class)].client_timeout_us;
+        (node, ClientRequest { request_class, key, budget, work: Some(work), write })
     }
 
-    fn client_comes(&mut self, node: u16, arrival: Arrival, is_retry: bool) {
+    fn accept_request(&mut self, node: u16, client_request: ClientRequest, is_retry: bool) {
         let state = &self.nodes[usize::from(node)];
         if !state.running {
             return;
         }
         let id = self.requests.len() as u64;
-        let deadline = self.clock + u64::from(arrival.budget);
+        let deadline = self.clock + u64::from(client_request.budget);
         self.requests.push(Request {
             node,
-            life: state.life,
-            arrival,
-            work: u64::from(arrival.work.unwrap_or(0)),
+            incarnation: state.incarnation,
+            client_request,
+            work: u64::from(client_request.work.unwrap_or(0)),
             deadline,
             finished: false,
             is_retry,
             attempts: Vec::new(),
-            missed_at: None,
+            cache_missed_at: None,
         });
-        let told = arrival.work.filter(|_| self.site.tells_work);
-        self.batch.request(node, id, &Arrival { work: told, ..arrival });
-        let leaves = if self.random.happens(self.site.leaving_share) {
-            self.clock + self.random.between(1, u64::from(arrival.budget))
+        let stated_work = client_request.work.filter(|_| self.site.states_work);
+        self.batch.request(node, id, &ClientRequest { work: stated_work, ..client_request });
+        let disconnects_at = if self.random.chance(self.site.disconnect_share) {
+            self.clock + self.random.between(1, u64::from(client_request.budget))
         } else {
             deadline + ANSWER_SLACK
         };
-        self.schedule(leaves, Pending::ClientLeaves { request: id });
+        self.schedule(disconnects_at, Pending::ClientDisconnects { request: id });
     }
 
-    fn client_leaves(&mut self, id: u64) {
+    fn disconnect_client(&mut self, id: u64) {
         let request = &self.requests[id as usize];
         let (node, finished) = (request.node, request.finished);
-        if !finished && self.lives(node, request.life) {
-            self.batch.client_left(node, id);
+        if !finished && self.is_running(node, request.incarnation) {
+            self.batch.client_disconnect(node, id);
         }
         self.requests[id as usize].finished = true;
     }
 
-    fn refuse(&mut self, id: u64, come_back: u64) {
+    fn rate_limit(&mut self, id: u64, retry_after: u64) {
         let request = &mut self.requests[id as usize];
         request.finished = true;
-        let (node, arrival, is_retry) = (request.node, request.arrival, request.is_retry);
-        if !is_retry && self.random.happens(RETRIES) {
-            let arrival = Arrival { budget: arrival.budget / 4 * 3, ..arrival };
-            let at = self.clock + come_back.max(RETRY_AFTER);
-            self.schedule(at, Pending::ClientComes { node, arrival, is_retry: true });
+        let (node, client_request, is_retry) = (request.node, request.client_request, request.is_retry);
+        if !is_retry && self.random.chance(RETRY_SHARE) {
+            let client_request = ClientRequest { budget: client_request.budget / 4 * 3, ..client_request };
+            let at = self.clock + retry_after.max(MIN_RETRY_DELAY);
+            self.schedule(at, Pending::ClientArrives { node, client_request, is_retry: true });
         }
     }
 }
 
-/// Attempts.
+/// Attempts at caches and at the origin.
 impl Simulator {
-    fn send(&mut self, id: u64, endpoint: u16, give_up_after: u64) {
+    fn send(&mut self, id: u64, endpoint: u16, timeout: u64) {
         let request = &self.requests[id as usize];
-        let limit = request.deadline.min(self.clock + give_up_after);
-        let too_many = request.attempts.len() >= usize::from(self.site.settings.most_attempts);
-        let fate = if request.finished || too_many || limit <= self.clock {
+        let limit = request.deadline.min(self.clock + timeout);
+        let too_many = request.attempts.len() >= usize::from(self.site.settings.max_attempts);
+        let end = if request.finished || too_many || limit <= self.clock {
             Some((NOT_SENT, self.clock + 1))
         } else if endpoint == ORIGIN {
-            self.ask_origin(id)
+            self.attempt_at_origin(id)
         } else {
-            self.ask_cache(id, endpoint)
+            self.attempt_at_cache(id, endpoint)
         };
-        let (outcome, due) = fate.filter(|fate| fate.1 < limit).unwrap_or((TIMED_OUT, limit));
+        let (outcome, due) = end.filter(|end| end.1 < limit).unwrap_or((TIMED_OUT, limit));
         let attempt = Attempt { endpoint, sent: self.clock, ended: false, outcome, due };
         let request = &mut self.requests[id as usize];
         let number = request.attempts.len() as u8;
@@ -275,30 +285,38 @@
         self.schedule(due, Pending::AttemptEnds { request: id, attempt: number });
     }
 
-    fn ask_origin(&mut self, id: u64) -> Fate {
-        let task = Task { work: self.requests[id as usize].work * ORIGIN_WORK, missing: false, fetch: 0 };
-        self.endpoints[usize::from(ORIGIN)].take(self.clock, &task, &mut self.random)
+    fn attempt_at_origin(&mut self, id: u64) -> AttemptEnd {
+        let demand = ServiceDemand {
+            work: self.requests[id as usize].work * ORIGIN_WORK,
+            cache_miss: false,
+            fetch: 0,
+        };
+        self.endpoints[usize::from(ORIGIN)].start_attempt(self.clock, &demand, &mut self.random)
     }
 
-    fn ask_cache(&mut self, id: u64, number: u16) -> Fate {
+    fn attempt_at_cache(&mut self, id: u64, number: u16) -> AttemptEnd {
         let request = &self.requests[id as usize];
-        let (work, key, write) = (request.work, request.arrival.key, request.arrival.write);
-        let lacks = write || !self.endpoints[usize::from(number)].has(key);
-        if !self.site.settings.through || !lacks {
-            let task = Task { work, missing: lacks, fetch: 0 };
-            return self.endpoints[usize::from(number)].take(self.clock, &task, &mut self.random);
+        let (work, key, write) = (request.work, request.client_request.key, request.client_request.write);
+        let is_miss = write || !self.endpoints[usize::from(number)].has(key);
+        if !self.site.settings.through || !is_miss {
+            let demand = ServiceDemand { work, cache_miss: is_miss, fetch: 0 };
+            return self.endpoints[usize::from(number)].start_attempt(self.clock, &demand, &mut self.random);
         }
-        let fetched = self.ask_origin(id);
+        let fetched = self.attempt_at_origin(id);
         let fetch = fetched.map_or(FETCH_LIMIT, |(_, end)| (end - self.clock).min(FETCH_LIMIT));
         let cache = &mut self.endpoints[usize::from(number)];
-        let fate = cache.take(self.clock, &Task { work, missing: false, fetch }, &mut self.random)?;
+        let end = cache.start_attempt(
+            self.clock,
+            &ServiceDemand { work, cache_miss: false, fetch },
+            &mut self.random,
+        )?;
         match fetched {
-            Some((SERVED, _)) => {
+            Some((FULFILLED, _)) => {
                 cache.store(key);
-                Some(fate)
+                Some(end)
             }
-            _ if fate.0 == SERVED => Some((ERRORED, fate.1)),
-            _ => Some(fate),
+            _ if end.0 == FULFILLED => Some((ERRORED, end.1)),
+            _ => Some(end),
         }
     }
 
@@ -313,159 +331,162 @@
 
     fn attempt_ends(&mut self, id: u64, number: u8) {
         let request = &mut self.requests[id as usize];
-        let (node, life, key) = (request.node, request.life, request.arrival.key);
+        let (node, incarnation, key) = (request.node, request.incarnation, request.client_request.key);
         let attempt = &mut request.attempts[usize::from(number)];
-        // One that was cancelled has ended before.
+        // A cancelled attempt has two scheduled ends, of which the first counts.
         if attempt.ended {
             return;
         }
         attempt.ended = true;
         let (endpoint, outcome, latency) = (attempt.endpoint, attempt.outcome, attempt.due - attempt.sent);
-        request.finished |= outcome == SERVED;
+        request.finished |= outcome == FULFILLED;
         let finished = request.finished;
         match outcome {
-            MISSED => request.missed_at = Some(endpoint),
-            SERVED if endpoint == ORIGIN && !request.arrival.write => {
-                let cache = request.missed_at;
+            CACHE_MISS => request.cache_missed_at = Some(endpoint),
+            FULFILLED if endpoint == ORIGIN && !request.client_request.write => {
+                let cache = request.cache_missed_at;
                 cache.into_iter().for_each(|c| self.endpoints[usize::from(c)].store(key));
             }
             _ => {}
         }
-        if self.lives(node, life) {
+        if self.is_running(node, incarnation) {
             let answered = !matches!(outcome, TIMED_OUT | CANCELLED | NOT_SENT | UNREACHABLE);
             let columns = if answered { self.site.settings.report_columns } else { &[] };
             let report = self.endpoints[usize::from(endpoint)].report(self.clock, columns);
             let latency = latency as u32;
-            let ending = Ending { attempt: number, endpoint, outcome, latency, finished, report: &report };
-            self.batch.attempt_ended(node, id, &ending);
+            let result =
+                AttemptResult { attempt: number, endpoint, outcome, latency, finished, report: &report };
+            self.batch.attempt_finished(node, id, &result);
         }
     }
 }
 
-/// Nodes, the list and incidents.
+/// Nodes, the endpoint list and incidents.
 impl Simulator {
     fn start_node(&mut self, number: u16) {
         let node = &mut self.nodes[usize::from(number)];
-        node.life += 1;
+        node.incarnation += 1;
         node.running = true;
         node.watching = !self.site.settings.list_on_request;
-        let life = node.life;
+        let incarnation = node.incarnation;
         let text = self.site.settings.text(number, self.site.zones);
-        self.batch.node_starts(number, self.random.next(), &text);
-        // What an earlier life saw: the last cache is not in it yet.
-        let mut remembered = self.full_list();
-        remembered.pop();
-        self.batch.list(number, REMEMBERED_LIST, &remembered);
+        self.batch.node_start(number, self.random.next(), &text);
+        // The list that the previous incarnation received, from before the last cache was added.
+        let mut restored = self.complete_list();
+        restored.pop();
+        self.batch.list(number, RESTORED_LIST, &restored);
         if !self.site.settings.list_on_request {
-            self.send_list(number, life, FULL_LIST, self.full_list());
+            self.send_list(number, incarnation, COMPLETE_LIST, self.complete_list());
         }
     }
 
-    fn full_list(&self) -> Vec<Entry> {
+    fn complete_list(&self) -> Vec<ListEntry> {
         let entries = self.endpoints.iter().map(|endpoint| endpoint.entry);
-        let listed = |entry: &Entry| {
+        let listed = |entry: &ListEntry| {
             let is_origin = entry.number == ORIGIN;
-            let forgotten = !is_origin && usize::from(entry.number) <= self.forgotten;
-            entry.state != GONE && !forgotten && !(is_origin && self.site.settings.through)
+            let is_omitted = !is_origin && usize::from(entry.number) <= self.omitted_caches;
+            entry.state != REMOVED && !is_omitted && !(is_origin && self.site.settings.through)
         };
         entries.filter(listed).collect()
     }
 
-    fn send_list(&mut self, node: u16, life: u32, scope: u8, entries: Vec<Entry>) {
+    fn send_list(&mut self, node: u16, incarnation: u32, scope: u8, entries: Vec<ListEntry>) {
         let at = self.clock + LIST_DELAY + u64::from(node) * LIST_DELAY_PER_NODE;
-        self.schedule(at, Pending::List { node, life, scope, entries });
+        self.schedule(at, Pending::List { node, incarnation, scope, entries });
     }
 
-    fn send_list_to_watching(&mut self, scope: u8, entries: &[Entry]) {
+    fn send_list_to_watchers(&mut self, scope: u8, entries: &[ListEntry]) {
         for node in 0..self.site.settings.nodes {
             let state = &self.nodes[usize::from(node)];
             if state.running && state.watching {
-                self.send_list(node, state.life, scope, entries.to_vec());
+                self.send_list(node, state.incarnation, scope, entries.to_vec());
             }
         }
     }
 
     fn watch(&mut self, node: u16) {
-        let life = self.nodes[usize::from(node)].life;
-        let later = if self.clock < self.lists_slow.1 { self.lists_slow.0 } else { 0 };
-        self.schedule(self.clock + LIST_DELAY + later, Pending::WatchAnswer { node, life });
+        let incarnation = self.nodes[usize::from(node)].incarnation;
+        let extra_delay = if self.clock < self.watch_delay.1 { self.watch_delay.0 } else { 0 };
+        self.schedule(self.clock + LIST_DELAY + extra_delay, Pending::WatchAnswer { node, incarnation });
     }
 
     fn answer_watch(&mut self, node: u16) {
-        let fails = self.clock < self.lists_fail_until;
-        self.nodes[usize::from(node)].watching = !fails;
-        if fails {
-            self.batch.list_fails(node);
+        let is_refused = self.clock < self.watches_refused_until;
+        self.nodes[usize::from(node)].watching = !is_refused;
+        if is_refused {
+            self.batch.watch_failed(node);
         } else {
-            self.batch.list(node, FULL_LIST, &self.full_list());
+            self.batch.list(node, COMPLETE_LIST, &self.complete_list());
         }
     }
 
-    /// An entry changed, and the list tells.
-    fn entry_changes(&mut self, number: u16, state: u8) {
+    /// Changes the state of an entry, and sends the entry to the nodes that watch the list.
+    fn set_entry_state(&mut self, number: u16, state: u8) {
         self.endpoints[usize::from(number)].entry.state = state;
         let entry = self.endpoints[usize::from(number)].entry;
-        self.send_list_to_watching(CHANGES, &[entry]);
+        self.send_list_to_watchers(CHANGES, &[entry]);
     }
 
-    fn spell(&mut self, number: u16, spell: Spell) {
-        self.endpoints[usize::from(number)].spell = Some(spell);
+    fn set_fault(&mut self, number: u16, fault: ActiveFault) {
+        self.endpoints[usize::from(number)].fault = Some(fault);
     }
 
     fn incident(&mut self, incident: Incident) {
         let until = |seconds: f64| self.clock + (seconds * SECOND as f64) as u64;
         match incident {
-            Incident::Drain(number) => self.entry_changes(number, DRAINING),
-            Incident::Remove(number) => self.entry_changes(number, GONE),
+            Incident::Drain(number) => self.set_entry_state(number, DRAINING),
+            Incident::Remove(number) => self.set_entry_state(number, REMOVED),
             Incident::Restart(number) => {
                 self.endpoints[usize::from(number)].restart(self.clock);
-                self.entry_changes(number, READY);
+                self.set_entry_state(number, READY);
             }
-            Incident::Trouble(number, trouble, share, seconds) => {
-                let spell = Spell { trouble, share, until: until(seconds) };
-                self.spell(number, spell);
+            Incident::EndpointFault(number, fault, share, seconds) => {
+                let fault = ActiveFault { fault, share, until: until(seconds) };
+                self.set_fault(number, fault);
             }
-            Incident::ZoneTrouble(zone, trouble, seconds) => {
-                let spell = Spell { trouble, share: 1.0, until: until(seconds) };
+            Incident::ZoneFault(zone, fault, seconds) => {
+                let fault = ActiveFault { fault, share: 1.0, until: until(seconds) };
                 let caches = self.endpoints.iter().skip(1).filter(|e| e.entry.zone == zone);
                 let numbers: Vec<u16> = caches.map(|e| e.entry.number).collect();
-                numbers.into_iter().for_each(|number| self.spell(number, spell));
+                numbers.into_iter().for_each(|number| self.set_fault(number, fault));
             }
-            Incident::Crowd(times, seconds) => self.crowd = (times, until(seconds)),
-            Incident::ListsFail(seconds) => self.lists_fail_until = until(seconds),
-            Incident::ListsSlow(later, seconds) => {
-                self.lists_slow = ((later * SECOND as f64) as u64, until(seconds));
+            Incident::LoadSurge(factor, seconds) => self.load_surge = (factor, until(seconds)),
+            Incident::WatchesRefused(seconds) => self.watches_refused_until = until(seconds),
+            Incident::WatchesDelayed(delay, seconds) => {
+                self.watch_delay = ((delay * SECOND as f64) as u64, until(seconds));
             }
-            Incident::WatchesLost => self.lose_watches(),
-            Incident::ListForgets(caches) => {
-                self.forgotten = caches;
-                self.send_list_to_watching(FULL_LIST, &self.full_list());
+            Incident::WatchesLost => self.close_watches(),
+            Incident::ListOmits(caches) => {
+                self.omitted_caches = caches;
+                self.send_list_to_watchers(COMPLETE_LIST, &self.complete_list());
             }
             Incident::StopNode(node) => {
                 self.nodes[usize::from(node)].running = false;
-                self.batch.node_stops(node);
+                self.batch.node_stop(node);
             }
             Incident::StartNode(node) => self.start_node(node),
             Incident::SettingsChange(settings) => self.site.settings = *settings,
         }
     }
 
-    fn lose_watches(&mut self) {
+    fn close_watches(&mut self) {
         for node in 0..self.site.settings.nodes {
             let state = &mut self.nodes[usize::from(node)];
             if state.running {
                 state.watching = false;
-                self.batch.list_fails(node);
+                self.batch.watch_failed(node);
             }
         }
     }
 }
 
-/// The origin stands in zone 0 by itself; caches are spread over zones, and two by two over cells.
+/// Creates an endpoint. The origin is in zone 0; caches are spread over the zones, and each cell has two of
+/// them.
 fn endpoint(site: &Site, number: u16) -> Endpoint {
     let is_origin = number == ORIGIN;
-    let sizes: &[f32] = if site.settings.sizes == "silent" || is_origin { &[1.0] } else { &[1.0, 1.5, 0.7] };
-    let entry = Entry {
+    let sizes: &[f32] =
+        if site.settings.weight_kind == "silent" || is_origin { &[1.0] } else { &[1.0, 1.5, 0.7] };
+    let entry = ListEntry {
         number,
         kind: u16::from(is_origin),
         size: sizes[usize::from(number) % sizes.len()],
