--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -9,20 +9,20 @@
 /// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines of text for people.
+    /// Lines of plain text for people.
     #[default]
     Text,
-    /// One JSON object a line, whose field names are stable.
+    /// One JSON object per line, with stable field names.
     Json,
 }
 
-/// A word that is not the name of a log format.
+/// The error for a command-line argument that is not the name of a log format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownLogFormat(String);
 
 impl fmt::Display for UnknownLogFormat {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is neither text nor json", self.0)
+        write!(f, "unknown log format {:?}: use text or json", self.0)
     }
 }
 
@@ -31,23 +31,23 @@
 impl FromStr for LogFormat {
     type Err = UnknownLogFormat;
 
-    fn from_str(word: &str) -> Result<LogFormat, UnknownLogFormat> {
-        match word {
+    fn from_str(name: &str) -> Result<LogFormat, UnknownLogFormat> {
+        match name {
             "text" => Ok(LogFormat::Text),
             "json" => Ok(LogFormat::Json),
-            _ => Err(UnknownLogFormat(word.into())),
+            _ => Err(UnknownLogFormat(name.into())),
         }
     }
 }
 
-/// What the program is to do.
+/// A command of the program, with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Serve requests as a node.
     Serve {
-        /// The node's configuration file; the one that the environment names if `None`.
+        /// The node's configuration file. If `None`, the environment variable `ROUTER_CONFIG` names the file.
         config: Option<PathBuf>,
-        /// The fleet configuration, for a node with a control-plane agent.
+        /// The fleet configuration file, for a node with a control-plane agent.
         fleet_config: Option<PathBuf>,
         /// The format of the log.
         log_format: LogFormat,
@@ -61,16 +61,17 @@
     },
     /// Check configuration files and exit.
     Check {
-        /// A node's or a planner's configuration file.
+        /// The configuration file of a node or of a planner. If `None`, and without a fleet configuration,
+        /// the environment variable `ROUTER_CONFIG` names the node's file.
         config: Option<PathBuf>,
-        /// A fleet configuration.
+        /// A fleet configuration file.
         fleet_config: Option<PathBuf>,
     },
     /// Print the version and exit.
     Version,
 }
 
-/// Parses the command line. Exits with a message if it is not valid, or asks for help.
+/// Parses the command line. Prints a message and exits if the command line is not valid or requests help.
 pub fn parse() -> Command {
     let serve = serve();
     let plan = plan();
--- a/crates/node/src/cli/config/file.rs
+++ b/crates/node/src/cli/config/file.rs
@@ -1,7 +1,9 @@
-//! The configuration file: JSON, at the path that the command line or `ROUTER_CONFIG` gives. `ROUTER_NAME`,
-//! `ROUTER_LISTEN` and `ROUTER_DISCOVERY` take the place of keys that the file leaves out.
+//! The configuration file: JSON, at the path that the command line or `ROUTER_CONFIG` gives. The environment
+//! variables `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_DISCOVERY` replace keys that the file omits.
 
 use std::env;
+use std::error::Error;
+use std::fmt;
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,13 +22,14 @@
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 
-/// The limit on file descriptors if the file has none.
+/// The limit on file descriptors if the file does not set one.
 const DEFAULT_MAX_DESCRIPTORS: u64 = 1024;
-/// With fewer, a node could serve no client and reach no endpoint beside the descriptors that it needs for itself.
+/// Smallest number of file descriptors of a node. With fewer, the descriptors that the node needs for itself
+/// would leave none for clients and endpoints.
 const MIN_DESCRIPTORS: u64 = 40;
 const SEED_RADIX: u32 = 16;
 
-/// The file's keys.
+/// The keys of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     name: Option<String>,
@@ -38,8 +41,10 @@
     limits: LimitsSection,
     #[serde(borrow)]
     settings: &'a RawValue,
+    /// The endpoint list that the node uses until discovery answers.
     #[serde(rename = "known")]
     known_endpoints: Option<Value>,
+    /// The name of the response header that carries load reports.
     load_header: Option<Box<str>>,
 }
 
@@ -53,19 +58,23 @@
 }
 
 impl Config {
-    /// Reads the file at `path`, or at the one that `ROUTER_CONFIG` names.
+    /// Loads the configuration file at `path`, or at the path that `ROUTER_CONFIG` contains.
     ///
     /// # Errors
     /// Returns the key that is missing or has a value that is not allowed, or the path that cannot be read.
-    pub fn load(path: Option<&Path>) -> Result<Config, SettingsError> {
+    pub fn load(path: Option<&Path>) -> Result<Config, NodeConfigError> {
         let path = match path {
             Some(path) => path.to_path_buf(),
-            None => variable(CONFIG_VARIABLE)
-                .map(PathBuf::from)
-                .ok_or_else(|| fault(CONFIG_VARIABLE, "neither it nor --config names a file"))?,
+            None => variable(CONFIG_VARIABLE).map(PathBuf::from).ok_or_else(|| {
+                let reason = "no configuration file is named; set the variable, or use --config";
+                NodeConfigError { file: None, error: error_at(CONFIG_VARIABLE, reason) }
+            })?,
         };
-        let text = fs::read_to_string(&path).map_err(|error| fault(path.display().to_string(), error))?;
-        Config::parse(&text)
+        let text = fs::read_to_string(&path).map_err(|error| {
+            let reason = format!("the configuration file cannot be read: {error}");
+            NodeConfigError { file: None, error: error_at(path.display().to_string(), reason) }
+        })?;
+        Config::parse(&text).map_err(|error| NodeConfigError { file: Some(path), error })
     }
 
     fn parse(text: &str) -> Result<Config, SettingsError> {
@@ -73,14 +82,15 @@
         let settings = decode_settings(file.settings)?;
         validate_load_header(file.load_header.as_deref())?;
         let known_endpoints = match file.known_endpoints {
-            Some(list) => Some(EndpointListUpdate::from_value(list).map_err(|error| fault("known", error))?),
+            Some(list) => Some(
+                EndpointListUpdate::from_value(list)
+                    .map_err(|error| error_at("known", format!("not a valid endpoint list: {error}")))?,
+            ),
             None => None,
         };
         let max_descriptors = descriptor_limit(file.limits.max_descriptors)?;
         let seed = match file.seed {
-            Some(digits) => {
-                Some(u64::from_str_radix(&digits, SEED_RADIX).map_err(|error| fault("seed", error))?)
-            }
+            Some(digits) => Some(parse_seed(&digits)?),
             None => None,
         };
         Ok(Config {
@@ -97,8 +107,38 @@
     }
 }
 
-fn fault(key: impl Into<String>, description: impl ToString) -> SettingsError {
-    SettingsError { key: key.into(), description: description.to_string() }
+/// Why the configuration of a node cannot be loaded.
+#[derive(Debug)]
+pub struct NodeConfigError {
+    /// The configuration file that has to be corrected; `None` if there is none, or it cannot be read.
+    file: Option<PathBuf>,
+    error: SettingsError,
+}
+
+impl fmt::Display for NodeConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "configuration, {}", self.error)?;
+        match &self.file {
+            Some(file) => write!(f, " (configuration file: {})", file.display()),
+            None => Ok(()),
+        }
+    }
+}
+
+impl Error for NodeConfigError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        Some(&self.error)
+    }
+}
+
+fn error_at(key: impl Into<String>, description: impl Into<String>) -> SettingsError {
+    SettingsError { key: key.into(), description: description.into() }
+}
+
+fn parse_seed(digits: &str) -> Result<u64, SettingsError> {
+    u64::from_str_radix(digits, SEED_RADIX).map_err(|error| {
+        error_at("seed", format!("{digits:?} is not a hexadecimal number of up to 16 digits: {error}"))
+    })
 }
 
 fn variable(name: &str) -> Option<String> {
@@ -107,36 +147,43 @@
 
 fn decode_settings(settings: &RawValue) -> Result<DecodedSettings, SettingsError> {
     let settings = granitelb_settings::decode(settings.get().as_bytes())
-        .map_err(|fault| fault.with_key_prefix("settings"))?;
+        .map_err(|error| error.with_key_prefix("settings"))?;
     let classes = &settings.names.request_classes;
     if classes.is_empty() || classes.iter().any(String::is_empty) {
-        return Err(fault("settings.Products", "each product needs a name, and there must be one"));
+        return Err(error_at("settings.Products", "at least one product is needed, and each needs a Name"));
     }
     Ok(settings)
 }
 
-/// Checks that the name of the header with load reports is one that HTTP allows.
+/// Checks that the name of the response header that carries load reports consists of letters, digits and
+/// hyphens.
 fn validate_load_header(name: Option<&str>) -> Result<(), SettingsError> {
     let Some(name) = name else { return Ok(()) };
     let is_valid = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
     if !is_valid {
-        return Err(fault("load_header", format!("{name:?} is no name of a header")));
+        return Err(error_at(
+            "load_header",
+            format!("{name:?} is not a valid header name; use letters, digits and hyphens"),
+        ));
     }
     Ok(())
 }
 
-/// The lower of the configured limit and the one that the system enforces.
+/// The limit on file descriptors: the lower of the configured one and the one that the operating system
+/// enforces.
 fn descriptor_limit(configured: Option<u64>) -> Result<u64, SettingsError> {
     let enforced = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let limit = configured.unwrap_or(DEFAULT_MAX_DESCRIPTORS).min(enforced);
     if limit < MIN_DESCRIPTORS {
-        let trouble = format!("{limit} descriptors are too few, {MIN_DESCRIPTORS} are needed");
-        return Err(fault("limits.sockets", trouble));
+        let reason = format!(
+            "the limit of {limit} file descriptors is too low; allow at least {MIN_DESCRIPTORS}, here and with ulimit -n"
+        );
+        return Err(error_at("limits.sockets", reason));
     }
     Ok(limit)
 }
 
-/// An address from the file, or from an environment variable if the file leaves it out.
+/// The address in the file, or in an environment variable if the file omits the key.
 fn address(
     key: &str,
     variable_name: &str,
@@ -146,7 +193,11 @@
         return Ok(address);
     }
     match variable(variable_name) {
-        Some(text) => text.parse().map_err(|error| fault(variable_name, error)),
-        None => Err(fault(key, format!("missing, and {variable_name} is not set"))),
+        Some(text) => text.parse().map_err(|error| {
+            error_at(variable_name, format!("{text:?} is not an IP address with a port: {error}"))
+        }),
+        None => {
+            Err(error_at(key, format!("missing; set the key, or the environment variable {variable_name}")))
+        }
     }
 }
--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -1,8 +1,10 @@
-//! The configuration of a node. [`load`](Config::load) reads, validates and completes it; nothing else in the program
-//! knows the file's form or its defaults.
+//! The configuration of a node.
 //!
-//! A reload changes what a running node can apply: addresses of discovery, limits, and settings that do not contradict
-//! those in force. The rest is reported and takes effect at the next start.
+//! [`Config::load`] reads and validates the file and fills in defaults; the rest of the program depends
+//! neither on the form of the file nor on its defaults.
+//!
+//! A reload applies what a running node can change: the address of discovery, limits, and settings that are
+//! compatible with those in force. Other changes are logged and take effect at the next start.
 
 mod file;
 
@@ -12,32 +14,34 @@
 
 use granitelb_settings::{DecodedSettings, SettingsError};
 
+pub use self::file::NodeConfigError;
 use crate::http::EndpointListUpdate;
 use crate::proxy::{NodeConfig, ReloadableConfig};
 
-/// The name of a node that was given none.
+/// The name of a node whose configuration sets no name.
 pub const DEFAULT_NAME: &str = "node";
 
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-/// A validated configuration.
+/// The validated configuration of a node.
 pub struct Config {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
-    /// Drawn at the start if it is `None`.
+    /// The seed of the balancer's random choices; drawn at the start if `None`.
     seed: Option<u64>,
     max_descriptors: u64,
-    /// The limit on the memory of connections; `None` if there is none.
+    /// The limit on the memory of connections, in MiB; `None` for no limit.
     max_memory_mb: Option<u64>,
     /// The endpoint list that the node uses until discovery answers.
     known_endpoints: Option<EndpointListUpdate>,
+    /// The name of the response header that carries load reports.
     load_header: Option<Box<str>>,
     settings: DecodedSettings,
 }
 
 impl Config {
-    /// What a node is started with.
+    /// The configuration with which a node is started.
     pub fn node_config(&self) -> NodeConfig {
         NodeConfig {
             listen: self.listen,
@@ -59,7 +63,7 @@
         self.listen
     }
 
-    /// What a running node can apply, without its settings.
+    /// The part of the configuration that a running node can apply, without the settings.
     pub fn reloadable(&self) -> ReloadableConfig {
         ReloadableConfig {
             discovery: self.discovery,
@@ -72,31 +76,31 @@
         }
     }
 
-    /// Merges the settings with those of the running node, which this configuration has from then on. Returns them if
-    /// they differ from the running ones.
+    /// Replaces the settings by the result of merging them into those of the running node, and returns the
+    /// merged settings if they differ from the running node's.
     ///
     /// # Errors
-    /// Returns the key that a running node cannot apply. The configuration has the running settings then, except for the
-    /// timeouts of connections.
+    /// Returns the key whose change a running node cannot apply. In that case this configuration gets the
+    /// running node's settings, but keeps its own connect timeout and keep-alive time.
     pub fn merge_settings(
         &mut self,
         running: &Config,
     ) -> Result<Option<Box<DecodedSettings>>, SettingsError> {
         let merged = match self.settings.merged_into(&running.settings) {
             Ok(merged) => merged,
-            Err(fault) => {
+            Err(error) => {
                 self.replace_settings(running.settings.clone());
-                return Err(fault.with_key_prefix("settings"));
+                return Err(error.with_key_prefix("settings"));
             }
         };
         self.replace_settings(merged.clone());
-        if self.has_same_decisions(running) {
+        if self.has_same_settings(running) {
             return Ok(None);
         }
         Ok(Some(Box::new(merged)))
     }
 
-    /// Takes other settings, but keeps this configuration's own timeouts of connections.
+    /// Replaces the settings, except for this configuration's own connect timeout and keep-alive time.
     fn replace_settings(&mut self, settings: DecodedSettings) {
         self.settings = DecodedSettings {
             connect_timeout: self.settings.connect_timeout,
@@ -105,20 +109,21 @@
         };
     }
 
-    fn has_same_decisions(&self, other: &Config) -> bool {
+    fn has_same_settings(&self, other: &Config) -> bool {
         let (own, other) = (&self.settings, &other.settings);
         own.balancer_settings == other.balancer_settings
             && own.names == other.names
             && own.client_timeouts == other.client_timeouts
     }
 
-    /// Takes the settings of a configuration that was applied. All else stays as the node was started.
+    /// Adopts the settings of a configuration that was applied. All other values stay those of the node's
+    /// start.
     pub fn adopt_settings(&mut self, applied: Config) {
         self.settings = applied.settings;
     }
 
-    /// The keys that differ from the running node's and take effect at the next start only: clients are connecting to
-    /// the address that it listens on, and what it has learned depends on its seed.
+    /// The changed keys that take effect at the next start only: clients connect to the listen address of the
+    /// running node, and what the node has learned depends on its seed.
     pub fn keys_requiring_restart(&self, running: &Config) -> Vec<&'static str> {
         let mut keys = Vec::new();
         if self.listen != running.listen {
@@ -131,7 +136,8 @@
     }
 }
 
-/// A seed that differs between nodes on one machine, by process number, and between their starts.
+/// Returns a seed that differs between the nodes on a machine (by process id) and between the starts of a
+/// node (by time).
 fn random_seed() -> u64 {
     let start = UNIX_EPOCH.elapsed().unwrap_or_default().as_nanos() as u64;
     let process = u64::from(std::process::id());
@@ -143,7 +149,7 @@
         let known = self.known_endpoints.as_ref().map_or(0, |list| list.entries.len());
         write!(
             f,
-            "{} listens on {}, discovery is at {}, {known} endpoints are known, at most {} file descriptors, serves {}",
+            "{}: listens on {}, discovery at {}, {known} known endpoints, at most {} file descriptors, serves {}",
             self.name,
             self.listen,
             self.discovery,
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet configuration of a serving node, which its control-plane agent uses. It is read at the start, and again on
-//! SIGHUP.
+//! The fleet configuration of a serving node, which the node's control-plane agent uses. The file is read at
+//! the start, and again on SIGHUP.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::{Path, PathBuf};
@@ -10,36 +10,37 @@
 use super::config::{Config, DEFAULT_NAME};
 use super::error::CommandError;
 
-/// Reads the fleet configuration again for a running agent.
+/// Reloads the fleet configuration of a running control-plane agent.
 pub struct FleetConfigReloader {
     path: PathBuf,
     handle: ConfigReloadHandle,
 }
 
-/// A control-plane agent that was not started, and what reloads its configuration.
+/// A control-plane agent before its start, and the reloader of its fleet configuration.
 pub struct PreparedAgent {
-    /// The agent.
+    /// The control-plane agent.
     pub agent: Agent,
-    /// Its reloader.
+    /// The reloader of the agent's fleet configuration.
     pub reloader: FleetConfigReloader,
 }
 
-/// Prepares the agent of a node.
+/// Creates the control-plane agent of a node from the fleet configuration at `path`, without starting the
+/// agent.
 ///
 /// # Errors
-/// Returns why the fleet configuration is not valid.
+/// Returns an error if the fleet configuration cannot be read or is not valid.
 pub fn prepare_agent(path: PathBuf, config: &Config) -> Result<PreparedAgent, CommandError> {
     let fleet_config = load(&path)?;
     if config.name() == DEFAULT_NAME {
-        // Planners identify forwarders by name: two with the same name would replace each other.
-        log::warn!(event = "node_name_missing"; "no name is given: give each node of a fleet its own, by name or ROUTER_NAME");
+        // Planners identify forwarders by name: two forwarders with the same name would replace each other.
+        log::warn!(event = "node_name_missing"; "the node has the default name, and planners identify nodes by name: set a unique name with the key name or with ROUTER_NAME");
     }
     let agent = Agent::new(fleet_config, config.name(), agent_address(config));
     let reloader = FleetConfigReloader { path, handle: agent.reload_handle() };
     Ok(PreparedAgent { agent, reloader })
 }
 
-/// The agent uses the address that clients connect to.
+/// The address of the agent: the one that clients connect to, or any address if that is an IPv6 address.
 fn agent_address(config: &Config) -> Ipv4Addr {
     match config.listen().ip() {
         IpAddr::V4(address) => address,
@@ -52,12 +53,13 @@
 }
 
 impl FleetConfigReloader {
-    /// Reads the file again. A file that is not valid is logged and changes nothing.
+    /// Reloads the fleet configuration. If the file is not valid, the error is logged and the previous
+    /// configuration stays in force.
     pub fn reload(&self) {
         match load(&self.path) {
             Ok(fleet_config) => self.handle.reload(fleet_config),
             Err(error) => {
-                log::error!(event = "fleet_config_refused"; "{error} The former configuration stays in force.");
+                log::error!(event = "fleet_config_refused"; "{error} The previous fleet configuration stays in force.");
             }
         }
     }
--- a/crates/node/src/cli/log_format.rs
+++ b/crates/node/src/cli/log_format.rs
@@ -1,4 +1,4 @@
-//! The output of the log: lines of text for people, or one JSON object a line for programs.
+//! The output of the log: lines of plain text for people, or one JSON object per line for programs.
 
 use std::io::{self, Write};
 
@@ -12,7 +12,7 @@
 
 const DEFAULT_FILTER: &str = "info";
 
-/// Starts the log. The environment variable `RUST_LOG` filters it.
+/// Starts logging to standard error. The environment variable `RUST_LOG` sets the filter.
 pub fn start(format: LogFormat) {
     let mut builder = Builder::from_env(Env::default().default_filter_or(DEFAULT_FILTER));
     if format == LogFormat::Json {
@@ -21,19 +21,20 @@
     builder.init();
 }
 
-/// Writes a record as a JSON object: `time` in milliseconds, `level`, `part`, `message`, and the record's own fields.
+/// Writes a record as a JSON object with `time` (RFC 3339, in milliseconds), `level`, `part`, `message` and the
+/// record's own fields.
 fn write_json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let mut fields = JsonFields(Map::new());
     fields.insert("time", out.timestamp_millis().to_string().into());
     fields.insert("level", record.level().as_str().to_lowercase().into());
     fields.insert("part", record.target().into());
     fields.insert("message", record.args().to_string().into());
-    // Visiting fails only if a visitor does, and this one never does.
+    // Visiting fails only if the visitor returns an error, which `JsonFields` never does.
     let _ = record.key_values().visit(&mut fields);
     writeln!(out, "{}", serde_json::Value::Object(fields.0))
 }
 
-/// The fields of one record by name.
+/// The fields of a log record by name.
 struct JsonFields(Map<String, serde_json::Value>);
 
 impl JsonFields {
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, its configuration, its log and its signals.
+//! The command-line program: arguments, configuration, logging and signals.
 
 mod arguments;
 mod config;
@@ -20,10 +20,10 @@
 use self::signals::SignalHandler;
 use crate::proxy::{Node, NodeConfig};
 
-/// The extension that tells a planner's configuration file (TOML) from a node's (JSON).
+/// The file name extension that distinguishes a planner's configuration file (TOML) from a node's (JSON).
 const PLANNER_CONFIG_EXTENSION: &str = "toml";
 
-/// Runs the command that the command line gives, and prints an error if it fails.
+/// Runs the command given by the command line. Prints the error if the command fails.
 pub fn run() -> ExitCode {
     match execute(arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -55,7 +55,7 @@
     planner::run(path).map_err(CommandError::Planner)
 }
 
-/// Checks the files that are given; the node's configuration that the environment names if none is.
+/// Checks the given files, or, if none is given, the node's configuration that `ROUTER_CONFIG` names.
 fn check(config: Option<PathBuf>, fleet_config: Option<PathBuf>) -> Result<(), CommandError> {
     if let Some(path) = &fleet_config {
         println!("{}", FleetConfig::load(path).map_err(CommandError::CheckedFile)?);
@@ -88,12 +88,13 @@
         }
         None => (None, None),
     };
-    // Before anything is served, since a signal without a handler ends the process.
+    // Signal handlers are installed before the node serves, since a signal without a handler ends the
+    // process.
     let signals = SignalHandler::install(config_path, config, reloader)?;
-    log::info!(event = "starting"; "{}", signals.config());
+    log::info!(event = "starting"; "starting {}", signals.config());
     let node = Node::open(NodeConfig { control_plane_agent: agent, ..signals.config().node_config() })?;
-    log::info!(event = "ready"; "ready");
+    log::info!(event = "ready"; "the node is ready to accept connections");
     node.serve(signals)?;
-    log::info!(event = "stopped"; "stopped");
+    log::info!(event = "stopped"; "the node has stopped");
     Ok(())
 }
--- a/crates/node/src/cli/signals.rs
+++ b/crates/node/src/cli/signals.rs
@@ -15,21 +15,22 @@
 use super::load_config;
 use crate::proxy::{CommandSource, NodeCommand, ReloadableConfig};
 
-/// Receives signals and turns them into orders for the node. Its descriptor is readable while signals are pending.
+/// Receives signals and converts them into commands for the node. Its file descriptor is readable while
+/// signals are pending.
 pub struct SignalHandler {
     signals: SignalDelivery<UnixStream, SignalOnly>,
     config_path: Option<PathBuf>,
-    /// What the node was started with, with the settings in force.
+    /// The configuration with which the node was started, with the settings that are in force.
     running: Config,
-    /// `None` without a control-plane agent.
+    /// The reloader of the fleet configuration; `None` without a control-plane agent.
     fleet_config: Option<FleetConfigReloader>,
 }
 
 impl SignalHandler {
-    /// Starts to receive signals, which from then on no longer end the process by themselves.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP, which then no longer end the process.
     ///
     /// # Errors
-    /// Returns the system's error if the signals cannot be received.
+    /// Returns the operating system's error if the handlers cannot be installed.
     pub fn install(
         config_path: Option<PathBuf>,
         running: Config,
@@ -40,12 +41,13 @@
         Ok(SignalHandler { signals, config_path, running, fleet_config })
     }
 
-    /// The configuration in force.
+    /// The configuration that is in force.
     pub fn config(&self) -> &Config {
         &self.running
     }
 
-    /// Reads all configuration files again. A file that is not valid is logged and changes nothing.
+    /// Reloads all configuration files. If a file is not valid, the error is logged and the previous
+    /// configuration stays in force.
     fn reload(&mut self) -> Option<NodeCommand> {
         if let Some(fleet_config) = &self.fleet_config {
             fleet_config.reload();
@@ -53,17 +55,18 @@
         match load_config(self.config_path.as_deref()) {
             Ok(config) => Some(NodeCommand::Reload(self.apply(config))),
             Err(error) => {
-                log::error!(event = "reload_refused"; "{error}; the former configuration stays in force");
+                log::error!(event = "reload_refused"; "{error}; the previous configuration stays in force");
                 None
             }
         }
     }
 
-    /// Takes over what a running node can apply, and logs what it cannot.
+    /// Returns the part of a configuration that a running node can apply, and logs the keys that require a
+    /// restart.
     fn apply(&mut self, mut config: Config) -> ReloadableConfig {
         log::info!(event = "reloaded"; "configuration reloaded: {config}");
         for key in config.keys_requiring_restart(&self.running) {
-            log::warn!(event = "reload_requires_restart", key = key; "configuration, {key}: it differs, and takes effect at the next start only");
+            log::warn!(event = "reload_requires_restart", key = key; "configuration, {key}: the value has changed; restart the node to apply it");
         }
         let settings = self.merge_settings(&mut config);
         let reloadable = ReloadableConfig { settings, ..config.reloadable() };
@@ -74,8 +77,8 @@
     fn merge_settings(&self, config: &mut Config) -> Option<Box<DecodedSettings>> {
         match config.merge_settings(&self.running) {
             Ok(settings) => settings,
-            Err(fault) => {
-                log::warn!(event = "settings_refused"; "configuration, {fault}: the settings take effect at the next start only");
+            Err(error) => {
+                log::warn!(event = "settings_refused"; "configuration, {error}; the previous settings stay in force, restart the node to apply the new ones");
                 None
             }
         }
@@ -91,14 +94,14 @@
 impl CommandSource for SignalHandler {
     fn poll_commands(&mut self) -> Vec<NodeCommand> {
         let pending: Vec<_> = self.signals.pending().collect();
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for signal in pending {
             if signal == SIGHUP {
-                orders.extend(self.reload());
+                commands.extend(self.reload());
             } else {
-                orders.push(NodeCommand::Shutdown);
+                commands.push(NodeCommand::Shutdown);
             }
         }
-        orders
+        commands
     }
 }
