--- a/crates/node/src/http/endpoint_list.rs
+++ b/crates/node/src/http/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! Discovery's endpoint lists in their JSON form.
+//! Parses discovery's endpoint lists from JSON.
 //!
-//! This is the one place that maps the keys of that form to the names used in the code.
+//! Only this module maps the JSON keys to the names that the code uses.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,43 +8,43 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Which work an endpoint accepts.
+/// The state of an endpoint, which determines the requests that it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The endpoint accepts requests.
     #[serde(rename = "active")]
     Active,
-    /// It finishes the requests that it has and accepts no new ones.
+    /// The endpoint finishes its current requests and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// It is gone.
+    /// The endpoint no longer exists.
     #[serde(rename = "left")]
     Removed,
 }
 
-/// One endpoint of a list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointEntry {
-    /// The endpoint's identity, which no other endpoint takes over.
+    /// The endpoint's unique identifier, which is never reused for another endpoint.
     pub uid: String,
-    /// The address that it listens on.
+    /// The address on which the endpoint listens.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
-    /// Its availability zone; empty where none is given.
+    /// The availability zone of the endpoint; empty if the list states none.
     #[serde(default, rename = "az")]
     pub zone: String,
-    /// The name of its kind: a kind of cache server, or the origin.
+    /// The name of the endpoint's kind: a kind of cache server, or the origin.
     #[serde(default, rename = "model")]
     pub kind: String,
-    /// The group of endpoints within which repeated writes are recognized.
+    /// The group of endpoints within which repeated writes are deduplicated.
     #[serde(default, rename = "pod_group")]
     pub cell: Option<u16>,
-    /// Which work it accepts.
+    /// The state of the endpoint.
     pub state: EndpointState,
-    /// Its relative capacity.
+    /// The capacity of the endpoint relative to the others, without a unit.
     #[serde(default = "default_size", rename = "capacity_hint")]
     pub size: f64,
-    /// When it started, as Unix time in milliseconds; 0 for a start long ago.
+    /// The start time of the endpoint, as Unix time in milliseconds; 0 for a start long ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
@@ -53,19 +53,19 @@
     1.0
 }
 
-/// An entry of a list that was skipped because it is invalid.
+/// An invalid entry of the endpoint list, which was skipped.
 #[derive(Clone, Debug)]
 pub enum SkippedEntry {
-    /// Its capacity is not a finite number.
+    /// The capacity is not a finite number.
     NonFiniteSize {
-        /// The entry's identity.
+        /// The identifier of the endpoint.
         uid: String,
     },
-    /// It lacks a key, or a value has the wrong type.
+    /// A key is missing, or a value has the wrong type.
     Malformed {
-        /// The entry's JSON.
+        /// The entry in JSON.
         entry: Value,
-        /// What is wrong with it.
+        /// The reason why the entry is invalid.
         reason: String,
     },
 }
@@ -73,22 +73,22 @@
 impl fmt::Display for SkippedEntry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SkippedEntry::NonFiniteSize { uid } => write!(f, "{uid}: its capacity_hint is not finite"),
+            SkippedEntry::NonFiniteSize { uid } => write!(f, "{uid}: capacity_hint is not a finite number"),
             SkippedEntry::Malformed { entry, reason } => write!(f, "{entry}: {reason}"),
         }
     }
 }
 
-/// The complete endpoint list, or the changes since an earlier revision.
+/// A complete endpoint list, or the changes since an earlier revision.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointListUpdate {
-    /// The list's revision after this update; 0 where none is given.
+    /// The revision of the list after this update; 0 if the update states none.
     pub revision: u64,
-    /// Whether `entries` are all endpoints rather than those that changed.
+    /// Whether `entries` contains all endpoints. Otherwise it contains the changed ones.
     pub complete: bool,
-    /// The endpoints.
+    /// The valid entries.
     pub entries: Vec<EndpointEntry>,
-    /// The entries that were skipped because they are invalid.
+    /// The invalid entries, which were skipped.
     pub skipped: Vec<SkippedEntry>,
 }
 
@@ -103,20 +103,20 @@
 }
 
 impl EndpointListUpdate {
-    /// Parses a list from JSON text. An invalid entry is skipped and reported in `skipped`.
+    /// Parses a list from JSON text. Invalid entries are skipped and returned in `skipped`.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not JSON of a list's form.
+    /// Returns an error if the text is not JSON in the form of an endpoint list.
     pub fn parse(text: &[u8]) -> Result<EndpointListUpdate, serde_json::Error> {
         serde_json::from_slice(text).map(EndpointListUpdate::from_raw)
     }
 
-    /// Parses a list from a JSON value. An invalid entry is skipped and reported in `skipped`.
+    /// Parses a list from a JSON value. Invalid entries are skipped and returned in `skipped`.
     ///
     /// # Errors
     ///
-    /// Fails where the value does not have a list's form.
+    /// Returns an error if the value does not have the form of an endpoint list.
     pub fn from_value(value: Value) -> Result<EndpointListUpdate, serde_json::Error> {
         serde_json::from_value(value).map(EndpointListUpdate::from_raw)
     }
--- a/crates/node/src/http/message.rs
+++ b/crates/node/src/http/message.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// Headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1), or that the node writes
-/// itself.
+/// Headers that are not forwarded, because they apply to a single connection (RFC 9110, 7.6.1) or the node
+/// writes its own value.
 const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -26,7 +26,7 @@
     Response,
 }
 
-/// A start line and the headers after it.
+/// The head of a message: the start line and the headers.
 #[derive(Clone, Debug, Default)]
 pub struct MessageHead {
     /// The method of a request; empty for a response.
@@ -35,24 +35,26 @@
     pub target: String,
     /// The status code of a response; 0 for a request.
     pub status: u16,
-    /// Whether the sender keeps the connection open after this message.
+    /// Whether the sender allows further messages on the connection after this one.
     pub keep_alive: bool,
-    /// The headers in their order.
+    /// The headers in the order of the message.
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
 impl MessageHead {
-    /// The first value of a header, where it is UTF-8 text. Names match regardless of case.
+    /// The first value of a header, if the header is present and the value is UTF-8 text. Header names are
+    /// case-insensitive.
     pub fn text(&self, name: &str) -> Option<&str> {
         let (_, value) = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(value).ok()
     }
 
-    /// The value of a header that may occur once at most.
+    /// The value of a header that may occur at most once.
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] where it occurs twice or is not text: each hop would read another value.
+    /// Returns [`ParseError::Malformed`] if the header occurs more than once or its value is not UTF-8 text,
+    /// since different hops could read different values.
     pub fn single_value(&self, name: &str) -> Result<Option<&str>, ParseError> {
         match self.values(name).count() {
             0 => Ok(None),
@@ -61,12 +63,12 @@
         }
     }
 
-    /// All values of a header, in their order.
+    /// All values of a header, in the order of the message.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| &v[..])
     }
 
-    /// Whether a header whose value is a comma-separated list contains this token.
+    /// Whether a header whose value is a comma-separated list contains the token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let mut tokens = self.values(name).flat_map(|value| value.split(|byte| *byte == b','));
         tokens.any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
@@ -78,7 +80,7 @@
         path.split('/').filter(|segment| !segment.is_empty())
     }
 
-    /// The headers that are forwarded: those meant for the final recipient rather than for the next hop.
+    /// The headers that are forwarded, since they are meant for the final recipient and not for the next hop.
     pub fn end_to_end_headers(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let forwarded = self.headers.iter().filter(|(name, _)| !self.is_hop_by_hop(name));
         forwarded.map(|(name, value)| (&name[..], &value[..]))
@@ -99,10 +101,10 @@
     pub body: Vec<u8>,
 }
 
-/// Why bytes are not a valid message.
+/// Why received bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParseError {
-    /// It violates the syntax, or has two framings.
+    /// The message violates the syntax, or has conflicting framings.
     Malformed,
     /// The start line and headers exceed the limit on their size or number.
     HeadTooLarge,
@@ -111,7 +113,7 @@
 }
 
 impl ParseError {
-    /// The status code that reports the error to the sender of a request.
+    /// The status code of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed => 400,
@@ -124,9 +126,11 @@
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ParseError::Malformed => "the message is malformed",
-            ParseError::HeadTooLarge => "the message's head is too large",
-            ParseError::BodyTooLarge => "the message's body is too large",
+            ParseError::Malformed => "the HTTP message is malformed",
+            ParseError::HeadTooLarge => {
+                "the head of the HTTP message exceeds the limit on its size or number of headers"
+            }
+            ParseError::BodyTooLarge => "the body of the HTTP message exceeds the limit on its size",
         })
     }
 }
--- a/crates/node/src/http/message_decoder.rs
+++ b/crates/node/src/http/message_decoder.rs
@@ -1,13 +1,13 @@
-//! Assembles complete messages from their parts.
+//! Assembles complete HTTP messages from their parts.
 
 use super::message::{Message, MessageHead, MessageKind, ParseError};
 use super::parser::{MessagePart, Parser};
 use crate::transport::RingBuffer;
 
-/// The largest body in bytes, as the protocol limits it.
+/// Largest body of a message in bytes, as limited by the protocol.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Decodes complete messages of one direction of a connection, within the limit on bodies.
+/// Decodes the messages of one direction of a connection, and enforces the limit on their bodies.
 ///
 /// Interim responses (status 1xx) are consumed and not returned.
 pub struct MessageDecoder {
@@ -17,26 +17,27 @@
 }
 
 impl MessageDecoder {
-    /// A decoder of requests or of responses.
+    /// Creates a decoder of requests or of responses.
     pub fn new(kind: MessageKind) -> MessageDecoder {
         MessageDecoder { parser: Parser::new(kind), message: None }
     }
 
-    /// Whether no part of a message has been consumed.
+    /// Whether the decoder is between two messages: no part of the next message has been consumed.
     pub fn is_between_messages(&self) -> bool {
         self.parser.is_between_messages()
     }
 
-    /// The head of the message that is being read, once it is complete.
+    /// The head of the message that is being read, once the head is complete.
     pub fn head(&self) -> Option<&MessageHead> {
         self.message.as_ref().map(|message| &message.head)
     }
 
-    /// The next complete message, or `None` where more input is needed.
+    /// The next complete message, or `None` if more input is needed.
     ///
     /// # Errors
     ///
-    /// Fails where the input is malformed or exceeds a limit. The connection cannot be read any further then.
+    /// Returns an error if the input is malformed or exceeds a limit. After an error, the connection cannot
+    /// be read any further.
     pub fn next(&mut self, input: &mut RingBuffer) -> Result<Option<Message>, ParseError> {
         while let Some(part) = self.parser.next(input)? {
             match part {
@@ -55,14 +56,14 @@
         Ok(None)
     }
 
-    /// The message that the end of the connection completes, if its body is delimited that way.
+    /// The message that ends with the connection, if the body of the current message is delimited that way.
     pub fn finish(&mut self) -> Option<Message> {
         if self.parser.ends_at_close() { self.message.take() } else { None }
     }
 
     fn begin_message(&mut self, head: MessageHead) -> Result<(), ParseError> {
         let announced = head.text("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
-        // Refused before its bytes are waited for.
+        // A body that is too large is refused before any of its bytes is received.
         if announced > MAX_BODY_BYTES {
             return Err(ParseError::BodyTooLarge);
         }
--- a/crates/node/src/http/mod.rs
+++ b/crates/node/src/http/mod.rs
@@ -1,7 +1,8 @@
-//! The middle layer: HTTP/1.1 messages and discovery's endpoint lists.
+//! The protocol layer: HTTP/1.1 messages and discovery's endpoint lists.
 //!
-//! Messages are parsed from ring buffers as their bytes arrive, and written into ring buffers. This layer
-//! knows what a message contains; it knows nothing of requests in progress, attempts or endpoints.
+//! Messages are parsed from ring buffers as their bytes arrive, and are written into ring buffers. This layer
+//! handles the content of messages. Requests in progress, attempts and connections to endpoints belong to the
+//! layer above.
 
 mod endpoint_list;
 mod message;
--- a/crates/node/src/http/parser.rs
+++ b/crates/node/src/http/parser.rs
@@ -1,7 +1,7 @@
-//! An incremental parser of HTTP/1.1 messages, independent of how their bytes are split.
+//! An incremental parser of HTTP/1.1 messages, whose result does not depend on how the bytes are split.
 //!
-//! Where messages of this kind leave a choice between readings (two framings, bare line feeds, conflicting
-//! lengths), the parser refuses the message: hops that read it differently are how requests are smuggled.
+//! The parser refuses ambiguous messages (with two framings, bare line feeds or conflicting lengths), since
+//! hops that interpret a message differently allow request smuggling.
 
 use super::message::{MessageHead, MessageKind, ParseError};
 use super::syntax::{
@@ -9,30 +9,31 @@
 };
 use crate::transport::RingBuffer;
 
-/// The start line and headers may take this many bytes together: a common limit, and less than the input
-/// buffer of a connection holds.
+/// Largest size of start line and headers together, in bytes: a common limit, and less than the capacity of a
+/// connection's input buffer.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The number of headers that a message may have.
+/// Largest number of headers in a message.
 const MAX_HEADERS: usize = 100;
-/// Bytes of the size line of a chunk, with its extensions.
+/// Largest size of a chunk's size line with its extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 1024;
-/// Bytes returned at once of a body that lasts until the connection ends.
+/// Largest body part that is returned at once for a body that lasts until the connection ends, in bytes.
 const MAX_BODY_PART_BYTES: usize = 64 * 1024;
-/// Bytes of empty lines that a client may send before a request.
+/// Bytes of empty lines that are accepted before a request.
 const MAX_LEADING_BYTES: usize = 8;
 
-/// A part of a message. Parts arrive in order: a head, body parts, an end.
+/// A part of a message. The parts of a message come in this order: one head, any number of body parts, one
+/// end.
 #[derive(Debug)]
 pub enum MessagePart {
     /// The start line and headers.
     Head(MessageHead),
-    /// Some bytes of the body.
+    /// The next bytes of the body.
     Body(Vec<u8>),
     /// The message is complete.
     End,
 }
 
-/// What the parser reads next.
+/// The state of the parser: the element of a message that comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     StartLine,
@@ -54,7 +55,7 @@
     Part(MessagePart),
     /// The state has advanced; there is no part to return yet.
     Advanced,
-    /// The input does not suffice to go on.
+    /// More input is needed.
     NeedsInput,
 }
 
@@ -62,17 +63,17 @@
 pub struct Parser {
     kind: MessageKind,
     state: State,
-    /// How far the input was searched for the end of the current line.
+    /// Number of input bytes that were searched for the end of the current line.
     searched: usize,
     head: MessageHead,
-    /// Bytes of the current head, or trailers, that were consumed.
+    /// Bytes of the current head, or of the current trailers, that were consumed.
     head_bytes: usize,
-    /// Whether the current message is of version 1.1 rather than 1.0.
+    /// Whether the version of the current message is HTTP/1.1. Otherwise it is HTTP/1.0.
     is_http_1_1: bool,
 }
 
 impl Parser {
-    /// A parser of requests or of responses.
+    /// Creates a parser of requests or of responses.
     pub fn new(kind: MessageKind) -> Parser {
         Parser {
             kind,
@@ -84,21 +85,22 @@
         }
     }
 
-    /// Whether the parser is between two messages.
+    /// Whether the parser is between two messages: the next element is a start line.
     pub fn is_between_messages(&self) -> bool {
         self.state == State::StartLine
     }
 
-    /// Whether the end of the connection properly ends the current message.
+    /// Whether the current message is one whose body is delimited by the end of the connection.
     pub fn ends_at_close(&self) -> bool {
         self.state == State::BodyUntilClose
     }
 
-    /// The next part, or `None` where more input is needed.
+    /// The next part of a message, or `None` if more input is needed.
     ///
     /// # Errors
     ///
-    /// Fails where the input is malformed or exceeds a limit. The parser must not be used afterwards.
+    /// Returns an error if the input is malformed or exceeds a limit. The parser must not be used after an
+    /// error.
     pub fn next(&mut self, input: &mut RingBuffer) -> Result<Option<MessagePart>, ParseError> {
         loop {
             match self.step(input)? {
@@ -133,7 +135,7 @@
         let Some(line) = self.read_line(input, MAX_HEAD_BYTES, ParseError::HeadTooLarge)? else {
             return Ok(Step::NeedsInput);
         };
-        // A client may end a request with a superfluous line break.
+        // Some clients send a superfluous line break after a request.
         if line.is_empty() && self.kind == MessageKind::Request && self.head_bytes < MAX_LEADING_BYTES {
             return Ok(Step::Advanced);
         }
@@ -211,15 +213,15 @@
         Ok(Step::Advanced)
     }
 
-    /// Consumes the next line and returns it without its line break, if it is complete and holds at most
-    /// `max` bytes.
+    /// Consumes the next line and returns it without its line break, or `None` if the line is not complete.
+    /// Returns the error `too_long` if the line has more than `max` bytes.
     fn read_line(
         &mut self,
         input: &mut RingBuffer,
         max: usize,
         too_long: ParseError,
     ) -> Result<Option<Vec<u8>>, ParseError> {
-        // One more for the carriage return.
+        // One more byte for the carriage return.
         let max_with_return = max + 1;
         let Some(end) = input.find(b'\n', self.searched) else {
             self.searched = input.len();
@@ -232,7 +234,7 @@
         let mut line = Vec::with_capacity(end + 1);
         input.drain_into(&mut line, end + 1);
         self.head_bytes += line.len();
-        // Some hops accept a bare line feed as a line break and others do not.
+        // A bare line feed is refused: some hops accept it as a line break and others do not.
         let length = line.strip_suffix(b"\r\n").ok_or(ParseError::Malformed)?.len();
         line.truncate(length);
         if line.contains(&b'\r') || line.contains(&0) {
@@ -289,7 +291,7 @@
         }
         let codings: Vec<_> = head.values("transfer-encoding").collect();
         match (&codings[..], content_length) {
-            // With two framings, whichever was meant, the other end of some hop reads the other one.
+            // A message with both framings is refused, since another hop may use the other framing.
             ([_, ..], Some(_)) => Err(ParseError::Malformed),
             ([coding], None) if coding.eq_ignore_ascii_case(b"chunked") && self.is_http_1_1 => {
                 Ok(State::ChunkSize)
@@ -305,12 +307,12 @@
     }
 }
 
-/// Whether responses with this status have no body, whatever their headers say.
+/// Whether responses with this status have no body, regardless of their headers.
 fn has_no_body(status: u16) -> bool {
     status < 200 || status == 204 || status == 304
 }
 
-/// Takes up to `max` buffered bytes, if there are any.
+/// Removes up to `max` bytes from the input and returns them, or returns `None` if the input is empty.
 fn take_bytes(input: &mut RingBuffer, max: usize) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let count = input.drain_into(&mut bytes, max);
--- a/crates/node/src/http/syntax.rs
+++ b/crates/node/src/http/syntax.rs
@@ -1,24 +1,25 @@
-//! The syntax of the single elements of a message's head.
+//! The syntax of the elements of a message's head.
 
 use super::message::{MessageHead, ParseError};
 
-/// Digits of a length without leading zeros: far more than any body needs, and no overflow.
+/// Largest number of digits of a length, without leading zeros: far more than any body needs, and too few to
+/// overflow.
 const MAX_LENGTH_DIGITS: usize = 15;
 
 const DECIMAL: u32 = 10;
 const HEXADECIMAL: u32 = 16;
 
-/// Whether text is a token (RFC 9110, 5.6.2).
+/// Whether the text is a token (RFC 9110, 5.6.2).
 pub(super) fn is_token(text: &[u8]) -> bool {
     !text.is_empty() && text.iter().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b))
 }
 
-/// Whether text is a request target in origin or asterisk form.
+/// Whether the text is a request target in origin form or asterisk form.
 pub(super) fn is_target(target: &str) -> bool {
     target.bytes().all(|b| b.is_ascii_graphic()) && target.starts_with(['/', '*'])
 }
 
-/// Parses a status code: three digits, at least 100.
+/// Parses a status code of three digits that is at least 100.
 pub(super) fn parse_status(text: &str) -> Result<u16, ParseError> {
     let is_number = text.len() == 3 && text.bytes().all(|b| b.is_ascii_digit());
     if !is_number {
@@ -42,7 +43,7 @@
     Ok((String::from_utf8_lossy(name).into_owned(), value.to_vec()))
 }
 
-/// The length that the head announces. Several are accepted only where they agree.
+/// The body length that the head announces, if any. Several `Content-Length` headers have to agree.
 pub(super) fn parse_content_length(head: &MessageHead) -> Result<Option<usize>, ParseError> {
     let mut lengths = head.values("content-length").map(|value| parse_length(value, DECIMAL));
     let first = lengths.next().transpose()?;
@@ -54,13 +55,13 @@
     Ok(first)
 }
 
-/// Parses the size line of a chunk; extensions are ignored.
+/// Parses the size line of a chunk, and ignores extensions.
 pub(super) fn parse_chunk_size(line: &[u8]) -> Result<usize, ParseError> {
     let size = line.split(|b| *b == b';').next().unwrap_or_default();
     parse_length(size.trim_ascii_end(), HEXADECIMAL)
 }
 
-/// Parses a length that consists of digits of this radix and nothing else.
+/// Parses a length that consists only of digits of this radix.
 fn parse_length(digits: &[u8], radix: u32) -> Result<usize, ParseError> {
     let text = std::str::from_utf8(digits).map_err(|_| ParseError::Malformed)?;
     let is_number = !text.is_empty() && text.chars().all(|c| c.is_digit(radix));
--- a/crates/node/src/http/writer.rs
+++ b/crates/node/src/http/writer.rs
@@ -1,18 +1,18 @@
-//! Writes messages into the output buffer of a connection.
+//! Writes HTTP messages into the output buffer of a connection.
 
 use super::message::Message;
 use crate::transport::RingBuffer;
 
-/// A header that is to be written.
+/// The name and value of a header.
 type Header<'a> = (&'a str, &'a [u8]);
 
-/// Bytes that are reserved for each header, and for the rest of the head.
+/// Capacity that is reserved per header, and once for the rest of the head, in bytes.
 const TYPICAL_HEADER_BYTES: usize = 64;
 
-/// Writes a request for the next hop, with the time that is left for it in milliseconds.
+/// Writes a request for the next hop. `timeout_ms` is the remaining time of the request, in milliseconds.
 pub fn write_request(output: &mut RingBuffer, request: &Message, timeout_ms: u64) {
     let start_line = format!("{} {} HTTP/1.1\r\n", request.head.method, request.head.target);
-    // A time of zero would be read as none being set.
+    // The next hop would read a timeout of 0 as no timeout.
     let timeout = timeout_ms.max(1).to_string();
     let length = request.body.len().to_string();
     let mut headers: Vec<_> = request.head.end_to_end_headers().collect();
@@ -23,7 +23,7 @@
     write_message(output, &start_line, &headers, &request.body);
 }
 
-/// Writes a response that came from a server.
+/// Writes a response that was received from a server.
 pub fn write_response(output: &mut RingBuffer, response: &Message, keep_alive: bool) {
     let length = response.body.len().to_string();
     let mut headers: Vec<_> = response.head.end_to_end_headers().collect();
@@ -34,7 +34,7 @@
     write_message(output, &status_line(response.head.status), &headers, &response.body);
 }
 
-/// Writes a response of the node's own: a status, some headers, and the status as a line of text.
+/// Writes a response of the node itself: the status, the given headers, and the reason phrase as the body.
 pub fn write_local_reply(output: &mut RingBuffer, status: u16, headers: &[Header<'_>], keep_alive: bool) {
     let body = format!("{}\n", reason_phrase(status));
     let length = body.len().to_string();
