--- a/crates/node/src/transport/clock.rs
+++ b/crates/node/src/transport/clock.rs
@@ -1,12 +1,12 @@
-//! The node's single clock.
+//! The clock of the node.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use granitelb_balancer::time::{Span, Time};
 
-/// A clock that reads Unix time once at the start and advances by monotonic time from then on.
+/// A clock that reads Unix time once at the start, and then advances with the system's monotonic clock.
 ///
-/// Its times can be compared with Unix timestamps from elsewhere, and it never jumps.
+/// The clock never jumps, and its times are comparable with Unix timestamps from other machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix_start: Time,
--- a/crates/node/src/transport/close_reason.rs
+++ b/crates/node/src/transport/close_reason.rs
@@ -1,28 +1,28 @@
-//! The reasons for which a connection is closed.
+//! The reasons why connections are closed.
 
 /// Why a connection was closed, or could not be opened.
 ///
-/// The same reasons apply to connections from clients, to cache servers and to discovery.
+/// Connections from clients, to cache servers and to discovery share these reasons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The peer refused the connection, or no route leads to it.
     Refused,
-    /// The connection was not established within its time.
+    /// The connection was not established within the connect timeout.
     ConnectTimeout,
-    /// No file descriptor was available for it.
+    /// No file descriptor or local port was available for the connection.
     NoFileDescriptor,
-    /// The peer closed it in an orderly way.
+    /// The peer closed the connection without an error.
     ClosedByPeer,
-    /// It was reset, or its socket reported another error.
+    /// The connection was reset, or its socket reported another error.
     SocketError,
-    /// The peer sent nothing, or accepted nothing, for too long.
+    /// The peer sent no data, or accepted no data, for too long.
     PeerTimeout,
-    /// The data received on it was malformed or exceeded a limit.
+    /// The received data was malformed or exceeded a limit.
     ProtocolError,
-    /// This side stopped waiting for a response whose deadline had passed.
+    /// The node stopped waiting for a response because its deadline had passed.
     DeadlineExceeded,
-    /// This side cancelled the attempt that the connection carried.
+    /// The node cancelled the attempt on the connection.
     Cancelled,
-    /// This side no longer needed it: it was idle, unwanted, or had served its purpose.
+    /// The node no longer needed the connection: it was idle, superfluous, or its exchange was complete.
     NoLongerNeeded,
 }
--- a/crates/node/src/transport/connection.rs
+++ b/crates/node/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! TCP connections with a buffer for each direction.
+//! TCP connections with one buffer per direction.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use super::socket::{SOCKET_FLAGS, address_family, is_descriptor_exhaustion};
 use super::{CloseReason, ConnectionId, Owner, ReadinessEvent, RingBuffer, Transport};
 
-/// Bytes of input that are buffered while nobody consumes them: the longest head, or a good part of a body.
+/// Largest amount of buffered input in bytes: it holds the longest message head, or a large part of a body.
 const MAX_INPUT_BYTES: usize = 16 * 1024;
 
 /// Whether the handshake of a connection has completed.
@@ -22,32 +22,34 @@
 
 /// A non-blocking TCP connection.
 ///
-/// The caller consumes `input` and appends to `output`; [`Connection::receive`] and [`Connection::flush`]
-/// exchange them with the socket. After both, [`Connection::update_interest`] has epoll report what can be
-/// done next.
+/// The caller consumes `input` and appends to `output`. [`Connection::receive`] fills `input` from the
+/// socket, and [`Connection::flush`] sends `output`. After receiving and flushing, the caller calls
+/// [`Connection::update_interest`], so that epoll reports when more can be received or sent.
 pub struct Connection {
     id: ConnectionId,
     fd: OwnedFd,
-    /// Bytes that were received and not consumed yet.
+    /// Received bytes that were not consumed yet.
     pub input: RingBuffer,
-    /// Bytes that are to be sent.
+    /// Bytes that were not sent yet.
     pub output: RingBuffer,
     state: ConnectionState,
     /// How the peer closed the connection, once its end has been read.
     closed: Option<CloseReason>,
-    /// Whether epoll has reported the end of the connection or of its input. Data sent before that may still
-    /// be unread.
+    /// Whether epoll has reported the end of the connection or of its input. Data that the peer sent before
+    /// the end may still be unread.
     end_reported: bool,
+    /// The events for which the connection is registered with epoll.
     interest: EventFlags,
 }
 
 impl Connection {
-    /// Starts to connect. The connection is established once [`Connection::is_connected`] says so.
+    /// Starts to connect to an address. [`Connection::is_connected`] tells when the connection is
+    /// established.
     ///
     /// # Errors
     ///
-    /// [`CloseReason::NoFileDescriptor`] where no descriptor or local port is left, [`CloseReason::Refused`]
-    /// where the system refuses the address at once.
+    /// Returns [`CloseReason::NoFileDescriptor`] if no file descriptor or local port is available, and
+    /// [`CloseReason::Refused`] if the system refuses the address immediately.
     pub fn connect(
         transport: &mut Transport,
         address: SocketAddr,
@@ -74,7 +76,7 @@
         Connection::register(transport, fd, owner, ConnectionState::Connecting)
     }
 
-    /// Takes over a socket that a listener has accepted.
+    /// Creates a connection from a socket that a listener has accepted.
     pub(super) fn accepted(
         transport: &mut Transport,
         fd: OwnedFd,
@@ -89,8 +91,8 @@
         owner: Owner,
         state: ConnectionState,
     ) -> Result<Connection, CloseReason> {
-        // Messages are written as a whole: waiting for more data would only delay them. Without the option
-        // the connection works too.
+        // Messages are written as a whole, so that waiting for more data would only delay them. An error is
+        // ignored, since the connection also works without the option.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         let mut interest = EventFlags::IN | EventFlags::RDHUP;
         if state == ConnectionState::Connecting {
@@ -120,10 +122,11 @@
         self.state == ConnectionState::Connected
     }
 
-    /// How the peer ended the connection, once everything sent before was received.
+    /// How the peer ended the connection, once all data before the end was received.
     ///
-    /// Also set once an end was reported and the input is full: nobody consumes it, epoll would report the
-    /// end in every turn, and a client that sent more than is buffered and left would be waited for.
+    /// The reason is also returned if epoll has reported the end while the input buffer is full. Otherwise,
+    /// as long as the input is not consumed, epoll would report the end in every turn, and the node would
+    /// keep waiting for a client that sent more than the buffer holds and disconnected.
     pub fn close_reason(&self) -> Option<CloseReason> {
         if self.closed.is_none() && self.end_reported && self.input.len() >= MAX_INPUT_BYTES {
             return Some(CloseReason::SocketError);
@@ -131,7 +134,8 @@
         self.closed
     }
 
-    /// Handles an event: receives what is readable, and records a reported end.
+    /// Handles an event from epoll: receives available data, and records the end of the connection or its
+    /// input.
     pub fn on_event(&mut self, event: &ReadinessEvent) {
         if event.readable {
             self.receive();
@@ -139,7 +143,7 @@
         self.end_reported |= event.closed || event.read_closed;
     }
 
-    /// Receives what the system holds, up to the limit of the input buffer.
+    /// Receives the data that is available, up to the limit of the input buffer.
     pub fn receive(&mut self) {
         let mut chunk = [0; MAX_INPUT_BYTES];
         while self.is_connected() && self.closed.is_none() && self.input.len() < MAX_INPUT_BYTES {
@@ -159,11 +163,11 @@
         }
     }
 
-    /// Sends buffered output as far as the peer accepts it.
+    /// Sends buffered output until the buffer is empty or the socket accepts no more.
     ///
     /// # Errors
     ///
-    /// [`CloseReason::SocketError`] where the socket reports an error.
+    /// Returns [`CloseReason::SocketError`] if the socket reports an error.
     pub fn flush(&mut self) -> Result<(), CloseReason> {
         if !self.is_connected() {
             return Ok(());
@@ -179,11 +183,12 @@
         Ok(())
     }
 
-    /// Checks whether the handshake has completed, when epoll reports an event of a connecting socket.
+    /// Checks whether the handshake has completed. To be called when epoll reports an event of a connecting
+    /// socket.
     ///
     /// # Errors
     ///
-    /// [`CloseReason::Refused`] where the handshake has failed.
+    /// Returns [`CloseReason::Refused`] if the handshake has failed.
     pub fn finish_connect(&mut self) -> Result<(), CloseReason> {
         if self.is_connected() {
             return Ok(());
@@ -200,14 +205,14 @@
         }
     }
 
-    /// Has epoll report what can be done next, and nothing else.
+    /// Registers the connection with epoll for exactly the events that it can handle next.
     pub fn update_interest(&mut self, transport: &Transport) {
         let reads = self.input.len() < MAX_INPUT_BYTES && self.closed.is_none();
         let writes = !self.is_connected() || !self.output.is_empty();
         let mut interest = EventFlags::empty();
         interest.set(EventFlags::IN, reads);
-        // Also while nothing is read: a client that sends much and leaves must not be taken for one that
-        // waits.
+        // The end of the input is reported even while the input buffer is full: a client that sent much data
+        // and disconnected must not count as waiting.
         interest.set(EventFlags::RDHUP, self.closed.is_none());
         interest.set(EventFlags::OUT, writes);
         if interest != self.interest && transport.modify(&self.fd, self.id, interest).is_ok() {
@@ -215,9 +220,9 @@
         }
     }
 
-    /// Tells the peer that no more data will be sent.
+    /// Closes the sending direction, so that the peer receives the end of the data.
     pub fn shutdown_write(&self) {
-        // It fails only where the connection has ended already.
+        // An error is ignored: it means that the connection has already ended.
         let _ = net::shutdown(&self.fd, Shutdown::Write);
     }
 
--- a/crates/node/src/transport/listener.rs
+++ b/crates/node/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Listening for connections.
+//! The listening socket, which accepts connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use super::socket::{SOCKET_FLAGS, address_family, is_descriptor_exhaustion};
 use super::{Connection, ConnectionId, Owner, Transport};
 
-/// Connections that the kernel queues while the node is busy for a moment.
+/// Number of connections that the kernel queues while the node does not accept them.
 const BACKLOG: i32 = 1024;
 
 /// A listening socket.
@@ -22,14 +22,14 @@
 }
 
 impl Listener {
-    /// Listens at an address.
+    /// Starts to listen on an address.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound or the system has no descriptor for the socket.
+    /// Returns an error if the address cannot be bound, or the system has no file descriptor for the socket.
     pub fn open(transport: &mut Transport, address: SocketAddr, owner: Owner) -> io::Result<Listener> {
         let fd = net::socket_with(address_family(&address), SocketType::STREAM, SOCKET_FLAGS, None)?;
-        // A restarted node must not wait for what remains of its earlier connections.
+        // A restarted node can bind the address while connections of its previous process are in TIME_WAIT.
         sockopt::set_socket_reuseaddr(&fd, true)?;
         net::bind(&fd, &address)?;
         net::listen(&fd, BACKLOG)?;
@@ -37,8 +37,8 @@
         Ok(Listener { id, fd, paused: false })
     }
 
-    /// Accepts the next pending connection. Returns `None` where none is pending, or no descriptor is left
-    /// for it.
+    /// Accepts the next pending connection. Returns `None` if no connection is pending or no file descriptor
+    /// is available.
     pub fn accept(&mut self, transport: &mut Transport, owner: Owner) -> Option<Connection> {
         loop {
             if transport.available_connections() == 0 {
@@ -50,16 +50,15 @@
                     transport.record_descriptor_exhaustion();
                     return None;
                 }
-                // The pending connection is gone again, or the call was interrupted: the next one may
-                // succeed.
+                // The pending connection was aborted, or the call was interrupted: the next call may succeed.
                 Err(Errno::CONNABORTED | Errno::INTR) => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Stops or resumes reports of pending connections. While they cannot be accepted, epoll would report
-    /// them in every turn.
+    /// Pauses or resumes epoll's reports of pending connections. Pending connections that cannot be accepted
+    /// would be reported in every turn.
     pub fn set_paused(&mut self, transport: &Transport, paused: bool) {
         if paused == self.paused {
             return;
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -1,8 +1,8 @@
 //! The lowest layer: non-blocking sockets, epoll, timers, and connections with one buffer per direction.
 //!
-//! This layer deals in bytes, addresses and points in time and knows nothing of their meaning. [`Transport`]
-//! owns the epoll instance, the timers and the budget of file descriptors; every [`Connection`] and
-//! [`Listener`] registers with it. Everything runs on one thread.
+//! This layer handles bytes, addresses and times, and does not interpret the bytes. [`Transport`] owns the
+//! epoll instance, the timers and the budget of file descriptors. Each [`Connection`] and [`Listener`] is
+//! registered with the transport. All of the layer runs on one thread.
 
 mod clock;
 mod close_reason;
--- a/crates/node/src/transport/poller.rs
+++ b/crates/node/src/transport/poller.rs
@@ -1,5 +1,5 @@
-//! The epoll instance and what all connections share: timers, idle connections, and the budget of
-//! descriptors.
+//! The epoll instance and the state that all connections share: timers, idle connections, and the budget of
+//! file descriptors.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,44 +11,45 @@
 use super::Clock;
 use super::time_queue::TimeQueue;
 
-/// Events taken in one turn: enough to empty most queues, few enough that timers are not delayed.
+/// Largest number of events per turn of the event loop: enough to empty most queues, few enough to keep
+/// timers on time.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// A connection that was opened or used more recently than this is not closed for being idle.
+/// Shortest idle time after which a connection may be closed to free its descriptor.
 const MIN_IDLE_TIME: Span = Span::from_millis(100);
 
-/// Bits of a connection identifier that hold its owner.
+/// Number of low bits of a connection identifier that contain the owner.
 const OWNER_BITS: u32 = 8;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1000;
 
-/// The part of the program that a descriptor belongs to. The layer above numbers its parts.
+/// The part of the program that a file descriptor belongs to. The layer above assigns the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner(pub u8);
 
-/// Identifies a registered descriptor. Identifiers are never reused, so that an event of a descriptor that
-/// was closed in the same turn matches nothing.
+/// The identifier of a registered file descriptor. Identifiers are never reused, so that an event of a
+/// descriptor that was closed in the same turn cannot match another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(u64);
 
 impl ConnectionId {
-    /// The part of the program that the descriptor belongs to.
+    /// The part of the program that the file descriptor belongs to.
     pub fn owner(self) -> Owner {
         Owner(self.0 as u8)
     }
 }
 
-/// What epoll reports of a descriptor.
+/// An event that epoll reports for a file descriptor.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadinessEvent {
-    /// The descriptor.
+    /// The identifier of the file descriptor.
     pub id: ConnectionId,
-    /// A read will not block: there is data, an end, or an error.
+    /// Whether a read returns at once, with data, the end of the data or an error.
     pub readable: bool,
-    /// The connection has ended in both directions.
+    /// Whether the connection has ended in both directions.
     pub closed: bool,
-    /// The peer sends nothing more.
+    /// Whether the peer has closed its sending direction.
     pub read_closed: bool,
 }
 
@@ -65,28 +66,29 @@
     }
 }
 
-/// The epoll instance with the state that all connections share.
+/// The epoll instance, with the state that all connections share.
 pub struct Transport {
     epoll: OwnedFd,
     clock: Clock,
-    /// The timer of each connection that has one.
+    /// The timers of connections, at most one per connection.
     pub timers: TimeQueue,
     last_id: u64,
     open_connections: usize,
     max_connections: usize,
-    /// Whether the system had no descriptor to give, even below `max_connections`.
+    /// Whether the system has refused a file descriptor, even though fewer than `max_connections` are open.
     descriptors_exhausted: bool,
-    /// The connections of each owner that can be closed without loss, by the time at which they became idle.
+    /// By owner, the connections that can be closed without loss, ordered by the time at which they became
+    /// idle.
     idle: BTreeMap<u8, TimeQueue>,
     events: Vec<epoll::Event>,
 }
 
 impl Transport {
-    /// Creates the epoll instance; at most `max_connections` connections may be open at a time.
+    /// Creates the epoll instance. At most `max_connections` connections may be open at a time.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no descriptor for epoll.
+    /// Returns an error if the system has no file descriptor for epoll.
     pub fn new(max_connections: usize) -> io::Result<Transport> {
         Ok(Transport {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
@@ -106,16 +108,16 @@
         self.clock.now()
     }
 
-    /// The node's clock, for other threads.
+    /// The node's clock, for use by other threads.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Waits for events, until `deadline` at the latest.
+    /// Waits for events until `deadline`, or without a limit if there is no deadline, and returns the events.
     ///
     /// # Errors
     ///
-    /// Fails where epoll fails. An interruption by a signal is not an error.
+    /// Returns an error if epoll fails. An interruption by a signal is not an error.
     pub fn wait(&mut self, deadline: Option<Time>) -> io::Result<Vec<ReadinessEvent>> {
         let timeout = deadline.map(|at| timespec(at - self.now()));
         self.events.clear();
@@ -126,21 +128,21 @@
         Ok(self.events.iter().map(ReadinessEvent::from_epoll).collect())
     }
 
-    /// Has epoll report whenever a descriptor of the caller's becomes readable.
+    /// Registers a file descriptor of the caller, so that epoll reports when it becomes readable.
     ///
     /// # Errors
     ///
-    /// Fails where epoll does not accept the descriptor.
+    /// Returns an error if epoll does not accept the file descriptor.
     pub fn register_readable(&mut self, fd: impl AsFd, owner: Owner) -> io::Result<ConnectionId> {
         self.register(fd, owner, epoll::EventFlags::IN)
     }
 
-    /// Sets how many connections may be open; those in excess are closed when they are idle.
+    /// Sets the limit on open connections. Connections above a lowered limit are closed once they are idle.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
 
-    /// Registers a descriptor. Closing the descriptor ends the registration.
+    /// Registers a file descriptor with epoll. Closing the descriptor ends the registration.
     pub(super) fn register(
         &mut self,
         fd: impl AsFd,
@@ -157,7 +159,7 @@
         Ok(epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(id.0), flags)?)
     }
 
-    /// How many more connections may be opened.
+    /// The number of further connections that may be opened.
     pub fn available_connections(&self) -> usize {
         self.max_connections.saturating_sub(self.open_connections)
     }
@@ -166,12 +168,13 @@
         self.descriptors_exhausted = true;
     }
 
-    /// Whether the system has refused a descriptor since [`Transport::take_descriptors_exhausted`].
+    /// Whether the system has refused a file descriptor since the last call of
+    /// [`Transport::take_descriptors_exhausted`].
     pub fn descriptors_exhausted(&self) -> bool {
         self.descriptors_exhausted
     }
 
-    /// Returns whether the system has refused a descriptor since the last call, and resets that.
+    /// Returns whether the system has refused a file descriptor since the last call, and resets the flag.
     pub fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
@@ -186,7 +189,7 @@
         self.mark_busy(id);
     }
 
-    /// Records that a connection can be closed without loss from `now` on.
+    /// Records that a connection is idle from `now` on, so that it can be closed without loss.
     pub fn mark_idle(&mut self, id: ConnectionId, now: Time) {
         self.idle.entry(id.owner().0).or_default().set(id, now);
     }
@@ -198,14 +201,16 @@
         }
     }
 
-    /// The connection of one owner that has been idle for longest, and since when.
+    /// The connection of an owner that has been idle for the longest time, with the time at which it became
+    /// idle.
     pub fn first_idle(&self, owner: Owner) -> Option<(Time, ConnectionId)> {
         self.idle.get(&owner.0)?.first()
     }
 
-    /// The connection that has been idle for longest, of one owner or of all.
+    /// The connection that has been idle for the longest time, of one owner or of all owners.
     ///
-    /// None where that one became idle only now, since the data it is kept for may be under way.
+    /// Returns `None` if that connection became idle less than `MIN_IDLE_TIME` ago, since data for which it
+    /// is kept open may be on its way.
     pub fn longest_idle(&self, now: Time, owner: Option<Owner>) -> Option<ConnectionId> {
         let queues = self.idle.iter().filter(|(of, _)| owner.is_none_or(|o| o.0 == **of));
         let (since, id) = queues.filter_map(|(_, queue)| queue.first()).min()?;
@@ -213,8 +218,8 @@
     }
 }
 
-/// The time to wait as the system takes it. Nanoseconds keep the whole span, lest its last part be spent in
-/// turns without an event.
+/// Converts a span to the timeout of epoll without rounding: a timeout that was rounded down would end in
+/// turns of the event loop without an event.
 fn timespec(span: Span) -> Timespec {
     let micros = span.0;
     Timespec {
--- a/crates/node/src/transport/ring_buffer.rs
+++ b/crates/node/src/transport/ring_buffer.rs
@@ -2,13 +2,14 @@
 
 use std::collections::VecDeque;
 
-/// Capacity in bytes that an empty buffer may keep. Most messages fit into it, and a thousand such buffers
-/// take little memory.
+/// Largest capacity that an empty buffer retains, in bytes. Most messages fit into this capacity, and a
+/// thousand such buffers need little memory.
 const RETAINED_CAPACITY: usize = 2048;
 
 /// A first-in, first-out byte buffer.
 ///
-/// It allocates nothing until it is used, grows as needed, and releases a large allocation once it is empty.
+/// The buffer allocates no memory before its first use, grows as needed, and releases a large allocation when
+/// it becomes empty.
 #[derive(Default)]
 pub struct RingBuffer {
     bytes: VecDeque<u8>,
@@ -28,24 +29,24 @@
     /// Appends bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         if bytes.len() > RETAINED_CAPACITY {
-            // Large bodies get an allocation of their exact size: with doubling, a thousand of them would
+            // Large bodies get an allocation of their exact size: with doubling, a thousand buffers would
             // exceed the memory limit.
             self.bytes.reserve_exact(bytes.len());
         }
         self.bytes.extend(bytes);
     }
 
-    /// The first contiguous slice of the buffered bytes; empty only where the buffer is.
+    /// The first contiguous slice of the buffered bytes. It is empty only if the buffer is empty.
     pub fn first_slice(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
 
-    /// Drops all bytes and the allocation.
+    /// Removes all bytes and releases the allocation.
     pub fn clear(&mut self) {
         self.bytes = VecDeque::new();
     }
 
-    /// Drops the first `count` bytes.
+    /// Removes the first `count` bytes.
     ///
     /// # Panics
     ///
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Moves up to `max` bytes to the end of `target` and returns how many were moved.
+    /// Moves up to `max` bytes to the end of `target`, and returns the number of moved bytes.
     pub fn drain_into(&mut self, target: &mut Vec<u8>, max: usize) -> usize {
         let count = max.min(self.bytes.len());
         let (first, second) = self.bytes.as_slices();
--- a/crates/node/src/transport/time_queue.rs
+++ b/crates/node/src/transport/time_queue.rs
@@ -1,4 +1,4 @@
-//! Connections ordered by a point in time, at most one for each connection.
+//! A queue of connections ordered by time, with at most one time per connection.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,8 +6,8 @@
 
 use super::ConnectionId;
 
-/// A priority queue of connections by a point in time: the deadline of a timer, or the time since which a
-/// connection is idle.
+/// A priority queue of connections by time: the deadline of a timer, or the time since which a connection is
+/// idle.
 ///
 /// Invariant: `order` and `times` hold the same pairs.
 #[derive(Default)]
@@ -17,7 +17,7 @@
 }
 
 impl TimeQueue {
-    /// Sets the time of a connection and replaces an earlier one.
+    /// Sets the time of a connection, and replaces the previous time.
     pub fn set(&mut self, id: ConnectionId, at: Time) {
         self.remove(id);
         self.times.insert(id, at);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Removes a connection.
+    /// Removes a connection from the queue.
     pub fn remove(&mut self, id: ConnectionId) {
         if let Some(at) = self.times.remove(&id) {
             self.order.remove(&(at, id));
@@ -43,7 +43,7 @@
         self.order.first().copied()
     }
 
-    /// Removes and returns the connection with the earliest time if that time has come.
+    /// Removes and returns the connection with the earliest time, if that time is not after `now`.
     pub fn pop_due(&mut self, now: Time) -> Option<ConnectionId> {
         let (at, id) = self.first()?;
         if at > now {
