--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,7 @@
-//! granitelb's node: the sidecar that runs the balancer on sockets.
+//! The granitelb node: the sidecar program that runs the balancer on network sockets.
 //!
-//! The layers, each of which uses only those below it: [`cli`], [`proxy`], [`http`], [`transport`].
+//! The layers from top to bottom are [`cli`], [`proxy`], [`http`] and [`transport`]. Each layer uses only the
+//! layers below it.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The `granitelb` binary. All of it is in the library, where tests can reach the parts.
+//! The `granitelb` binary. Its code is in the library, so that tests can use the parts.
 
 use std::process::ExitCode;
 
