--- a/crates/node/examples/control_plane_cost.rs
+++ b/crates/node/examples/control_plane_cost.rs
@@ -1,13 +1,13 @@
-//! Measures what the control-plane agent costs the event loop: CPU a request of a node with a fleet
-//! configuration beside one without, under the same load on loopback.
+//! Measures the CPU cost of the control-plane agent in the event loop: the CPU time per request of a node
+//! with a fleet configuration and of a node without one, under the same load on loopback.
 //!
 //! ```text
 //! cargo build --release
-//! cargo run --release -p granitelb-node --example control_plane_cost [TIMES [SECONDS]]
+//! cargo run --release -p granitelb-node --example control_plane_cost [REPETITIONS [SECONDS]]
 //! ```
 
 #[path = "../tests/control_plane/node_fixture.rs"]
-#[allow(dead_code, reason = "the tests use more of it")]
+#[allow(dead_code, reason = "the tests use more of the module")]
 mod node_fixture;
 
 use std::path::Path;
@@ -19,11 +19,11 @@
 use self::node_fixture::{Client, NodeFixture};
 
 const CLIENTS: usize = 8;
-/// Distinct keys that each client requests.
+/// Number of distinct keys that each client requests.
 const KEYS_PER_CLIENT: u64 = 500;
-/// Load before a measurement, in seconds.
+/// Duration of the load before a measurement, in seconds.
 const WARMUP_SECONDS: f64 = 0.5;
-/// The pauses between a client's requests, in microseconds.
+/// Intervals between the requests of a client, in microseconds: one experiment per interval.
 const REQUEST_INTERVALS_US: [u64; 3] = [40_000, 4_000, 0];
 const DEFAULT_REPETITIONS: f64 = 8.0;
 const DEFAULT_SECONDS: f64 = 4.0;
@@ -34,9 +34,9 @@
 /// CPU time of a process in microseconds.
 #[derive(Clone, Copy)]
 struct CpuTime {
-    /// Of the thread of the event loop.
+    /// CPU time of the event loop's thread.
     event_loop: f64,
-    /// Of all threads.
+    /// CPU time of all threads.
     process: f64,
 }
 
@@ -56,25 +56,26 @@
     }
 }
 
-/// CPU time per request in microseconds, and the load.
+/// CPU time per request in microseconds, and the request rate.
 struct Measurement {
-    /// Of the event loop without an agent.
+    /// CPU time of the event loop without an agent.
     without_agent: f64,
-    /// Of the event loop with an agent.
+    /// CPU time of the event loop with an agent.
     with_agent: f64,
-    /// Of all threads with an agent.
+    /// CPU time of all threads with an agent.
     all_threads: f64,
+    /// Requests per second at each node.
     requests_per_s: f64,
 }
 
 impl Measurement {
-    /// How much more the event loop uses with an agent, in percent.
+    /// The additional CPU time of the event loop with an agent, in percent.
     fn added_percent(&self) -> f64 {
         (self.with_agent / self.without_agent - 1.0) * 100.0
     }
 }
 
-/// What is measured.
+/// The parameters of a measurement.
 struct Experiment<'a> {
     program: &'a Path,
     folder: &'a Path,
@@ -83,8 +84,8 @@
 }
 
 impl Experiment<'_> {
-    /// Measures both nodes once. Every client sends requests to both in turn, so that whatever else the
-    /// machine does affects both.
+    /// Measures both nodes once. Each client sends requests to the nodes alternately, so that other load on
+    /// the machine affects both nodes.
     fn measure(&self, agent_starts_first: bool) -> Measurement {
         let start = |fleet_config, n| {
             let address = format!("127.84.9.{n}");
@@ -123,7 +124,8 @@
     }
 }
 
-/// Sends requests to both nodes by all clients for a time, and returns how many each node got.
+/// Sends requests from all clients to both nodes for a duration in seconds, and returns the number of
+/// requests per node.
 fn send_requests(nodes: [std::net::SocketAddr; 2], interval: Duration, seconds: f64) -> u64 {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     let run_client = move |client: usize| {
@@ -131,7 +133,8 @@
         let mut sent = 0u64;
         let mut due = Instant::now();
         while Instant::now() < end {
-            // The second one finds a machine that is awake: each node is second as often as the other.
+            // The second request of a pair runs on CPUs that are already awake. The order alternates, so that each
+            // node is second as often as the other.
             connections.reverse();
             for connection in &mut connections {
                 let key = format!("k{}-{client}-{sent}", sent % KEYS_PER_CLIENT);
@@ -147,7 +150,7 @@
     clients.into_iter().map(|client| client.join().expect("requests")).sum::<u64>()
 }
 
-/// The values of all measurements in order.
+/// The values of all measurements in ascending order.
 fn sorted(measurements: &[Measurement], value: impl Fn(&Measurement) -> f64) -> Vec<f64> {
     let mut values: Vec<_> = measurements.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
@@ -158,11 +161,11 @@
     let argument = |n| std::env::args().nth(n).and_then(|text| text.parse::<f64>().ok());
     let repetitions = argument(1).unwrap_or(DEFAULT_REPETITIONS) as usize;
     let seconds = argument(2).unwrap_or(DEFAULT_SECONDS);
-    let executable = std::env::current_exe().expect("a path");
+    let executable = std::env::current_exe().expect("the path of the executable");
     let program = executable.parent().and_then(Path::parent).expect("a folder").join("granitelb");
     let folder = std::env::temp_dir();
     println!(
-        "| requests a second | loop alone, us a request | with the agent | more: median, least, most | all its threads |"
+        "| requests per second | event loop without agent, us per request | with agent | added: median, minimum, maximum | all threads with agent |"
     );
     println!("| --- | --- | --- | --- | --- |");
     for interval_us in REQUEST_INTERVALS_US {
--- a/crates/node/examples/flood.rs
+++ b/crates/node/examples/flood.rs
@@ -1,13 +1,14 @@
-//! Measures floods of datagrams at a planner and at a node: three planners and six nodes as processes of the
-//! program that is the first argument. Prints a table of what became of requests and leases.
+//! Measures the effect of datagram floods on a planner and on a node. The fleet consists of three planners
+//! and six nodes, which are processes of the program given as the first argument. Prints a table of the
+//! requests and the leases.
 
 #[path = "../tests/control_plane/fleet.rs"]
-#[allow(dead_code, reason = "the tests use more of it")]
+#[allow(dead_code, reason = "the tests use more of the module")]
 mod fleet;
 #[path = "../tests/control_plane/flood.rs"]
 mod flood;
 #[path = "../tests/control_plane/node_fixture.rs"]
-#[allow(dead_code, reason = "the tests use more of it")]
+#[allow(dead_code, reason = "the tests use more of the module")]
 mod node_fixture;
 
 use std::net::SocketAddr;
@@ -19,10 +20,10 @@
 
 const DATAGRAMS_PER_S: u64 = 50_000;
 const FLOOD_TIME: Duration = Duration::from_secs(6);
-/// How long requests are counted before the flood.
+/// Duration for which requests are counted before the flood.
 const BASELINE_TIME: Duration = Duration::from_secs(3);
 
-/// What a flood is sent to.
+/// The receiver of a flood.
 #[derive(Clone, Copy)]
 enum Target {
     Planner,
@@ -46,9 +47,9 @@
 }
 
 fn main() {
-    let program = std::env::args().nth(1).expect("the program");
+    let program = std::env::args().nth(1).expect("the program as the first argument");
     println!(
-        "| flood | at | sent a second | said to be silent | lost all leases | answered before | meanwhile | fetches a second before | meanwhile |"
+        "| flood | target | datagrams per second | members reported silent | reports of no leases | answered before | during | fetches per second before | during |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for kind in FloodKind::ALL {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Starts a fleet, floods it, and returns a row of the table.
+/// Starts a fleet, floods the target, and returns a row of the table.
 fn measure(program: &Path, kind: FloodKind, target: Target) -> String {
     let folder = std::env::temp_dir().join(format!("flood-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -91,6 +92,7 @@
     row
 }
 
+/// The share of the requests that were answered, in percent.
 fn answered_percent(counts: &RequestCounts) -> f64 {
     100.0 * counts.answered as f64 / counts.requests as f64
 }
