--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: the commands, their arguments, and the parser.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -89,7 +89,7 @@
     let log_format = log_format();
     construct!(Command::Serve { config, fleet_config, log_format })
         .to_options()
-        .descr("Serve requests until a stop signal, then finish those that were accepted")
+        .descr("Serve requests until a stop signal, then finish the accepted requests")
         .command("serve")
         .help("Serve requests")
 }
--- a/crates/node/src/cli/config/file.rs
+++ b/crates/node/src/cli/config/file.rs
@@ -35,7 +35,7 @@
     name: Option<String>,
     listen: Option<SocketAddr>,
     discovery: Option<SocketAddr>,
-    /// In hexadecimal digits.
+    /// The seed of the balancer's random choices, in hexadecimal digits.
     seed: Option<String>,
     #[serde(default)]
     limits: LimitsSection,
@@ -61,7 +61,8 @@
     /// Loads the configuration file at `path`, or at the path that `ROUTER_CONFIG` contains.
     ///
     /// # Errors
-    /// Returns the key that is missing or has a value that is not allowed, or the path that cannot be read.
+    /// Returns an error with the key that is missing or has an invalid value, or with the path that cannot be
+    /// read.
     pub fn load(path: Option<&Path>) -> Result<Config, NodeConfigError> {
         let path = match path {
             Some(path) => path.to_path_buf(),
--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -80,8 +80,8 @@
     /// merged settings if they differ from the running node's.
     ///
     /// # Errors
-    /// Returns the key whose change a running node cannot apply. In that case this configuration gets the
-    /// running node's settings, but keeps its own connect timeout and keep-alive time.
+    /// Returns an error with the key whose change a running node cannot apply. In that case this
+    /// configuration gets the running node's settings, but keeps its own connect timeout and keep-alive time.
     pub fn merge_settings(
         &mut self,
         running: &Config,
--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -40,7 +40,8 @@
     Ok(PreparedAgent { agent, reloader })
 }
 
-/// The address of the agent: the one that clients connect to, or any address if that is an IPv6 address.
+/// The IPv4 address of the agent: the one that clients connect to, or the unspecified address if clients
+/// connect over IPv6.
 fn agent_address(config: &Config) -> Ipv4Addr {
     match config.listen().ip() {
         IpAddr::V4(address) => address,
--- a/crates/node/src/cli/log_format.rs
+++ b/crates/node/src/cli/log_format.rs
@@ -21,8 +21,8 @@
     builder.init();
 }
 
-/// Writes a record as a JSON object with `time` (RFC 3339, in milliseconds), `level`, `part`, `message` and the
-/// record's own fields.
+/// Writes a record as a JSON object with `time` (RFC 3339, in milliseconds), `level`, `part`, `message` and
+/// the record's own fields.
 fn write_json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let mut fields = JsonFields(Map::new());
     fields.insert("time", out.timestamp_millis().to_string().into());
--- a/crates/node/src/cli/signals.rs
+++ b/crates/node/src/cli/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of a serving node: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
+//! The signals of a serving node: SIGTERM and SIGINT stop the node, SIGHUP reloads its configuration.
 
 use std::io;
 use std::os::fd::{AsFd, BorrowedFd};
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -10,14 +10,15 @@
 use crate::params::{Params, RequestClassParams, Specifics};
 use crate::{DecodedSettings, Names};
 
-/// The key that an error names where the text is not JSON.
+/// The key of an error about a text that is not JSON.
 const WHOLE_TEXT: &str = "the whole text";
 
 /// Parses a JSON text that contains one value and nothing after it.
 ///
 /// # Errors
 ///
-/// Returns the key whose value `T` does not accept, or an error about the whole text where it is not JSON.
+/// Returns an error with the key whose value `T` does not accept, or an error about the whole text if it is
+/// not JSON.
 pub fn parse_json<'a, T: Deserialize<'a>>(text: &'a [u8]) -> Result<T, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -41,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Returns the key that is missing, has a value of the wrong type, or has a value that is not supported.
+/// Returns an error with the key that is missing, has a value of the wrong type, or has an unsupported value.
 pub fn decode(text: &[u8]) -> Result<DecodedSettings, SettingsError> {
     let params: Params = parse_json(text)?;
     check_ranges(&params)?;
@@ -130,7 +131,7 @@
     }
 }
 
-/// Checks that shares are from 0 to 1, and that values and multiples are not negative.
+/// Checks that shares are from 0 to 1, and that values and multiples are 0 or more.
 fn check_ranges(params: &Params) -> Result<(), SettingsError> {
     check_share("Rules.ColdFrom", params.rules.cold_from)?;
     check_not_negative("Rules.FallMultiple", params.rules.fall_multiple)?;
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the key whose change requires a restart of the node.
+    /// Returns an error with the key whose change requires a restart of the node.
     pub fn merged_into(&self, running: &DecodedSettings) -> Result<DecodedSettings, SettingsError> {
         self.check_reloadable(running)?;
         let mut merged = DecodedSettings {
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -114,7 +114,7 @@
 pub struct Record<'a> {
     /// The encoded fields.
     pub bytes: &'a [u8],
-    /// The position of the event in the batch.
+    /// The position of the event in the batch; for a list entry, that of the event which defines the list.
     pub position: usize,
 }
 
@@ -188,8 +188,8 @@
     bytes
 }
 
-/// Encodes a span in microseconds in 32 bits. Spans longer than the field can hold (71 minutes) are cut to
-/// that.
+/// Encodes a span in microseconds in 32 bits. A span that is longer than the field can hold, a little more
+/// than an hour, is encoded as the largest value.
 pub fn span_bytes(span: Span) -> [u8; 4] {
     u32::try_from(span.0).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/crates/simulator-adapter/tests/decisions/endpoint.rs
+++ b/crates/simulator-adapter/tests/decisions/endpoint.rs
@@ -11,7 +11,7 @@
 const ROUND_TRIP: (u64, u64) = (MILLISECOND, 4 * MILLISECOND);
 /// Attempts per worker at which an endpoint rejects further ones.
 const QUEUE_PER_WORKER: usize = 12;
-/// Keys that a cache stores. The key stored first is evicted first.
+/// Largest number of keys in a cache. The key that was stored first is evicted first.
 const STORED_KEYS: usize = 600;
 /// Share of a request's work that a cache spends on the response to a cache miss.
 const MISS_WORK_SHARE: f64 = 0.2;
--- a/crates/simulator-adapter/tests/decisions/simulator.rs
+++ b/crates/simulator-adapter/tests/decisions/simulator.rs
@@ -10,14 +10,14 @@
 use crate::wire::*;
 
 /// Interval between batches. Intervals without an event have no batch.
-const BATCH_EVERY: u64 = 10 * MILLISECOND;
-/// The clock at a stream's start.
+const BATCH_INTERVAL: u64 = 10 * MILLISECOND;
+/// The simulated time at the start of a stream, in microseconds.
 pub const START: u64 = 60 * SECOND;
 /// Delay until an endpoint list reaches a node: a fixed part, and a part multiplied by the node's number.
 const LIST_DELAY: u64 = 30 * MILLISECOND;
 const LIST_DELAY_PER_NODE: u64 = 5 * MILLISECOND;
-/// Time between the timeout of an unanswered client and its disconnect.
-const ANSWER_SLACK: u64 = 20 * MILLISECOND;
+/// Time between the timeout of a client's request and the client's disconnect.
+const DISCONNECT_DELAY: u64 = 20 * MILLISECOND;
 /// Time between the cancellation of an attempt and its end.
 const CANCEL_DELAY: u64 = 5 * MILLISECOND;
 /// Longest time that a cache waits for the origin.
@@ -28,7 +28,7 @@
 /// Number of random draws per batch, each of which can add one request.
 const ARRIVAL_DRAWS: u32 = 16;
 /// Work of a request at the origin, as a multiple of the work at a cache.
-const ORIGIN_WORK: u64 = 4;
+const ORIGIN_WORK_FACTOR: u64 = 4;
 /// The endpoint number of the origin. Caches are numbered from 1.
 const ORIGIN: u16 = 0;
 
@@ -36,8 +36,9 @@
     endpoint: u16,
     sent: u64,
     ended: bool,
-    /// How and when the attempt ends.
+    /// The outcome with which the attempt will end.
     outcome: u8,
+    /// The time at which the attempt will end.
     due: u64,
 }
 
@@ -78,7 +79,9 @@
     random: Random,
     clock: u64,
     batch: Batch,
+    /// The scheduled events by time, and by the order in which they were scheduled.
     pending: BTreeMap<(u64, u64), Pending>,
+    /// The number of events scheduled so far.
     scheduled: u64,
     nodes: Vec<Node>,
     /// The origin, then the caches.
@@ -126,7 +129,7 @@
             if self.clock >= START + self.site.seconds * SECOND {
                 return None;
             }
-            self.clock += BATCH_EVERY;
+            self.clock += BATCH_INTERVAL;
             while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= self.clock) {
                 let pending = entry.remove();
                 self.process(pending);
@@ -193,7 +196,7 @@
 impl Simulator {
     fn generate_requests(&mut self) {
         let load_surge = if self.clock < self.load_surge.1 { self.load_surge.0 } else { 1.0 };
-        let expected = self.site.requests_per_s as f64 * load_surge * BATCH_EVERY as f64 / SECOND as f64;
+        let expected = self.site.requests_per_s as f64 * load_surge * BATCH_INTERVAL as f64 / SECOND as f64;
         for _ in 0..ARRIVAL_DRAWS {
             if self.random.chance(expected / f64::from(ARRIVAL_DRAWS)) {
                 let (node, client_request) = self.draw_arrival();
@@ -238,7 +241,7 @@
         let disconnects_at = if self.random.chance(self.site.disconnect_share) {
             self.clock + self.random.between(1, u64::from(client_request.budget))
         } else {
-            deadline + ANSWER_SLACK
+            deadline + DISCONNECT_DELAY
         };
         self.schedule(disconnects_at, Pending::ClientDisconnects { request: id });
     }
@@ -287,7 +290,7 @@
 
     fn attempt_at_origin(&mut self, id: u64) -> AttemptEnd {
         let demand = ServiceDemand {
-            work: self.requests[id as usize].work * ORIGIN_WORK,
+            work: self.requests[id as usize].work * ORIGIN_WORK_FACTOR,
             cache_miss: false,
             fetch: 0,
         };
--- a/crates/simulator-adapter/tests/decisions/wire.rs
+++ b/crates/simulator-adapter/tests/decisions/wire.rs
@@ -60,7 +60,7 @@
     pub report: &'a [f32],
 }
 
-/// A batch of events, which is built by appresult events.
+/// A batch of events, which is built by appending events.
 #[derive(Default)]
 pub struct Batch {
     records: Vec<u8>,
@@ -128,7 +128,7 @@
     }
 
     pub fn attempt_finished(&mut self, node: u16, id: u64, result: &AttemptResult<'_>) {
-        let figures: Vec<u8> = result.report.iter().flat_map(|f| f.to_be_bytes()).collect();
+        let values: Vec<u8> = result.report.iter().flat_map(|value| value.to_be_bytes()).collect();
         let fields: [&[u8]; 9] = [
             &id.to_be_bytes(),
             &[result.attempt],
@@ -138,7 +138,7 @@
             &[u8::from(result.finished)],
             &[0],
             &[result.report.len() as u8],
-            &figures,
+            &values,
         ];
         self.record(6, node, &fields);
     }
