--- a/crates/node/src/http/message.rs
+++ b/crates/node/src/http/message.rs
@@ -44,7 +44,7 @@
 impl MessageHead {
     /// The first value of a header, if the header is present and the value is UTF-8 text. Header names are
     /// case-insensitive.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn header_text(&self, name: &str) -> Option<&str> {
         let (_, value) = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(value).ok()
     }
@@ -55,22 +55,22 @@
     ///
     /// Returns [`ParseError::Malformed`] if the header occurs more than once or its value is not UTF-8 text,
     /// since different hops could read different values.
-    pub fn single_value(&self, name: &str) -> Result<Option<&str>, ParseError> {
-        match self.values(name).count() {
+    pub fn single_header(&self, name: &str) -> Result<Option<&str>, ParseError> {
+        match self.header_values(name).count() {
             0 => Ok(None),
-            1 => self.text(name).map(Some).ok_or(ParseError::Malformed),
+            1 => self.header_text(name).map(Some).ok_or(ParseError::Malformed),
             _ => Err(ParseError::Malformed),
         }
     }
 
     /// All values of a header, in the order of the message.
-    pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn header_values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| &v[..])
     }
 
     /// Whether a header whose value is a comma-separated list contains the token.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        let mut tokens = self.values(name).flat_map(|value| value.split(|byte| *byte == b','));
+        let mut tokens = self.header_values(name).flat_map(|value| value.split(|byte| *byte == b','));
         tokens.any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
--- a/crates/node/src/http/message_decoder.rs
+++ b/crates/node/src/http/message_decoder.rs
@@ -62,7 +62,8 @@
     }
 
     fn begin_message(&mut self, head: MessageHead) -> Result<(), ParseError> {
-        let announced = head.text("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+        let announced =
+            head.header_text("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
         // A body that is too large is refused at once, without waiting for its bytes.
         if announced > MAX_BODY_BYTES {
             return Err(ParseError::BodyTooLarge);
--- a/crates/node/src/http/parser.rs
+++ b/crates/node/src/http/parser.rs
@@ -282,14 +282,14 @@
         let head = &mut self.head;
         head.keep_alive = !head.has_token("connection", "close")
             && (self.is_http_1_1 || head.has_token("connection", "keep-alive"));
-        if is_request && self.is_http_1_1 && head.values("host").count() != 1 {
+        if is_request && self.is_http_1_1 && head.header_values("host").count() != 1 {
             return Err(ParseError::Malformed);
         }
         let content_length = parse_content_length(head)?;
         if !is_request && has_no_body(head.status) {
             return Ok(State::FixedLengthBody(0));
         }
-        let codings: Vec<_> = head.values("transfer-encoding").collect();
+        let codings: Vec<_> = head.header_values("transfer-encoding").collect();
         match (&codings[..], content_length) {
             // A message with both framings is refused, since another hop may use the other framing.
             ([_, ..], Some(_)) => Err(ParseError::Malformed),
--- a/crates/node/src/http/syntax.rs
+++ b/crates/node/src/http/syntax.rs
@@ -45,7 +45,7 @@
 
 /// The body length that the head announces, if any. Several `Content-Length` headers have to agree.
 pub(super) fn parse_content_length(head: &MessageHead) -> Result<Option<usize>, ParseError> {
-    let mut lengths = head.values("content-length").map(|value| parse_length(value, DECIMAL));
+    let mut lengths = head.header_values("content-length").map(|value| parse_length(value, DECIMAL));
     let first = lengths.next().transpose()?;
     for other in lengths {
         if Some(other?) != first {
--- a/crates/node/src/proxy/attempt_end.rs
+++ b/crates/node/src/proxy/attempt_end.rs
@@ -32,7 +32,7 @@
     /// The first value of a header of the response, if one arrived.
     pub fn header(&self, name: &str) -> Option<&str> {
         match self {
-            AttemptEnd::Response(response) => response.head.text(name),
+            AttemptEnd::Response(response) => response.head.header_text(name),
             AttemptEnd::NoResponse { .. } => None,
         }
     }
@@ -75,7 +75,7 @@
 }
 
 fn is_marked_unprocessed(response: &Message) -> bool {
-    response.head.text("x-not-processed") == Some("1")
+    response.head.header_text("x-not-processed") == Some("1")
 }
 
 fn outcome_without_response(reason: CloseReason, progress: RequestProgress) -> AttemptOutcome {
--- a/crates/node/src/proxy/downstream/request_decoder.rs
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -59,7 +59,7 @@
             _ => return Err(RequestError::MethodNotAllowed),
         };
         let request_class = self.decode_request_class(head)?;
-        let id = head.single_value("x-request-id")?.filter(|id| !id.is_empty());
+        let id = head.single_header("x-request-id")?.filter(|id| !id.is_empty());
         let client_request_id = id.ok_or(RequestError::Malformed)?;
         let timeout = decode_timeout(head)?;
         // No client waits for longer than the timeout of its request class, whatever it says of one attempt.
@@ -81,7 +81,7 @@
         let class = head.path_segments().next().ok_or(RequestError::NotFound)?;
         let index = self.names.request_classes.iter().position(|name| name == class);
         let index = index.ok_or(RequestError::NotFound)?;
-        let named_by_header = head.single_value("x-priority-class")?;
+        let named_by_header = head.single_header("x-priority-class")?;
         if named_by_header.is_some_and(|named| named != class) {
             return Err(RequestError::Malformed);
         }
@@ -91,7 +91,7 @@
 
 /// The time that the client waits, if it says so. No response could arrive within a time of zero.
 fn decode_timeout(head: &MessageHead) -> Result<Option<Span>, RequestError> {
-    let Some(text) = head.single_value("x-timeout-ms")? else { return Ok(None) };
+    let Some(text) = head.single_header("x-timeout-ms")? else { return Ok(None) };
     match parse_number(text) {
         Some(0) | None => Err(RequestError::Malformed),
         Some(ms) => Ok(Some(Span(ms.saturating_mul(MICROS_PER_MILLI)))),
@@ -100,7 +100,7 @@
 
 /// The estimated work. It is only a hint: one that cannot be parsed counts as none.
 fn decode_work_hint(head: &MessageHead) -> Option<Span> {
-    head.text("x-cost").and_then(parse_number).map(Span)
+    head.header_text("x-cost").and_then(parse_number).map(Span)
 }
 
 fn parse_number(text: &str) -> Option<u64> {
