--- a/crates/node/examples/control_plane_cost.rs
+++ b/crates/node/examples/control_plane_cost.rs
@@ -133,8 +133,8 @@
         let mut sent = 0u64;
         let mut due = Instant::now();
         while Instant::now() < end {
-            // The second request of a pair runs on CPUs that are already awake. The order alternates, so that each
-            // node is second as often as the other.
+            // The second request of a pair runs on CPUs that are already awake. The order alternates, so that
+            // each node is second as often as the other.
             connections.reverse();
             for connection in &mut connections {
                 let key = format!("k{}-{client}-{sent}", sent % KEYS_PER_CLIENT);
