--- a/crates/node/src/proxy/upstream/connection.rs
+++ b/crates/node/src/proxy/upstream/connection.rs
@@ -97,7 +97,7 @@
     /// Whether the connection may carry a request: no copy of an answer may still come that says that a request which
     /// must not run twice did not run.
     pub(super) fn is_fit_for(&self, now: Time, is_idempotent: bool) -> bool {
-        is_idempotent || !self.recent_responses.has_denial(now)
+        is_idempotent || !self.recent_responses.has_not_executed(now)
     }
 
     /// How long ago it last made progress.
