--- a/crates/node/src/proxy/attempt_end.rs
+++ b/crates/node/src/proxy/attempt_end.rs
@@ -1,17 +1,16 @@
-//! How attempts end, and what the balancer learns of it. This is the one place that maps the one to the
-//! other.
+//! How attempts end, and the only mapping from the end of an attempt to the outcome that the balancer gets.
 
 use granitelb_balancer::AttemptOutcome;
 
 use crate::http::Message;
 use crate::transport::CloseReason;
 
-/// How far the request of an attempt was written to its connection.
+/// How much of an attempt's request was written to its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// Not written, or in part: the endpoint never executes it.
+    /// The request was not written, or only in part: the endpoint never executes it.
     PartlyWritten,
-    /// Written to its last byte: the endpoint may have executed it.
+    /// The request was written to its last byte: the endpoint may have executed it.
     FullyWritten,
 }
 
@@ -19,17 +18,17 @@
 pub enum AttemptEnd {
     /// A complete response arrived.
     Response(Message),
-    /// The attempt ended without a response, as its connection was closed or was taken from it.
+    /// The attempt ended without a response: its connection was closed, or was released for other attempts.
     NoResponse {
-        /// Why it ended.
+        /// Why the attempt ended.
         reason: CloseReason,
-        /// How far its request was written.
+        /// How much of the request was written.
         progress: RequestProgress,
     },
 }
 
 impl AttemptEnd {
-    /// The first value of a header of the response, if one arrived.
+    /// The first value of a response header; `None` without a response or without this header.
     pub fn header(&self, name: &str) -> Option<&str> {
         match self {
             AttemptEnd::Response(response) => response.head.text(name),
@@ -45,7 +44,7 @@
         }
     }
 
-    /// The outcome that the balancer is told.
+    /// The outcome that is reported to the balancer.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             AttemptEnd::Response(response) => outcome_of_response(response),
@@ -53,7 +52,7 @@
         }
     }
 
-    /// The response that the client gets: that of an attempt that fulfilled the request.
+    /// The response for the client, if the attempt fulfilled the request.
     pub fn into_final_response(self) -> Option<Message> {
         let is_fulfilled = self.outcome() == AttemptOutcome::Fulfilled;
         match self {
@@ -63,13 +62,13 @@
     }
 }
 
-/// The outcome that the balancer is told of a complete response.
+/// The outcome that is reported to the balancer for a complete response.
 pub(super) fn outcome_of_response(response: &Message) -> AttemptOutcome {
     match response.head.status {
         200 => AttemptOutcome::Fulfilled,
         404 => AttemptOutcome::CacheMiss,
         503 | 504 if is_marked_unprocessed(response) => AttemptOutcome::Rejected,
-        // The endpoint did not state that nothing was executed.
+        // Without the statement that the request was not processed, the endpoint may have executed it.
         _ => AttemptOutcome::Errored,
     }
 }
@@ -81,12 +80,12 @@
 fn outcome_without_response(reason: CloseReason, progress: RequestProgress) -> AttemptOutcome {
     let is_partly_written = progress == RequestProgress::PartlyWritten;
     match reason {
-        // This is not the endpoint's fault: nothing is learnt of it.
+        // The node lacks descriptors: this outcome says nothing about the endpoint.
         CloseReason::NoFileDescriptor => AttemptOutcome::NotSent,
         CloseReason::NoLongerNeeded if is_partly_written => AttemptOutcome::NotSent,
         CloseReason::Cancelled => AttemptOutcome::Cancelled,
         CloseReason::DeadlineExceeded | CloseReason::PeerTimeout => AttemptOutcome::TimedOut,
-        // A request that was not fully written is never executed.
+        // An endpoint never executes a request that was not fully written.
         CloseReason::Refused | CloseReason::ConnectTimeout => AttemptOutcome::Unreachable,
         _ if is_partly_written => AttemptOutcome::Unreachable,
         CloseReason::ProtocolError => AttemptOutcome::Errored,
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -1,7 +1,7 @@
-//! Reports what this node observes to the control-plane agent: the endpoints that accept requests, each
-//! attempt that is sent, and how it ended.
+//! Reports this node's observations to the control-plane agent: the endpoints that accept requests, each
+//! attempt that is sent, and the outcome of each attempt.
 //!
-//! Nodes without a fleet configuration have no recorder, and nothing here costs them anything.
+//! Only nodes with a fleet configuration have a recorder; other nodes do none of this work.
 
 use granitelb_balancer::balancer::Balancer;
 use granitelb_balancer::ids::{AttemptNumber, RequestId};
@@ -21,17 +21,17 @@
 }
 
 impl ObservationRecorder {
-    /// A recorder for an agent, under the balancer's settings.
+    /// Creates a recorder that reports to `agent`. `settings` are those of the balancer.
     pub(super) fn new(agent: AgentHandle, settings: Settings) -> ObservationRecorder {
         ObservationRecorder { agent, settings }
     }
 
-    /// Uses other settings from now on.
+    /// Replaces the settings.
     pub(super) fn on_settings_update(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// These endpoints accept requests from now on, and no others.
+    /// Reports a new set of endpoints that accept requests. It replaces the earlier set.
     pub(super) fn on_endpoints_change<'a>(
         &mut self,
         now: Time,
@@ -45,7 +45,7 @@
         ObservedEndpoint {
             cache: endpoint.cache,
             is_origin: Some(endpoint.kind) == self.settings.origin,
-            // Used in estimates only, where two unnamed zones may be confused.
+            // Only estimates use the truncated number; two zones that the settings do not name may share it.
             zone: endpoint.zone.0 as u16,
             size: endpoint.size,
             started: endpoint.started,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// An attempt is sent.
+    /// Reports an attempt that is sent.
     pub(super) fn on_attempt_sent(
         &mut self,
         now: Time,
@@ -64,14 +64,14 @@
     ) {
         let Some(active) = requests.get(attempt.request) else { return };
         let request = active.request();
-        let call = hash_request_name(active.client_request_id());
-        let ranked = if is_sampled(call) { balancer.ranked(request.key) } else { Vec::new() };
+        let name_hash = hash_request_name(active.client_request_id());
+        let ranked = if is_sampled(name_hash) { balancer.ranked(request.key) } else { Vec::new() };
         let mut candidates = ranked.into_iter();
         let sent = SentAttempt {
             request: attempt.request,
             number,
             endpoint: attempt.cache,
-            name_hash: call,
+            name_hash,
             requested: *request,
             bytes: u32::try_from(active.message().body.len()).unwrap_or(u32::MAX),
             slo: self.latency_objective(usize::from(request.request_class.0)),
@@ -84,7 +84,7 @@
         self.settings.request_classes.get(request_class).map_or(Span::ZERO, |class| class.slo)
     }
 
-    /// An attempt has ended; `bytes` is the length of the response's body.
+    /// Reports an attempt that has ended. `bytes` is the length of the response's body.
     pub(super) fn on_attempt_finished(
         &mut self,
         now: Time,
@@ -95,7 +95,7 @@
         self.agent.record(now, RawObservation::AttemptFinished { request, result: *result, bytes });
     }
 
-    /// The node answers a request itself.
+    /// Reports a read that the node rate-limited after a cache miss. Other local replies are not reported.
     pub(super) fn on_local_reply(
         &mut self,
         now: Time,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Begins a turn of the event loop, and returns what the control plane has sent, where that is new.
+    /// Begins a turn of the event loop, and returns the latest update from the control plane if it is new.
     pub(super) fn begin_turn(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
         self.agent.begin_iteration(now)
     }
@@ -119,7 +119,7 @@
         self.agent.end_iteration();
     }
 
-    /// Stops the agent. Nothing is sent any more.
+    /// Stops the agent; no further observations are sent.
     pub(super) fn close(self) {
         self.agent.close();
     }
