--- a/crates/node/src/proxy/final_response.rs
+++ b/crates/node/src/proxy/final_response.rs
@@ -6,10 +6,10 @@
 
 /// The one final response to a request.
 pub enum FinalResponse {
-    /// The response of an endpoint.
+    /// A response that an endpoint sent.
     Upstream(Message),
-    /// A response that the node gives itself, as the balancer decides.
+    /// A response that the node itself sends, as the balancer has decided.
     Local(LocalReply),
-    /// The client has disconnected; no response is due.
+    /// The client has disconnected, and no response is sent.
     ClientDisconnected,
 }
--- a/crates/node/src/proxy/load_report.rs
+++ b/crates/node/src/proxy/load_report.rs
@@ -5,8 +5,8 @@
 
 /// Parses a load report in ORCA's text form, such as `TEXT named_metrics.backlog=3, rps_fractional=20`.
 ///
-/// Metrics are identified by the names of the settings' columns; others are skipped. Returns `None` where the
-/// text does not have this form or contains no known metric.
+/// A metric has the name of a column of the settings; metrics with other names are skipped. Returns `None`
+/// where the text has another form or contains no known metric.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let metrics = text.trim().strip_prefix("TEXT ")?;
     let mut values = Vec::new();
--- a/crates/node/src/proxy/mod.rs
+++ b/crates/node/src/proxy/mod.rs
@@ -1,11 +1,11 @@
-//! The layer that joins clients, servers and discovery to the balancer's decisions.
+//! The proxy: connects clients, cache servers, the origin and discovery to the balancer.
 //!
-//! Nothing is decided here. The downstream side (clients) and the upstream side (cache servers and the
-//! origin) share only the [`RequestTable`] between them; the balancer driver reports to the
-//! [`Balancer`](granitelb_balancer::balancer::Balancer) what happened and carries out what it decides. One
-//! thread runs all of it, in turns of the event loop in [`Node::serve`].
+//! The [`Balancer`](granitelb_balancer::balancer::Balancer) makes all decisions; the balancer driver reports
+//! events to it and carries its decisions out. The downstream side (clients) and the upstream side (cache
+//! servers and the origin) share only the [`RequestTable`]. One thread runs all parts, in turns of the event
+//! loop in [`Node::serve`].
 //!
-//! Two rules are each enforced at one place: [`RequestTable::start_attempt`] admits every attempt, and
+//! Two rules are each enforced in one place: [`RequestTable::start_attempt`] admits every attempt, and
 //! [`RequestTable::finish`] accepts one final response for each request.
 
 mod arrival_times;
--- a/crates/node/src/proxy/request_metrics.rs
+++ b/crates/node/src/proxy/request_metrics.rs
@@ -1,4 +1,4 @@
-//! Counts requests and attempts by how they ended, for a line of the log a minute.
+//! Counts requests and attempts by outcome. The node logs the counts once a minute.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,14 +7,14 @@
 
 use super::final_response::FinalResponse;
 
-/// Counts since the last log line.
+/// The numbers of requests and attempts, by outcome, since the counts were last logged.
 #[derive(Default)]
 pub(super) struct RequestMetrics {
     fulfilled: u64,
     rate_limited: u64,
     errored: u64,
     client_disconnected: u64,
-    /// Attempts by the name of their outcome.
+    /// The number of attempts by the name of their outcome.
     attempts: BTreeMap<&'static str, u64>,
     unreadable_load_reports: u64,
 }
@@ -31,7 +31,7 @@
         *counter += 1;
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts an attempt that has ended with this outcome.
     pub(super) fn count_attempt(&mut self, outcome: AttemptOutcome) {
         *self.attempts.entry(outcome_name(outcome)).or_default() += 1;
     }
@@ -51,7 +51,7 @@
         );
     }
 
-    /// Whether no request and no attempt was counted.
+    /// Whether neither a request nor an attempt was counted.
     pub(super) fn is_empty(&self) -> bool {
         self.total_requests() == 0 && self.attempts.is_empty()
     }
--- a/crates/node/src/proxy/turn_context.rs
+++ b/crates/node/src/proxy/turn_context.rs
@@ -1,11 +1,11 @@
-//! What the downstream and the upstream side work on in a turn of the event loop.
+//! The state that the downstream and the upstream side share in a turn of the event loop.
 
 use granitelb_balancer::time::Time;
 
 use super::request_table::RequestTable;
 use crate::transport::Transport;
 
-/// Borrows what both sides share, with the time of the current turn.
+/// The transport and the request table, borrowed for one turn of the event loop, and the time of the turn.
 pub struct TurnContext<'a> {
     /// The sockets and timers.
     pub transport: &'a mut Transport,
