--- a/crates/node/src/proxy/endpoint_directory.rs
+++ b/crates/node/src/proxy/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that accept requests, as discovery lists them, in the balancer's terms.
+//! The endpoints that accept requests, translated from discovery's endpoint lists to the balancer's types.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,34 +12,36 @@
 use super::stable_hash::stable_hash;
 use crate::http::{EndpointEntry, EndpointListUpdate, EndpointState};
 
-/// Set in the numbers of zones and cells that the settings don't name, so that they differ from those of
-/// named ones.
+/// The bit that is set in the numbers of zones and cells without a name in the settings. It makes these
+/// numbers differ from those of named zones and cells.
 const UNNAMED_FLAG: u32 = 1 << 31;
 
 /// An endpoint that accepts requests.
 pub struct KnownEndpoint {
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// What the balancer was told of it.
+    /// The endpoint's attributes, as reported to the balancer.
     pub update: EndpointUpdate,
 }
 
-/// Translates endpoint lists for the balancer and keeps the endpoints that may get attempts.
+/// Translates endpoint lists for the balancer and stores the endpoints that may get attempts.
 ///
-/// Invariant: no two endpoints have the same address, and `unlisted_since` has no endpoint that `endpoints`
-/// lacks.
+/// Invariant: no two endpoints have the same address, and each endpoint in `unlisted_since` is in `endpoints`
+/// too.
 pub(super) struct EndpointDirectory {
     names: Names,
-    /// Whether only the announcement that an endpoint drains is binding: one that the list merely lacks is
-    /// then kept for a while, since the balancer may doubt the list.
+    /// Whether only an entry in state `Draining` removes an endpoint at once. An endpoint that is missing from
+    /// the list, or listed as gone, is then kept for [`REMOVED_ENDPOINT_TTL`], since the balancer may doubt
+    /// the list.
     keep_unlisted: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
-    /// The endpoints that are kept although the list lacks them, and since when it does.
+    /// The endpoints that are kept although the list does not contain them as active, each with the time when
+    /// the list first did not.
     unlisted_since: BTreeMap<EndpointId, Time>,
 }
 
 impl EndpointDirectory {
-    /// An empty directory under the settings' names of kinds and zones.
+    /// Creates an empty directory. `names` are the names of kinds and zones in the settings.
     pub(super) fn new(names: Names, keep_unlisted: bool) -> EndpointDirectory {
         EndpointDirectory {
             names,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Uses other settings for lists from now on.
+    /// Replaces the settings by which later lists are applied.
     pub(super) fn on_settings_update(&mut self, names: Names, keep_unlisted: bool) {
         self.names = names;
         self.keep_unlisted = keep_unlisted;
@@ -60,7 +62,7 @@
         &self.endpoints
     }
 
-    /// Applies a list, and returns it in the balancer's terms.
+    /// Applies a list, and returns the updates for the balancer.
     pub(super) fn apply(&mut self, now: Time, list: &EndpointListUpdate) -> Vec<EndpointUpdate> {
         let listed: Vec<_> = list.entries.iter().map(|entry| self.known_endpoint(entry)).collect();
         let mut updates = Vec::with_capacity(listed.len());
@@ -73,8 +75,9 @@
         updates
     }
 
-    /// Removes the endpoints whose address this one takes over: attempts for them would go to an endpoint
-    /// that is not meant, whatever the balancer makes of the list.
+    /// Removes other endpoints at the address of a listed endpoint that is ready, and reports them to the
+    /// balancer as draining. Their attempts would go to the wrong endpoint, even where the balancer doubts the
+    /// list.
     fn remove_replaced(&mut self, endpoint: &KnownEndpoint, updates: &mut Vec<EndpointUpdate>) {
         if !endpoint.update.ready {
             return;
@@ -97,16 +100,24 @@
             self.endpoints.remove(&update.cache).is_some()
         };
         if was_known != update.ready {
-            let event = if update.ready { "endpoint_ready" } else { "endpoint_removed" };
+            let (event, change) = if update.ready {
+                ("endpoint_ready", "now accepts requests")
+            } else {
+                ("endpoint_removed", "no longer accepts requests")
+            };
             let id = format!("{:016x}", update.cache.0);
-            log::debug!(event = event, endpoint = id, address:% = address; "endpoint at {address}: {event}");
+            log::debug!(
+                event = event, endpoint = id, address:% = address;
+                "endpoint {id} at {address} {change}, as the endpoint list states"
+            );
         }
     }
 
-    /// Removes the endpoints that the list has lacked for too long.
+    /// Removes endpoints that the list has not contained as active for [`REMOVED_ENDPOINT_TTL`]; without
+    /// `keep_unlisted`, at once.
     fn expire_unlisted(&mut self, now: Time, listed: &[KnownEndpoint], is_complete: bool) {
         for id in self.endpoints.keys() {
-            // An endpoint that was replaced under its name is listed twice, with its end and its start: the
+            // An endpoint that was replaced under the same name is listed twice, as ended and as started: the
             // last entry counts.
             match listed.iter().rfind(|endpoint| endpoint.update.cache == *id) {
                 Some(endpoint) if endpoint.update.ready => {
@@ -125,7 +136,7 @@
         self.unlisted_since.retain(|id, _| endpoints.contains_key(id));
     }
 
-    /// Translates an entry.
+    /// Translates an entry of the list to the balancer's types.
     fn known_endpoint(&self, entry: &EndpointEntry) -> KnownEndpoint {
         let kind = index_of(&self.names.kinds, &entry.kind).unwrap_or(usize::MAX);
         let started_at = Time(entry.boot_ms.saturating_mul(1000));
@@ -142,9 +153,12 @@
         KnownEndpoint { address: entry.address, update }
     }
 
-    /// The number of an entry's zone. Zones that the settings don't name get a number each: under a shared
-    /// one they would count as one zone, and a request that may be repeated within a zone only would run
-    /// again in another. Where no zone is given, no other endpoint is known to be in the same one.
+    /// The number of an entry's zone.
+    ///
+    /// Each zone without a name in the settings has a number of its own. With a shared number, all of them
+    /// would count as one zone, and a request that may be repeated only within its zone would run again in
+    /// another zone. An entry without a zone has a number of its own too, since no other endpoint is known to
+    /// be in its zone.
     fn zone_number(&self, entry: &EndpointEntry) -> u32 {
         match index_of(&self.names.zones, &entry.zone) {
             Some(index) => index as u32,
