--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -1,4 +1,4 @@
-//! Reports to the balancer what has happened, and carries out what it decides.
+//! Reports events to the balancer and carries out its decisions.
 
 use granitelb_balancer::EndpointUpdate;
 use granitelb_balancer::balancer::Balancer;
@@ -16,10 +16,10 @@
 use super::upstream::Upstream;
 use crate::http::EndpointListUpdate;
 
-/// How often the log tells what the budgets of caches in warm-up follow from.
+/// The shortest interval between two log lines about the warm-up budget.
 const WARMUP_LOG_INTERVAL: Span = Span::from_millis(1000);
 
-/// Everything on which decisions are carried out.
+/// The parts of the proxy that carry out the balancer's decisions, borrowed for one turn of the event loop.
 pub(super) struct ProxyContext<'a> {
     pub(super) turn: TurnContext<'a>,
     pub(super) downstream: &'a mut Downstream,
@@ -27,13 +27,13 @@
     pub(super) watch: &'a mut DiscoveryWatch,
 }
 
-/// Owns the balancer and the endpoint directory that feeds it.
+/// Owns the balancer and the endpoint directory that provides its endpoint updates.
 pub(super) struct BalancerDriver {
     balancer: Balancer,
     directory: EndpointDirectory,
-    /// How many endpoints accepted requests when the log last reported it.
+    /// The number of endpoints that accept requests, as last logged.
     logged_endpoint_count: usize,
-    /// When the log may next tell of budgets of caches in warm-up.
+    /// When the warm-up budget may next be logged.
     next_warmup_log_at: Time,
     /// Present where the node is part of a fleet with a control plane.
     recorder: Option<ObservationRecorder>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Uses other settings from now on.
+    /// Replaces the settings of the balancer, the endpoint directory and the recorder.
     pub(super) fn on_settings_update(&mut self, now: Time, settings: Settings, names: Names) {
         if let Some(recorder) = &mut self.recorder {
             recorder.on_settings_update(settings.clone());
@@ -63,19 +63,20 @@
         self.balancer.on_settings_update(now, settings);
     }
 
-    /// Restores the endpoint list that an earlier incarnation of this node had.
+    /// Restores the endpoint list that an earlier incarnation of this node stored.
     pub(super) fn restore_endpoints(&mut self, context: &mut ProxyContext<'_>, known: &EndpointListUpdate) {
         let updates = self.apply_endpoint_list(context, known);
         self.balancer.on_endpoints_restored(context.turn.now, &updates);
     }
 
-    /// Opens the watch at the start where the list is pushed: on sockets a watch is how it is pushed. The
-    /// balancer requests one only where the list comes on request, or once one is lost.
-    pub(super) fn open_pushed_watch(&mut self, context: &mut ProxyContext<'_>) {
+    /// Opens the watch when the node starts, where the settings say that the endpoint list is pushed: over
+    /// sockets, discovery pushes the list on a watch. The balancer requests a watch only where the list comes
+    /// on request, or after a watch was lost.
+    pub(super) fn open_initial_watch(&mut self, context: &mut ProxyContext<'_>) {
         self.request_watch(context);
     }
 
-    /// Handles what the watch on the endpoint list reports.
+    /// Handles an event of the watch on the endpoint list.
     pub(super) fn on_watch_event(&mut self, context: &mut ProxyContext<'_>, event: &WatchEvent) {
         let now = context.turn.now;
         match event {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Applies a list to the directory and the upstream side, and returns it in the balancer's terms.
+    /// Applies a list to the directory and the upstream side, and returns the updates for the balancer.
     fn apply_endpoint_list(
         &mut self,
         context: &mut ProxyContext<'_>,
@@ -116,7 +117,7 @@
         );
     }
 
-    /// Reports what has happened and carries out decisions until nothing is left of either.
+    /// Reports events and carries out decisions until neither an event nor a decision is left.
     pub(super) fn run_until_idle(&mut self, context: &mut ProxyContext<'_>) {
         self.begin_turn(context.turn.now);
         loop {
@@ -141,8 +142,8 @@
         log::debug!(
             event = "warmup_budget", requested = report.requested_work, sent = report.sent_work,
             warm_size = report.warm_size, work_per_size = report.work_per_size;
-            "caches warm up: of {:.3} s of work asked for in a window {:.3} s were sent, to a warm size of {:.2}; \
-            {:.3} s are granted per unit of it",
+            "warm-up budget: {:.3} s of cache work requested in a window, {:.3} s sent; \
+            serving caches have a warm size of {:.2}, and each unit of size is granted {:.3} s",
             report.requested_work, report.sent_work, report.warm_size, report.work_per_size
         );
     }
@@ -186,9 +187,9 @@
 
     /// Carries out the balancer's decisions, and returns whether there were any.
     ///
-    /// Cancellations follow attempts and responses: polling those has the balancer look at the time and
-    /// cancel attempts accordingly. A cancellation that were left until something else happens would come too
-    /// late on a quiet node.
+    /// Cancellations are polled after attempts and responses, since polling attempts and responses advances
+    /// the balancer's time and may cancel attempts. Polled earlier, such a cancellation would wait for the next
+    /// event, which comes too late on a node with little traffic.
     fn carry_out_decisions(&mut self, context: &mut ProxyContext<'_>) -> bool {
         let sent = self.send_attempts(context);
         let replied = self.accept_local_replies(&mut context.turn);
@@ -234,7 +235,7 @@
         any
     }
 
-    /// Has the watch opened, and returns whether that failed at once.
+    /// Opens the watch on the endpoint list, and returns whether opening it failed at once.
     fn request_watch(&mut self, context: &mut ProxyContext<'_>) -> bool {
         let Some(event) = context.watch.request(context.turn.transport, context.turn.now) else {
             return false;
@@ -243,14 +244,14 @@
         true
     }
 
-    /// Stops the control-plane agent: the node ends, and nothing is sent any more.
+    /// Stops the control-plane agent when the node ends; no further observations are sent.
     pub(super) fn close(&mut self) {
         if let Some(recorder) = self.recorder.take() {
             recorder.close();
         }
     }
 
-    /// When [`BalancerDriver::run_until_idle`] is due if nothing happens before.
+    /// The time at which [`BalancerDriver::run_until_idle`] is due if no event comes before.
     pub(super) fn poll_timeout(&self, now: Time) -> Option<Time> {
         self.balancer.poll_timeout(now)
     }
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -96,7 +96,7 @@
             driver.restore_endpoints(&mut context, known);
         }
         if is_list_pushed {
-            driver.open_pushed_watch(&mut context);
+            driver.open_initial_watch(&mut context);
         }
         Ok(node)
     }
