--- a/crates/node/src/proxy/request_table.rs
+++ b/crates/node/src/proxy/request_table.rs
@@ -1,8 +1,8 @@
-//! The requests in progress: where the downstream and the upstream side meet.
+//! The requests in progress, shared by the downstream and the upstream side.
 //!
-//! Invariants: [`RequestTable::start_attempt`] admits every attempt and admits none for a request that has
-//! its final response; [`RequestTable::finish`] accepts the first final response of a request and no other. A
-//! request stays in the table until its response was collected and its last attempt has ended.
+//! Invariants: [`RequestTable::start_attempt`] admits every attempt, and only for requests without a final
+//! response; [`RequestTable::finish`] accepts only the first final response of a request. A request stays in
+//! the table until its response was collected and its last attempt has ended.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -21,7 +21,7 @@
 enum ResponseState {
     /// The request waits for its final response.
     Pending,
-    /// The final response is known and was not collected yet.
+    /// The final response is known and has not been collected.
     Ready(FinalResponse),
     /// The final response was collected.
     Collected,
@@ -32,7 +32,7 @@
     /// The client's connection.
     client: ConnectionId,
     request: Request,
-    /// What is forwarded to endpoints.
+    /// The message that is forwarded to endpoints.
     message: Message,
     /// The client's identifier for the request.
     client_request_id: Box<str>,
@@ -43,7 +43,7 @@
 }
 
 impl ActiveRequest {
-    /// What the client asks for.
+    /// The client's request, in the balancer's types.
     pub fn request(&self) -> &Request {
         &self.request
     }
@@ -58,7 +58,7 @@
         &self.client_request_id
     }
 
-    /// Whether this is a read that a cache server did not have.
+    /// Whether the request is a read for which a cache server reported a cache miss.
     pub fn is_missed_read(&self) -> bool {
         self.missed_in_cache && !self.request.write
     }
@@ -67,34 +67,35 @@
         matches!(self.response, ResponseState::Pending)
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         matches!(self.response, ResponseState::Collected) && self.attempts_in_flight == 0
     }
 }
 
-/// An attempt that has ended, as the balancer is told of it.
+/// An attempt that has ended, as it is reported to the balancer.
 pub struct FinishedAttempt {
-    /// The request that it belonged to.
+    /// The request that the attempt was for.
     pub request: RequestId,
-    /// How it ended.
+    /// How the attempt ended.
     pub result: AttemptResult,
-    /// The length of the response's body.
+    /// The length of the response's body in bytes; 0 without a response.
     pub response_bytes: u32,
-    /// The load report that came with the response.
+    /// The load report in the response, if there was one that could be parsed.
     pub load_report: Option<LoadReport>,
 }
 
 /// A final response that is to be delivered to a client.
 pub struct UndeliveredResponse {
-    /// The request that it answers.
+    /// The request that the response answers.
     pub request: RequestId,
     /// The connection of the client.
     pub client: ConnectionId,
-    /// The response.
+    /// The final response.
     pub response: FinalResponse,
 }
 
-/// All requests in progress, with queues of what the driver and both sides have yet to handle.
+/// All requests in progress, with queues of events for the balancer driver and of final responses for the
+/// downstream side.
 #[derive(Default)]
 pub struct RequestTable {
     requests: HashMap<RequestId, ActiveRequest>,
@@ -112,8 +113,9 @@
 
 /// For the downstream side.
 impl RequestTable {
-    /// Adds a request, unless another one with the client's identifier is pending: endpoints could not tell
-    /// the two apart, and the earlier one would suffer for it.
+    /// Adds a request and returns its identifier; `None` if a request of any client with the same
+    /// `client_request_id` is pending. Endpoints could not tell the two requests apart, and the later one would
+    /// disturb the earlier one.
     pub fn insert(
         &mut self,
         client: ConnectionId,
@@ -141,19 +143,19 @@
         Some(id)
     }
 
-    /// Records that the client has disconnected: no response is due any more.
+    /// Records that the client of a request has disconnected and gets no response.
     pub fn on_client_disconnect(&mut self, id: RequestId) {
         if self.finish(id, FinalResponse::ClientDisconnected) {
             self.disconnected.push_back(id);
         }
     }
 
-    /// The next final response to deliver.
+    /// Returns the next final response to deliver.
     pub fn poll_response(&mut self) -> Option<UndeliveredResponse> {
         loop {
             let id = self.undelivered.pop_front()?;
             let undelivered = self.collect_response(id);
-            self.remove_if_over(id);
+            self.remove_if_finished(id);
             if undelivered.is_some() {
                 return undelivered;
             }
@@ -176,7 +178,7 @@
 
 /// For the upstream side.
 impl RequestTable {
-    /// A request in progress.
+    /// The request with this identifier, if it is in progress.
     pub fn get(&self, id: RequestId) -> Option<&ActiveRequest> {
         self.requests.get(&id)
     }
@@ -186,7 +188,8 @@
         self.requests.get(&id).is_some_and(ActiveRequest::is_pending)
     }
 
-    /// Records the end of an attempt, and the final response if it brought one.
+    /// Records the end of an attempt. If the attempt fulfilled the request, its response becomes the final one
+    /// unless there already is a final response.
     pub fn on_attempt_end(
         &mut self,
         id: RequestId,
@@ -213,7 +216,7 @@
             response_bytes,
             load_report,
         });
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
     fn read_load_report(&mut self, end: &AttemptEnd) -> Option<LoadReport> {
@@ -234,29 +237,29 @@
         self.load_report_header = name;
     }
 
-    /// The next request that has arrived.
+    /// Returns the next request that has arrived.
     pub fn poll_arrived(&mut self) -> Option<(RequestId, Request)> {
         loop {
             let id = self.arrived.pop_front()?;
-            // A request whose client disconnected at once may be gone; those behind it are not.
+            // A request whose client disconnected at once may already be removed: the next one is returned.
             if let Some(active) = self.requests.get(&id) {
                 return Some((id, active.request));
             }
         }
     }
 
-    /// The next request whose client has disconnected.
+    /// Returns the next request whose client has disconnected.
     pub fn poll_disconnected(&mut self) -> Option<RequestId> {
         self.disconnected.pop_front()
     }
 
-    /// The next attempt that has ended.
+    /// Returns the next attempt that has ended.
     pub fn poll_finished_attempt(&mut self) -> Option<FinishedAttempt> {
         self.finished_attempts.pop_front()
     }
 
-    /// Admits an attempt and returns its number, unless the request has its final response. Every attempt
-    /// passes here.
+    /// Admits an attempt and returns its number; `None` if the request already has its final response. Every
+    /// attempt is admitted by this function.
     pub fn start_attempt(&mut self, id: RequestId) -> Option<AttemptNumber> {
         let active = self.requests.get_mut(&id)?;
         if !active.is_pending() {
@@ -268,8 +271,8 @@
         Some(number)
     }
 
-    /// Accepts the final response of a request, unless it has one, and returns whether it was accepted. Every
-    /// final response passes here.
+    /// Accepts a final response unless the request already has one, and returns whether it was accepted. Every
+    /// final response is accepted by this function.
     pub fn finish(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(active) = self.requests.get_mut(&id) else { return false };
         if !active.is_pending() {
@@ -282,18 +285,18 @@
         true
     }
 
-    /// How many requests wait for their final response.
+    /// The number of requests that wait for their final response.
     pub fn pending_count(&self) -> usize {
         self.pending_ids.len()
     }
 
-    /// Returns the counts since the last call.
+    /// Returns the metrics since the last call, and resets them.
     pub(super) fn take_metrics(&mut self) -> RequestMetrics {
         std::mem::take(&mut self.metrics)
     }
 
-    fn remove_if_over(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(ActiveRequest::is_over) {
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(ActiveRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
