--- a/crates/node/src/proxy/endpoint_directory.rs
+++ b/crates/node/src/proxy/endpoint_directory.rs
@@ -31,8 +31,8 @@
 pub(super) struct EndpointDirectory {
     names: Names,
     /// Whether only an entry in state `Draining` removes an endpoint at once. An endpoint that is missing from
-    /// the list, or listed as gone, is then kept for [`REMOVED_ENDPOINT_TTL`], since the balancer may doubt
-    /// the list.
+    /// the list, or listed as `Removed`, is then kept for [`REMOVED_ENDPOINT_TTL`], since the balancer may
+    /// doubt the list.
     keep_unlisted: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// The endpoints that are kept although the list does not contain them as active, each with the time when
