--- a/crates/node/src/proxy/upstream/connecting.rs
+++ b/crates/node/src/proxy/upstream/connecting.rs
@@ -1,8 +1,8 @@
-//! Establishing connections to endpoints.
+//! Establishes connections to endpoints, and finds other connections for attempts whose connection is delayed.
 //!
-//! An attempt whose connection is delayed moves to one that has become idle; else a surplus connection is
-//! opened beside it, and whichever is established first carries the attempt. Its request was written to
-//! neither before, so it cannot be executed twice.
+//! An attempt whose connection is delayed moves to an idle connection. If there is none, a surplus connection
+//! is opened, and the connection that is established first carries the attempt. The request is written to
+//! that connection only, so it cannot be executed twice.
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
@@ -12,20 +12,18 @@
 use crate::proxy::turn_context::TurnContext;
 use crate::transport::{CloseReason, Connection, ConnectionId};
 
-/// Connections to one endpoint that may be connecting beside those that attempts wait for. The limit keeps an
-/// endpoint that is cut off from having the node open connections without end.
+/// The most surplus connections to one endpoint: connections that are connecting without an attempt. Without
+/// this limit, the node would open more and more connections to an endpoint that is cut off.
 pub(super) const MAX_SURPLUS_CONNECTIONS: usize = 2;
-/// A connecting connection that no attempt waits for any more is given this time to be established for the
-/// next one.
+/// A surplus connection is closed unless it is established, for the next attempt, within this time.
 pub(super) const SURPLUS_CONNECT_TIMEOUT: Span = Span::from_millis(2000);
-/// Descriptors that are reserved for the watch on the endpoint list and for its successor. Attempts of
-/// clients that have disconnected go on, and at unresponsive endpoints they would take all descriptors, so
-/// that the announcement of a drain is missed.
+/// Descriptors that are reserved for the watch on the endpoint list and for the watch that replaces it.
+/// Attempts go on after their client has disconnected. At unresponsive endpoints such attempts could take all
+/// descriptors, and without a watch the node would miss that an endpoint drains.
 const RESERVED_FOR_WATCH: usize = 2;
 
 impl Upstream {
-    /// Opens a connection to a known endpoint. Until an attempt is assigned to it, it is a surplus
-    /// connection.
+    /// Opens a connection to a known endpoint. It is a surplus connection until an attempt is assigned to it.
     pub(super) fn open(
         &mut self,
         cx: &mut TurnContext<'_>,
@@ -44,7 +42,7 @@
         Ok(id)
     }
 
-    /// Handles the first event of a connecting connection.
+    /// Handles an event of a connection that is not established yet.
     pub(super) fn on_connecting_event(
         &mut self,
         cx: &mut TurnContext<'_>,
@@ -55,13 +53,13 @@
         if !upstream.connection.is_connected() {
             return Ok(());
         }
-        let took = upstream.time_since_progress(cx.now);
+        let connect_time = upstream.time_since_progress(cx.now);
         upstream.last_progress_at = cx.now;
-        // What has arrived before the request is written is no response to it.
+        // Receives data that the endpoint sent before the request is written: it cannot be the response.
         upstream.connection.receive();
         if let Some(pool) = self.pools.get_mut(&upstream.endpoint) {
             pool.connecting.retain(|connecting| *connecting != id);
-            pool.record_connect_time(took);
+            pool.record_connect_time(connect_time);
         }
         match &upstream.attempt {
             Some(attempt) => cx.transport.timers.set(id, attempt.response_deadline),
@@ -70,14 +68,14 @@
         Ok(())
     }
 
-    /// Handles the delay of a connection that an attempt waits for.
+    /// Moves an attempt whose connection is delayed to an idle connection, or opens a surplus connection.
     pub(super) fn on_connect_delayed(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(upstream) = self.connections.get(&id) else { return };
         let Some(attempt) = &upstream.attempt else { return };
         let endpoint = upstream.endpoint;
         let is_idempotent = attempt.is_idempotent;
-        // No connection is opened or taken for a request that has its response. This one is kept for the next
-        // attempt.
+        // A request that has its final response needs no other connection. The delayed connection is kept for
+        // the next attempt.
         if !cx.requests.is_pending(attempt.id.request) {
             return self.release(cx, id, CloseReason::NoLongerNeeded);
         }
@@ -89,7 +87,7 @@
         let may_open = self.surplus_connections(endpoint) < MAX_SURPLUS_CONNECTIONS
             && cx.transport.available_connections() > MAX_SURPLUS_CONNECTIONS;
         if may_open {
-            // Where none can be opened, the attempt stays where it is.
+            // If no connection can be opened, the attempt goes on waiting for the delayed one.
             let _ = self.open(cx, endpoint);
         }
     }
@@ -102,7 +100,7 @@
         next_check.min(attempt.connection_wait_deadline())
     }
 
-    /// How many connections to an endpoint are connecting that no attempt waits for.
+    /// The number of surplus connections to an endpoint.
     pub(super) fn surplus_connections(&self, endpoint: EndpointId) -> usize {
         let Some(pool) = self.pools.get(&endpoint) else { return 0 };
         let is_surplus =
@@ -110,8 +108,8 @@
         pool.connecting.iter().filter(is_surplus).count()
     }
 
-    /// Moves the attempt of a connecting connection, to which nothing was written, to an established one. The
-    /// first connection goes on as a surplus connection.
+    /// Moves the attempt of the connecting connection `from`, to which nothing was written, to the established
+    /// connection `to`. `from` becomes a surplus connection.
     fn reassign(&mut self, cx: &mut TurnContext<'_>, from: ConnectionId, to: ConnectionId) {
         let Some(delayed) = self.connections.get_mut(&from) else { return };
         if delayed.connection.is_connected() {
@@ -122,8 +120,8 @@
         self.assign(cx, to, attempt);
     }
 
-    /// Handles a surplus connection that is established: it carries the attempt that has waited longest for
-    /// another connection to the endpoint, else it becomes idle.
+    /// Assigns a surplus connection that is now established to the attempt that has waited longest for a
+    /// connection to the endpoint. If no attempt waits, the connection becomes idle.
     fn use_surplus_connection(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(upstream) = self.connections.get(&id) else { return };
         if !upstream.is_clean() {
@@ -136,8 +134,8 @@
         self.add_idle(cx, endpoint, id);
     }
 
-    /// The connecting connection to an endpoint whose attempt has waited longest for a request without a
-    /// response.
+    /// The connecting connection to an endpoint whose attempt has waited longest, among the attempts of
+    /// requests without a final response.
     fn longest_waiting(&self, cx: &TurnContext<'_>, endpoint: EndpointId) -> Option<ConnectionId> {
         let pool = self.pools.get(&endpoint)?;
         let carries_pending_request = |id: &&ConnectionId| {
--- a/crates/node/src/proxy/upstream/connection.rs
+++ b/crates/node/src/proxy/upstream/connection.rs
@@ -17,26 +17,26 @@
     pub(super) number: AttemptNumber,
 }
 
-/// The attempt that a connection is for.
+/// An attempt that is assigned to a connection.
 pub(super) struct AssignedAttempt {
     pub(super) id: AttemptId,
     pub(super) started_at: Time,
-    /// When its connection has to be established.
+    /// The time by which the connection must be established.
     pub(super) connect_deadline: Time,
-    /// When its first byte has to have been sent.
+    /// The time by which the first byte of the request must be sent.
     pub(super) start_deadline: Time,
-    /// When its response is no longer waited for.
+    /// The time until which the node waits for the response.
     pub(super) response_deadline: Time,
-    /// Whether its request may run more than once.
+    /// Whether the request may be executed more than once.
     pub(super) is_idempotent: bool,
-    /// The length of its request, once that was handed to the connection.
+    /// The length of the request in bytes; `None` until the request was handed to the connection.
     pub(super) request_bytes: Option<usize>,
     /// Whether data arrived on the connection before the last byte of the request was sent.
     pub(super) has_early_data: bool,
 }
 
 impl AssignedAttempt {
-    /// Until when it waits for its connection to be established.
+    /// The time until which the attempt waits for its connection to be established.
     pub(super) fn connection_wait_deadline(&self) -> Time {
         self.connect_deadline.min(self.start_deadline).min(self.response_deadline)
     }
@@ -50,12 +50,13 @@
     pub(super) address: SocketAddr,
     pub(super) attempt: Option<AssignedAttempt>,
     pub(super) recent_responses: RecentResponses,
-    /// When it was opened, was established, or delivered its last response, whichever is latest.
+    /// When the connection was opened, was established, delivered its last response, or was released by an
+    /// attempt, whichever is latest.
     pub(super) last_progress_at: Time,
 }
 
 impl UpstreamConnection {
-    /// A connection that was opened now and carries no attempt yet.
+    /// Creates the state of a connection that was opened at `now` and carries no attempt yet.
     pub(super) fn new(
         connection: Connection,
         endpoint: EndpointId,
@@ -80,7 +81,7 @@
         attempt.request_bytes.is_some_and(|length| unsent < length)
     }
 
-    /// How far the attempt's request was sent.
+    /// How much of the attempt's request was sent.
     pub(super) fn request_progress(&self) -> RequestProgress {
         if self.has_started() && self.connection.output.is_empty() {
             RequestProgress::FullyWritten
@@ -89,24 +90,28 @@
         }
     }
 
-    /// Whether the peer has neither ended the connection nor sent data that is not consumed.
+    /// Whether the peer keeps the connection open and all data that it sent was consumed.
     pub(super) fn is_clean(&self) -> bool {
         self.connection.close_reason().is_none() && self.connection.input.is_empty()
     }
 
-    /// Whether the connection may carry a request: no copy of an answer may still come that says that a request which
-    /// must not run twice did not run.
-    pub(super) fn is_fit_for(&self, now: Time, is_idempotent: bool) -> bool {
+    /// Whether the connection may carry a request.
+    ///
+    /// A request that must not be executed twice is kept off a connection that recently delivered a response
+    /// which proves that an earlier request was not executed. A duplicate of that response may still arrive and
+    /// be taken for the response to the new request, which would be sent again although the endpoint executes
+    /// it.
+    pub(super) fn can_carry(&self, now: Time, is_idempotent: bool) -> bool {
         is_idempotent || !self.recent_responses.has_not_executed(now)
     }
 
-    /// How long ago it last made progress.
+    /// The time since the connection last made progress.
     pub(super) fn time_since_progress(&self, now: Time) -> Span {
         now - self.last_progress_at
     }
 
-    /// Sends buffered output, unless the peer has ended the connection: what has not been sent by then never
-    /// runs there.
+    /// Sends buffered output unless the peer has ended the connection. The endpoint never executes a request
+    /// that was not fully sent by then.
     pub(super) fn flush(&mut self) -> Result<(), CloseReason> {
         if self.connection.close_reason().is_some() {
             return Ok(());
@@ -114,7 +119,8 @@
         self.connection.flush()
     }
 
-    /// The next complete response, also one that the orderly end of the connection completes.
+    /// Returns the next complete response. The orderly end of the connection completes a response without a
+    /// length.
     pub(super) fn next_response(&mut self) -> Result<Option<Message>, ParseError> {
         if let Some(response) = self.decoder.next(&mut self.connection.input)? {
             return Ok(Some(response));
@@ -134,7 +140,7 @@
         }
     }
 
-    /// Forgets early data that was an interim response: it is no part of the response.
+    /// Clears the early-data flag if the early data was an interim response, which is no part of the response.
     pub(super) fn forget_early_interim_response(&mut self) {
         let is_between_messages = self.decoder.is_between_messages() && self.connection.input.is_empty();
         if let Some(attempt) = &mut self.attempt {
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Whether an established connection still has the attempt's request to be written.
+    /// Whether the connection is established and the request of its attempt is still to be written.
     pub(super) fn has_unwritten_attempt(&self) -> bool {
         self.connection.is_connected()
             && self.attempt.as_ref().is_some_and(|attempt| attempt.request_bytes.is_none())
--- a/crates/node/src/proxy/upstream/exchange.rs
+++ b/crates/node/src/proxy/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! Writing requests to connections and reading the responses.
+//! Writes requests to connections and reads the responses.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -11,13 +11,13 @@
 use crate::proxy::turn_context::TurnContext;
 use crate::transport::{CloseReason, ConnectionId};
 
-/// After a supposed duplicate, the response to the request is waited for during this share of the time that
-/// the attempt has left.
+/// After a supposed duplicate, the node waits for the response to the request during this share of the time
+/// that the attempt has left.
 const DUPLICATE_WAIT_SHARE: f64 = 0.25;
 
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// Tracks the variety of responses to reads and to writes separately.
+/// Tracks separately for reads and for writes whether responses differ from one to the next.
 #[derive(Default)]
 pub(super) struct VarietyByMethod {
     reads: ResponseVariety,
@@ -31,22 +31,22 @@
     }
 }
 
-/// Whether a connection goes on after a response was handled.
+/// Whether a connection is still open after received data was handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ConnectionFate {
+enum ConnectionStatus {
     Open,
     Closed,
 }
 
 impl Upstream {
-    /// Writes what is to be written on a connection and handles what was received.
+    /// Writes a connection's pending output and handles its received data.
     pub(super) fn advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(upstream) = self.connections.get(&id) else { return };
-        // No response is due on an idle connection. A part of one, once read, would precede the response to
-        // the next request, whose client would get a response that was made for no request of its own.
+        // No response is due on an idle connection. Data that arrives there would be read as the beginning of
+        // the response to the next request, and that client would get a response to no request of its own.
         if upstream.attempt.is_none() && !upstream.connection.input.is_empty() {
             let endpoint = upstream.endpoint;
-            self.mark_suspect(cx.now, endpoint);
+            self.record_unsolicited_data(cx.now, endpoint);
             return self.close(cx, id, CloseReason::ProtocolError);
         }
         if is_writing_for_finished_request(upstream, cx.requests) {
@@ -58,12 +58,12 @@
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         upstream.record_early_data();
         let written = upstream.flush();
-        if self.read_responses(cx, id, written) == ConnectionFate::Closed {
+        if self.read_responses(cx, id, written) == ConnectionStatus::Closed {
             return;
         }
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         upstream.forget_early_interim_response();
-        // Data that arrived before the request was written is no response to it.
+        // Data that arrived before the request was written cannot be the response to it.
         let early_data = upstream.has_unwritten_attempt().then_some(CloseReason::ProtocolError);
         let close_reason = upstream.connection.close_reason().or(written.err()).or(early_data);
         match close_reason {
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Admits the first byte of every attempt: it is sent only while its request is pending, before its start
-    /// deadline, and to the current address of its endpoint.
+    /// Writes the request of an attempt. The first byte of every attempt passes this check: it is sent only
+    /// while the request is pending, before the start deadline, and to the endpoint's current address.
     ///
-    /// The request is written here, with the time that is left by now, since connecting may have taken long.
-    /// Where data or the end of the connection has arrived before, it is not written: that is handled first.
+    /// The request states the time that is left now, since connecting may have taken long. Nothing is written
+    /// if data or the end of the connection has arrived: that is handled first.
     fn start_request(
         &mut self,
         requests: &RequestTable,
@@ -97,7 +97,7 @@
         if attempt.response_deadline <= now {
             return Err(CloseReason::DeadlineExceeded);
         }
-        // A repeat that is sent later than this is no longer recognized as one.
+        // A repeated request that is sent after the start deadline is no longer recognized as a repeat.
         if attempt.start_deadline <= now {
             return Err(CloseReason::NoLongerNeeded);
         }
@@ -115,22 +115,22 @@
         cx: &mut TurnContext<'_>,
         id: ConnectionId,
         written: Result<(), CloseReason>,
-    ) -> ConnectionFate {
+    ) -> ConnectionStatus {
         loop {
-            let Some(upstream) = self.connections.get_mut(&id) else { return ConnectionFate::Closed };
+            let Some(upstream) = self.connections.get_mut(&id) else { return ConnectionStatus::Closed };
             let response = match upstream.next_response() {
                 Ok(Some(response)) => response,
-                Ok(None) => return ConnectionFate::Open,
+                Ok(None) => return ConnectionStatus::Open,
                 Err(_) => {
                     self.close(cx, id, CloseReason::ProtocolError);
-                    return ConnectionFate::Closed;
+                    return ConnectionStatus::Closed;
                 }
             };
             if upstream.attempt.is_none() {
-                return ConnectionFate::Open;
+                return ConnectionStatus::Open;
             }
-            if self.on_response(cx, id, response, written) == ConnectionFate::Closed {
-                return ConnectionFate::Closed;
+            if self.on_response(cx, id, response, written) == ConnectionStatus::Closed {
+                return ConnectionStatus::Closed;
             }
         }
     }
@@ -141,28 +141,28 @@
         id: ConnectionId,
         response: Message,
         written: Result<(), CloseReason>,
-    ) -> ConnectionFate {
-        let Some(upstream) = self.connections.get(&id) else { return ConnectionFate::Closed };
-        let Some(attempt) = &upstream.attempt else { return ConnectionFate::Open };
+    ) -> ConnectionStatus {
+        let Some(upstream) = self.connections.get(&id) else { return ConnectionStatus::Closed };
+        let Some(attempt) = &upstream.attempt else { return ConnectionStatus::Open };
         let endpoint = upstream.endpoint;
-        // An endpoint begins with a request once it has all of it: this response was made for no pending
-        // request.
+        // An endpoint begins to execute a request once it has received all of it: a response that began to
+        // arrive earlier answers no pending request.
         if response.head.status == 200 && attempt.has_early_data {
-            self.mark_suspect(cx.now, endpoint);
+            self.record_unsolicited_data(cx.now, endpoint);
             self.close(cx, id, CloseReason::ProtocolError);
-            return ConnectionFate::Closed;
+            return ConnectionStatus::Closed;
         }
         let time_left = attempt.response_deadline - cx.now;
         if self.is_duplicate(cx, id, &response) {
-            // The response to this request follows it.
-            self.mark_suspect(cx.now, endpoint);
+            // The response to this request is expected after the duplicate.
+            self.record_unsolicited_data(cx.now, endpoint);
             cx.transport.timers.set_earlier(id, cx.now + time_left.scaled(DUPLICATE_WAIT_SHARE));
-            return ConnectionFate::Open;
+            return ConnectionStatus::Open;
         }
         self.finish_attempt(cx, id, response, written)
     }
 
-    /// Whether a response duplicates one that its connection has recently delivered.
+    /// Whether a response is taken for a duplicate of a response that its connection recently delivered.
     fn is_duplicate(&mut self, cx: &TurnContext<'_>, id: ConnectionId, response: &Message) -> bool {
         let Some(upstream) = self.connections.get(&id) else { return false };
         let Some(attempt) = &upstream.attempt else { return false };
@@ -174,16 +174,16 @@
         variety.is_established() && upstream.recent_responses.contains(cx.now, response)
     }
 
-    /// Ends an attempt with its response, and keeps the connection for the next one where it is fit for that.
+    /// Ends an attempt with its response. The connection becomes idle if it can be reused, else it is closed.
     fn finish_attempt(
         &mut self,
         cx: &mut TurnContext<'_>,
         id: ConnectionId,
         response: Message,
         written: Result<(), CloseReason>,
-    ) -> ConnectionFate {
-        let Some(upstream) = self.connections.get_mut(&id) else { return ConnectionFate::Closed };
-        let Some(attempt) = upstream.attempt.take() else { return ConnectionFate::Open };
+    ) -> ConnectionStatus {
+        let Some(upstream) = self.connections.get_mut(&id) else { return ConnectionStatus::Closed };
+        let Some(attempt) = upstream.attempt.take() else { return ConnectionStatus::Open };
         let endpoint = upstream.endpoint;
         upstream.recent_responses.record(cx.now, &response);
         self.variety.of_request(cx.requests.get(attempt.id.request)).record(&response);
@@ -198,18 +198,18 @@
         let end = AttemptEnd::Response(response);
         cx.requests.on_attempt_end(attempt.id.request, attempt.id.number, endpoint, end, latency);
         if has_excess_input {
-            self.mark_suspect(cx.now, endpoint);
+            self.record_unsolicited_data(cx.now, endpoint);
         }
         if !is_reusable || !is_current_address {
             self.remove(cx.transport, id, CloseReason::NoLongerNeeded);
-            return ConnectionFate::Closed;
+            return ConnectionStatus::Closed;
         }
         self.add_idle(cx, endpoint, id);
-        ConnectionFate::Open
+        ConnectionStatus::Open
     }
 }
 
-/// Whether a started request still has bytes to be written although it has its final response.
+/// Whether bytes of a started request are still to be written although the request has its final response.
 fn is_writing_for_finished_request(upstream: &UpstreamConnection, requests: &RequestTable) -> bool {
     let Some(attempt) = &upstream.attempt else { return false };
     let is_writing = upstream.has_started() && !upstream.connection.output.is_empty();
--- a/crates/node/src/proxy/upstream/mod.rs
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -1,10 +1,11 @@
 //! The upstream side: connections to cache servers and the origin, and the attempts on them.
 //!
 //! Invariants:
-//! - The first byte of every attempt passes [`Upstream::start_request`], whichever connection it waited for.
-//!   Its request is written only then, with the time that is left.
+//! - [`Upstream::start_request`] writes the request of every attempt, whichever connection the attempt waited
+//!   for. The request states the time that is left at that moment.
 //! - An attempt is assigned to one connection at a time.
-//! - A response goes to a request only after the last byte of its attempt was written, and once.
+//! - A successful response is accepted only after the last byte of the attempt's request was written. Each
+//!   attempt gets at most one response.
 
 mod connecting;
 mod connection;
@@ -26,14 +27,15 @@
 use super::turn_context::TurnContext;
 use crate::transport::{CloseReason, ConnectionId, Owner, ReadinessEvent, Transport};
 
-/// An idle connection is closed after this share of the time after which an endpoint may close it: what is
-/// written to one that is just being closed is lost.
+/// An idle connection is closed after this share of the time after which the endpoint may close it: a request
+/// that is written while the endpoint closes the connection is lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
-/// A duplicate response may arrive some milliseconds after the first. On a connection that carries the next
-/// request by then it could be taken for that one's: a connection that was idle for this long is preferred.
+/// Connections that have been idle for this time are preferred. A duplicate response may arrive some
+/// milliseconds after the original, and on a connection that already carries the next request it could be
+/// taken for the response to that request.
 const PREFERRED_IDLE_TIME: Span = Span::from_millis(20);
 
-/// The connections to all endpoints.
+/// The upstream side: the connections to all endpoints.
 pub struct Upstream {
     owner: Owner,
     pools: BTreeMap<EndpointId, EndpointPool>,
@@ -45,7 +47,8 @@
 }
 
 impl Upstream {
-    /// An upstream side without endpoints. Endpoints may close connections that are idle for `keep_alive`.
+    /// Creates an upstream side without endpoints. Endpoints may close connections after `keep_alive` without a
+    /// request.
     pub fn new(owner: Owner, connect_timeout: Span, keep_alive: Span) -> Upstream {
         Upstream {
             owner,
@@ -83,8 +86,8 @@
         }
     }
 
-    /// Removes an endpoint: attempts that were not started are not sent, idle connections are closed, and
-    /// connections that carry a started attempt end with its response.
+    /// Removes an endpoint. Attempts of which nothing was sent end, and idle connections are closed. A
+    /// connection that carries a started attempt is closed after its response.
     fn remove_endpoint(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId) {
         let Some(pool) = self.pools.remove(&endpoint) else { return };
         for id in pool.connecting.into_iter().chain(pool.idle) {
@@ -135,8 +138,8 @@
         self.advance(cx, id);
     }
 
-    /// Takes an idle connection that the endpoint has not ended meanwhile: what is written to one that it has
-    /// ended is lost.
+    /// Takes an idle connection that the endpoint has not ended: a request that is written to an ended
+    /// connection is lost.
     fn take_idle(
         &mut self,
         cx: &mut TurnContext<'_>,
@@ -151,14 +154,15 @@
                 return Some(id);
             }
             if !upstream.connection.input.is_empty() {
-                self.mark_suspect(cx.now, endpoint);
+                self.record_unsolicited_data(cx.now, endpoint);
             }
             self.remove(cx.transport, id, CloseReason::ClosedByPeer);
         }
     }
 
-    /// Removes from the pool the connection that was used last among those idle for long enough, else the one
-    /// that has been idle for longest unless the endpoint is suspect.
+    /// Removes from the pool and returns the connection that was used last among those idle for
+    /// [`PREFERRED_IDLE_TIME`]. If there is none, takes the connection that has been idle for longest, unless
+    /// the endpoint has recently sent unsolicited data.
     fn remove_preferred_idle(
         &mut self,
         now: Time,
@@ -167,25 +171,25 @@
     ) -> Option<ConnectionId> {
         let pool = self.pools.get_mut(&endpoint)?;
         let connections = &self.connections;
-        let is_fit = |id: &ConnectionId| {
-            connections.get(id).is_none_or(|upstream| upstream.is_fit_for(now, is_idempotent))
+        let can_carry = |id: &ConnectionId| {
+            connections.get(id).is_none_or(|upstream| upstream.can_carry(now, is_idempotent))
         };
         let is_long_idle = |id: &ConnectionId| {
             let upstream = connections.get(id);
             upstream.is_none_or(|upstream| upstream.time_since_progress(now) >= PREFERRED_IDLE_TIME)
         };
-        // They are in the order in which they became idle.
-        let long_idle = pool.idle.partition_point(is_long_idle);
-        let preferred = pool.idle[..long_idle].iter().rposition(is_fit);
+        // The pool's idle connections are in the order in which they became idle.
+        let long_idle_count = pool.idle.partition_point(is_long_idle);
+        let preferred = pool.idle[..long_idle_count].iter().rposition(can_carry);
         let index = match preferred {
             Some(index) => index,
-            None if pool.is_suspect(now) => return None,
-            None => pool.idle.iter().position(is_fit)?,
+            None if pool.has_recent_unsolicited_data(now) => return None,
+            None => pool.idle.iter().position(can_carry)?,
         };
         Some(pool.idle.remove(index))
     }
 
-    /// Adds a connection to the idle ones of its endpoint, if that is known.
+    /// Adds a connection to the idle connections of its endpoint, if the endpoint is known.
     fn add_idle(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId, id: ConnectionId) {
         let Some(pool) = self.pools.get_mut(&endpoint) else { return };
         pool.idle.push(id);
@@ -193,13 +197,13 @@
         cx.transport.timers.set(id, cx.now + self.idle_timeout);
     }
 
-    fn mark_suspect(&mut self, now: Time, endpoint: EndpointId) {
+    fn record_unsolicited_data(&mut self, now: Time, endpoint: EndpointId) {
         if let Some(pool) = self.pools.get_mut(&endpoint) {
-            pool.mark_suspect(now);
+            pool.record_unsolicited_data(now);
         }
     }
 
-    /// Cancels an attempt. A connection on which nothing of it was sent is kept.
+    /// Cancels an attempt. Its connection is kept if no byte of the request was sent, and closed otherwise.
     pub fn cancel(&mut self, cx: &mut TurnContext<'_>, request: RequestId, number: AttemptNumber) {
         let Some(id) = self.connections_by_attempt.get(&AttemptId { request, number }).copied() else {
             return;
@@ -245,8 +249,9 @@
         self.close(cx, id, CloseReason::ConnectTimeout);
     }
 
-    /// Handles that nothing followed a supposed duplicate. It may have been the response or not, so nobody
-    /// gets it; for a while none of the endpoint's responses is taken for a duplicate.
+    /// Ends an attempt that got a supposed duplicate and no response after it. The supposed duplicate may have
+    /// been the response, or not: no client gets it. For a while none of the endpoint's responses is taken for
+    /// a duplicate.
     fn on_duplicate_wait_end(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let endpoint = self.connections.get(&id).map(|upstream| upstream.endpoint);
         if let Some(pool) = endpoint.and_then(|endpoint| self.pools.get_mut(&endpoint)) {
@@ -268,8 +273,8 @@
         }
     }
 
-    /// Ends an attempt of which nothing was sent, and keeps its connection, which is not at fault, for the
-    /// next one.
+    /// Ends an attempt of which nothing was sent. Its connection, which is not the cause, is kept for the next
+    /// attempt.
     fn release(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         let Some(attempt) = upstream.attempt.take() else { return };
@@ -289,7 +294,8 @@
         }
     }
 
-    /// Makes an established connection idle whose attempt was released, unless it is unfit for another one.
+    /// Makes an established connection idle after its attempt was released, or closes the connection if it
+    /// cannot carry another attempt.
     fn keep_released(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         let endpoint = upstream.endpoint;
@@ -305,7 +311,7 @@
         }
     }
 
-    /// Closes a connection and ends the attempt on it.
+    /// Closes a connection and ends the attempt on it, if there is one.
     fn close(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         let progress = upstream.request_progress();
@@ -327,7 +333,7 @@
         if let Some(pool) = self.pools.get_mut(&upstream.endpoint) {
             pool.connecting.retain(|connecting| *connecting != id);
         }
-        log::debug!("connection to {} closed: {reason:?}", upstream.address);
+        log::debug!("connection to endpoint {} closed: {reason:?}", upstream.address);
         upstream.connection.close(transport);
     }
 }
