--- a/crates/node/src/proxy/downstream/mod.rs
+++ b/crates/node/src/proxy/downstream/mod.rs
@@ -1,7 +1,7 @@
 //! The downstream side: receives requests on clients' connections and delivers the responses.
 //!
-//! Invariants: a client has at most one request in progress, and reads no further until it is answered; each
-//! connection has a timer, so that none outlives a peer that has vanished.
+//! Invariants: a client has at most one request in progress, and no further request is taken from its input
+//! until that one is answered; each connection has a timer, so that no connection outlives a vanished peer.
 
 mod client;
 mod client_limits;
@@ -27,47 +27,47 @@
     CloseReason, Connection, ConnectionId, Listener, Owner, ReadinessEvent, TimeQueue, Transport,
 };
 
-/// A first message must be complete this long after its client connected, a later one this long after its
-/// first byte: whoever sends an incomplete one is owed an error or a close within 3 s, and no request waits
-/// for as long.
+/// The first message of a client must be complete this long after the client connected, a later message this
+/// long after its first byte. An incomplete message must get an error or a close within 3 s, and no request
+/// waits for as long as that.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(2500);
-/// A response must be accepted within this time: far longer than any live peer needs.
+/// A client must accept a response within this time, which is far longer than any live peer needs.
 const WRITE_TIMEOUT: Span = Span::from_millis(10_000);
-/// An idle client is closed after this time: one whose machine has vanished never says so.
+/// An idle client is closed after this time: a client whose machine has vanished never closes its connection.
 const IDLE_TIMEOUT: Span = Span::from_millis(120_000);
-/// While there are many clients, one is closed after being idle for this time, lest those who asked once and
-/// stay take the connections of clients with requests.
-const CROWDED_IDLE_TIMEOUT: Span = Span::from_millis(2000);
-/// While there are many clients, one that has sent no complete message is evicted this long after connecting,
-/// and a lingering one this long after its last response, before any that may send another request: whoever
-/// has a request begins with it.
-const UNWANTED_AFTER: Span = Span::from_millis(250);
-/// How long a rejected client may go on sending before its connection is closed: closed at once, the response
-/// could be lost on its way.
+/// While there are many clients, a client is closed after being idle for this time. Otherwise clients that
+/// stay connected after one request would take the connections of clients with requests.
+const SHORT_IDLE_TIMEOUT: Span = Span::from_millis(2000);
+/// While there are many clients, a client that has sent no complete message may be evicted this long after it
+/// connected, and a lingering client this long after its last response. Both are evicted before clients that
+/// may send another request: a client with a request sends it as soon as it has connected.
+const EVICT_FIRST_AFTER: Span = Span::from_millis(250);
+/// How long a rejected client may go on sending before its connection is closed. If the connection were closed
+/// at once, the response could be lost in transit.
 const LINGER_TIME: Span = Span::from_millis(1000);
-/// Reads before a connection is closed, each of as much as is buffered of its input: more than a longest
-/// message.
+/// The most reads before a connection is closed. Each read fills the input buffer; together they take more
+/// than a message of the maximum length.
 const MAX_FINAL_READS: usize = 8;
 
-/// All clients' connections.
+/// The downstream side: the connections of all clients.
 pub(super) struct Downstream {
     owner: Owner,
     clients: BTreeMap<ConnectionId, Client>,
-    /// Clients without a complete message, by when they connected, and lingering ones, by since when they
-    /// linger.
-    unwanted: TimeQueue,
+    /// The clients that are evicted first: those without a complete message, by the time when they connected,
+    /// and lingering ones, by the time of their last response.
+    evict_first: TimeQueue,
     limits: ClientLimits,
     decoder: RequestDecoder,
-    /// When rejected clients are told to retry; zero where they cannot be told.
+    /// The `Retry-After` time for rejected clients; zero if rejections do not carry that header.
     retry_after: Span,
-    /// Once the node shuts down: when every request has its response.
+    /// Set once the node shuts down: the time by which every request has its response.
     shutdown_deadline: Option<Time>,
-    /// Whether connections between two requests are closed too.
+    /// Whether connections between two requests are closed, as at the end of a shutdown.
     closes_idle: bool,
 }
 
 impl Downstream {
-    /// A downstream side without clients.
+    /// Creates a downstream side without clients.
     pub(super) fn new(
         owner: Owner,
         limits: ResourceLimits,
@@ -78,7 +78,7 @@
         Downstream {
             owner,
             clients: BTreeMap::new(),
-            unwanted: TimeQueue::default(),
+            evict_first: TimeQueue::default(),
             limits: ClientLimits::within(limits),
             decoder: RequestDecoder::new(names, client_timeouts),
             retry_after,
@@ -87,40 +87,40 @@
         }
     }
 
-    /// Sets which requests are served from now on.
+    /// Replaces the request classes, their timeouts and the `Retry-After` time.
     pub(super) fn on_settings_update(&mut self, names: Names, client_timeouts: Vec<Span>, retry_after: Span) {
         self.decoder = RequestDecoder::new(names, client_timeouts);
         self.retry_after = retry_after;
     }
 
-    /// Sets the resources of which clients have their shares.
+    /// Sets the resources from which the limits on clients are derived.
     pub(super) fn set_limits(&mut self, limits: ResourceLimits) {
         self.limits = ClientLimits::within(limits);
     }
 
-    /// Whether there are as many clients as are served.
-    pub(super) fn is_crowded(&self) -> bool {
+    /// Whether the number of clients has reached the limit on served clients.
+    pub(super) fn is_at_served_limit(&self) -> bool {
         self.clients.len() >= self.limits.served
     }
 
-    /// Whether there are as many clients as are accepted.
-    pub(super) fn is_full(&self) -> bool {
+    /// Whether the number of clients has reached the limit on accepted clients.
+    pub(super) fn is_at_accept_limit(&self) -> bool {
         self.clients.len() >= self.limits.served + self.limits.excess
     }
 
-    /// The client to evict first for a new one: one that has sent nothing complete or was rejected, else the
-    /// one that has been idle for longest.
+    /// The client to evict first for a new one: a client that has sent no complete message or is lingering,
+    /// else the client that has been idle for longest.
     pub(super) fn first_to_evict(&self, transport: &Transport, now: Time) -> Option<ConnectionId> {
-        match self.unwanted.first() {
-            Some((since, id)) if now - since >= UNWANTED_AFTER => Some(id),
+        match self.evict_first.first() {
+            Some((since, id)) if now - since >= EVICT_FIRST_AFTER => Some(id),
             _ => transport.longest_idle(now, Some(self.owner)),
         }
     }
 
-    /// A client that has been idle for too long, where there are many.
+    /// A client that has been idle for [`SHORT_IDLE_TIMEOUT`], if there are many clients.
     pub(super) fn idle_too_long(&self, transport: &Transport, now: Time) -> Option<ConnectionId> {
         let (since, id) = transport.first_idle(self.owner)?;
-        let is_too_long = self.clients.len() > self.limits.idle && now - since >= CROWDED_IDLE_TIMEOUT;
+        let is_too_long = self.clients.len() > self.limits.idle && now - since >= SHORT_IDLE_TIMEOUT;
         is_too_long.then_some(id)
     }
 
@@ -129,7 +129,7 @@
         let Some(connection) = listener.accept(transport, self.owner) else { return false };
         let id = connection.id();
         self.clients.insert(id, Client::new(connection));
-        self.unwanted.set(id, now);
+        self.evict_first.set(id, now);
         transport.mark_idle(id, now);
         transport.timers.set(id, now + MESSAGE_TIMEOUT);
         true
@@ -140,16 +140,17 @@
         let Some(client) = self.clients.get_mut(&event.id) else { return };
         client.receive(cx.now, |connection| connection.on_event(&event));
         self.advance(cx, event.id);
-        // A request and its client's end may arrive at once, also after the event was reported. The end
-        // follows the request: it is looked for before the request is reported, which would else be forwarded
-        // for a client that has disconnected.
+        // A request and the end of its connection may arrive together, also after the event was reported. The
+        // end follows the request, so the rest of the input is read before the request is reported: otherwise
+        // the request would be forwarded for a client that has disconnected.
         let is_awaiting = self.clients.get(&event.id).is_some_and(Client::is_awaiting_response);
         if event.read_closed || event.closed || is_awaiting {
             self.receive_all(cx, event.id);
         }
     }
 
-    /// Receives all that the system holds for a connection, an end too, and returns whether that was all.
+    /// Receives what the operating system has buffered for a connection, and its end. Returns whether everything
+    /// was received within [`MAX_FINAL_READS`].
     fn receive_all(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) -> bool {
         for _ in 0..MAX_FINAL_READS {
             let Some(client) = self.clients.get_mut(&id) else { return true };
@@ -175,20 +176,21 @@
     }
 
     fn on_read_timeout(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
-        // What the system has buffered arrived in time: of a long message only a part is read in one turn.
+        // Data that the operating system has buffered arrived in time: one turn reads only a part of a long
+        // message.
         self.receive_all(cx, id);
         let Some(client) = self.clients.get(&id) else { return };
         if client.is_idle() {
             self.close(cx, id, CloseReason::NoLongerNeeded);
         } else if matches!(client.state, ClientState::Reading) {
-            // The sender of an incomplete message is told before the connection ends.
+            // The sender of an incomplete message gets an error response before the connection is closed.
             self.reject(cx, id, 408);
             self.advance(cx, id);
         }
     }
 
-    /// Closes a connection that is idle, has brought nothing complete, or lingers, unless a last read finds a
-    /// request on it: one that has arrived must not be lost.
+    /// Closes a connection that is idle, has sent no complete message, or is lingering. A request that a last
+    /// read finds on the connection keeps it open: a request that has arrived must not be lost.
     pub(super) fn evict(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let has_read_all = self.receive_all(cx, id);
         let Some(client) = self.clients.get(&id) else { return };
@@ -198,13 +200,13 @@
         }
     }
 
-    /// Has connections end with the response that is due on them, from now on; requests that are accepted
-    /// have theirs by `deadline`.
+    /// Closes each connection after its next response from now on. Every accepted request gets its response by
+    /// `deadline`.
     pub(super) fn begin_shutdown(&mut self, deadline: Time) {
         self.shutdown_deadline = Some(deadline);
     }
 
-    /// Closes every connection that is between two requests, now or later.
+    /// Closes every connection that is between two requests, and later each one that becomes idle.
     pub(super) fn close_idle(&mut self, cx: &mut TurnContext<'_>) {
         self.closes_idle = true;
         let idle = self.clients.iter().filter(|(_, client)| client.is_idle());
@@ -214,16 +216,16 @@
         }
     }
 
-    /// Whether no client is owed anything.
+    /// Whether all clients' connections are closed.
     ///
-    /// Lingering clients count as well: they were sent their response and may not have it yet. If the process
-    /// ended while bytes of theirs are unread, their connections would be reset and the rest of the response
-    /// be lost.
+    /// Lingering clients count as open: their response was sent and may not have arrived. If the process
+    /// ended while bytes from such a client are unread, the connection would be reset and the rest of the
+    /// response would be lost.
     pub(super) fn is_drained(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// Delivers a final response.
+    /// Delivers a final response to its client.
     pub(super) fn deliver(&mut self, cx: &mut TurnContext<'_>, undelivered: &UndeliveredResponse) {
         let id = undelivered.client;
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -251,7 +253,7 @@
         cx.transport.timers.set(id, cx.now + WRITE_TIMEOUT);
     }
 
-    /// Goes as far with a connection as what has arrived and what can be written allow.
+    /// Writes pending output and handles received data, as far as the connection allows now.
     fn advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         loop {
             let Some(client) = self.clients.get_mut(&id) else { return };
@@ -262,8 +264,8 @@
                 ClientState::WritingResponse { .. } if !client.connection.output.is_empty() => break,
                 ClientState::WritingResponse { keep_alive: false } => self.linger(cx, id),
                 ClientState::WritingResponse { keep_alive: true } => {
-                    // What else has arrived is read in the next turn: nobody who sends without end holds up
-                    // this one.
+                    // The loop goes on with data that is already buffered. Further data is received in the next
+                    // turn, so that a client which sends without end does not delay this turn.
                     client.state = ClientState::Reading;
                 }
                 ClientState::Lingering => {
@@ -285,8 +287,8 @@
         self.finish_advance(cx, id);
     }
 
-    /// Handles the end of a connection, sets the timers of one that is read from, and has epoll report what
-    /// comes next.
+    /// Closes a connection that has ended. Otherwise sets its timers if the node reads from it, and registers
+    /// the events that epoll reports next.
     fn finish_advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Some(reason) = client.connection.close_reason() {
@@ -303,10 +305,10 @@
         let Some(client) = self.clients.get(&id) else { return };
         if !client.is_idle() {
             cx.transport.mark_busy(id);
-            // The first byte sets it: more that trickle in do not postpone it.
+            // The first byte of a message sets the timer, and later bytes that trickle in do not postpone it.
             cx.transport.timers.set_earlier(id, cx.now + MESSAGE_TIMEOUT);
         } else if self.closes_idle {
-            // Its last response was begun before the shutdown, and did not announce the close.
+            // The client's last response was begun before the shutdown and did not announce the close.
             self.linger(cx, id);
         } else {
             cx.transport.mark_idle(id, cx.now);
@@ -316,24 +318,24 @@
         }
     }
 
-    /// Tells a client that nothing more will be sent, and lets it finish: what it still sends is read and
-    /// ignored, since closing the connection with unread data would reset it.
+    /// Ends the node's side of a connection and lets the client finish sending. What the client still sends is
+    /// read and discarded, since closing a connection with unread data would reset it.
     fn linger(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.connection.shutdown_write();
         client.state = ClientState::Lingering;
-        self.unwanted.set(id, cx.now);
+        self.evict_first.set(id, cx.now);
         cx.transport.mark_busy(id);
         cx.transport.timers.set(id, cx.now + LINGER_TIME);
     }
 
     fn close(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
         let Some(client) = self.clients.remove(&id) else { return };
-        self.unwanted.remove(id);
+        self.evict_first.remove(id);
         if let ClientState::AwaitingResponse(request) = client.state {
             cx.requests.on_client_disconnect(request);
         }
-        log::debug!("a client's connection closed: {reason:?}");
+        log::debug!("client connection closed: {reason:?}");
         client.connection.close(cx.transport);
     }
 }
--- a/crates/node/src/proxy/downstream/requests.rs
+++ b/crates/node/src/proxy/downstream/requests.rs
@@ -1,4 +1,4 @@
-//! What a complete message leads to: a request for the balancer, or a response of the node's own.
+//! Handles complete messages: passes requests to the balancer, and answers all others itself.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -11,21 +11,21 @@
 use crate::transport::{ConnectionId, RingBuffer};
 
 impl Downstream {
-    /// Handles a complete message.
+    /// Handles a complete message from a client.
     pub(super) fn on_message(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, message: Message) {
         cx.transport.mark_busy(id);
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.sent_continue = false;
         client.is_new = false;
-        self.unwanted.remove(id);
+        self.evict_first.remove(id);
         client.keep_alive = message.head.keep_alive;
         let unconsumed = client.connection.input.len();
         let arrived_at = client.arrivals.of_last_consumed(unconsumed).unwrap_or(cx.now);
         if message.head.path_segments().next() == Some("health") {
             return self.answer_health_check(cx, id, &message.head);
         }
-        // Clients without a request in progress take nothing from the others, and are evicted first once
-        // there are too many.
+        // Only clients with a request in progress count here. The others delay no request, and are evicted first
+        // when there are too many clients.
         let is_overloaded = cx.requests.pending_count() >= self.limits.served;
         match self.decoder.decode(&message.head) {
             Ok(_) if is_overloaded => self.reject(cx, id, 503),
@@ -60,8 +60,8 @@
         self.begin_writing(cx, id, keep_alive);
     }
 
-    /// Hands a request over to the balancer. Its time counts from the arrival of its last byte: behind
-    /// another request on its connection it may have waited long.
+    /// Passes a request to the balancer. The request's budget counts from the arrival of its last byte, since it
+    /// may have waited long behind another request on its connection.
     fn admit(
         &mut self,
         cx: &mut TurnContext<'_>,
@@ -82,11 +82,11 @@
         };
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.state = ClientState::AwaitingResponse(request_id);
-        // The balancer answers in time; this guards against a request that gets no response.
+        // The balancer answers within the budget. This timer closes the connection if no response ever comes.
         cx.transport.timers.set(id, cx.now + budget + WRITE_TIMEOUT);
     }
 
-    /// Rejects a request whose time was up before it was its turn: nothing was forwarded for it.
+    /// Rejects a request whose time budget had passed when it was read. It was not forwarded.
     fn reject_expired(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let keep_alive = client.keep_alive && self.shutdown_deadline.is_none();
@@ -94,21 +94,21 @@
         self.begin_writing(cx, id, keep_alive);
     }
 
-    /// Tells a client what is wrong with its message, and ends its connection with that.
+    /// Answers a message with an error status and closes the connection after that response.
     pub(super) fn reject(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, status: u16) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        log::debug!("rejected a client: {status}");
-        // Only a lack of capacity passes with time: other faults would be the same on a retry.
+        log::debug!("rejected a client's message with status {status}; closing its connection");
+        // Only a lack of capacity passes with time: a retry after any other error would fail again.
         let retry_after = if status == 503 { self.retry_after } else { Span::ZERO };
         write_with_retry_after(&mut client.connection.output, status, retry_after, false);
         client.is_new = false;
-        self.unwanted.remove(id);
+        self.evict_first.remove(id);
         cx.transport.mark_busy(id);
         self.begin_writing(cx, id, false);
     }
 }
 
-/// Writes a response of the node's own, with a time to retry after unless that is zero.
+/// Writes a response of the node itself, with a `Retry-After` header unless `retry_after` is zero.
 pub(super) fn write_with_retry_after(
     output: &mut RingBuffer,
     status: u16,
--- a/crates/node/src/proxy/node/capacity.rs
+++ b/crates/node/src/proxy/node/capacity.rs
@@ -40,13 +40,13 @@
         let mut turn = TurnContext { transport, requests, now };
         let mut progress = AcceptProgress::MayHaveMore;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            if downstream.is_crowded()
+            if downstream.is_at_served_limit()
                 && let Some(id) = downstream.first_to_evict(turn.transport, now)
             {
                 downstream.evict(&mut turn, id);
             }
-            let is_full =
-                downstream.is_full() || turn.transport.available_connections() <= self.reserved_connections;
+            let is_full = downstream.is_at_accept_limit()
+                || turn.transport.available_connections() <= self.reserved_connections;
             if is_full || turn.transport.descriptors_exhausted() {
                 // Epoll would report the waiting clients in every turn: they wait in the kernel's queue until
                 // there is capacity.
