--- a/crates/node/src/proxy/downstream/client.rs
+++ b/crates/node/src/proxy/downstream/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection and what is being done on it.
+//! A client's connection and its state.
 
 use granitelb_balancer::ids::RequestId;
 use granitelb_balancer::time::Time;
@@ -7,19 +7,20 @@
 use crate::proxy::arrival_times::ArrivalTimes;
 use crate::transport::Connection;
 
-/// What is being done on a client's connection.
+/// The state of a client's connection.
 #[derive(Clone, Copy)]
 pub(super) enum ClientState {
-    /// Reading, or waiting for, the next request.
+    /// The node waits for the next request or reads it.
     Reading,
     /// A request is in progress.
     AwaitingResponse(RequestId),
-    /// Writing a response.
+    /// The node writes a response.
     WritingResponse {
-        /// Whether the connection goes on afterwards.
+        /// Whether the connection is kept open after the response.
         keep_alive: bool,
     },
-    /// The last response was written, and the client may finish sending.
+    /// The last response was written. The connection stays open for a while so that the client can finish
+    /// sending.
     Lingering,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl Client {
-    /// A client that has connected just now.
+    /// Creates the state of a client that has just connected.
     pub(super) fn new(connection: Connection) -> Client {
         Client {
             connection,
@@ -68,7 +69,7 @@
         matches!(self.state, ClientState::Lingering)
     }
 
-    /// Receives data by `receive`, and returns whether any has arrived.
+    /// Receives data by calling `receive`, records its arrival, and returns whether there was any.
     pub(super) fn receive(&mut self, now: Time, receive: impl FnOnce(&mut Connection)) -> bool {
         let buffered = self.connection.input.len();
         receive(&mut self.connection);
@@ -77,7 +78,7 @@
         arrived > 0
     }
 
-    /// Writes `100 Continue` where the client waits for it, and returns whether it did.
+    /// Writes `100 Continue` if the client waits for that response, and returns whether it was written.
     pub(super) fn send_continue_if_expected(&mut self) -> bool {
         let head = self.decoder.head();
         let is_expected = head.is_some_and(|head| head.has_token("expect", "100-continue"));
--- a/crates/node/src/proxy/downstream/request_decoder.rs
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -1,4 +1,4 @@
-//! Reads from a message's head what the client asks for.
+//! Decodes a client's request from the head of its message.
 
 use granitelb_balancer::Request;
 use granitelb_balancer::ids::{Key, RequestClassId};
@@ -30,7 +30,7 @@
 /// A request as its client sent it.
 pub(super) struct DecodedRequest {
     pub(super) request: Request,
-    /// The client's identifier for it.
+    /// The client's identifier for the request.
     pub(super) client_request_id: Box<str>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl RequestDecoder {
-    /// A decoder for these request classes.
+    /// Creates a decoder for the request classes in `names`, with one timeout for each class.
     pub(super) fn new(names: Names, client_timeouts: Vec<Span>) -> RequestDecoder {
         RequestDecoder { names, client_timeouts }
     }
@@ -62,7 +62,8 @@
         let id = head.single_value("x-request-id")?.filter(|id| !id.is_empty());
         let client_request_id = id.ok_or(RequestError::Malformed)?;
         let timeout = decode_timeout(head)?;
-        // No client waits for longer than the timeout of its request class, whatever it says of one attempt.
+        // A client waits at most for the timeout of its request class, whatever its header says about one
+        // attempt.
         let max_timeout = self.client_timeouts[request_class];
         let key = head.path_segments().next_back().unwrap_or_default();
         let request = Request {
@@ -75,8 +76,8 @@
         Ok(DecodedRequest { request, client_request_id: client_request_id.into() })
     }
 
-    /// The index of the request class. Cache servers go by the path: a class that only a header names would
-    /// be rejected there.
+    /// The index of the request class, which the first segment of the path names. Cache servers also read the
+    /// class from the path, and would reject a request whose header names another class.
     fn decode_request_class(&self, head: &MessageHead) -> Result<usize, RequestError> {
         let class = head.path_segments().next().ok_or(RequestError::NotFound)?;
         let index = self.names.request_classes.iter().position(|name| name == class);
@@ -89,7 +90,8 @@
     }
 }
 
-/// The time that the client waits, if it says so. No response could arrive within a time of zero.
+/// The time that the client waits, if it states one. A time of zero is malformed, since no response could
+/// arrive within it.
 fn decode_timeout(head: &MessageHead) -> Result<Option<Span>, RequestError> {
     let Some(text) = head.single_value("x-timeout-ms")? else { return Ok(None) };
     match parse_number(text) {
@@ -98,7 +100,8 @@
     }
 }
 
-/// The estimated work. It is only a hint: one that cannot be parsed counts as none.
+/// The client's estimate of the work, if there is one. The estimate is only a hint: a value that cannot be
+/// parsed is ignored.
 fn decode_work_hint(head: &MessageHead) -> Option<Span> {
     head.text("x-cost").and_then(parse_number).map(Span)
 }
