--- a/crates/node/src/proxy/discovery_watch/line_decoder.rs
+++ b/crates/node/src/proxy/discovery_watch/line_decoder.rs
@@ -4,20 +4,20 @@
 
 use crate::http::EndpointListUpdate;
 
-/// Bytes of a line or a list: a longer one is not a list of endpoints.
+/// The maximum length in bytes of a line or a list. Longer data cannot be an endpoint list.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a line has completed.
+/// The result of decoding a line.
 pub(super) enum DecodedLine {
-    /// A list, which may go over several lines, is not complete yet.
+    /// The line is part of a list on several lines that is not complete yet.
     Incomplete,
-    /// An empty line, or a list that cannot be parsed and was skipped.
+    /// The line is empty, or completes a list that cannot be parsed and was skipped.
     WithoutList,
-    /// A list.
+    /// The line completes this list.
     List(EndpointListUpdate),
 }
 
-/// Decodes lists that stand on one line each or, indented, on several.
+/// Decodes endpoint lists. Each list stands on one line or, indented, on several lines.
 #[derive(Default)]
 pub(super) struct LineDecoder {
     /// The bytes of the current line.
@@ -32,12 +32,12 @@
         self.line.extend(bytes);
     }
 
-    /// Whether a line or list exceeds the limit on its size.
+    /// Whether the current line or list is longer than [`MAX_LIST_BYTES`].
     pub(super) fn is_over_limit(&self) -> bool {
         self.line.len().max(self.incomplete_list.len()) > MAX_LIST_BYTES
     }
 
-    /// Decodes the next line, or returns `None` where it is not complete yet.
+    /// Decodes the next line. Returns `None` if the line is not complete yet.
     pub(super) fn next(&mut self) -> Option<DecodedLine> {
         let end = self.line.iter().position(|byte| *byte == b'\n')?;
         let line: Vec<u8> = self.line.drain(..=end).collect();
@@ -48,10 +48,11 @@
         Some(list.map_or(DecodedLine::WithoutList, DecodedLine::List))
     }
 
-    /// Returns the text of a list once this line completes it.
+    /// Returns the text of a list if this line completes one.
     ///
-    /// Of an indented list only the first line, and the last where that stands alone, begin with a brace.
-    /// What another first line cuts off is skipped, or it would swallow all that follows.
+    /// In an indented list, only the first line, and the last if it is a brace alone, begin with a brace. If a
+    /// first line follows a list that is not complete, that list was cut off and is skipped: otherwise all
+    /// following lines would be read as parts of it.
     fn complete_list(&mut self, line: &[u8]) -> Option<Vec<u8>> {
         let text = line.trim_ascii();
         if text.is_empty() {
@@ -59,13 +60,16 @@
         }
         let begins_list = line.first() == Some(&b'{');
         if begins_list && !self.incomplete_list.is_empty() {
-            log::warn!(event = "line_skipped"; "skipped an endpoint list that was cut off");
+            log::warn!(
+                event = "line_skipped";
+                "skipped an endpoint list from discovery: another list began before its end"
+            );
             self.incomplete_list.clear();
         }
         let is_first_line = self.incomplete_list.is_empty();
         self.incomplete_list.extend(line);
-        // The last brace may stand behind others, as in the protocol's own examples. No line within a list
-        // ends in one but the last of an object, so that little is parsed twice.
+        // The last brace may follow others on its line, as in the protocol's examples. Within a list only the
+        // last line of an object ends in a brace, so that little text is parsed twice.
         let may_be_complete = is_first_line || text.ends_with(b"}");
         if !may_be_complete || is_truncated_json(&self.incomplete_list) {
             return None;
@@ -82,12 +86,18 @@
     match EndpointListUpdate::parse(text.trim_ascii()) {
         Ok(list) => {
             for skipped in &list.skipped {
-                log::warn!(event = "entry_skipped"; "skipped an entry of the endpoint list: {skipped}");
+                log::warn!(
+                    event = "entry_skipped";
+                    "skipped an invalid entry of the endpoint list from discovery: {skipped}"
+                );
             }
             Some(list)
         }
         Err(error) => {
-            log::warn!(event = "line_skipped"; "skipped a line of the endpoint list: {error}");
+            log::warn!(
+                event = "line_skipped";
+                "skipped an endpoint list from discovery that cannot be parsed: {error}"
+            );
             None
         }
     }
--- a/crates/node/src/proxy/discovery_watch/mod.rs
+++ b/crates/node/src/proxy/discovery_watch/mod.rs
@@ -1,8 +1,8 @@
 //! The watch on discovery's endpoint list.
 //!
-//! One watch request is current at a time. It has [`RESPONSE_TIMEOUT`] to be answered, and from its head on a
-//! time for each complete line. Beside it at most one former watch is still read, until the current one has
-//! sent a complete line.
+//! One watch request is current at a time. The head of its response must arrive within [`RESPONSE_TIMEOUT`];
+//! after the head, each complete line has a timeout of its own. At most one former watch is read as well, until
+//! a complete line has arrived on the current watch.
 
 mod line_decoder;
 mod stream;
@@ -16,18 +16,18 @@
 use crate::http::{EndpointEntry, EndpointListUpdate, EndpointState};
 use crate::transport::{CloseReason, Connection, ConnectionId, Owner, ReadinessEvent, Transport};
 
-/// A request without a response head by then is abandoned, and another made at once: discovery rejects what
-/// would wait for over two seconds, and with a delay on top the other's response would come more than 6 s
-/// after discovery is back.
+/// A watch request without a response head within this time is abandoned and repeated at once. Discovery
+/// rejects requests that would wait for over 2 s. With a delay before the repeated request, its response would
+/// arrive more than 6 s after discovery is available again.
 const RESPONSE_TIMEOUT: Span = Span::from_millis(2500);
-/// Endpoints that a former watch reported as ended and that are remembered.
+/// The most endpoints that are remembered as reported ended by a former watch.
 const MAX_ENDED_ENDPOINTS: usize = 4096;
 
-/// What the watch reports.
+/// An event of the watch on the endpoint list.
 pub(super) enum WatchEvent {
-    /// A list was received.
+    /// An endpoint list was received.
     Update(EndpointListUpdate),
-    /// The watch could not be opened, or is lost.
+    /// The watch could not be opened, or was lost.
     Failed,
 }
 
@@ -45,16 +45,16 @@
     /// The last revision received at the current address.
     revision: Option<u64>,
     current: Option<WatchStream>,
-    /// The watch at a former address of discovery, or one that fell silent: it is read until another is
-    /// established.
+    /// The watch at a former address of discovery, or a watch on which lines stopped arriving. It is read until
+    /// the current watch is established.
     former: Option<WatchStream>,
-    /// The endpoints that a former watch at the same address has reported as ended since the current one was
-    /// requested, by their identity. Requests that are made later are answered later.
+    /// The endpoints that a former watch at the same address has reported as ended since the current watch was
+    /// requested, by their `uid`. Earlier reports are not kept: the response to the current request is newer.
     ended: BTreeMap<String, EndedEndpoint>,
 }
 
 impl DiscoveryWatch {
-    /// A watch that is not open. `revision` is that of the list that is known already.
+    /// Creates a watch that is not open. `revision` is the revision of the list that the node already has.
     pub(super) fn new(
         owner: Owner,
         discovery: SocketAddr,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Moves the watch to another address of discovery.
+    /// Moves the watch to another address of discovery. Returns an event if the new watch fails at once.
     pub(super) fn set_discovery(
         &mut self,
         transport: &mut Transport,
@@ -86,11 +86,12 @@
         }
         log::info!(
             event = "discovery_endpoint_changed";
-            "the watch on the endpoint list moves from {} to {discovery}", self.discovery
+            "discovery address changed: moving the watch on the endpoint list from {} to {discovery}",
+            self.discovery
         );
         self.discovery = discovery;
-        // The new discovery may count revisions of its own: the complete list is requested. It changes only
-        // what differs.
+        // Discovery at the new address may count revisions differently, so the complete list is requested.
+        // Applying that list changes only the entries that differ.
         self.revision = None;
         if self.is_established() {
             close(transport, &mut self.former, CloseReason::NoLongerNeeded);
@@ -107,8 +108,8 @@
         self.former.as_ref().is_some_and(|stream| stream.connection.id() == id)
     }
 
-    /// Requests a watch, unless one is established or may still be answered. Returns an event where that
-    /// fails at once.
+    /// Requests a watch, unless a watch is established or its request may still be answered. Returns an event
+    /// if the request fails at once.
     pub(super) fn request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
         let is_open =
             self.current.as_ref().is_some_and(|stream| stream.is_established() || now < stream.deadline);
@@ -118,14 +119,17 @@
         self.open(transport, now)
     }
 
-    /// Requests a watch in place of one that is not established.
+    /// Requests a watch, and closes the current one if there is one.
     fn open(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
         close(transport, &mut self.current, CloseReason::DeadlineExceeded);
         self.ended.clear();
         let mut connection = match Connection::connect(transport, self.discovery, self.owner) {
             Ok(connection) => connection,
             Err(reason) => {
-                log::warn!(event = "watch_lost", reason:? = reason; "discovery can't be reached: {reason:?}");
+                log::warn!(
+                    event = "watch_lost", reason:? = reason;
+                    "cannot connect to discovery at {} for the endpoint list: {reason:?}", self.discovery
+                );
                 return Some(WatchEvent::Failed);
             }
         };
@@ -161,7 +165,7 @@
     ) -> Vec<WatchEvent> {
         let mut events = Vec::new();
         let Some(stream) = &mut self.former else { return events };
-        // At another address, revisions may be counted differently.
+        // Discovery at another address may count revisions differently: its revisions are not comparable.
         let is_same_discovery = stream.address == self.discovery;
         let result = stream.on_event(transport, now, event, &mut events);
         if is_same_discovery {
@@ -171,13 +175,13 @@
         }
         let has_lists = lists(&events).next().is_some();
         if let Err(reason) = result {
-            // Another watch is requested already.
+            // No event is needed: another watch was requested already.
             close(transport, &mut self.former, reason);
         } else if self.is_established() {
             close(transport, &mut self.former, CloseReason::NoLongerNeeded);
         }
-        // The balancer takes a list for a sign that the watch stands; without a current one it must request
-        // another.
+        // The balancer takes a list as a sign that the watch is open. Without a current watch, the event makes
+        // the balancer request another one.
         if self.current.is_none() && has_lists {
             events.push(WatchEvent::Failed);
         }
@@ -213,10 +217,11 @@
         events
     }
 
-    /// The endpoints that a former watch has reported as ended after this revision.
+    /// Returns the endpoints that a former watch has reported as ended after this revision.
     ///
-    /// The response to the current watch may have been written before those reports and arrive after them: an
-    /// endpoint that is known to drain would get requests again until the new watch reports it, too.
+    /// The response to the current watch request may have been written before those reports and arrive after
+    /// them. Without these entries, an endpoint that is known to drain would get requests again until the
+    /// current watch reports it too.
     fn take_ended_after(&mut self, revision: u64) -> Option<EndpointListUpdate> {
         let ended = std::mem::take(&mut self.ended);
         let later = ended.into_values().filter(|ended| ended.revision > revision);
@@ -227,17 +232,22 @@
         Some(EndpointListUpdate { revision, entries, ..EndpointListUpdate::default() })
     }
 
-    /// Handles the timer of a connection to discovery: it was not established, was not answered, or sent no
-    /// complete line for too long.
+    /// Handles the timer of a connection to discovery: the connection was not established, the request was not
+    /// answered, or no complete line arrived for too long.
     pub(super) fn on_timer(&mut self, transport: &mut Transport, id: ConnectionId) -> Option<WatchEvent> {
         if self.is_former(id) {
-            // Another watch is requested already.
+            // No event is needed: another watch was requested already.
             close(transport, &mut self.former, CloseReason::ConnectTimeout);
             return None;
         }
         if self.is_established() {
-            // It may only be slow: what it still reports counts, and another may be long in coming.
-            log::warn!(event = "watch_lost", reason:? = CloseReason::PeerTimeout; "the watch on the endpoint list is silent");
+            // The watch may only be slow. It is read as the former watch, since its reports still count and a
+            // new watch may take long to be established.
+            log::warn!(
+                event = "watch_lost", reason:? = CloseReason::PeerTimeout;
+                "the watch on the endpoint list at discovery {} sent no line in time: requesting another watch",
+                self.discovery
+            );
             close(transport, &mut self.former, CloseReason::PeerTimeout);
             self.former = self.current.take();
             return Some(WatchEvent::Failed);
@@ -253,18 +263,22 @@
         self.current.as_ref().is_some_and(|stream| stream.connection.id() == id && stream.deadline <= now)
     }
 
-    /// Repeats a request that was not answered. It has had its wait already: with another one before the next
-    /// request, that one's response would come too late.
+    /// Repeats a watch request that was not answered. The request is repeated without a delay: the node has
+    /// already waited for the response, and after a further delay the next response would come too late.
     fn repeat_request(&mut self, transport: &mut Transport, now: Time) -> Option<WatchEvent> {
         log::warn!(
             event = "watch_lost", reason:? = CloseReason::PeerTimeout;
-            "the request for the endpoint list is not answered"
+            "discovery at {} did not answer the request for the endpoint list in time: repeating the request",
+            self.discovery
         );
         self.open(transport, now)
     }
 
     fn lose_current(&mut self, transport: &mut Transport, reason: CloseReason) -> WatchEvent {
-        log::warn!(event = "watch_lost", reason:? = reason; "the watch on the endpoint list is lost: {reason:?}");
+        log::warn!(
+            event = "watch_lost", reason:? = reason;
+            "lost the watch on the endpoint list at discovery {}: {reason:?}", self.discovery
+        );
         close(transport, &mut self.current, reason);
         WatchEvent::Failed
     }
@@ -279,12 +293,12 @@
 
 fn close(transport: &mut Transport, stream: &mut Option<WatchStream>, reason: CloseReason) {
     if let Some(stream) = stream.take() {
-        log::debug!("connection to discovery closed: {reason:?}");
+        log::debug!("connection to discovery {} closed: {reason:?}", stream.address);
         stream.connection.close(transport);
     }
 }
 
-/// Remembers the endpoints that a former watch reports as ended.
+/// Records the endpoints that a former watch reports as ended, and removes those that it reports as active.
 fn record_ended(ended: &mut BTreeMap<String, EndedEndpoint>, list: &EndpointListUpdate) {
     for entry in &list.entries {
         if entry.state == EndpointState::Active {
--- a/crates/node/src/proxy/discovery_watch/stream.rs
+++ b/crates/node/src/proxy/discovery_watch/stream.rs
@@ -1,4 +1,4 @@
-//! One streaming request for the endpoint list.
+//! One watch request and the stream of endpoint lists in its response.
 
 use std::net::SocketAddr;
 
@@ -9,19 +9,21 @@
 use crate::http::{EndpointListUpdate, MessageHead, MessageKind, MessagePart, Parser};
 use crate::transport::{CloseReason, Connection, ReadinessEvent, Transport};
 
-/// A line comes every two seconds at least: after one such time and five eighths without one the watch is
-/// lost. What it missed counts as received 6 s after it fell silent; a new watch, requested within 0.75 s,
-/// has two seconds to be answered before that, and time to be requested once more. Only complete lines are
-/// signs of life: a line that trickles in, or a list that was cut off with empty lines after it, would keep a
-/// watch for ever that reports nothing.
+/// A watch is lost after this time without a complete line. Discovery sends a line every 2 s at least; the
+/// timeout is longer by five eighths. Updates that a watch missed count as received 6 s after its last line.
+/// Before that, a new watch, which is requested within 0.75 s, has 2 s to be answered and time to be requested
+/// once more.
+///
+/// Only complete lines restart the timeout. If other data did, a line that trickles in, or a list that was cut
+/// off with empty lines after it, would keep a watch open for ever that reports nothing.
 const LINE_TIMEOUT: Span = Span::from_millis(3250);
 
-/// How far the response to a watch request has come.
+/// The state of the response to a watch request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamState {
     /// No final status was received.
     Requested,
-    /// The status was received, and no complete line.
+    /// Status 200 was received, but no complete line.
     Accepted,
     /// A complete line was received.
     Established,
@@ -33,13 +35,13 @@
     pub(super) connection: Connection,
     parser: Parser,
     state: StreamState,
-    /// Until when it is waited for, though it is not established.
+    /// The time until which the node waits for the watch to be established.
     pub(super) deadline: Time,
     lines: LineDecoder,
 }
 
 impl WatchStream {
-    /// A stream whose request was just handed to a connection.
+    /// Creates a stream on a connection to discovery at `address` whose output holds the request.
     pub(super) fn new(address: SocketAddr, connection: Connection, deadline: Time) -> WatchStream {
         WatchStream {
             address,
@@ -60,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the stream has ended or cannot be used.
+    /// Returns why the stream has ended or cannot be used.
     pub(super) fn on_event(
         &mut self,
         transport: &mut Transport,
@@ -100,17 +102,20 @@
         head: &MessageHead,
     ) -> Result<(), CloseReason> {
         match head.status {
-            // An interim response is not the response.
+            // An interim response precedes the final one.
             ..200 => Ok(()),
             200 => {
                 self.state = StreamState::Accepted;
-                // While nothing changes, the first line is a heartbeat, two seconds later.
+                // While the list does not change, the first line is a heartbeat 2 s after the head.
                 self.deadline = now + LINE_TIMEOUT;
                 transport.timers.set(self.connection.id(), self.deadline);
                 Ok(())
             }
             status => {
-                log::warn!(event = "watch_refused", status = status; "discovery answers {status}");
+                log::warn!(
+                    event = "watch_refused", status = status;
+                    "discovery at {} refused the watch on the endpoint list with status {status}", self.address
+                );
                 Err(CloseReason::ClosedByPeer)
             }
         }
@@ -135,7 +140,7 @@
             self.state = StreamState::Established;
             match list {
                 Some(list) => updates.push(WatchEvent::Update(list)),
-                // That there is a first line establishes the watch, whatever it contains.
+                // The first line establishes the watch, whatever the line contains.
                 None if is_first_line => updates.push(WatchEvent::Update(EndpointListUpdate::default())),
                 None => {}
             }
