--- a/crates/node/src/proxy/node/shutdown.rs
+++ b/crates/node/src/proxy/node/shutdown.rs
@@ -1,20 +1,22 @@
 //! The phases of a graceful shutdown.
 //!
-//! After the signal clients may still connect for a while; then the listener is closed, and shortly after it
-//! all idle connections. The node ends once no client is owed anything, or when its time is up.
+//! After the shutdown signal, clients may still connect for a while. Then the listener is closed, and shortly
+//! after that all idle connections. The node ends once all clients' connections are closed, or when the time of
+//! the shutdown is over.
 
 use granitelb_balancer::time::{Span, Time};
 
-/// After a shutdown signal clients may go on connecting for 0.4 s; then none is directed here any more.
+/// How long clients are accepted after the shutdown signal. New clients may be directed to the node for 0.4 s
+/// after the signal.
 const ACCEPT_TIME: Span = Span::from_millis(450);
 /// The first bytes of a client that connected at the last moment may take this long to arrive.
 const LAST_BYTES_TIME: Span = Span::from_millis(100);
-/// How long beyond the longest client timeout the node stays for its requests: beyond the last one that can
-/// have arrived, and within the 0.7 s that the node has.
-const STAY_TIME: Span = Span::from_millis(650);
-/// How long beyond the longest client timeout requests have their responses at the latest, those whose last
-/// byte arrived late too, before the node is gone.
-const RESPONSE_TIME: Span = Span::from_millis(600);
+/// The node ends at the latest this long after the longest client timeout, counted from the signal: after the
+/// timeout of the last request that can have arrived, and within the 0.7 s that the node has for its exit.
+const EXIT_MARGIN: Span = Span::from_millis(650);
+/// Every request gets its response at the latest this long after the longest client timeout, counted from the
+/// signal. This includes requests whose last byte arrived late, and leaves time before the node ends.
+const RESPONSE_MARGIN: Span = Span::from_millis(600);
 
 /// A shutdown in progress.
 #[derive(Clone, Copy, Debug)]
@@ -25,12 +27,12 @@
 }
 
 impl Shutdown {
-    /// A shutdown that begins now.
+    /// Creates a shutdown that begins now.
     pub(super) fn begin(now: Time) -> Shutdown {
         Shutdown { started_at: now, has_closed_idle: false }
     }
 
-    /// The shutdown after idle connections were closed.
+    /// Returns this shutdown with idle connections marked as closed.
     pub(super) fn with_idle_closed(self) -> Shutdown {
         Shutdown { has_closed_idle: true, ..self }
     }
@@ -40,12 +42,12 @@
         self.has_closed_idle
     }
 
-    /// When every accepted request has its response.
+    /// The time by which every accepted request has its response.
     pub(super) fn response_deadline(&self, longest_client_timeout: Span) -> Time {
-        self.started_at + longest_client_timeout + RESPONSE_TIME
+        self.started_at + longest_client_timeout + RESPONSE_MARGIN
     }
 
-    /// Whether no client may connect any more.
+    /// Whether the time for accepting clients is over.
     pub(super) fn is_accept_time_over(&self, now: Time) -> bool {
         now - self.started_at >= ACCEPT_TIME
     }
@@ -55,19 +57,19 @@
         now - self.started_at >= ACCEPT_TIME + LAST_BYTES_TIME
     }
 
-    /// Whether the node ends, with whatever is unfinished.
+    /// Whether the node has to end now, even with requests unfinished.
     pub(super) fn is_time_over(&self, now: Time, longest_client_timeout: Span) -> bool {
-        now - self.started_at >= longest_client_timeout + STAY_TIME
+        now - self.started_at >= longest_client_timeout + EXIT_MARGIN
     }
 
-    /// When the next phase begins.
+    /// The time at which the next phase begins.
     pub(super) fn next_phase_at(&self, is_listening: bool, longest_client_timeout: Span) -> Time {
         let phase = if is_listening {
             ACCEPT_TIME
         } else if !self.has_closed_idle {
             ACCEPT_TIME + LAST_BYTES_TIME
         } else {
-            longest_client_timeout + STAY_TIME
+            longest_client_timeout + EXIT_MARGIN
         };
         self.started_at + phase
     }
