--- a/crates/node/src/proxy/downstream/mod.rs
+++ b/crates/node/src/proxy/downstream/mod.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Receives what the operating system has buffered for a connection, and its end. Returns whether everything
-    /// was received within [`MAX_FINAL_READS`].
+    /// Receives what the operating system has buffered for a connection, and its end. Returns whether
+    /// everything was received within [`MAX_FINAL_READS`].
     fn receive_all(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) -> bool {
         for _ in 0..MAX_FINAL_READS {
             let Some(client) = self.clients.get_mut(&id) else { return true };
--- a/crates/node/src/proxy/downstream/requests.rs
+++ b/crates/node/src/proxy/downstream/requests.rs
@@ -24,8 +24,8 @@
         if message.head.path_segments().next() == Some("health") {
             return self.answer_health_check(cx, id, &message.head);
         }
-        // Only clients with a request in progress count here. The others delay no request, and are evicted first
-        // when there are too many clients.
+        // Only clients with a request in progress count here. The others delay no request, and are evicted
+        // first when there are too many clients.
         let is_overloaded = cx.requests.pending_count() >= self.limits.served;
         match self.decoder.decode(&message.head) {
             Ok(_) if is_overloaded => self.reject(cx, id, 503),
@@ -60,8 +60,8 @@
         self.begin_writing(cx, id, keep_alive);
     }
 
-    /// Passes a request to the balancer. The request's budget counts from the arrival of its last byte, since it
-    /// may have waited long behind another request on its connection.
+    /// Passes a request to the balancer. The request's budget counts from the arrival of its last byte, since
+    /// the request may have waited long behind another one on its connection.
     fn admit(
         &mut self,
         cx: &mut TurnContext<'_>,
--- a/crates/node/src/proxy/node/capacity.rs
+++ b/crates/node/src/proxy/node/capacity.rs
@@ -1,4 +1,4 @@
-//! Accepting clients as far as descriptors and memory allow, and closing idle connections when they are
+//! Accepts clients as far as descriptors and memory allow, and closes idle connections when descriptors are
 //! short.
 
 use granitelb_balancer::time::{Span, Time};
@@ -6,25 +6,25 @@
 use super::{DOWNSTREAM, Node};
 use crate::proxy::turn_context::TurnContext;
 
-/// Connections that are kept free for attempts by closing idle ones: this share of all, and at most
-/// [`MAX_RESERVED_CONNECTIONS`].
+/// The share of all connections that is kept free for attempts, by closing idle connections. At most
+/// [`MAX_RESERVED_CONNECTIONS`] are kept free.
 const RESERVED_SHARE: f64 = 0.125;
 const MAX_RESERVED_CONNECTIONS: usize = 16;
-/// New connections accepted in one turn: pending requests must not be delayed by a crowd of new clients.
+/// The most clients accepted in one turn. A large number of new clients must not delay pending requests.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// After this time the listener is tried again when the connection limit was reached.
+/// The time after which the node tries again to accept clients once the connection limit was reached.
 const ACCEPT_RETRY_DELAY: Span = Span::from_millis(20);
 
 /// Whether more clients may be waiting to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptProgress {
-    /// As many as fit into one turn were accepted.
+    /// The limit on clients accepted in one turn was reached.
     MayHaveMore,
-    /// None is waiting, or there is no capacity for more.
+    /// No client is waiting, or there is no capacity for more.
     Stopped,
 }
 
-/// How many of these connections are kept free.
+/// The number of connections, out of `connections`, that are kept free for attempts.
 pub(super) fn reserved_connections(connections: usize) -> usize {
     ((connections as f64 * RESERVED_SHARE) as usize).min(MAX_RESERVED_CONNECTIONS)
 }
@@ -48,11 +48,15 @@
             let is_full = downstream.is_at_accept_limit()
                 || turn.transport.available_connections() <= self.reserved_connections;
             if is_full || turn.transport.descriptors_exhausted() {
-                // Epoll would report the waiting clients in every turn: they wait in the kernel's queue until
-                // there is capacity.
+                // The listener is paused, since epoll would report the waiting clients in every turn. They wait
+                // in the kernel's queue until there is capacity.
                 listener.set_paused(turn.transport, true);
                 if self.accept_retry_at.is_none() {
-                    log::warn!(event = "connection_limit_reached"; "connection limit reached: no new clients");
+                    log::warn!(
+                        event = "connection_limit_reached";
+                        "connection limit reached: new clients wait until others disconnect; \
+                        limits.sockets and limits.memory_mb determine the limit"
+                    );
                 }
                 self.accept_retry_at = Some(now + ACCEPT_RETRY_DELAY);
                 return AcceptProgress::Stopped;
@@ -68,8 +72,8 @@
         progress
     }
 
-    /// Closes clients that have been idle for long while there are many, and the longest idle connections
-    /// while descriptors are short.
+    /// Closes clients that have been idle for long while there are many clients, and the connections that have
+    /// been idle for longest while descriptors are short.
     pub(super) fn close_excess_idle(&mut self, now: Time) {
         let Node { transport, requests, downstream, upstream, .. } = self;
         let mut turn = TurnContext { transport, requests, now };
@@ -78,7 +82,10 @@
         }
         let was_exhausted = turn.transport.take_descriptors_exhausted();
         if was_exhausted {
-            log::warn!(event = "file_descriptors_exhausted"; "the system gave no file descriptor");
+            log::warn!(
+                event = "file_descriptors_exhausted";
+                "the operating system refused a file descriptor: closing idle connections"
+            );
         }
         let mut to_close = if was_exhausted { self.reserved_connections } else { 0 };
         while turn.transport.available_connections() <= self.reserved_connections || to_close > 0 {
--- a/crates/node/src/proxy/node/config.rs
+++ b/crates/node/src/proxy/node/config.rs
@@ -1,4 +1,4 @@
-//! What a node is made from, and the commands that it gets while it serves.
+//! The configuration of a node, and the commands that a node receives while it serves.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,14 @@
 use crate::http::EndpointListUpdate;
 use crate::proxy::downstream::ResourceLimits;
 
-/// Descriptors that are no connections: standard streams, epoll, the listener, the two of the signals, the
-/// sockets of the control-plane agent where there is one, and a few that are open for a moment, as for a
-/// configuration that is reloaded.
+/// The number of descriptors that are not connections: standard streams, epoll, the listener, the two for
+/// signals, the sockets of the control-plane agent if there is one, and a few that are open for a moment, as
+/// while the configuration is reloaded.
 const NON_CONNECTION_DESCRIPTORS: usize = 12;
-/// Connections that a node has at least, however few descriptors are configured.
+/// The number of connections that a node may have at least, however few descriptors are configured.
 const MIN_CONNECTIONS: usize = 8;
 
-/// What a node is made from.
+/// The configuration of a node.
 pub struct NodeConfig {
     /// The address at which clients connect.
     pub listen: SocketAddr,
@@ -27,19 +27,19 @@
     pub known: Option<EndpointListUpdate>,
     /// The decoded settings.
     pub settings: DecodedSettings,
-    /// What can be changed while the node serves.
+    /// The part of the configuration that can be changed while the node serves.
     pub reloadable: ReloadableConfig,
     /// The control-plane agent of a node that is part of a fleet with a control plane.
     pub control_plane_agent: Option<Agent>,
 }
 
-/// What can be changed while a node serves.
+/// The part of a node's configuration that can be changed while the node serves.
 pub struct ReloadableConfig {
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The number of descriptors that the node may use.
+    /// The maximum number of descriptors that the node uses.
     pub descriptors: usize,
-    /// The memory that the node may use, in bytes.
+    /// The memory that connections may use, in bytes.
     pub memory: usize,
     /// The time within which a connection has to be established.
     pub connect_timeout: Span,
@@ -47,12 +47,12 @@
     pub keepalive: Span,
     /// The response header that carries load reports, if there is one.
     pub load_header: Option<Box<str>>,
-    /// Changed settings, for a node that serves.
+    /// Changed settings for a node that already serves; `None` if the settings stay as they are.
     pub settings: Option<Box<DecodedSettings>>,
 }
 
 impl ReloadableConfig {
-    /// What connections may use.
+    /// The resources that connections may use.
     pub(super) fn connection_limits(&self) -> ResourceLimits {
         let connections = self.descriptors.saturating_sub(NON_CONNECTION_DESCRIPTORS).max(MIN_CONNECTIONS);
         ResourceLimits { connections, memory: self.memory }
@@ -67,7 +67,7 @@
     Reload(ReloadableConfig),
 }
 
-/// Where commands come from. Its descriptor is readable when there are some.
+/// A source of commands for a node. Its descriptor is readable when commands are available.
 pub trait CommandSource: AsFd {
     /// Returns the commands that have arrived.
     fn poll_commands(&mut self) -> Vec<NodeCommand>;
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -1,4 +1,5 @@
-//! The node: one event loop that waits for events, hands each to its part, and carries out what follows.
+//! The node: an event loop that waits for events, passes each to a part of the proxy, and carries out the
+//! balancer's decisions.
 
 mod capacity;
 mod config;
@@ -37,7 +38,7 @@
 /// A serving node. It owns all parts of the proxy and runs them on the calling thread.
 pub struct Node {
     transport: Transport,
-    /// None once no client may connect any more.
+    /// `None` once a shutdown has closed the listener.
     listener: Option<Listener>,
     requests: RequestTable,
     downstream: Downstream,
@@ -47,19 +48,19 @@
     /// Present once a shutdown has begun.
     shutdown: Option<Shutdown>,
     longest_client_timeout: Span,
-    /// Connections that are kept free for attempts.
+    /// The number of connections that are kept free for attempts.
     reserved_connections: usize,
     metrics_due_at: Time,
-    /// When the listener is tried again after the connection limit was reached.
+    /// When the node next tries to accept clients after the connection limit was reached.
     accept_retry_at: Option<Time>,
 }
 
 impl Node {
-    /// Opens the listener and prepares all parts. The control-plane agent, if there is one, is started.
+    /// Opens the listener, creates all parts of the proxy, and starts the control-plane agent if there is one.
     ///
     /// # Errors
     ///
-    /// Fails where the system refuses a socket: the address is in use, or descriptors are lacking.
+    /// Fails if the operating system refuses a socket: the address is in use, or no descriptor is available.
     pub fn open(config: NodeConfig) -> io::Result<Node> {
         let NodeConfig { listen, seed, known, settings, reloadable, control_plane_agent } = config;
         let limits = reloadable.connection_limits();
@@ -101,18 +102,19 @@
         Ok(node)
     }
 
-    /// Borrows the driver apart from what it works on.
+    /// Borrows the driver and, separately, the parts of the proxy that it works on.
     fn split(&mut self, now: Time) -> (&mut BalancerDriver, ProxyContext<'_>) {
         let Node { driver, transport, requests, downstream, upstream, watch, .. } = self;
         let turn = TurnContext { transport, requests, now };
         (driver, ProxyContext { turn, downstream, upstream, watch })
     }
 
-    /// Serves until the command to shut down, and then until every accepted request is answered.
+    /// Serves until the command to shut down, and then until every accepted request is answered or the time of
+    /// the shutdown is over.
     ///
     /// # Errors
     ///
-    /// Fails where epoll fails; the node cannot go on then.
+    /// Fails if epoll fails; the node cannot go on after that.
     pub fn serve(mut self, mut commands: impl CommandSource) -> io::Result<()> {
         self.transport.register_readable(&commands, COMMANDS)?;
         let mut now = self.transport.now();
@@ -143,12 +145,12 @@
         }
     }
 
-    /// Begins a shutdown. A repeated command does not extend its time.
+    /// Begins a shutdown. A repeated command does not extend the time of the shutdown.
     fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown.is_some() {
             return;
         }
-        log::info!(event = "stopping"; "stopping: finishing the requests that were accepted");
+        log::info!(event = "stopping"; "node is stopping: finishing the requests that were accepted");
         let shutdown = Shutdown::begin(now);
         self.downstream.begin_shutdown(shutdown.response_deadline(self.longest_client_timeout));
         self.shutdown = Some(shutdown);
@@ -169,11 +171,14 @@
         self.on_watch_events(now, event.as_slice());
     }
 
-    /// Uses other settings from now on, and keeps what was learnt.
+    /// Applies changed settings. State that was learnt under the former settings is kept.
     fn apply_settings(&mut self, now: Time, settings: DecodedSettings) {
         let DecodedSettings { decisions, names, client_timeouts, .. } = settings;
-        log::info!(event = "settings_applied"; "settings applied; requests in progress keep their terms");
-        // The timeouts of former request classes, whose requests may still be in progress, are among them.
+        log::info!(
+            event = "settings_applied";
+            "changed settings applied; requests in progress keep the settings of their request class"
+        );
+        // `client_timeouts` includes former request classes, whose requests may still be in progress.
         self.longest_client_timeout = longest(&client_timeouts);
         self.downstream.on_settings_update(names.clone(), client_timeouts, decisions.max_retry_after);
         self.driver.on_settings_update(now, decisions, names);
@@ -181,8 +186,8 @@
 
     /// Handles the events and timers of a turn.
     fn run_turn(&mut self, now: Time, events: &[ReadinessEvent]) {
-        // Clients that disconnect are handled first: an attempt that only waits for its connection would else
-        // be written to one that is established in the same turn.
+        // Disconnects of clients are handled first. Otherwise the request of a disconnected client could be
+        // written to a connection that is established in the same turn.
         let (disconnects, others): (Vec<&ReadinessEvent>, Vec<&ReadinessEvent>) =
             events.iter().partition(|event| is_disconnect(event));
         for event in disconnects.into_iter().chain(others) {
@@ -241,8 +246,8 @@
     fn advance_shutdown(&mut self, now: Time) {
         let Some(shutdown) = self.shutdown else { return };
         if self.listener.is_some() && shutdown.is_accept_time_over(now) {
-            // Whoever has connected is still accepted, even if there are more than one turn takes: a node
-            // that was suspended at this moment would else reset the rest.
+            // All clients that have connected are still accepted, even if there are more than one turn accepts.
+            // Closing the listener would reset the others, as after the node was suspended at this moment.
             while self.accept_clients(now) == AcceptProgress::MayHaveMore {}
             self.listener = None;
         }
@@ -253,14 +258,14 @@
         }
     }
 
-    /// Whether a node that shuts down has nothing left to do, or no time.
+    /// Whether a shutdown is complete, or its time is over.
     fn is_finished(&self, now: Time) -> bool {
         let Some(shutdown) = &self.shutdown else { return false };
         if shutdown.is_time_over(now, self.longest_client_timeout) {
             let waiting = self.requests.pending_count();
             log::warn!(
                 event = "shutdown_timeout", waiting = waiting;
-                "shutdown timeout: stopping with {waiting} requests unanswered"
+                "shutdown timeout: node stops with {waiting} requests unanswered"
             );
             return true;
         }
@@ -274,7 +279,7 @@
         }
     }
 
-    /// When the next turn is due if no event comes before.
+    /// The time at which the next turn is due if no event comes before.
     fn poll_timeout(&self, now: Time) -> Option<Time> {
         let is_listening = self.listener.is_some();
         let next_phase =
@@ -298,7 +303,7 @@
     client_timeouts.iter().copied().max().unwrap_or_default()
 }
 
-/// Starts the control-plane agent, if there is one, on the node's clock.
+/// Starts the control-plane agent, if there is one, with the node's clock. Returns its recorder.
 fn start_agent(
     transport: &Transport,
     agent: Option<Agent>,
