--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -188,8 +188,8 @@
     /// Carries out the balancer's decisions, and returns whether there were any.
     ///
     /// Cancellations are polled after attempts and responses, since polling attempts and responses advances
-    /// the balancer's time and may cancel attempts. Polled earlier, such a cancellation would wait for the next
-    /// event, which comes too late on a node with little traffic.
+    /// the balancer's time and may cancel attempts. Polled earlier, such a cancellation would wait for the
+    /// next event, which comes too late on a node with little traffic.
     fn carry_out_decisions(&mut self, context: &mut ProxyContext<'_>) -> bool {
         let sent = self.send_attempts(context);
         let replied = self.accept_local_replies(&mut context.turn);
--- a/crates/node/src/proxy/discovery_watch/line_decoder.rs
+++ b/crates/node/src/proxy/discovery_watch/line_decoder.rs
@@ -50,8 +50,8 @@
 
     /// Returns the text of a list if this line completes one.
     ///
-    /// In an indented list, only the first line, and the last if it is a brace alone, begin with a brace. If a
-    /// first line follows a list that is not complete, that list was cut off and is skipped: otherwise all
+    /// In an indented list, only the first line, and the last if it is a brace alone, begin with a brace. If
+    /// a first line follows a list that is not complete, that list was cut off and is skipped: otherwise all
     /// following lines would be read as parts of it.
     fn complete_list(&mut self, line: &[u8]) -> Option<Vec<u8>> {
         let text = line.trim_ascii();
--- a/crates/node/src/proxy/discovery_watch/mod.rs
+++ b/crates/node/src/proxy/discovery_watch/mod.rs
@@ -1,8 +1,8 @@
 //! The watch on discovery's endpoint list.
 //!
 //! One watch request is current at a time. The head of its response must arrive within [`RESPONSE_TIMEOUT`];
-//! after the head, each complete line has a timeout of its own. At most one former watch is read as well, until
-//! a complete line has arrived on the current watch.
+//! after the head, each complete line has a timeout of its own. At most one former watch is read as well,
+//! until a complete line has arrived on the current watch.
 
 mod line_decoder;
 mod stream;
@@ -17,8 +17,8 @@
 use crate::transport::{CloseReason, Connection, ConnectionId, Owner, ReadinessEvent, Transport};
 
 /// A watch request without a response head within this time is abandoned and repeated at once. Discovery
-/// rejects requests that would wait for over 2 s. With a delay before the repeated request, its response would
-/// arrive more than 6 s after discovery is available again.
+/// rejects requests that would wait for over 2 s. With a delay before the repeated request, its response
+/// would arrive more than 6 s after discovery is available again.
 const RESPONSE_TIMEOUT: Span = Span::from_millis(2500);
 /// The most endpoints that are remembered as reported ended by a former watch.
 const MAX_ENDED_ENDPOINTS: usize = 4096;
@@ -45,11 +45,12 @@
     /// The last revision received at the current address.
     revision: Option<u64>,
     current: Option<WatchStream>,
-    /// The watch at a former address of discovery, or a watch on which lines stopped arriving. It is read until
-    /// the current watch is established.
+    /// The watch at a former address of discovery, or a watch on which lines stopped arriving. It is read
+    /// until the current watch is established.
     former: Option<WatchStream>,
-    /// The endpoints that a former watch at the same address has reported as ended since the current watch was
-    /// requested, by their `uid`. Earlier reports are not kept: the response to the current request is newer.
+    /// The endpoints that a former watch at the same address has reported as ended since the current watch
+    /// was requested, by their `uid`. Earlier reports are not kept: the response to the current request is
+    /// newer.
     ended: BTreeMap<String, EndedEndpoint>,
 }
 
@@ -180,8 +181,8 @@
         } else if self.is_established() {
             close(transport, &mut self.former, CloseReason::NoLongerNeeded);
         }
-        // The balancer takes a list as a sign that the watch is open. Without a current watch, the event makes
-        // the balancer request another one.
+        // The balancer takes a list as a sign that the watch is open. Without a current watch, the event
+        // makes the balancer request another one.
         if self.current.is_none() && has_lists {
             events.push(WatchEvent::Failed);
         }
@@ -232,8 +233,8 @@
         Some(EndpointListUpdate { revision, entries, ..EndpointListUpdate::default() })
     }
 
-    /// Handles the timer of a connection to discovery: the connection was not established, the request was not
-    /// answered, or no complete line arrived for too long.
+    /// Handles the timer of a connection to discovery: the connection was not established, the request was
+    /// not answered, or no complete line arrived for too long.
     pub(super) fn on_timer(&mut self, transport: &mut Transport, id: ConnectionId) -> Option<WatchEvent> {
         if self.is_former(id) {
             // No event is needed: another watch was requested already.
@@ -245,7 +246,7 @@
             // new watch may take long to be established.
             log::warn!(
                 event = "watch_lost", reason:? = CloseReason::PeerTimeout;
-                "the watch on the endpoint list at discovery {} sent no line in time: requesting another watch",
+                "the endpoint list watch at discovery {} sent no line in time: requesting another watch",
                 self.discovery
             );
             close(transport, &mut self.former, CloseReason::PeerTimeout);
--- a/crates/node/src/proxy/discovery_watch/stream.rs
+++ b/crates/node/src/proxy/discovery_watch/stream.rs
@@ -11,11 +11,11 @@
 
 /// A watch is lost after this time without a complete line. Discovery sends a line every 2 s at least; the
 /// timeout is longer by five eighths. Updates that a watch missed count as received 6 s after its last line.
-/// Before that, a new watch, which is requested within 0.75 s, has 2 s to be answered and time to be requested
-/// once more.
+/// Before that, a new watch, which is requested within 0.75 s, has 2 s to be answered and time to be
+/// requested once more.
 ///
-/// Only complete lines restart the timeout. If other data did, a line that trickles in, or a list that was cut
-/// off with empty lines after it, would keep a watch open for ever that reports nothing.
+/// Only complete lines restart the timeout. If other data did, a line that trickles in, or a list that was
+/// cut off with empty lines after it, would keep a watch open for ever that reports nothing.
 const LINE_TIMEOUT: Span = Span::from_millis(3250);
 
 /// The state of the response to a watch request.
@@ -114,7 +114,7 @@
             status => {
                 log::warn!(
                     event = "watch_refused", status = status;
-                    "discovery at {} refused the watch on the endpoint list with status {status}", self.address
+                    "discovery at {} refused the endpoint list watch with status {status}", self.address
                 );
                 Err(CloseReason::ClosedByPeer)
             }
--- a/crates/node/src/proxy/downstream/client_limits.rs
+++ b/crates/node/src/proxy/downstream/client_limits.rs
@@ -10,8 +10,9 @@
 const IDLE_CLIENTS_SHARE: f64 = 0.2;
 /// The share of memory that clients may use.
 const MEMORY_SHARE: f64 = 0.75;
-/// The memory in bytes that one client may use: its input buffer, and four bodies of the maximum length (in its
-/// request, in the request to an endpoint, in the endpoint's response, and in the response to the client).
+/// The memory in bytes that one client may use: its input buffer, and four bodies of the maximum length (in
+/// its request, in the request to an endpoint, in the endpoint's response, and in the response to the
+/// client).
 const BYTES_PER_CLIENT: usize = (16 + 4 * 64) * 1024;
 
 /// The resources that a node may use.
--- a/crates/node/src/proxy/downstream/mod.rs
+++ b/crates/node/src/proxy/downstream/mod.rs
@@ -42,8 +42,8 @@
 /// connected, and a lingering client this long after its last response. Both are evicted before clients that
 /// may send another request: a client with a request sends it as soon as it has connected.
 const EVICT_FIRST_AFTER: Span = Span::from_millis(250);
-/// How long a rejected client may go on sending before its connection is closed. If the connection were closed
-/// at once, the response could be lost in transit.
+/// How long a rejected client may go on sending before its connection is closed. If the connection were
+/// closed at once, the response could be lost in transit.
 const LINGER_TIME: Span = Span::from_millis(1000);
 /// The most reads before a connection is closed. Each read fills the input buffer; together they take more
 /// than a message of the maximum length.
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Closes each connection after its next response from now on. Every accepted request gets its response by
-    /// `deadline`.
+    /// Closes each connection after its next response from now on. Every accepted request gets its response
+    /// by `deadline`.
     pub(super) fn begin_shutdown(&mut self, deadline: Time) {
         self.shutdown_deadline = Some(deadline);
     }
@@ -264,8 +264,8 @@
                 ClientState::WritingResponse { .. } if !client.connection.output.is_empty() => break,
                 ClientState::WritingResponse { keep_alive: false } => self.linger(cx, id),
                 ClientState::WritingResponse { keep_alive: true } => {
-                    // The loop goes on with data that is already buffered. Further data is received in the next
-                    // turn, so that a client which sends without end does not delay this turn.
+                    // The loop goes on with data that is already buffered. Further data is received in the
+                    // next turn, so that a client which sends without end does not delay this turn.
                     client.state = ClientState::Reading;
                 }
                 ClientState::Lingering => {
@@ -318,8 +318,8 @@
         }
     }
 
-    /// Ends the node's side of a connection and lets the client finish sending. What the client still sends is
-    /// read and discarded, since closing a connection with unread data would reset it.
+    /// Ends the node's side of a connection and lets the client finish sending. What the client still sends
+    /// is read and discarded, since closing a connection with unread data would reset it.
     fn linger(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.connection.shutdown_write();
--- a/crates/node/src/proxy/duplicate_response.rs
+++ b/crates/node/src/proxy/duplicate_response.rs
@@ -1,15 +1,15 @@
 //! Detects a late duplicate of an earlier response on a connection that already carries the next request.
 //!
-//! A response does not identify its request, and a duplicate that arrives some milliseconds late is read where
-//! the response to the next request is due. A duplicate has the same bytes as the original: a response with a
-//! body that equals a response received on the same connection a moment ago is taken for a duplicate, and the
-//! response to the current request is expected after it.
+//! A response does not identify its request, and a duplicate that arrives some milliseconds late is read
+//! where the response to the next request is due. A duplicate has the same bytes as the original: a response
+//! with a body that equals a response received on the same connection a moment ago is taken for a duplicate,
+//! and the response to the current request is expected after it.
 //!
 //! Duplicates cannot be detected among responses that are equal from request to request:
-//! - Responses without a body and unsuccessful responses are always equal. A duplicate of a response which says
-//!   that its request was not executed would cause the next request to be sent again although the endpoint
-//!   executes it. While such a duplicate may arrive, the connection carries no request that must not be
-//!   executed twice.
+//! - Responses without a body and unsuccessful responses are always equal. A duplicate of a response which
+//!   says that its request was not executed would cause the next request to be sent again although the
+//!   endpoint executes it. While such a duplicate may arrive, the connection carries no request that must not
+//!   be executed twice.
 //! - Successful responses can be equal too, as where each write gets the same response body. No response is
 //!   taken for a duplicate until a run of responses has differed from one to the next.
 //!
@@ -59,8 +59,8 @@
         });
     }
 
-    /// Whether a response within [`DUPLICATE_WINDOW`] proved that its request was not executed. A duplicate of
-    /// that response may still arrive.
+    /// Whether a response within [`DUPLICATE_WINDOW`] proved that its request was not executed. A duplicate
+    /// of that response may still arrive.
     pub(super) fn has_not_executed(&self, now: Time) -> bool {
         let mut recent = self.recent(now);
         recent.any(|remembered| remembered.proves_not_executed)
--- a/crates/node/src/proxy/endpoint_directory.rs
+++ b/crates/node/src/proxy/endpoint_directory.rs
@@ -30,9 +30,9 @@
 /// too.
 pub(super) struct EndpointDirectory {
     names: Names,
-    /// Whether only an entry in state `Draining` removes an endpoint at once. An endpoint that is missing from
-    /// the list, or listed as `Removed`, is then kept for [`REMOVED_ENDPOINT_TTL`], since the balancer may
-    /// doubt the list.
+    /// Whether only an entry in state `Draining` removes an endpoint at once. An endpoint that is missing
+    /// from the list, or listed as `Removed`, is then kept for [`REMOVED_ENDPOINT_TTL`], since the balancer
+    /// may doubt the list.
     keep_unlisted: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// The endpoints that are kept although the list does not contain them as active, each with the time when
@@ -76,8 +76,8 @@
     }
 
     /// Removes other endpoints at the address of a listed endpoint that is ready, and reports them to the
-    /// balancer as draining. Their attempts would go to the wrong endpoint, even where the balancer doubts the
-    /// list.
+    /// balancer as draining. Their attempts would go to the wrong endpoint, even where the balancer doubts
+    /// the list.
     fn remove_replaced(&mut self, endpoint: &KnownEndpoint, updates: &mut Vec<EndpointUpdate>) {
         if !endpoint.update.ready {
             return;
--- a/crates/node/src/proxy/node/capacity.rs
+++ b/crates/node/src/proxy/node/capacity.rs
@@ -48,8 +48,8 @@
             let is_full = downstream.is_at_accept_limit()
                 || turn.transport.available_connections() <= self.reserved_connections;
             if is_full || turn.transport.descriptors_exhausted() {
-                // The listener is paused, since epoll would report the waiting clients in every turn. They wait
-                // in the kernel's queue until there is capacity.
+                // The listener is paused, since epoll would report the waiting clients in every turn. They
+                // wait in the kernel's queue until there is capacity.
                 listener.set_paused(turn.transport, true);
                 if self.accept_retry_at.is_none() {
                     log::warn!(
@@ -72,8 +72,8 @@
         progress
     }
 
-    /// Closes clients that have been idle for long while there are many clients, and the connections that have
-    /// been idle for longest while descriptors are short.
+    /// Closes clients that have been idle for long while there are many clients, and the connections that
+    /// have been idle for longest while descriptors are short.
     pub(super) fn close_excess_idle(&mut self, now: Time) {
         let Node { transport, requests, downstream, upstream, .. } = self;
         let mut turn = TurnContext { transport, requests, now };
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -56,7 +56,8 @@
 }
 
 impl Node {
-    /// Opens the listener, creates all parts of the proxy, and starts the control-plane agent if there is one.
+    /// Opens the listener, creates all parts of the proxy, and starts the control-plane agent if there is
+    /// one.
     ///
     /// # Errors
     ///
@@ -109,8 +110,8 @@
         (driver, ProxyContext { turn, downstream, upstream, watch })
     }
 
-    /// Serves until the command to shut down, and then until every accepted request is answered or the time of
-    /// the shutdown is over.
+    /// Serves until the command to shut down, and then until every accepted request is answered or the time
+    /// of the shutdown is over.
     ///
     /// # Errors
     ///
@@ -246,8 +247,9 @@
     fn advance_shutdown(&mut self, now: Time) {
         let Some(shutdown) = self.shutdown else { return };
         if self.listener.is_some() && shutdown.is_accept_time_over(now) {
-            // All clients that have connected are still accepted, even if there are more than one turn accepts.
-            // Closing the listener would reset the others, as after the node was suspended at this moment.
+            // All clients that have connected are still accepted, even if there are more than one turn
+            // accepts, as after the node was suspended at this moment. Closing the listener resets the
+            // connections of clients that were not accepted.
             while self.accept_clients(now) == AcceptProgress::MayHaveMore {}
             self.listener = None;
         }
--- a/crates/node/src/proxy/node/shutdown.rs
+++ b/crates/node/src/proxy/node/shutdown.rs
@@ -1,8 +1,8 @@
 //! The phases of a graceful shutdown.
 //!
 //! After the shutdown signal, clients may still connect for a while. Then the listener is closed, and shortly
-//! after that all idle connections. The node ends once all clients' connections are closed, or when the time of
-//! the shutdown is over.
+//! after that all idle connections. The node ends once all clients' connections are closed, or when the time
+//! of the shutdown is over.
 
 use granitelb_balancer::time::{Span, Time};
 
--- a/crates/node/src/proxy/request_table.rs
+++ b/crates/node/src/proxy/request_table.rs
@@ -114,8 +114,8 @@
 /// For the downstream side.
 impl RequestTable {
     /// Adds a request and returns its identifier; `None` if a request of any client with the same
-    /// `client_request_id` is pending. Endpoints could not tell the two requests apart, and the later one would
-    /// disturb the earlier one.
+    /// `client_request_id` is pending. Endpoints could not tell the two requests apart, and the later one
+    /// would disturb the earlier one.
     pub fn insert(
         &mut self,
         client: ConnectionId,
@@ -188,8 +188,8 @@
         self.requests.get(&id).is_some_and(ActiveRequest::is_pending)
     }
 
-    /// Records the end of an attempt. If the attempt fulfilled the request, its response becomes the final one
-    /// unless there already is a final response.
+    /// Records the end of an attempt. If the attempt fulfilled the request, its response becomes the final
+    /// one unless there already is a final response.
     pub fn on_attempt_end(
         &mut self,
         id: RequestId,
@@ -271,8 +271,8 @@
         Some(number)
     }
 
-    /// Accepts a final response unless the request already has one, and returns whether it was accepted. Every
-    /// final response is accepted by this function.
+    /// Accepts a final response unless the request already has one, and returns whether it was accepted.
+    /// Every final response is accepted by this function.
     pub fn finish(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(active) = self.requests.get_mut(&id) else { return false };
         if !active.is_pending() {
--- a/crates/node/src/proxy/upstream/connecting.rs
+++ b/crates/node/src/proxy/upstream/connecting.rs
@@ -1,4 +1,5 @@
-//! Establishes connections to endpoints, and finds other connections for attempts whose connection is delayed.
+//! Establishes connections to endpoints, and finds other connections for attempts whose connection is
+//! delayed.
 //!
 //! An attempt whose connection is delayed moves to an idle connection. If there is none, a surplus connection
 //! is opened, and the connection that is established first carries the attempt. The request is written to
@@ -108,8 +109,8 @@
         pool.connecting.iter().filter(is_surplus).count()
     }
 
-    /// Moves the attempt of the connecting connection `from`, to which nothing was written, to the established
-    /// connection `to`. `from` becomes a surplus connection.
+    /// Moves the attempt of the connecting connection `from`, to which nothing was written, to the
+    /// established connection `to`. `from` becomes a surplus connection.
     fn reassign(&mut self, cx: &mut TurnContext<'_>, from: ConnectionId, to: ConnectionId) {
         let Some(delayed) = self.connections.get_mut(&from) else { return };
         if delayed.connection.is_connected() {
--- a/crates/node/src/proxy/upstream/connection.rs
+++ b/crates/node/src/proxy/upstream/connection.rs
@@ -98,9 +98,9 @@
     /// Whether the connection may carry a request.
     ///
     /// A request that must not be executed twice is kept off a connection that recently delivered a response
-    /// which proves that an earlier request was not executed. A duplicate of that response may still arrive and
-    /// be taken for the response to the new request, which would be sent again although the endpoint executes
-    /// it.
+    /// which proves that an earlier request was not executed. A duplicate of that response may still arrive
+    /// and be taken for the response to the new request, which would be sent again although the endpoint
+    /// executes it.
     pub(super) fn can_carry(&self, now: Time, is_idempotent: bool) -> bool {
         is_idempotent || !self.recent_responses.has_not_executed(now)
     }
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Clears the early-data flag if the early data was an interim response, which is no part of the response.
+    /// Clears the early-data flag if the early data was an interim response, which is no part of the
+    /// response.
     pub(super) fn forget_early_interim_response(&mut self) {
         let is_between_messages = self.decoder.is_between_messages() && self.connection.input.is_empty();
         if let Some(attempt) = &mut self.attempt {
--- a/crates/node/src/proxy/upstream/mod.rs
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -47,8 +47,8 @@
 }
 
 impl Upstream {
-    /// Creates an upstream side without endpoints. Endpoints may close connections after `keep_alive` without a
-    /// request.
+    /// Creates an upstream side without endpoints. Endpoints may close connections after `keep_alive` without
+    /// a request.
     pub fn new(owner: Owner, connect_timeout: Span, keep_alive: Span) -> Upstream {
         Upstream {
             owner,
@@ -249,9 +249,9 @@
         self.close(cx, id, CloseReason::ConnectTimeout);
     }
 
-    /// Ends an attempt that got a supposed duplicate and no response after it. The supposed duplicate may have
-    /// been the response, or not: no client gets it. For a while none of the endpoint's responses is taken for
-    /// a duplicate.
+    /// Ends an attempt that got a supposed duplicate and no response after it. The supposed duplicate may
+    /// have been the response, or not: no client gets it. For a while none of the endpoint's responses is
+    /// taken for a duplicate.
     fn on_duplicate_wait_end(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let endpoint = self.connections.get(&id).map(|upstream| upstream.endpoint);
         if let Some(pool) = endpoint.and_then(|endpoint| self.pools.get_mut(&endpoint)) {
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Ends an attempt of which nothing was sent. Its connection, which is not the cause, is kept for the next
-    /// attempt.
+    /// Ends an attempt of which nothing was sent. Its connection, which is not the cause, is kept for the
+    /// next attempt.
     fn release(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, reason: CloseReason) {
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         let Some(attempt) = upstream.attempt.take() else { return };
--- a/crates/node/src/proxy/upstream/pool.rs
+++ b/crates/node/src/proxy/upstream/pool.rs
@@ -7,12 +7,12 @@
 use crate::transport::ConnectionId;
 
 /// A connection that is not established after this multiple of the fastest connect time, plus
-/// [`CONNECT_DELAY_MARGIN`], counts as delayed: its first packet may be lost, and the operating system repeats
-/// that packet only a second later.
+/// [`CONNECT_DELAY_MARGIN`], counts as delayed: its first packet may be lost, and the operating system
+/// repeats that packet only a second later.
 const CONNECT_DELAY_MULTIPLE: f64 = 3.0;
 const CONNECT_DELAY_MARGIN: Span = Span::from_millis(10);
-/// Until a first connection to the endpoint is established, a connection counts as delayed after this share of
-/// the connect timeout.
+/// Until a first connection to the endpoint is established, a connection counts as delayed after this share
+/// of the connect timeout.
 const FIRST_CONNECT_DELAY_SHARE: f64 = 0.2;
 /// The recorded fastest connect time grows by this factor with each connection, since network paths change.
 const FASTEST_CONNECT_GROWTH: f64 = 1.05;
