--- a/crates/node/src/cli/config/mod.rs
+++ b/crates/node/src/cli/config/mod.rs
@@ -42,7 +42,7 @@
         NodeConfig {
             listen: self.listen,
             seed: self.seed.unwrap_or_else(random_seed),
-            known: self.known_endpoints.clone(),
+            known_endpoints: self.known_endpoints.clone(),
             settings: self.settings.clone(),
             reloadable: self.reloadable(),
             control_plane_agent: None,
@@ -67,7 +67,7 @@
             memory: self.max_memory_mb.map_or(usize::MAX, |mb| (mb as usize).saturating_mul(BYTES_PER_MB)),
             connect_timeout: self.settings.connect_timeout,
             keepalive: self.settings.keepalive,
-            load_header: self.load_header.clone(),
+            load_report_header: self.load_header.clone(),
             settings: None,
         }
     }
--- a/crates/node/src/proxy/node/config.rs
+++ b/crates/node/src/proxy/node/config.rs
@@ -24,7 +24,7 @@
     /// The seed of the balancer's random choices.
     pub seed: u64,
     /// The endpoint list that is used until discovery answers.
-    pub known: Option<EndpointListUpdate>,
+    pub known_endpoints: Option<EndpointListUpdate>,
     /// The decoded settings.
     pub settings: DecodedSettings,
     /// The part of the configuration that can be changed while the node serves.
@@ -46,7 +46,7 @@
     /// The time after which endpoints close idle connections.
     pub keepalive: Span,
     /// The response header that carries load reports, if there is one.
-    pub load_header: Option<Box<str>>,
+    pub load_report_header: Option<Box<str>>,
     /// Changed settings for a node that already serves; `None` if the settings stay as they are.
     pub settings: Option<Box<DecodedSettings>>,
 }
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -63,7 +63,7 @@
     ///
     /// Fails if the operating system refuses a socket: the address is in use, or no descriptor is available.
     pub fn open(config: NodeConfig) -> io::Result<Node> {
-        let NodeConfig { listen, seed, known, settings, reloadable, control_plane_agent } = config;
+        let NodeConfig { listen, seed, known_endpoints, settings, reloadable, control_plane_agent } = config;
         let limits = reloadable.connection_limits();
         let mut transport = Transport::new(limits.connections)?;
         let listener = Listener::open(&mut transport, listen, LISTENER)?;
@@ -75,8 +75,8 @@
         let directory = EndpointDirectory::new(names.clone(), decisions.only_draining_binds);
         let balancer = Balancer::new(decisions, seed, now);
         let mut requests = RequestTable::default();
-        requests.set_load_report_header(reloadable.load_header);
-        let revision = known.as_ref().map(|list| list.revision);
+        requests.set_load_report_header(reloadable.load_report_header);
+        let revision = known_endpoints.as_ref().map(|list| list.revision);
         let discovery = reloadable.discovery;
         let connect_timeout = reloadable.connect_timeout;
         let mut node = Node {
@@ -94,8 +94,8 @@
             accept_retry_at: None,
         };
         let (driver, mut context) = node.split(now);
-        if let Some(known) = &known {
-            driver.restore_endpoints(&mut context, known);
+        if let Some(known_endpoints) = &known_endpoints {
+            driver.restore_endpoints(&mut context, known_endpoints);
         }
         if is_list_pushed {
             driver.open_initial_watch(&mut context);
@@ -163,7 +163,7 @@
         self.downstream.set_limits(limits);
         self.reserved_connections = reserved_connections(limits.connections);
         self.upstream.set_timeouts(config.connect_timeout, config.keepalive);
-        self.requests.set_load_report_header(config.load_header);
+        self.requests.set_load_report_header(config.load_report_header);
         if let Some(settings) = config.settings {
             self.apply_settings(now, *settings);
         }
