--- a/crates/node/tests/upstream/duplicates.rs
+++ b/crates/node/tests/upstream/duplicates.rs
@@ -1,4 +1,4 @@
-//! Duplicate responses, and responses that are equal by nature.
+//! Duplicate responses, and responses that are equal from request to request.
 
 use std::io::Read;
 
@@ -7,7 +7,8 @@
 use crate::fixture::{Fixture, read_head, response, write};
 use test_case::test_case;
 
-/// The duplicate is on the wire before the next request's own response, however soon that one follows.
+/// A duplicate of the first response arrives before the response to the second request, either in the same
+/// packet or 3 ms earlier. The second client must not get the duplicate.
 #[test]
 fn late_duplicate_is_not_given_to_the_next_request() {
     for is_apart in [true, false] {
@@ -18,7 +19,7 @@
         write(&mut stream, &response("one"));
         assert_eq!(fixture.wait_for_outcome(first), AttemptOutcome::Fulfilled);
         assert_eq!(fixture.poll_final_response(first), Some(b"one".to_vec()));
-        // It is the only connection, and was idle only for a moment.
+        // The second request has no other connection, though this one was idle only for a moment.
         fixture.advance_ms(1);
         let second = fixture.send_read();
         read_head(&mut stream).expect("a request");
@@ -35,7 +36,8 @@
     }
 }
 
-/// Not only of the response just before: the connection may have carried more requests by then.
+/// The duplicate need not follow its original directly: the connection may have carried more requests before
+/// the duplicate arrives.
 #[test]
 fn duplicate_is_detected_after_another_request_on_its_connection() {
     let mut fixture = Fixture::new();
@@ -53,8 +55,8 @@
     }
 }
 
-/// Where an endpoint's responses are equal by nature, one request is forwarded again for it, and those after
-/// it are served at once.
+/// Where an endpoint's responses are equal from request to request, the second response is taken for a
+/// duplicate and one request needs another attempt. Later requests are served at once.
 #[test]
 fn uniform_responses_cost_one_more_attempt_and_no_more() {
     let mut fixture = Fixture::new();
@@ -86,7 +88,8 @@
     assert_eq!(fixture.poll_final_response(fourth), Some(b"ok".to_vec()));
 }
 
-/// Where each write is answered by the same word, none of them waits, whatever reads are answered.
+/// Where each write gets the same response body, no write waits for another response, although the responses
+/// to reads differ.
 #[test]
 fn responses_that_never_differed_are_served_at_once() {
     let mut fixture = Fixture::new();
@@ -101,22 +104,27 @@
     }
 }
 
-/// An endpoint sheds a request, and its 503 is sent twice, the second time some milliseconds late. A request that must not
-/// run twice is out on that connection by then: it takes the copy for its own answer, which says that nothing ran, and is
-/// sent again although it runs. No byte tells the copy from an answer, and so the connection is not used for such a request
-/// while a copy may still come. The same goes for the 404 of a cache miss, also where another answer came in between.
-#[test_case("HTTP/1.1 503 Service Unavailable\r\nx-not-processed: 1\r\nContent-Length: 0\r\n\r\n", 503; "shed")]
+/// An endpoint rejects a request, and its 503 response arrives a second time, some milliseconds late. A
+/// request that must not be executed twice, sent on that connection in between, would get the duplicate as
+/// its response: the duplicate says that nothing was executed, so the request would be sent again although
+/// the endpoint executes it. Nothing distinguishes the duplicate from a response to that request. Hence the
+/// connection carries no such request while a duplicate may arrive. The same holds for the 404 response of a
+/// cache miss, also with another response in between.
+#[test_case("HTTP/1.1 503 Service Unavailable\r\nx-not-processed: 1\r\nContent-Length: 0\r\n\r\n", 503; "rejected")]
 #[test_case("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", 404; "cache miss")]
-fn late_copy_of_a_denial_is_given_to_no_request_that_must_not_run_twice(denial: &str, status: u16) {
-    for answers_between in [0, 1] {
+fn late_duplicate_of_a_not_executed_response_reaches_no_non_idempotent_request(
+    not_executed: &str,
+    status: u16,
+) {
+    for responses_between in [0, 1] {
         let mut fixture = Fixture::new();
         let mut stream = fixture.connection_with_varied_responses();
-        let denied = fixture.send_read();
+        let rejected = fixture.send_read();
         read_head(&mut stream).expect("a request");
-        write(&mut stream, denial);
+        write(&mut stream, not_executed);
         let outcome = if status == 404 { AttemptOutcome::CacheMiss } else { AttemptOutcome::Rejected };
-        assert_eq!(fixture.wait_for_outcome(denied), outcome);
-        for _ in 0..answers_between {
+        assert_eq!(fixture.wait_for_outcome(rejected), outcome);
+        for _ in 0..responses_between {
             fixture.advance_ms(25);
             let read = fixture.send_read();
             read_head(&mut stream).expect("a request");
@@ -125,26 +133,27 @@
             fixture.poll_final_response(read);
         }
         fixture.advance_ms(30);
-        let once = fixture.send_non_idempotent();
+        let non_idempotent = fixture.send_non_idempotent();
         let mut other = fixture.accept();
         fixture.run_turn();
         read_head(&mut other).expect("a request");
-        write(&mut stream, denial);
+        write(&mut stream, not_executed);
         write(&mut other, &response("done"));
-        assert_eq!(fixture.wait_for_outcome(once), AttemptOutcome::Fulfilled);
-        assert_eq!(fixture.poll_final_response(once), Some(b"done".to_vec()));
+        assert_eq!(fixture.wait_for_outcome(non_idempotent), AttemptOutcome::Fulfilled);
+        assert_eq!(fixture.poll_final_response(non_idempotent), Some(b"done".to_vec()));
     }
 }
 
-/// Once no copy can come any more, and for all that may run twice, the connection serves on.
+/// After a response which says that nothing was executed, the connection carries requests that may be
+/// executed twice at once, and all requests once no duplicate can arrive any more.
 #[test]
-fn connection_of_a_denial_serves_reads_at_once_and_all_requests_later() {
+fn connection_after_a_not_executed_response_serves_reads_at_once_and_all_requests_later() {
     let mut fixture = Fixture::new();
     let mut stream = fixture.connection_with_varied_responses();
-    let denied = fixture.send_read();
+    let missed = fixture.send_read();
     read_head(&mut stream).expect("a request");
     write(&mut stream, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(fixture.wait_for_outcome(denied), AttemptOutcome::CacheMiss);
+    assert_eq!(fixture.wait_for_outcome(missed), AttemptOutcome::CacheMiss);
     fixture.advance_ms(30);
     let read = fixture.send_read();
     read_head(&mut stream).expect("a request");
@@ -152,8 +161,8 @@
     assert_eq!(fixture.wait_for_outcome(read), AttemptOutcome::Fulfilled);
     fixture.poll_final_response(read);
     fixture.advance_ms(250);
-    let once = fixture.send_non_idempotent();
+    let non_idempotent = fixture.send_non_idempotent();
     read_head(&mut stream).expect("a request");
     write(&mut stream, &response("done"));
-    assert_eq!(fixture.wait_for_outcome(once), AttemptOutcome::Fulfilled);
+    assert_eq!(fixture.wait_for_outcome(non_idempotent), AttemptOutcome::Fulfilled);
 }
