--- a/crates/node/tests/upstream/connecting.rs
+++ b/crates/node/tests/upstream/connecting.rs
@@ -1,16 +1,18 @@
-//! Attempts that wait for their connection, and connections whose attempt is gone.
+//! Attempts that wait for their connection, and connections whose attempt has ended.
 
 use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::time::Span;
 
 use crate::fixture::{Fixture, is_silent, read_head, response, write};
 
-/// The time that a request says is left for it.
+/// The remaining time that a request states in its `X-Timeout-Ms` header, in milliseconds.
 fn timeout_ms(head: &str) -> u64 {
-    let value = head.lines().find_map(|line| line.strip_prefix("X-Timeout-Ms: ")).expect("a time");
-    value.parse().expect("a time")
+    let value = head.lines().find_map(|line| line.strip_prefix("X-Timeout-Ms: "));
+    value.expect("an X-Timeout-Ms header").parse().expect("a number of milliseconds")
 }
 
+/// Connecting takes 700 ms of the request's 1200 ms. If the request stated its whole timeout, the endpoint
+/// would work on it after the node has stopped waiting.
 #[test]
 fn request_carries_the_time_left_when_its_connection_is_established() {
     let mut fixture = Fixture::new();
@@ -27,7 +29,7 @@
     let request = fixture.send_read();
     let mut stream = fixture.accept();
     fixture.advance_ms(1200);
-    // Both are seen in one turn: first that the connection is established.
+    // In one turn, the node handles first the event that the connection is established and then the deadline.
     assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::TimedOut);
     assert!(is_silent(&mut stream));
 }
@@ -60,7 +62,8 @@
     assert!(read_head(&mut stream).expect("a request").starts_with("GET /read/k2 "));
 }
 
-/// A delayed connection's attempt, whose client has disconnected, takes no idle connection with it.
+/// An attempt waits for a delayed connection, and its client disconnects. If the attempt moved to an idle
+/// connection of the endpoint, that connection would be closed together with the attempt.
 #[test]
 fn delayed_connection_of_disconnected_client_closes_no_other() {
     let mut fixture = Fixture::new();
@@ -71,8 +74,8 @@
     let events = fixture.poll_events();
     assert!(events.is_empty(), "{events:?}");
     write(&mut stream, &response("one"));
-    // The second is sent while the first is in flight, and the event that establishes its connection is not
-    // seen.
+    // The second attempt is sent while the first is in flight. The node does not handle the event that the
+    // second connection is established.
     let events = fixture.wait_for_events();
     let second = fixture.send_read();
     let mut second_stream = fixture.accept();
@@ -90,7 +93,8 @@
     assert!(is_silent(&mut second_stream));
 }
 
-/// Both are seen in one turn, the list first.
+/// In one turn, the node handles first the endpoint list without the endpoint and then the event that the
+/// connection is established.
 #[test]
 fn request_is_not_sent_on_a_connection_established_after_its_endpoint_was_removed() {
     let mut fixture = Fixture::new();
@@ -103,6 +107,8 @@
     assert_eq!(read_head(&mut stream), None);
 }
 
+/// After the start deadline, an endpoint no longer recognizes a repeated write as a repeat and would execute
+/// it twice.
 #[test]
 fn repeated_write_is_sent_before_its_start_deadline_or_not_at_all() {
     for is_in_time in [true, false] {
@@ -114,7 +120,8 @@
             fixture.run_turn();
             assert!(read_head(&mut stream).expect("a request").starts_with("PUT "));
         } else {
-            // That its connection is established and the end of its time are seen in one turn.
+            // In one turn, the node handles the event that the connection is established and the start
+            // deadline.
             assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::NotSent);
             assert!(is_silent(&mut stream));
         }
@@ -127,15 +134,17 @@
     let (request, _) = fixture.send_within(Span::from_millis(200), "PUT", b"v".to_vec());
     fixture.advance_ms(200);
     fixture.run_timers();
-    let finished = fixture.requests.poll_finished_attempt().expect("it has ended");
+    let finished = fixture.requests.poll_finished_attempt().expect("the attempt has ended");
     assert_eq!(finished.request, request);
     assert_eq!(finished.result.outcome, AttemptOutcome::NotSent);
-    // Its connection stays for the next request.
+    // The connection stays open for the next request.
     let mut stream = fixture.accept();
     fixture.run_turn();
     assert!(is_silent(&mut stream));
 }
 
+/// Attempts at unresponsive endpoints could take all descriptors. Without a descriptor for the watch on the
+/// endpoint list, the node would miss that an endpoint drains.
 #[test]
 fn connections_to_endpoints_leave_descriptors_for_the_watch() {
     let mut fixture = Fixture::new();
