--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -20,21 +20,22 @@
 const CONNECT_TIMEOUT: Span = Span::from_millis(5000);
 const KEEP_ALIVE: Span = Span::from_millis(60_000);
 pub const REQUEST_TIMEOUT: Span = Span::from_millis(1200);
-/// The share of a request's time after which a supposed duplicate is given up.
+/// The share of a request's timeout during which the node waits for a response after a supposed duplicate.
 const DUPLICATE_WAIT_SHARE: f64 = 0.25;
-/// Longer than anything takes that is waited for.
+/// The longest time that a test waits for an event; every event comes sooner.
 const TEST_TIMEOUT: Duration = Duration::from_secs(8);
-/// Far less than the long messages of the tests: they stay with the node until they are read.
+/// The endpoint's receive buffer. It is far smaller than the tests' long messages, so that the node cannot
+/// send one completely before the endpoint reads.
 const RECEIVE_BUFFER_BYTES: usize = 4096;
-/// How often a connection is looked for.
-const ACCEPT_POLL: Duration = Duration::from_millis(1);
-/// How long events are waited for.
+/// The interval at which the fixture looks for a new connection.
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// The longest time that one poll for events takes.
 const EVENT_WAIT: Span = Span::from_millis(20);
 
-/// A node's upstream side and an endpoint.
+/// The upstream side of a node, and an endpoint.
 ///
-/// The clock is the test's, and the node sees events of its sockets only when the test lets it, so that each
-/// order of two events is forced.
+/// The test sets the clock and decides when the node handles the events of its sockets. A test can thus force
+/// each order of two events.
 pub struct Fixture {
     pub transport: Transport,
     pub requests: RequestTable,
@@ -64,7 +65,7 @@
         fixture
     }
 
-    /// Calls the upstream side.
+    /// Calls the upstream side in a turn at the current time.
     fn with_upstream<T>(&mut self, call: impl FnOnce(&mut Upstream, &mut TurnContext<'_>) -> T) -> T {
         let mut turn =
             TurnContext { transport: &mut self.transport, requests: &mut self.requests, now: self.now };
@@ -96,12 +97,12 @@
         self.send_within(REQUEST_TIMEOUT, method, body)
     }
 
-    /// Sends a new request that must not run twice.
+    /// Sends a new request that must not be executed twice.
     pub fn send_non_idempotent(&mut self) -> RequestId {
         self.send_attempt(REQUEST_TIMEOUT, false, "GET", Vec::new()).0
     }
 
-    /// Sends a new request by an attempt that may start within this time.
+    /// Sends a new request by an attempt that may only start within this time.
     pub fn send_within(
         &mut self,
         begin_within: Span,
@@ -136,7 +137,7 @@
         let client_request_id = format!("r{number}").into();
         let message = Message { head, body };
         let inserted = self.requests.insert(self.client, request, client_request_id, message);
-        let id = inserted.expect("a new identifier");
+        let id = inserted.expect("an unused client request id");
         let attempt_number = self.requests.start_attempt(id).expect("a pending request");
         let attempt =
             Attempt { request: id, cache: ENDPOINT, timeout: REQUEST_TIMEOUT, begin_within, is_idempotent };
@@ -154,14 +155,14 @@
         self.with_upstream(|upstream, turn| upstream.cancel(turn, request, number));
     }
 
-    /// The events that the node's sockets have by now.
+    /// Returns the events of the node's sockets that arrive within [`EVENT_WAIT`].
     pub fn poll_events(&mut self) -> Vec<ReadinessEvent> {
         let deadline = self.transport.now() + EVENT_WAIT;
         let events = self.transport.wait(Some(deadline)).expect("epoll");
         events.into_iter().filter(|event| event.id.owner() == UPSTREAM).collect()
     }
 
-    /// The events that the node's sockets have, once there are any.
+    /// Waits for events of the node's sockets and returns them.
     pub fn wait_for_events(&mut self) -> Vec<ReadinessEvent> {
         let start = Instant::now();
         loop {
@@ -169,7 +170,7 @@
             if !events.is_empty() {
                 return events;
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "no events");
+            assert!(start.elapsed() < TEST_TIMEOUT, "no event of the node's sockets arrived");
         }
     }
 
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Lets the node read what has arrived, once there is something.
+    /// Waits until data arrives at the node, and lets the node read it.
     pub fn wait_until_read(&mut self) {
         loop {
             let events = self.wait_for_events();
@@ -192,10 +193,10 @@
         }
     }
 
-    /// Waits until the node has taken a response for a duplicate and waits for the one that follows.
+    /// Waits until the node has taken a response for a duplicate and waits for the next response.
     pub fn wait_for_duplicate(&mut self) {
         let deadline = self.now + REQUEST_TIMEOUT.scaled(DUPLICATE_WAIT_SHARE);
-        self.wait_until("a duplicate", |fixture| {
+        self.wait_until("a detected duplicate", |fixture| {
             let finished = fixture.requests.poll_finished_attempt();
             assert!(finished.is_none(), "the duplicate was taken for the response");
             fixture.transport.timers.first().filter(|(at, _)| *at <= deadline)
@@ -216,14 +217,14 @@
         }
     }
 
-    /// Runs turns until `check` returns something.
-    fn wait_until<T>(&mut self, what: &str, mut check: impl FnMut(&mut Fixture) -> Option<T>) -> T {
+    /// Runs turns until `check` returns a value, and returns that value.
+    fn wait_until<T>(&mut self, awaited: &str, mut check: impl FnMut(&mut Fixture) -> Option<T>) -> T {
         let start = Instant::now();
         loop {
             if let Some(found) = check(self) {
                 return found;
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "waited in vain: {what}");
+            assert!(start.elapsed() < TEST_TIMEOUT, "{awaited} did not come within {TEST_TIMEOUT:?}");
             self.run_turn();
         }
     }
@@ -241,8 +242,8 @@
             if let Ok((stream, _)) = self.listener.accept() {
                 break stream;
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "no connection was opened");
-            std::thread::sleep(ACCEPT_POLL);
+            assert!(start.elapsed() < TEST_TIMEOUT, "the node opened no connection to the endpoint");
+            std::thread::sleep(ACCEPT_POLL_INTERVAL);
         };
         self.listener.set_nonblocking(false).expect("a socket");
         stream.set_nonblocking(false).expect("a socket");
@@ -250,7 +251,7 @@
         stream
     }
 
-    /// Whether the node has opened a connection that was not accepted yet.
+    /// Whether the node has opened a connection that the endpoint has not accepted. Accepts and closes it.
     pub fn has_unaccepted_connection(&self) -> bool {
         self.listener.set_nonblocking(true).expect("a socket");
         let accepted = self.listener.accept();
@@ -275,7 +276,7 @@
         stream.expect("a connection")
     }
 
-    /// The outcome of an attempt, once it has ended.
+    /// Waits for the end of a request's attempt, and returns the outcome.
     pub fn wait_for_outcome(&mut self, request: RequestId) -> AttemptOutcome {
         let finished =
             self.wait_until("the end of an attempt", |fixture| fixture.requests.poll_finished_attempt());
@@ -283,21 +284,21 @@
         finished.result.outcome
     }
 
-    /// The body of the response that a request got from the endpoint, if it got one.
+    /// The body of the final response to a request, if the endpoint has sent one.
     pub fn poll_final_response(&mut self, request: RequestId) -> Option<Vec<u8>> {
         let undelivered = self.requests.poll_response()?;
-        assert_eq!(undelivered.request, request, "a response to another request");
+        assert_eq!(undelivered.request, request, "the final response answers another request");
         match undelivered.response {
             FinalResponse::Upstream(message) => Some(message.body),
             FinalResponse::Local(_) | FinalResponse::ClientDisconnected => {
-                panic!("a response of another kind")
+                panic!("the final response is not from the endpoint")
             }
         }
     }
 }
 
-/// Reads the head of a message, byte by byte so that nothing after it is consumed; `None` at the end of the
-/// connection.
+/// Reads the head of a message byte by byte, so that nothing after the head is consumed. Returns `None` at
+/// the end of the connection.
 pub fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -306,7 +307,7 @@
             Ok(1) => head.push(byte[0]),
             Ok(_) => return None,
             Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
-            Err(error) => panic!("no message: {error}"),
+            Err(error) => panic!("cannot read the head of a message: {error}"),
         }
     }
     Some(String::from_utf8(head).expect("text"))
@@ -320,16 +321,17 @@
     read.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// A successful response with this body.
+/// The text of a successful response with this body.
 pub fn response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
+/// Writes text to a connection.
 pub fn write(stream: &mut TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).expect("a connection");
 }
 
-/// Resets a connection.
+/// Closes a connection by a reset.
 pub fn reset(stream: TcpStream) {
     rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("a socket");
 }
--- a/crates/node/tests/upstream/responses.rs
+++ b/crates/node/tests/upstream/responses.rs
@@ -1,4 +1,4 @@
-//! What endpoints send before a request is complete, and how responses end.
+//! Data that endpoints send before the request is complete, and incomplete responses.
 
 use std::io::Read;
 
@@ -7,15 +7,15 @@
 
 use crate::fixture::{Fixture, read_head, reset, response, write};
 
-/// The length of a body that does not fit into the buffers of the sockets.
+/// The length of a body that does not fit into the buffers of the sockets, in bytes.
 const LONG_BODY_BYTES: usize = 16 << 20;
 
 fn long_body() -> Vec<u8> {
     vec![b'v'; LONG_BODY_BYTES]
 }
 
-/// Nothing is written to a connection whose end has arrived, so that what cannot be repeated may be sent
-/// elsewhere.
+/// Once the end of a connection has arrived, nothing more of a request is written to it. A request that must
+/// not be executed twice may then be sent to another endpoint.
 #[test]
 fn request_is_not_written_to_a_connection_that_its_endpoint_has_closed() {
     let mut fixture = Fixture::new();
@@ -23,7 +23,7 @@
     drop(fixture.accept());
     assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::Unreachable);
 
-    // Nor the rest of one that was started.
+    // The rest of a request that was started is not written either.
     let mut fixture = Fixture::new();
     let (request, _) = fixture.send("PUT", long_body());
     let stream = fixture.accept();
@@ -32,8 +32,8 @@
     assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::Unreachable);
 }
 
-/// A response that was there before the request was written, and one that arrived before its last byte:
-/// neither was made for it.
+/// A response that arrived before the request was written, or before its last byte was written, answers
+/// another request and must reach no client.
 #[test]
 fn response_before_the_complete_request_is_given_to_nobody() {
     let mut fixture = Fixture::new();
@@ -53,8 +53,8 @@
     assert_eq!(fixture.wait_for_outcome(request), AttemptOutcome::Unreachable);
     assert_eq!(fixture.poll_final_response(request), None);
 
-    // Nor one whose first bytes arrived before, and the rest after: the request may have been executed by
-    // then.
+    // The first bytes of this response arrive before the end of the request and the rest after it. The
+    // endpoint may have executed the request by then, so the outcome is `Errored`.
     let mut fixture = Fixture::new();
     let (request, _) = fixture.send("PUT", long_body());
     let mut stream = fixture.accept();
@@ -73,7 +73,8 @@
     drop(endpoint.join());
 }
 
-/// Interim responses are not responses, and may arrive at any time.
+/// An interim response precedes the response and may arrive at any time. It must not count as early data,
+/// which would fail the attempt.
 #[test]
 fn interim_response_may_arrive_before_the_request_is_written() {
     let mut fixture = Fixture::new();
@@ -93,7 +94,8 @@
     drop(endpoint.join());
 }
 
-/// A rejection may well be sent before: nothing was executed then.
+/// An endpoint may reject a request before it has received the request: nothing was executed. The response is
+/// accepted although it arrives early.
 #[test]
 fn rejection_may_arrive_before_the_request_is_written() {
     let mut fixture = Fixture::new();
@@ -104,8 +106,8 @@
     assert_eq!(read_head(&mut stream), None);
 }
 
-/// Only an orderly end completes a response without a length, and none completes one that announces its
-/// length.
+/// Only the orderly end of a connection completes a response without a length. No end completes a response
+/// that announces its length, or a chunked one.
 #[test]
 fn reset_or_early_end_completes_no_response() {
     let start = "HTTP/1.1 200 OK\r\n";
