--- a/crates/node/src/proxy/attempt_end.rs
+++ b/crates/node/src/proxy/attempt_end.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and the only mapping from the end of an attempt to the outcome that the balancer gets.
+//! How attempts end. This module alone maps the end of an attempt to the outcome that the balancer gets.
 
 use granitelb_balancer::AttemptOutcome;
 
--- a/crates/node/src/proxy/downstream/mod.rs
+++ b/crates/node/src/proxy/downstream/mod.rs
@@ -28,8 +28,8 @@
 };
 
 /// The first message of a client must be complete this long after the client connected, a later message this
-/// long after its first byte. An incomplete message must get an error or a close within 3 s, and no request
-/// waits for as long as that.
+/// long after its first byte. An incomplete message must get an error or a close within 3 s, and no client
+/// waits this long for the response to a request.
 const MESSAGE_TIMEOUT: Span = Span::from_millis(2500);
 /// A client must accept a response within this time, which is far longer than any live peer needs.
 const WRITE_TIMEOUT: Span = Span::from_millis(10_000);
--- a/crates/node/src/proxy/downstream/request_decoder.rs
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -77,7 +77,7 @@
     }
 
     /// The index of the request class, which the first segment of the path names. Cache servers also read the
-    /// class from the path, and would reject a request whose header names another class.
+    /// class from the path, and would reject a class that only a header names.
     fn decode_request_class(&self, head: &MessageHead) -> Result<usize, RequestError> {
         let class = head.path_segments().next().ok_or(RequestError::NotFound)?;
         let index = self.names.request_classes.iter().position(|name| name == class);
--- a/crates/node/src/proxy/downstream/requests.rs
+++ b/crates/node/src/proxy/downstream/requests.rs
@@ -86,7 +86,8 @@
         cx.transport.timers.set(id, cx.now + budget + WRITE_TIMEOUT);
     }
 
-    /// Rejects a request whose time budget had passed when it was read. It was not forwarded.
+    /// Rejects a request whose time budget passed before the node could read it, as behind another request on
+    /// its connection. Nothing was forwarded for it.
     fn reject_expired(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let keep_alive = client.keep_alive && self.shutdown_deadline.is_none();
--- a/crates/node/src/proxy/duplicate_response.rs
+++ b/crates/node/src/proxy/duplicate_response.rs
@@ -6,7 +6,7 @@
 //! and the response to the current request is expected after it.
 //!
 //! Duplicates cannot be detected among responses that are equal from request to request:
-//! - Responses without a body and unsuccessful responses are always equal. A duplicate of a response which
+//! - Responses without a body and unsuccessful responses are equal by nature. A duplicate of a response which
 //!   says that its request was not executed would cause the next request to be sent again although the
 //!   endpoint executes it. While such a duplicate may arrive, the connection carries no request that must not
 //!   be executed twice.
@@ -61,7 +61,7 @@
 
     /// Whether a response within [`DUPLICATE_WINDOW`] proved that its request was not executed. A duplicate
     /// of that response may still arrive.
-    pub(super) fn has_not_executed(&self, now: Time) -> bool {
+    pub(super) fn has_not_executed_response(&self, now: Time) -> bool {
         let mut recent = self.recent(now);
         recent.any(|remembered| remembered.proves_not_executed)
     }
--- a/crates/node/src/proxy/upstream/connecting.rs
+++ b/crates/node/src/proxy/upstream/connecting.rs
@@ -16,7 +16,7 @@
 /// The most surplus connections to one endpoint: connections that are connecting without an attempt. Without
 /// this limit, the node would open more and more connections to an endpoint that is cut off.
 pub(super) const MAX_SURPLUS_CONNECTIONS: usize = 2;
-/// A surplus connection is closed unless it is established, for the next attempt, within this time.
+/// A surplus connection has this time to be established for the next attempt, and is closed otherwise.
 pub(super) const SURPLUS_CONNECT_TIMEOUT: Span = Span::from_millis(2000);
 /// Descriptors that are reserved for the watch on the endpoint list and for the watch that replaces it.
 /// Attempts go on after their client has disconnected. At unresponsive endpoints such attempts could take all
--- a/crates/node/src/proxy/upstream/connection.rs
+++ b/crates/node/src/proxy/upstream/connection.rs
@@ -102,7 +102,7 @@
     /// and be taken for the response to the new request, which would be sent again although the endpoint
     /// executes it.
     pub(super) fn can_carry(&self, now: Time, is_idempotent: bool) -> bool {
-        is_idempotent || !self.recent_responses.has_not_executed(now)
+        is_idempotent || !self.recent_responses.has_not_executed_response(now)
     }
 
     /// The time since the connection last made progress.
--- a/crates/node/src/proxy/upstream/exchange.rs
+++ b/crates/node/src/proxy/upstream/exchange.rs
@@ -43,7 +43,7 @@
     pub(super) fn advance(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId) {
         let Some(upstream) = self.connections.get(&id) else { return };
         // No response is due on an idle connection. Data that arrives there would be read as the beginning of
-        // the response to the next request, and that client would get a response to no request of its own.
+        // the response to the next request, whose client would get a response to another request.
         if upstream.attempt.is_none() && !upstream.connection.input.is_empty() {
             let endpoint = upstream.endpoint;
             self.record_unsolicited_data(cx.now, endpoint);
@@ -97,7 +97,7 @@
         if attempt.response_deadline <= now {
             return Err(CloseReason::DeadlineExceeded);
         }
-        // A repeated request that is sent after the start deadline is no longer recognized as a repeat.
+        // A repeat that is sent after the start deadline is no longer recognized as a repeat.
         if attempt.start_deadline <= now {
             return Err(CloseReason::NoLongerNeeded);
         }
--- a/crates/node/src/proxy/upstream/mod.rs
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Removes an endpoint. Attempts of which nothing was sent end, and idle connections are closed. A
-    /// connection that carries a started attempt is closed after its response.
+    /// Removes an endpoint. Attempts that have not started are not sent, idle and connecting connections are
+    /// closed, and a connection that carries a started attempt is closed after its response.
     fn remove_endpoint(&mut self, cx: &mut TurnContext<'_>, endpoint: EndpointId) {
         let Some(pool) = self.pools.remove(&endpoint) else { return };
         for id in pool.connecting.into_iter().chain(pool.idle) {
@@ -123,7 +123,7 @@
         self.assign(cx, id, assigned);
     }
 
-    /// Assigns an attempt to a connection. Its request is written once the connection is established.
+    /// Assigns an attempt to a connection. The request is written once the connection is established.
     fn assign(&mut self, cx: &mut TurnContext<'_>, id: ConnectionId, attempt: AssignedAttempt) {
         let Some(upstream) = self.connections.get_mut(&id) else { return };
         cx.transport.mark_busy(id);
