--- a/crates/balancer/src/balancer/permission/tests.rs
+++ b/crates/balancer/src/balancer/permission/tests.rs
@@ -120,7 +120,7 @@
     assert!(!permits(&list, &request, EndpointId(1), 49));
     assert!(permits(&list, &request, EndpointId(1), 51));
     let origin = list.get_mut(ORIGIN).expect("listed");
-    origin.lease = Some(Lease { most: 0.0, until: at(60_000), then: 0.0 });
+    origin.lease = Some(Lease { quota: 0.0, expires_at: at(60_000), quota_after_expiry: 0.0 });
     origin.warmup_budget.set(at(0), 0.0, 1.0);
     assert!(!permits(&list, &request, ORIGIN, 900));
     request.request.write = true;
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -202,8 +202,8 @@
         let own_rate = work.max(1.0 / self.settings.nodes) * warmup_factor;
         match (endpoint.lease, endpoint.role) {
             (None, _) => own_rate,
-            (Some(lease), EndpointRole::Origin) => lease.at(self.now),
-            (Some(lease), EndpointRole::Cache) => own_rate.min(lease.at(self.now) * warmup_factor),
+            (Some(lease), EndpointRole::Origin) => lease.quota_at(self.now),
+            (Some(lease), EndpointRole::Cache) => own_rate.min(lease.quota_at(self.now) * warmup_factor),
         }
     }
 }
--- a/crates/balancer/src/control_plane.rs
+++ b/crates/balancer/src/control_plane.rs
@@ -63,11 +63,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
     /// The quota while the lease is valid.
-    pub most: f64,
+    pub quota: f64,
     /// The lease expires by itself then: its grantor may have given the quota to others.
-    pub until: Time,
+    pub expires_at: Time,
     /// The quota that the node has without a lease.
-    pub then: f64,
+    pub quota_after_expiry: f64,
 }
 
 /// Before it expires a lease's quota changes linearly to the quota without it, so that the end is no step.
@@ -75,15 +75,15 @@
 
 impl Lease {
     /// The quota at the time `now`.
-    pub fn at(&self, now: Time) -> f64 {
-        if now >= self.until {
-            return self.then;
+    pub fn quota_at(&self, now: Time) -> f64 {
+        if now >= self.expires_at {
+            return self.quota_after_expiry;
         }
-        let remaining = ((self.until - now).as_secs_f64() / EXPIRY_RAMP.as_secs_f64()).min(1.0);
+        let remaining = ((self.expires_at - now).as_secs_f64() / EXPIRY_RAMP.as_secs_f64()).min(1.0);
         if remaining >= 1.0 {
-            return self.most;
+            return self.quota;
         }
-        self.most * remaining + self.then * (1.0 - remaining)
+        self.quota * remaining + self.quota_after_expiry * (1.0 - remaining)
     }
 }
 
--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -72,8 +72,9 @@
         }
     }
 
-    fn lease(&mut self, endpoint: EndpointId, most: f64, for_ms: u64, then: f64) {
-        let leases = vec![(endpoint, Lease { most, until: at(self.now_ms + for_ms), then })];
+    fn lease(&mut self, endpoint: EndpointId, quota: f64, duration_ms: u64, quota_after_expiry: f64) {
+        let expires_at = at(self.now_ms + duration_ms);
+        let leases = vec![(endpoint, Lease { quota, expires_at, quota_after_expiry })];
         let update = ControlPlaneUpdate { leases, ..ControlPlaneUpdate::default() };
         self.balancer.on_control_plane_update(at(self.now_ms), &update);
     }
@@ -179,8 +180,8 @@
 fn lease_of_cold_cache_only_lowers_what_is_sent() {
     let sent = |lease: Option<f64>| {
         let mut world = World::new(1.0, Some(0));
-        if let Some(most) = lease {
-            world.lease(COLD, most, 60_000, most);
+        if let Some(quota) = lease {
+            world.lease(COLD, quota, 60_000, quota);
         }
         world.run(6_000, 2, false).cold
     };
--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -195,7 +195,7 @@
 }
 
 /// The lease that lifts an endpoint's limit: more than any node sends.
-const UNLIMITED_LEASE: Lease = Lease { most: 1e9, until: Time(0), then: 1e9 };
+const UNLIMITED_LEASE: Lease = Lease { quota: 1e9, expires_at: Time(0), quota_after_expiry: 1e9 };
 
 /// All components of one forwarder.
 pub(super) struct Components {
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -147,7 +147,7 @@
 
 /// The rate that each lease of an update allows now.
 fn allowed(update: &ControlPlaneUpdate, now: Time) -> Vec<(EndpointId, f64)> {
-    update.leases.iter().map(|(endpoint, lease)| (*endpoint, lease.at(now))).collect()
+    update.leases.iter().map(|(endpoint, lease)| (*endpoint, lease.quota_at(now))).collect()
 }
 
 #[test]
--- a/crates/coordination/src/leases/forwarder/limits.rs
+++ b/crates/coordination/src/leases/forwarder/limits.rs
@@ -49,9 +49,9 @@
             leased = 0;
             leased_until = None;
         }
-        let most = in_units(guaranteed.saturating_add(leased).saturating_add(allocated));
-        let until = leased_until.into_iter().chain(allocated_until).min().unwrap_or(now);
-        Lease { most, until, then: in_units(guaranteed) }
+        let quota = in_units(guaranteed.saturating_add(leased).saturating_add(allocated));
+        let expires_at = leased_until.into_iter().chain(allocated_until).min().unwrap_or(now);
+        Lease { quota, expires_at, quota_after_expiry: in_units(guaranteed) }
     }
 
     /// What may be used of a resource without leases.
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -191,7 +191,7 @@
             let sender = Sender { member: Member::Planner(PLANNER), incarnation, sequence: 0 };
             forwarder.on_message(at(ms), sender, message).unwrap();
         }
-        limits.push(forwarder.current_leases(at(ms))[0].1.most);
+        limits.push(forwarder.current_leases(at(ms))[0].1.quota);
     }
     // Without an answer the limit would fall from the 25th second on, until the expiry at the 30th.
     let [established, before_restart, last] = [limits[60], limits[99], limits[289]];
--- a/crates/fleet-simulator/src/lease_simulation/process.rs
+++ b/crates/fleet-simulator/src/lease_simulation/process.rs
@@ -104,8 +104,8 @@
     pub fn permitted(&self, now: Time) -> f64 {
         match self.lease {
             None => 0.0,
-            Some(lease) if self.clock(now) < lease.until => lease.most,
-            Some(lease) => lease.then,
+            Some(lease) if self.clock(now) < lease.expires_at => lease.quota,
+            Some(lease) => lease.quota_after_expiry,
         }
     }
 
