--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -276,7 +276,7 @@
                 endpoint.health.on_reported_answering(now);
             }
         }
-        if let Some(shard_map) = &update.table {
+        if let Some(shard_map) = &update.shard_map {
             self.selection.set_shard_map(shard_map);
         }
         for (id, lease) in &update.leases {
--- a/crates/balancer/src/control_plane.rs
+++ b/crates/balancer/src/control_plane.rs
@@ -22,7 +22,7 @@
     /// Number of further hash bits that tell the shard's keys apart.
     pub bits: u8,
     /// Progress of the migration to one further bit.
-    pub moving: MigrationPhase,
+    pub migration: MigrationPhase,
 }
 
 /// Progress of a shard's migration to one further hash bit.
@@ -52,7 +52,7 @@
     /// Endpoints that had failed and answer other nodes again.
     pub answering: Vec<(EndpointId, Time)>,
     /// The slot table's shard map; `None` leaves the present one in place.
-    pub table: Option<ShardMap>,
+    pub shard_map: Option<ShardMap>,
     /// What this node may use of the origin and of endpoints that are warming up.
     pub leases: Vec<(EndpointId, Lease)>,
 }
--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -36,7 +36,7 @@
 
 /// The endpoints that rank first in any slot of a shard that is split by `bits` further bits, among these endpoints
 /// with their sizes.
-pub fn caches_of(shard: u8, bits: u8, endpoints: &[(EndpointId, f64)]) -> BTreeSet<EndpointId> {
+pub fn shard_placement(shard: u8, bits: u8, endpoints: &[(EndpointId, f64)]) -> BTreeSet<EndpointId> {
     let mut table = SlotTable::<1>::new();
     table.set_endpoints(endpoints.to_vec());
     slots_of(shard, bits).filter_map(|slot| table.ranks(slot)[0]).collect()
@@ -44,7 +44,7 @@
 
 /// The endpoint that ranks first for a key under a shard map, and the one that is asked after a miss during dual
 /// reads.
-pub fn place_of(
+pub fn key_placement(
     key: Key,
     shard_map: &ShardMap,
     endpoints: &[(EndpointId, f64)],
@@ -101,7 +101,7 @@
     /// other slots.
     pub fn set_shard_map(&mut self, shard_map: &ShardMap) {
         let is_valid = |split: &ShardSplit| {
-            let migrating_bits = u8::from(split.moving != MigrationPhase::Stable);
+            let migrating_bits = u8::from(split.migration != MigrationPhase::Stable);
             split.bits.saturating_add(migrating_bits) <= MAX_SPLIT_BITS
         };
         if shard_map.version > self.shard_map.version && shard_map.shards.values().all(is_valid) {
@@ -124,7 +124,7 @@
     pub fn slot(&self, hash: u64) -> u64 {
         let slot = hash % SLOTS;
         let Some(split) = self.shard_map.shards.get(&shard_of_slot(slot)) else { return slot };
-        let has_migrated = match split.moving {
+        let has_migrated = match split.migration {
             MigrationPhase::Stable => false,
             // These bits are independent of those that select the slot.
             MigrationPhase::Copying { sixteenths } => (hash >> 32) % 16 < u64::from(sixteenths),
@@ -136,7 +136,7 @@
     /// During dual reads, the slot that a hash fell to before the split, if that is another one.
     pub fn previous_slot(&self, hash: u64) -> Option<u64> {
         let split = self.shard_map.shards.get(&shard_of_slot(hash % SLOTS))?;
-        if split.moving != MigrationPhase::DualRead {
+        if split.migration != MigrationPhase::DualRead {
             return None;
         }
         let previous = split_slot(hash, split.bits);
--- a/crates/balancer/tests/shard_map.rs
+++ b/crates/balancer/tests/shard_map.rs
@@ -39,12 +39,12 @@
         Node { balancer, now, requests: 0 }
     }
 
-    fn split_shard_of(&mut self, version: u64, key: u64, bits: u8, moving: MigrationPhase) {
-        let shards = BTreeMap::from([(shard_of(Key(key)), ShardSplit { bits, moving })]);
-        let table = Some(ShardMap { version, shards });
+    fn split_shard_of(&mut self, version: u64, key: u64, bits: u8, migration: MigrationPhase) {
+        let shards = BTreeMap::from([(shard_of(Key(key)), ShardSplit { bits, migration })]);
+        let shard_map = Some(ShardMap { version, shards });
         self.balancer.on_control_plane_update(
             self.now,
-            &ControlPlaneUpdate { table, ..ControlPlaneUpdate::default() },
+            &ControlPlaneUpdate { shard_map, ..ControlPlaneUpdate::default() },
         );
     }
 
@@ -171,7 +171,7 @@
 fn shard_map_without_splits_or_with_invalid_splits_changes_nothing() {
     let endpoints_under = |shard_map: Option<ShardMap>| {
         let mut node = Node::new(4);
-        let update = ControlPlaneUpdate { table: shard_map, ..ControlPlaneUpdate::default() };
+        let update = ControlPlaneUpdate { shard_map, ..ControlPlaneUpdate::default() };
         (0..400)
             .map(|n| {
                 node.balancer.on_control_plane_update(node.now, &update);
@@ -187,11 +187,11 @@
     assert_eq!(endpoints_under(None), endpoints_under(Some(ShardMap { version: 9, ..ShardMap::default() })));
     assert_eq!(
         endpoints_under(None),
-        endpoints_under(for_all_shards(ShardSplit { bits: 255, moving: MigrationPhase::Switched }))
+        endpoints_under(for_all_shards(ShardSplit { bits: 255, migration: MigrationPhase::Switched }))
     );
     assert_eq!(endpoints_under(None), endpoints_under(for_all_shards(ShardSplit::default())));
     assert_ne!(
         endpoints_under(None),
-        endpoints_under(for_all_shards(ShardSplit { bits: 0, moving: MigrationPhase::Switched }))
+        endpoints_under(for_all_shards(ShardSplit { bits: 0, migration: MigrationPhase::Switched }))
     );
 }
--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -102,7 +102,7 @@
     }
 
     fn add_to_update(&mut self, _now: Time, update: &mut ControlPlaneUpdate) {
-        update.table = self.shard_map();
+        update.shard_map = self.shard_map();
     }
 }
 
--- a/crates/control-plane/tests/shard_growth.rs
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::time::Duration;
 
-use granitelb_balancer::slot_table::caches_of;
+use granitelb_balancer::slot_table::shard_placement;
 use granitelb_control_plane::clock::Clock;
 use granitelb_coordination::endpoint_health::{EndpointCounts, Fragment, HealthMessage, HealthReport};
 use granitelb_coordination::leases::{Demand, LeaseMessage, Resource};
@@ -119,7 +119,7 @@
 /// Reports the results of attempts at one of the shard's caches.
 fn health_report(failed: f64, answered: f64) -> impl Fn(u64) -> Message {
     let shard = GROWING_SHARDS[0];
-    let cache = *caches_of(shard.0, 1, &caches()).first().expect("the shard has caches");
+    let cache = *shard_placement(shard.0, 1, &caches()).first().expect("the shard has caches");
     let seen = EndpointCounts { endpoint: cache, failed, answered, in_flight: 0.0 };
     move |number| {
         let report = HealthReport { sequence: number, fragment: Fragment::SINGLE, endpoints: vec![seen] };
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
-use granitelb_balancer::slot_table::{caches_of, shard_of};
+use granitelb_balancer::slot_table::{shard_of, shard_placement};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_balancer::{AttemptOutcome, ShardMap};
 use granitelb_control_plane::fleet_config::FleetConfig;
@@ -206,7 +206,7 @@
         let caches = caches();
         let splitting = shard_map.shards.iter().filter(|(_, state)| state.phase.is_some_and(is_active));
         let used: Vec<_> =
-            splitting.map(|(shard, state)| caches_of(shard.0, state.bits + 1, &caches)).collect();
+            splitting.map(|(shard, state)| shard_placement(shard.0, state.bits + 1, &caches)).collect();
         for (n, split) in used.iter().enumerate() {
             let is_disjoint = used[..n].iter().all(|other| split.is_disjoint(other));
             assert!(is_disjoint, "two splits on one cache: {shard_map:?}");
--- a/crates/coordination/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use granitelb_balancer::ids::{EndpointId, Key};
-use granitelb_balancer::slot_table::{place_of, shard_of};
+use granitelb_balancer::slot_table::{key_placement, shard_of};
 use granitelb_balancer::time::{Span, Time};
 use granitelb_balancer::{MigrationPhase, ShardMap};
 use granitelb_coordination::shard_growth::accounting_day::{AccountingDay, DayOfMonth, FrozenPeriod};
@@ -260,13 +260,13 @@
 }
 
 fn key_place(key: u64, shard_map: &ShardMap, cache_sizes: &[(EndpointId, f64)]) -> KeyPlace {
-    let (present, former) = place_of(Key(key), shard_map, cache_sizes).expect("there are caches");
+    let (present, former) = key_placement(Key(key), shard_map, cache_sizes).expect("there are caches");
     KeyPlace { present, former }
 }
 
 fn is_dual_read(shard_map: &ShardMap) -> bool {
     let split = shard_map.shards.get(&GROWING_SHARD.0);
-    split.is_some_and(|split| split.moving == MigrationPhase::DualRead)
+    split.is_some_and(|split| split.migration == MigrationPhase::DualRead)
 }
 
 /// The number of keys of the growing shard on a day.
--- a/crates/coordination/src/shard_growth/planner/fleet_view.rs
+++ b/crates/coordination/src/shard_growth/planner/fleet_view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use granitelb_balancer::ids::EndpointId;
-use granitelb_balancer::slot_table::caches_of;
+use granitelb_balancer::slot_table::shard_placement;
 use granitelb_balancer::time::Time;
 
 use super::settings::PlannerSettings;
@@ -104,7 +104,10 @@
     /// The endpoints that hold a shard's keys if they are divided by `bits` bits.
     pub(super) fn endpoints_of(&mut self, shard: ShardId, bits: u8) -> BTreeSet<EndpointId> {
         let sizes = &self.endpoints.sizes;
-        self.shard_endpoints.entry((shard, bits)).or_insert_with(|| caches_of(shard.0, bits, sizes)).clone()
+        self.shard_endpoints
+            .entry((shard, bits))
+            .or_insert_with(|| shard_placement(shard.0, bits, sizes))
+            .clone()
     }
 
     /// What splits depend on; none while it is not known which endpoints there are, which of them fail, or what the
--- a/crates/coordination/src/shard_growth/shard_map.rs
+++ b/crates/coordination/src/shard_growth/shard_map.rs
@@ -145,8 +145,10 @@
     /// The map that a node's balancer routes by.
     pub fn to_balancer_shard_map(&self) -> granitelb_balancer::ShardMap {
         let shards = self.shards.iter().map(|(shard, layout)| {
-            let split =
-                granitelb_balancer::ShardSplit { bits: layout.bits, moving: migration_phase(layout.phase) };
+            let split = granitelb_balancer::ShardSplit {
+                bits: layout.bits,
+                migration: migration_phase(layout.phase),
+            };
             (shard.0, split)
         });
         granitelb_balancer::ShardMap { version: self.version.0, shards: shards.collect() }
