--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -74,7 +74,7 @@
     }
 
     pub fn id(&self) -> EndpointId {
-        self.listed.cache
+        self.listed.id
     }
 
     pub fn zone(&self) -> ZoneId {
@@ -172,7 +172,7 @@
     }
 
     fn remove_unlisted(&mut self, now: Time, updates: &[EndpointUpdate], only_draining_binds: bool) {
-        let listed: BTreeSet<EndpointId> = updates.iter().map(|update| update.cache).collect();
+        let listed: BTreeSet<EndpointId> = updates.iter().map(|update| update.id).collect();
         for endpoint in self.endpoints.values_mut() {
             if !listed.contains(&endpoint.id()) {
                 endpoint.remove(now, only_draining_binds);
@@ -188,7 +188,7 @@
         required_warmup_share: f64,
     ) {
         let mut in_flight = 0.0;
-        if let Some(endpoint) = self.endpoints.get_mut(&update.cache) {
+        if let Some(endpoint) = self.endpoints.get_mut(&update.id) {
             if !update.ready && !update.draining {
                 return endpoint.remove(now, settings.only_draining_binds);
             }
@@ -201,7 +201,7 @@
             in_flight = endpoint.limit.in_flight();
         }
         let endpoint = Endpoint::new(*update, settings, required_warmup_share, in_flight, now);
-        self.endpoints.insert(update.cache, endpoint);
+        self.endpoints.insert(update.id, endpoint);
     }
 
     /// Decides which removed endpoints stay in service. A list that drops the origin or more than a minority of the
--- a/crates/balancer/src/balancer/test_support.rs
+++ b/crates/balancer/src/balancer/test_support.rs
@@ -50,7 +50,7 @@
 /// A list entry that is ready and warm; each endpoint has a zone and a cell of its own.
 pub fn listed(id: EndpointId) -> EndpointUpdate {
     EndpointUpdate {
-        cache: id,
+        id,
         kind: if id == ORIGIN { ORIGIN_KIND } else { CACHE_KIND },
         size: 1.0,
         zone: ZoneId(id.0 as u32),
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate {
     /// The endpoint.
-    pub cache: EndpointId,
+    pub id: EndpointId,
     /// Its kind, which tells the origin from the caches.
     pub kind: KindId,
     /// Its size; a capacity where the settings say so, else a momentary figure.
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -41,7 +41,7 @@
 /// A list entry of an endpoint that is ready and warm.
 pub fn listed(endpoint: EndpointId, kind: KindId) -> EndpointUpdate {
     EndpointUpdate {
-        cache: endpoint,
+        id: endpoint,
         kind,
         size: 1.0,
         zone: ZoneId(0),
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -120,7 +120,7 @@
 /// The endpoint list: all caches, and the origin after them.
 fn endpoints(scenario: &Scenario) -> Vec<EndpointUpdate> {
     let endpoint = |number: usize| EndpointUpdate {
-        cache: EndpointId(number as u64),
+        id: EndpointId(number as u64),
         kind: if number == scenario.caches { ORIGIN_KIND } else { KindId(0) },
         size: 1.0,
         zone: ZoneId(0),
--- a/crates/fleet-simulator/src/policy/baseline.rs
+++ b/crates/fleet-simulator/src/policy/baseline.rs
@@ -68,15 +68,15 @@
 
     pub(super) fn on_endpoints_update(&mut self, updates: &[EndpointUpdate]) {
         for update in updates {
-            self.endpoints.insert(update.cache, *update);
+            self.endpoints.insert(update.id, *update);
         }
         self.origin = None;
         self.ready_caches.clear();
         for endpoint in self.endpoints.values() {
             if endpoint.kind == ORIGIN_KIND {
-                self.origin = self.origin.or(Some(endpoint.cache));
+                self.origin = self.origin.or(Some(endpoint.id));
             } else if endpoint.ready {
-                self.ready_caches.push(endpoint.cache);
+                self.ready_caches.push(endpoint.id);
             }
         }
         self.ranked_caches.clear();
--- a/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
@@ -92,7 +92,7 @@
     /// A cache as the endpoint list describes it now.
     pub(super) fn endpoint_update(&self, cache: usize) -> EndpointUpdate {
         EndpointUpdate {
-            cache: EndpointId(cache as u64),
+            id: EndpointId(cache as u64),
             kind: KindId(0),
             size: if self.scenario.lists_capacities { self.scenario.capacities[cache] } else { 1.0 },
             zone: ZoneId(0),
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn on_endpoint_notified(&mut self, node: usize, endpoint: EndpointUpdate) {
-        let cache = endpoint.cache.0 as usize;
+        let cache = endpoint.id.0 as usize;
         if let Some(started) = endpoint.started
             && endpoint.ready
         {
--- a/crates/fleet-simulator/src/world/messaging.rs
+++ b/crates/fleet-simulator/src/world/messaging.rs
@@ -110,7 +110,7 @@
     }
 
     fn endpoints_by_id(&self) -> BTreeMap<EndpointId, EndpointUpdate> {
-        self.endpoints.iter().map(|endpoint| (endpoint.cache, *endpoint)).collect()
+        self.endpoints.iter().map(|endpoint| (endpoint.id, *endpoint)).collect()
     }
 
     fn schedule_planners(&mut self) {
--- a/crates/fleet-simulator/src/world/observations.rs
+++ b/crates/fleet-simulator/src/world/observations.rs
@@ -23,7 +23,7 @@
     /// A node learns of an endpoint.
     pub(super) fn observe_endpoint(&mut self, node: usize, endpoint: EndpointUpdate) {
         let Some(control_plane) = &mut self.control_plane else { return };
-        control_plane.known_endpoints[node].insert(endpoint.cache, endpoint);
+        control_plane.known_endpoints[node].insert(endpoint.id, endpoint);
         self.observe_endpoints(node);
     }
 
@@ -34,7 +34,7 @@
         for endpoint in control_plane.known_endpoints[node].values() {
             if endpoint.ready {
                 endpoints.push(ObservedEndpoint {
-                    cache: endpoint.cache,
+                    cache: endpoint.id,
                     is_origin: endpoint.kind == ORIGIN_KIND,
                     zone: endpoint.zone.0 as u16,
                     size: endpoint.size,
--- a/crates/fleet-simulator/src/world/setup.rs
+++ b/crates/fleet-simulator/src/world/setup.rs
@@ -160,7 +160,7 @@
     pub(super) fn endpoint_of(&self, index: usize) -> EndpointUpdate {
         let server = &self.servers[index];
         EndpointUpdate {
-            cache: EndpointId(index as u64),
+            id: EndpointId(index as u64),
             kind: if index == self.origin { ORIGIN_KIND } else { KindId(0) },
             size: 1.0,
             zone: ZoneId(server.zone as u32),
--- a/crates/node/src/proxy/endpoint_directory.rs
+++ b/crates/node/src/proxy/endpoint_directory.rs
@@ -80,7 +80,7 @@
             return;
         }
         let is_replaced = |id: &EndpointId, known: &mut KnownEndpoint| {
-            known.address == endpoint.address && *id != endpoint.update.cache
+            known.address == endpoint.address && *id != endpoint.update.id
         };
         for (_, replaced) in self.endpoints.extract_if(.., is_replaced) {
             updates.push(EndpointUpdate { ready: false, draining: true, ..replaced.update });
@@ -90,15 +90,15 @@
     fn apply_entry(&mut self, endpoint: &KnownEndpoint) {
         let KnownEndpoint { address, update } = *endpoint;
         let was_known = if update.ready {
-            self.endpoints.insert(update.cache, KnownEndpoint { address, update }).is_some()
+            self.endpoints.insert(update.id, KnownEndpoint { address, update }).is_some()
         } else if self.keep_unlisted && !update.draining {
             false
         } else {
-            self.endpoints.remove(&update.cache).is_some()
+            self.endpoints.remove(&update.id).is_some()
         };
         if was_known != update.ready {
             let event = if update.ready { "endpoint_ready" } else { "endpoint_removed" };
-            let id = format!("{:016x}", update.cache.0);
+            let id = format!("{:016x}", update.id.0);
             log::debug!(event = event, endpoint = id, address:% = address; "endpoint at {address}: {event}");
         }
     }
@@ -108,7 +108,7 @@
         for id in self.endpoints.keys() {
             // An endpoint that was replaced under its name is listed twice, with its end and its start: the
             // last entry counts.
-            match listed.iter().rfind(|endpoint| endpoint.update.cache == *id) {
+            match listed.iter().rfind(|endpoint| endpoint.update.id == *id) {
                 Some(endpoint) if endpoint.update.ready => {
                     self.unlisted_since.remove(id);
                 }
@@ -130,7 +130,7 @@
         let kind = index_of(&self.names.kinds, &entry.kind).unwrap_or(usize::MAX);
         let started_at = Time(entry.boot_ms.saturating_mul(1000));
         let update = EndpointUpdate {
-            cache: EndpointId(stable_hash(entry.uid.as_bytes())),
+            id: EndpointId(stable_hash(entry.uid.as_bytes())),
             kind: KindId(kind as u16),
             size: entry.size,
             zone: ZoneId(self.zone_number(entry)),
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -43,7 +43,7 @@
 
     fn observed_endpoint(&self, endpoint: &EndpointUpdate) -> ObservedEndpoint {
         ObservedEndpoint {
-            cache: endpoint.cache,
+            cache: endpoint.id,
             is_origin: Some(endpoint.kind) == self.settings.origin,
             // Used in estimates only, where two unnamed zones may be confused.
             zone: endpoint.zone.0 as u16,
--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -74,7 +74,7 @@
     /// Lists the endpoint, or removes it from the list.
     pub fn set_listed(&mut self, is_listed: bool) {
         let update = EndpointUpdate {
-            cache: ENDPOINT,
+            id: ENDPOINT,
             kind: KindId(0),
             size: 1.0,
             zone: ZoneId(0),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -148,7 +148,7 @@
     let state = entry.u8(8);
     let started = entry.u64(15);
     EndpointUpdate {
-        cache: entry.endpoint(9),
+        id: entry.endpoint(9),
         kind: KindId(entry.u16(0)),
         size: f64::from(entry.f32(2)),
         zone: ZoneId(u32::from(entry.u16(6))),
