--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -9,7 +9,7 @@
     /// The request that is attempted.
     pub request: RequestId,
     /// The endpoint that the attempt goes to.
-    pub cache: EndpointId,
+    pub endpoint: EndpointId,
     /// The attempt times out after this time.
     pub timeout: Span,
     /// The first byte may leave within this time only. Establishing a connection may take long, and the
@@ -26,7 +26,7 @@
     /// The attempt's number within its request.
     pub number: AttemptNumber,
     /// The endpoint that the attempt went to.
-    pub cache: EndpointId,
+    pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// Time from sending the attempt until it ended.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -237,7 +237,7 @@
         self.begin_event(now);
         let Some(attempt) = self.attempts.remove(id, result) else { return };
         self.assess_attempt(now, &attempt, result.outcome, result.latency);
-        let is_origin = self.endpoints.role(result.cache) == EndpointRole::Origin;
+        let is_origin = self.endpoints.role(result.endpoint) == EndpointRole::Origin;
         let was_overtaken = self.is_overtaken(&attempt);
         let class = attempt.request.request_class;
         let expected = self.response_times.expected(now, class, EndpointRole::Cache);
--- a/crates/balancer/src/balancer/attempt_tracking.rs
+++ b/crates/balancer/src/balancer/attempt_tracking.rs
@@ -24,7 +24,7 @@
     /// Takes the attempt that a result is of. There is none if the result is unknown or came before.
     pub fn remove(&mut self, id: RequestId, result: &AttemptResult) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(&(id, result.number))?;
-        (attempt.endpoint == result.cache).then_some(attempt)
+        (attempt.endpoint == result.endpoint).then_some(attempt)
     }
 
     /// The endpoints of the attempts for which `condition` holds.
@@ -54,7 +54,7 @@
         request.missed_in_cache = true;
     }
     if !is_origin && excludes_endpoint(request, result, was_overtaken) {
-        request.excluded_endpoints.push(result.cache);
+        request.excluded_endpoints.push(result.endpoint);
     }
 }
 
@@ -65,7 +65,7 @@
         AttemptOutcome::Cancelled => !was_overtaken,
         // The first reset may be due to its connection alone: the cache that holds the key is asked once more.
         AttemptOutcome::Reset => {
-            let attempts = request.attempts.iter().filter(|attempt| attempt.endpoint == result.cache);
+            let attempts = request.attempts.iter().filter(|attempt| attempt.endpoint == result.endpoint);
             attempts.count() != 1
         }
         AttemptOutcome::Fulfilled
--- a/crates/balancer/src/balancer/attempt_tracking/tests.rs
+++ b/crates/balancer/src/balancer/attempt_tracking/tests.rs
@@ -8,7 +8,7 @@
 fn result(number: u8, endpoint: u64, outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult {
         number: AttemptNumber(number),
-        cache: EndpointId(endpoint),
+        endpoint: EndpointId(endpoint),
         outcome,
         latency: Span::from_millis(10),
         answered: false,
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -204,7 +204,7 @@
         let priority = pending.priority;
         let attempt = Attempt {
             request: id,
-            cache: target,
+            endpoint: target,
             timeout: pending.client_deadline - now,
             begin_within: begin_deadline - now,
             is_idempotent,
--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -121,13 +121,13 @@
             let count = self.attempts.entry(attempt.request).or_default();
             let number = *count;
             *count += 1;
-            if attempt.cache == ORIGIN {
+            if attempt.endpoint == ORIGIN {
                 sent.origin += 1;
                 let ends_at_ms = self.now_ms + ORIGIN_LATENCY_MS;
                 self.at_origin.push_back(OriginAttempt { ends_at_ms, id: attempt.request, number });
             } else {
-                sent.cold += usize::from(attempt.cache == COLD);
-                self.finish(attempt.request, number, attempt.cache, AttemptOutcome::CacheMiss, 0);
+                sent.cold += usize::from(attempt.endpoint == COLD);
+                self.finish(attempt.request, number, attempt.endpoint, AttemptOutcome::CacheMiss, 0);
             }
         }
     }
@@ -142,7 +142,7 @@
     ) {
         let result = AttemptResult {
             number: AttemptNumber(number),
-            cache: endpoint,
+            endpoint,
             outcome,
             latency: Span::from_millis(latency_ms),
             answered: outcome == AttemptOutcome::Fulfilled,
--- a/crates/balancer/tests/request_terms.rs
+++ b/crates/balancer/tests/request_terms.rs
@@ -65,7 +65,7 @@
     assert_eq!(first.begin_within, first.timeout, "it repeats nothing");
     let result = AttemptResult {
         number: AttemptNumber(0),
-        cache: first.cache,
+        endpoint: first.endpoint,
         outcome: AttemptOutcome::Reset,
         latency: Span::from_millis(60),
         answered: false,
--- a/crates/balancer/tests/scenarios/runner.rs
+++ b/crates/balancer/tests/scenarios/runner.rs
@@ -96,9 +96,9 @@
         let now = Time(self.now);
         while let Some(attempt) = self.balancer().poll_attempt(now) {
             let request = attempt.request.0 as usize;
-            self.attempts.entry(request).or_default().push(attempt.cache);
-            *self.counts.entry(attempt.cache).or_default() += 1;
-            let endpoint = self.endpoints[attempt.cache.0 as usize].clone();
+            self.attempts.entry(request).or_default().push(attempt.endpoint);
+            *self.counts.entry(attempt.endpoint).or_default() += 1;
+            let endpoint = self.endpoints[attempt.endpoint.0 as usize].clone();
             self.push_decision(format!("attempt {} {endpoint}", self.requests[request]));
         }
         while let Some((id, reply)) = self.balancer().poll_response(now) {
@@ -180,7 +180,7 @@
         let outcome = outcome(words[0]);
         let result = AttemptResult {
             number: AttemptNumber(attempt as u8),
-            cache: endpoint,
+            endpoint,
             outcome,
             latency: millis(number(words, "after", DEFAULT_LATENCY_MS)),
             answered: outcome == AttemptOutcome::Fulfilled,
--- a/crates/balancer/tests/shard_map.rs
+++ b/crates/balancer/tests/shard_map.rs
@@ -68,12 +68,12 @@
         while let Some(attempt) = self.balancer.poll_attempt(self.now) {
             self.now = self.now + Span::from_millis(5);
             let number = AttemptNumber(sent.len() as u8);
-            sent.push(attempt.cache);
-            let outcome = outcome_at(attempt.cache);
+            sent.push(attempt.endpoint);
+            let outcome = outcome_at(attempt.endpoint);
             let answered = outcome == AttemptOutcome::Fulfilled;
             let result = AttemptResult {
                 number,
-                cache: attempt.cache,
+                endpoint: attempt.endpoint,
                 outcome,
                 latency: Span::from_millis(5),
                 answered,
--- a/crates/control-plane/src/agent/handle/tests.rs
+++ b/crates/control-plane/src/agent/handle/tests.rs
@@ -8,7 +8,7 @@
 fn finished_attempt(n: u64) -> RawObservation {
     let result = AttemptResult {
         number: AttemptNumber(0),
-        cache: EndpointId(1),
+        endpoint: EndpointId(1),
         outcome: AttemptOutcome::Fulfilled,
         latency: Span::ZERO,
         answered: true,
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -111,7 +111,7 @@
 fn record_finished(assembler: &mut ObservationAssembler, n: u64) -> Option<FinishedAttempt> {
     let result = AttemptResult {
         number: AttemptNumber(0),
-        cache: ENDPOINT,
+        endpoint: ENDPOINT,
         outcome: AttemptOutcome::CacheMiss,
         latency: Span::ZERO,
         answered: false,
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -83,7 +83,7 @@
         let next_number = self.attempts.entry(request).or_insert(0);
         let id = AttemptId { request, number: *next_number };
         *next_number += 1;
-        let in_flight = InFlightAttempt { id, cache: attempt.cache.0, sent: now };
+        let in_flight = InFlightAttempt { id, cache: attempt.endpoint.0, sent: now };
         self.in_flight.insert(id, in_flight);
         in_flight
     }
@@ -204,7 +204,7 @@
         state.member.health.on_observation(self.now, &observation);
         let result = AttemptResult {
             number: AttemptNumber(attempt.id.number),
-            cache: EndpointId(attempt.cache),
+            endpoint: EndpointId(attempt.cache),
             outcome,
             latency,
             answered: !state.pending.contains_key(&attempt.id.request),
@@ -234,13 +234,13 @@
     }
 
     fn send_attempt(&mut self, forwarder: usize, attempt: &Attempt) {
-        let is_hung = self.is_hung(attempt.cache.0);
+        let is_hung = self.is_hung(attempt.endpoint.0);
         if is_hung {
             self.record_wasted_attempt();
         }
-        let is_origin = self.is_origin(attempt.cache.0);
+        let is_origin = self.is_origin(attempt.endpoint.0);
         let state = &mut self.forwarders[forwarder];
-        let observation = Observation::AttemptSent { cache: attempt.cache, is_origin, write: false };
+        let observation = Observation::AttemptSent { cache: attempt.endpoint, is_origin, write: false };
         state.member.health.on_observation(self.now, &observation);
         let in_flight = state.start_attempt(attempt, self.now);
         let (duration, outcome) = if is_hung {
--- a/crates/fleet-simulator/src/policy/baseline.rs
+++ b/crates/fleet-simulator/src/policy/baseline.rs
@@ -104,7 +104,7 @@
         if result.outcome == AttemptOutcome::CacheMiss {
             pending.missed_in_cache = true;
         }
-        pending.excluded_endpoints.push(result.cache);
+        pending.excluded_endpoints.push(result.endpoint);
         if result.answered {
             self.pending.remove(&id);
         }
--- a/crates/fleet-simulator/src/policy/mod.rs
+++ b/crates/fleet-simulator/src/policy/mod.rs
@@ -144,7 +144,7 @@
         if let Some(attempt) = balancer.poll_attempt(now) {
             actions.push(Action::SendAttempt {
                 request: attempt.request,
-                endpoint: attempt.cache,
+                endpoint: attempt.endpoint,
                 timeout: attempt.timeout,
             });
         } else if let Some((request, reply)) = balancer.poll_response(now) {
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -170,7 +170,7 @@
     }
 
     fn send(&mut self, node: usize, attempt: &Attempt) {
-        let cache = attempt.cache.0 as usize;
+        let cache = attempt.endpoint.0 as usize;
         let request = attempt.request.0;
         let state = &mut self.nodes[node];
         let Some(pending) = state.requests.get_mut(&request) else { return };
@@ -203,7 +203,7 @@
         }
         let result = AttemptResult {
             number: AttemptNumber(attempt.number),
-            cache: EndpointId(in_flight.cache as u64),
+            endpoint: EndpointId(in_flight.cache as u64),
             outcome,
             latency,
             answered: is_fulfilled,
--- a/crates/fleet-simulator/src/world/attempts.rs
+++ b/crates/fleet-simulator/src/world/attempts.rs
@@ -199,7 +199,7 @@
         let answered = self.update_request(id, attempt.server, outcome, fills_caches);
         let result = AttemptResult {
             number: AttemptNumber(id.number),
-            cache: EndpointId(attempt.server as u64),
+            endpoint: EndpointId(attempt.server as u64),
             outcome,
             latency: self.now - attempt.sent_at,
             answered,
--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -176,7 +176,7 @@
     fn report_finished_attempt(&mut self, now: Time, finished: &FinishedAttempt) {
         let FinishedAttempt { request, result, response_bytes, load_report } = finished;
         if let Some(report) = load_report {
-            self.balancer.on_load_report(now, result.cache, report);
+            self.balancer.on_load_report(now, result.endpoint, report);
         }
         self.balancer.on_attempt_finished(now, *request, result);
         if let Some(recorder) = &mut self.recorder {
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -70,7 +70,7 @@
         let sent = SentAttempt {
             request: attempt.request,
             number,
-            endpoint: attempt.cache,
+            endpoint: attempt.endpoint,
             name_hash: call,
             requested: *request,
             bytes: u32::try_from(active.message().body.len()).unwrap_or(u32::MAX),
--- a/crates/node/src/proxy/request_table.rs
+++ b/crates/node/src/proxy/request_table.rs
@@ -206,7 +206,7 @@
         active.attempts_in_flight = active.attempts_in_flight.saturating_sub(1);
         active.missed_in_cache |= outcome == AttemptOutcome::CacheMiss;
         let answered = !active.is_pending();
-        let result = AttemptResult { number, cache: endpoint, outcome, latency, answered };
+        let result = AttemptResult { number, endpoint, outcome, latency, answered };
         self.finished_attempts.push_back(FinishedAttempt {
             request: id,
             result,
--- a/crates/node/src/proxy/upstream/mod.rs
+++ b/crates/node/src/proxy/upstream/mod.rs
@@ -94,16 +94,16 @@
 
     /// Sends an attempt on an idle connection, or on a new one.
     pub fn send(&mut self, cx: &mut TurnContext<'_>, attempt: &Attempt, number: AttemptNumber) {
-        let idle = self.take_idle(cx, attempt.cache, attempt.is_idempotent);
+        let idle = self.take_idle(cx, attempt.endpoint, attempt.is_idempotent);
         let opened = match idle {
             Some(id) => Ok(id),
-            None => self.open(cx, attempt.cache),
+            None => self.open(cx, attempt.endpoint),
         };
         let id = match opened {
             Ok(id) => id,
             Err(reason) => {
                 let end = AttemptEnd::NoResponse { reason, progress: RequestProgress::PartlyWritten };
-                cx.requests.on_attempt_end(attempt.request, number, attempt.cache, end, Span::ZERO);
+                cx.requests.on_attempt_end(attempt.request, number, attempt.endpoint, end, Span::ZERO);
                 return;
             }
         };
--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -138,8 +138,13 @@
         let inserted = self.requests.insert(self.client, request, client_request_id, message);
         let id = inserted.expect("a new identifier");
         let attempt_number = self.requests.start_attempt(id).expect("a pending request");
-        let attempt =
-            Attempt { request: id, cache: ENDPOINT, timeout: REQUEST_TIMEOUT, begin_within, is_idempotent };
+        let attempt = Attempt {
+            request: id,
+            endpoint: ENDPOINT,
+            timeout: REQUEST_TIMEOUT,
+            begin_within,
+            is_idempotent,
+        };
         self.with_upstream(|upstream, turn| upstream.send(turn, &attempt, attempt_number));
         (id, attempt_number)
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -155,7 +155,7 @@
         if !figures.is_empty() {
             let columns = self.load_columns.iter().copied();
             let report = granitelb_settings::report(columns.zip(figures));
-            self.balancer.on_load_report(now, result.cache, &report);
+            self.balancer.on_load_report(now, result.endpoint, &report);
         }
         self.balancer.on_attempt_finished(now, wire::request_id(record), &result);
         Ok(())
@@ -166,7 +166,7 @@
         self.poll_cancellations(number, reply);
         while let Some(attempt) = self.balancer.poll_attempt(now) {
             let id = attempt.request.0.to_be_bytes();
-            let endpoint = endpoint_bytes(attempt.cache);
+            let endpoint = endpoint_bytes(attempt.endpoint);
             reply.push(action::SEND_ATTEMPT, number, &[&id, &endpoint, &span_bytes(attempt.timeout)]);
         }
         while let Some((id, response)) = self.balancer.poll_response(now) {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -130,7 +130,7 @@
     };
     Ok(AttemptResult {
         number: AttemptNumber(record.u8(12)),
-        cache: record.endpoint(13),
+        endpoint: record.endpoint(13),
         outcome,
         latency: Span(u64::from(record.u32(20))),
         answered: record.u8(24) != 0,
