--- a/crates/balancer/src/balancer/load_reports.rs
+++ b/crates/balancer/src/balancer/load_reports.rs
@@ -25,8 +25,8 @@
         if now - self.received_at > USAGE_MEMORY {
             return None;
         }
-        let rate = self.report.per_s.filter(|rate| *rate > 0.0)?;
-        Some(self.report.held? / rate - self.report.service?.as_secs_f64())
+        let rate = self.report.requests_per_s.filter(|rate| *rate > 0.0)?;
+        Some(self.report.requests_held? / rate - self.report.service_time?.as_secs_f64())
     }
 }
 
@@ -105,11 +105,11 @@
     }
 
     fn held(&self, endpoint: &Endpoint) -> Option<WeightedFigure> {
-        self.weighted(endpoint, |report| report.held)
+        self.weighted(endpoint, |report| report.requests_held)
     }
 
     fn waiting(&self, endpoint: &Endpoint) -> Option<WeightedFigure> {
-        self.weighted(endpoint, |report| report.waiting)
+        self.weighted(endpoint, |report| report.requests_queued)
     }
 
     fn weighted(
--- a/crates/balancer/src/balancer/load_reports/tests.rs
+++ b/crates/balancer/src/balancer/load_reports/tests.rs
@@ -27,18 +27,18 @@
 #[test]
 fn queueing_time_follows_from_littles_law_while_the_report_is_recent() {
     let full = LoadReport {
-        held: Some(12.0),
-        per_s: Some(20.0),
-        service: Some(Span::from_millis(200)),
-        waiting: None,
+        requests_held: Some(12.0),
+        requests_per_s: Some(20.0),
+        service_time: Some(Span::from_millis(200)),
+        requests_queued: None,
     };
     let queueing = report_at_zero(full).queueing_seconds(at(3000)).expect("a full report");
     assert!((queueing - 0.4).abs() < 1e-9, "{queueing}");
     assert_eq!(report_at_zero(full).queueing_seconds(at(3001)), None, "outdated");
     for partial in [
-        LoadReport { held: None, ..full },
-        LoadReport { per_s: Some(0.0), ..full },
-        LoadReport { service: None, ..full },
+        LoadReport { requests_held: None, ..full },
+        LoadReport { requests_per_s: Some(0.0), ..full },
+        LoadReport { service_time: None, ..full },
     ] {
         assert_eq!(report_at_zero(partial).queueing_seconds(at(0)), None);
     }
@@ -47,16 +47,16 @@
 #[test]
 fn usage_is_what_caches_report_to_hold() {
     let mut list = endpoints(3, &settings(Effect::Idempotent));
-    set_report(&mut list, 0, LoadReport { held: Some(9.0), ..LoadReport::default() });
-    set_report(&mut list, 1, LoadReport { held: Some(3.0), ..LoadReport::default() });
+    set_report(&mut list, 0, LoadReport { requests_held: Some(9.0), ..LoadReport::default() });
+    set_report(&mut list, 1, LoadReport { requests_held: Some(3.0), ..LoadReport::default() });
     assert_eq!(usages(&list, 0, 1.0), [9.0, 3.0, 6.0], "who has sent none counts at the mean");
 }
 
 #[test]
 fn old_reports_fade_to_the_mean() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
-    set_report(&mut list, 0, LoadReport { held: Some(10.0), ..LoadReport::default() });
-    set_report(&mut list, 1, LoadReport { held: Some(0.0), ..LoadReport::default() });
+    set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
+    set_report(&mut list, 1, LoadReport { requests_held: Some(0.0), ..LoadReport::default() });
     let [high, low] = usages(&list, 9000, 1.0)[..] else { panic!("two caches") };
     assert!(high < 5.5 && low > 4.5 && high > low, "{high} {low}");
 }
@@ -65,7 +65,7 @@
 fn without_reports_usage_is_the_own_load_and_the_part_of_reported_queues() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     list.get_mut(EndpointId(0)).expect("listed").own_load.step_by(at(0), 2.0);
-    set_report(&mut list, 1, LoadReport { waiting: Some(40.0), ..LoadReport::default() });
+    set_report(&mut list, 1, LoadReport { requests_queued: Some(40.0), ..LoadReport::default() });
     let [own, queue] = usages(&list, 0, 10.0)[..] else { panic!("two caches") };
     assert_eq!((own, queue), (0.0, 4.0), "own load is an average over time");
     let [own, _] = usages(&list, 60_000, 10.0)[..] else { panic!("two caches") };
@@ -80,8 +80,8 @@
 #[test_case(86_400; "a day later")]
 fn reports_of_long_ago_leave_usage_a_number(seconds: u64) {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
-    set_report(&mut list, 0, LoadReport { held: Some(10.0), ..LoadReport::default() });
-    set_report(&mut list, 1, LoadReport { held: Some(0.0), ..LoadReport::default() });
+    set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
+    set_report(&mut list, 1, LoadReport { requests_held: Some(0.0), ..LoadReport::default() });
     list.get_mut(EndpointId(1)).expect("listed").own_load.step_by(at(0), 2.0);
     let usages = usages(&list, seconds * 1000, 1.0);
     assert!(usages.iter().all(|usage| usage.is_finite()), "{usages:?}");
@@ -90,7 +90,7 @@
 #[test]
 fn once_no_report_counts_usage_is_the_own_load() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
-    set_report(&mut list, 0, LoadReport { held: Some(10.0), ..LoadReport::default() });
+    set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
     list.get_mut(EndpointId(1)).expect("listed").own_load.step_by(at(0), 2.0);
     let [idle, loaded] = usages(&list, 3_600_000, 1.0)[..] else { panic!("two caches") };
     assert_eq!((idle, loaded), (0.0, 2.0));
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests that it holds, queued ones included.
-    pub held: Option<f64>,
+    pub requests_held: Option<f64>,
     /// Requests in its queue.
-    pub waiting: Option<f64>,
+    pub requests_queued: Option<f64>,
     /// The recent service time of a request, without queueing.
-    pub service: Option<Span>,
+    pub service_time: Option<Span>,
     /// Requests that it serves in a second.
-    pub per_s: Option<f64>,
+    pub requests_per_s: Option<f64>,
 }
--- a/crates/balancer/tests/scenarios/runner.rs
+++ b/crates/balancer/tests/scenarios/runner.rs
@@ -292,10 +292,10 @@
     fn set_load_report(&mut self, words: &[&str]) {
         let figure = |name| option(words, name).map(|value| value.parse::<f64>().expect("a figure"));
         let report = LoadReport {
-            held: figure("held"),
-            waiting: figure("waiting"),
-            per_s: figure("per_s"),
-            service: figure("service").map(millis),
+            requests_held: figure("held"),
+            requests_queued: figure("waiting"),
+            requests_per_s: figure("per_s"),
+            service_time: figure("service").map(millis),
         };
         let endpoint = self.endpoint(words[0]);
         if report == LoadReport::default() {
--- a/crates/node/tests/scenarios/in_process.rs
+++ b/crates/node/tests/scenarios/in_process.rs
@@ -49,12 +49,12 @@
     let arguments = line.strip_prefix("report ").expect("a text");
     let (text, expected) = arguments.split_once(" says ").unwrap_or((arguments, ""));
     let actual = parse_load_report(text).map(|report| {
-        let service_ms = report.service.map(|service| service.as_secs_f64() * 1e3);
+        let service_ms = report.service_time.map(|service| service.as_secs_f64() * 1e3);
         let metrics = [
-            ("held", report.held),
-            ("waiting", report.waiting),
+            ("held", report.requests_held),
+            ("waiting", report.requests_queued),
             ("service", service_ms),
-            ("per_s", report.per_s),
+            ("per_s", report.requests_per_s),
         ];
         let present = metrics.iter().filter_map(|(name, value)| value.map(|v| format!("{name}={v}")));
         present.collect::<Vec<_>>().join(" ")
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -41,10 +41,10 @@
             continue;
         }
         match column {
-            Column::Held => report.held = Some(figure),
-            Column::Waiting => report.waiting = Some(figure),
-            Column::ServiceMs => report.service = Some(Span::from_secs_f64(figure / MILLIS_PER_SECOND)),
-            Column::PerSecond => report.per_s = Some(figure),
+            Column::Held => report.requests_held = Some(figure),
+            Column::Waiting => report.requests_queued = Some(figure),
+            Column::ServiceMs => report.service_time = Some(Span::from_secs_f64(figure / MILLIS_PER_SECOND)),
+            Column::PerSecond => report.requests_per_s = Some(figure),
             Column::Other => {}
         }
     }
