--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -202,7 +202,7 @@
 
     /// Sets the terms of a new request.
     fn admit(&mut self, now: Time, request: Request, class: RequestClass) -> PendingRequest {
-        let work = if self.settings.value_by_work {
+        let work = if self.settings.is_value_per_work {
             1.0
         } else {
             self.response_times.expected_seconds(now, request.request_class, EndpointRole::Cache)
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -92,7 +92,7 @@
 
     /// Its size where sizes are capacities, else one.
     pub fn size(&self, settings: &Settings) -> f64 {
-        if settings.steady_sizes { self.listed.size.max(MIN_SIZE) } else { 1.0 }
+        if settings.sizes_are_capacities { self.listed.size.max(MIN_SIZE) } else { 1.0 }
     }
 
     pub fn warmup_factor(&self, now: Time, settings: &Settings) -> f64 {
@@ -100,8 +100,8 @@
     }
 
     /// Takes it out of service. Where only draining binds, it is noted that a ready endpoint was dropped.
-    fn remove(&mut self, now: Time, only_draining_binds: bool) {
-        if self.removed_at.is_none() && self.listed.ready && only_draining_binds {
+    fn remove(&mut self, now: Time, only_draining_excludes: bool) {
+        if self.removed_at.is_none() && self.listed.ready && only_draining_excludes {
             self.removed_at = Some(now);
         }
         self.listed.ready = false;
@@ -162,7 +162,7 @@
         random: &mut SeededRandom,
     ) {
         if complete {
-            self.remove_unlisted(now, updates, settings.only_draining_binds);
+            self.remove_unlisted(now, updates, settings.only_draining_excludes);
         }
         for update in updates {
             // Drawn for each entry, also where it is not used: later draws depend on the number of draws.
@@ -171,11 +171,11 @@
         }
     }
 
-    fn remove_unlisted(&mut self, now: Time, updates: &[EndpointUpdate], only_draining_binds: bool) {
+    fn remove_unlisted(&mut self, now: Time, updates: &[EndpointUpdate], only_draining_excludes: bool) {
         let listed: BTreeSet<EndpointId> = updates.iter().map(|update| update.id).collect();
         for endpoint in self.endpoints.values_mut() {
             if !listed.contains(&endpoint.id()) {
-                endpoint.remove(now, only_draining_binds);
+                endpoint.remove(now, only_draining_excludes);
             }
         }
     }
@@ -190,7 +190,7 @@
         let mut in_flight = 0.0;
         if let Some(endpoint) = self.endpoints.get_mut(&update.id) {
             if !update.ready && !update.draining {
-                return endpoint.remove(now, settings.only_draining_binds);
+                return endpoint.remove(now, settings.only_draining_excludes);
             }
             if endpoint.listed.started == update.started {
                 endpoint.listed = *update;
--- a/crates/balancer/src/balancer/endpoint_list/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_list/tests.rs
@@ -5,8 +5,8 @@
 use crate::seeded_hash::SeededRandom;
 use crate::settings::{Effect, Settings};
 
-fn settings_where_only_draining_binds(only_draining_binds: bool) -> Settings {
-    Settings { only_draining_binds, ..settings(Effect::Idempotent) }
+fn settings_where_only_draining_excludes(only_draining_excludes: bool) -> Settings {
+    Settings { only_draining_excludes, ..settings(Effect::Idempotent) }
 }
 
 fn apply(list: &mut EndpointList, ms: u64, updates: &[EndpointUpdate], complete: bool, settings: &Settings) {
@@ -30,7 +30,7 @@
 
 #[test]
 fn unlisted_endpoints_are_gone_but_stay_while_attempts_are_in_flight() {
-    let settings = settings_where_only_draining_binds(false);
+    let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(3, &settings);
     list.get_mut(EndpointId(1)).expect("listed").limit.on_attempt_sent();
     apply(&mut list, 10, &[listed(EndpointId(0))], true, &settings);
@@ -40,7 +40,7 @@
 
 #[test]
 fn changes_leave_other_endpoints_as_they_are() {
-    let settings = settings_where_only_draining_binds(false);
+    let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(2, &settings);
     let draining = EndpointUpdate { ready: false, draining: true, ..listed(EndpointId(0)) };
     apply(&mut list, 10, &[draining], false, &settings);
@@ -51,7 +51,7 @@
 
 #[test]
 fn restart_under_the_same_id_starts_anew_with_its_attempts_in_flight() {
-    let settings = settings_where_only_draining_binds(false);
+    let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(1, &settings);
     let endpoint = list.get_mut(EndpointId(0)).expect("listed");
     endpoint.limit.on_attempt_sent();
@@ -67,7 +67,7 @@
 
 #[test]
 fn list_that_drops_more_than_a_minority_is_doubted_for_a_while() {
-    let settings = settings_where_only_draining_binds(true);
+    let settings = settings_where_only_draining_excludes(true);
     let mut list = endpoints(4, &settings);
     apply(
         &mut list,
@@ -87,7 +87,7 @@
 
 #[test]
 fn each_entry_takes_one_random_draw() {
-    let settings = settings_where_only_draining_binds(false);
+    let settings = settings_where_only_draining_excludes(false);
     let mut random = SeededRandom::new(7);
     let mut list = EndpointList::default();
     let gone = EndpointUpdate { ready: false, ..listed(EndpointId(0)) };
--- a/crates/balancer/src/balancer/test_support.rs
+++ b/crates/balancer/src/balancer/test_support.rs
@@ -24,7 +24,7 @@
         slo: Span::from_millis(400),
         billed_value: 1.0,
         value_after_slo: 0.0,
-        offered: true,
+        is_offered: true,
         effect,
     };
     Settings {
@@ -33,17 +33,17 @@
         nodes: 1.0,
         list_on_request: false,
         max_poll_interval: Span::ZERO,
-        only_draining_binds: false,
-        cold_from: 0.2,
-        warm_after: Span::from_millis(20_000),
-        fall_multiple: 3.0,
-        fall_window: Span::from_millis(2000),
+        only_draining_excludes: false,
+        initial_capacity_share: 0.2,
+        warmup_duration: Span::from_millis(20_000),
+        overload_multiple: 3.0,
+        overload_window: Span::from_millis(2000),
         max_attempts: 3,
         hedged_requests: false,
         may_cancel: true,
         max_retry_after: Span::ZERO,
-        value_by_work: false,
-        steady_sizes: false,
+        is_value_per_work: false,
+        sizes_are_capacities: false,
     }
 }
 
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -70,8 +70,8 @@
 
 impl WarmupTraffic {
     pub fn new(settings: &Settings, now: Time) -> WarmupTraffic {
-        let window = settings.fall_window.max(LEARNING_INTERVAL);
-        let warmup = settings.warm_after.max(LEARNING_INTERVAL);
+        let window = settings.overload_window.max(LEARNING_INTERVAL);
+        let warmup = settings.warmup_duration.max(LEARNING_INTERVAL);
         WarmupTraffic {
             sent_work: WorkSum::new(window, now),
             sent_per_size: WorkMean::new(warmup, now),
@@ -84,9 +84,9 @@
     /// Drops the sums if they mean something else under new settings: sums over other windows, or by other sizes,
     /// would grant endpoints in warm-up work that they can't take.
     pub fn on_settings_update(&mut self, old: &Settings, new: &Settings, now: Time) {
-        let is_unchanged = old.fall_window == new.fall_window
-            && old.warm_after == new.warm_after
-            && old.steady_sizes == new.steady_sizes;
+        let is_unchanged = old.overload_window == new.overload_window
+            && old.warmup_duration == new.warmup_duration
+            && old.sizes_are_capacities == new.sizes_are_capacities;
         if !is_unchanged {
             *self = WarmupTraffic { warm_size: self.warm_size, ..WarmupTraffic::new(new, now) };
         }
@@ -139,7 +139,7 @@
 /// growth has to stay within the overload multiple, and a part of that is left to chance and to endpoints that are
 /// smaller than listed.
 fn max_demand_growth(settings: &Settings) -> f64 {
-    (settings.fall_multiple * BURST_ALLOWANCE).clamp(1.0, MAX_DEMAND_GROWTH)
+    (settings.overload_multiple * BURST_ALLOWANCE).clamp(1.0, MAX_DEMAND_GROWTH)
 }
 
 /// What the budgets of endpoints in warm-up follow from, at one moment; for the log and for simulations.
@@ -185,7 +185,7 @@
     /// What is in the bucket; it always holds at least one attempt of this cost.
     pub fn available(&self, endpoint: &Endpoint, cost: f64) -> f64 {
         let rate = self.refill_rate(endpoint);
-        let capacity = (rate * self.settings.fall_window.as_secs_f64() * CAPACITY_WINDOW_SHARE).max(cost);
+        let capacity = (rate * self.settings.overload_window.as_secs_f64() * CAPACITY_WINDOW_SHARE).max(cost);
         endpoint.warmup_budget.available(self.now, rate, capacity)
     }
 
@@ -195,8 +195,8 @@
     /// fleet that warms up as a whole. A lease only lowers the rate of a cache.
     fn refill_rate(&self, endpoint: &Endpoint) -> f64 {
         let warmup_factor = endpoint.warmup_factor(self.now, self.settings);
-        let burst_factor = (self.settings.fall_multiple * BURST_ALLOWANCE).min(1.0);
-        let part = burst_factor / self.settings.fall_window.as_secs_f64();
+        let burst_factor = (self.settings.overload_multiple * BURST_ALLOWANCE).min(1.0);
+        let part = burst_factor / self.settings.overload_window.as_secs_f64();
         let work =
             self.traffic.work_per_size(self.now, self.response_times) * endpoint.size(self.settings) * part;
         let own_rate = work.max(1.0 / self.settings.nodes) * warmup_factor;
@@ -211,11 +211,11 @@
 /// The part of its capacity that an endpoint has at least, by its age: it grows linearly until it is warm.
 pub(super) fn warmup_factor(now: Time, started: Option<Time>, settings: &Settings) -> f64 {
     let Some(started) = started else { return 1.0 };
-    if settings.warm_after == Span::ZERO {
+    if settings.warmup_duration == Span::ZERO {
         return 1.0;
     }
-    let age = (now - started).as_secs_f64() / settings.warm_after.as_secs_f64();
-    settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0)
+    let age = (now - started).as_secs_f64() / settings.warmup_duration.as_secs_f64();
+    settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * age.min(1.0)
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/balancer/warmup/tests.rs
+++ b/crates/balancer/src/balancer/warmup/tests.rs
@@ -32,7 +32,7 @@
     assert!((factor(Some(at(0)), 10_000, &settings) - 0.6).abs() < 1e-9);
     assert_eq!(factor(Some(at(0)), 20_000, &settings), 1.0);
     assert_eq!(factor(Some(at(0)), 90_000, &settings), 1.0);
-    settings.warm_after = Span::ZERO;
+    settings.warmup_duration = Span::ZERO;
     assert_eq!(factor(Some(at(0)), 0, &settings), 1.0);
 }
 
@@ -72,7 +72,7 @@
     new.nodes = 5.0;
     traffic.on_settings_update(&old, &new, at(0));
     assert_eq!(work_per_size(&traffic, &old), 2.0);
-    new.steady_sizes = true;
+    new.sizes_are_capacities = true;
     traffic.on_settings_update(&old, &new, at(0));
     assert_eq!(work_per_size(&traffic, &old), 0.0);
 }
@@ -96,7 +96,7 @@
     let accepted_alone = sent_work(&traffic, at(200), &settings) - 8.0;
     traffic.on_work_not_accepted(at(900), at(200), &stated(8.0));
     let left = sent_work(&traffic, at(900), &settings);
-    let decay = (-0.7 / settings.fall_window.as_secs_f64()).exp();
+    let decay = (-0.7 / settings.overload_window.as_secs_f64()).exp();
     assert!((left - accepted_alone * decay).abs() < 1e-9, "{left}");
     // No error of estimates makes it negative.
     traffic.on_work_not_accepted(at(900), at(900), &stated(50.0));
@@ -106,13 +106,13 @@
 #[test]
 fn growth_with_demand_stays_within_the_overload_multiple() {
     let mut settings = settings(Effect::Idempotent);
-    for (fall_multiple, expected) in [(1.2, 2.0), (2.0, 2.0), (2.5, 2.5), (3.0, 3.0), (9.0, 3.0)] {
-        settings.fall_multiple = fall_multiple;
+    for (overload_multiple, expected) in [(1.2, 2.0), (2.0, 2.0), (2.5, 2.5), (3.0, 3.0), (9.0, 3.0)] {
+        settings.overload_multiple = overload_multiple;
         let mut traffic = WarmupTraffic::new(&settings, at(0));
         traffic.on_work_sent(at(0), &stated(8.0));
         traffic.on_learning_step(at(0), 2.0);
         traffic.on_work_requested(at(0), &stated(100.0));
-        assert_eq!(work_per_size(&traffic, &settings), expected, "{fall_multiple}");
+        assert_eq!(work_per_size(&traffic, &settings), expected, "{overload_multiple}");
     }
 }
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -19,15 +19,15 @@
     pub max_poll_interval: Span,
     /// Whether only endpoints that were listed as draining are barred from new work: an entry that lists an endpoint
     /// as gone, or a list without it, proves nothing.
-    pub only_draining_binds: bool,
+    pub only_draining_excludes: bool,
     /// The share of its capacity that an endpoint has at least when it starts.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// The time after its start at which an endpoint is warm at the latest.
-    pub warm_after: Span,
-    /// An endpoint in warm-up that receives this multiple of its capacity during `fall_window` fails.
-    pub fall_multiple: f64,
-    /// See `fall_multiple`.
-    pub fall_window: Span,
+    pub warmup_duration: Span,
+    /// An endpoint in warm-up that receives this multiple of its capacity during `overload_window` fails.
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub overload_window: Span,
     /// The most attempts of one request.
     pub max_attempts: u8,
     /// Whether a request may have two attempts in flight at the same time.
@@ -37,9 +37,9 @@
     /// The longest `Retry-After` that clients respect; zero where they can't be given one.
     pub max_retry_after: Span,
     /// Whether the billed value counts per unit of work and not per request.
-    pub value_by_work: bool,
+    pub is_value_per_work: bool,
     /// Whether listed sizes are capacities and not momentary figures.
-    pub steady_sizes: bool,
+    pub sizes_are_capacities: bool,
 }
 
 impl Settings {
@@ -52,7 +52,7 @@
     pub fn tightest_slo(&self) -> Span {
         self.request_classes
             .iter()
-            .filter(|class| class.offered)
+            .filter(|class| class.is_offered)
             .map(|class| class.slo)
             .min()
             .unwrap_or_default()
@@ -75,7 +75,7 @@
     pub value_after_slo: f64,
     /// Whether clients can ask for it. Classes that are not on offer stand for requests that arrived under former
     /// settings.
-    pub offered: bool,
+    pub is_offered: bool,
     /// What executing a request twice would do.
     pub effect: Effect,
 }
--- a/crates/balancer/tests/scenarios/parse.rs
+++ b/crates/balancer/tests/scenarios/parse.rs
@@ -31,7 +31,7 @@
         nodes: number(words, "nodes", 1.0),
         list_on_request: words.contains(&"list-on-request"),
         max_poll_interval: millis(number(words, "max-poll-interval", 10_000.0)),
-        only_draining_binds: words.contains(&"only-draining"),
+        only_draining_excludes: words.contains(&"only-draining"),
         max_attempts: number(words, "max-attempts", 4.0) as u8,
         ..settings
     }
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -19,23 +19,23 @@
         nodes: 1.0,
         list_on_request: false,
         max_poll_interval: Span::from_millis(10_000),
-        only_draining_binds: false,
-        cold_from: 0.2,
-        warm_after: Span::from_millis(20_000),
-        fall_multiple: 3.0,
-        fall_window: Span::from_millis(2000),
+        only_draining_excludes: false,
+        initial_capacity_share: 0.2,
+        warmup_duration: Span::from_millis(20_000),
+        overload_multiple: 3.0,
+        overload_window: Span::from_millis(2000),
         max_attempts: 3,
         hedged_requests: false,
         may_cancel: true,
         max_retry_after: Span::from_millis(1500),
-        value_by_work: false,
-        steady_sizes: false,
+        is_value_per_work: false,
+        sizes_are_capacities: false,
     }
 }
 
 /// A class whose answers are of no value after the latency objective.
 pub fn request_class(slo: Span, effect: Effect) -> RequestClass {
-    RequestClass { slo, billed_value: 1.0, value_after_slo: 0.0, offered: true, effect }
+    RequestClass { slo, billed_value: 1.0, value_after_slo: 0.0, is_offered: true, effect }
 }
 
 /// A list entry of an endpoint that is ready and warm.
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -94,7 +94,7 @@
         slo: SLO,
         billed_value: 1.0,
         value_after_slo: 0.0,
-        offered: true,
+        is_offered: true,
         effect: Effect::Idempotent,
     };
     BalancerSettings {
@@ -103,17 +103,17 @@
         nodes: scenario.forwarders as f64,
         list_on_request: false,
         max_poll_interval: MAX_POLL_INTERVAL,
-        only_draining_binds: false,
-        cold_from: 0.2,
-        warm_after: WARMUP_TIME,
-        fall_multiple: 3.0,
-        fall_window: OVERLOAD_WINDOW,
+        only_draining_excludes: false,
+        initial_capacity_share: 0.2,
+        warmup_duration: WARMUP_TIME,
+        overload_multiple: 3.0,
+        overload_window: OVERLOAD_WINDOW,
         max_attempts: 3,
         hedged_requests: false,
         may_cancel: true,
         max_retry_after: MAX_RETRY_AFTER,
-        value_by_work: false,
-        steady_sizes: false,
+        is_value_per_work: false,
+        sizes_are_capacities: false,
     }
 }
 
--- a/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
@@ -128,7 +128,7 @@
 
     fn change_settings(&mut self) {
         self.overload_multiple = self.scenario.overload_multiple / OVERLOAD_MULTIPLE_DIVISOR;
-        let settings = Settings { fall_multiple: self.overload_multiple, ..self.scenario.settings() };
+        let settings = Settings { overload_multiple: self.overload_multiple, ..self.scenario.settings() };
         for node in 0..self.nodes.len() {
             self.nodes[node].balancer.on_settings_update(self.now, settings.clone());
             self.poll_balancer(node);
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -63,7 +63,7 @@
     /// A balancer that knows nothing but the endpoint list as it is now.
     fn new_balancer(&self, seed: u64) -> Balancer {
         let mut settings = self.scenario.settings();
-        settings.fall_multiple = self.overload_multiple;
+        settings.overload_multiple = self.overload_multiple;
         let seed = self.scenario.seed ^ seed << NODE_SEED_SHIFT;
         let mut balancer = Balancer::new(settings, seed, self.now);
         let ready = (0..self.servers.len()).filter(|cache| self.servers[*cache].ready);
--- a/crates/fleet-simulator/src/warmup_simulation/scenario.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/scenario.rs
@@ -202,7 +202,7 @@
             slo: Span::from_secs_f64(self.slo),
             billed_value: 1.0,
             value_after_slo: 0.0,
-            offered: true,
+            is_offered: true,
             effect: Effect::Idempotent,
         };
         Settings {
@@ -211,17 +211,17 @@
             nodes: self.nodes as f64,
             list_on_request: false,
             max_poll_interval: MAX_POLL_INTERVAL,
-            only_draining_binds: false,
-            cold_from: self.initial_warmth,
-            warm_after: Span::from_secs_f64(self.warmup_time),
-            fall_multiple: self.overload_multiple,
-            fall_window: Span::from_secs_f64(self.overload_window),
+            only_draining_excludes: false,
+            initial_capacity_share: self.initial_warmth,
+            warmup_duration: Span::from_secs_f64(self.warmup_time),
+            overload_multiple: self.overload_multiple,
+            overload_window: Span::from_secs_f64(self.overload_window),
             max_attempts: MAX_ATTEMPTS,
             hedged_requests: false,
             may_cancel: true,
             max_retry_after: MAX_RETRY_AFTER,
-            value_by_work: false,
-            steady_sizes: self.lists_capacities,
+            is_value_per_work: false,
+            sizes_are_capacities: self.lists_capacities,
         }
     }
 }
--- a/crates/fleet-simulator/src/world/setup.rs
+++ b/crates/fleet-simulator/src/world/setup.rs
@@ -44,7 +44,7 @@
         slo: SLO,
         billed_value,
         value_after_slo: 0.0,
-        offered: true,
+        is_offered: true,
         effect,
     };
     let deduplicated = Effect::Deduplicated { scope: DedupScope::All, window: DEDUPLICATION_WINDOW };
@@ -54,17 +54,17 @@
         nodes: scenario.nodes as f64,
         list_on_request: false,
         max_poll_interval: MAX_POLL_INTERVAL,
-        only_draining_binds: false,
-        cold_from: COLD_START_CAPACITY,
-        warm_after: WARM_UP_TIME,
-        fall_multiple: 3.0,
-        fall_window: Span::from_millis(2000),
+        only_draining_excludes: false,
+        initial_capacity_share: COLD_START_CAPACITY,
+        warmup_duration: WARM_UP_TIME,
+        overload_multiple: 3.0,
+        overload_window: Span::from_millis(2000),
         max_attempts: MAX_ATTEMPTS,
         hedged_requests: false,
         may_cancel: true,
         max_retry_after: MAX_RETRY_AFTER,
-        value_by_work: true,
-        steady_sizes: false,
+        is_value_per_work: true,
+        sizes_are_capacities: false,
     }
 }
 
--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -59,7 +59,7 @@
         if let Some(recorder) = &mut self.recorder {
             recorder.on_settings_update(settings.clone());
         }
-        self.directory.on_settings_update(names, settings.only_draining_binds);
+        self.directory.on_settings_update(names, settings.only_draining_excludes);
         self.balancer.on_settings_update(now, settings);
     }
 
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -70,7 +70,7 @@
         let is_list_pushed = !decisions.list_on_request;
         let retry_after = decisions.max_retry_after;
         let recorder = start_agent(&transport, control_plane_agent, &decisions)?;
-        let directory = EndpointDirectory::new(names.clone(), decisions.only_draining_binds);
+        let directory = EndpointDirectory::new(names.clone(), decisions.only_draining_excludes);
         let balancer = Balancer::new(decisions, seed, now);
         let mut requests = RequestTable::default();
         requests.set_load_report_header(reloadable.load_header);
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -49,7 +49,7 @@
             zone: endpoint.zone.0 as u16,
             size: endpoint.size,
             started: endpoint.started,
-            warm_after: self.settings.warm_after,
+            warm_after: self.settings.warmup_duration,
         }
     }
 
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -195,11 +195,11 @@
         assert_eq!(decisions.max_retry_after, us(&site["clients"]["max_retry_after_ms"], 1e3), "{name}");
         assert_eq!(decoded.connect_timeout, us(&tier["conn"]["connect_timeout_ms"], 1e3), "{name}");
         assert_eq!(decoded.keepalive, us(&tier["conn"]["idle_s"], 1e6), "{name}");
-        assert_eq!(Some(decisions.fall_multiple), rules["fall_multiple"].as_f64(), "{name}");
-        assert_eq!(decisions.fall_window, us(&rules["fall_ms"], 1e3), "{name}");
+        assert_eq!(Some(decisions.overload_multiple), rules["fall_multiple"].as_f64(), "{name}");
+        assert_eq!(decisions.overload_window, us(&rules["fall_ms"], 1e3), "{name}");
         assert_eq!(decisions.list_on_request, site["discovery"]["mode"] == "ask", "{name}");
-        assert_eq!(decisions.value_by_work, site["load"]["worth_by"] == "work", "{name}");
-        assert_eq!(decisions.steady_sizes, tier["weights"] != "none", "{name}");
+        assert_eq!(decisions.is_value_per_work, site["load"]["worth_by"] == "work", "{name}");
+        assert_eq!(decisions.sizes_are_capacities, tier["weights"] != "none", "{name}");
         assert_eq!(json!(decoded.names.zones), site["net"]["zones"], "{name}");
         // The origin is the last kind, none of the caches'.
         let origin = decisions.origin.map(|kind| usize::from(kind.0));
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -67,17 +67,17 @@
         nodes: f64::from(params.nodes.max(1)),
         list_on_request: params.discovery == "ask",
         max_poll_interval: Span(rules.max_poll_interval_us),
-        only_draining_binds: rules.only_draining_binds,
-        cold_from: rules.cold_from,
-        warm_after: Span(rules.warm_after_us),
-        fall_multiple: rules.fall_multiple,
-        fall_window: Span(rules.fall_us),
+        only_draining_excludes: rules.only_draining_binds,
+        initial_capacity_share: rules.cold_from,
+        warmup_duration: Span(rules.warm_after_us),
+        overload_multiple: rules.fall_multiple,
+        overload_window: Span(rules.fall_us),
         max_attempts: bounds.max_attempts,
         hedged_requests: bounds.hedged_requests,
         may_cancel: bounds.may_cancel,
         max_retry_after: if bounds.retry_after { Span(bounds.max_retry_after_us) } else { Span::ZERO },
-        value_by_work: params.billed_value_per == "work",
-        steady_sizes: matches!(params.weight_kind.as_str(), "nominal" | "rough"),
+        is_value_per_work: params.billed_value_per == "work",
+        sizes_are_capacities: matches!(params.weight_kind.as_str(), "nominal" | "rough"),
     }
 }
 
@@ -109,7 +109,7 @@
         slo: Span(params.latency_slo_us),
         billed_value: params.billed_value,
         value_after_slo: params.value_after_slo,
-        offered: true,
+        is_offered: true,
         effect: match params.effect.as_str() {
             "read_like" => Effect::Idempotent,
             "idempotency_key" => Effect::Deduplicated { scope, window: Span(params.window_us) },
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -51,7 +51,7 @@
     /// Takes all request classes off offer, and restores the names that they had on offer.
     fn withdraw_all_classes(&mut self) {
         for class in &mut self.decisions.request_classes {
-            class.offered = false;
+            class.is_offered = false;
         }
         for name in &mut self.names.request_classes {
             *name = name.trim_start_matches(NOT_OFFERED).into();
@@ -68,7 +68,7 @@
                 && has_same_terms(&self.decisions.request_classes[position], class)
         });
         if let Some(position) = same {
-            self.decisions.request_classes[position].offered = true;
+            self.decisions.request_classes[position].is_offered = true;
             return;
         }
         self.decisions.request_classes.push(class.clone());
@@ -80,7 +80,7 @@
     fn mark_withdrawn_names(&mut self) {
         let classes = &self.decisions.request_classes;
         for (name, class) in self.names.request_classes.iter_mut().zip(classes) {
-            if !class.offered {
+            if !class.is_offered {
                 name.insert(0, NOT_OFFERED);
             }
         }
@@ -89,7 +89,7 @@
 
 /// Whether a class has the terms of a new one, on offer or not.
 fn has_same_terms(known: &RequestClass, new: &RequestClass) -> bool {
-    let known = RequestClass { offered: true, ..known.clone() };
+    let known = RequestClass { is_offered: true, ..known.clone() };
     known == *new
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -13,7 +13,7 @@
 fn only_draining_binds_follows_its_key() {
     let only_draining_binds = |rules| {
         let settings = decode_with(rules, "\"Mode\":\"through\",\"OriginKind\":-1");
-        settings.map(|settings| settings.only_draining_binds)
+        settings.map(|settings| settings.only_draining_excludes)
     };
     assert!(!only_draining_binds("").expect("settings"));
     assert!(only_draining_binds("\"OnlyDrainingBinds\":true").expect("settings"));
@@ -51,7 +51,7 @@
 }
 
 fn offered(settings: &DecodedSettings) -> Vec<bool> {
-    settings.decisions.request_classes.iter().map(|class| class.offered).collect()
+    settings.decisions.request_classes.iter().map(|class| class.is_offered).collect()
 }
 
 #[test]
