--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -208,14 +208,14 @@
             self.response_times.expected_seconds(now, request.request_class, EndpointRole::Cache)
         };
         let value = class.billed_value / work.max(MIN_VALUED_WORK);
-        let slo = class.slo.min(request.budget);
-        let valued_time = if class.value_after_slo > 0.0 { request.budget } else { slo };
+        let slo = class.slo.min(request.client_timeout);
+        let valued_time = if class.value_after_slo > 0.0 { request.client_timeout } else { slo };
         PendingRequest {
             request,
             priority: self.requests.next_priority(value),
             slo_deadline: now + slo,
             value_deadline: now + valued_time,
-            client_deadline: now + request.budget,
+            client_deadline: now + request.client_timeout,
             queue_deadline: now + slo.scaled(QUEUE_SLO_SHARE),
             attempts: Vec::new(),
             max_attempts: usize::from(self.settings.max_attempts),
@@ -287,7 +287,7 @@
     }
 
     fn apply_reported_failures(&mut self, now: Time, failing: &[(EndpointId, Time)]) {
-        let max_ejected = (self.selection.endpoints() as f64 * MINORITY).max(1.0) as usize;
+        let max_ejected = (self.selection.endpoint_count() as f64 * MINORITY).max(1.0) as usize;
         let mut ejected = self.endpoints.iter().filter(|endpoint| endpoint.health.is_ejected()).count();
         for &(id, observed_at) in failing {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
@@ -340,13 +340,13 @@
 
     /// The number of entries stored for requests, attempts, keys and endpoints. It is bounded, however long the
     /// balancer runs.
-    pub fn entries(&self) -> usize {
-        self.requests.entries()
+    pub fn entry_count(&self) -> usize {
+        self.requests.entry_count()
             + self.attempts.len()
             + self.fetches.len()
             + self.cancellations.len()
             + self.responses.len()
-            + self.selection.keys()
+            + self.selection.key_count()
             + self.endpoints.len()
     }
 
@@ -361,8 +361,8 @@
     }
 
     /// A key's candidates, the highest weight first.
-    pub fn ranked(&self, key: Key) -> Vec<EndpointId> {
-        self.selection.ranked(key)
+    pub fn ranked_candidates(&self, key: Key) -> Vec<EndpointId> {
+        self.selection.ranked_candidates(key)
     }
 
     /// Something happened: waiting requests are looked at anew.
--- a/crates/balancer/src/balancer/cancellation.rs
+++ b/crates/balancer/src/balancer/cancellation.rs
@@ -85,13 +85,13 @@
         let unresponsive = self.attempts.endpoints_where(|attempt| {
             now >= attempt.sent_at + timeout && self.endpoint_without_response(attempt).is_some()
         });
-        let minority = (self.selection.endpoints() as f64 * MINORITY).max(1.0);
+        let minority = (self.selection.endpoint_count() as f64 * MINORITY).max(1.0);
         unresponsive.len() as f64 <= minority
     }
 
     /// Whether another candidate of the key has capacity.
     fn has_alternative(&self, now: Time, request: &PendingRequest, attempt: &InFlightAttempt) -> bool {
-        let mut ranked = self.selection.ranked(attempt.request.key).into_iter();
+        let mut ranked = self.selection.ranked_candidates(attempt.request.key).into_iter();
         ranked.any(|id| id != attempt.endpoint && self.has_capacity(now, request, id))
     }
 }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -111,7 +111,7 @@
         if request.missed_in_cache {
             return self.previous_endpoint(now, request);
         }
-        let ranked = self.selection.ranked(request.request.key);
+        let ranked = self.selection.ranked_candidates(request.request.key);
         ranked.into_iter().find(|id| self.is_available(now, request, *id))
     }
 
@@ -139,7 +139,7 @@
         if !self.settings.is_cache_aside() {
             return false;
         }
-        let ranked = self.selection.ranked(request.request.key);
+        let ranked = self.selection.ranked_candidates(request.request.key);
         !ranked.is_empty() && ranked.iter().all(|id| self.has_failed(now, request, *id))
     }
 
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -91,12 +91,12 @@
     }
 
     /// The number of keys with stored weights.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
     /// The number of endpoints that can be selected.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.table.len()
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// A key's candidates, the highest weight first.
-    pub fn ranked(&self, key: Key) -> Vec<EndpointId> {
+    pub fn ranked_candidates(&self, key: Key) -> Vec<EndpointId> {
         let candidates = match self.keys.get(&key) {
             Some(state) if state.table_version == self.table.version() => state.candidates,
             Some(state) => self.initial_candidates(key, state.slot),
--- a/crates/balancer/src/balancer/endpoint_selection/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_selection/tests.rs
@@ -24,11 +24,11 @@
 #[test]
 fn key_has_three_candidates_from_the_slot_table() {
     let mut selection = selection(10);
-    let before = selection.ranked(KEY);
+    let before = selection.ranked_candidates(KEY);
     assert_eq!(before.len(), 3);
     request(&mut selection, 0, KEY);
-    assert_eq!(selection.ranked(KEY), before, "a first request changes no order");
-    assert_eq!(self::selection(2).ranked(KEY).len(), 2, "as far as there are any");
+    assert_eq!(selection.ranked_candidates(KEY), before, "a first request changes no order");
+    assert_eq!(self::selection(2).ranked_candidates(KEY).len(), 2, "as far as there are any");
 }
 
 #[test]
@@ -95,9 +95,9 @@
     let mut selection = selection(3);
     for key in 0..MAX_KEYS as u64 + 1 {
         request(&mut selection, key, Key(key));
-        assert!(selection.keys() <= MAX_KEYS);
+        assert!(selection.key_count() <= MAX_KEYS);
     }
-    assert!(selection.keys() >= MAX_KEYS / 2 - 1);
+    assert!(selection.key_count() >= MAX_KEYS / 2 - 1);
     assert!(selection.keys.contains_key(&Key(MAX_KEYS as u64)), "recent keys stay");
 }
 
--- a/crates/balancer/src/balancer/request_queue.rs
+++ b/crates/balancer/src/balancer/request_queue.rs
@@ -34,7 +34,7 @@
     }
 
     /// The number of entries in all collections.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.pending.len() + self.waiting.len() + self.deadlines.len()
     }
 
--- a/crates/balancer/src/balancer/request_queue/tests.rs
+++ b/crates/balancer/src/balancer/request_queue/tests.rs
@@ -9,8 +9,9 @@
 }
 
 fn insert(queue: &mut RequestQueue, id: u64, value: f64) {
-    let budget = Span::from_millis(100);
-    let request = Request { request_class: RequestClassId(0), key: Key(1), budget, work: None, write: false };
+    let client_timeout = Span::from_millis(100);
+    let request =
+        Request { request_class: RequestClassId(0), key: Key(1), client_timeout, work: None, write: false };
     let pending = PendingRequest {
         request,
         priority: queue.next_priority(value),
@@ -50,7 +51,7 @@
     insert(&mut queue, 1, 1.0);
     queue.remove(RequestId(1));
     queue.set_waiting(RequestId(1));
-    assert_eq!(queue.entries(), 0);
+    assert_eq!(queue.entry_count(), 0);
     assert!(!queue.has_waiting());
 }
 
--- a/crates/balancer/src/balancer/test_support.rs
+++ b/crates/balancer/src/balancer/test_support.rs
@@ -93,7 +93,7 @@
     Request {
         request_class: RequestClassId(0),
         key: Key(1),
-        budget: Span::from_millis(1000),
+        client_timeout: Span::from_millis(1000),
         work: Some(Span::from_millis(10)),
         write: false,
     }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -11,7 +11,7 @@
     /// The key that the request reads or writes.
     pub key: Key,
     /// Time until the client gives up on this request.
-    pub budget: Span,
+    pub client_timeout: Span,
     /// The estimated service time, where it is known.
     pub work: Option<Span>,
     /// Whether the request writes the key.
--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -109,7 +109,7 @@
         let request = Request {
             request_class: RequestClassId(u16::from(write)),
             key: Key(self.requests),
-            budget: Span::from_millis(500),
+            client_timeout: Span::from_millis(500),
             work: Some(Span::from_millis(4)),
             write,
         };
--- a/crates/balancer/tests/request_terms.rs
+++ b/crates/balancer/tests/request_terms.rs
@@ -23,7 +23,7 @@
     Request {
         request_class: RequestClassId(0),
         key: Key(1),
-        budget: Span::from_millis(400),
+        client_timeout: Span::from_millis(400),
         work: None,
         write: false,
     }
--- a/crates/balancer/tests/scenarios/runner.rs
+++ b/crates/balancer/tests/scenarios/runner.rs
@@ -162,7 +162,7 @@
         let request = Request {
             request_class: RequestClassId(class as u16),
             key: Key(words[1].parse().expect("a key")),
-            budget: millis(number(words, "budget", self.timeouts[class])),
+            client_timeout: millis(number(words, "budget", self.timeouts[class])),
             work: option(words, "work").map(|ms| millis(ms.parse().expect("a work"))),
             write: words.contains(&"write"),
         };
@@ -367,7 +367,7 @@
         match words {
             ["..."] => self.decisions.clear(),
             ["entries", "<", limit] => {
-                let entries = self.balancer().entries();
+                let entries = self.balancer().entry_count();
                 let limit = limit.parse().expect("a count");
                 assert!(entries < limit, "{entries} entries, not under {limit}");
             }
--- a/crates/balancer/tests/shard_map.rs
+++ b/crates/balancer/tests/shard_map.rs
@@ -58,11 +58,11 @@
     ) -> Vec<EndpointId> {
         self.requests += 1;
         self.now = self.now + Span::from_millis(50);
-        let (id, budget) = (RequestId(self.requests), Span::from_millis(1000));
+        let (id, client_timeout) = (RequestId(self.requests), Span::from_millis(1000));
         self.balancer.on_request(
             self.now,
             id,
-            Request { request_class, key: Key(key), budget, work: None, write },
+            Request { request_class, key: Key(key), client_timeout, work: None, write },
         );
         let mut sent = Vec::new();
         while let Some(attempt) = self.balancer.poll_attempt(self.now) {
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -93,8 +93,13 @@
 
 fn record_sent(assembler: &mut ObservationAssembler, n: u64) {
     let slo = Span::from_millis(500);
-    let requested =
-        Request { request_class: RequestClassId(0), key: Key(9), budget: slo, work: None, write: false };
+    let requested = Request {
+        request_class: RequestClassId(0),
+        key: Key(9),
+        client_timeout: slo,
+        work: None,
+        write: false,
+    };
     let sent = SentAttempt {
         request: RequestId(n),
         number: AttemptNumber(0),
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -152,7 +152,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key,
-            budget: REQUEST_BUDGET,
+            client_timeout: REQUEST_BUDGET,
             work: None,
             write: false,
         };
--- a/crates/fleet-simulator/src/policy/baseline.rs
+++ b/crates/fleet-simulator/src/policy/baseline.rs
@@ -85,7 +85,7 @@
     pub(super) fn on_request(&mut self, now: Time, id: RequestId, request: Request) {
         let slo = self.settings.request_classes[request.request_class.0 as usize].slo;
         let pending = PendingRequest {
-            deadline: now + request.budget,
+            deadline: now + request.client_timeout,
             wait_until: now + slo.scaled(MAX_WAIT_SLO_SHARE),
             request,
             attempts: 0,
--- a/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
@@ -120,7 +120,7 @@
     fn choose_hot_key(&self) -> Option<u64> {
         let busiest = self.nodes.iter().max_by(|a, b| a.rate.total_cmp(&b.rate))?;
         let is_at_cold_cache = |key: &u64| {
-            let ranked = busiest.balancer.ranked(Key(*key));
+            let ranked = busiest.balancer.ranked_candidates(Key(*key));
             ranked.first().is_some_and(|cache| cache.0 < self.scenario.cold_caches as u64)
         };
         (0..self.scenario.keys).rev().find(is_at_cold_cache)
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -110,7 +110,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key: Key(key),
-            budget: Span::from_secs_f64(self.scenario.slo * BUDGET_SLOS),
+            client_timeout: Span::from_secs_f64(self.scenario.slo * BUDGET_SLOS),
             work: self.scenario.declares_work.then_some(Span::from_secs_f64(work)),
             write: false,
         };
--- a/crates/fleet-simulator/src/world/requests.rs
+++ b/crates/fleet-simulator/src/world/requests.rs
@@ -95,7 +95,7 @@
         let request = Request {
             request_class: RequestClassId(u16::from(client.write)),
             key: client.key,
-            budget: client.deadline - self.now,
+            client_timeout: client.deadline - self.now,
             work: Some(self.scenario.mean_work.scaled(self.popularity.work_factor(client.key))),
             write: client.write,
         };
--- a/crates/node/src/proxy/downstream/request_decoder.rs
+++ b/crates/node/src/proxy/downstream/request_decoder.rs
@@ -68,7 +68,7 @@
         let request = Request {
             request_class: RequestClassId(request_class as u16),
             key: Key(stable_hash(key.as_bytes())),
-            budget: timeout.map_or(max_timeout, |timeout| timeout.min(max_timeout)),
+            client_timeout: timeout.map_or(max_timeout, |timeout| timeout.min(max_timeout)),
             work: decode_work_hint(head),
             write,
         };
--- a/crates/node/src/proxy/downstream/requests.rs
+++ b/crates/node/src/proxy/downstream/requests.rs
@@ -72,11 +72,11 @@
     ) {
         let DecodedRequest { mut request, client_request_id } = decoded;
         let shutdown_deadline = self.shutdown_deadline.unwrap_or(Time(u64::MAX));
-        request.budget = (arrived_at + request.budget).min(shutdown_deadline) - cx.now;
-        if request.budget == Span::ZERO {
+        request.client_timeout = (arrived_at + request.client_timeout).min(shutdown_deadline) - cx.now;
+        if request.client_timeout == Span::ZERO {
             return self.reject_expired(cx, id);
         }
-        let budget = request.budget;
+        let budget = request.client_timeout;
         let Some(request_id) = cx.requests.insert(id, request, client_request_id, message) else {
             return self.reject(cx, id, 409);
         };
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -65,7 +65,7 @@
         let Some(active) = requests.get(attempt.request) else { return };
         let request = active.request();
         let call = hash_request_name(active.client_request_id());
-        let ranked = if is_sampled(call) { balancer.ranked(request.key) } else { Vec::new() };
+        let ranked = if is_sampled(call) { balancer.ranked_candidates(request.key) } else { Vec::new() };
         let mut candidates = ranked.into_iter();
         let sent = SentAttempt {
             request: attempt.request,
--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -129,7 +129,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key: Key(number),
-            budget: REQUEST_TIMEOUT,
+            client_timeout: REQUEST_TIMEOUT,
             work: None,
             write: method != "GET",
         };
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -113,7 +113,7 @@
     Request {
         request_class: RequestClassId(record.u16(12)),
         key: Key(record.u64(18)),
-        budget: Span(u64::from(record.u32(26))),
+        client_timeout: Span(u64::from(record.u32(26))),
         work: if flags & REQUEST_HAS_WORK != 0 { Some(work) } else { None },
         write: flags & REQUEST_IS_WRITE != 0,
     }
