--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -62,7 +62,7 @@
 use crate::time::{Span, Time};
 
 /// How long request rates and response times are remembered: they change more slowly than usage.
-const RATE_MEMORY: Span = Span::from_millis(12_000);
+const RATE_TIME_CONSTANT: Span = Span::from_millis(12_000);
 /// An answer slower than this share of its latency objective shows a queue.
 const SLOW_SLO_SHARE: f64 = 0.4;
 /// An attempt that has been without a response for less than this share of its latency objective shows nothing of the
@@ -75,13 +75,13 @@
 const RETRY_AFTER_SLO_MULTIPLE: f64 = 4.0;
 /// What may be wrong about at most this share of the caches: a list that drops more is doubted, and the control plane
 /// can't eject more.
-const MINORITY: f64 = 0.34;
+const MINORITY_SHARE: f64 = 0.34;
 /// How often waiting requests are looked at when nothing happens.
 const RECHECK_INTERVAL: Span = Span::from_millis(20);
 /// An endpoint's share of the slots grows with its warm-up in this many steps: each moves keys, at every node alike.
 const WARMUP_STEPS: f64 = 8.0;
 /// The least work in seconds that a request's value is related to.
-const MIN_VALUED_WORK: f64 = 1e-6;
+const MIN_WORK_SECONDS: f64 = 1e-6;
 
 /// A final response by the balancer itself.
 struct LocalResponse {
@@ -139,7 +139,7 @@
     /// keep their terms. What is known of endpoints stays where it means the same under the new settings; the rest
     /// starts anew.
     pub fn on_settings_update(&mut self, now: Time, settings: Settings) {
-        self.begin_event(now);
+        self.start_event(now);
         let old = std::mem::replace(&mut self.settings, settings);
         self.response_times.add_classes(&self.settings.request_classes, now);
         for endpoint in self.endpoints.iter_mut() {
@@ -170,27 +170,27 @@
     }
 
     fn apply_endpoints(&mut self, now: Time, updates: &[EndpointUpdate], complete: bool) {
-        self.begin_event(now);
+        self.start_event(now);
         self.endpoints.apply(now, updates, complete, &self.settings, &mut self.random);
-        self.settle_endpoints(now);
+        self.apply_removals_and_sizes(now);
         self.zones.retain_zones(&self.endpoints.zones());
     }
 
     /// The endpoint list was not available, or the watch was lost.
     pub fn on_endpoints_watch_failed(&mut self, now: Time) {
-        self.begin_event(now);
-        let jitter = self.random.next_unit();
+        self.start_event(now);
+        let jitter = self.random.next_unit_float();
         self.watch.on_failure(now, jitter);
     }
 
     /// A client's request arrived. A request of an unknown class fails at once.
     pub fn on_request(&mut self, now: Time, id: RequestId, request: Request) {
-        self.begin_event(now);
+        self.start_event(now);
         let class_index = usize::from(request.request_class.0);
         let Some(class) = self.settings.request_classes.get(class_index) else {
             return self.responses.push_back(LocalResponse { id, reply: LocalReply::Errored });
         };
-        let pending = self.admit(now, request, class.clone());
+        let pending = self.new_pending_request(now, request, class.clone());
         self.requests.insert(id, pending);
         self.selection.count_request(now);
         let is_origin_write = request.write && self.settings.is_cache_aside();
@@ -201,13 +201,13 @@
     }
 
     /// Sets the terms of a new request.
-    fn admit(&mut self, now: Time, request: Request, class: RequestClass) -> PendingRequest {
+    fn new_pending_request(&mut self, now: Time, request: Request, class: RequestClass) -> PendingRequest {
         let work = if self.settings.is_value_per_work {
             1.0
         } else {
             self.response_times.expected_seconds(now, request.request_class, EndpointRole::Cache)
         };
-        let value = class.billed_value / work.max(MIN_VALUED_WORK);
+        let value = class.billed_value / work.max(MIN_WORK_SECONDS);
         let slo = class.slo.min(request.client_timeout);
         let valued_time = if class.value_after_slo > 0.0 { request.client_timeout } else { slo };
         PendingRequest {
@@ -228,13 +228,13 @@
 
     /// The client does not wait for this request any more, or has its response by other means.
     pub fn on_client_disconnect(&mut self, now: Time, id: RequestId) {
-        self.begin_event(now);
+        self.start_event(now);
         self.close(id);
     }
 
     /// An attempt has ended. Results of unknown attempts, and second results, change nothing.
     pub fn on_attempt_finished(&mut self, now: Time, id: RequestId, result: &AttemptResult) {
-        self.begin_event(now);
+        self.start_event(now);
         let Some(attempt) = self.attempts.remove(id, result) else { return };
         self.assess_attempt(now, &attempt, result.outcome, result.latency);
         let is_origin = self.endpoints.role(result.endpoint) == EndpointRole::Origin;
@@ -260,7 +260,7 @@
 
     /// An endpoint's load report came with an answer. It is reported before the attempt's result.
     pub fn on_load_report(&mut self, now: Time, endpoint: EndpointId, report: &LoadReport) {
-        self.begin_event(now);
+        self.start_event(now);
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.last_load_report = Some(ReceivedLoadReport { received_at: now, report: *report });
         }
@@ -269,7 +269,7 @@
     /// Information from the control plane. The balancer's own evidence counts where it is fresher. Since planners may
     /// lie, the information ejects no more than a minority of the endpoints, and none is taken back but by a probe.
     pub fn on_control_plane_update(&mut self, now: Time, update: &ControlPlaneUpdate) {
-        self.begin_event(now);
+        self.start_event(now);
         self.apply_reported_failures(now, &update.failing);
         for (id, _) in &update.answering {
             if let Some(endpoint) = self.endpoints.get_mut(*id) {
@@ -287,13 +287,13 @@
     }
 
     fn apply_reported_failures(&mut self, now: Time, failing: &[(EndpointId, Time)]) {
-        let max_ejected = (self.selection.endpoint_count() as f64 * MINORITY).max(1.0) as usize;
+        let max_ejected = (self.selection.endpoint_count() as f64 * MINORITY_SHARE).max(1.0) as usize;
         let mut ejected = self.endpoints.iter().filter(|endpoint| endpoint.health.is_ejected()).count();
         for &(id, observed_at) in failing {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
-            let is_news = endpoint.last_response_at < observed_at;
+            let is_newer = endpoint.last_response_at < observed_at;
             let is_ejected = endpoint.health.is_ejected();
-            if !is_news || endpoint.is_origin() || !is_ejected && ejected >= max_ejected {
+            if !is_newer || endpoint.is_origin() || !is_ejected && ejected >= max_ejected {
                 continue;
             }
             if !is_ejected {
@@ -366,7 +366,7 @@
     }
 
     /// Something happened: waiting requests are looked at anew.
-    fn begin_event(&mut self, now: Time) {
+    fn start_event(&mut self, now: Time) {
         self.advance(now);
         self.requests.restart_round();
     }
@@ -380,8 +380,8 @@
         while let Some(deadline) = self.requests.pop_due_deadline(now) {
             self.on_deadline(now, deadline.at, deadline.id);
         }
-        if self.selection.begin_due_step(now) {
-            self.learn(now);
+        if self.selection.start_due_learning_step(now) {
+            self.run_learning_step(now);
         }
     }
 
@@ -394,13 +394,13 @@
         } else if due_at >= request.slo_deadline && request.first_in_flight().is_none() {
             self.reject(id);
         } else {
-            self.cancel_lost_attempt(now, id);
+            self.cancel_or_recheck(now, id);
         }
     }
 
     /// One learning step: updates the endpoints' pushes by their usage, and all weights by the pushes.
-    fn learn(&mut self, now: Time) {
-        self.settle_endpoints(now);
+    fn run_learning_step(&mut self, now: Time) {
+        self.apply_removals_and_sizes(now);
         let settings = &self.settings;
         let serving = self.endpoints.iter().filter(|endpoint| endpoint.is_serving());
         let warm_size = serving.map(|cache| cache.size(settings) * cache.warmup_factor(now, settings)).sum();
@@ -410,8 +410,8 @@
         self.selection.push(&self.endpoints);
     }
 
-    fn settle_endpoints(&mut self, now: Time) {
-        self.endpoints.settle_removals(now);
+    fn apply_removals_and_sizes(&mut self, now: Time) {
+        self.endpoints.update_removed_endpoints(now);
         self.update_slot_table();
     }
 
--- a/crates/balancer/src/balancer/assessment.rs
+++ b/crates/balancer/src/balancer/assessment.rs
@@ -3,7 +3,7 @@
 
 use crate::attempt::AttemptOutcome;
 use crate::endpoint::EndpointRole;
-use crate::pending_request::InFlightAttempt;
+use crate::pending_request::SentAttempt;
 use crate::time::{Span, Time};
 
 use super::concurrency_limit::{Congestion, LimitSample};
@@ -18,8 +18,8 @@
 const SHORT_QUEUE_SLO_SHARE: f64 = 0.1;
 /// Where the origin's fastest responses take much of the latency objective, an answer that takes this multiple of them
 /// shows a queue, or one that takes this share of the objective if that is less.
-const SLOW_FASTEST_MULTIPLE: f64 = 6.0;
-const MAX_SLOW_SLO_SHARE: f64 = 0.7;
+const SLOW_ORIGIN_FASTEST_MULTIPLE: f64 = 6.0;
+const MAX_SLOW_ORIGIN_SLO_SHARE: f64 = 0.7;
 /// The least jitter of a service time relative to it; jitter adds up to one service time.
 const MIN_SERVICE_JITTER: f64 = 0.5;
 /// The fastest response time grows by this factor with each answer until a faster one comes.
@@ -146,7 +146,7 @@
     pub(super) fn assess_attempt(
         &mut self,
         now: Time,
-        attempt: &InFlightAttempt,
+        attempt: &SentAttempt,
         outcome: AttemptOutcome,
         latency: Span,
     ) {
@@ -184,12 +184,12 @@
     fn assessment(
         &mut self,
         now: Time,
-        attempt: &InFlightAttempt,
+        attempt: &SentAttempt,
         outcome: AttemptOutcome,
         latency: Span,
     ) -> Assessment {
         // Drawn for each attempt, also where it is not used: later draws depend on the number of draws.
-        let jitter = MIN_SERVICE_JITTER + self.random.next_unit();
+        let jitter = MIN_SERVICE_JITTER + self.random.next_unit_float();
         let role = self.endpoints.role(attempt.endpoint);
         let class = attempt.request.request_class;
         let slo = self.settings.request_class(class).slo;
@@ -222,7 +222,7 @@
     /// The latency beyond which an answer shows a queue, unless a load report shows that there is none.
     fn slow_latency(
         &self,
-        attempt: &InFlightAttempt,
+        attempt: &SentAttempt,
         role: EndpointRole,
         slo: Span,
         min_slow_latency: Span,
@@ -232,13 +232,14 @@
         }
         let fastest =
             self.endpoints.get(attempt.endpoint).map_or(Span::ZERO, |origin| origin.fastest_response);
-        let by_fastest = fastest.scaled(SLOW_FASTEST_MULTIPLE).min(slo.scaled(MAX_SLOW_SLO_SHARE));
+        let by_fastest =
+            fastest.scaled(SLOW_ORIGIN_FASTEST_MULTIPLE).min(slo.scaled(MAX_SLOW_ORIGIN_SLO_SHARE));
         min_slow_latency.max(by_fastest)
     }
 
     /// Whether the endpoint may have a queue by its load report. Where it reports hardly any queueing, the work itself
     /// takes long, and fewer attempts would not be faster.
-    fn may_have_queue(&self, now: Time, attempt: &InFlightAttempt) -> bool {
+    fn may_have_queue(&self, now: Time, attempt: &SentAttempt) -> bool {
         let short = self.settings.tightest_slo().as_secs_f64() * SHORT_QUEUE_SLO_SHARE;
         let report = self.endpoints.get(attempt.endpoint).and_then(|endpoint| endpoint.last_load_report);
         let queueing = report.and_then(|report| report.queueing_seconds(now));
@@ -247,7 +248,7 @@
 
     /// Updates when the endpoint responded last, and what is known of its zone. The origin shows nothing of the caches
     /// in its zone.
-    fn assess_responsiveness(&mut self, now: Time, attempt: &InFlightAttempt, assessment: &Assessment) {
+    fn assess_responsiveness(&mut self, now: Time, attempt: &SentAttempt, assessment: &Assessment) {
         let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else { return };
         match assessment.responsiveness() {
             Responsiveness::Responded => {
--- a/crates/balancer/src/balancer/attempt_tracking.rs
+++ b/crates/balancer/src/balancer/attempt_tracking.rs
@@ -4,12 +4,12 @@
 
 use crate::attempt::{AttemptOutcome, AttemptResult};
 use crate::ids::{AttemptNumber, EndpointId, RequestId};
-use crate::pending_request::{InFlightAttempt, PendingRequest};
+use crate::pending_request::{PendingRequest, SentAttempt};
 
 /// All attempts whose result is not known yet, also those of requests that have ended.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
-    attempts: HashMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    attempts: HashMap<(RequestId, AttemptNumber), SentAttempt>,
 }
 
 impl InFlightAttempts {
@@ -17,18 +17,18 @@
         self.attempts.len()
     }
 
-    pub fn insert(&mut self, id: RequestId, number: AttemptNumber, attempt: InFlightAttempt) {
+    pub fn insert(&mut self, id: RequestId, number: AttemptNumber, attempt: SentAttempt) {
         self.attempts.insert((id, number), attempt);
     }
 
     /// Takes the attempt that a result is of. There is none if the result is unknown or came before.
-    pub fn remove(&mut self, id: RequestId, result: &AttemptResult) -> Option<InFlightAttempt> {
+    pub fn remove(&mut self, id: RequestId, result: &AttemptResult) -> Option<SentAttempt> {
         let attempt = self.attempts.remove(&(id, result.number))?;
         (attempt.endpoint == result.endpoint).then_some(attempt)
     }
 
     /// The endpoints of the attempts for which `condition` holds.
-    pub fn endpoints_where(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> BTreeSet<EndpointId> {
+    pub fn endpoints_where(&self, condition: impl Fn(&SentAttempt) -> bool) -> BTreeSet<EndpointId> {
         let attempts = self.attempts.values().filter(|attempt| condition(attempt));
         attempts.map(|attempt| attempt.endpoint).collect()
     }
--- a/crates/balancer/src/balancer/cancellation.rs
+++ b/crates/balancer/src/balancer/cancellation.rs
@@ -3,25 +3,25 @@
 
 use crate::endpoint::EndpointRole;
 use crate::ids::{AttemptNumber, RequestId};
-use crate::pending_request::{InFlightAttempt, PendingRequest};
+use crate::pending_request::{PendingRequest, SentAttempt};
 use crate::settings::Effect;
 use crate::time::{Span, Time};
 
 use super::endpoint_list::Endpoint;
-use super::{Balancer, Cancellation, MINORITY, PROMPT_SLO_SHARE, RECHECK_INTERVAL};
+use super::{Balancer, Cancellation, MINORITY_SHARE, PROMPT_SLO_SHARE, RECHECK_INTERVAL};
 
 /// An attempt may take this multiple of its own work: a large one behind two others takes that long.
-const MAX_WORK_MULTIPLE: f64 = 8.0;
+const WORK_TIMEOUT_MULTIPLE: f64 = 8.0;
 /// The multiple of expected response times, where the work is not known: those have queueing times in them.
-const MAX_EXPECTED_MULTIPLE: f64 = 2.5;
+const EXPECTED_TIME_TIMEOUT_MULTIPLE: f64 = 2.5;
 /// Interval at which a slow attempt is looked at again, in rechecks.
 const SLOW_ATTEMPT_RECHECKS: f64 = 2.0;
 
 impl Balancer {
     /// Cancels a request's slow attempt if its answer is lost or its endpoint does not respond; else looks again soon.
-    pub(super) fn cancel_lost_attempt(&mut self, now: Time, id: RequestId) {
+    pub(super) fn cancel_or_recheck(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let Some(number) = self.cancellable_attempt(request) else { return };
+        let Some(number) = self.cancellable_attempt_number(request) else { return };
         let attempt = &request.attempts[number];
         if self.is_overtaken(attempt) || self.is_unresponsive(now, request, attempt) {
             self.cancellations.push_back(Cancellation { id, number: AttemptNumber(number as u8) });
@@ -31,7 +31,7 @@
     }
 
     /// The attempt in flight, if it may be cancelled: what must not run twice runs on.
-    fn cancellable_attempt(&self, request: &PendingRequest) -> Option<usize> {
+    fn cancellable_attempt_number(&self, request: &PendingRequest) -> Option<usize> {
         let effect = self.settings.request_class(request.request.request_class).effect;
         if !self.settings.may_cancel || effect != Effect::Idempotent {
             return None;
@@ -44,14 +44,14 @@
 
     /// Whether a later attempt at the same endpoint had a prompt answer, and not by chance of the network: in a queue
     /// none passes another, so this one's answer is lost. Waiting for it would cost the request its latency objective.
-    pub(super) fn is_overtaken(&self, attempt: &InFlightAttempt) -> bool {
+    pub(super) fn is_overtaken(&self, attempt: &SentAttempt) -> bool {
         let endpoint = self.endpoints.get(attempt.endpoint);
         endpoint.is_some_and(|endpoint| endpoint.last_prompt_attempt_at > attempt.sent_at + RECHECK_INTERVAL)
     }
 
     /// Whether an attempt waits in vain, since its endpoint or its zone does not respond, while another candidate has
     /// capacity and can be expected to answer in time.
-    fn is_unresponsive(&self, now: Time, request: &PendingRequest, attempt: &InFlightAttempt) -> bool {
+    fn is_unresponsive(&self, now: Time, request: &PendingRequest, attempt: &SentAttempt) -> bool {
         let Some(endpoint) = self.endpoint_without_response(attempt) else { return false };
         let class = attempt.request.request_class;
         let expected = self.response_times.expected(now, class, EndpointRole::Cache);
@@ -62,15 +62,15 @@
     }
 
     /// The attempt's endpoint, if nothing came from it since the attempt was sent.
-    fn endpoint_without_response(&self, attempt: &InFlightAttempt) -> Option<&Endpoint> {
+    fn endpoint_without_response(&self, attempt: &SentAttempt) -> Option<&Endpoint> {
         self.endpoints.get(attempt.endpoint).filter(|endpoint| endpoint.last_response_at < attempt.sent_at)
     }
 
     /// How long an endpoint may leave an attempt without a response. A cache that fetches may be at that, so there the
     /// expected time counts as the work.
-    fn response_timeout(&self, now: Time, attempt: &InFlightAttempt) -> Span {
+    fn response_timeout(&self, now: Time, attempt: &SentAttempt) -> Span {
         let is_work_known = attempt.request.work.is_some() || !self.settings.is_cache_aside();
-        let multiple = if is_work_known { MAX_WORK_MULTIPLE } else { MAX_EXPECTED_MULTIPLE };
+        let multiple = if is_work_known { WORK_TIMEOUT_MULTIPLE } else { EXPECTED_TIME_TIMEOUT_MULTIPLE };
         let work = self.response_times.work(now, &attempt.request) * multiple;
         let slo = self.settings.request_class(attempt.request.request_class).slo;
         slo.scaled(PROMPT_SLO_SHARE).max(Span::from_secs_f64(work))
@@ -85,12 +85,12 @@
         let unresponsive = self.attempts.endpoints_where(|attempt| {
             now >= attempt.sent_at + timeout && self.endpoint_without_response(attempt).is_some()
         });
-        let minority = (self.selection.endpoint_count() as f64 * MINORITY).max(1.0);
+        let minority = (self.selection.endpoint_count() as f64 * MINORITY_SHARE).max(1.0);
         unresponsive.len() as f64 <= minority
     }
 
     /// Whether another candidate of the key has capacity.
-    fn has_alternative(&self, now: Time, request: &PendingRequest, attempt: &InFlightAttempt) -> bool {
+    fn has_alternative(&self, now: Time, request: &PendingRequest, attempt: &SentAttempt) -> bool {
         let mut ranked = self.selection.ranked_candidates(attempt.request.key).into_iter();
         ranked.any(|id| id != attempt.endpoint && self.has_capacity(now, request, id))
     }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::attempt::Attempt;
 use crate::endpoint::EndpointRole;
 use crate::ids::{AttemptNumber, EndpointId, RequestId};
-use crate::pending_request::{InFlightAttempt, PendingRequest};
+use crate::pending_request::{PendingRequest, SentAttempt};
 use crate::settings::Effect;
 use crate::time::{Span, Time};
 
@@ -23,7 +23,7 @@
         let needs_origin = self.needs_origin(now, request);
         let role = if needs_origin { EndpointRole::Origin } else { EndpointRole::Cache };
         let expected = self.response_times.expected(now, request.request.request_class, role);
-        if self.is_hopeless(now, request, expected) {
+        if self.cannot_succeed(now, request, expected) {
             self.reject(id);
             return None;
         }
@@ -49,7 +49,7 @@
 
     /// Whether no further attempt can be of value, or none is allowed. A request that may have been executed and must
     /// not be repeated anywhere is not kept waiting.
-    fn is_hopeless(&self, now: Time, request: &PendingRequest, expected: Span) -> bool {
+    fn cannot_succeed(&self, now: Time, request: &PendingRequest, expected: Span) -> bool {
         now + expected > request.value_deadline
             || request.attempts.len() >= request.max_attempts
             || request.may_have_executed.is_some() && !self.can_repeat_anywhere(now, request)
@@ -95,7 +95,7 @@
             }
         }
         if !needs_origin {
-            let candidate = self.best_candidate(now, request);
+            let candidate = self.available_candidate(now, request);
             if candidate.is_some() {
                 return candidate;
             }
@@ -107,7 +107,7 @@
     }
 
     /// The available candidate of the highest weight.
-    fn best_candidate(&self, now: Time, request: &PendingRequest) -> Option<EndpointId> {
+    fn available_candidate(&self, now: Time, request: &PendingRequest) -> Option<EndpointId> {
         if request.missed_in_cache {
             return self.previous_endpoint(now, request);
         }
@@ -198,7 +198,7 @@
         let is_idempotent = self.settings.request_class(class).effect == Effect::Idempotent;
         let pending = self.requests.get_mut(id)?;
         let request = pending.request;
-        let sent = InFlightAttempt { request, endpoint: target, sent_at: now, in_flight: true };
+        let sent = SentAttempt { request, endpoint: target, sent_at: now, in_flight: true };
         let number = AttemptNumber(pending.attempts.len() as u8);
         pending.attempts.push(sent);
         let priority = pending.priority;
@@ -221,8 +221,8 @@
     }
 
     /// Updates the state of the endpoint that an attempt goes to.
-    fn account_for_attempt(&mut self, now: Time, sent: &InFlightAttempt) {
-        let required_share = self.random.next_unit();
+    fn account_for_attempt(&mut self, now: Time, sent: &SentAttempt) {
+        let required_share = self.random.next_unit_float();
         let gate = self.warmup_gate(now);
         let Some(endpoint) = self.endpoints.get(sent.endpoint) else { return };
         let cost = gate.cost(endpoint, &sent.request);
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -10,9 +10,9 @@
 use crate::settings::Settings;
 use crate::time::{Span, Time};
 
-use super::MINORITY;
+use super::MINORITY_SHARE;
 use super::concurrency_limit::ConcurrencyLimit;
-use super::load_reports::{ReceivedLoadReport, USAGE_MEMORY};
+use super::load_reports::{ReceivedLoadReport, USAGE_TIME_CONSTANT};
 use super::outlier_detection::EndpointHealth;
 use super::warmup::{WarmupBudget, warmup_factor};
 
@@ -61,7 +61,7 @@
             role: if is_origin { EndpointRole::Origin } else { EndpointRole::Cache },
             health: EndpointHealth::new(),
             limit: ConcurrencyLimit::new(settings.nodes, in_flight, now),
-            own_load: DecayingLevel::at(in_flight, USAGE_MEMORY, now),
+            own_load: DecayingLevel::at(in_flight, USAGE_TIME_CONSTANT, now),
             warmup_budget: WarmupBudget::new(required_warmup_share, now),
             lease: None,
             push: 0.0,
@@ -166,7 +166,7 @@
         }
         for update in updates {
             // Drawn for each entry, also where it is not used: later draws depend on the number of draws.
-            let required_warmup_share = random.next_unit();
+            let required_warmup_share = random.next_unit_float();
             self.apply_update(now, update, settings, required_warmup_share);
         }
     }
@@ -207,11 +207,11 @@
     /// Decides which removed endpoints stay in service. A list that drops the origin or more than a minority of the
     /// caches is doubted where only draining binds: they stay in service and are judged by their responses. If they
     /// were gone indeed, probes would cost attempts until [`REMOVED_ENDPOINT_TTL`] has passed.
-    pub fn settle_removals(&mut self, now: Time) {
+    pub fn update_removed_endpoints(&mut self, now: Time) {
         self.endpoints.retain(|_, endpoint| endpoint.is_retained(now) || endpoint.limit.in_flight() > 0.0);
         let caches: Vec<&Endpoint> = self.iter().filter(|endpoint| !endpoint.is_origin()).collect();
         let removed = caches.iter().filter(|cache| cache.removed_at.is_some()).count();
-        let is_doubted = removed as f64 > caches.len() as f64 * MINORITY;
+        let is_doubted = removed as f64 > caches.len() as f64 * MINORITY_SHARE;
         for endpoint in self.endpoints.values_mut() {
             if endpoint.removed_at.is_some() {
                 endpoint.listed.ready = (is_doubted || endpoint.is_origin()) && endpoint.is_retained(now);
--- a/crates/balancer/src/balancer/endpoint_list/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_list/tests.rs
@@ -11,7 +11,7 @@
 
 fn apply(list: &mut EndpointList, ms: u64, updates: &[EndpointUpdate], complete: bool, settings: &Settings) {
     list.apply(at(ms), updates, complete, settings, &mut SeededRandom::new(7));
-    list.settle_removals(at(ms));
+    list.update_removed_endpoints(at(ms));
 }
 
 /// The ids of the serving caches.
@@ -80,7 +80,7 @@
     assert!(list.get(ORIGIN).expect("remembered").listed.ready, "the origin is never");
     apply(&mut list, 0, &[listed(EndpointId(0))], true, &settings);
     assert_eq!(serving(&list), [0, 1, 2, 3]);
-    list.settle_removals(at(0) + REMOVED_ENDPOINT_TTL);
+    list.update_removed_endpoints(at(0) + REMOVED_ENDPOINT_TTL);
     assert_eq!(serving(&list), [0]);
     assert!(list.get(ORIGIN).is_none());
 }
@@ -93,6 +93,6 @@
     let gone = EndpointUpdate { ready: false, ..listed(EndpointId(0)) };
     list.apply(at(0), &[listed(EndpointId(0)), gone, listed(EndpointId(1))], true, &settings, &mut random);
     let mut reference = SeededRandom::new(7);
-    let draws: Vec<f64> = (0..4).map(|_| reference.next_unit()).collect();
-    assert_eq!(random.next_unit(), draws[3]);
+    let draws: Vec<f64> = (0..4).map(|_| reference.next_unit_float()).collect();
+    assert_eq!(random.next_unit_float(), draws[3]);
 }
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -21,7 +21,7 @@
 use crate::slot_table::SlotTable;
 use crate::time::{Span, Time};
 
-use super::RATE_MEMORY;
+use super::RATE_TIME_CONSTANT;
 use super::endpoint_list::EndpointList;
 use super::load_reports::EndpointUsage;
 
@@ -39,7 +39,7 @@
 /// The push's rate α.
 const PUSH_RATE: f64 = 0.01;
 /// The push's memory K; below one, so that a push dies out.
-const PUSH_MEMORY: f64 = 0.5;
+const PUSH_PERSISTENCE: f64 = 0.5;
 /// d, the steepness of Ψ.
 const PUSH_STEEPNESS: f64 = 1.0;
 /// The weight that a positive push drives towards.
@@ -85,7 +85,7 @@
             seed,
             table: SlotTable::new(),
             keys: HashMap::new(),
-            requests: DecayingSum::new(RATE_MEMORY, now),
+            requests: DecayingSum::new(RATE_TIME_CONSTANT, now),
             last_step_at: now,
         }
     }
@@ -163,7 +163,7 @@
     fn refresh_candidates(&mut self, now: Time, key: Key, slot: u64) {
         let initial = self.initial_candidates(key, slot);
         let table_version = self.table.version();
-        let requests = DecayingSum::new(RATE_MEMORY, now);
+        let requests = DecayingSum::new(RATE_TIME_CONSTANT, now);
         let new = KeyState { table_version, slot, candidates: initial, requests };
         let state = self.keys.entry(key).or_insert(new);
         if state.table_version == table_version && state.slot == slot {
@@ -201,7 +201,7 @@
     }
 
     /// Whether a learning step is due. If so, the next one is due an interval later.
-    pub fn begin_due_step(&mut self, now: Time) -> bool {
+    pub fn start_due_learning_step(&mut self, now: Time) -> bool {
         let steps = (now - self.last_step_at).0 / LEARNING_INTERVAL.0;
         self.last_step_at = self.last_step_at + Span(steps * LEARNING_INTERVAL.0);
         steps > 0
@@ -227,7 +227,7 @@
     for usage in usages {
         let Some(endpoint) = endpoints.get_mut(usage.endpoint) else { continue };
         let relative = if mean > 0.0 { usage.usage / mean } else { 1.0 };
-        endpoint.push = PUSH_RATE * (1.0 - relative) + PUSH_MEMORY * endpoint.push;
+        endpoint.push = PUSH_RATE * (1.0 - relative) + PUSH_PERSISTENCE * endpoint.push;
     }
 }
 
--- a/crates/balancer/src/balancer/endpoint_selection/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_selection/tests.rs
@@ -82,12 +82,12 @@
 #[test]
 fn learning_steps_are_due_once_an_interval() {
     let mut selection = selection(1);
-    assert!(!selection.begin_due_step(at(249)));
-    assert!(selection.begin_due_step(at(250)));
-    assert!(!selection.begin_due_step(at(499)));
-    assert!(selection.begin_due_step(at(1300)), "several are made up for by one");
-    assert!(!selection.begin_due_step(at(1300)));
-    assert!(selection.begin_due_step(at(1500)));
+    assert!(!selection.start_due_learning_step(at(249)));
+    assert!(selection.start_due_learning_step(at(250)));
+    assert!(!selection.start_due_learning_step(at(499)));
+    assert!(selection.start_due_learning_step(at(1300)), "several are made up for by one");
+    assert!(!selection.start_due_learning_step(at(1300)));
+    assert!(selection.start_due_learning_step(at(1500)));
 }
 
 #[test]
--- a/crates/balancer/src/balancer/load_reports.rs
+++ b/crates/balancer/src/balancer/load_reports.rs
@@ -8,7 +8,7 @@
 use super::endpoint_list::{Endpoint, EndpointList};
 
 /// How long usage is remembered: a few learning steps, many requests.
-pub(super) const USAGE_MEMORY: Span = Span::from_millis(3000);
+pub(super) const USAGE_TIME_CONSTANT: Span = Span::from_millis(3000);
 
 /// An endpoint's last load report.
 #[derive(Clone, Copy)]
@@ -22,7 +22,7 @@
     /// the time that a request spends there. An outdated report shows nothing, or it would make a queue look like
     /// long work.
     pub fn queueing_seconds(&self, now: Time) -> Option<f64> {
-        if now - self.received_at > USAGE_MEMORY {
+        if now - self.received_at > USAGE_TIME_CONSTANT {
             return None;
         }
         let rate = self.report.requests_per_s.filter(|rate| *rate > 0.0)?;
@@ -31,18 +31,18 @@
 }
 
 /// A reported figure per unit of size, and how much it still counts.
-struct WeightedFigure {
+struct WeightedMetric {
     value: f64,
     weight: f64,
 }
 
 /// The sums of what endpoints report to hold.
-struct HeldTotals {
+struct RequestsHeldTotals {
     weighted_sum: f64,
     weight: f64,
 }
 
-impl HeldTotals {
+impl RequestsHeldTotals {
     /// The weighted mean. There is none without a report, nor where all of them are so old that their weights have
     /// underflowed to zero: then the reports show nothing.
     fn mean(&self) -> Option<f64> {
@@ -66,14 +66,14 @@
 
 impl UsageEstimator<'_> {
     pub fn usages(&self, endpoints: &EndpointList) -> Vec<EndpointUsage> {
-        let totals = self.held_totals(endpoints);
+        let totals = self.requests_held_totals(endpoints);
         let serving = endpoints.iter().filter(|endpoint| endpoint.is_serving());
         serving
             .map(|endpoint| EndpointUsage { endpoint: endpoint.id(), usage: self.usage(endpoint, &totals) })
             .collect()
     }
 
-    fn usage(&self, endpoint: &Endpoint, totals: &HeldTotals) -> f64 {
+    fn usage(&self, endpoint: &Endpoint, totals: &RequestsHeldTotals) -> f64 {
         match (totals.mean(), self.held(endpoint)) {
             (Some(mean), Some(held)) => mean * (1.0 - held.weight) + held.value * held.weight,
             (Some(mean), None) => mean,
@@ -93,8 +93,8 @@
     }
 
     /// Sums up what serving caches report to hold.
-    fn held_totals(&self, endpoints: &EndpointList) -> HeldTotals {
-        let mut totals = HeldTotals { weighted_sum: 0.0, weight: 0.0 };
+    fn requests_held_totals(&self, endpoints: &EndpointList) -> RequestsHeldTotals {
+        let mut totals = RequestsHeldTotals { weighted_sum: 0.0, weight: 0.0 };
         for endpoint in endpoints.iter().filter(|endpoint| endpoint.is_serving()) {
             if let Some(held) = self.held(endpoint) {
                 totals.weighted_sum += held.value * held.weight;
@@ -104,11 +104,11 @@
         totals
     }
 
-    fn held(&self, endpoint: &Endpoint) -> Option<WeightedFigure> {
+    fn held(&self, endpoint: &Endpoint) -> Option<WeightedMetric> {
         self.weighted(endpoint, |report| report.requests_held)
     }
 
-    fn waiting(&self, endpoint: &Endpoint) -> Option<WeightedFigure> {
+    fn waiting(&self, endpoint: &Endpoint) -> Option<WeightedMetric> {
         self.weighted(endpoint, |report| report.requests_queued)
     }
 
@@ -116,11 +116,11 @@
         &self,
         endpoint: &Endpoint,
         figure: fn(&LoadReport) -> Option<f64>,
-    ) -> Option<WeightedFigure> {
+    ) -> Option<WeightedMetric> {
         let last = endpoint.last_load_report?;
         let age = (self.now - last.received_at).as_secs_f64();
         let value = figure(&last.report)? / endpoint.size(self.settings);
-        Some(WeightedFigure { value, weight: (-age / USAGE_MEMORY.as_secs_f64()).exp() })
+        Some(WeightedMetric { value, weight: (-age / USAGE_TIME_CONSTANT.as_secs_f64()).exp() })
     }
 }
 
--- a/crates/balancer/src/balancer/permission.rs
+++ b/crates/balancer/src/balancer/permission.rs
@@ -24,7 +24,7 @@
     /// Whether an attempt of the request may be sent to the endpoint.
     pub fn is_permitted(&self, request: &PendingRequest, endpoint: &Endpoint) -> bool {
         // Rule 1: no attempt for a request that has ended, and no more attempts than the site allows.
-        let is_open = self.now < request.client_deadline && request.attempts.len() < request.max_attempts;
+        let is_active = self.now < request.client_deadline && request.attempts.len() < request.max_attempts;
         // Rule 2: no effect twice, and no two attempts in flight where the site forbids hedged requests.
         let is_single = self.settings.hedged_requests || request.first_in_flight().is_none();
         let is_harmless = is_single && self.may_repeat(request, endpoint);
@@ -32,7 +32,7 @@
         let is_ready = endpoint.listed.ready;
         // Rule 4: the node's budget of an endpoint in warm-up, and of the origin where it is leased.
         let is_within_budget = self.warmup.is_permitted(endpoint, &request.request);
-        is_open && is_harmless && is_ready && is_within_budget
+        is_active && is_harmless && is_ready && is_within_budget
     }
 
     /// Whether no effect can happen twice if the request goes to this endpoint too.
--- a/crates/balancer/src/balancer/response_times.rs
+++ b/crates/balancer/src/balancer/response_times.rs
@@ -6,7 +6,7 @@
 use crate::settings::RequestClass;
 use crate::time::{Span, Time};
 
-use super::RATE_MEMORY;
+use super::RATE_TIME_CONSTANT;
 use crate::decaying::DecayingMean;
 
 /// Before the first answer the expected time is this share of the class's latency objective.
@@ -21,7 +21,7 @@
 
 impl ClassResponseTimes {
     fn new(class: &RequestClass, now: Time) -> ClassResponseTimes {
-        let initial = DecayingMean::new(RATE_MEMORY, now, class.slo.as_secs_f64() * INITIAL_SLO_SHARE);
+        let initial = DecayingMean::new(RATE_TIME_CONSTANT, now, class.slo.as_secs_f64() * INITIAL_SLO_SHARE);
         ClassResponseTimes { cache: initial, origin: initial }
     }
 }
--- a/crates/balancer/src/balancer/test_support.rs
+++ b/crates/balancer/src/balancer/test_support.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoint::EndpointUpdate;
 use crate::ids::{CellId, EndpointId, Key, KindId, RequestClassId, ZoneId};
-use crate::pending_request::{InFlightAttempt, PendingRequest, RequestPriority};
+use crate::pending_request::{PendingRequest, RequestPriority, SentAttempt};
 use crate::request::Request;
 use crate::seeded_hash::SeededRandom;
 use crate::settings::{Effect, RequestClass, Settings};
@@ -67,12 +67,12 @@
     updates.push(listed(ORIGIN));
     let mut list = EndpointList::default();
     list.apply(at(0), &updates, true, settings, &mut SeededRandom::new(7));
-    list.settle_removals(at(0));
+    list.update_removed_endpoints(at(0));
     list
 }
 
 /// A read that arrived at zero, with these attempts.
-pub fn pending(attempts: Vec<InFlightAttempt>) -> PendingRequest {
+pub fn pending(attempts: Vec<SentAttempt>) -> PendingRequest {
     PendingRequest {
         request: read(),
         priority: RequestPriority { inverted_value: 0, sequence: 0 },
@@ -100,6 +100,6 @@
 }
 
 /// An attempt in flight since `sent_at`.
-pub fn attempt(endpoint: u64, sent_at: Time) -> InFlightAttempt {
-    InFlightAttempt { request: read(), endpoint: EndpointId(endpoint), sent_at, in_flight: true }
+pub fn attempt(endpoint: u64, sent_at: Time) -> SentAttempt {
+    SentAttempt { request: read(), endpoint: EndpointId(endpoint), sent_at, in_flight: true }
 }
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -105,7 +105,7 @@
     /// sent again and again, and none of that shows what a cache carries. If it counted, the more an overloaded fleet
     /// sheds, the more its cold caches would be granted.
     pub fn on_work_not_accepted(&mut self, now: Time, sent_at: Time, request: &Request) {
-        self.sent_work.take_back(now, sent_at, request);
+        self.sent_work.subtract(now, sent_at, request);
     }
 
     /// Updates the average. Without a serving cache nothing is carried; related to almost no size, the work would
--- a/crates/balancer/src/balancer/work_sum.rs
+++ b/crates/balancer/src/balancer/work_sum.rs
@@ -14,7 +14,7 @@
 
 /// A decaying sum of work.
 pub(super) struct WorkSum {
-    memory: Span,
+    time_constant: Span,
     /// Work that requests state, in seconds.
     stated: DecayingSum,
     /// Requests that state none, by class.
@@ -22,8 +22,8 @@
 }
 
 impl WorkSum {
-    pub fn new(memory: Span, now: Time) -> WorkSum {
-        WorkSum { memory, stated: DecayingSum::new(memory, now), unstated: Vec::new() }
+    pub fn new(time_constant: Span, now: Time) -> WorkSum {
+        WorkSum { time_constant, stated: DecayingSum::new(time_constant, now), unstated: Vec::new() }
     }
 
     /// Adds a request.
@@ -33,9 +33,9 @@
     }
 
     /// Takes back what is left of a request that was added at the time `added_at`.
-    pub fn take_back(&mut self, now: Time, added_at: Time, request: &Request) {
+    pub fn subtract(&mut self, now: Time, added_at: Time, request: &Request) {
         let (sum, amount) = self.part(now, request);
-        sum.take_back(now, added_at, amount);
+        sum.subtract(now, added_at, amount);
     }
 
     /// Adds another sum, multiplied by a factor.
@@ -65,7 +65,7 @@
 
     fn class(&mut self, now: Time, class: usize) -> &mut DecayingSum {
         if self.unstated.len() <= class {
-            self.unstated.resize(class + 1, DecayingSum::new(self.memory, now));
+            self.unstated.resize(class + 1, DecayingSum::new(self.time_constant, now));
         }
         &mut self.unstated[class]
     }
@@ -79,8 +79,8 @@
 }
 
 impl WorkMean {
-    pub fn new(memory: Span, now: Time) -> WorkMean {
-        WorkMean { sum: WorkSum::new(memory, now), samples: DecayingSum::new(memory, now) }
+    pub fn new(time_constant: Span, now: Time) -> WorkMean {
+        WorkMean { sum: WorkSum::new(time_constant, now), samples: DecayingSum::new(time_constant, now) }
     }
 
     /// Adds a sum, multiplied by a factor.
--- a/crates/balancer/src/decaying.rs
+++ b/crates/balancer/src/decaying.rs
@@ -2,18 +2,18 @@
 
 use crate::time::{Span, Time};
 
-/// A sum whose terms decay by a factor of e in each `memory`.
+/// A sum whose terms decay by a factor of e in each `time_constant`.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSum {
     sum: f64,
     updated_at: Time,
-    memory: Span,
+    time_constant: Span,
 }
 
 impl DecayingSum {
     /// An empty sum.
-    pub fn new(memory: Span, now: Time) -> DecayingSum {
-        DecayingSum { sum: 0.0, updated_at: now, memory }
+    pub fn new(time_constant: Span, now: Time) -> DecayingSum {
+        DecayingSum { sum: 0.0, updated_at: now, time_constant }
     }
 
     /// Adds a term.
@@ -23,15 +23,15 @@
     }
 
     /// Takes back what is left of a term that was added at the time `added_at`. The sum does not become negative.
-    pub fn take_back(&mut self, now: Time, added_at: Time, amount: f64) {
-        let left = amount * decay(now - added_at, self.memory);
+    pub fn subtract(&mut self, now: Time, added_at: Time, amount: f64) {
+        let left = amount * decay(now - added_at, self.time_constant);
         self.sum = (self.read(now) - left).max(0.0);
         self.updated_at = now;
     }
 
     /// The sum at the time `now`.
     pub fn read(&self, now: Time) -> f64 {
-        self.sum * decay(now - self.updated_at, self.memory)
+        self.sum * decay(now - self.updated_at, self.time_constant)
     }
 }
 
@@ -41,13 +41,13 @@
     average: f64,
     level: f64,
     updated_at: Time,
-    memory: Span,
+    time_constant: Span,
 }
 
 impl DecayingLevel {
     /// A level that was zero until now and is `level` from now on.
-    pub fn at(level: f64, memory: Span, now: Time) -> DecayingLevel {
-        DecayingLevel { average: 0.0, level, updated_at: now, memory }
+    pub fn at(level: f64, time_constant: Span, now: Time) -> DecayingLevel {
+        DecayingLevel { average: 0.0, level, updated_at: now, time_constant }
     }
 
     /// Changes the level.
@@ -59,7 +59,7 @@
 
     /// The average at the time `now`.
     pub fn read(&self, now: Time) -> f64 {
-        self.level + (self.average - self.level) * decay(now - self.updated_at, self.memory)
+        self.level + (self.average - self.level) * decay(now - self.updated_at, self.time_constant)
     }
 }
 
@@ -73,8 +73,12 @@
 
 impl DecayingMean {
     /// A mean that reads `initial` until the first sample.
-    pub fn new(memory: Span, now: Time, initial: f64) -> DecayingMean {
-        DecayingMean { sum: DecayingSum::new(memory, now), count: DecayingSum::new(memory, now), initial }
+    pub fn new(time_constant: Span, now: Time, initial: f64) -> DecayingMean {
+        DecayingMean {
+            sum: DecayingSum::new(time_constant, now),
+            count: DecayingSum::new(time_constant, now),
+            initial,
+        }
     }
 
     /// Adds a sample.
@@ -90,6 +94,6 @@
 }
 
 /// The factor by which a value of this age has decayed.
-fn decay(age: Span, memory: Span) -> f64 {
-    (-age.as_secs_f64() / memory.as_secs_f64()).exp()
+fn decay(age: Span, time_constant: Span) -> f64 {
+    (-age.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
--- a/crates/balancer/src/pending_request.rs
+++ b/crates/balancer/src/pending_request.rs
@@ -6,7 +6,7 @@
 
 /// An attempt that was sent. It stays recorded with its request after it has ended.
 #[derive(Clone, Copy)]
-pub struct InFlightAttempt {
+pub struct SentAttempt {
     pub request: Request,
     pub endpoint: EndpointId,
     pub sent_at: Time,
@@ -35,7 +35,7 @@
     pub client_deadline: Time,
     /// Without any attempt by then the request is shed.
     pub queue_deadline: Time,
-    pub attempts: Vec<InFlightAttempt>,
+    pub attempts: Vec<SentAttempt>,
     pub max_attempts: usize,
     /// The advice to the client if the request is shed.
     pub retry_after: Span,
--- a/crates/balancer/src/seeded_hash.rs
+++ b/crates/balancer/src/seeded_hash.rs
@@ -25,7 +25,7 @@
     }
 
     /// The next number from 0 to 1.
-    pub fn next_unit(&mut self) -> f64 {
+    pub fn next_unit_float(&mut self) -> f64 {
         self.draws += 1;
         unit(hash_of((self.seed, self.draws)))
     }
--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -22,7 +22,7 @@
 const MAX_SPLIT_BITS: u8 = 3;
 
 /// Keeps the logarithm of a hash finite.
-const SMALLEST_UNIT: f64 = 1e-18;
+const MIN_UNIT_HASH: f64 = 1e-18;
 
 /// The shard that a key belongs to, whatever the shard map.
 pub fn shard_of(key: Key) -> u8 {
@@ -158,7 +158,7 @@
         }
         let mut best = [(f64::INFINITY, None); CANDIDATES];
         for (endpoint, size) in &self.endpoints {
-            let score = -unit(hash_of((slot, endpoint))).max(SMALLEST_UNIT).ln() / size;
+            let score = -unit(hash_of((slot, endpoint))).max(MIN_UNIT_HASH).ln() / size;
             let mut next = (score, Some(*endpoint));
             for place in &mut best {
                 if next.0 < place.0 {
