--- a/crates/balancer/src/balancer/assessment.rs
+++ b/crates/balancer/src/balancer/assessment.rs
@@ -1,5 +1,5 @@
-//! Assessment of finished attempts: what a result shows of its endpoint's health, of congestion there, of its zone,
-//! and of how long answers take.
+//! Assessment of finished attempts: what an attempt's result shows about its endpoint's health and
+//! congestion, about the endpoint's zone, and about response times.
 
 use crate::attempt::AttemptOutcome;
 use crate::endpoint::EndpointRole;
@@ -9,44 +9,49 @@
 use super::concurrency_limit::{Congestion, LimitSample};
 use super::{Balancer, PROMPT_SLO_SHARE, SLOW_SLO_SHARE};
 
-/// A low limit grows by this share at most, for caches and for the origin. Small limits of many nodes settle where few
-/// attempts meet congestion. Those of caches grow slowly: where one works worse the more it holds, faster growth keeps
-/// it congested.
+/// The largest relative growth of a cache's low concurrency limit at one answer. It is bounded so that the
+/// small limits of many nodes settle where few attempts meet congestion, and it is smaller than the origin's
+/// because faster growth would keep a cache congested that works worse the more requests it holds.
 const CACHE_LIMIT_GROWTH: f64 = 0.1;
+/// The largest relative growth of the origin's low concurrency limit at one answer.
 const ORIGIN_LIMIT_GROWTH: f64 = 0.3;
-/// A reported queueing time below this share of the tightest latency objective is no queue.
+/// A reported queueing time below this share of the tightest latency objective counts as no queue.
 const SHORT_QUEUE_SLO_SHARE: f64 = 0.1;
-/// Where the origin's fastest responses take much of the latency objective, an answer that takes this multiple of them
-/// shows a queue, or one that takes this share of the objective if that is less.
+/// Where the origin's fastest responses take much of the latency objective, an answer shows a queue only if
+/// its latency exceeds this multiple of the fastest response time, or [`MAX_SLOW_ORIGIN_SLO_SHARE`] of the
+/// objective if that is less.
 const SLOW_ORIGIN_FASTEST_MULTIPLE: f64 = 6.0;
+/// The largest share of the latency objective that an origin's answer may take before it shows a queue.
 const MAX_SLOW_ORIGIN_SLO_SHARE: f64 = 0.7;
-/// The least jitter of a service time relative to it; jitter adds up to one service time.
+/// Jitter multiplies a service time by a random factor between this value and this value plus one.
 const MIN_SERVICE_JITTER: f64 = 0.5;
-/// The fastest response time grows by this factor with each answer until a faster one comes.
+/// Each answer raises the recorded fastest response time by this factor, unless the answer was faster than
+/// that.
 const FASTEST_RESPONSE_GROWTH: f64 = 1.001;
 
-/// Whether a result shows that the endpoint responds.
+/// Whether an attempt's result shows that the endpoint responds.
 enum Responsiveness {
     Responded,
     NoResponse,
     Unknown,
 }
 
-/// A finished attempt and what it is measured by.
+/// A finished attempt's result and the thresholds that it is compared with.
 struct Assessment {
     outcome: AttemptOutcome,
     latency: Span,
     role: EndpointRole,
     is_cache_aside: bool,
-    /// The expected time of an answer, with jitter.
+    /// The expected response time, with jitter.
     service_time: Span,
-    /// No answer within less than this time shows anything.
+    /// An attempt that ends without a response in less than this time does not show that the endpoint is
+    /// unresponsive.
     min_slow_latency: Span,
-    /// Whether the latency shows a queue.
+    /// Whether the latency shows that the endpoint has a queue.
     is_slow: bool,
-    /// Whether the attempt ended well before its latency objective.
+    /// Whether the attempt ended in less than `PROMPT_SLO_SHARE` of the latency objective.
     is_prompt: bool,
-    /// Whether a later attempt at the endpoint had its answer before.
+    /// Whether a later attempt at the same endpoint was answered first.
     is_overtaken: bool,
 }
 
@@ -79,28 +84,31 @@
         match self.outcome {
             AttemptOutcome::Rejected | AttemptOutcome::Unreachable => Congestion::Congested,
             AttemptOutcome::Fulfilled => by_latency,
-            // Queues show in slow answers first. With a limit that time-outs reduce, a cache that loses some of its
-            // answers would get no work.
+            // Timeouts do not count as congestion of a cache: a queue shows in slow answers first, and a
+            // cache that loses some of its answers would get no work if timeouts reduced its limit.
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
                 if self.is_origin() && !self.is_overtaken =>
             {
                 by_latency
             }
-            // A miss is answered fast, in a congested cache too.
+            // A fast cache miss proves nothing: a congested cache answers misses fast as well.
             AttemptOutcome::CacheMiss if self.is_slow => Congestion::Congested,
             _ => Congestion::Unknown,
         }
     }
 
-    /// Whether the attempt was a success as far as the endpoint's health goes, if it shows that.
+    /// Whether the attempt counts as a success of the endpoint; `None` if it shows nothing about the
+    /// endpoint's health.
     fn health(&self) -> Option<bool> {
         match self.outcome {
-            // An attempt whose client had little time left, or whose answer alone was lost, shows nothing.
+            // A missing answer shows nothing if the client had little time left or if only this answer was
+            // lost.
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if self.is_overtaken || self.is_prompt => {
                 None
             }
             AttemptOutcome::NotSent => None,
-            // The origin's faults eject no cache that fetches from it.
+            // A slow error of a cache that fetches from the origin is the origin's fault and must not eject
+            // the cache.
             AttemptOutcome::Errored if !self.is_cache_aside && self.latency > self.service_time => None,
             AttemptOutcome::Fulfilled | AttemptOutcome::CacheMiss | AttemptOutcome::Rejected => Some(true),
             AttemptOutcome::TimedOut
@@ -111,14 +119,15 @@
         }
     }
 
-    /// Whether the answer shows that no earlier attempt waits in the endpoint's queue. At a cache that fetches, an
-    /// attempt may wait for its fetch while others pass it.
+    /// Whether the answer shows that no earlier attempt waits in the endpoint's queue. A cache that fetches
+    /// from the origin may answer a later attempt while an earlier one waits for its fetch, so its answers
+    /// never show that.
     fn shows_no_queue(&self) -> bool {
         let is_answer = matches!(self.outcome, AttemptOutcome::Fulfilled | AttemptOutcome::CacheMiss);
         self.is_cache_aside && !self.is_slow && is_answer
     }
 
-    /// Whether a cache took the attempt in, or may have.
+    /// Whether the cache accepted the attempt or may have accepted it.
     fn may_be_accepted(&self) -> bool {
         match self.outcome {
             AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent => false,
@@ -134,7 +143,8 @@
     fn limit_sample(&self) -> LimitSample {
         let (service_time, max_growth) = match self.role {
             EndpointRole::Origin => (self.service_time, ORIGIN_LIMIT_GROWTH),
-            // A slow cache pauses for its own latency; otherwise the many nodes with little traffic keep it congested.
+            // Pauses of a slow cache's limit follow that cache's latency: shorter pauses would let many nodes
+            // with little traffic keep the cache congested.
             EndpointRole::Cache => (self.service_time.max(self.latency), CACHE_LIMIT_GROWTH),
         };
         LimitSample { latency: self.latency, congestion: self.congestion(), service_time, max_growth }
@@ -142,7 +152,7 @@
 }
 
 impl Balancer {
-    /// Updates what is known of an endpoint by the end of an attempt there.
+    /// Updates the state of a finished attempt's endpoint and of its zone, and the response time estimates.
     pub(super) fn assess_attempt(
         &mut self,
         now: Time,
@@ -152,7 +162,8 @@
     ) {
         let assessment = self.assessment(now, attempt, outcome, latency);
         let class = attempt.request.request_class;
-        // Answers after the latency objective do not count: they would make every request look hopeless.
+        // Answers after the latency objective are left out of the estimates: with them, every request would
+        // be expected to miss its objective and would be rejected.
         if outcome == AttemptOutcome::Fulfilled && latency <= self.settings.request_class(class).slo {
             self.response_times.record(now, class, assessment.role, latency);
         }
@@ -171,7 +182,7 @@
         }
         endpoint.limit.on_attempt_finished(now, &assessment.limit_sample());
         if outcome == AttemptOutcome::Rejected {
-            // Repeated at once, attempts that are rejected would become a congested cache's whole work.
+            // Without a pause, a congested cache would spend all its capacity on rejecting repeated attempts.
             endpoint.limit.pause_until(now + assessment.service_time);
         }
         let Some(success) = assessment.health() else { return };
@@ -188,7 +199,8 @@
         outcome: AttemptOutcome,
         latency: Span,
     ) -> Assessment {
-        // Drawn for each attempt, also where it is not used: later draws depend on the number of draws.
+        // The random number is drawn for each attempt, even if unused, since later draws depend on the number
+        // of draws.
         let jitter = MIN_SERVICE_JITTER + self.random.next_unit_float();
         let role = self.endpoints.role(attempt.endpoint);
         let class = attempt.request.request_class;
@@ -209,8 +221,8 @@
         }
     }
 
-    /// The least latency that may show a queue. The queue of a cache serves all request classes: it must be short
-    /// enough for the one with the tightest latency objective.
+    /// The least latency that may show a queue. All request classes share a cache's queue, which has to be
+    /// short enough for the class with the tightest latency objective.
     fn min_slow_latency(&self, role: EndpointRole, slo: Span) -> Span {
         let slo = match role {
             EndpointRole::Origin => slo,
@@ -219,7 +231,8 @@
         slo.scaled(SLOW_SLO_SHARE)
     }
 
-    /// The latency beyond which an answer shows a queue, unless a load report shows that there is none.
+    /// The latency beyond which an answer shows a queue at its endpoint, unless a load report shows that
+    /// there is none.
     fn slow_latency(
         &self,
         attempt: &SentAttempt,
@@ -237,8 +250,9 @@
         min_slow_latency.max(by_fastest)
     }
 
-    /// Whether the endpoint may have a queue by its load report. Where it reports hardly any queueing, the work itself
-    /// takes long, and fewer attempts would not be faster.
+    /// Whether the endpoint's load report leaves it possible that the endpoint has a queue. If it reports
+    /// hardly any queueing time, answers are slow because the work takes long, and fewer attempts would not
+    /// make them faster.
     fn may_have_queue(&self, now: Time, attempt: &SentAttempt) -> bool {
         let short = self.settings.tightest_slo().as_secs_f64() * SHORT_QUEUE_SLO_SHARE;
         let report = self.endpoints.get(attempt.endpoint).and_then(|endpoint| endpoint.last_load_report);
@@ -246,8 +260,8 @@
         queueing.is_none_or(|queueing| queueing > short)
     }
 
-    /// Updates when the endpoint responded last, and what is known of its zone. The origin shows nothing of the caches
-    /// in its zone.
+    /// Updates the time of the endpoint's last response and the state of its zone. The origin's responses say
+    /// nothing about the caches in the origin's zone, so they leave the zone's state unchanged.
     fn assess_responsiveness(&mut self, now: Time, attempt: &SentAttempt, assessment: &Assessment) {
         let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else { return };
         match assessment.responsiveness() {
--- a/crates/balancer/src/balancer/attempt_tracking.rs
+++ b/crates/balancer/src/balancer/attempt_tracking.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight, and what a request goes through when one of them has ended.
+//! Attempts in flight, and how an attempt's result changes its request.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,7 +6,8 @@
 use crate::ids::{AttemptNumber, EndpointId, RequestId};
 use crate::pending_request::{PendingRequest, SentAttempt};
 
-/// All attempts whose result is not known yet, also those of requests that have ended.
+/// All attempts whose result is not known yet, including those of requests that already have a final
+/// response.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
     attempts: HashMap<(RequestId, AttemptNumber), SentAttempt>,
@@ -21,7 +22,8 @@
         self.attempts.insert((id, number), attempt);
     }
 
-    /// Takes the attempt that a result is of. There is none if the result is unknown or came before.
+    /// Removes and returns the attempt that a result belongs to; `None` if no such attempt is in flight, as
+    /// for a second result of the same attempt.
     pub fn remove(&mut self, id: RequestId, result: &AttemptResult) -> Option<SentAttempt> {
         let attempt = self.attempts.remove(&(id, result.number))?;
         (attempt.endpoint == result.endpoint).then_some(attempt)
@@ -34,8 +36,8 @@
     }
 }
 
-/// Records a result with its request. `was_overtaken` is whether a later attempt at the same endpoint had its answer
-/// first, so that this one's answer was lost.
+/// Records an attempt's result in its request. `was_overtaken` says that a later attempt at the same endpoint
+/// was answered first, which shows that the answer to this attempt was lost.
 pub(super) fn record_result(
     request: &mut PendingRequest,
     result: &AttemptResult,
@@ -58,12 +60,13 @@
     }
 }
 
-/// Whether the request's next attempt must go to another endpoint.
+/// Whether an attempt's result excludes its endpoint from the request's further attempts.
 fn excludes_endpoint(request: &PendingRequest, result: &AttemptResult, was_overtaken: bool) -> bool {
     match result.outcome {
         AttemptOutcome::Rejected | AttemptOutcome::NotSent => false,
         AttemptOutcome::Cancelled => !was_overtaken,
-        // The first reset may be due to its connection alone: the cache that holds the key is asked once more.
+        // A single reset may be a fault of the connection only, so the cache that holds the key gets a second
+        // attempt.
         AttemptOutcome::Reset => {
             let attempts = request.attempts.iter().filter(|attempt| attempt.endpoint == result.endpoint);
             attempts.count() != 1
