--- a/crates/balancer/src/balancer/cancellation.rs
+++ b/crates/balancer/src/balancer/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellation of attempts that are not worth waiting for, so that the rest of the latency objective can serve an
-//! attempt elsewhere.
+//! Cancellation of attempts that will probably get no answer, so that another endpoint can still answer the
+//! request within its latency objective.
 
 use crate::endpoint::EndpointRole;
 use crate::ids::{AttemptNumber, RequestId};
@@ -10,15 +10,19 @@
 use super::endpoint_list::Endpoint;
 use super::{Balancer, Cancellation, MINORITY_SHARE, PROMPT_SLO_SHARE, RECHECK_INTERVAL};
 
-/// An attempt may take this multiple of its own work: a large one behind two others takes that long.
+/// An attempt may be without a response for this multiple of its own work: a large request takes that long if
+/// two other requests are queued before it.
 const WORK_TIMEOUT_MULTIPLE: f64 = 8.0;
-/// The multiple of expected response times, where the work is not known: those have queueing times in them.
+/// Where a request's work is not known, an attempt may be without a response for this multiple of the
+/// expected response time. It is smaller than [`WORK_TIMEOUT_MULTIPLE`] because response times include
+/// queueing.
 const EXPECTED_TIME_TIMEOUT_MULTIPLE: f64 = 2.5;
-/// Interval at which a slow attempt is looked at again, in rechecks.
+/// The interval between checks of a slow attempt, in multiples of `RECHECK_INTERVAL`.
 const SLOW_ATTEMPT_RECHECKS: f64 = 2.0;
 
 impl Balancer {
-    /// Cancels a request's slow attempt if its answer is lost or its endpoint does not respond; else looks again soon.
+    /// Cancels a request's slow attempt if the answer is lost or the endpoint does not respond; otherwise
+    /// schedules another check.
     pub(super) fn cancel_or_recheck(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(number) = self.cancellable_attempt_number(request) else { return };
@@ -30,27 +34,30 @@
         }
     }
 
-    /// The attempt in flight, if it may be cancelled: what must not run twice runs on.
+    /// The number of the request's attempt in flight, if it may be cancelled. Only attempts of idempotent
+    /// requests at caches may be: a cancelled attempt may still be executed, and so may the next one.
     fn cancellable_attempt_number(&self, request: &PendingRequest) -> Option<usize> {
         let effect = self.settings.request_class(request.request.request_class).effect;
         if !self.settings.may_cancel || effect != Effect::Idempotent {
             return None;
         }
         let number = request.first_in_flight()?;
-        // Requests differ most in work at the origin: there one may pass another.
+        // Attempts at the origin are not cancelled: requests differ most in work there, so that a later
+        // attempt may be answered before an earlier one whose answer is not lost.
         let role = self.endpoints.role(request.attempts[number].endpoint);
         (role == EndpointRole::Cache).then_some(number)
     }
 
-    /// Whether a later attempt at the same endpoint had a prompt answer, and not by chance of the network: in a queue
-    /// none passes another, so this one's answer is lost. Waiting for it would cost the request its latency objective.
+    /// Whether an attempt sent at least `RECHECK_INTERVAL` later to the same endpoint had a prompt answer.
+    /// The interval rules out reordering by the network. A queue answers attempts in order, so the answer to
+    /// the earlier attempt is lost, and waiting for it would cost the request its latency objective.
     pub(super) fn is_overtaken(&self, attempt: &SentAttempt) -> bool {
         let endpoint = self.endpoints.get(attempt.endpoint);
         endpoint.is_some_and(|endpoint| endpoint.last_prompt_attempt_at > attempt.sent_at + RECHECK_INTERVAL)
     }
 
-    /// Whether an attempt waits in vain, since its endpoint or its zone does not respond, while another candidate has
-    /// capacity and can be expected to answer in time.
+    /// Whether the attempt's endpoint or that endpoint's zone does not respond, while another candidate has
+    /// capacity and is expected to answer in time.
     fn is_unresponsive(&self, now: Time, request: &PendingRequest, attempt: &SentAttempt) -> bool {
         let Some(endpoint) = self.endpoint_without_response(attempt) else { return false };
         let class = attempt.request.request_class;
@@ -61,13 +68,13 @@
         now + expected <= request.value_deadline && is_lost && self.has_alternative(now, request, attempt)
     }
 
-    /// The attempt's endpoint, if nothing came from it since the attempt was sent.
+    /// The attempt's endpoint, if it has not responded to any attempt since this one was sent.
     fn endpoint_without_response(&self, attempt: &SentAttempt) -> Option<&Endpoint> {
         self.endpoints.get(attempt.endpoint).filter(|endpoint| endpoint.last_response_at < attempt.sent_at)
     }
 
-    /// How long an endpoint may leave an attempt without a response. A cache that fetches may be at that, so there the
-    /// expected time counts as the work.
+    /// How long an endpoint may leave an attempt without a response. A cache that fetches from the origin may
+    /// be fetching for the attempt, so there the expected response time counts as known work.
     fn response_timeout(&self, now: Time, attempt: &SentAttempt) -> Span {
         let is_work_known = attempt.request.work.is_some() || !self.settings.is_cache_aside();
         let multiple = if is_work_known { WORK_TIMEOUT_MULTIPLE } else { EXPECTED_TIME_TIMEOUT_MULTIPLE };
@@ -76,8 +83,8 @@
         slo.scaled(PROMPT_SLO_SHARE).max(Span::from_secs_f64(work))
     }
 
-    /// Whether a missing response is the endpoint's fault. Where more than a minority of caches that fetch keep attempts
-    /// waiting, the origin is what they wait for.
+    /// Whether a missing response is the endpoint's fault. Where caches fetch from the origin and more than a
+    /// minority of them leave attempts without a response, the origin is at fault.
     fn is_endpoint_at_fault(&self, now: Time, timeout: Span) -> bool {
         if self.settings.is_cache_aside() {
             return true;
--- a/crates/balancer/src/balancer/concurrency_limit.rs
+++ b/crates/balancer/src/balancer/concurrency_limit.rs
@@ -1,21 +1,22 @@
-//! The adaptive limit on the attempts that a node has in flight at one endpoint (additive increase,
+//! The adaptive limit on the number of attempts that a node has in flight at one endpoint (additive increase,
 //! multiplicative decrease).
 //!
-//! Below one the limit is the share of the time during which an attempt may be in flight: a whole attempt per node
-//! would let many nodes together keep an endpoint congested for good.
+//! A limit below one is the share of time during which the node may have an attempt in flight. Without limits
+//! below one, many nodes with one attempt each could keep an endpoint congested permanently.
 
 use crate::time::{Span, Time};
 
-/// The initial limit of all nodes together.
+/// The sum of all nodes' initial limits, in attempts in flight.
 const INITIAL_FLEET_LIMIT: f64 = 12.0;
-/// Congestion reduces the limit to this share.
+/// Congestion reduces the limit to this share of its former value.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Low enough to let the congestion of several nodes drain, high enough to notice soon that it has.
+/// The lowest limit, in attempts in flight: low enough that a queue filled by several nodes drains, high
+/// enough that a node soon notices that it has drained.
 const MIN_LIMIT: f64 = 0.25;
-/// The limit only grows when at least this share of it was in use.
+/// The limit grows only if at least this share of it was in use when an attempt finished.
 const MIN_UTILIZATION_TO_GROW: f64 = 0.5;
 
-/// What a finished attempt shows of congestion at its endpoint.
+/// What a finished attempt shows about congestion at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Congestion {
     Congested,
@@ -23,16 +24,18 @@
     Unknown,
 }
 
-/// A finished attempt as the limit sees it.
+/// The properties of a finished attempt that the limit is adapted by.
 pub(super) struct LimitSample {
     pub latency: Span,
     pub congestion: Congestion,
-    /// The time that an attempt takes there, with jitter: a limit under one pauses for a multiple of it.
+    /// The time that an attempt takes at the endpoint, with jitter. A limit below one pauses for a multiple
+    /// of it.
     pub service_time: Span,
-    /// The largest share that a low limit grows by.
+    /// The largest relative growth of a low limit at one attempt.
     pub max_growth: f64,
 }
 
+/// A node's limit at one endpoint, and the node's number of attempts in flight there.
 pub(super) struct ConcurrencyLimit {
     in_flight: f64,
     limit: f64,
@@ -41,7 +44,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// The initial limit of one of `nodes` nodes, with attempts that are in flight already.
+    /// The initial limit of one of `nodes` nodes, with `in_flight` attempts in flight already.
     pub fn new(nodes: f64, in_flight: f64, now: Time) -> ConcurrencyLimit {
         let limit = (INITIAL_FLEET_LIMIT / nodes).max(1.0);
         ConcurrencyLimit { in_flight, limit, last_decrease_at: now, paused_until: now }
@@ -55,7 +58,7 @@
         now >= self.paused_until && self.in_flight < self.limit.max(1.0)
     }
 
-    /// Whether less than this share of the limit is in use.
+    /// Whether the attempts in flight are fewer than this share of the limit.
     pub fn has_capacity_within(&self, share: f64) -> bool {
         self.in_flight < self.limit.max(1.0) * share
     }
@@ -68,7 +71,8 @@
         let was_utilized = self.in_flight >= self.limit * MIN_UTILIZATION_TO_GROW;
         self.in_flight -= 1.0;
         match sample.congestion {
-            // One decrease for one congestion: only attempts sent after it show the effect of the reduced limit.
+            // Each episode of congestion decreases the limit once: attempts sent before the last decrease do
+            // not show the effect of the reduced limit.
             Congestion::Congested if now - self.last_decrease_at >= sample.latency => {
                 self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
                 self.last_decrease_at = now;
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Sends nothing more before `time`.
+    /// Leaves no capacity before `time`; an earlier call with a later time stays in effect.
     pub fn pause_until(&mut self, time: Time) {
         self.paused_until = self.paused_until.max(time);
     }
--- a/crates/balancer/src/balancer/concurrency_limit/tests.rs
+++ b/crates/balancer/src/balancer/concurrency_limit/tests.rs
@@ -11,7 +11,7 @@
     LimitSample { latency: LATENCY, congestion, service_time: LATENCY, max_growth: 1.0 }
 }
 
-/// Sends attempts until the limit is reached, and returns how many there was capacity for.
+/// Sends attempts until the limit is reached, and returns the number sent.
 fn fill(limit: &mut ConcurrencyLimit, now: Time) -> usize {
     let mut sent = 0;
     while limit.has_capacity(now) {
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn one_congestion_decreases_the_limit_once() {
+fn one_episode_of_congestion_decreases_the_limit_once() {
     let mut limit = ConcurrencyLimit::new(1.0, 0.0, at(0));
     fill(&mut limit, at(0));
     limit.on_attempt_finished(at(10), &sample(Congestion::Congested));
     let decreased = limit.limit;
     assert!(decreased < 12.0);
     limit.on_attempt_finished(at(11), &sample(Congestion::Congested));
-    assert_eq!(limit.limit, decreased, "that attempt was sent before the decrease");
+    assert_eq!(limit.limit, decreased, "an attempt sent before the decrease");
     limit.on_attempt_finished(at(20), &sample(Congestion::Congested));
     assert!(limit.limit < decreased);
 }
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn limit_below_one_pauses_for_its_share_of_the_time() {
+fn limit_below_one_pauses_between_attempts() {
     let mut limit = ConcurrencyLimit::new(100.0, 0.0, at(0));
     for n in 1..=10 {
         limit.on_attempt_sent();
         limit.on_attempt_finished(at(n * 100), &sample(Congestion::Congested));
     }
     assert_eq!(limit.limit, MIN_LIMIT);
-    // A quarter of the time: three service times of pause after each.
+    // With a limit of 0.25, a pause of three service times of 10 ms follows each attempt.
     assert!(!limit.has_capacity(at(1029)));
     assert!(limit.has_capacity(at(1030)));
     limit.pause_until(at(1050));
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: finds an available endpoint for a waiting request and sends an attempt there.
+//! Dispatch: selects an available endpoint for a waiting request and creates an attempt at that endpoint.
 
 use crate::attempt::Attempt;
 use crate::endpoint::EndpointRole;
@@ -12,11 +12,13 @@
 use super::warmup::WarmupGate;
 use super::{Balancer, SLOW_SLO_SHARE};
 
-/// Reads that caches rejected may fill this share of the origin's limit; misses and writes may fill all of it.
-const REJECTED_READS_LIMIT_SHARE: f64 = 0.5;
+/// The share of the origin's concurrency limit that reads rejected by caches, and requests that are late, may
+/// fill. Cache misses and writes in time may fill all of it.
+const LOW_PRIORITY_LIMIT_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Sends an attempt of a waiting request, if possible. Otherwise the request is rejected or goes on waiting.
+    /// Creates the next attempt of a waiting request, if an endpoint is available. Otherwise the request is
+    /// rejected or keeps waiting.
     pub(super) fn dispatch(&mut self, now: Time, id: RequestId) -> Option<Attempt> {
         let request = self.requests.get(id)?;
         self.selection.store_ranking(request.request.key);
@@ -32,7 +34,7 @@
         }
         let request = self.requests.get(id)?;
         let is_late = now + expected > request.slo_deadline;
-        let Some(target) = self.find_target(now, request, needs_origin, is_late) else {
+        let Some(target) = self.select_endpoint(now, request, needs_origin, is_late) else {
             if is_late || now >= request.queue_deadline && request.attempts.is_empty() {
                 self.reject(id);
             }
@@ -41,14 +43,15 @@
         self.send(now, id, target)
     }
 
-    /// Whether only the origin can serve the request: it is a write, or it missed where it should be cached.
+    /// Whether only the origin can serve the request: the request is a write of a cache-aside site, or it had
+    /// a cache miss and no endpoint from before a shard migration can be asked.
     fn needs_origin(&self, now: Time, request: &PendingRequest) -> bool {
         let is_origin_write = request.request.write && self.settings.is_cache_aside();
         is_origin_write || request.missed_in_cache && self.previous_endpoint(now, request).is_none()
     }
 
-    /// Whether no further attempt can be of value, or none is allowed. A request that may have been executed and must
-    /// not be repeated anywhere is not kept waiting.
+    /// Whether no further attempt of the request can have a value, or none is allowed. A request that may
+    /// have been executed and must not be repeated at any endpoint counts as such, so that it does not wait.
     fn cannot_succeed(&self, now: Time, request: &PendingRequest, expected: Span) -> bool {
         now + expected > request.value_deadline
             || request.attempts.len() >= request.max_attempts
@@ -62,7 +65,8 @@
         })
     }
 
-    /// Lets a read wait for another request's fetch of its key, if there is one.
+    /// Makes a read wait for another request's fetch of the same key. Returns false if there is no such
+    /// fetch.
     fn join_fetch(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         if request.request.write || !self.fetches.join(request.request.key, id) {
@@ -70,25 +74,28 @@
         }
         let slo_deadline = request.slo_deadline;
         self.requests.clear_waiting(request.priority);
-        // A request whose fetch takes long is rejected at its latency objective.
+        // If the fetch takes longer than the waiting request's latency objective, the request is rejected
+        // then.
         self.requests.add_deadline(slo_deadline, id);
         true
     }
 
-    /// The endpoint that the next attempt goes to, if one is available.
-    fn find_target(
+    /// The endpoint for the request's next attempt, if one is available. `is_late` says that an answer is
+    /// expected only after the latency objective.
+    fn select_endpoint(
         &self,
         now: Time,
         request: &PendingRequest,
         needs_origin: bool,
         is_late: bool,
     ) -> Option<EndpointId> {
-        // A read that was rejected everywhere has its last attempt where it can't meet one more congested cache.
+        // The last attempt of a read that failed at caches goes to the origin, since another cache might be
+        // congested too.
         let is_last_attempt = self.settings.is_cache_aside()
             && !request.attempts.is_empty()
             && request.attempts.len() + 1 == request.max_attempts;
         if needs_origin || is_last_attempt {
-            let share = if needs_origin && !is_late { 1.0 } else { REJECTED_READS_LIMIT_SHARE };
+            let share = if needs_origin && !is_late { 1.0 } else { LOW_PRIORITY_LIMIT_SHARE };
             let origin = self.available_origin(now, request, share);
             if origin.is_some() {
                 return origin;
@@ -115,7 +122,8 @@
         ranked.into_iter().find(|id| self.is_available(now, request, *id))
     }
 
-    /// Where a read that missed may still find its key while its shard migrates, with one attempt left for the origin.
+    /// The endpoint that held a missed key before its shard's migration, if it is available and the request
+    /// has another attempt left for the origin.
     fn previous_endpoint(&self, now: Time, request: &PendingRequest) -> Option<EndpointId> {
         if request.attempts.len() + 1 >= request.max_attempts {
             return None;
@@ -124,7 +132,7 @@
         self.is_available(now, request, previous).then_some(previous)
     }
 
-    /// The origin, if this share of its limit has capacity.
+    /// The origin, if it is available and its attempts in flight are fewer than this share of its limit.
     fn available_origin(&self, now: Time, request: &PendingRequest, share: f64) -> Option<EndpointId> {
         let mut origins = self
             .endpoints
@@ -134,7 +142,7 @@
         available.map(Endpoint::id)
     }
 
-    /// Whether all candidates of a read fail or failed it, so that the origin alone is left.
+    /// Whether every candidate of a read has failed, so that only the origin can serve it.
     fn have_all_candidates_failed(&self, now: Time, request: &PendingRequest) -> bool {
         if !self.settings.is_cache_aside() {
             return false;
@@ -143,6 +151,7 @@
         !ranked.is_empty() && ranked.iter().all(|id| self.has_failed(now, request, *id))
     }
 
+    /// Whether the endpoint is excluded from the request, is ejected, or is in a zone that takes no attempts.
     fn has_failed(&self, now: Time, request: &PendingRequest, id: EndpointId) -> bool {
         if request.excluded_endpoints.contains(&id) {
             return true;
@@ -152,16 +161,17 @@
         })
     }
 
-    /// Whether the rules permit an attempt at the endpoint, and it has capacity.
+    /// Whether the site's rules permit an attempt at the endpoint and the endpoint has capacity.
     fn is_available(&self, now: Time, request: &PendingRequest, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(id) else { return false };
         self.permission_gate(now).is_permitted(request, endpoint) && self.has_capacity(now, request, id)
     }
 
-    /// Whether health and the concurrency limit leave room for an attempt.
+    /// Whether the endpoint's health, its zone and its concurrency limit allow an attempt of the request.
     pub(super) fn has_capacity(&self, now: Time, request: &PendingRequest, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(id) else { return false };
-        // Only what may run again is risked as a probe of an ejected endpoint or of an unresponsive zone.
+        // Only idempotent requests probe an ejected endpoint or an unresponsive zone, since a probe may have
+        // to be repeated elsewhere.
         let effect = self.settings.request_class(request.request.request_class).effect;
         let may_probe = effect == Effect::Idempotent;
         let is_probe = may_probe && endpoint.limit.in_flight() < 1.0 && endpoint.health.is_probe_due(now);
@@ -191,7 +201,8 @@
         }
     }
 
-    /// Sends an attempt to an endpoint that is available.
+    /// Creates an attempt at an available endpoint, and records it in the state of the request and of the
+    /// endpoint.
     fn send(&mut self, now: Time, id: RequestId, target: EndpointId) -> Option<Attempt> {
         let begin_deadline = self.permission_gate(now).begin_deadline(self.requests.get(id)?);
         let class = self.requests.get(id)?.request.request_class;
@@ -220,7 +231,7 @@
         Some(attempt)
     }
 
-    /// Updates the state of the endpoint that an attempt goes to.
+    /// Records an attempt in the state of its endpoint and of that endpoint's zone.
     fn account_for_attempt(&mut self, now: Time, sent: &SentAttempt) {
         let required_share = self.random.next_unit_float();
         let gate = self.warmup_gate(now);
