--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and what the balancer knows of each endpoint.
+//! The endpoint list, and the state that the balancer stores for each endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,38 +16,40 @@
 use super::outlier_detection::EndpointHealth;
 use super::warmup::{WarmupBudget, warmup_factor};
 
-/// Where only draining binds, an endpoint that the list dropped is remembered for this time.
+/// How long an endpoint's state is kept after the list dropped it, where only draining excludes an endpoint
+/// from new attempts.
 pub const REMOVED_ENDPOINT_TTL: Span = Span::from_millis(60_000);
-/// The least size that usage and ranking are related to.
+/// The least endpoint size that usage and the slot table's ranking are divided by.
 const MIN_SIZE: f64 = 1e-3;
-/// Longer than any response: no response was seen yet.
+/// The fastest response time of an endpoint that has not responded yet: longer than any response.
 const NO_RESPONSE_TIME: Span = Span(1 << 40);
 
-/// What the balancer knows of one endpoint.
+/// The state of one endpoint.
 pub(super) struct Endpoint {
+    /// The endpoint's last list entry; `ready` also turns false when the list drops the endpoint.
     pub listed: EndpointUpdate,
     pub role: EndpointRole,
     pub health: EndpointHealth,
     pub limit: ConcurrencyLimit,
-    /// The node's own attempts in flight there.
+    /// The number of the node's own attempts in flight at the endpoint, averaged over time.
     pub own_load: DecayingLevel,
     pub warmup_budget: WarmupBudget,
     pub lease: Option<Lease>,
     /// The paper's push b\[n\] (equation 8).
     pub push: f64,
-    /// The fastest recent response; it grows slowly until a faster one comes.
+    /// The time of the fastest recent response; it grows slowly until a faster response arrives.
     pub fastest_response: Span,
-    /// When the latest of the attempts was sent that had a prompt answer.
+    /// When the last attempt was sent that had a prompt answer.
     pub last_prompt_attempt_at: Time,
-    /// When any response came last.
+    /// When the endpoint last responded to any attempt.
     pub last_response_at: Time,
     pub last_load_report: Option<ReceivedLoadReport>,
-    /// When the list dropped the endpoint without having listed it as draining.
+    /// When the list dropped the endpoint while it was ready, that is without listing it as draining before.
     pub removed_at: Option<Time>,
 }
 
 impl Endpoint {
-    /// An endpoint that starts, with attempts that are in flight there already.
+    /// The state of a new or restarted endpoint with `in_flight` attempts in flight already.
     fn new(
         listed: EndpointUpdate,
         settings: &Settings,
@@ -85,12 +87,12 @@
         self.role == EndpointRole::Origin
     }
 
-    /// Whether it is a candidate of keys.
+    /// Whether the endpoint is a ready cache, which can be a candidate of keys.
     pub fn is_serving(&self) -> bool {
         self.listed.ready && !self.is_origin()
     }
 
-    /// Its size where sizes are capacities, else one.
+    /// The endpoint's listed size where listed sizes are capacities, otherwise one.
     pub fn size(&self, settings: &Settings) -> f64 {
         if settings.sizes_are_capacities { self.listed.size.max(MIN_SIZE) } else { 1.0 }
     }
@@ -99,7 +101,8 @@
         warmup_factor(now, self.listed.started, settings)
     }
 
-    /// Takes it out of service. Where only draining binds, it is noted that a ready endpoint was dropped.
+    /// Takes the endpoint out of service. Where only draining excludes an endpoint, the time is recorded if
+    /// the list dropped it while it was ready.
     fn remove(&mut self, now: Time, only_draining_excludes: bool) {
         if self.removed_at.is_none() && self.listed.ready && only_draining_excludes {
             self.removed_at = Some(now);
@@ -107,7 +110,7 @@
         self.listed.ready = false;
     }
 
-    /// Whether the list has it in service, or dropped it only recently.
+    /// Whether the endpoint is ready, or was dropped from the list less than [`REMOVED_ENDPOINT_TTL`] ago.
     fn is_retained(&self, now: Time) -> bool {
         match self.removed_at {
             Some(removed_at) => now - removed_at < REMOVED_ENDPOINT_TTL,
@@ -143,7 +146,7 @@
         self.endpoints.values_mut()
     }
 
-    /// The role of an endpoint; unknown ones count as caches.
+    /// The role of an endpoint; an unknown endpoint counts as a cache.
     pub fn role(&self, id: EndpointId) -> EndpointRole {
         self.get(id).map_or(EndpointRole::Cache, |endpoint| endpoint.role)
     }
@@ -152,7 +155,7 @@
         self.iter().map(Endpoint::zone).collect()
     }
 
-    /// Applies changed entries; endpoints that a complete list does not name are removed.
+    /// Applies list entries. If the list is complete, endpoints without an entry are removed.
     pub fn apply(
         &mut self,
         now: Time,
@@ -165,7 +168,8 @@
             self.remove_unlisted(now, updates, settings.only_draining_excludes);
         }
         for update in updates {
-            // Drawn for each entry, also where it is not used: later draws depend on the number of draws.
+            // The random number is drawn for each entry, even if unused: later draws depend on the number of
+            // draws.
             let required_warmup_share = random.next_unit_float();
             self.apply_update(now, update, settings, required_warmup_share);
         }
@@ -197,16 +201,18 @@
                 endpoint.removed_at = None;
                 return;
             }
-            // A restart under the same id: the endpoint warms up again, and nothing that was known holds.
+            // The endpoint restarted under the same id: it warms up again, and its former state is dropped.
+            // Only its attempts in flight still count.
             in_flight = endpoint.limit.in_flight();
         }
         let endpoint = Endpoint::new(*update, settings, required_warmup_share, in_flight, now);
         self.endpoints.insert(update.id, endpoint);
     }
 
-    /// Decides which removed endpoints stay in service. A list that drops the origin or more than a minority of the
-    /// caches is doubted where only draining binds: they stay in service and are judged by their responses. If they
-    /// were gone indeed, probes would cost attempts until [`REMOVED_ENDPOINT_TTL`] has passed.
+    /// Decides which endpoints stay in service that the list dropped while only draining excludes them. The
+    /// origin, and all caches if the list dropped more than a minority of them, stay in service and are
+    /// assessed by their responses, since such a list is doubted. If these endpoints are in fact gone, probes
+    /// of them cost attempts until [`REMOVED_ENDPOINT_TTL`] has passed.
     pub fn update_removed_endpoints(&mut self, now: Time) {
         self.endpoints.retain(|_, endpoint| endpoint.is_retained(now) || endpoint.limit.in_flight() > 0.0);
         let caches: Vec<&Endpoint> = self.iter().filter(|endpoint| !endpoint.is_origin()).collect();
--- a/crates/balancer/src/balancer/endpoint_list/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_list/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn roles_follow_the_kinds_and_the_origin_serves_no_keys() {
+fn roles_follow_the_kinds_and_the_origin_is_no_serving_cache() {
     let list = endpoints(2, &settings(Effect::Idempotent));
     assert_eq!(list.role(ORIGIN), EndpointRole::Origin);
     assert_eq!(list.role(EndpointId(0)), EndpointRole::Cache);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn unlisted_endpoints_are_gone_but_stay_while_attempts_are_in_flight() {
+fn unlisted_endpoints_leave_service_but_keep_state_while_attempts_are_in_flight() {
     let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(3, &settings);
     list.get_mut(EndpointId(1)).expect("listed").limit.on_attempt_sent();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn changes_leave_other_endpoints_as_they_are() {
+fn incomplete_list_leaves_other_endpoints_unchanged() {
     let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(2, &settings);
     let draining = EndpointUpdate { ready: false, draining: true, ..listed(EndpointId(0)) };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn restart_under_the_same_id_starts_anew_with_its_attempts_in_flight() {
+fn restart_under_the_same_id_drops_the_state_except_attempts_in_flight() {
     let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(1, &settings);
     let endpoint = list.get_mut(EndpointId(0)).expect("listed");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn list_that_drops_more_than_a_minority_is_doubted_for_a_while() {
+fn removal_of_more_than_a_minority_takes_effect_after_the_ttl_only() {
     let settings = settings_where_only_draining_excludes(true);
     let mut list = endpoints(4, &settings);
     apply(
@@ -76,8 +76,8 @@
         true,
         &settings,
     );
-    assert_eq!(serving(&list), [0, 1, 2], "one of four is believed to be gone");
-    assert!(list.get(ORIGIN).expect("remembered").listed.ready, "the origin is never");
+    assert_eq!(serving(&list), [0, 1, 2], "the removal of one cache of four is applied");
+    assert!(list.get(ORIGIN).expect("remembered").listed.ready, "the removal of the origin is not applied");
     apply(&mut list, 0, &[listed(EndpointId(0))], true, &settings);
     assert_eq!(serving(&list), [0, 1, 2, 3]);
     list.update_removed_endpoints(at(0) + REMOVED_ENDPOINT_TTL);
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -1,16 +1,20 @@
-//! Selection of the endpoint for a key: the mechanism of Liu, Cheng and Cheng, "Enhanced Dynamic Web Page Allocation
-//! using Fuzzy Neural Network". Numbers in parentheses are the paper's equations.
+//! Selection of the endpoint for a key, by the mechanism of Liu, Cheng and Cheng, "Enhanced Dynamic Web Page
+//! Allocation using Fuzzy Neural Network". Numbers in parentheses refer to equations of that paper.
 //!
-//! Each key has three candidates, the first endpoints of its slot in the [`SlotTable`]. The candidate of the highest
-//! weight is chosen (2). The weights move by the *pull* and the *push* (4, 5):
+//! Each key has three candidates, the first-ranked endpoints of the key's slot in the [`SlotTable`]. The
+//! candidate of the highest weight is chosen (2). Two updates change the weights, the paper's *pull* and
+//! *push* (4, 5):
 //!
-//! - The pull (7) acts when a key is requested, and raises the key's weights by η H (1 − w): the higher a candidate
-//!   ranks, the more. The width of the neighbourhood is γ = λ e^(−f) + β, with f the key's share of the requests.
-//! - The push (8) acts in each learning step on all stored weights, b\[n\] = α (U_avg − U) + K b\[n−1\], with U the
-//!   endpoint's usage. Through Ψ (6) it drives weights towards 0.9 while it is positive, else towards 0.
+//! - The pull (7) is applied when a key is requested. It raises the weight w of each of the key's candidates
+//!   by η H (1 − w), where the neighbourhood function H is larger for higher-ranked candidates. Its width is
+//!   γ = λ e^(−f) + β, with f the key's share of the requests.
+//! - The push (8) is computed for each endpoint in each learning step, b\[n\] = α (U_avg − U) + K b\[n−1\]
+//!   with U the endpoint's usage, and is applied to all stored weights. Through Ψ (6) a positive push moves
+//!   weights towards 0.9 and a negative push moves them towards 0.
 //!
-//! Weights start in \[0.2, 0.9\] and move by convex steps towards 0, 0.9 or 1, so they stay within \[0, 1\]. The paper
-//! leaves the figures below open; `docs/design.md` gives the reasons for them.
+//! Weights start within \[0.2, 0.9\] and each update is a convex step towards 0, 0.9 or 1, so they stay
+//! within \[0, 1\]. The paper does not specify the constants below; `docs/design.md` gives the reasons for
+//! their values.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -25,33 +29,37 @@
 use super::endpoint_list::EndpointList;
 use super::load_reports::EndpointUsage;
 
-/// Candidates of a key.
+/// The number of candidates of a key.
 const CANDIDATES: usize = 3;
-/// Initial weights by rank, raised by up to `INITIAL_WEIGHT_SPREAD` by the key's hash, so that a push moves keys one
-/// by one.
+/// The lowest initial weights by rank.
 const INITIAL_WEIGHTS: [f64; CANDIDATES] = [0.6, 0.4, 0.2];
+/// The key's hash adds up to this value to an initial weight, so that a push moves keys to other candidates
+/// one by one.
 const INITIAL_WEIGHT_SPREAD: f64 = 0.3;
-/// The pull's rate η.
+/// η, the rate of the pull.
 const PULL_RATE: f64 = 0.05;
-/// λ and β of the pull's neighbourhood.
+/// λ, the part of the neighbourhood's width that shrinks with a key's share of the requests.
 const NEIGHBOURHOOD_LAMBDA: f64 = 0.2;
+/// β, the constant part of the neighbourhood's width.
 const NEIGHBOURHOOD_BETA: f64 = 0.15;
-/// The push's rate α.
+/// α, the rate of the push.
 const PUSH_RATE: f64 = 0.01;
-/// The push's memory K; below one, so that a push dies out.
+/// K, the share of the previous push that a learning step keeps; below one, so that a push decays.
 const PUSH_PERSISTENCE: f64 = 0.5;
-/// d, the steepness of Ψ.
+/// d, the steepness of Ψ (6).
 const PUSH_STEEPNESS: f64 = 1.0;
-/// The weight that a positive push drives towards.
+/// The weight that a positive push moves weights towards.
 const PUSH_TARGET: f64 = 0.9;
-/// Interval of the learning steps.
+/// The interval between learning steps.
 pub(super) const LEARNING_INTERVAL: Span = Span::from_millis(250);
-/// Keys with stored weights. Beyond it the half that was requested least of late is dropped.
+/// The largest number of keys with stored weights. Above it, the half with the fewest recent requests is
+/// dropped.
 const MAX_KEYS: usize = 4096;
-/// A key's request count is taken to be this many standard deviations lower, lest chance make a key look heavy.
+/// A key's request count is lowered by this many standard deviations before it is compared, so that random
+/// variation does not make a key count as heavy.
 const HEAVY_KEY_CONFIDENCE: f64 = 1.5;
 
-/// An endpoint that a key may be sent to.
+/// An endpoint that a key's requests may be sent to, with its weight.
 #[derive(Clone, Copy)]
 struct Candidate {
     endpoint: EndpointId,
@@ -62,17 +70,17 @@
 
 /// The stored state of a key.
 struct KeyState {
-    /// The version of the slot table that the candidates are from.
+    /// The version of the slot table by which the candidates were chosen.
     table_version: u64,
     slot: u64,
     candidates: Candidates,
     requests: DecayingSum,
 }
 
-/// The slot table and the keys' weights.
+/// The slot table, and the candidates and weights of recently requested keys.
 pub(super) struct EndpointSelection {
     seed: u64,
-    /// The serving caches, and the first three of them in each slot.
+    /// The serving caches, ranked in each slot.
     table: SlotTable<CANDIDATES>,
     keys: HashMap<Key, KeyState>,
     requests: DecayingSum,
@@ -95,7 +103,7 @@
         self.keys.len()
     }
 
-    /// The number of endpoints that can be selected.
+    /// The number of endpoints in the slot table.
     pub fn endpoint_count(&self) -> usize {
         self.table.len()
     }
@@ -120,7 +128,7 @@
         ranked.into_iter().map(|candidate| candidate.endpoint).collect()
     }
 
-    /// During a migration with dual reads, the first candidate of a key before the migration.
+    /// The endpoint that was a key's first candidate before its shard's migration; `None` without dual reads.
     pub fn previous_endpoint(&self, key: Key) -> Option<EndpointId> {
         let slot = self.table.previous_slot(hash_of(key))?;
         let candidates = self.initial_candidates(key, slot).into_iter().flatten();
@@ -128,20 +136,20 @@
         best.map(|candidate| candidate.endpoint)
     }
 
-    /// Stores the ranking of a known key's slot. Requests that wait while the table changes then don't rank the slot
-    /// each time that they are looked at.
+    /// Stores the ranking of a known key's slot, so that a request that waits after a change of the slot
+    /// table does not compute the ranking again at each dispatch.
     pub fn store_ranking(&mut self, key: Key) {
         if let Some(state) = self.keys.get(&key) {
             self.table.store_ranking(state.slot);
         }
     }
 
-    /// Counts a request, of whatever key.
+    /// Adds a request for any key to the total that keys' shares are related to.
     pub fn count_request(&mut self, now: Time) {
         self.requests.add(now, 1.0);
     }
 
-    /// A key is requested of the caches: stores its weights and applies the pull.
+    /// Updates a key that caches are asked for: stores the key's candidates and applies the pull.
     pub fn on_key_requested(&mut self, now: Time, key: Key, nodes: f64) {
         let total = self.requests.read(now).max(1.0);
         let known = self.keys.get(&key).map_or(0.0, |state| state.requests.read(now));
@@ -159,7 +167,7 @@
         }
     }
 
-    /// Brings a key's stored candidates up to date with the slot table.
+    /// Updates a key's stored candidates by the slot table.
     fn refresh_candidates(&mut self, now: Time, key: Key, slot: u64) {
         let initial = self.initial_candidates(key, slot);
         let table_version = self.table.version();
@@ -181,9 +189,9 @@
         self.keys.retain(|_, state| state.requests.read(now) > median);
     }
 
-    /// The slot of a key with this share of the requests. It is the same at every node, unless the key is heavier than
-    /// one endpoint's part of the requests. Then the nodes divide evenly among as many slots as it takes for each to
-    /// have about such a part.
+    /// The slot of a key with this share of the requests. All nodes use the same slot, unless the key's share
+    /// exceeds one endpoint's part of all requests. Then the nodes are distributed evenly over several slots,
+    /// each with at most about one endpoint's part.
     fn slot(&self, key: Key, share: f64, nodes: f64) -> u64 {
         let parts = (share * self.table.len() as f64).min(nodes).max(1.0);
         let part = hash_of((key, self.seed)) % (parts as u64).next_power_of_two();
@@ -200,7 +208,8 @@
         })
     }
 
-    /// Whether a learning step is due. If so, the next one is due an interval later.
+    /// Returns whether a learning step is due. If so, the next step is due one interval after the last
+    /// multiple of the interval; missed steps are not made up for.
     pub fn start_due_learning_step(&mut self, now: Time) -> bool {
         let steps = (now - self.last_step_at).0 / LEARNING_INTERVAL.0;
         self.last_step_at = self.last_step_at + Span(steps * LEARNING_INTERVAL.0);
@@ -220,7 +229,7 @@
     }
 }
 
-/// The endpoints' new pushes by their usage against the mean (8).
+/// Updates each endpoint's push by the ratio of the endpoint's usage to the mean usage (8).
 pub(super) fn update_pushes(endpoints: &mut EndpointList, usages: &[EndpointUsage]) {
     let sum = usages.iter().map(|usage| usage.usage).sum::<f64>();
     let mean = sum / usages.len().max(1) as f64;
@@ -231,13 +240,13 @@
     }
 }
 
-/// Ψ (6).
+/// Ψ (6): maps a push to a step between −1 and 1.
 fn psi(push: f64) -> f64 {
     let decayed = (-PUSH_STEEPNESS * push).exp();
     (1.0 - decayed) / (1.0 + decayed)
 }
 
-/// Pulls the weights of a requested key, which has this share of the requests (7).
+/// Applies the pull (7) to the candidates of a requested key with this share of the requests.
 fn pull(candidates: &mut Candidates, share: f64) {
     let width = NEIGHBOURHOOD_LAMBDA * (-share).exp() + NEIGHBOURHOOD_BETA;
     let before = *candidates;
@@ -252,8 +261,9 @@
     }
 }
 
-/// New candidates with the weights that they had. Where another endpoint ranks first, the weights start anew at every
-/// node alike: keys that stay with the other candidates would leave the new one idle.
+/// A key's new candidates, with the stored weights of those that were candidates before. If another endpoint
+/// ranks first, all weights start at their initial values, at every node alike: with the stored weights, keys
+/// would stay at the other candidates and leave the new endpoint idle.
 fn merge_candidates(initial: Candidates, known: &Candidates) -> Candidates {
     let first = |candidates: &Candidates| candidates[0].map(|candidate| candidate.endpoint);
     if first(&initial) != first(known) {
--- a/crates/balancer/src/balancer/endpoint_selection/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_selection/tests.rs
@@ -27,12 +27,16 @@
     let before = selection.ranked_candidates(KEY);
     assert_eq!(before.len(), 3);
     request(&mut selection, 0, KEY);
-    assert_eq!(selection.ranked_candidates(KEY), before, "a first request changes no order");
-    assert_eq!(self::selection(2).ranked_candidates(KEY).len(), 2, "as far as there are any");
+    assert_eq!(selection.ranked_candidates(KEY), before, "the first request leaves the order unchanged");
+    assert_eq!(
+        self::selection(2).ranked_candidates(KEY).len(),
+        2,
+        "with two caches a key has two candidates"
+    );
 }
 
 #[test]
-fn pull_raises_the_weights_of_a_requested_key_the_first_most() {
+fn pull_raises_the_highest_weight_of_a_requested_key_most() {
     let mut selection = selection(10);
     request(&mut selection, 0, KEY);
     let before = weights(&selection, KEY);
@@ -41,13 +45,14 @@
     let mut relative: Vec<f64> = before.iter().zip(&after).map(|(b, a)| (a - b) / (1.0 - b)).collect();
     relative.sort_by(|a, b| b.total_cmp(a));
     assert!((relative[0] - PULL_RATE).abs() < 1e-9, "{relative:?}");
-    // The neighbourhood is narrow: the second rank is pulled very little, the third less than a float can show.
+    // The neighbourhood is narrow: the pull is very small at the second rank, and rounds to zero at the
+    // third.
     assert!(relative[1] > 0.0 && relative[1] < 1e-4 * PULL_RATE, "{relative:?}");
     assert!((0.0..relative[1]).contains(&relative[2]), "{relative:?}");
 }
 
 #[test]
-fn push_moves_weights_away_from_the_used_endpoints() {
+fn push_lowers_weights_of_endpoints_with_usage_above_the_mean() {
     let mut selection = selection(2);
     request(&mut selection, 0, KEY);
     let settings = settings(Effect::Idempotent);
@@ -63,8 +68,8 @@
     update_pushes(&mut list, &usages);
     selection.push(&list);
     let after = weights(&selection, KEY);
-    assert!(after[0] < before[0], "over the mean: towards 0");
-    assert!(after[1] > before[1], "below the mean: towards 0.9");
+    assert!(after[0] < before[0], "usage above the mean moves the weight towards 0");
+    assert!(after[1] > before[1], "usage below the mean moves the weight towards 0.9");
     for _ in 0..10_000 {
         update_pushes(&mut list, &usages);
         selection.push(&list);
@@ -85,7 +90,7 @@
     assert!(!selection.start_due_learning_step(at(249)));
     assert!(selection.start_due_learning_step(at(250)));
     assert!(!selection.start_due_learning_step(at(499)));
-    assert!(selection.start_due_learning_step(at(1300)), "several are made up for by one");
+    assert!(selection.start_due_learning_step(at(1300)), "one step stands for several missed steps");
     assert!(!selection.start_due_learning_step(at(1300)));
     assert!(selection.start_due_learning_step(at(1500)));
 }
@@ -98,11 +103,11 @@
         assert!(selection.key_count() <= MAX_KEYS);
     }
     assert!(selection.key_count() >= MAX_KEYS / 2 - 1);
-    assert!(selection.keys.contains_key(&Key(MAX_KEYS as u64)), "recent keys stay");
+    assert!(selection.keys.contains_key(&Key(MAX_KEYS as u64)), "the latest key stays");
 }
 
 #[test]
-fn weights_start_anew_where_another_endpoint_ranks_first() {
+fn weights_are_reset_if_another_endpoint_ranks_first() {
     let mut selection = selection(10);
     for n in 0..50 {
         request(&mut selection, n, KEY);
