--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -13,7 +13,7 @@
 use super::{Balancer, SLOW_SLO_SHARE};
 
 /// The share of the origin's concurrency limit that reads rejected by caches, and requests that are late, may
-/// fill. Cache misses and writes in time may fill all of it.
+/// fill. Cache misses and writes in time, and reads whose candidates have all failed, may fill all of it.
 const LOW_PRIORITY_LIMIT_SHARE: f64 = 0.5;
 
 impl Balancer {
@@ -89,8 +89,8 @@
         needs_origin: bool,
         is_late: bool,
     ) -> Option<EndpointId> {
-        // The last attempt of a read that failed at caches goes to the origin, since another cache might be
-        // congested too.
+        // The last attempt of a read that failed at caches goes to the origin if possible, since another
+        // cache might be congested too.
         let is_last_attempt = self.settings.is_cache_aside()
             && !request.attempts.is_empty()
             && request.attempts.len() + 1 == request.max_attempts;
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -208,8 +208,8 @@
         })
     }
 
-    /// Returns whether a learning step is due. If so, the next step is due one interval after the last
-    /// multiple of the interval; missed steps are not made up for.
+    /// Returns whether a learning step is due, and schedules the next step. Several missed steps count as
+    /// one.
     pub fn start_due_learning_step(&mut self, now: Time) -> bool {
         let steps = (now - self.last_step_at).0 / LEARNING_INTERVAL.0;
         self.last_step_at = self.last_step_at + Span(steps * LEARNING_INTERVAL.0);
--- a/crates/balancer/src/balancer/endpoint_watch.rs
+++ b/crates/balancer/src/balancer/endpoint_watch.rs
@@ -1,27 +1,29 @@
-//! When to request a watch on the endpoint list.
+//! The schedule of requests for a watch on the endpoint list, with backoff after failures.
 
 use crate::time::{Span, Time};
 
-/// Wait before a failed watch is requested again, with jitter by half in either direction.
+/// The wait before a failed watch is requested again. Jitter shortens or lengthens each wait by up to half.
 ///
-/// Discovery's information counts as known 6 s after discovery is back. The waits leave time for one failure and
-/// an answer that takes three seconds, or for two failures and an answer that takes half of that.
+/// A node must know the endpoint list 6 s after discovery recovers. With these waits, that leaves time for
+/// one failed request and an answer after three seconds, or for two failed requests and an answer after half
+/// of that.
 const WATCH_BACKOFF_INITIAL: Span = Span::from_millis(500);
-/// The wait doubles with each failure up to this one.
+/// The longest wait: the wait doubles with each failure up to this value.
 const WATCH_BACKOFF_MAX: Span = Span::from_millis(1000);
-/// A requested watch that has neither been established nor failed by then is requested again.
+/// A watch that is neither established nor refused within this time is requested again.
 const WATCH_RESPONSE_TIMEOUT: Span = Span::from_millis(2500);
-/// The shortest wait relative to the backoff; jitter adds up to one backoff.
+/// The shortest wait as a share of the backoff; jitter adds up to one whole backoff.
 const MIN_JITTER: f64 = 0.5;
 
+/// A scheduled request for a watch.
 struct WatchRequest {
     due_at: Time,
     backoff: Span,
 }
 
-/// Schedules requests for a watch, with backoff.
+/// The schedule of requests for a watch.
 pub(super) struct WatchBackoff {
-    /// The next request; none while a watch stands, or where the host watches by itself.
+    /// The next request; `None` while a watch is established, or if the host requests watches by itself.
     next_request: Option<WatchRequest>,
 }
 
@@ -31,12 +33,12 @@
         WatchBackoff { next_request: list_on_request.then_some(first_request) }
     }
 
-    /// The endpoint list came: the watch stands.
+    /// Handles an update of the endpoint list, which shows that the watch is established.
     pub fn on_update(&mut self) {
         self.next_request = None;
     }
 
-    /// The watch was refused or lost. `jitter` is a random number from 0 to 1.
+    /// Schedules another request after a watch was refused or lost. `jitter` is a random number from 0 to 1.
     pub fn on_failure(&mut self, now: Time, jitter: f64) {
         let backoff = match &self.next_request {
             Some(request) => Span(request.backoff.0 * 2).min(WATCH_BACKOFF_MAX),
@@ -46,7 +48,7 @@
         self.next_request = Some(WatchRequest { due_at, backoff });
     }
 
-    /// Whether to request a watch now. `max_poll_interval` is zero where the settings name none.
+    /// Returns whether to request a watch now. `max_poll_interval` is zero if the settings specify none.
     pub fn poll(&mut self, now: Time, max_poll_interval: Span) -> bool {
         let Some(request) = &mut self.next_request else { return false };
         if request.due_at > now {
--- a/crates/balancer/src/balancer/endpoint_watch/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_watch/tests.rs
@@ -2,7 +2,7 @@
 use crate::time::{Span, Time};
 
 const POLL_INTERVAL: Span = Span::from_millis(10_000);
-/// The jitter that leaves the backoff as it is.
+/// The jitter with which a wait equals the backoff.
 const NO_JITTER: f64 = 0.5;
 
 fn at(ms: u64) -> Time {
@@ -12,13 +12,13 @@
 #[test]
 fn watch_is_requested_at_the_start_only_where_the_list_comes_on_request() {
     assert!(WatchBackoff::new(true, at(0)).poll(at(0), POLL_INTERVAL));
-    let mut by_itself = WatchBackoff::new(false, at(0));
-    assert!(!by_itself.poll(at(60_000), POLL_INTERVAL));
-    assert_eq!(by_itself.next_request_at(), None);
+    let mut pushed_list = WatchBackoff::new(false, at(0));
+    assert!(!pushed_list.poll(at(60_000), POLL_INTERVAL));
+    assert_eq!(pushed_list.next_request_at(), None);
 }
 
 #[test]
-fn backoff_doubles_up_to_its_maximum_and_starts_anew_after_an_update() {
+fn backoff_doubles_up_to_its_maximum_and_is_reset_by_an_update() {
     let mut watch = WatchBackoff::new(false, at(0));
     for backoff_ms in [500, 1000, 1000] {
         watch.on_failure(at(0), NO_JITTER);
--- a/crates/balancer/src/balancer/load_reports/tests.rs
+++ b/crates/balancer/src/balancer/load_reports/tests.rs
@@ -16,7 +16,7 @@
     endpoint.last_load_report = Some(report_at_zero(report));
 }
 
-/// The usages of all caches at a time.
+/// The usages of all caches `ms` milliseconds after the start, as one of `nodes` nodes estimates them.
 fn usages(list: &EndpointList, ms: u64, nodes: f64) -> Vec<f64> {
     let mut settings = settings(Effect::Idempotent);
     settings.nodes = nodes;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn queueing_time_follows_from_littles_law_while_the_report_is_recent() {
+fn queueing_time_is_computed_by_littles_law_while_the_report_is_recent() {
     let full = LoadReport {
         requests_held: Some(12.0),
         requests_per_s: Some(20.0),
@@ -45,15 +45,15 @@
 }
 
 #[test]
-fn usage_is_what_caches_report_to_hold() {
+fn usage_is_the_reported_number_of_requests_held() {
     let mut list = endpoints(3, &settings(Effect::Idempotent));
     set_report(&mut list, 0, LoadReport { requests_held: Some(9.0), ..LoadReport::default() });
     set_report(&mut list, 1, LoadReport { requests_held: Some(3.0), ..LoadReport::default() });
-    assert_eq!(usages(&list, 0, 1.0), [9.0, 3.0, 6.0], "who has sent none counts at the mean");
+    assert_eq!(usages(&list, 0, 1.0), [9.0, 3.0, 6.0], "a cache without a report has the mean usage");
 }
 
 #[test]
-fn old_reports_fade_to_the_mean() {
+fn usage_by_old_reports_approaches_the_mean() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
     set_report(&mut list, 1, LoadReport { requests_held: Some(0.0), ..LoadReport::default() });
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn without_reports_usage_is_the_own_load_and_the_part_of_reported_queues() {
+fn without_reports_of_requests_held_usage_is_own_load_and_a_part_of_reported_queues() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     list.get_mut(EndpointId(0)).expect("listed").own_load.step_by(at(0), 2.0);
     set_report(&mut list, 1, LoadReport { requests_queued: Some(40.0), ..LoadReport::default() });
@@ -72,13 +72,14 @@
     assert!((own - 2.0).abs() < 1e-6, "{own}");
 }
 
-/// Caches reported what they held, and then no more, for hours in which time alone passed. The weights of all reports
-/// underflow to zero after some 37 minutes (745 times the memory of 3 s), and the mean of what was held was 0/0 from then
-/// on: usage was not a number, every push became neutral, and the node's own load moved no weight any more.
+/// Guards against a usage that is not a number after all caches have stopped sending reports. The weights of
+/// all reports underflow to zero after about 37 minutes (745 times the time constant of 3 s), and the mean of
+/// the requests held was 0/0 from then on: every push became neutral, and the node's own load no longer
+/// changed any weight.
 #[test_case(2_200; "before the weights underflow")]
 #[test_case(2_300; "after the weights have underflowed")]
 #[test_case(86_400; "a day later")]
-fn reports_of_long_ago_leave_usage_a_number(seconds: u64) {
+fn usage_stays_finite_however_old_the_reports_are(seconds: u64) {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
     set_report(&mut list, 1, LoadReport { requests_held: Some(0.0), ..LoadReport::default() });
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn once_no_report_counts_usage_is_the_own_load() {
+fn usage_is_own_load_once_the_weights_of_all_reports_are_zero() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
     list.get_mut(EndpointId(1)).expect("listed").own_load.step_by(at(0), 2.0);
