--- a/crates/balancer/src/balancer/endpoint_watch.rs
+++ b/crates/balancer/src/balancer/endpoint_watch.rs
@@ -4,9 +4,9 @@
 
 /// The wait before a failed watch is requested again. Jitter shortens or lengthens each wait by up to half.
 ///
-/// A node must know the endpoint list 6 s after discovery recovers. With these waits, that leaves time for
-/// one failed request and an answer after three seconds, or for two failed requests and an answer after half
-/// of that.
+/// A node is expected to know the endpoint list 6 s after discovery recovers. With these waits, that leaves
+/// time for one failed request and an answer after three seconds, or for two failed requests and an answer
+/// after half of that.
 const WATCH_BACKOFF_INITIAL: Span = Span::from_millis(500);
 /// The longest wait: the wait doubles with each failure up to this value.
 const WATCH_BACKOFF_MAX: Span = Span::from_millis(1000);
--- a/crates/balancer/src/balancer/outlier_detection.rs
+++ b/crates/balancer/src/balancer/outlier_detection.rs
@@ -1,16 +1,17 @@
-//! Outlier detection for single endpoints: an endpoint whose attempts fail is ejected, and probed with a growing
-//! backoff until a probe succeeds.
+//! Outlier detection for single endpoints: an endpoint is ejected when too many attempts at it fail, and is
+//! then probed with a growing backoff until a probe succeeds.
 
 use crate::time::{Span, Time};
 
-/// An endpoint is healthy while this many of the recorded outcomes are successes.
+/// An endpoint is healthy while at least this many of its last five outcomes are successes.
 const MIN_SUCCESSES: u32 = 3;
-/// Wait before the first probe of an ejected endpoint.
+/// The wait before the first probe of an ejected endpoint.
 const PROBE_BACKOFF_INITIAL: Span = Span::from_millis(1000);
-/// The wait doubles with each probe up to this one.
+/// The longest wait between probes: the wait doubles with each probe up to this value.
 const PROBE_BACKOFF_MAX: Span = Span::from_millis(8000);
 
-/// The last five outcomes, one bit each: successes are ones, the latest is the lowest bit.
+/// An endpoint's last five outcomes, one bit each: a success is a one, and the latest outcome is the lowest
+/// bit.
 #[derive(Clone, Copy)]
 struct OutcomeHistory(u32);
 
@@ -40,14 +41,14 @@
     }
 }
 
-/// The health of an endpoint as its outcomes show it.
+/// The health of an endpoint, by the outcomes of attempts at it and by reports from other nodes.
 pub(super) struct EndpointHealth {
     outcomes: OutcomeHistory,
     ejection: Option<Ejection>,
 }
 
 impl EndpointHealth {
-    /// The health of an endpoint that nothing is known of.
+    /// The health of an endpoint without recorded outcomes: healthy.
     pub fn new() -> EndpointHealth {
         EndpointHealth { outcomes: OutcomeHistory::ALL_SUCCESSES, ejection: None }
     }
@@ -61,12 +62,13 @@
         self.ejection.is_some_and(|ejection| ejection.next_probe_at <= now)
     }
 
-    /// Records an outcome of the origin, which is never ejected: nothing could take its place.
+    /// Records an outcome of the origin. The origin is never ejected, since no other endpoint can replace it.
     pub fn record_without_ejection(&mut self, success: bool) {
         self.outcomes.record(success);
     }
 
-    /// Records an outcome of a cache. Too many failures eject it; one success of a probe brings it back.
+    /// Records an outcome of a cache. Too many failures eject the cache, and one successful probe ends the
+    /// ejection.
     pub fn record(&mut self, now: Time, success: bool) {
         self.outcomes.record(success);
         if self.ejection.is_some() {
@@ -78,7 +80,8 @@
         }
     }
 
-    /// An attempt was sent; while the endpoint is ejected it is a probe.
+    /// Records that an attempt was sent. If the endpoint is ejected, the attempt is a probe and postpones the
+    /// next one.
     pub fn on_attempt_sent(&mut self, now: Time) {
         if let Some(ejection) = &mut self.ejection {
             ejection.next_probe_at = now + ejection.backoff;
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Other nodes see the endpoint fail: ejects it, or puts off its next probe.
+    /// Handles a report that the endpoint fails other nodes' attempts: ejects the endpoint, or postpones the
+    /// next probe.
     pub fn on_reported_failing(&mut self, now: Time) {
         let initial = Ejection::new(now);
         match &mut self.ejection {
@@ -95,7 +99,8 @@
         }
     }
 
-    /// Other nodes see the endpoint answer again: a probe is due at once.
+    /// Handles a report that the endpoint answers other nodes again: if the endpoint is ejected, a probe is
+    /// due at once.
     pub fn on_reported_answering(&mut self, now: Time) {
         if let Some(ejection) = &mut self.ejection {
             ejection.next_probe_at = ejection.next_probe_at.min(now);
--- a/crates/balancer/src/balancer/outlier_detection/tests.rs
+++ b/crates/balancer/src/balancer/outlier_detection/tests.rs
@@ -44,7 +44,7 @@
     assert!(!health.is_ejected());
     health.record(at(1000), false);
     health.record(at(1000), false);
-    assert!(!health.is_ejected(), "former failures don't count");
+    assert!(!health.is_ejected(), "failures before the successful probe don't count");
 }
 
 #[test]
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn reports_of_other_nodes_eject_and_bring_probes_forward() {
+fn reports_of_other_nodes_eject_and_reschedule_probes() {
     let mut health = EndpointHealth::new();
     health.on_reported_answering(at(0));
     assert!(!health.is_ejected());
     health.on_reported_failing(at(0));
     assert!(health.is_ejected() && !health.is_probe_due(at(999)));
     health.on_reported_failing(at(500));
-    assert!(!health.is_probe_due(at(1499)), "another report puts the probe off");
+    assert!(!health.is_probe_due(at(1499)), "another report of failures postpones the probe");
     health.on_reported_answering(at(600));
     assert!(health.is_ejected(), "only a probe ends an ejection");
     assert!(health.is_probe_due(at(600)));
--- a/crates/balancer/src/balancer/permission.rs
+++ b/crates/balancer/src/balancer/permission.rs
@@ -1,4 +1,4 @@
-//! The rules' gate: every attempt passes [`PermissionGate::is_permitted`] before it is sent.
+//! The check of the site's rules: every attempt passes [`PermissionGate::is_permitted`] before it is sent.
 
 use crate::ids::EndpointId;
 use crate::pending_request::PendingRequest;
@@ -8,8 +8,8 @@
 use super::endpoint_list::{Endpoint, EndpointList};
 use super::warmup::WarmupGate;
 
-/// A deduplicated request is repeated within this share of its window only: the attempt has to arrive, and to wait in
-/// the endpoint's queue, before the window ends.
+/// A deduplicated request is repeated only within this share of its deduplication window, since the attempt
+/// must arrive and leave the endpoint's queue before the window ends.
 const REPEAT_WINDOW_SHARE: f64 = 0.5;
 
 /// Checks the rules that no attempt may break, at one moment.
@@ -25,17 +25,19 @@
     pub fn is_permitted(&self, request: &PendingRequest, endpoint: &Endpoint) -> bool {
         // Rule 1: no attempt for a request that has ended, and no more attempts than the site allows.
         let is_active = self.now < request.client_deadline && request.attempts.len() < request.max_attempts;
-        // Rule 2: no effect twice, and no two attempts in flight where the site forbids hedged requests.
-        let is_single = self.settings.hedged_requests || request.first_in_flight().is_none();
-        let is_harmless = is_single && self.may_repeat(request, endpoint);
-        // Rule 3: no new work from the moment that the node knows of draining, well within the grace period.
+        // Rule 2: no effect may happen twice, and a request has no two attempts in flight unless the site
+        // allows hedged requests.
+        let may_add_attempt = self.settings.hedged_requests || request.first_in_flight().is_none();
+        let is_harmless = may_add_attempt && self.may_repeat(request, endpoint);
+        // Rule 3: no attempt from the moment that the node knows that the endpoint is draining or gone, which
+        // is well within the grace period.
         let is_ready = endpoint.listed.ready;
-        // Rule 4: the node's budget of an endpoint in warm-up, and of the origin where it is leased.
+        // Rule 4: no attempt beyond the node's budget for an endpoint in warm-up or for a leased origin.
         let is_within_budget = self.warmup.is_permitted(endpoint, &request.request);
         is_active && is_harmless && is_ready && is_within_budget
     }
 
-    /// Whether no effect can happen twice if the request goes to this endpoint too.
+    /// Whether an attempt at this endpoint cannot make the request's effect happen twice.
     pub fn may_repeat(&self, request: &PendingRequest, endpoint: &Endpoint) -> bool {
         let Some(number) = request.first_possible_execution() else { return true };
         let first = &request.attempts[number];
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Until when an attempt of the request may begin. The gate is passed once, and the attempt's connection may be
-    /// established later.
+    /// The time until which the first byte of an attempt may be sent. The host has to check it as well, since
+    /// the attempt's connection may be established long after the rules were checked.
     pub fn begin_deadline(&self, request: &PendingRequest) -> Time {
         let effect = self.settings.request_class(request.request.request_class).effect;
         match (effect, request.first_possible_execution()) {
--- a/crates/balancer/src/balancer/permission/tests.rs
+++ b/crates/balancer/src/balancer/permission/tests.rs
@@ -11,7 +11,7 @@
 
 const WINDOW: Span = Span::from_millis(300);
 
-/// Runs a check at a gate.
+/// Runs a check with a gate over these settings and endpoints.
 fn at_gate<T>(
     now: Time,
     settings: &Settings,
@@ -30,7 +30,7 @@
     at_gate(now, settings, &list, |gate| gate.is_permitted(request, endpoint))
 }
 
-/// A request whose attempt at cache 0 was reset.
+/// A request whose only attempt, at cache 0, was reset and may have been executed.
 fn possibly_executed() -> PendingRequest {
     let mut request = pending(vec![attempt(0, at(0))]);
     request.attempts[0].in_flight = false;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn rule_1_ends_attempts_at_the_deadline_and_at_their_number() {
+fn rule_1_permits_no_attempt_after_the_deadline_or_the_last_allowed_one() {
     let settings = settings(Effect::Idempotent);
     assert!(is_permitted(at(999), &settings, &pending(Vec::new()), 1));
     assert!(!is_permitted(at(1000), &settings, &pending(Vec::new()), 1));
@@ -116,7 +116,8 @@
         let endpoint = list.get(id).expect("listed");
         at_gate(at(ms), &settings, list, |gate| gate.is_permitted(request, endpoint))
     };
-    // The budget refills with at least one attempt at a time, by the warm-up: 0.2 s of work per second.
+    // The budget refills at one second of work per second times the warm-up factor of 0.2, and an attempt
+    // costs 10 ms.
     assert!(!permits(&list, &request, EndpointId(1), 49));
     assert!(permits(&list, &request, EndpointId(1), 51));
     let origin = list.get_mut(ORIGIN).expect("listed");
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn repeat_must_begin_within_the_window_and_a_first_attempt_until_the_deadline() {
+fn repeat_must_begin_within_half_the_window_and_a_first_attempt_within_the_deadline() {
     let settings = settings(Effect::Deduplicated { scope: DedupScope::All, window: WINDOW });
     let list = endpoints(2, &settings);
     let deadline = |request| at_gate(at(10), &settings, &list, |gate| gate.begin_deadline(&request));
--- a/crates/balancer/src/balancer/rejection.rs
+++ b/crates/balancer/src/balancer/rejection.rs
@@ -1,4 +1,4 @@
-//! Final responses that the balancer gives by itself, and the end of requests.
+//! Final responses that the balancer itself gives, and the removal of requests that have ended.
 
 use crate::ids::{AttemptNumber, RequestId};
 use crate::request::LocalReply;
@@ -7,7 +7,8 @@
 use super::{Balancer, Cancellation, LocalResponse};
 
 impl Balancer {
-    /// Ends a request at once. It is rate-limited if a retry can do no harm, else it fails.
+    /// Ends a request at once. The reply is a rate limit if a retry by the client can do no harm, otherwise
+    /// an error.
     pub(super) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let effect = self.settings.request_class(request.request.request_class).effect;
@@ -25,7 +26,9 @@
         self.respond(id, reply);
     }
 
-    /// The one place of every final response: it gives one to each pending request, and cancels what is in flight.
+    /// Queues the final response to a pending request, cancels the request's attempts in flight and closes
+    /// the request. All final responses that the balancer itself gives are queued here, so that a request
+    /// gets only one.
     pub(super) fn respond(&mut self, id: RequestId, reply: LocalReply) {
         let Some(request) = self.requests.get(id) else { return };
         if self.settings.may_cancel {
@@ -39,13 +42,14 @@
         self.responses.push_back(LocalResponse { id, reply });
     }
 
-    /// Drops a request that has its final response, or needs none.
+    /// Removes a request that has its final response or needs none.
     pub(super) fn close(&mut self, id: RequestId) {
         self.finish_fetch(id);
         self.requests.remove(id);
     }
 
-    /// Lets the requests go on that waited for this request's fetch.
+    /// Ends this request's fetch, if it leads one, and dispatches the requests again that waited for that
+    /// fetch.
     pub(super) fn finish_fetch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         for follower in self.fetches.finish(request.request.key, id) {
--- a/crates/balancer/src/balancer/request_coalescing.rs
+++ b/crates/balancer/src/balancer/request_coalescing.rs
@@ -1,35 +1,37 @@
-//! Request coalescing (single flight): reads of a key that is being fetched from the origin wait for that fetch.
+//! Request coalescing (single flight): a read of a key that is being fetched from the origin waits for that
+//! fetch instead of starting another one.
 
 use std::collections::HashMap;
 
 use crate::ids::{Key, RequestId};
 
+/// A fetch of one key from the origin.
 struct Fetch {
     /// The request whose attempt fetches the key.
     leader: RequestId,
-    /// The requests that wait for it.
+    /// The requests that wait for the fetch.
     followers: Vec<RequestId>,
 }
 
 /// The keys that are being fetched from the origin.
 #[derive(Default)]
 pub(super) struct InFlightFetches {
-    by_key: HashMap<Key, Fetch>,
+    fetches: HashMap<Key, Fetch>,
 }
 
 impl InFlightFetches {
     pub fn len(&self) -> usize {
-        self.by_key.len()
+        self.fetches.len()
     }
 
-    /// Registers a request as the one that fetches the key, unless another one does already.
+    /// Registers a request as the leader of a key's fetch, unless another request already leads one.
     pub fn start(&mut self, key: Key, leader: RequestId) {
-        self.by_key.entry(key).or_insert(Fetch { leader, followers: Vec::new() });
+        self.fetches.entry(key).or_insert(Fetch { leader, followers: Vec::new() });
     }
 
-    /// Lets a request wait for another one's fetch of its key. Returns false if there is none.
+    /// Makes a request wait for another request's fetch of the key. Returns false if there is no such fetch.
     pub fn join(&mut self, key: Key, id: RequestId) -> bool {
-        match self.by_key.get_mut(&key) {
+        match self.fetches.get_mut(&key) {
             Some(fetch) if fetch.leader != id => {
                 fetch.followers.push(id);
                 true
@@ -38,12 +40,12 @@
         }
     }
 
-    /// Ends the fetch of a key if this request leads it, and returns those that waited for it.
+    /// Ends the fetch of a key if this request leads it, and returns the requests that waited for the fetch.
     pub fn finish(&mut self, key: Key, leader: RequestId) -> Vec<RequestId> {
-        if self.by_key.get(&key).is_none_or(|fetch| fetch.leader != leader) {
+        if self.fetches.get(&key).is_none_or(|fetch| fetch.leader != leader) {
             return Vec::new();
         }
-        self.by_key.remove(&key).map(|fetch| fetch.followers).unwrap_or_default()
+        self.fetches.remove(&key).map(|fetch| fetch.followers).unwrap_or_default()
     }
 }
 
--- a/crates/balancer/src/balancer/request_coalescing/tests.rs
+++ b/crates/balancer/src/balancer/request_coalescing/tests.rs
@@ -5,7 +5,7 @@
 const LEADER: RequestId = RequestId(1);
 
 #[test]
-fn requests_join_the_fetch_of_their_key_and_go_on_when_it_ends() {
+fn requests_join_the_fetch_of_their_key_and_are_returned_when_it_ends() {
     let mut fetches = InFlightFetches::default();
     assert!(!fetches.join(KEY, RequestId(2)), "there is no fetch yet");
     fetches.start(KEY, LEADER);
--- a/crates/balancer/src/balancer/request_queue.rs
+++ b/crates/balancer/src/balancer/request_queue.rs
@@ -1,4 +1,5 @@
-//! Requests without a final response: those that wait for an attempt, in order of priority, and their deadlines.
+//! The requests without a final response, the order in which waiting requests are dispatched, and all
+//! deadlines.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound::{Excluded, Unbounded};
@@ -7,21 +8,24 @@
 use crate::pending_request::{PendingRequest, RequestPriority};
 use crate::time::Time;
 
-/// A time at which a request must be looked at again.
+/// A time at which a request must be checked again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Deadline {
     pub at: Time,
     pub id: RequestId,
 }
 
+/// The requests without a final response.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     pending: HashMap<RequestId, PendingRequest>,
+    /// The pending requests that wait for an attempt, in order of priority.
     waiting: BTreeMap<RequestPriority, RequestId>,
-    /// The last waiting request that was looked at in this round.
+    /// The last waiting request that was returned in this round.
     cursor: Option<RequestPriority>,
     deadlines: BTreeSet<Deadline>,
-    accepted: u64,
+    /// The number of requests that have been given a priority.
+    sequence: u64,
 }
 
 impl RequestQueue {
@@ -38,13 +42,13 @@
         self.pending.len() + self.waiting.len() + self.deadlines.len()
     }
 
-    /// The priority of a new request of this value, which must not be negative.
+    /// The priority of the next arriving request, by the request's value, which must not be negative.
     pub fn next_priority(&mut self, value: f64) -> RequestPriority {
-        self.accepted += 1;
-        RequestPriority { inverted_value: u64::MAX - value.to_bits(), sequence: self.accepted }
+        self.sequence += 1;
+        RequestPriority { inverted_value: u64::MAX - value.to_bits(), sequence: self.sequence }
     }
 
-    /// Adds a request, which waits for its first attempt.
+    /// Adds a pending request that waits for its first attempt.
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.waiting.insert(request.priority, id);
         self.deadlines.insert(Deadline { at: request.client_deadline, id });
@@ -57,7 +61,7 @@
         self.deadlines.remove(&Deadline { at: request.client_deadline, id });
     }
 
-    /// Lets a request wait for another attempt, if it is still pending.
+    /// Makes a request wait for another attempt, if the request is still pending.
     pub fn set_waiting(&mut self, id: RequestId) {
         if let Some(request) = self.pending.get(&id) {
             self.waiting.insert(request.priority, id);
@@ -72,12 +76,12 @@
         !self.waiting.is_empty()
     }
 
-    /// Begins a new round over the waiting requests.
+    /// Starts a new round, in which every waiting request is returned once.
     pub fn restart_round(&mut self) {
         self.cursor = None;
     }
 
-    /// The next waiting request of this round.
+    /// The waiting request that follows in this round, in order of priority.
     pub fn next_waiting(&mut self) -> Option<RequestId> {
         let after = self.cursor.map_or(Unbounded, Excluded);
         let (&priority, &id) = self.waiting.range((after, Unbounded)).next()?;
@@ -93,7 +97,7 @@
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Takes the earliest deadline, if it has passed.
+    /// Removes and returns the earliest deadline, if it has passed.
     pub fn pop_due_deadline(&mut self, now: Time) -> Option<Deadline> {
         let deadline = *self.deadlines.first()?;
         if deadline.at > now {
--- a/crates/balancer/src/balancer/request_queue/tests.rs
+++ b/crates/balancer/src/balancer/request_queue/tests.rs
@@ -29,7 +29,7 @@
     queue.insert(RequestId(id), pending);
 }
 
-fn round(queue: &mut RequestQueue) -> Vec<u64> {
+fn waiting_requests(queue: &mut RequestQueue) -> Vec<u64> {
     std::iter::from_fn(|| queue.next_waiting()).map(|id| id.0).collect()
 }
 
@@ -39,10 +39,10 @@
     for (id, value) in [(1, 1.0), (2, 5.0), (3, 1.0), (4, 0.0), (5, 5.0)] {
         insert(&mut queue, id, value);
     }
-    assert_eq!(round(&mut queue), [2, 5, 1, 3, 4]);
-    assert_eq!(round(&mut queue), [], "each once in a round");
+    assert_eq!(waiting_requests(&mut queue), [2, 5, 1, 3, 4]);
+    assert_eq!(waiting_requests(&mut queue), [], "each request is returned once in a round");
     queue.restart_round();
-    assert_eq!(round(&mut queue), [2, 5, 1, 3, 4]);
+    assert_eq!(waiting_requests(&mut queue), [2, 5, 1, 3, 4]);
 }
 
 #[test]
--- a/crates/balancer/src/balancer/response_times.rs
+++ b/crates/balancer/src/balancer/response_times.rs
@@ -1,4 +1,4 @@
-//! Estimates of how long answers take, by request class and by the role of the endpoint.
+//! Estimates of response times, by request class and by the endpoint's role.
 
 use crate::endpoint::EndpointRole;
 use crate::ids::RequestClassId;
@@ -9,13 +9,14 @@
 use super::RATE_TIME_CONSTANT;
 use crate::decaying::DecayingMean;
 
-/// Before the first answer the expected time is this share of the class's latency objective.
+/// The expected response time before the first answer, as a share of the class's latency objective.
 const INITIAL_SLO_SHARE: f64 = 1.0 / 8.0;
 
-/// The mean times of a class's answers, in seconds.
+/// The mean response times of a request class, in seconds.
 struct ClassResponseTimes {
-    /// Answers of caches, without a fetch.
+    /// The mean over answers from caches.
     cache: DecayingMean,
+    /// The mean over answers from the origin.
     origin: DecayingMean,
 }
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// The expected response times of all request classes, by their ids.
+/// The expected response times of all request classes.
 pub(super) struct ResponseTimes {
     by_class: Vec<ClassResponseTimes>,
 }
@@ -38,13 +39,13 @@
         response_times
     }
 
-    /// Adds the classes beyond those that are known: classes keep their positions when settings change.
+    /// Adds the classes at positions after the known ones: a class keeps its position when settings change.
     pub fn add_classes(&mut self, classes: &[RequestClass], now: Time) {
         let new = classes.iter().skip(self.by_class.len());
         self.by_class.extend(new.map(|class| ClassResponseTimes::new(class, now)));
     }
 
-    /// Adds the time of an answer.
+    /// Adds the response time of an answer to the mean of its class and role.
     pub fn record(&mut self, now: Time, class: RequestClassId, role: EndpointRole, latency: Span) {
         let times = &mut self.by_class[usize::from(class.0)];
         let mean = match role {
@@ -54,12 +55,12 @@
         mean.add(now, latency.as_secs_f64());
     }
 
-    /// The expected time of an answer, in seconds.
+    /// The expected response time in seconds.
     pub fn expected_seconds(&self, now: Time, class: RequestClassId, role: EndpointRole) -> f64 {
         self.expected_class_seconds(now, usize::from(class.0), role)
     }
 
-    /// The expected time of an answer to a request of the class at this position, in seconds.
+    /// The expected response time of the class at this position, in seconds.
     pub fn expected_class_seconds(&self, now: Time, class: usize, role: EndpointRole) -> f64 {
         let times = &self.by_class[class];
         match role {
@@ -68,12 +69,13 @@
         }
     }
 
-    /// The expected time of an answer.
+    /// The expected response time.
     pub fn expected(&self, now: Time, class: RequestClassId, role: EndpointRole) -> Span {
         Span::from_secs_f64(self.expected_seconds(now, class, role))
     }
 
-    /// A request's work at a cache in seconds: as estimated with the request, else the expected time of an answer.
+    /// A request's work at a cache, in seconds: the work that the request states, or else the expected
+    /// response time.
     pub fn work(&self, now: Time, request: &Request) -> f64 {
         match request.work {
             Some(work) => work.as_secs_f64(),
--- a/crates/balancer/src/balancer/test_support.rs
+++ b/crates/balancer/src/balancer/test_support.rs
@@ -1,4 +1,4 @@
-//! Set-up that the tests of the balancer's components share.
+//! Fixtures for the unit tests of the balancer's components.
 
 use crate::endpoint::EndpointUpdate;
 use crate::ids::{CellId, EndpointId, Key, KindId, RequestClassId, ZoneId};
@@ -18,7 +18,7 @@
     Time(1_000_000_000) + Span::from_millis(ms)
 }
 
-/// Cache-aside settings with one request class of this effect.
+/// Settings of a cache-aside site with one request class of this effect.
 pub fn settings(effect: Effect) -> Settings {
     let class = RequestClass {
         slo: Span::from_millis(400),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A list entry that is ready and warm; each endpoint has a zone and a cell of its own.
+/// The list entry of a ready and warm endpoint; each endpoint has a zone and a cell of its own.
 pub fn listed(id: EndpointId) -> EndpointUpdate {
     EndpointUpdate {
         id,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The list of the caches 0 to `caches` − 1 and the origin.
+/// An endpoint list of the caches 0 to `caches` − 1 and the origin.
 pub fn endpoints(caches: u64, settings: &Settings) -> EndpointList {
     let mut updates: Vec<EndpointUpdate> = (0..caches).map(|id| listed(EndpointId(id))).collect();
     updates.push(listed(ORIGIN));
@@ -71,7 +71,7 @@
     list
 }
 
-/// A read that arrived at zero, with these attempts.
+/// A pending read that arrived at time zero, with these attempts.
 pub fn pending(attempts: Vec<SentAttempt>) -> PendingRequest {
     PendingRequest {
         request: read(),
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -1,7 +1,7 @@
 //! Budgets for endpoints that are warming up (slow start), and for leases of the origin.
 //!
-//! Each endpoint has a token bucket of work. A node refills it at its own part of what the endpoint can take, so
-//! that all nodes together stay below the load under which an endpoint in warm-up fails.
+//! Each endpoint has a token bucket of work. A node refills it at its own part of what the endpoint can take,
+//! so that all nodes together stay below the load under which an endpoint in warm-up fails.
 
 use crate::endpoint::EndpointRole;
 use crate::request::Request;
@@ -13,13 +13,13 @@
 use super::response_times::ResponseTimes;
 use super::work_sum::{WorkMean, WorkSum};
 
-/// Endpoints in warm-up receive at most this multiple of the recent work per unit of warm size, where requests ask
-/// for more and the overload multiple has room for it.
+/// Endpoints in warm-up receive at most this multiple of the recent work per unit of warm size, where
+/// requests ask for more and the overload multiple has room for it.
 const MAX_DEMAND_GROWTH: f64 = 1.5;
 /// A bucket holds the refill of this share of the fall window.
 const CAPACITY_WINDOW_SHARE: f64 = 0.5;
-/// Attempts may by chance arrive at twice a node's part; if even that would make the endpoint fail, the part is
-/// reduced.
+/// Attempts may by chance arrive at twice a node's part; if even that would make the endpoint fail, the part
+/// is reduced.
 const BURST_ALLOWANCE: f64 = 0.5;
 /// The least warm size that demand is related to.
 const MIN_WARM_SIZE: f64 = 1e-9;
@@ -28,8 +28,9 @@
 pub(super) struct WarmupBudget {
     tokens: f64,
     refilled_at: Time,
-    /// The share of an attempt's cost that must be available, drawn at random for each attempt: a bucket refills far
-    /// less than one attempt at each of many nodes, and so neither do all of them wait nor all send at once.
+    /// The share of an attempt's cost that must be available, drawn at random for each attempt: a bucket
+    /// refills far less than one attempt at each of many nodes, and so neither do all of them wait nor all
+    /// send at once.
     required_share: f64,
 }
 
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Drops the sums if they mean something else under new settings: sums over other windows, or by other sizes,
-    /// would grant endpoints in warm-up work that they can't take.
+    /// Drops the sums if they mean something else under new settings: sums over other windows, or by other
+    /// sizes, would grant endpoints in warm-up work that they can't take.
     pub fn on_settings_update(&mut self, old: &Settings, new: &Settings, now: Time) {
         let is_unchanged = old.overload_window == new.overload_window
             && old.warmup_duration == new.warmup_duration
@@ -101,15 +102,15 @@
         self.sent_work.add(now, request);
     }
 
-    /// An attempt did not reach its cache, or the cache shed it: its work is taken back. Requests that find no room are
-    /// sent again and again, and none of that shows what a cache carries. If it counted, the more an overloaded fleet
-    /// sheds, the more its cold caches would be granted.
+    /// An attempt did not reach its cache, or the cache shed it: its work is taken back. Requests that find
+    /// no room are sent again and again, and none of that shows what a cache carries. If it counted, the more
+    /// an overloaded fleet sheds, the more its cold caches would be granted.
     pub fn on_work_not_accepted(&mut self, now: Time, sent_at: Time, request: &Request) {
         self.sent_work.subtract(now, sent_at, request);
     }
 
-    /// Updates the average. Without a serving cache nothing is carried; related to almost no size, the work would
-    /// grant endpoints in warm-up any amount.
+    /// Updates the average. Without a serving cache nothing is carried; related to almost no size, the work
+    /// would grant endpoints in warm-up any amount.
     pub fn on_learning_step(&mut self, now: Time, warm_size: f64) {
         if warm_size > 0.0 {
             self.sent_per_size.add_scaled(now, &self.sent_work, 1.0 / warm_size);
@@ -135,9 +136,9 @@
     }
 }
 
-/// By how much budgets may follow demand beyond what caches carried. What caches carry is at most their capacity, so the
-/// growth has to stay within the overload multiple, and a part of that is left to chance and to endpoints that are
-/// smaller than listed.
+/// By how much budgets may follow demand beyond what caches carried. What caches carry is at most their
+/// capacity, so the growth has to stay within the overload multiple, and a part of that is left to chance and
+/// to endpoints that are smaller than listed.
 fn max_demand_growth(settings: &Settings) -> f64 {
     (settings.overload_multiple * BURST_ALLOWANCE).clamp(1.0, MAX_DEMAND_GROWTH)
 }
@@ -170,8 +171,8 @@
         cost == 0.0 || self.available(endpoint, cost) >= endpoint.warmup_budget.required_share * cost
     }
 
-    /// What an attempt takes out of the endpoint's budget. Writes can go to the origin alone, so its lease does not
-    /// bind them.
+    /// What an attempt takes out of the endpoint's budget. Writes can go to the origin alone, so its lease
+    /// does not bind them.
     pub fn cost(&self, endpoint: &Endpoint, request: &Request) -> f64 {
         if endpoint.lease.is_some() && endpoint.role == EndpointRole::Origin {
             return if request.write { 0.0 } else { 1.0 };
@@ -189,10 +190,10 @@
         endpoint.warmup_budget.available(self.now, rate, capacity)
     }
 
-    /// The work per second that this node may send the endpoint: by its size and warm-up, its part of what caches
-    /// received from the node, so that all nodes together stay near the endpoint's part of the load. It is at least
-    /// one attempt at a time from all nodes together; otherwise nobody would find out that an endpoint works in a
-    /// fleet that warms up as a whole. A lease only lowers the rate of a cache.
+    /// The work per second that this node may send the endpoint: by its size and warm-up, its part of what
+    /// caches received from the node, so that all nodes together stay near the endpoint's part of the load.
+    /// It is at least one attempt at a time from all nodes together; otherwise nobody would find out that an
+    /// endpoint works in a fleet that warms up as a whole. A lease only lowers the rate of a cache.
     fn refill_rate(&self, endpoint: &Endpoint) -> f64 {
         let warmup_factor = endpoint.warmup_factor(self.now, self.settings);
         let burst_factor = (self.settings.overload_multiple * BURST_ALLOWANCE).min(1.0);
--- a/crates/balancer/src/balancer/zone_outliers.rs
+++ b/crates/balancer/src/balancer/zone_outliers.rs
@@ -8,8 +8,8 @@
 use crate::ids::{EndpointId, ZoneId};
 use crate::time::{Span, Time};
 
-/// A zone is unresponsive when this many endpoints in a row gave no response and no other endpoint of the zone did in
-/// between. One or two failed endpoints are no zone failure.
+/// A zone is unresponsive when this many endpoints in a row gave no response and no other endpoint of the
+/// zone did in between. One or two failed endpoints are no zone failure.
 const MIN_UNRESPONSIVE_ENDPOINTS: usize = 3;
 /// Interval of probes to an unresponsive zone; less often than its endpoints would be probed one by one.
 const PROBE_INTERVAL: Span = Span::from_millis(1000);
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether the zone does not respond while another zone has. If no zone responds, the node itself is cut off or
-    /// all zones fail, and leaving out all of them would help nobody.
+    /// Whether the zone does not respond while another zone has. If no zone responds, the node itself is cut
+    /// off or all zones fail, and leaving out all of them would help nobody.
     pub fn is_unresponsive(&self, zone: ZoneId) -> bool {
         let Some(state) = self.zones.get(&zone) else { return false };
         if state.unresponsive.len() < MIN_UNRESPONSIVE_ENDPOINTS {
@@ -74,7 +74,8 @@
         self.zones.get(&zone).is_none_or(|state| state.next_probe_at <= now)
     }
 
-    /// An attempt was sent there. While the zone is unresponsive the attempt is a probe and puts off the next one.
+    /// An attempt was sent there. While the zone is unresponsive the attempt is a probe and puts off the next
+    /// one.
     pub fn on_attempt_sent(&mut self, now: Time, zone: ZoneId) {
         if let Some(state) = self.zones.get_mut(&zone) {
             state.next_probe_at = state.next_probe_at.max(now + PROBE_INTERVAL);
