--- a/crates/balancer/src/balancer/load_reports.rs
+++ b/crates/balancer/src/balancer/load_reports.rs
@@ -84,7 +84,8 @@
     }
 
     /// The node's own attempts in flight at an endpoint, plus the node's part of the requests that the
-    /// endpoint reports as queued, per unit of size.
+    /// endpoint reports as queued, per unit of size. Queued requests are added since they are no load in
+    /// flight.
     fn own_usage(&self, endpoint: &Endpoint) -> f64 {
         let own = endpoint.own_load.read(self.now) / endpoint.size(self.settings);
         let queued = match self.requests_queued(endpoint) {
--- a/crates/balancer/src/balancer/permission.rs
+++ b/crates/balancer/src/balancer/permission.rs
@@ -23,7 +23,7 @@
 impl PermissionGate<'_> {
     /// Whether an attempt of the request may be sent to the endpoint.
     pub fn is_permitted(&self, request: &PendingRequest, endpoint: &Endpoint) -> bool {
-        // Rule 1: no attempt for a request that has ended, and no more attempts than the site allows.
+        // Rule 1: no attempt after the client's deadline, and no more attempts than the site allows.
         let is_active = self.now < request.client_deadline && request.attempts.len() < request.max_attempts;
         // Rule 2: no effect may happen twice, and a request has no two attempts in flight unless the site
         // allows hedged requests.
--- a/crates/balancer/src/balancer/response_times.rs
+++ b/crates/balancer/src/balancer/response_times.rs
@@ -14,7 +14,7 @@
 
 /// The mean response times of a request class, in seconds.
 struct ClassResponseTimes {
-    /// The mean over answers from caches.
+    /// The mean over answers from caches, without the time of a node's fetch from the origin after a miss.
     cache: DecayingMean,
     /// The mean over answers from the origin.
     origin: DecayingMean,
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -16,15 +16,16 @@
 /// Endpoints in warm-up receive at most this multiple of the recent work per unit of warm size, where
 /// requests ask for more and the overload multiple has room for it.
 const MAX_DEMAND_GROWTH: f64 = 1.5;
-/// A bucket holds the refill of this share of the fall window.
+/// The capacity of a bucket: the refill during this share of the overload window.
 const CAPACITY_WINDOW_SHARE: f64 = 0.5;
 /// Attempts may by chance arrive at twice a node's part; if even that would make the endpoint fail, the part
 /// is reduced.
 const BURST_ALLOWANCE: f64 = 0.5;
-/// The least warm size that demand is related to.
+/// The least warm size that the requested work is divided by.
 const MIN_WARM_SIZE: f64 = 1e-9;
 
-/// The token bucket of one endpoint. Its unit is a second of work; for a leased origin, a fetch.
+/// The token bucket of one endpoint. A token is a second of work, or one fetch if the endpoint is a leased
+/// origin.
 pub(super) struct WarmupBudget {
     tokens: f64,
     refilled_at: Time,
@@ -39,7 +40,7 @@
         WarmupBudget { tokens: 0.0, refilled_at: now, required_share }
     }
 
-    /// Restarts the refill from now on: the time until now must not count at a rate that holds later.
+    /// Drops the refill since the last attempt, so that this time does not count at a new refill rate.
     pub fn restart_refill(&mut self, now: Time) {
         self.refilled_at = now;
     }
@@ -48,7 +49,8 @@
         (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(capacity)
     }
 
-    /// Sets what is left after an attempt, and the share that the next one needs.
+    /// Sets the tokens that are left after an attempt, and the share of the next attempt's cost that must be
+    /// available.
     pub fn set(&mut self, now: Time, tokens: f64, required_share: f64) {
         self.tokens = tokens;
         self.refilled_at = now;
@@ -56,15 +58,17 @@
     }
 }
 
-/// The work that caches accept from this node, from which the buckets' refill rates follow.
+/// The work that caches accept from this node, from which the buckets' refill rates are computed.
 pub(super) struct WarmupTraffic {
-    /// Work sent to caches during the fall window, without what they did not accept.
+    /// The work sent to caches during the overload window, without the attempts that the caches did not
+    /// accept.
     sent_work: WorkSum,
-    /// `sent_work` per unit of warm size, averaged over the time of a warm-up.
+    /// `sent_work` per unit of warm size, averaged over the duration of a warm-up.
     sent_per_size: WorkMean,
-    /// Work that requests ask of caches during the fall window.
+    /// The work of requests to caches that arrived during the overload window.
     requested_work: WorkSum,
-    /// The warm size of all serving caches at the last learning step.
+    /// The sum of all serving caches' sizes at the last learning step, each multiplied by the cache's warm-up
+    /// factor.
     warm_size: f64,
     max_demand_growth: f64,
 }
@@ -127,8 +131,9 @@
         }
     }
 
-    /// The work per unit of warm size that the fall window carries. Where the fleet becomes colder, the same
-    /// requests fall to less warm size and the average would refuse them; then demand counts, within a limit.
+    /// The work per overload window that a unit of warm size is granted, in seconds. When the fleet becomes
+    /// colder, the same requests are distributed over less warm size and would exceed the average of accepted
+    /// work. The requested work then raises the grant, up to `max_demand_growth` times that average.
     fn work_per_size(&self, now: Time, response_times: &ResponseTimes) -> f64 {
         let sent = self.sent_per_size.seconds(now, response_times);
         let requested = self.requested_work.seconds(now, response_times) / self.warm_size.max(MIN_WARM_SIZE);
@@ -143,20 +148,21 @@
     (settings.overload_multiple * BURST_ALLOWANCE).clamp(1.0, MAX_DEMAND_GROWTH)
 }
 
-/// What the budgets of endpoints in warm-up follow from, at one moment; for the log and for simulations.
+/// The values from which the budgets of endpoints in warm-up are computed, at one moment; for the log and
+/// simulations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupReport {
-    /// Work that requests asked of caches during the fall window, in seconds.
+    /// The work of requests to caches that arrived during the overload window, in seconds.
     pub requested_work: f64,
-    /// Work that was sent to caches during the fall window, in seconds, without what they did not accept.
+    /// The work that was sent to caches and accepted during the overload window, in seconds.
     pub sent_work: f64,
-    /// The size of all serving caches, where one in warm-up counts by its warmth.
+    /// The sum of all serving caches' sizes, each multiplied by the cache's warm-up factor.
     pub warm_size: f64,
-    /// The work of a fall window that a cache of size one is granted once it is warm, in seconds.
+    /// The work per overload window that a warm cache of size one is granted, in seconds.
     pub work_per_size: f64,
 }
 
-/// Decides whether endpoints' budgets permit attempts, at one moment.
+/// Checks attempts against the budgets of their endpoints, at one moment.
 pub(super) struct WarmupGate<'a> {
     pub now: Time,
     pub settings: &'a Settings,
@@ -183,7 +189,7 @@
         self.response_times.work(self.now, request)
     }
 
-    /// What is in the bucket; it always holds at least one attempt of this cost.
+    /// The tokens in the endpoint's bucket. The bucket has capacity for at least one attempt of this cost.
     pub fn available(&self, endpoint: &Endpoint, cost: f64) -> f64 {
         let rate = self.refill_rate(endpoint);
         let capacity = (rate * self.settings.overload_window.as_secs_f64() * CAPACITY_WINDOW_SHARE).max(cost);
@@ -197,9 +203,10 @@
     fn refill_rate(&self, endpoint: &Endpoint) -> f64 {
         let warmup_factor = endpoint.warmup_factor(self.now, self.settings);
         let burst_factor = (self.settings.overload_multiple * BURST_ALLOWANCE).min(1.0);
-        let part = burst_factor / self.settings.overload_window.as_secs_f64();
-        let work =
-            self.traffic.work_per_size(self.now, self.response_times) * endpoint.size(self.settings) * part;
+        let factor_per_s = burst_factor / self.settings.overload_window.as_secs_f64();
+        let work = self.traffic.work_per_size(self.now, self.response_times)
+            * endpoint.size(self.settings)
+            * factor_per_s;
         let own_rate = work.max(1.0 / self.settings.nodes) * warmup_factor;
         match (endpoint.lease, endpoint.role) {
             (None, _) => own_rate,
@@ -209,7 +216,8 @@
     }
 }
 
-/// The part of its capacity that an endpoint has at least, by its age: it grows linearly until it is warm.
+/// The share of an endpoint's capacity that the endpoint has at least, by the time since its start. It grows
+/// linearly from `initial_capacity_share` to one during the warm-up.
 pub(super) fn warmup_factor(now: Time, started: Option<Time>, settings: &Settings) -> f64 {
     let Some(started) = started else { return 1.0 };
     if settings.warmup_duration == Span::ZERO {
--- a/crates/balancer/src/balancer/warmup/tests.rs
+++ b/crates/balancer/src/balancer/warmup/tests.rs
@@ -54,7 +54,7 @@
     let mut traffic = WarmupTraffic::new(&settings, at(0));
     traffic.on_work_sent(at(0), &stated(8.0));
     traffic.on_learning_step(at(0), 2.0);
-    // The mean of 4 per unit of size and of the initial zero.
+    // The mean of the sample, 4 s of work per unit of size, and of the initial zero.
     assert_eq!(work_per_size(&traffic, &settings), 2.0);
     traffic.on_work_requested(at(0), &stated(5.0));
     assert_eq!(work_per_size(&traffic, &settings), 2.5);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn traffic_is_dropped_only_when_it_would_mean_something_else() {
+fn sums_are_dropped_only_when_settings_change_their_meaning() {
     let old = settings(Effect::Idempotent);
     let mut traffic = WarmupTraffic::new(&old, at(0));
     traffic.on_work_sent(at(0), &stated(8.0));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn without_a_serving_cache_the_average_stays() {
+fn average_is_unchanged_by_steps_without_a_serving_cache() {
     let settings = settings(Effect::Idempotent);
     let mut traffic = WarmupTraffic::new(&settings, at(0));
     traffic.on_work_sent(at(0), &stated(8.0));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn work_that_is_not_accepted_is_taken_back_as_it_has_decayed() {
+fn work_that_is_not_accepted_is_subtracted_as_far_as_it_has_not_decayed() {
     let settings = settings(Effect::Idempotent);
     let mut traffic = WarmupTraffic::new(&settings, at(0));
     traffic.on_work_sent(at(0), &stated(3.0));
@@ -98,7 +98,7 @@
     let left = sent_work(&traffic, at(900), &settings);
     let decay = (-0.7 / settings.overload_window.as_secs_f64()).exp();
     assert!((left - accepted_alone * decay).abs() < 1e-9, "{left}");
-    // No error of estimates makes it negative.
+    // The sum does not become negative, even if more work is subtracted than was added.
     traffic.on_work_not_accepted(at(900), at(900), &stated(50.0));
     assert_eq!(sent_work(&traffic, at(900), &settings), 0.0);
 }
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn unstated_work_is_valued_by_the_estimate_that_holds_now() {
+fn unstated_work_is_converted_by_the_present_estimate() {
     let settings = settings(Effect::Idempotent);
     let unstated = Request { work: None, ..read() };
     let mut response_times = response_times(&settings);
@@ -132,6 +132,6 @@
     for _ in 0..50 {
         response_times.record(at(0), unstated.request_class, EndpointRole::Cache, Span::from_millis(390));
     }
-    // The answers take longer, and as many requests are granted as before.
+    // Longer answers do not change the number of requests that are granted.
     assert!((granted(&response_times) - requests).abs() < 1e-9 * requests);
 }
--- a/crates/balancer/src/balancer/work_sum.rs
+++ b/crates/balancer/src/balancer/work_sum.rs
@@ -15,9 +15,9 @@
 /// A decaying sum of work.
 pub(super) struct WorkSum {
     time_constant: Span,
-    /// Work that requests state, in seconds.
+    /// The work of requests that state their work, in seconds.
     stated: DecayingSum,
-    /// Requests that state none, by class.
+    /// The number of requests that do not state their work, by class.
     unstated: Vec<DecayingSum>,
 }
 
@@ -26,15 +26,15 @@
         WorkSum { time_constant, stated: DecayingSum::new(time_constant, now), unstated: Vec::new() }
     }
 
-    /// Adds a request.
+    /// Adds a request's work.
     pub fn add(&mut self, now: Time, request: &Request) {
-        let (sum, amount) = self.part(now, request);
+        let (sum, amount) = self.term(now, request);
         sum.add(now, amount);
     }
 
-    /// Takes back what is left of a request that was added at the time `added_at`.
+    /// Subtracts the part of a request's work that has not decayed since it was added at the time `added_at`.
     pub fn subtract(&mut self, now: Time, added_at: Time, request: &Request) {
-        let (sum, amount) = self.part(now, request);
+        let (sum, amount) = self.term(now, request);
         sum.subtract(now, added_at, amount);
     }
 
@@ -42,11 +42,11 @@
     fn add_scaled(&mut self, now: Time, other: &WorkSum, factor: f64) {
         self.stated.add(now, other.stated.read(now) * factor);
         for (class, requests) in other.unstated.iter().enumerate() {
-            self.class(now, class).add(now, requests.read(now) * factor);
+            self.class_count(now, class).add(now, requests.read(now) * factor);
         }
     }
 
-    /// The sum in seconds, by the estimates that hold now.
+    /// The sum in seconds, by the present estimates of unstated work.
     pub fn seconds(&self, now: Time, response_times: &ResponseTimes) -> f64 {
         let unstated = self.unstated.iter().enumerate();
         let estimated = unstated.map(|(class, requests)| {
@@ -55,15 +55,15 @@
         self.stated.read(now) + estimated.sum::<f64>()
     }
 
-    /// The sum that a request counts in, and its amount.
-    fn part(&mut self, now: Time, request: &Request) -> (&mut DecayingSum, f64) {
+    /// The sum that a request is added to, and the amount to add.
+    fn term(&mut self, now: Time, request: &Request) -> (&mut DecayingSum, f64) {
         match request.work {
             Some(work) => (&mut self.stated, work.as_secs_f64()),
-            None => (self.class(now, usize::from(request.request_class.0)), 1.0),
+            None => (self.class_count(now, usize::from(request.request_class.0)), 1.0),
         }
     }
 
-    fn class(&mut self, now: Time, class: usize) -> &mut DecayingSum {
+    fn class_count(&mut self, now: Time, class: usize) -> &mut DecayingSum {
         if self.unstated.len() <= class {
             self.unstated.resize(class + 1, DecayingSum::new(self.time_constant, now));
         }
@@ -83,13 +83,13 @@
         WorkMean { sum: WorkSum::new(time_constant, now), samples: DecayingSum::new(time_constant, now) }
     }
 
-    /// Adds a sum, multiplied by a factor.
+    /// Adds a sample, multiplied by a factor.
     pub fn add_scaled(&mut self, now: Time, sample: &WorkSum, factor: f64) {
         self.sum.add_scaled(now, sample, factor);
         self.samples.add(now, 1.0);
     }
 
-    /// The mean in seconds, by the estimates that hold now.
+    /// The mean in seconds, by the present estimates of unstated work.
     pub fn seconds(&self, now: Time, response_times: &ResponseTimes) -> f64 {
         self.sum.seconds(now, response_times) / (self.samples.read(now) + 1.0)
     }
--- a/crates/balancer/src/balancer/zone_outliers.rs
+++ b/crates/balancer/src/balancer/zone_outliers.rs
@@ -1,7 +1,8 @@
 //! Outlier detection for whole zones.
 //!
-//! A node that rarely calls each endpoint meets every endpoint of a lost zone anew. The detector combines the
-//! evidence of a zone's endpoints, so that the node notices the loss after a few attempts.
+//! A node that rarely sends attempts to any single endpoint would detect the failure of a zone's endpoints
+//! one by one. The detector combines the outcomes at all endpoints of a zone, so that the node detects the
+//! failure of the zone after a few attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,38 +12,43 @@
 /// A zone is unresponsive when this many endpoints in a row gave no response and no other endpoint of the
 /// zone did in between. One or two failed endpoints are no zone failure.
 const MIN_UNRESPONSIVE_ENDPOINTS: usize = 3;
-/// Interval of probes to an unresponsive zone; less often than its endpoints would be probed one by one.
+/// The interval between probes of an unresponsive zone: longer than if each of the zone's endpoints were
+/// probed.
 const PROBE_INTERVAL: Span = Span::from_millis(1000);
 
+/// The responses of one zone's endpoints.
 #[derive(Default)]
 struct ZoneState {
-    /// The endpoints without a response since the zone's last one, each once, up to the minimum that counts.
+    /// The endpoints that gave no response since the zone's last response, at most
+    /// `MIN_UNRESPONSIVE_ENDPOINTS`.
     unresponsive: Vec<EndpointId>,
+    /// When the first of the `unresponsive` endpoints gave no response.
     unresponsive_since: Time,
     last_response_at: Time,
     next_probe_at: Time,
 }
 
-/// Tracks responses by zone, for the zones of the endpoint list.
+/// The state of each zone of the endpoint list.
 #[derive(Default)]
 pub(super) struct ZoneOutlierDetector {
     zones: BTreeMap<ZoneId, ZoneState>,
 }
 
 impl ZoneOutlierDetector {
-    /// Drops the state of all other zones. A list may name new zones for as long as the node runs.
+    /// Drops the state of all zones that are not listed, so that the state stays bounded however many zones
+    /// are listed over time.
     pub fn retain_zones(&mut self, listed: &BTreeSet<ZoneId>) {
         self.zones.retain(|zone, _| listed.contains(zone));
     }
 
-    /// An endpoint of the zone responded in any way.
+    /// Records that an endpoint of the zone responded in any way.
     pub fn on_response(&mut self, now: Time, zone: ZoneId) {
         let state = self.zones.entry(zone).or_default();
         state.last_response_at = now;
         state.unresponsive.clear();
     }
 
-    /// An attempt at an endpoint of the zone had no response, or no connection was established.
+    /// Records that an attempt at an endpoint of the zone had no response or found no connection.
     pub fn on_no_response(&mut self, now: Time, zone: ZoneId, endpoint: EndpointId) {
         let state = self.zones.entry(zone).or_default();
         if state.unresponsive.is_empty() {
@@ -66,7 +72,7 @@
         others.any(|(_, other)| other.last_response_at >= state.unresponsive_since)
     }
 
-    /// Whether an attempt may be sent there: the zone responds, or a probe of it is due.
+    /// Whether attempts may be sent to the zone: the zone responds, or a probe of the zone is due.
     pub fn is_attempt_allowed(&self, now: Time, zone: ZoneId) -> bool {
         if !self.is_unresponsive(zone) {
             return true;
--- a/crates/balancer/src/balancer/zone_outliers/tests.rs
+++ b/crates/balancer/src/balancer/zone_outliers/tests.rs
@@ -21,7 +21,10 @@
     let mut detector = ZoneOutlierDetector::default();
     detector.on_response(at(0), NEAR);
     (1..4).for_each(|n| detector.on_no_response(at(n), FAR, EndpointId(n)));
-    assert!(!detector.is_unresponsive(FAR), "nothing else responded since: the node itself may be cut off");
+    assert!(
+        !detector.is_unresponsive(FAR),
+        "no other zone responded since: the node itself may be disconnected"
+    );
     detector.on_response(at(5), NEAR);
     assert!(detector.is_unresponsive(FAR));
     assert!(!detector.is_unresponsive(NEAR));
@@ -41,7 +44,7 @@
     assert!(!detector.is_attempt_allowed(at(900), FAR));
     assert!(detector.is_attempt_allowed(at(1100), FAR));
     detector.on_attempt_sent(at(1100), FAR);
-    assert!(!detector.is_attempt_allowed(at(1101), FAR), "one probe, not all requests that wait");
+    assert!(!detector.is_attempt_allowed(at(1101), FAR), "only one request is sent as a probe");
     assert!(detector.is_attempt_allowed(at(2101), FAR));
     detector.on_response(at(2200), FAR);
     assert!(detector.is_attempt_allowed(at(2201), FAR));
