--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -1,7 +1,8 @@
-//! Budgets for endpoints that are warming up (slow start), and for leases of the origin.
+//! Budgets for endpoints in warm-up (slow start) and for a leased origin.
 //!
-//! Each endpoint has a token bucket of work. A node refills it at its own part of what the endpoint can take,
-//! so that all nodes together stay below the load under which an endpoint in warm-up fails.
+//! Each endpoint has a token bucket of work at each node. A node refills the bucket at its own part of the
+//! load that the endpoint can serve, so that all nodes together stay below the load at which an endpoint in
+//! warm-up fails.
 
 use crate::endpoint::EndpointRole;
 use crate::request::Request;
@@ -13,13 +14,13 @@
 use super::response_times::ResponseTimes;
 use super::work_sum::{WorkMean, WorkSum};
 
-/// Endpoints in warm-up receive at most this multiple of the recent work per unit of warm size, where
-/// requests ask for more and the overload multiple has room for it.
+/// If requests ask for more work than caches recently accepted, endpoints in warm-up are sent at most this
+/// multiple of the accepted work per unit of warm size. The overload multiple may lower it.
 const MAX_DEMAND_GROWTH: f64 = 1.5;
 /// The capacity of a bucket: the refill during this share of the overload window.
 const CAPACITY_WINDOW_SHARE: f64 = 0.5;
-/// Attempts may by chance arrive at twice a node's part; if even that would make the endpoint fail, the part
-/// is reduced.
+/// The share of the overload multiple that nodes may use, since attempts may by chance arrive at twice the
+/// intended rate. If an endpoint would fail even at twice its part of the load, that part is reduced.
 const BURST_ALLOWANCE: f64 = 0.5;
 /// The least warm size that the requested work is divided by.
 const MIN_WARM_SIZE: f64 = 1e-9;
@@ -29,9 +30,9 @@
 pub(super) struct WarmupBudget {
     tokens: f64,
     refilled_at: Time,
-    /// The share of an attempt's cost that must be available, drawn at random for each attempt: a bucket
-    /// refills far less than one attempt at each of many nodes, and so neither do all of them wait nor all
-    /// send at once.
+    /// The share of the next attempt's cost that must be available, drawn at random for each attempt. Where
+    /// each of many nodes refills far less than one attempt, this spreads their attempts: the nodes neither
+    /// all wait nor all send at once.
     required_share: f64,
 }
 
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Drops the sums if they mean something else under new settings: sums over other windows, or by other
-    /// sizes, would grant endpoints in warm-up work that they can't take.
+    /// Drops the sums if the new settings have another overload window, warm-up duration or kind of size.
+    /// With sums of another meaning, endpoints in warm-up would be granted work that overloads them.
     pub fn on_settings_update(&mut self, old: &Settings, new: &Settings, now: Time) {
         let is_unchanged = old.overload_window == new.overload_window
             && old.warmup_duration == new.warmup_duration
@@ -106,15 +107,15 @@
         self.sent_work.add(now, request);
     }
 
-    /// An attempt did not reach its cache, or the cache shed it: its work is taken back. Requests that find
-    /// no room are sent again and again, and none of that shows what a cache carries. If it counted, the more
-    /// an overloaded fleet sheds, the more its cold caches would be granted.
+    /// Subtracts the work of an attempt that did not reach its cache or that the cache rejected. A rejected
+    /// request is retried, and its attempts do not show how much work caches can serve. If they counted, cold
+    /// caches would be granted more work the more attempts an overloaded fleet rejects.
     pub fn on_work_not_accepted(&mut self, now: Time, sent_at: Time, request: &Request) {
         self.sent_work.subtract(now, sent_at, request);
     }
 
-    /// Updates the average. Without a serving cache nothing is carried; related to almost no size, the work
-    /// would grant endpoints in warm-up any amount.
+    /// Adds the present sum of sent work to the average. The step is skipped without a serving cache: divided
+    /// by a size of almost zero, the work would grant endpoints in warm-up any amount.
     pub fn on_learning_step(&mut self, now: Time, warm_size: f64) {
         if warm_size > 0.0 {
             self.sent_per_size.add_scaled(now, &self.sent_work, 1.0 / warm_size);
@@ -141,9 +142,9 @@
     }
 }
 
-/// By how much budgets may follow demand beyond what caches carried. What caches carry is at most their
-/// capacity, so the growth has to stay within the overload multiple, and a part of that is left to chance and
-/// to endpoints that are smaller than listed.
+/// The largest factor by which budgets may exceed the work that caches accepted. Accepted work may equal the
+/// caches' capacity, so the factor stays within the overload multiple. A part of that multiple is reserved
+/// for random bursts and for endpoints that are smaller than listed.
 fn max_demand_growth(settings: &Settings) -> f64 {
     (settings.overload_multiple * BURST_ALLOWANCE).clamp(1.0, MAX_DEMAND_GROWTH)
 }
@@ -177,8 +178,8 @@
         cost == 0.0 || self.available(endpoint, cost) >= endpoint.warmup_budget.required_share * cost
     }
 
-    /// What an attempt takes out of the endpoint's budget. Writes can go to the origin alone, so its lease
-    /// does not bind them.
+    /// The tokens that an attempt takes from the endpoint's budget. A write at a leased origin costs nothing,
+    /// since writes cannot go anywhere else and are not limited by the lease.
     pub fn cost(&self, endpoint: &Endpoint, request: &Request) -> f64 {
         if endpoint.lease.is_some() && endpoint.role == EndpointRole::Origin {
             return if request.write { 0.0 } else { 1.0 };
@@ -196,10 +197,12 @@
         endpoint.warmup_budget.available(self.now, rate, capacity)
     }
 
-    /// The work per second that this node may send the endpoint: by its size and warm-up, its part of what
-    /// caches received from the node, so that all nodes together stay near the endpoint's part of the load.
-    /// It is at least one attempt at a time from all nodes together; otherwise nobody would find out that an
-    /// endpoint works in a fleet that warms up as a whole. A lease only lowers the rate of a cache.
+    /// The tokens per second by which this node refills the endpoint's bucket. Without a lease, the rate is
+    /// the endpoint's part, by size and warm-up factor, of the work that caches accepted from this node, so
+    /// that all nodes together send about the endpoint's part of the load. The rate is at least enough for
+    /// one attempt at a time from all nodes together: with less, no node would notice that endpoints work in
+    /// a fleet that warms up as a whole. A lease sets the rate of the origin and only lowers the rate of a
+    /// cache.
     fn refill_rate(&self, endpoint: &Endpoint) -> f64 {
         let warmup_factor = endpoint.warmup_factor(self.now, self.settings);
         let burst_factor = (self.settings.overload_multiple * BURST_ALLOWANCE).min(1.0);
--- a/crates/balancer/src/balancer/work_sum.rs
+++ b/crates/balancer/src/balancer/work_sum.rs
@@ -1,9 +1,8 @@
-//! Sums of requests' work that stay comparable while the estimates of unstated work change.
-//!
-//! A request that does not state its work is estimated by the time of recent answers, and that time grows
-//! with load. A sum of former estimates could not be compared with the estimate of the next request: once
-//! answers are slow, the same requests would seem to be more work than before. So these requests are counted
-//! by class, and valued by the estimate that holds when the sum is read.
+//! Sums of requests' work that stay comparable while the estimates of unstated work change. The work of a
+//! request that does not state its work is estimated by recent response times, which grow with load. A sum of
+//! past estimates could not be compared with the estimate for the next request: once answers are slow, the
+//! same requests would appear to be more work than before. Requests without stated work are therefore counted
+//! by class, and the counts are converted to work by the estimate at the time when the sum is read.
 
 use crate::decaying::DecayingSum;
 use crate::endpoint::EndpointRole;
@@ -71,8 +70,8 @@
     }
 }
 
-/// The mean of sums of work, where newer ones weigh more. A first sample of zero never decays, so that few
-/// samples move it little.
+/// The mean of samples of a [`WorkSum`], in which newer samples have a higher weight. An initial sample of
+/// zero never decays, so that the first samples change the mean little.
 pub(super) struct WorkMean {
     sum: WorkSum,
     samples: DecayingSum,
--- a/crates/balancer/src/balancer/zone_outliers.rs
+++ b/crates/balancer/src/balancer/zone_outliers.rs
@@ -9,8 +9,8 @@
 use crate::ids::{EndpointId, ZoneId};
 use crate::time::{Span, Time};
 
-/// A zone is unresponsive when this many endpoints in a row gave no response and no other endpoint of the
-/// zone did in between. One or two failed endpoints are no zone failure.
+/// A zone is unresponsive after this many of its endpoints gave no response and no endpoint of the zone
+/// responded in between. One or two failed endpoints do not indicate a failure of the zone.
 const MIN_UNRESPONSIVE_ENDPOINTS: usize = 3;
 /// The interval between probes of an unresponsive zone: longer than if each of the zone's endpoints were
 /// probed.
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether the zone does not respond while another zone has. If no zone responds, the node itself is cut
-    /// off or all zones fail, and leaving out all of them would help nobody.
+    /// Whether the zone does not respond although another zone has responded since. If no zone responds, the
+    /// node itself is disconnected or all zones have failed, and excluding all of them would not help.
     pub fn is_unresponsive(&self, zone: ZoneId) -> bool {
         let Some(state) = self.zones.get(&zone) else { return false };
         if state.unresponsive.len() < MIN_UNRESPONSIVE_ENDPOINTS {
@@ -80,8 +80,8 @@
         self.zones.get(&zone).is_none_or(|state| state.next_probe_at <= now)
     }
 
-    /// An attempt was sent there. While the zone is unresponsive the attempt is a probe and puts off the next
-    /// one.
+    /// Records that an attempt was sent to the zone. If the zone is unresponsive, the attempt is a probe and
+    /// postpones the next probe.
     pub fn on_attempt_sent(&mut self, now: Time, zone: ZoneId) {
         if let Some(state) = self.zones.get_mut(&zone) {
             state.next_probe_at = state.next_probe_at.max(now + PROBE_INTERVAL);
