--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,16 +1,17 @@
-//! The balancer of one node: which endpoint serves which request.
+//! The balancer of one node: decides which endpoint serves which request.
 //!
-//! A host creates a [`Balancer`] from the settings. It reports what happens by the `on_*` methods, which only update
-//! the balancer's state. Then it calls [`Balancer::poll_attempt`], [`Balancer::poll_response`],
-//! [`Balancer::poll_cancellation`] and [`Balancer::poll_watch_request`] until each of them has nothing left, and
-//! carries out what they return. It polls again at the latest at the time of [`Balancer::poll_timeout`].
+//! A host creates a [`Balancer`] from the settings. The host reports events by the `on_*` methods, which only
+//! update the balancer's state. Then the host calls [`Balancer::poll_attempt`], [`Balancer::poll_response`],
+//! [`Balancer::poll_cancellation`] and [`Balancer::poll_watch_request`] until each of them has nothing left
+//! to return, and carries out what they returned. The host polls again no later than the time of
+//! [`Balancer::poll_timeout`].
 //!
-//! A request takes this way: it waits in the request queue; dispatch takes the key's available candidate of the highest
-//! weight (endpoint selection); the attempt's result updates the endpoint's state (assessment); then the request is
-//! closed, waits for another attempt, or is rejected.
+//! A request is processed as follows. It waits in the request queue. Dispatch selects the available candidate
+//! of the key with the highest weight (endpoint selection). The attempt's result updates the endpoint's state
+//! (assessment). Then the request is closed, waits for another attempt, or is rejected.
 //!
-//! Two invariants each have one place that enforces them. Every attempt passes `PermissionGate::is_permitted`, which
-//! checks the site's rules. Every final response that the balancer gives by itself passes `Balancer::respond`.
+//! Two invariants are each enforced in one place. Every attempt passes `PermissionGate::is_permitted`, which
+//! checks the site's rules. Every final response that the balancer itself gives passes `Balancer::respond`.
 //!
 //! `docs/design.md` describes the design and its reasons.
 
@@ -61,29 +62,31 @@
 use crate::settings::{RequestClass, Settings};
 use crate::time::{Span, Time};
 
-/// How long request rates and response times are remembered: they change more slowly than usage.
+/// The time constant by which request rates and response times decay; longer than that of usage, since they
+/// change more slowly.
 const RATE_TIME_CONSTANT: Span = Span::from_millis(12_000);
-/// An answer slower than this share of its latency objective shows a queue.
+/// An answer that takes more than this share of its latency objective shows that the endpoint has a queue.
 const SLOW_SLO_SHARE: f64 = 0.4;
-/// An attempt that has been without a response for less than this share of its latency objective shows nothing of the
-/// endpoint.
+/// An attempt that has had no response for less than this share of its latency objective shows nothing about
+/// the endpoint's health.
 const PROMPT_SLO_SHARE: f64 = 0.5;
-/// The share of the latency objective that a request may wait for its first attempt.
+/// The largest share of the latency objective that a request may wait for its first attempt.
 const QUEUE_SLO_SHARE: f64 = 0.4;
-/// A rejected client is asked to stay away for this multiple of the latency objective: a retry soon after would come
-/// too late for it.
+/// The retry delay that a rate-limited client is given, as a multiple of the latency objective. A retry soon
+/// after the rejection would miss the objective anyway.
 const RETRY_AFTER_SLO_MULTIPLE: f64 = 4.0;
-/// What may be wrong about at most this share of the caches: a list that drops more is doubted, and the control plane
-/// can't eject more.
+/// The largest share of the caches that other members' information may remove: an endpoint list that drops
+/// more is doubted, and reports of the control plane eject no more.
 const MINORITY_SHARE: f64 = 0.34;
-/// How often waiting requests are looked at when nothing happens.
+/// The interval at which waiting requests are dispatched again if no event occurs.
 const RECHECK_INTERVAL: Span = Span::from_millis(20);
-/// An endpoint's share of the slots grows with its warm-up in this many steps: each moves keys, at every node alike.
+/// The number of steps in which an endpoint's share of the slots grows during warm-up. Each step moves keys,
+/// and it moves the same keys at every node.
 const WARMUP_STEPS: f64 = 8.0;
-/// The least work in seconds that a request's value is related to.
+/// The least work, in seconds, that a request's value is divided by.
 const MIN_WORK_SECONDS: f64 = 1e-6;
 
-/// A final response by the balancer itself.
+/// A final response that the balancer itself gives.
 struct LocalResponse {
     id: RequestId,
     reply: LocalReply,
@@ -115,7 +118,7 @@
 }
 
 impl Balancer {
-    /// A balancer without endpoints. All its randomness follows from `seed`.
+    /// A balancer without endpoints. All its random decisions are determined by `seed`.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Balancer {
         Balancer {
             now,
@@ -135,20 +138,21 @@
         }
     }
 
-    /// Other settings hold from now on. Request classes keep their positions, and new ones follow. Pending requests
-    /// keep their terms. What is known of endpoints stays where it means the same under the new settings; the rest
-    /// starts anew.
+    /// Replaces the settings. Request classes must keep their positions, with new classes after them. Pending
+    /// requests keep the deadlines, attempt limit and retry delay that they arrived under. State of endpoints
+    /// is kept if it has the same meaning under the new settings, and is otherwise reset.
     pub fn on_settings_update(&mut self, now: Time, settings: Settings) {
         self.start_event(now);
         let old = std::mem::replace(&mut self.settings, settings);
         self.response_times.add_classes(&self.settings.request_classes, now);
         for endpoint in self.endpoints.iter_mut() {
-            // Usage may be of another kind now.
+            // Under the new settings usage may be measured in another way, so pushes and load reports are
+            // reset.
             endpoint.push = 0.0;
             endpoint.last_load_report = None;
             endpoint.warmup_budget.restart_refill(now);
             if self.settings.nodes != old.nodes {
-                // Limits start by the number of nodes; attempts in flight still count.
+                // The initial limit depends on the number of nodes. Attempts in flight still count.
                 let in_flight = endpoint.limit.in_flight();
                 endpoint.limit = ConcurrencyLimit::new(self.settings.nodes, in_flight, now);
             }
@@ -157,13 +161,13 @@
         self.update_slot_table();
     }
 
-    /// The endpoint list that the node's former process saw last. It may be outdated.
+    /// Sets the endpoint list that the node's previous process received last. The list may be outdated.
     pub fn on_endpoints_restored(&mut self, now: Time, updates: &[EndpointUpdate]) {
         self.apply_endpoints(now, updates, true);
     }
 
-    /// The endpoint list, or its changed entries if it is not `complete`. Where the list only comes on request, the
-    /// watch stands.
+    /// Applies the endpoint list, or only its changed entries if the list is not `complete`. Where the list
+    /// is sent only on request, an update shows that the watch is established.
     pub fn on_endpoints_update(&mut self, now: Time, updates: &[EndpointUpdate], complete: bool) {
         self.watch.on_update();
         self.apply_endpoints(now, updates, complete);
@@ -172,18 +176,18 @@
     fn apply_endpoints(&mut self, now: Time, updates: &[EndpointUpdate], complete: bool) {
         self.start_event(now);
         self.endpoints.apply(now, updates, complete, &self.settings, &mut self.random);
-        self.apply_removals_and_sizes(now);
+        self.update_serving_endpoints(now);
         self.zones.retain_zones(&self.endpoints.zones());
     }
 
-    /// The endpoint list was not available, or the watch was lost.
+    /// Schedules another watch request after the endpoint list was not available or the watch was lost.
     pub fn on_endpoints_watch_failed(&mut self, now: Time) {
         self.start_event(now);
         let jitter = self.random.next_unit_float();
         self.watch.on_failure(now, jitter);
     }
 
-    /// A client's request arrived. A request of an unknown class fails at once.
+    /// Accepts a client's request. A request of an unknown class gets an error at once.
     pub fn on_request(&mut self, now: Time, id: RequestId, request: Request) {
         self.start_event(now);
         let class_index = usize::from(request.request_class.0);
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Sets the terms of a new request.
+    /// The state of a new request, with its deadlines and limits by the present settings.
     fn new_pending_request(&mut self, now: Time, request: Request, class: RequestClass) -> PendingRequest {
         let work = if self.settings.is_value_per_work {
             1.0
@@ -226,13 +230,14 @@
         }
     }
 
-    /// The client does not wait for this request any more, or has its response by other means.
+    /// Closes a request whose client has disconnected or has its response by other means.
     pub fn on_client_disconnect(&mut self, now: Time, id: RequestId) {
         self.start_event(now);
         self.close(id);
     }
 
-    /// An attempt has ended. Results of unknown attempts, and second results, change nothing.
+    /// Records the result of an attempt. Results of unknown attempts, and second results of an attempt, are
+    /// ignored.
     pub fn on_attempt_finished(&mut self, now: Time, id: RequestId, result: &AttemptResult) {
         self.start_event(now);
         let Some(attempt) = self.attempts.remove(id, result) else { return };
@@ -245,7 +250,8 @@
         record_result(request, result, is_origin, was_overtaken);
         let has_attempt_in_flight = request.first_in_flight().is_some();
         self.finish_fetch(id);
-        // An error slower than an answer is that of a failed fetch: another cache would only fetch again.
+        // An error of a cache that took longer than an expected answer is that of a failed fetch from the
+        // origin. The request is then rejected, since another cache would only repeat the fetch.
         let is_fetch_error = !self.settings.is_cache_aside()
             && result.outcome == AttemptOutcome::Errored
             && result.latency > expected;
@@ -258,7 +264,8 @@
         }
     }
 
-    /// An endpoint's load report came with an answer. It is reported before the attempt's result.
+    /// Stores the load report that came with an endpoint's answer. The host reports it before the attempt's
+    /// result.
     pub fn on_load_report(&mut self, now: Time, endpoint: EndpointId, report: &LoadReport) {
         self.start_event(now);
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
@@ -266,8 +273,9 @@
         }
     }
 
-    /// Information from the control plane. The balancer's own evidence counts where it is fresher. Since planners may
-    /// lie, the information ejects no more than a minority of the endpoints, and none is taken back but by a probe.
+    /// Applies information from the control plane. A reported failure is ignored if the endpoint has
+    /// responded to this node since. Because planners may report false information, reports of failures eject
+    /// no more than a minority of the endpoints, and only a successful probe ends an ejection.
     pub fn on_control_plane_update(&mut self, now: Time, update: &ControlPlaneUpdate) {
         self.start_event(now);
         self.apply_reported_failures(now, &update.failing);
@@ -303,7 +311,7 @@
         }
     }
 
-    /// The next attempt to send.
+    /// Returns the next attempt to send.
     pub fn poll_attempt(&mut self, now: Time) -> Option<Attempt> {
         self.advance(now);
         while let Some(id) = self.requests.next_waiting() {
@@ -315,31 +323,31 @@
         None
     }
 
-    /// The next final response that the balancer gives by itself.
+    /// Returns the next final response that the balancer itself gives.
     pub fn poll_response(&mut self, now: Time) -> Option<(RequestId, LocalReply)> {
         self.advance(now);
         self.responses.pop_front().map(|response| (response.id, response.reply))
     }
 
-    /// The next attempt to cancel.
+    /// Returns the next attempt to cancel.
     pub fn poll_cancellation(&mut self) -> Option<(RequestId, AttemptNumber)> {
         self.cancellations.pop_front().map(|cancellation| (cancellation.id, cancellation.number))
     }
 
-    /// Whether to request a watch on the endpoint list now.
+    /// Returns whether to request a watch on the endpoint list now.
     pub fn poll_watch_request(&mut self, now: Time) -> bool {
         self.watch.poll(now, self.settings.max_poll_interval)
     }
 
-    /// When to poll again if nothing happens before.
+    /// The time at which to poll again if no event occurs before.
     pub fn poll_timeout(&self, now: Time) -> Option<Time> {
         let recheck = self.requests.has_waiting().then_some(now + RECHECK_INTERVAL);
         let timeouts = [self.requests.next_deadline(), recheck, self.watch.next_request_at()];
         timeouts.into_iter().flatten().min().map(|timeout| timeout.max(now))
     }
 
-    /// The number of entries stored for requests, attempts, keys and endpoints. It is bounded, however long the
-    /// balancer runs.
+    /// The number of entries stored for requests, attempts, keys and endpoints, which is bounded however long
+    /// the balancer runs.
     pub fn entry_count(&self) -> usize {
         self.requests.entry_count()
             + self.attempts.len()
@@ -350,7 +358,8 @@
             + self.endpoints.len()
     }
 
-    /// What the budgets of endpoints in warm-up follow from, while a serving cache warms up.
+    /// The values from which the budgets of endpoints in warm-up are computed; `None` if no serving cache is
+    /// in warm-up.
     pub fn warmup_report(&self, now: Time) -> Option<WarmupReport> {
         let is_warming_up =
             |endpoint: &Endpoint| endpoint.is_serving() && endpoint.warmup_factor(now, &self.settings) < 1.0;
@@ -360,18 +369,20 @@
             .then(|| self.warmup_traffic.report(now, &self.response_times))
     }
 
-    /// A key's candidates, the highest weight first.
+    /// A key's candidates in descending order of weight.
     pub fn ranked_candidates(&self, key: Key) -> Vec<EndpointId> {
         self.selection.ranked_candidates(key)
     }
 
-    /// Something happened: waiting requests are looked at anew.
+    /// Advances to the time of an event, and makes all waiting requests due for dispatch, since an endpoint
+    /// may now be available to them.
     fn start_event(&mut self, now: Time) {
         self.advance(now);
         self.requests.restart_round();
     }
 
-    /// Brings everything up to date that changes with time alone.
+    /// Advances to the time `now`: processes deadlines that have passed, and runs a learning step if one is
+    /// due.
     fn advance(&mut self, now: Time) {
         if now > self.now {
             self.now = now;
@@ -385,8 +396,8 @@
         }
     }
 
-    /// A request's deadline has passed: that of its client, its latency objective, or the time at which a slow attempt
-    /// is looked at.
+    /// Handles a deadline of a request that has passed: the client's deadline, the latency objective, or the
+    /// time of the next check of a slow attempt.
     fn on_deadline(&mut self, now: Time, due_at: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if due_at >= request.client_deadline {
@@ -398,9 +409,10 @@
         }
     }
 
-    /// One learning step: updates the endpoints' pushes by their usage, and all weights by the pushes.
+    /// Runs one learning step: updates each endpoint's push by the endpoint's usage, and all weights by the
+    /// pushes.
     fn run_learning_step(&mut self, now: Time) {
-        self.apply_removals_and_sizes(now);
+        self.update_serving_endpoints(now);
         let settings = &self.settings;
         let serving = self.endpoints.iter().filter(|endpoint| endpoint.is_serving());
         let warm_size = serving.map(|cache| cache.size(settings) * cache.warmup_factor(now, settings)).sum();
@@ -410,13 +422,13 @@
         self.selection.push(&self.endpoints);
     }
 
-    fn apply_removals_and_sizes(&mut self, now: Time) {
+    fn update_serving_endpoints(&mut self, now: Time) {
         self.endpoints.update_removed_endpoints(now);
         self.update_slot_table();
     }
 
-    /// Gives serving caches their shares of the slots. During warm-up a share grows in steps, so that few keys have
-    /// none but candidates in warm-up.
+    /// Sets the serving caches' shares of the slots. A share grows in steps during warm-up, so that few keys
+    /// have only candidates in warm-up.
     fn update_slot_table(&mut self) {
         let share = |endpoint: &Endpoint| {
             let warmup_factor = endpoint.warmup_factor(self.now, &self.settings);
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -116,7 +116,7 @@
         self.table.set_shard_map(shard_map);
     }
 
-    /// A key's candidates, the highest weight first.
+    /// A key's candidates in descending order of weight.
     pub fn ranked_candidates(&self, key: Key) -> Vec<EndpointId> {
         let candidates = match self.keys.get(&key) {
             Some(state) if state.table_version == self.table.version() => state.candidates,
--- a/crates/balancer/src/balancer/warmup.rs
+++ b/crates/balancer/src/balancer/warmup.rs
@@ -114,8 +114,9 @@
         self.sent_work.subtract(now, sent_at, request);
     }
 
-    /// Adds the present sum of sent work to the average. The step is skipped without a serving cache: divided
-    /// by a size of almost zero, the work would grant endpoints in warm-up any amount.
+    /// Adds the present sum of sent work to the average. The step is skipped while no cache serves, and hence
+    /// none accepts work: divided by a size of almost zero, the sum would grant endpoints in warm-up any
+    /// amount.
     pub fn on_learning_step(&mut self, now: Time, warm_size: f64) {
         if warm_size > 0.0 {
             self.sent_per_size.add_scaled(now, &self.sent_work, 1.0 / warm_size);
