--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -3,63 +3,65 @@
 use crate::ids::{AttemptNumber, EndpointId, RequestId};
 use crate::time::Span;
 
-/// An attempt that the host is to send.
+/// An attempt that the host has to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The request that is attempted.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The endpoint that the attempt goes to.
     pub endpoint: EndpointId,
-    /// The attempt times out after this time.
+    /// The time after which the attempt times out, from the moment that it is returned by the balancer.
     pub timeout: Span,
-    /// The first byte may leave within this time only. Establishing a connection may take long, and the
-    /// endpoint must still recognize a repeat as one when it arrives.
+    /// The time within which the first byte must be sent, if it is sent at all. Connecting may take long, and
+    /// an endpoint must still recognize a repeated request as a duplicate when the attempt arrives.
     pub begin_within: Span,
-    /// Whether the request may run more than once. If not, no answer that was made for another request may be taken for
-    /// this one's: it might say that nothing ran.
+    /// Whether the request may be executed more than once. If not, the attempt must not use a connection on
+    /// which an answer to another request may arrive: that answer could falsely say that this request was not
+    /// executed.
     pub is_idempotent: bool,
 }
 
-/// What became of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// The attempt's number within its request.
     pub number: AttemptNumber,
     /// The endpoint that the attempt went to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time from sending the attempt until it ended.
+    /// The time from sending the attempt until the attempt ended.
     pub latency: Span,
     /// Whether the request has its final response, by this attempt or by an earlier one.
     pub answered: bool,
 }
 
-/// How an attempt ended, as far as that decides what follows.
+/// How an attempt ended, as far as the balancer's decisions depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The endpoint answered.
     Fulfilled,
     /// The cache does not hold the key.
     CacheMiss,
-    /// The endpoint shed the attempt without looking at it.
+    /// The endpoint rejected the attempt without executing the request.
     Rejected,
     /// No connection could be established.
     Unreachable,
-    /// The attempt never left the node.
+    /// The node sent no byte of the attempt.
     NotSent,
-    /// No answer came in time.
+    /// No answer arrived within the attempt's timeout.
     TimedOut,
     /// The endpoint answered with an error.
     Errored,
-    /// The connection broke.
+    /// The connection was closed before the answer was complete.
     Reset,
     /// The balancer cancelled the attempt.
     Cancelled,
 }
 
 impl AttemptOutcome {
-    /// Whether the request was certainly not executed by this attempt, so that any request may be retried.
+    /// Whether the outcome proves that the attempt did not execute the request, so that even a non-idempotent
+    /// request may be retried.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
--- a/crates/balancer/src/balancer/assessment.rs
+++ b/crates/balancer/src/balancer/assessment.rs
@@ -172,7 +172,7 @@
             self.warmup_traffic.on_work_not_accepted(now, attempt.sent_at, &attempt.request);
         }
         let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else { return };
-        endpoint.own_load.step_by(now, -1.0);
+        endpoint.own_load.change_by(now, -1.0);
         if outcome == AttemptOutcome::Fulfilled {
             let fastest = endpoint.fastest_response.scaled(FASTEST_RESPONSE_GROWTH);
             endpoint.fastest_response = fastest.min(latency);
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -241,7 +241,7 @@
         let Some(endpoint) = self.endpoints.get_mut(sent.endpoint) else { return };
         endpoint.warmup_budget.set(now, remaining, required_share);
         endpoint.limit.on_attempt_sent();
-        endpoint.own_load.step_by(now, 1.0);
+        endpoint.own_load.change_by(now, 1.0);
         endpoint.health.on_attempt_sent(now);
         if !endpoint.is_origin() {
             self.warmup_traffic.on_work_sent(now, &sent.request);
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -63,7 +63,7 @@
             role: if is_origin { EndpointRole::Origin } else { EndpointRole::Cache },
             health: EndpointHealth::new(),
             limit: ConcurrencyLimit::new(settings.nodes, in_flight, now),
-            own_load: DecayingLevel::at(in_flight, USAGE_TIME_CONSTANT, now),
+            own_load: DecayingLevel::starting_at(in_flight, USAGE_TIME_CONSTANT, now),
             warmup_budget: WarmupBudget::new(required_warmup_share, now),
             lease: None,
             push: 0.0,
--- a/crates/balancer/src/balancer/load_reports/tests.rs
+++ b/crates/balancer/src/balancer/load_reports/tests.rs
@@ -64,7 +64,7 @@
 #[test]
 fn without_reports_of_requests_held_usage_is_own_load_and_a_part_of_reported_queues() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
-    list.get_mut(EndpointId(0)).expect("listed").own_load.step_by(at(0), 2.0);
+    list.get_mut(EndpointId(0)).expect("listed").own_load.change_by(at(0), 2.0);
     set_report(&mut list, 1, LoadReport { requests_queued: Some(40.0), ..LoadReport::default() });
     let [own, queue] = usages(&list, 0, 10.0)[..] else { panic!("two caches") };
     assert_eq!((own, queue), (0.0, 4.0), "own load is an average over time");
@@ -83,7 +83,7 @@
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
     set_report(&mut list, 1, LoadReport { requests_held: Some(0.0), ..LoadReport::default() });
-    list.get_mut(EndpointId(1)).expect("listed").own_load.step_by(at(0), 2.0);
+    list.get_mut(EndpointId(1)).expect("listed").own_load.change_by(at(0), 2.0);
     let usages = usages(&list, seconds * 1000, 1.0);
     assert!(usages.iter().all(|usage| usage.is_finite()), "{usages:?}");
 }
@@ -92,7 +92,7 @@
 fn usage_is_own_load_once_the_weights_of_all_reports_are_zero() {
     let mut list = endpoints(2, &settings(Effect::Idempotent));
     set_report(&mut list, 0, LoadReport { requests_held: Some(10.0), ..LoadReport::default() });
-    list.get_mut(EndpointId(1)).expect("listed").own_load.step_by(at(0), 2.0);
+    list.get_mut(EndpointId(1)).expect("listed").own_load.change_by(at(0), 2.0);
     let [idle, loaded] = usages(&list, 3_600_000, 1.0)[..] else { panic!("two caches") };
     assert_eq!((idle, loaded), (0.0, 2.0));
 }
--- a/crates/balancer/src/control_plane.rs
+++ b/crates/balancer/src/control_plane.rs
@@ -1,16 +1,16 @@
-//! What the control plane tells a node: the health of endpoints, the form of the slot table, and leases.
+//! Information that the control plane sends to a node: health of endpoints, the shard map, and leases.
 
 use std::collections::BTreeMap;
 
 use crate::ids::EndpointId;
 use crate::time::{Span, Time};
 
-/// How the shards of the slot table are split, as one version that all planners agree on. Half of a split
-/// shard's keys, by one more bit of their hash, have other candidates. A map is always complete; a node that
-/// misses one suffers cache misses and nothing else.
+/// One version of how the slot table's shards are split, on which all planners agree. Splitting a shard by
+/// one more bit of the keys' hashes gives half of its keys other candidates. A map is always complete, so a
+/// node that misses a version has cache misses and no other harm.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShardMap {
-    /// Newer maps have higher versions.
+    /// The version, which is higher in newer maps.
     pub version: u64,
     /// The splits by shard number; shards that are not listed are not split.
     pub shards: BTreeMap<u8, ShardSplit>,
@@ -19,58 +19,60 @@
 /// How one shard is split.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShardSplit {
-    /// Number of further hash bits that tell the shard's keys apart.
+    /// The number of additional hash bits by which the shard's keys are distributed.
     pub bits: u8,
-    /// Progress of the migration to one further bit.
+    /// The phase of the migration to one more bit.
     pub migration: MigrationPhase,
 }
 
-/// Progress of a shard's migration to one further hash bit.
+/// The phase of a shard's migration to one more hash bit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MigrationPhase {
     /// No migration is under way.
     #[default]
     Stable,
-    /// A part of the migrating keys is read at the new endpoints.
+    /// A part of the migrating keys is read from the new endpoints.
     Copying {
-        /// The part in sixteenths.
+        /// The part of the migrating keys, in sixteenths.
         sixteenths: u8,
     },
-    /// All migrating keys are read at the new endpoints, and a miss there asks the previous ones before the
-    /// origin.
+    /// All migrating keys are read from the new endpoints. After a cache miss there, a key is read from its
+    /// previous endpoint before it is fetched from the origin.
     DualRead,
-    /// The previous endpoints are not asked any more.
+    /// All migrating keys are read from the new endpoints only.
     Switched,
 }
 
-/// Information from other members about endpoints, each with the time of the evidence that it rests on. The
-/// balancer weighs it against its own evidence and never obeys it blindly.
+/// Information from other members about endpoints. Reports of endpoint health have the time of the underlying
+/// observation, and the balancer ignores a report of failures if its own observations are newer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlPlaneUpdate {
-    /// Endpoints that leave other nodes' attempts unanswered.
+    /// Endpoints that leave other nodes' attempts unanswered, each with the time of the observation.
     pub failing: Vec<(EndpointId, Time)>,
-    /// Endpoints that had failed and answer other nodes again.
+    /// Endpoints that had failed and answer other nodes again, each with the time of the observation.
     pub answering: Vec<(EndpointId, Time)>,
-    /// The slot table's shard map; `None` leaves the present one in place.
+    /// The slot table's shard map; `None` keeps the present map.
     pub shard_map: Option<ShardMap>,
-    /// What this node may use of the origin and of endpoints that are warming up.
+    /// This node's leases of the origin and of endpoints in warm-up.
     pub leases: Vec<(EndpointId, Lease)>,
 }
 
-/// A node's quota of what the fleet may ask of one endpoint: of the origin in fetches per second, of an endpoint
-/// in warm-up in seconds of work per second, as if it were warm. A lease only ever lowers what the node would
-/// send without it.
+/// A node's lease on a part of the load that the fleet may send to one endpoint. The quota of the origin is
+/// in fetches per second. The quota of an endpoint in warm-up is in seconds of work per second, as if the
+/// endpoint were warm. A lease never raises the load that the node would send without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
     /// The quota while the lease is valid.
     pub quota: f64,
-    /// The lease expires by itself then: its grantor may have given the quota to others.
+    /// The time at which the lease expires without a message: from then on the grantor may lease the quota to
+    /// others.
     pub expires_at: Time,
-    /// The quota that the node has without a lease.
+    /// The quota that the node has after the lease has expired.
     pub quota_after_expiry: f64,
 }
 
-/// Before it expires a lease's quota changes linearly to the quota without it, so that the end is no step.
+/// The time before a lease's expiry during which its quota changes linearly to `quota_after_expiry`, so that
+/// the quota has no sudden change at the expiry.
 const EXPIRY_RAMP: Span = Span::from_millis(500);
 
 impl Lease {
--- a/crates/balancer/src/control_plane/tests.rs
+++ b/crates/balancer/src/control_plane/tests.rs
@@ -2,7 +2,7 @@
 use crate::time::{Span, Time};
 
 #[test]
-fn quota_falls_linearly_to_the_one_without_a_lease_before_expiry() {
+fn quota_changes_linearly_to_the_quota_after_expiry() {
     let at = |ms| Time(1_000_000) + Span::from_millis(ms);
     let lease = Lease { quota: 10.0, expires_at: at(2000), quota_after_expiry: 2.0 };
     assert_eq!(lease.quota_at(at(0)), 10.0);
--- a/crates/balancer/src/decaying.rs
+++ b/crates/balancer/src/decaying.rs
@@ -1,8 +1,9 @@
-//! Sums and averages with exponential decay. Values decay when they are read, so no timer is needed.
+//! Sums and averages with exponential decay. The decay is computed when a value is read, so no timer is
+//! needed.
 
 use crate::time::{Span, Time};
 
-/// A sum whose terms decay by a factor of e in each `time_constant`.
+/// A sum whose terms each decay by a factor of e per time constant.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSum {
     sum: f64,
@@ -22,7 +23,8 @@
         self.updated_at = now;
     }
 
-    /// Takes back what is left of a term that was added at the time `added_at`. The sum does not become negative.
+    /// Subtracts the remainder, after decay, of a term that was added at the time `added_at`. The sum does
+    /// not become negative.
     pub fn subtract(&mut self, now: Time, added_at: Time, amount: f64) {
         let left = amount * decay(now - added_at, self.time_constant);
         self.sum = (self.read(now) - left).max(0.0);
@@ -45,13 +47,13 @@
 }
 
 impl DecayingLevel {
-    /// A level that was zero until now and is `level` from now on.
-    pub fn at(level: f64, time_constant: Span, now: Time) -> DecayingLevel {
+    /// An average of zero, for a level that was zero until now and is `level` from now on.
+    pub fn starting_at(level: f64, time_constant: Span, now: Time) -> DecayingLevel {
         DecayingLevel { average: 0.0, level, updated_at: now, time_constant }
     }
 
-    /// Changes the level.
-    pub fn step_by(&mut self, now: Time, change: f64) {
+    /// Adds `change` to the level.
+    pub fn change_by(&mut self, now: Time, change: f64) {
         self.average = self.read(now);
         self.updated_at = now;
         self.level += change;
@@ -63,7 +65,7 @@
     }
 }
 
-/// The mean of samples, where newer ones weigh more.
+/// The mean of samples, in which newer samples have a higher weight.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingMean {
     sum: DecayingSum,
@@ -87,7 +89,8 @@
         self.count.add(now, 1.0);
     }
 
-    /// The mean. The initial value counts as one sample that never decays, so few samples move it little.
+    /// The mean at the time `now`. The initial value counts as one sample that never decays, so that the
+    /// first samples change the mean little.
     pub fn read(&self, now: Time) -> f64 {
         (self.sum.read(now) + self.initial) / (self.count.read(now) + 1.0)
     }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as service discovery lists them, and the load that they report.
+//! Endpoints as service discovery lists them, and the load that endpoints report.
 
 use crate::ids::{CellId, EndpointId, KindId, ZoneId};
 use crate::time::{Span, Time};
@@ -6,42 +6,44 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate {
-    /// The endpoint.
+    /// The endpoint's identifier.
     pub id: EndpointId,
-    /// Its kind, which tells the origin from the caches.
+    /// The endpoint's kind, which distinguishes the origin from the caches.
     pub kind: KindId,
-    /// Its size; a capacity where the settings say so, else a momentary figure.
+    /// The endpoint's size: a capacity if the settings say so, otherwise a value that changes with the
+    /// endpoint's load.
     pub size: f64,
-    /// The zone that it runs in.
+    /// The zone that the endpoint runs in.
     pub zone: ZoneId,
-    /// The cell that it belongs to.
+    /// The cell that the endpoint belongs to.
     pub cell: CellId,
-    /// Whether new work may be sent: neither draining nor gone.
+    /// Whether new attempts may be sent to the endpoint, which is then neither draining nor gone.
     pub ready: bool,
-    /// Whether it finishes its work and gets nothing new; an endpoint that is neither draining nor ready is gone.
+    /// Whether the endpoint finishes its attempts in flight and may get no new ones. An endpoint that is
+    /// neither draining nor ready is gone.
     pub draining: bool,
-    /// When it last started; `None` if that was long ago.
+    /// When the endpoint last started; `None` if it started long ago.
     pub started: Option<Time>,
 }
 
-/// What an endpoint does for the keys.
+/// Whether an endpoint is a cache or the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointRole {
     /// A cache server.
     Cache,
-    /// The origin, which holds every key and takes the writes of cache-aside sites.
+    /// The origin, which holds every key and receives the writes of cache-aside sites.
     Origin,
 }
 
-/// What an endpoint reports of its load, as far as it does.
+/// An endpoint's report of its own load. A metric that the endpoint does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it holds, queued ones included.
+    /// The number of requests that the endpoint holds, including queued requests.
     pub requests_held: Option<f64>,
-    /// Requests in its queue.
+    /// The number of requests in the endpoint's queue.
     pub requests_queued: Option<f64>,
-    /// The recent service time of a request, without queueing.
+    /// The recent service time of a request, without queueing time.
     pub service_time: Option<Span>,
-    /// Requests that it serves in a second.
+    /// The number of requests that the endpoint serves per second.
     pub requests_per_s: Option<f64>,
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -1,4 +1,5 @@
-//! One type for each kind of identifier, so that none can stand in for another.
+//! Identifier types. Each kind of identifier has its own type, so that the compiler rejects one in place of
+//! another.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
@@ -10,20 +11,21 @@
 }
 
 ids! {
-    /// A cache server, or the origin where it is listed.
+    /// An endpoint: a cache server or the origin.
     EndpointId(u64),
-    /// One request; a client's retry has a new one.
+    /// A request. A client's retry is a new request with an identifier of its own.
     RequestId(u64),
     /// The key that a request reads or writes.
     Key(u64),
     /// The position of a request class in the settings.
     RequestClassId(u16),
-    /// The position of a zone in the settings; for a zone that they don't name, a number beyond all positions.
+    /// The position of a zone in the settings; for a zone that the settings don't name, a number beyond all
+    /// positions.
     ZoneId(u32),
     /// The position of an endpoint kind in the settings.
     KindId(u16),
-    /// A group of endpoints within which repeats are recognized.
+    /// A group of endpoints within which repeated requests are recognized.
     CellId(u32),
-    /// Counts the attempts of one request from 0.
+    /// The number of an attempt among the attempts of one request, from 0.
     AttemptNumber(u8),
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,8 @@
-//! granitelb's decision logic: which endpoint serves which request.
+//! granitelb's decision logic: decides which endpoint serves which request.
 //!
-//! The crate is sans-I/O and uses `std` only: it reads no clock, opens no socket and draws no random number
-//! except from the seed that it is given. A host reports what happens and carries out what is decided. Start
-//! reading at [`balancer`].
+//! The crate is sans-I/O and uses `std` only. It reads no clock, opens no socket, and takes all random
+//! numbers from a generator with a given seed. A host reports events and carries out the crate's decisions.
+//! Start reading at [`balancer`].
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -6,8 +6,8 @@
 /// The terms that a balancer works under.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The kind of the origin in the endpoint list: nodes ask it for cache misses and send it writes. `None` where
-    /// caches fetch by themselves what they miss.
+    /// The kind of the origin in the endpoint list: nodes ask it for cache misses and send it writes. `None`
+    /// where caches fetch by themselves what they miss.
     pub origin: Option<KindId>,
     /// The request classes, in the order of their ids.
     pub request_classes: Vec<RequestClass>,
@@ -17,8 +17,8 @@
     pub list_on_request: bool,
     /// The longest time that a node without a watch may go without asking for one; zero where none is set.
     pub max_poll_interval: Span,
-    /// Whether only endpoints that were listed as draining are barred from new work: an entry that lists an endpoint
-    /// as gone, or a list without it, proves nothing.
+    /// Whether only endpoints that were listed as draining are barred from new work: an entry that lists an
+    /// endpoint as gone, or a list without it, proves nothing.
     pub only_draining_excludes: bool,
     /// The share of its capacity that an endpoint has at least when it starts.
     pub initial_capacity_share: f64,
@@ -73,8 +73,8 @@
     pub billed_value: f64,
     /// The share of the billed value that an answer after the latency objective has.
     pub value_after_slo: f64,
-    /// Whether clients can ask for it. Classes that are not on offer stand for requests that arrived under former
-    /// settings.
+    /// Whether clients can ask for it. Classes that are not on offer stand for requests that arrived under
+    /// former settings.
     pub is_offered: bool,
     /// What executing a request twice would do.
     pub effect: Effect,
--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -1,11 +1,12 @@
 //! The slot table: the endpoints that rank first in each slot.
 //!
 //! The ranking follows from a hash of the endpoint and the slot, stretched by the endpoint's size (weighted
-//! rendezvous hashing). Every node that knows the same endpoints and sizes builds the same table, and few slots
-//! change when an endpoint comes or goes.
+//! rendezvous hashing). Every node that knows the same endpoints and sizes builds the same table, and few
+//! slots change when an endpoint comes or goes.
 //!
-//! The keys of a split shard are told apart by further bits of their hash. Those whose bits are not all zero fall
-//! to slots beyond the first 8,192, each with candidates of its own. Without a [`ShardMap`] there are no such slots.
+//! The keys of a split shard are told apart by further bits of their hash. Those whose bits are not all zero
+//! fall to slots beyond the first 8,192, each with candidates of its own. Without a [`ShardMap`] there are no
+//! such slots.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -13,8 +14,8 @@
 use crate::ids::{EndpointId, Key};
 use crate::seeded_hash::{hash_of, unit};
 
-/// Slots of an unsplit table: some tens for each of hundreds of endpoints. With five each, their shares would deviate
-/// by 0.44 of the mean (one over the square root of five), with forty by 0.16.
+/// Slots of an unsplit table: some tens for each of hundreds of endpoints. With five each, their shares would
+/// deviate by 0.44 of the mean (one over the square root of five), with forty by 0.16.
 const SLOTS: u64 = 8192;
 /// Slots of one shard.
 const SLOTS_PER_SHARD: u64 = 32;
@@ -34,16 +35,16 @@
     hash_of(key)
 }
 
-/// The endpoints that rank first in any slot of a shard that is split by `bits` further bits, among these endpoints
-/// with their sizes.
+/// The endpoints that rank first in any slot of a shard that is split by `bits` further bits, among these
+/// endpoints with their sizes.
 pub fn shard_placement(shard: u8, bits: u8, endpoints: &[(EndpointId, f64)]) -> BTreeSet<EndpointId> {
     let mut table = SlotTable::<1>::new();
     table.set_endpoints(endpoints.to_vec());
     slots_of(shard, bits).filter_map(|slot| table.ranks(slot)[0]).collect()
 }
 
-/// The endpoint that ranks first for a key under a shard map, and the one that is asked after a miss during dual
-/// reads.
+/// The endpoint that ranks first for a key under a shard map, and the one that is asked after a miss during
+/// dual reads.
 pub fn key_placement(
     key: Key,
     shard_map: &ShardMap,
@@ -71,8 +72,8 @@
 /// The slot table with the first `CANDIDATES` endpoints of each slot.
 pub(crate) struct SlotTable<const CANDIDATES: usize> {
     endpoints: Vec<(EndpointId, f64)>,
-    /// The rankings of slots in use, computed on first use after a change of the endpoints: ranking all slots at each
-    /// change would be expensive in a large fleet.
+    /// The rankings of slots in use, computed on first use after a change of the endpoints: ranking all slots
+    /// at each change would be expensive in a large fleet.
     rankings: HashMap<u64, [Option<EndpointId>; CANDIDATES]>,
     version: u64,
     shard_map: ShardMap,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Takes over a valid shard map that is newer than the present one. Slots keep their rankings; keys may fall to
-    /// other slots.
+    /// Takes over a valid shard map that is newer than the present one. Slots keep their rankings; keys may
+    /// fall to other slots.
     pub fn set_shard_map(&mut self, shard_map: &ShardMap) {
         let is_valid = |split: &ShardSplit| {
             let migrating_bits = u8::from(split.migration != MigrationPhase::Stable);
--- a/crates/balancer/src/time.rs
+++ b/crates/balancer/src/time.rs
@@ -1,7 +1,7 @@
 //! Points in time and lengths of time as distinct types.
 //!
-//! They differ from `std::time`: [`Time`] counts from the host's epoch and can be compared with times from the
-//! wire, arithmetic saturates, and both have a resolution of one microsecond.
+//! They differ from `std::time`: [`Time`] counts from the host's epoch and can be compared with times from
+//! the wire, arithmetic saturates, and both have a resolution of one microsecond.
 
 use std::ops::{Add, Sub};
 
