--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -20,7 +20,8 @@
 const SLOTS: u64 = 8192;
 /// The number of slots of one shard without a split.
 const SLOTS_PER_SHARD: u64 = 32;
-/// The largest number of additional hash bits of a split shard. Each bit doubles the number of slots to rank.
+/// The largest number of additional hash bits of a split shard: more bits would make more slots than are
+/// worth ranking.
 const MAX_SPLIT_BITS: u8 = 3;
 
 /// The lower bound of a hash in the unit interval, which keeps the hash's logarithm finite.
--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Leases of the origin's fetches and of the work of endpoints in warm-up: they bind, expire by themselves, and never
-//! raise what a node sends without them.
+//! Leases of fetches from the origin and of work at endpoints in warm-up: a lease limits what a node sends,
+//! expires without a message, and never raises what the node would send without it.
 
 mod support;
 
@@ -16,7 +16,7 @@
 const ORIGIN: EndpointId = EndpointId(9);
 const COLD: EndpointId = EndpointId(3);
 const START: Time = Time(1_000_000_000);
-/// How long the origin takes for an attempt, in milliseconds.
+/// The time that the origin takes for an attempt, in milliseconds.
 const ORIGIN_LATENCY_MS: u64 = 10;
 
 fn at(ms: u64) -> Time {
@@ -30,13 +30,14 @@
     number: u8,
 }
 
-/// How many attempts went where.
+/// The numbers of attempts at the origin and at the cold cache.
 struct AttemptCounts {
     origin: usize,
     cold: usize,
 }
 
-/// One node before two warm caches that miss every key, an origin that has all, and a cold cache if asked for.
+/// One node with two warm caches that miss every key, an origin that holds all keys, and a cold cache if
+/// `cold_since_ms` is given.
 struct World {
     balancer: Balancer,
     now_ms: u64,
@@ -79,7 +80,7 @@
         self.balancer.on_control_plane_update(at(self.now_ms), &update);
     }
 
-    /// Runs until `until_ms` with a request every `every_ms`, and counts the attempts sent.
+    /// Runs until `until_ms` with a request every `every_ms`, and returns the numbers of attempts sent.
     fn run(&mut self, until_ms: u64, every_ms: u64, write: bool) -> AttemptCounts {
         let mut sent = AttemptCounts { origin: 0, cold: 0 };
         while self.now_ms < until_ms {
@@ -158,10 +159,11 @@
     assert!(without_lease > 190, "{without_lease} of 200 without a lease");
     world.lease(ORIGIN, 10.0, 4_000, 1.0);
     let leased = world.run(5_000, 10, false).origin;
-    // Ten a second for three seconds, and what the budget holds after a second.
+    // Ten fetches per second for three seconds, and up to ten more from a full budget.
     assert!((20..=41).contains(&leased), "{leased}");
     assert!(world.rate_limited > 150, "{} rate-limited", world.rate_limited);
-    // Nobody revokes or renews the lease: its last part lowers the quota, then the quota without a lease is left.
+    // The lease is neither revoked nor renewed: its quota falls before the expiry to one fetch per second,
+    // which stays the quota after the expiry.
     world.run(7_000, 10, false);
     let expired = world.run(17_000, 10, false).origin;
     assert!((5..=11).contains(&expired), "{expired} in ten seconds");
@@ -172,12 +174,12 @@
     let mut world = World::new(1.0, None);
     world.lease(ORIGIN, 1.0, 60_000, 1.0);
     assert_eq!(world.run(2_000, 20, true).origin, 100);
-    // Nor do they use up the quota of reads.
+    // Writes do not use the quota of reads either.
     assert!(world.run(6_000, 20, false).origin >= 3);
 }
 
 #[test]
-fn lease_of_cold_cache_only_lowers_what_is_sent() {
+fn lease_of_cold_cache_only_lowers_the_work_sent() {
     let sent = |lease: Option<f64>| {
         let mut world = World::new(1.0, Some(0));
         if let Some(quota) = lease {
@@ -186,8 +188,13 @@
         world.run(6_000, 2, false).cold
     };
     let without_lease = sent(None);
-    assert_eq!(sent(Some(1e9)), without_lease, "a false planner raises nothing");
+    assert_eq!(
+        sent(Some(1e9)),
+        without_lease,
+        "a lease that is too high, as from a faulty planner, raises nothing"
+    );
     let leased = sent(Some(0.05));
-    // Six seconds at 0.2 to 0.44 of 0.05 s per second, at 4 ms each, and what half a window holds.
+    // The quota of 0.05 s of work per second times a warm-up factor of 0.2 to 0.44, for six seconds at 4 ms
+    // for each attempt, and the tokens that the budget holds for half an overload window.
     assert!(leased * 2 < without_lease && leased <= 40, "{leased} beside {without_lease}");
 }
--- a/crates/balancer/tests/request_terms.rs
+++ b/crates/balancer/tests/request_terms.rs
@@ -1,4 +1,4 @@
-//! A request keeps the terms that it arrived under, whatever settings follow while it is pending.
+//! A pending request keeps the limits and deadlines of the settings at its arrival when the settings change.
 
 mod support;
 
@@ -29,12 +29,13 @@
     }
 }
 
-/// The response to a request that there is no cache for, if the longest Retry-After changes while it waits.
+/// The response to a request without any cache in the list, if the longest `Retry-After` changes from
+/// `before` to `after` while the request waits.
 fn response_after_change(before: Span, after: Span) -> Option<LocalReply> {
     let mut balancer = Balancer::new(settings(before), 7, START);
     balancer.on_request(START, RequestId(1), read());
     assert!(balancer.poll_attempt(START).is_none());
-    assert!(balancer.poll_response(START).is_none(), "it waits first");
+    assert!(balancer.poll_response(START).is_none(), "the request waits first");
     balancer.on_settings_update(at(10), settings(after));
     let later = at(190);
     assert!(balancer.poll_attempt(later).is_none());
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn rejected_client_gets_retry_after_of_its_own_terms() {
+fn rejected_client_gets_retry_after_by_the_settings_at_arrival() {
     let (short, long) = (Span::from_millis(100), Span::from_millis(700));
     let limited = |retry_after| Some(LocalReply::RateLimited { retry_after });
     assert_eq!(response_after_change(short, long), limited(short));
@@ -50,10 +51,11 @@
     assert_eq!(response_after_change(Span::ZERO, long), limited(Span::ZERO));
 }
 
-/// A repeat of a deduplicated request may begin in half of its window from the first attempt that may have executed it,
-/// however long its connection takes to be established.
+/// Guards against a deduplicated request that is executed twice because connecting took long. An attempt that
+/// repeats the request may begin only within half of the deduplication window, counted from the first attempt
+/// that may have executed the request.
 #[test]
-fn repeat_states_until_when_it_may_begin() {
+fn repeated_attempt_must_begin_within_half_of_the_deduplication_window() {
     let window = Span::from_millis(300);
     let mut settings = settings(Span::ZERO);
     settings.request_classes[0].effect = Effect::Deduplicated { scope: DedupScope::All, window };
@@ -62,7 +64,7 @@
     balancer.on_endpoints_update(START, &list, true);
     balancer.on_request(START, RequestId(1), read());
     let first = balancer.poll_attempt(START).expect("an attempt");
-    assert_eq!(first.begin_within, first.timeout, "it repeats nothing");
+    assert_eq!(first.begin_within, first.timeout, "the first attempt repeats nothing");
     let result = AttemptResult {
         number: AttemptNumber(0),
         endpoint: first.endpoint,
--- a/crates/balancer/tests/scenarios/main.rs
+++ b/crates/balancer/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Runs the scenarios: text files of events and expected decisions, on the balancer alone. [`runner`] describes their
-//! notation.
+//! Runs the scenarios, text files of events and expected decisions, on a balancer without a host. [`runner`]
+//! describes the syntax of the files.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/balancer/tests/scenarios/parse.rs
+++ b/crates/balancer/tests/scenarios/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of the scenarios' words and options.
+//! Parsing of the words and options in scenario files.
 
 use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::settings::{DedupScope, Effect, RequestClass, Settings};
@@ -11,10 +11,12 @@
     words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// The value of an option as a number.
+/// The value of an option as a number, or `default` if the option is absent.
 pub fn number(words: &[&str], name: &str, default: f64) -> f64 {
     match option(words, name) {
-        Some(value) => value.parse().unwrap_or_else(|_| panic!("{name}={value}")),
+        Some(value) => {
+            value.parse().unwrap_or_else(|_| panic!("option {name}={value}: the value is not a number"))
+        }
         None => default,
     }
 }
@@ -37,7 +39,7 @@
     }
 }
 
-/// A request class, from its effect and options.
+/// A request class by its effect and options.
 pub fn request_class(effect_word: &str, options: &[&str]) -> RequestClass {
     let slo = millis(number(options, "slo", 600.0));
     RequestClass {
@@ -56,7 +58,7 @@
         "dedup-all" => Effect::Deduplicated { scope: DedupScope::All, window },
         "dedup-zone" => Effect::Deduplicated { scope: DedupScope::Zone, window },
         "dedup-cell" => Effect::Deduplicated { scope: DedupScope::Cell, window },
-        _ => panic!("no effect {word}"),
+        _ => panic!("unknown effect {word} of a request class"),
     }
 }
 
@@ -71,6 +73,6 @@
         "errored" => AttemptOutcome::Errored,
         "reset" => AttemptOutcome::Reset,
         "cancelled" => AttemptOutcome::Cancelled,
-        _ => panic!("no outcome {word}"),
+        _ => panic!("unknown attempt outcome {word}"),
     }
 }
--- a/crates/balancer/tests/scenarios/runner.rs
+++ b/crates/balancer/tests/scenarios/runner.rs
@@ -1,9 +1,9 @@
 //! The scenarios' notation, and the runner that plays them on a balancer.
 //!
-//! A line is a comment (`#`), settings (`settings OPTION ...`, `request-class NAME EFFECT OPTION ...`), an event
-//! (`MS EVENT ...`), or a decision that must follow (`> DECISION ...`). All decisions up to the next event must be
-//! named, in their order; `> ...` skips any number of them. An endpoint has any name; an upper-case name stands for
-//! the endpoint that it is first seen with.
+//! A line is a comment (`#`), settings (`settings OPTION ...`, `request-class NAME EFFECT OPTION ...`), an
+//! event (`MS EVENT ...`), or a decision that must follow (`> DECISION ...`). All decisions up to the next
+//! event must be named, in their order; `> ...` skips any number of them. An endpoint has any name; an
+//! upper-case name stands for the endpoint that it is first seen with.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -197,8 +197,8 @@
         self.poll();
     }
 
-    /// Requests for many keys, one at a time, each finished with the same outcome; one at the cache to `hold` only when
-    /// the next one is there.
+    /// Requests for many keys, one at a time, each finished with the same outcome; one at the cache to `hold`
+    /// only when the next one is there.
     fn load(&mut self, words: &[&str]) {
         let requests = number(words, "requests", 0.0) as u64;
         let interval = millis(number(words, "every", 10.0));
@@ -237,8 +237,8 @@
         self.decisions.clear();
     }
 
-    /// Finishes all attempts of recent requests with one outcome, and those that follow from that. A second result of an
-    /// attempt changes nothing.
+    /// Finishes all attempts of recent requests with one outcome, and those that follow from that. A second
+    /// result of an attempt changes nothing.
     fn finish_all(&mut self, outcome: &str) {
         let mut finished = 0;
         loop {
@@ -257,7 +257,8 @@
         }
     }
 
-    /// Time and again all caches and the origin are replaced, and requests come whose attempts end in each possible way.
+    /// Time and again all caches and the origin are replaced, and requests come whose attempts end in each
+    /// possible way.
     fn generations(&mut self, words: &[&str]) {
         const OUTCOMES: [&str; 8] = [
             "fulfilled",
@@ -288,7 +289,8 @@
         self.decisions.clear();
     }
 
-    /// `ENDPOINT FIGURE=VALUE ...`: it reports this with each answer from now on; nothing more if no figure is named.
+    /// `ENDPOINT FIGURE=VALUE ...`: it reports this with each answer from now on; nothing more if no figure
+    /// is named.
     fn set_load_report(&mut self, words: &[&str]) {
         let figure = |name| option(words, name).map(|value| value.parse::<f64>().expect("a figure"));
         let report = LoadReport {
--- a/crates/balancer/tests/shard_map.rs
+++ b/crates/balancer/tests/shard_map.rs
@@ -1,5 +1,5 @@
-//! Splits of the slot table at the balancer: where a key's reads go at each phase of a migration, and that a shard map
-//! costs cache misses and nothing else.
+//! Shard maps at the balancer: the endpoints that a key is read from in each phase of a migration, and that a
+//! shard map causes cache misses but no repeated effects.
 
 mod support;
 
@@ -20,6 +20,7 @@
 const IDEMPOTENT: RequestClassId = RequestClassId(0);
 const NON_IDEMPOTENT: RequestClassId = RequestClassId(1);
 
+/// A node with 20 caches and an origin.
 struct Node {
     balancer: Balancer,
     now: Time,
@@ -48,7 +49,8 @@
         );
     }
 
-    /// Where a request's attempts go, one after the other, if each ends with its endpoint's `outcome_at`.
+    /// Sends a request and returns the endpoints of its attempts in order. Each attempt ends after 5 ms with
+    /// the outcome that `outcome_at` returns for its endpoint.
     fn request(
         &mut self,
         request_class: RequestClassId,
@@ -84,87 +86,85 @@
         sent
     }
 
-    fn misses(&mut self, key: u64) -> Vec<EndpointId> {
-        self.request(IDEMPOTENT, key, false, |c| {
-            if c == ORIGIN { AttemptOutcome::Fulfilled } else { AttemptOutcome::CacheMiss }
+    /// Reads a key that only the origin holds, and returns the endpoints of the read's attempts.
+    fn read_with_misses(&mut self, key: u64) -> Vec<EndpointId> {
+        self.request(IDEMPOTENT, key, false, |endpoint| {
+            if endpoint == ORIGIN { AttemptOutcome::Fulfilled } else { AttemptOutcome::CacheMiss }
         })
     }
 }
 
-/// A key that migrates when its shard is split, and where it is read before and after.
+/// A key that migrates when its shard is split, and the endpoints that it is read from before and after.
 fn migrating_key() -> (u64, EndpointId, EndpointId) {
     let found = (0..1000).find_map(|key| {
-        let old = Node::new(4).misses(key)[0];
+        let old = Node::new(4).read_with_misses(key)[0];
         let mut split = Node::new(4);
         split.split_shard_of(1, key, 0, MigrationPhase::Switched);
-        let new = split.misses(key)[0];
+        let new = split.read_with_misses(key)[0];
         (old != new).then_some((key, old, new))
     });
     found.expect("half of the keys migrate")
 }
 
 #[test]
-fn each_phase_reads_at_its_endpoints_and_a_miss_ends_at_the_origin() {
+fn each_phase_reads_from_its_endpoints_and_misses_end_at_the_origin() {
     let (key, old, new) = migrating_key();
-    let at = |bits, moving| {
+    let endpoints_in = |bits, migration| {
         let mut node = Node::new(4);
-        node.split_shard_of(1, key, bits, moving);
-        node.misses(key)
+        node.split_shard_of(1, key, bits, migration);
+        node.read_with_misses(key)
     };
-    assert_eq!(at(0, MigrationPhase::Stable), [old, ORIGIN]);
-    assert_eq!(at(0, MigrationPhase::Copying { sixteenths: 16 }), [new, ORIGIN]);
-    assert_eq!(at(0, MigrationPhase::DualRead), [new, old, ORIGIN]);
-    assert_eq!(at(0, MigrationPhase::Switched), [new, ORIGIN]);
-    assert_eq!(at(1, MigrationPhase::Stable), [new, ORIGIN]);
-    // A withdrawn split reads at the old endpoint again; an older map that comes late changes nothing.
+    assert_eq!(endpoints_in(0, MigrationPhase::Stable), [old, ORIGIN]);
+    assert_eq!(endpoints_in(0, MigrationPhase::Copying { sixteenths: 16 }), [new, ORIGIN]);
+    assert_eq!(endpoints_in(0, MigrationPhase::DualRead), [new, old, ORIGIN]);
+    assert_eq!(endpoints_in(0, MigrationPhase::Switched), [new, ORIGIN]);
+    assert_eq!(endpoints_in(1, MigrationPhase::Stable), [new, ORIGIN]);
+    // After a split is withdrawn, the key is read from the old endpoint again. An older map that arrives late
+    // is ignored.
     let mut node = Node::new(4);
     node.split_shard_of(2, key, 0, MigrationPhase::DualRead);
     node.split_shard_of(3, key, 0, MigrationPhase::Stable);
-    assert_eq!(node.misses(key), [old, ORIGIN]);
+    assert_eq!(node.read_with_misses(key), [old, ORIGIN]);
     node.split_shard_of(2, key, 0, MigrationPhase::Switched);
-    assert_eq!(node.misses(key), [old, ORIGIN]);
-    // With two attempts in all, the second one goes to the origin.
-    let mut short = Node::new(2);
-    short.split_shard_of(1, key, 0, MigrationPhase::DualRead);
-    assert_eq!(short.misses(key), [new, ORIGIN]);
+    assert_eq!(node.read_with_misses(key), [old, ORIGIN]);
+    // If a request may have two attempts, the second attempt goes to the origin.
+    let mut node = Node::new(2);
+    node.split_shard_of(1, key, 0, MigrationPhase::DualRead);
+    assert_eq!(node.read_with_misses(key), [new, ORIGIN]);
 }
 
 #[test]
 fn split_migrates_about_half_of_a_shard_and_copying_migrates_it_in_parts() {
     let shard = shard_of(Key(0));
-    let keys: Vec<u64> = (0..40_000).filter(|k| shard_of(Key(*k)) == shard).collect();
-    let firsts = |moving| {
+    let keys: Vec<u64> = (0..40_000).filter(|key| shard_of(Key(*key)) == shard).collect();
+    let first_endpoints = |migration| {
         let mut node = Node::new(4);
-        node.split_shard_of(1, 0, 0, moving);
-        keys.iter().map(|k| node.misses(*k)[0]).collect::<Vec<_>>()
+        node.split_shard_of(1, 0, 0, migration);
+        keys.iter().map(|key| node.read_with_misses(*key)[0]).collect::<Vec<_>>()
     };
-    let unsplit = firsts(MigrationPhase::Stable);
-    let migrated = |moving| {
-        firsts(moving).iter().zip(&unsplit).filter(|(a, b)| a != b).count() as f64 / keys.len() as f64
+    let unsplit = first_endpoints(MigrationPhase::Stable);
+    let migrated_share = |migration| {
+        let first_endpoints = first_endpoints(migration);
+        let migrated = first_endpoints.iter().zip(&unsplit).filter(|(now, before)| now != before);
+        migrated.count() as f64 / keys.len() as f64
     };
-    let (quarter, all) =
-        (migrated(MigrationPhase::Copying { sixteenths: 4 }), migrated(MigrationPhase::Switched));
+    let quarter = migrated_share(MigrationPhase::Copying { sixteenths: 4 });
+    let all = migrated_share(MigrationPhase::Switched);
     assert!((0.35..0.6).contains(&all), "{all}");
     assert!((0.05..0.22).contains(&quarter), "{quarter}");
 }
 
 #[test]
-fn split_repeats_no_effect_and_writes_go_to_the_origin_alone() {
+fn dual_reads_repeat_no_effect_and_writes_go_to_the_origin_alone() {
     let (key, _, new) = migrating_key();
     let mut node = Node::new(4);
     node.split_shard_of(1, key, 0, MigrationPhase::DualRead);
     assert_eq!(node.request(NON_IDEMPOTENT, key, true, |_| AttemptOutcome::Reset), [ORIGIN]);
     assert_eq!(node.request(NON_IDEMPOTENT, key, false, |_| AttemptOutcome::Errored), [new]);
-    // What was certainly not executed may go on to the old endpoint.
-    assert_eq!(
-        node.request(NON_IDEMPOTENT, key, false, |c| if c == new {
-            AttemptOutcome::CacheMiss
-        } else {
-            AttemptOutcome::Errored
-        })
-        .len(),
-        2
-    );
+    // A cache miss proves that the request was not executed, so that the old endpoint may be asked.
+    let outcome_at =
+        |endpoint| if endpoint == new { AttemptOutcome::CacheMiss } else { AttemptOutcome::Errored };
+    assert_eq!(node.request(NON_IDEMPOTENT, key, false, outcome_at).len(), 2);
 }
 
 #[test]
@@ -175,15 +175,19 @@
         (0..400)
             .map(|n| {
                 node.balancer.on_control_plane_update(node.now, &update);
-                let outcome_at = move |c: EndpointId| {
-                    if c.0 % 3 == n % 3 { AttemptOutcome::CacheMiss } else { AttemptOutcome::Fulfilled }
+                let outcome_at = move |endpoint: EndpointId| {
+                    if endpoint.0 % 3 == n % 3 {
+                        AttemptOutcome::CacheMiss
+                    } else {
+                        AttemptOutcome::Fulfilled
+                    }
                 };
                 node.request(IDEMPOTENT, n % 60, n % 7 == 0, outcome_at)
             })
             .collect::<Vec<_>>()
     };
     let for_all_shards =
-        |split| Some(ShardMap { version: 9, shards: (0..=255).map(|s| (s, split)).collect() });
+        |split| Some(ShardMap { version: 9, shards: (0..=255).map(|shard| (shard, split)).collect() });
     assert_eq!(endpoints_under(None), endpoints_under(Some(ShardMap { version: 9, ..ShardMap::default() })));
     assert_eq!(
         endpoints_under(None),
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,17 +1,18 @@
-//! Set-up that the tests of the balancer share.
+//! Fixtures for the integration tests of the balancer.
 
-#![allow(dead_code, reason = "each test crate uses a part of it")]
+#![allow(dead_code, reason = "each test crate uses a part of this module")]
 
 use granitelb_balancer::EndpointUpdate;
 use granitelb_balancer::ids::{CellId, EndpointId, KindId, ZoneId};
 use granitelb_balancer::settings::{Effect, RequestClass, Settings};
 use granitelb_balancer::time::Span;
 
-/// The kind of caches, and the kind of the origin.
+/// The kind of caches in the endpoint list.
 pub const CACHE_KIND: KindId = KindId(0);
+/// The kind of the origin in the endpoint list.
 pub const ORIGIN_KIND: KindId = KindId(1);
 
-/// Cache-aside settings of one node.
+/// The settings of a cache-aside site with one node.
 pub fn settings(request_classes: Vec<RequestClass>) -> Settings {
     Settings {
         origin: Some(ORIGIN_KIND),
@@ -33,12 +34,12 @@
     }
 }
 
-/// A class whose answers are of no value after the latency objective.
+/// A request class whose answers have no value after the latency objective.
 pub fn request_class(slo: Span, effect: Effect) -> RequestClass {
     RequestClass { slo, billed_value: 1.0, value_after_slo: 0.0, is_offered: true, effect }
 }
 
-/// A list entry of an endpoint that is ready and warm.
+/// The list entry of a ready and warm endpoint.
 pub fn listed(endpoint: EndpointId, kind: KindId) -> EndpointUpdate {
     EndpointUpdate {
         id: endpoint,
