--- a/crates/balancer/tests/scenarios/runner.rs
+++ b/crates/balancer/tests/scenarios/runner.rs
@@ -1,9 +1,10 @@
-//! The scenarios' notation, and the runner that plays them on a balancer.
+//! The syntax of scenario files, and the runner that executes them on a balancer.
 //!
 //! A line is a comment (`#`), settings (`settings OPTION ...`, `request-class NAME EFFECT OPTION ...`), an
-//! event (`MS EVENT ...`), or a decision that must follow (`> DECISION ...`). All decisions up to the next
-//! event must be named, in their order; `> ...` skips any number of them. An endpoint has any name; an
-//! upper-case name stands for the endpoint that it is first seen with.
+//! event (`MS EVENT ...`), or an expected decision (`> DECISION ...`). The expected decisions after an event
+//! must be all decisions up to the next event, in order; `> ...` skips any number of decisions. An endpoint
+//! may have any name. An upper-case name in an expected decision stands for the endpoint of the first
+//! decision that it is matched with.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,28 +19,31 @@
 use crate::parse::{millis, number, option, outcome, request_class, settings};
 use crate::support::{CACHE_KIND, ORIGIN_KIND, listed};
 
-/// The clock does not start at zero.
+/// The time of the scenarios' millisecond zero, in microseconds; above zero, so that earlier times can be
+/// expressed.
 const START: u64 = 1_000_000_000;
 const MICROS_PER_MILLI: u64 = 1000;
-/// Requests of a load whose attempts may still be in flight.
+/// The number of the latest requests whose attempts `finish_all` finishes.
 const RECENT_REQUESTS: usize = 60;
-/// Requests before each new list of endpoints in `generations`.
+/// The number of requests between two endpoint lists in `generations`.
 const REQUESTS_PER_GENERATION: usize = 32;
 const DEFAULT_CLIENT_TIMEOUT_MS: f64 = 1200.0;
 const DEFAULT_LATENCY_MS: f64 = 50.0;
 
-/// A decision of the balancer, in words as a scenario names it.
+/// A decision of the balancer, in the words of an expected decision, and its time in microseconds.
 struct Decision {
     at: u64,
     text: String,
 }
 
+/// The state of a scenario that is being run.
 struct Runner {
     settings: Settings,
     request_classes: Vec<String>,
     /// The client timeout of each request class in milliseconds.
-    timeouts: Vec<f64>,
+    client_timeouts_ms: Vec<f64>,
     balancer: Option<Balancer>,
+    /// The present time, in microseconds.
     now: u64,
     /// The names of endpoints, by their ids.
     endpoints: Vec<String>,
@@ -47,12 +51,13 @@
     bindings: BTreeMap<String, usize>,
     /// The names of requests, by their ids.
     requests: Vec<String>,
-    /// For each request, where its attempts went.
+    /// The endpoints of each request's attempts, in order.
     attempts: BTreeMap<usize, Vec<EndpointId>>,
+    /// The decisions that no expected decision has been compared with yet.
     decisions: VecDeque<Decision>,
-    /// What each endpoint reports with its answers.
+    /// The load report that each endpoint sends with its answers.
     reports: BTreeMap<EndpointId, LoadReport>,
-    /// Attempts by endpoint since the last load began.
+    /// The number of attempts at each endpoint since the last `load` event.
     counts: BTreeMap<EndpointId, usize>,
 }
 
@@ -61,7 +66,7 @@
         Runner {
             settings: settings(&[]),
             request_classes: Vec::new(),
-            timeouts: Vec::new(),
+            client_timeouts_ms: Vec::new(),
             balancer: None,
             now: START,
             endpoints: Vec::new(),
@@ -79,7 +84,7 @@
         self.balancer.get_or_insert_with(|| Balancer::new(settings.clone(), 7, Time(START)))
     }
 
-    /// The endpoint of a name.
+    /// The endpoint with a name; a new name adds an endpoint.
     fn endpoint(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.bindings.get(name) {
             return EndpointId(*id as u64);
@@ -91,7 +96,7 @@
         position_or_push(&mut self.requests, name)
     }
 
-    /// Polls all decisions.
+    /// Polls the balancer until it has no decisions left.
     fn poll(&mut self) {
         let now = Time(self.now);
         while let Some(attempt) = self.balancer().poll_attempt(now) {
@@ -117,9 +122,11 @@
         self.decisions.push_back(Decision { at: self.now, text });
     }
 
-    /// Lets time pass, and polls whenever the balancer asked for it.
+    /// Advances the time to `until`, and polls the balancer at each of its timeouts on the way.
     fn advance(&mut self, until: u64) {
-        while let Some(timeout) = self.balancer.as_ref().and_then(|b| b.poll_timeout(Time(self.now))) {
+        while let Some(timeout) =
+            self.balancer.as_ref().and_then(|balancer| balancer.poll_timeout(Time(self.now)))
+        {
             if timeout.0 > until {
                 break;
             }
@@ -162,7 +169,7 @@
         let request = Request {
             request_class: RequestClassId(class as u16),
             key: Key(words[1].parse().expect("a key")),
-            client_timeout: millis(number(words, "budget", self.timeouts[class])),
+            client_timeout: millis(number(words, "budget", self.client_timeouts_ms[class])),
             work: option(words, "work").map(|ms| millis(ms.parse().expect("a work"))),
             write: words.contains(&"write"),
         };
@@ -171,7 +178,8 @@
         self.balancer().on_request(now, id, request);
     }
 
-    /// `NAME OUTCOME OPTION ...`: the request's last attempt ends, or the one that an option names.
+    /// `NAME OUTCOME OPTION ...`: the request's last attempt ends, or the attempt that the option `attempt`
+    /// numbers.
     fn finish(&mut self, name: &str, words: &[&str]) {
         let id = self.request_index(name);
         let attempts = &self.attempts[&id];
@@ -197,14 +205,16 @@
         self.poll();
     }
 
-    /// Requests for many keys, one at a time, each finished with the same outcome; one at the cache to `hold`
-    /// only when the next one is there.
+    /// `CLASS OUTCOME OPTION ...`: sends requests for many keys, one after the other, and finishes each with
+    /// the same outcome. A request at the cache that the option `hold` names is finished only when the next
+    /// request is sent to that cache.
     fn load(&mut self, words: &[&str]) {
         let requests = number(words, "requests", 0.0) as u64;
         let interval = millis(number(words, "every", 10.0));
         let keys = number(words, "keys", 100.0) as u64;
         let mut held: Option<String> = None;
-        // Requests that had no attempt at once: one that has it by the next end is finished then.
+        // Requests without an attempt in the interval after their arrival. Each is finished after the next
+        // interval, if it has an attempt by then.
         let mut waiting: Vec<String> = Vec::new();
         for n in 0..requests {
             let name = format!("load{}", self.requests.len());
@@ -237,8 +247,8 @@
         self.decisions.clear();
     }
 
-    /// Finishes all attempts of recent requests with one outcome, and those that follow from that. A second
-    /// result of an attempt changes nothing.
+    /// Finishes all attempts of recent requests with one outcome, including the attempts that the balancer
+    /// then sends. The balancer ignores second results of attempts that have already ended.
     fn finish_all(&mut self, outcome: &str) {
         let mut finished = 0;
         loop {
@@ -257,8 +267,8 @@
         }
     }
 
-    /// Time and again all caches and the origin are replaced, and requests come whose attempts end in each
-    /// possible way.
+    /// `OPTION ...`: replaces all caches and the origin `count` times. Between two lists it sends requests,
+    /// whose attempts end with each of the outcomes in turn.
     fn generations(&mut self, words: &[&str]) {
         const OUTCOMES: [&str; 8] = [
             "fulfilled",
@@ -289,15 +299,15 @@
         self.decisions.clear();
     }
 
-    /// `ENDPOINT FIGURE=VALUE ...`: it reports this with each answer from now on; nothing more if no figure
-    /// is named.
+    /// `ENDPOINT METRIC=VALUE ...`: the endpoint sends this load report with each answer from now on, or no
+    /// load report if no metric is given.
     fn set_load_report(&mut self, words: &[&str]) {
-        let figure = |name| option(words, name).map(|value| value.parse::<f64>().expect("a figure"));
+        let metric = |name| option(words, name).map(|value| value.parse::<f64>().expect("a number"));
         let report = LoadReport {
-            requests_held: figure("held"),
-            requests_queued: figure("waiting"),
-            requests_per_s: figure("per_s"),
-            service_time: figure("service").map(millis),
+            requests_held: metric("held"),
+            requests_queued: metric("waiting"),
+            requests_per_s: metric("per_s"),
+            service_time: metric("service").map(millis),
         };
         let endpoint = self.endpoint(words[0]);
         if report == LoadReport::default() {
@@ -307,7 +317,7 @@
         }
     }
 
-    /// Other settings hold from now on, for the same request classes.
+    /// `OPTION ...`: replaces the settings, except for the request classes.
     fn update_settings(&mut self, words: &[&str]) {
         let request_classes = self.settings.request_classes.clone();
         self.settings = Settings { request_classes, ..settings(words) };
@@ -325,7 +335,7 @@
             match health {
                 "failing" => update.failing.push(report),
                 "answering" => update.answering.push(report),
-                _ => panic!("no health {health}"),
+                _ => panic!("unknown endpoint health {health} in a control-plane event"),
             }
         }
         let now = Time(self.now);
@@ -359,26 +369,26 @@
                 let id = RequestId(self.request_index(rest[0]) as u64);
                 self.balancer().on_client_disconnect(now, id);
             }
-            _ => panic!("no event {event}"),
+            _ => panic!("unknown event {event}"),
         }
         self.poll();
     }
 
-    /// Checks one decision, or a count.
+    /// Checks one expected decision, or a number of attempts or entries.
     fn expect(&mut self, words: &[&str]) {
         match words {
             ["..."] => self.decisions.clear(),
             ["entries", "<", limit] => {
                 let entries = self.balancer().entry_count();
                 let limit = limit.parse().expect("a count");
-                assert!(entries < limit, "{entries} entries, not under {limit}");
+                assert!(entries < limit, "{entries} entries, expected less than {limit}");
             }
             ["count", endpoint, relation, limit] => self.expect_count(endpoint, relation, limit),
             _ => self.expect_decision(words),
         }
     }
 
-    /// Checks how many attempts of the last load went to an endpoint.
+    /// Checks the number of attempts of the last load at an endpoint.
     fn expect_count(&mut self, endpoint: &str, relation: &str, limit: &str) {
         let endpoint = self.endpoint(endpoint);
         let count = self.counts.get(&endpoint).copied().unwrap_or(0);
@@ -386,13 +396,14 @@
         let holds = match relation {
             "<" => count < limit,
             ">" => count > limit,
-            _ => panic!("no relation {relation}"),
+            _ => panic!("unknown relation {relation} in an expected count"),
         };
-        assert!(holds, "{count} attempts, not {relation} {limit}; all: {:?}", self.counts);
+        assert!(holds, "{count} attempts, expected {relation} {limit}; all endpoints: {:?}", self.counts);
     }
 
     fn expect_decision(&mut self, expected: &[&str]) {
-        let decision = self.decisions.pop_front().unwrap_or_else(|| panic!("nothing decided"));
+        let decision =
+            self.decisions.pop_front().unwrap_or_else(|| panic!("no decision left, expected {expected:?}"));
         let text = &decision.text;
         let decided: Vec<&str> = text.split(' ').collect();
         for (position, word) in expected.iter().filter(|word| !word.starts_with("at=")).enumerate() {
@@ -412,21 +423,22 @@
         }
     }
 
-    /// Lets an upper-case name stand for an endpoint that no other such name stands for.
+    /// Binds an upper-case name to an endpoint other than the origin that no other upper-case name is bound
+    /// to.
     fn bind(&mut self, name: &str, endpoint: &str, text: &str) {
         let id = self.endpoint(endpoint).0 as usize;
         let is_unbound = self.bindings.values().all(|bound| *bound != id);
-        assert!(endpoint != "origin" && is_unbound, "{text}");
+        assert!(endpoint != "origin" && is_unbound, "{name} cannot stand for the endpoint of: {text}");
         self.bindings.insert(name.to_string(), id);
     }
 
     fn expect_no_decision(&self) {
         let texts: Vec<&str> = self.decisions.iter().map(|decision| decision.text.as_str()).collect();
-        assert!(texts.is_empty(), "not expected: {texts:?}");
+        assert!(texts.is_empty(), "unexpected decisions: {texts:?}");
     }
 }
 
-/// The position of a name, which is added if it is new.
+/// The position of a name in `names`; a new name is added.
 fn position_or_push(names: &mut Vec<String>, name: &str) -> usize {
     if let Some(position) = names.iter().position(|known| known == name) {
         return position;
@@ -435,7 +447,7 @@
     names.len() - 1
 }
 
-/// Runs a scenario.
+/// Runs the scenario in the text of a scenario file.
 pub fn run(text: &str) {
     let mut runner = Runner::new();
     for line in text.lines() {
@@ -446,7 +458,7 @@
             "settings" => runner.settings = settings(rest),
             "request-class" => {
                 runner.request_classes.push(rest[0].to_string());
-                runner.timeouts.push(number(rest, "timeout", DEFAULT_CLIENT_TIMEOUT_MS));
+                runner.client_timeouts_ms.push(number(rest, "timeout", DEFAULT_CLIENT_TIMEOUT_MS));
                 runner.settings.request_classes.push(request_class(rest[1], rest));
             }
             ">" => runner.expect(rest),
