--- a/crates/balancer/src/balancer/assessment.rs
+++ b/crates/balancer/src/balancer/assessment.rs
@@ -79,6 +79,7 @@
         }
     }
 
+    /// What the result shows about congestion at the endpoint.
     fn congestion(&self) -> Congestion {
         let by_latency = if self.is_slow { Congestion::Congested } else { Congestion::Uncongested };
         match self.outcome {
@@ -160,7 +161,7 @@
         outcome: AttemptOutcome,
         latency: Span,
     ) {
-        let assessment = self.assessment(now, attempt, outcome, latency);
+        let assessment = self.compare_result(now, attempt, outcome, latency);
         let class = attempt.request.request_class;
         // Answers after the latency objective are left out of the estimates: with them, every request would
         // be expected to miss its objective and would be rejected.
@@ -192,7 +193,8 @@
         }
     }
 
-    fn assessment(
+    /// Compares a finished attempt's result with the thresholds for its endpoint and request class.
+    fn compare_result(
         &mut self,
         now: Time,
         attempt: &SentAttempt,
@@ -250,9 +252,9 @@
         min_slow_latency.max(by_fastest)
     }
 
-    /// Whether the endpoint's load report leaves it possible that the endpoint has a queue. If it reports
-    /// hardly any queueing time, answers are slow because the work takes long, and fewer attempts would not
-    /// make them faster.
+    /// Whether the endpoint's load report leaves it possible that the endpoint has a queue. If the endpoint
+    /// reports hardly any queueing time, answers are slow because the work takes long, and fewer attempts
+    /// would not make them faster.
     fn may_have_queue(&self, now: Time, attempt: &SentAttempt) -> bool {
         let short = self.settings.tightest_slo().as_secs_f64() * SHORT_QUEUE_SLO_SHARE;
         let report = self.endpoints.get(attempt.endpoint).and_then(|endpoint| endpoint.last_load_report);
--- a/crates/balancer/src/balancer/concurrency_limit.rs
+++ b/crates/balancer/src/balancer/concurrency_limit.rs
@@ -11,7 +11,7 @@
 /// Congestion reduces the limit to this share of its former value.
 const DECREASE_FACTOR: f64 = 0.7;
 /// The lowest limit, in attempts in flight: low enough that a queue filled by several nodes drains, high
-/// enough that a node soon notices that it has drained.
+/// enough that a node soon notices that the queue has drained.
 const MIN_LIMIT: f64 = 0.25;
 /// The limit grows only if at least this share of it was in use when an attempt finished.
 const MIN_UTILIZATION_TO_GROW: f64 = 0.5;
@@ -29,7 +29,7 @@
     pub latency: Span,
     pub congestion: Congestion,
     /// The time that an attempt takes at the endpoint, with jitter. A limit below one pauses for a multiple
-    /// of it.
+    /// of this time.
     pub service_time: Span,
     /// The largest relative growth of a low limit at one attempt.
     pub max_growth: f64,
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -50,14 +50,17 @@
         is_origin_write || request.missed_in_cache && self.previous_endpoint(now, request).is_none()
     }
 
-    /// Whether no further attempt of the request can have a value, or none is allowed. A request that may
-    /// have been executed and must not be repeated at any endpoint counts as such, so that it does not wait.
+    /// Whether the request can get no answer of value by another attempt: an answer would be too late, the
+    /// request has had all allowed attempts, or it may have been executed and must not be repeated at any
+    /// endpoint. Such a request is rejected without waiting.
     fn cannot_succeed(&self, now: Time, request: &PendingRequest, expected: Span) -> bool {
         now + expected > request.value_deadline
             || request.attempts.len() >= request.max_attempts
             || request.may_have_executed.is_some() && !self.can_repeat_anywhere(now, request)
     }
 
+    /// Whether any endpoint that the request has not excluded could be sent the request again without a
+    /// second effect.
     fn can_repeat_anywhere(&self, now: Time, request: &PendingRequest) -> bool {
         let gate = self.permission_gate(now);
         self.endpoints.iter().any(|endpoint| {
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Creates an attempt at an available endpoint, and records it in the state of the request and of the
-    /// endpoint.
+    /// Creates an attempt at an available endpoint, and records the attempt in the state of the request and
+    /// of the endpoint.
     fn send(&mut self, now: Time, id: RequestId, target: EndpointId) -> Option<Attempt> {
         let begin_deadline = self.permission_gate(now).begin_deadline(self.requests.get(id)?);
         let class = self.requests.get(id)?.request.request_class;
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -16,8 +16,8 @@
 use super::outlier_detection::EndpointHealth;
 use super::warmup::{WarmupBudget, warmup_factor};
 
-/// How long an endpoint's state is kept after the list dropped it, where only draining excludes an endpoint
-/// from new attempts.
+/// How long the state of an endpoint is kept after the list dropped the endpoint, where only draining
+/// excludes an endpoint from new attempts.
 pub const REMOVED_ENDPOINT_TTL: Span = Span::from_millis(60_000);
 /// The least endpoint size that usage and the slot table's ranking are divided by.
 const MIN_SIZE: f64 = 1e-3;
@@ -26,7 +26,8 @@
 
 /// The state of one endpoint.
 pub(super) struct Endpoint {
-    /// The endpoint's last list entry; `ready` also turns false when the list drops the endpoint.
+    /// The endpoint's last list entry, except that `ready` is false while a dropped endpoint is out of
+    /// service.
     pub listed: EndpointUpdate,
     pub role: EndpointRole,
     pub health: EndpointHealth,
@@ -39,7 +40,7 @@
     pub push: f64,
     /// The time of the fastest recent response; it grows slowly until a faster response arrives.
     pub fastest_response: Span,
-    /// When the last attempt was sent that had a prompt answer.
+    /// When the latest attempt with a prompt answer was sent.
     pub last_prompt_attempt_at: Time,
     /// When the endpoint last responded to any attempt.
     pub last_response_at: Time,
@@ -101,8 +102,8 @@
         warmup_factor(now, self.listed.started, settings)
     }
 
-    /// Takes the endpoint out of service. Where only draining excludes an endpoint, the time is recorded if
-    /// the list dropped it while it was ready.
+    /// Takes the endpoint out of service. Where only draining excludes an endpoint, the time of the removal
+    /// is recorded if the endpoint was ready until then.
     fn remove(&mut self, now: Time, only_draining_excludes: bool) {
         if self.removed_at.is_none() && self.listed.ready && only_draining_excludes {
             self.removed_at = Some(now);
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -6,8 +6,8 @@
 //! *push* (4, 5):
 //!
 //! - The pull (7) is applied when a key is requested. It raises the weight w of each of the key's candidates
-//!   by η H (1 − w), where the neighbourhood function H is larger for higher-ranked candidates. Its width is
-//!   γ = λ e^(−f) + β, with f the key's share of the requests.
+//!   by η H (1 − w), where the neighbourhood function H is larger for higher-ranked candidates. The width of
+//!   the neighbourhood is γ = λ e^(−f) + β, with f the key's share of the requests.
 //! - The push (8) is computed for each endpoint in each learning step, b\[n\] = α (U_avg − U) + K b\[n−1\]
 //!   with U the endpoint's usage, and is applied to all stored weights. Through Ψ (6) a positive push moves
 //!   weights towards 0.9 and a negative push moves them towards 0.
@@ -55,8 +55,8 @@
 /// The largest number of keys with stored weights. Above it, the half with the fewest recent requests is
 /// dropped.
 const MAX_KEYS: usize = 4096;
-/// A key's request count is lowered by this many standard deviations before it is compared, so that random
-/// variation does not make a key count as heavy.
+/// The number of standard deviations by which a key's request count is lowered before the key's share is
+/// compared with one endpoint's part, so that random variation does not make a key count as heavy.
 const HEAVY_KEY_CONFIDENCE: f64 = 1.5;
 
 /// An endpoint that a key's requests may be sent to, with its weight.
@@ -182,6 +182,7 @@
         state.slot = slot;
     }
 
+    /// Drops the stored state of the half of the keys with the fewest recent requests.
     fn drop_least_requested(&mut self, now: Time) {
         let mut counts: Vec<f64> = self.keys.values().map(|state| state.requests.read(now)).collect();
         let (_, median, _) = counts.select_nth_unstable_by(MAX_KEYS / 2, f64::total_cmp);
@@ -193,12 +194,13 @@
     /// exceeds one endpoint's part of all requests. Then the nodes are distributed evenly over several slots,
     /// each with at most about one endpoint's part.
     fn slot(&self, key: Key, share: f64, nodes: f64) -> u64 {
-        let parts = (share * self.table.len() as f64).min(nodes).max(1.0);
-        let part = hash_of((key, self.seed)) % (parts as u64).next_power_of_two();
-        let hash = if part == 0 { hash_of(key) } else { hash_of((key, part)) };
+        let slot_count = (share * self.table.len() as f64).min(nodes).max(1.0);
+        let index = hash_of((key, self.seed)) % (slot_count as u64).next_power_of_two();
+        let hash = if index == 0 { hash_of(key) } else { hash_of((key, index)) };
         self.table.slot(hash)
     }
 
+    /// A key's candidates in a slot, with their initial weights.
     fn initial_candidates(&self, key: Key, slot: u64) -> Candidates {
         let ranking = self.table.ranks(slot);
         std::array::from_fn(|rank| {
@@ -269,8 +271,8 @@
     if first(&initial) != first(known) {
         return initial;
     }
-    initial.map(|slot| {
-        let candidate = slot?;
+    initial.map(|candidate| {
+        let candidate = candidate?;
         let known = known.iter().flatten().find(|known| known.endpoint == candidate.endpoint);
         Some(known.copied().unwrap_or(candidate))
     })
--- a/crates/balancer/src/balancer/permission.rs
+++ b/crates/balancer/src/balancer/permission.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The time until which the first byte of an attempt may be sent. The host has to check it as well, since
-    /// the attempt's connection may be established long after the rules were checked.
+    /// The time until which the first byte of an attempt may be sent. The host has to check this time as
+    /// well, since the attempt's connection may be established long after the rules were checked.
     pub fn begin_deadline(&self, request: &PendingRequest) -> Time {
         let effect = self.settings.request_class(request.request.request_class).effect;
         match (effect, request.first_possible_execution()) {
--- a/crates/balancer/src/balancer/rejection.rs
+++ b/crates/balancer/src/balancer/rejection.rs
@@ -48,8 +48,8 @@
         self.requests.remove(id);
     }
 
-    /// Ends this request's fetch, if it leads one, and dispatches the requests again that waited for that
-    /// fetch.
+    /// Ends the fetch that this request leads, if any. The requests that waited for that fetch wait for an
+    /// attempt again.
     pub(super) fn finish_fetch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         for follower in self.fetches.finish(request.request.key, id) {
