--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -10,10 +10,12 @@
     pub request: RequestId,
     /// The endpoint that the attempt goes to.
     pub endpoint: EndpointId,
-    /// The time after which the attempt times out, from the moment that it is returned by the balancer.
+    /// The time after which the attempt times out, counted from the moment that the balancer returns the
+    /// attempt.
     pub timeout: Span,
-    /// The time within which the first byte must be sent, if it is sent at all. Connecting may take long, and
-    /// an endpoint must still recognize a repeated request as a duplicate when the attempt arrives.
+    /// The time within which the first byte must be sent; after that the attempt must not be sent. Connecting
+    /// may take long, and an endpoint must still recognize a repeated request as a duplicate when the attempt
+    /// arrives.
     pub begin_within: Span,
     /// Whether the request may be executed more than once. If not, the host must not take an answer to
     /// another request for the answer to this one: the other answer could falsely say that nothing was
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -75,9 +75,9 @@
 /// The retry delay that a rate-limited client is given, as a multiple of the latency objective. A retry soon
 /// after the rejection would miss the objective anyway.
 const RETRY_AFTER_SLO_MULTIPLE: f64 = 4.0;
-/// The largest share of the caches that may be removed, ejected or at fault by one source of information. An
-/// endpoint list that drops more is doubted, reports of the control plane eject no more, and if more caches
-/// that fetch from the origin leave attempts without a response, the origin is at fault.
+/// The largest share of the caches whose failure is believed at once. An endpoint list that drops more is
+/// doubted, reports of the control plane eject no more, and if more caches that fetch from the origin leave
+/// attempts without a response, the origin is at fault.
 const MINORITY_SHARE: f64 = 0.34;
 /// The interval at which waiting requests are dispatched again if no event occurs.
 const RECHECK_INTERVAL: Span = Span::from_millis(20);
--- a/crates/balancer/src/balancer/cancellation.rs
+++ b/crates/balancer/src/balancer/cancellation.rs
@@ -14,8 +14,8 @@
 /// two other requests are queued before it.
 const WORK_TIMEOUT_MULTIPLE: f64 = 8.0;
 /// Where a request's work is not known, an attempt may be without a response for this multiple of the
-/// expected response time. It is smaller than [`WORK_TIMEOUT_MULTIPLE`] because response times include
-/// queueing.
+/// expected response time. The multiple is smaller than [`WORK_TIMEOUT_MULTIPLE`], since response times
+/// include queueing.
 const EXPECTED_TIME_TIMEOUT_MULTIPLE: f64 = 2.5;
 /// The interval between checks of a slow attempt, in multiples of `RECHECK_INTERVAL`.
 const SLOW_ATTEMPT_RECHECKS: f64 = 2.0;
@@ -34,21 +34,22 @@
         }
     }
 
-    /// The number of the request's attempt in flight, if it may be cancelled. Only attempts of idempotent
-    /// requests at caches may be: a cancelled attempt may still be executed, and so may the next one.
+    /// The number of the request's attempt in flight, if that attempt may be cancelled. Only idempotent
+    /// requests have attempts cancelled, since the cancelled attempt and the next one may both be executed,
+    /// and only attempts at caches are cancelled.
     fn cancellable_attempt_number(&self, request: &PendingRequest) -> Option<usize> {
         let effect = self.settings.request_class(request.request.request_class).effect;
         if !self.settings.may_cancel || effect != Effect::Idempotent {
             return None;
         }
         let number = request.first_in_flight()?;
-        // Attempts at the origin are not cancelled: requests differ most in work there, so that a later
-        // attempt may be answered before an earlier one whose answer is not lost.
+        // Requests differ most in work at the origin, which may therefore answer a later attempt before an
+        // earlier one whose answer is not lost.
         let role = self.endpoints.role(request.attempts[number].endpoint);
         (role == EndpointRole::Cache).then_some(number)
     }
 
-    /// Whether an attempt sent at least `RECHECK_INTERVAL` later to the same endpoint had a prompt answer.
+    /// Whether an attempt sent more than `RECHECK_INTERVAL` later to the same endpoint had a prompt answer.
     /// The interval rules out reordering by the network. A queue answers attempts in order, so the answer to
     /// the earlier attempt is lost, and waiting for it would cost the request its latency objective.
     pub(super) fn is_overtaken(&self, attempt: &SentAttempt) -> bool {
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -21,7 +21,7 @@
 use crate::control_plane::ShardMap;
 use crate::decaying::DecayingSum;
 use crate::ids::{EndpointId, Key};
-use crate::seeded_hash::{hash_of, unit};
+use crate::seeded_hash::{hash_of, to_unit_interval};
 use crate::slot_table::SlotTable;
 use crate::time::{Span, Time};
 
@@ -205,7 +205,7 @@
         let ranking = self.table.ranks(slot);
         std::array::from_fn(|rank| {
             let endpoint = ranking[rank]?;
-            let spread = INITIAL_WEIGHT_SPREAD * unit(hash_of((key, rank)));
+            let spread = INITIAL_WEIGHT_SPREAD * to_unit_interval(hash_of((key, rank)));
             Some(Candidate { endpoint, weight: INITIAL_WEIGHTS[rank] + spread })
         })
     }
--- a/crates/balancer/src/balancer/work_sum.rs
+++ b/crates/balancer/src/balancer/work_sum.rs
@@ -1,8 +1,10 @@
-//! Sums of requests' work that stay comparable while the estimates of unstated work change. The work of a
-//! request that does not state its work is estimated by recent response times, which grow with load. A sum of
-//! past estimates could not be compared with the estimate for the next request: once answers are slow, the
-//! same requests would appear to be more work than before. Requests without stated work are therefore counted
-//! by class, and the counts are converted to work by the estimate at the time when the sum is read.
+//! Sums of requests' work that stay comparable while the estimates of unstated work change.
+//!
+//! The work of a request that does not state its work is estimated by recent response times, which grow with
+//! load. A sum of past estimates could not be compared with the estimate for the next request: once answers
+//! are slow, the same requests would appear to be more work than before. Requests without stated work are
+//! therefore counted by class, and the counts are converted to work by the estimate at the time when the sum
+//! is read.
 
 use crate::decaying::DecayingSum;
 use crate::endpoint::EndpointRole;
--- a/crates/balancer/src/balancer/zone_outliers.rs
+++ b/crates/balancer/src/balancer/zone_outliers.rs
@@ -12,8 +12,8 @@
 /// A zone is unresponsive after this many of its endpoints gave no response and no endpoint of the zone
 /// responded in between. One or two failed endpoints do not indicate a failure of the zone.
 const MIN_UNRESPONSIVE_ENDPOINTS: usize = 3;
-/// The interval between probes of an unresponsive zone: longer than if each of the zone's endpoints were
-/// probed.
+/// The interval between probes of an unresponsive zone, which is probed less often than its endpoints would
+/// be one by one.
 const PROBE_INTERVAL: Span = Span::from_millis(1000);
 
 /// The responses of one zone's endpoints.
--- a/crates/balancer/src/control_plane.rs
+++ b/crates/balancer/src/control_plane.rs
@@ -44,7 +44,7 @@
 }
 
 /// Information from other members about endpoints. Reports of endpoint health have the time of the underlying
-/// observation, and the balancer ignores a report of failures if its own observations are newer.
+/// observation, and the balancer ignores a report of failures if the node's own observations are newer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlPlaneUpdate {
     /// Endpoints that leave other nodes' attempts unanswered, each with the time of the observation.
--- a/crates/balancer/src/seeded_hash.rs
+++ b/crates/balancer/src/seeded_hash.rs
@@ -8,7 +8,7 @@
 }
 
 /// Maps a hash to a number from 0 to 1.
-pub fn unit(hash: u64) -> f64 {
+pub fn to_unit_interval(hash: u64) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     (hash >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
 }
@@ -27,6 +27,6 @@
     /// Returns the next random number, from 0 to 1.
     pub fn next_unit_float(&mut self) -> f64 {
         self.draws += 1;
-        unit(hash_of((self.seed, self.draws)))
+        to_unit_interval(hash_of((self.seed, self.draws)))
     }
 }
--- a/crates/balancer/src/slot_table.rs
+++ b/crates/balancer/src/slot_table.rs
@@ -12,7 +12,7 @@
 
 use crate::control_plane::{MigrationPhase, ShardMap, ShardSplit};
 use crate::ids::{EndpointId, Key};
-use crate::seeded_hash::{hash_of, unit};
+use crate::seeded_hash::{hash_of, to_unit_interval};
 
 /// The number of slots without splits: some tens for each of hundreds of endpoints. With five slots for each
 /// endpoint, the endpoints' shares of the slots would deviate by 0.44 of the mean (one over the square root
@@ -129,7 +129,7 @@
         let Some(split) = self.shard_map.shards.get(&shard_of_slot(slot)) else { return slot };
         let has_migrated = match split.migration {
             MigrationPhase::Stable => false,
-            // These bits are independent of those that select the slot.
+            // The hash bits from 32 on are independent of the bits that select the slot.
             MigrationPhase::Copying { sixteenths } => (hash >> 32) % 16 < u64::from(sixteenths),
             MigrationPhase::DualRead | MigrationPhase::Switched => true,
         };
@@ -162,7 +162,7 @@
         }
         let mut best = [(f64::INFINITY, None); CANDIDATES];
         for (endpoint, size) in &self.endpoints {
-            let score = -unit(hash_of((slot, endpoint))).max(MIN_UNIT_HASH).ln() / size;
+            let score = -to_unit_interval(hash_of((slot, endpoint))).max(MIN_UNIT_HASH).ln() / size;
             let mut next = (score, Some(*endpoint));
             for place in &mut best {
                 if next.0 < place.0 {
