--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,16 +1,17 @@
-//! The balancer of one node: which endpoint serves which request.
+//! The balancer of one node: decides which endpoint serves which request.
 //!
-//! A host creates a [`Balancer`] from the settings. It reports what happens by the `on_*` methods, which only update
-//! the balancer's state. Then it calls [`Balancer::poll_attempt`], [`Balancer::poll_response`],
-//! [`Balancer::poll_cancellation`] and [`Balancer::poll_watch_request`] until each of them has nothing left, and
-//! carries out what they return. It polls again at the latest at the time of [`Balancer::poll_timeout`].
+//! A host creates a [`Balancer`] from the settings. The host reports events by the `on_*` methods, which only
+//! update the balancer's state. Then the host calls [`Balancer::poll_attempt`], [`Balancer::poll_response`],
+//! [`Balancer::poll_cancellation`] and [`Balancer::poll_watch_request`] until each of them has nothing left
+//! to return, and carries out what they returned. The host polls again no later than the time of
+//! [`Balancer::poll_timeout`].
 //!
-//! A request takes this way: it waits in the request queue; dispatch takes the key's available candidate of the highest
-//! weight (endpoint selection); the attempt's result updates the endpoint's state (assessment); then the request is
-//! closed, waits for another attempt, or is rejected.
+//! A request is processed as follows. It waits in the request queue. Dispatch selects the available candidate
+//! of the key with the highest weight (endpoint selection). The attempt's result updates the endpoint's state
+//! (assessment). Then the request is closed, waits for another attempt, or is rejected.
 //!
-//! Two invariants each have one place that enforces them. Every attempt passes `PermissionGate::is_permitted`, which
-//! checks the site's rules. Every final response that the balancer gives by itself passes `Balancer::respond`.
+//! Two invariants are each enforced in one place. Every attempt passes `PermissionGate::is_permitted`, which
+//! checks the site's rules. Every final response that the balancer itself gives passes `Balancer::respond`.
 //!
 //! `docs/design.md` describes the design and its reasons.
 
@@ -61,29 +62,32 @@
 use crate::settings::{RequestClass, Settings};
 use crate::time::{Span, Time};
 
-/// How long request rates and response times are remembered: they change more slowly than usage.
-const RATE_MEMORY: Span = Span::from_millis(12_000);
-/// An answer slower than this share of its latency objective shows a queue.
+/// The time constant by which request rates and response times decay; longer than that of usage, since they
+/// change more slowly.
+const RATE_TIME_CONSTANT: Span = Span::from_millis(12_000);
+/// An answer that takes more than this share of its latency objective shows that the endpoint has a queue.
 const SLOW_SLO_SHARE: f64 = 0.4;
-/// An attempt that has been without a response for less than this share of its latency objective shows nothing of the
-/// endpoint.
+/// An attempt that has had no response for less than this share of its latency objective shows nothing about
+/// the endpoint's health.
 const PROMPT_SLO_SHARE: f64 = 0.5;
-/// The share of the latency objective that a request may wait for its first attempt.
+/// The largest share of the latency objective that a request may wait for its first attempt.
 const QUEUE_SLO_SHARE: f64 = 0.4;
-/// A rejected client is asked to stay away for this multiple of the latency objective: a retry soon after would come
-/// too late for it.
+/// The retry delay that a rate-limited client is given, as a multiple of the latency objective. A retry soon
+/// after the rejection would miss the objective anyway.
 const RETRY_AFTER_SLO_MULTIPLE: f64 = 4.0;
-/// What may be wrong about at most this share of the caches: a list that drops more is doubted, and the control plane
-/// can't eject more.
-const MINORITY: f64 = 0.34;
-/// How often waiting requests are looked at when nothing happens.
+/// The largest share of the caches whose failure is believed at once. An endpoint list that drops more is
+/// doubted, reports of the control plane eject no more, and if more caches that fetch from the origin leave
+/// attempts without a response, the origin is at fault.
+const MINORITY_SHARE: f64 = 0.34;
+/// The interval at which waiting requests are dispatched again if no event occurs.
 const RECHECK_INTERVAL: Span = Span::from_millis(20);
-/// An endpoint's share of the slots grows with its warm-up in this many steps: each moves keys, at every node alike.
+/// The number of steps in which an endpoint's share of the slots grows during warm-up. Each step moves keys,
+/// and it moves the same keys at every node.
 const WARMUP_STEPS: f64 = 8.0;
-/// The least work in seconds that a request's value is related to.
-const MIN_VALUED_WORK: f64 = 1e-6;
+/// The least work, in seconds, that a request's value is divided by.
+const MIN_WORK_SECONDS: f64 = 1e-6;
 
-/// A final response by the balancer itself.
+/// A final response that the balancer itself gives.
 struct LocalResponse {
     id: RequestId,
     reply: LocalReply,
@@ -115,7 +119,7 @@
 }
 
 impl Balancer {
-    /// A balancer without endpoints. All its randomness follows from `seed`.
+    /// A balancer without endpoints. All its random decisions are determined by `seed`.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Balancer {
         Balancer {
             now,
@@ -135,20 +139,21 @@
         }
     }
 
-    /// Other settings hold from now on. Request classes keep their positions, and new ones follow. Pending requests
-    /// keep their terms. What is known of endpoints stays where it means the same under the new settings; the rest
-    /// starts anew.
+    /// Replaces the settings. Request classes must keep their positions, with new classes after them. Pending
+    /// requests keep the deadlines, attempt limit and retry delay that they arrived under. State of endpoints
+    /// is kept if it has the same meaning under the new settings, and is otherwise reset.
     pub fn on_settings_update(&mut self, now: Time, settings: Settings) {
-        self.begin_event(now);
+        self.start_event(now);
         let old = std::mem::replace(&mut self.settings, settings);
         self.response_times.add_classes(&self.settings.request_classes, now);
         for endpoint in self.endpoints.iter_mut() {
-            // Usage may be of another kind now.
+            // Under the new settings usage may be measured in another way, so pushes and load reports are
+            // reset.
             endpoint.push = 0.0;
             endpoint.last_load_report = None;
             endpoint.warmup_budget.restart_refill(now);
             if self.settings.nodes != old.nodes {
-                // Limits start by the number of nodes; attempts in flight still count.
+                // The initial limit depends on the number of nodes. Attempts in flight still count.
                 let in_flight = endpoint.limit.in_flight();
                 endpoint.limit = ConcurrencyLimit::new(self.settings.nodes, in_flight, now);
             }
@@ -157,40 +162,40 @@
         self.update_slot_table();
     }
 
-    /// The endpoint list that the node's former process saw last. It may be outdated.
+    /// Sets the endpoint list that the node's previous process received last. The list may be outdated.
     pub fn on_endpoints_restored(&mut self, now: Time, updates: &[EndpointUpdate]) {
         self.apply_endpoints(now, updates, true);
     }
 
-    /// The endpoint list, or its changed entries if it is not `complete`. Where the list only comes on request, the
-    /// watch stands.
+    /// Applies the endpoint list, or only its changed entries if the list is not `complete`. Where the list
+    /// is sent only on request, an update shows that the watch is established.
     pub fn on_endpoints_update(&mut self, now: Time, updates: &[EndpointUpdate], complete: bool) {
         self.watch.on_update();
         self.apply_endpoints(now, updates, complete);
     }
 
     fn apply_endpoints(&mut self, now: Time, updates: &[EndpointUpdate], complete: bool) {
-        self.begin_event(now);
+        self.start_event(now);
         self.endpoints.apply(now, updates, complete, &self.settings, &mut self.random);
-        self.settle_endpoints(now);
+        self.update_serving_endpoints(now);
         self.zones.retain_zones(&self.endpoints.zones());
     }
 
-    /// The endpoint list was not available, or the watch was lost.
+    /// Schedules another watch request after the endpoint list was not available or the watch was lost.
     pub fn on_endpoints_watch_failed(&mut self, now: Time) {
-        self.begin_event(now);
-        let jitter = self.random.next_unit();
+        self.start_event(now);
+        let jitter = self.random.next_unit_float();
         self.watch.on_failure(now, jitter);
     }
 
-    /// A client's request arrived. A request of an unknown class fails at once.
+    /// Accepts a client's request. A request of an unknown class gets an error at once.
     pub fn on_request(&mut self, now: Time, id: RequestId, request: Request) {
-        self.begin_event(now);
+        self.start_event(now);
         let class_index = usize::from(request.request_class.0);
         let Some(class) = self.settings.request_classes.get(class_index) else {
             return self.responses.push_back(LocalResponse { id, reply: LocalReply::Errored });
         };
-        let pending = self.admit(now, request, class.clone());
+        let pending = self.new_pending_request(now, request, class.clone());
         self.requests.insert(id, pending);
         self.selection.count_request(now);
         let is_origin_write = request.write && self.settings.is_cache_aside();
@@ -200,22 +205,22 @@
         }
     }
 
-    /// Sets the terms of a new request.
-    fn admit(&mut self, now: Time, request: Request, class: RequestClass) -> PendingRequest {
-        let work = if self.settings.value_by_work {
+    /// The state of a new request, with its deadlines and limits by the present settings.
+    fn new_pending_request(&mut self, now: Time, request: Request, class: RequestClass) -> PendingRequest {
+        let work = if self.settings.is_value_per_work {
             1.0
         } else {
             self.response_times.expected_seconds(now, request.request_class, EndpointRole::Cache)
         };
-        let value = class.billed_value / work.max(MIN_VALUED_WORK);
-        let slo = class.slo.min(request.budget);
-        let valued_time = if class.value_after_slo > 0.0 { request.budget } else { slo };
+        let value = class.billed_value / work.max(MIN_WORK_SECONDS);
+        let slo = class.slo.min(request.client_timeout);
+        let valued_time = if class.value_after_slo > 0.0 { request.client_timeout } else { slo };
         PendingRequest {
             request,
             priority: self.requests.next_priority(value),
             slo_deadline: now + slo,
             value_deadline: now + valued_time,
-            client_deadline: now + request.budget,
+            client_deadline: now + request.client_timeout,
             queue_deadline: now + slo.scaled(QUEUE_SLO_SHARE),
             attempts: Vec::new(),
             max_attempts: usize::from(self.settings.max_attempts),
@@ -226,18 +231,19 @@
         }
     }
 
-    /// The client does not wait for this request any more, or has its response by other means.
+    /// Closes a request whose client has disconnected or has its response by other means.
     pub fn on_client_disconnect(&mut self, now: Time, id: RequestId) {
-        self.begin_event(now);
+        self.start_event(now);
         self.close(id);
     }
 
-    /// An attempt has ended. Results of unknown attempts, and second results, change nothing.
+    /// Records the result of an attempt. Results of unknown attempts, and second results of an attempt, are
+    /// ignored.
     pub fn on_attempt_finished(&mut self, now: Time, id: RequestId, result: &AttemptResult) {
-        self.begin_event(now);
+        self.start_event(now);
         let Some(attempt) = self.attempts.remove(id, result) else { return };
         self.assess_attempt(now, &attempt, result.outcome, result.latency);
-        let is_origin = self.endpoints.role(result.cache) == EndpointRole::Origin;
+        let is_origin = self.endpoints.role(result.endpoint) == EndpointRole::Origin;
         let was_overtaken = self.is_overtaken(&attempt);
         let class = attempt.request.request_class;
         let expected = self.response_times.expected(now, class, EndpointRole::Cache);
@@ -245,7 +251,8 @@
         record_result(request, result, is_origin, was_overtaken);
         let has_attempt_in_flight = request.first_in_flight().is_some();
         self.finish_fetch(id);
-        // An error slower than an answer is that of a failed fetch: another cache would only fetch again.
+        // An error of a cache that took longer than an expected answer is that of a failed fetch from the
+        // origin. The request is then rejected, since another cache would only repeat the fetch.
         let is_fetch_error = !self.settings.is_cache_aside()
             && result.outcome == AttemptOutcome::Errored
             && result.latency > expected;
@@ -258,25 +265,27 @@
         }
     }
 
-    /// An endpoint's load report came with an answer. It is reported before the attempt's result.
+    /// Stores the load report that came with an endpoint's answer. The host reports it before the attempt's
+    /// result.
     pub fn on_load_report(&mut self, now: Time, endpoint: EndpointId, report: &LoadReport) {
-        self.begin_event(now);
+        self.start_event(now);
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.last_load_report = Some(ReceivedLoadReport { received_at: now, report: *report });
         }
     }
 
-    /// Information from the control plane. The balancer's own evidence counts where it is fresher. Since planners may
-    /// lie, the information ejects no more than a minority of the endpoints, and none is taken back but by a probe.
+    /// Applies information from the control plane. A reported failure is ignored if the endpoint has
+    /// responded to this node since. Because planners may report false information, reports of failures eject
+    /// no more than a minority of the endpoints, and only a successful probe ends an ejection.
     pub fn on_control_plane_update(&mut self, now: Time, update: &ControlPlaneUpdate) {
-        self.begin_event(now);
+        self.start_event(now);
         self.apply_reported_failures(now, &update.failing);
         for (id, _) in &update.answering {
             if let Some(endpoint) = self.endpoints.get_mut(*id) {
                 endpoint.health.on_reported_answering(now);
             }
         }
-        if let Some(shard_map) = &update.table {
+        if let Some(shard_map) = &update.shard_map {
             self.selection.set_shard_map(shard_map);
         }
         for (id, lease) in &update.leases {
@@ -287,13 +296,13 @@
     }
 
     fn apply_reported_failures(&mut self, now: Time, failing: &[(EndpointId, Time)]) {
-        let max_ejected = (self.selection.endpoints() as f64 * MINORITY).max(1.0) as usize;
+        let max_ejected = (self.selection.endpoint_count() as f64 * MINORITY_SHARE).max(1.0) as usize;
         let mut ejected = self.endpoints.iter().filter(|endpoint| endpoint.health.is_ejected()).count();
         for &(id, observed_at) in failing {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
-            let is_news = endpoint.last_response_at < observed_at;
+            let is_newer = endpoint.last_response_at < observed_at;
             let is_ejected = endpoint.health.is_ejected();
-            if !is_news || endpoint.is_origin() || !is_ejected && ejected >= max_ejected {
+            if !is_newer || endpoint.is_origin() || !is_ejected && ejected >= max_ejected {
                 continue;
             }
             if !is_ejected {
@@ -303,7 +312,7 @@
         }
     }
 
-    /// The next attempt to send.
+    /// Returns the next attempt to send.
     pub fn poll_attempt(&mut self, now: Time) -> Option<Attempt> {
         self.advance(now);
         while let Some(id) = self.requests.next_waiting() {
@@ -315,42 +324,43 @@
         None
     }
 
-    /// The next final response that the balancer gives by itself.
+    /// Returns the next final response that the balancer itself gives.
     pub fn poll_response(&mut self, now: Time) -> Option<(RequestId, LocalReply)> {
         self.advance(now);
         self.responses.pop_front().map(|response| (response.id, response.reply))
     }
 
-    /// The next attempt to cancel.
+    /// Returns the next attempt to cancel.
     pub fn poll_cancellation(&mut self) -> Option<(RequestId, AttemptNumber)> {
         self.cancellations.pop_front().map(|cancellation| (cancellation.id, cancellation.number))
     }
 
-    /// Whether to request a watch on the endpoint list now.
+    /// Returns whether to request a watch on the endpoint list now.
     pub fn poll_watch_request(&mut self, now: Time) -> bool {
         self.watch.poll(now, self.settings.max_poll_interval)
     }
 
-    /// When to poll again if nothing happens before.
+    /// The time at which to poll again if no event occurs before.
     pub fn poll_timeout(&self, now: Time) -> Option<Time> {
         let recheck = self.requests.has_waiting().then_some(now + RECHECK_INTERVAL);
         let timeouts = [self.requests.next_deadline(), recheck, self.watch.next_request_at()];
         timeouts.into_iter().flatten().min().map(|timeout| timeout.max(now))
     }
 
-    /// The number of entries stored for requests, attempts, keys and endpoints. It is bounded, however long the
-    /// balancer runs.
-    pub fn entries(&self) -> usize {
-        self.requests.entries()
+    /// The number of entries stored for requests, attempts, keys and endpoints, which is bounded however long
+    /// the balancer runs.
+    pub fn entry_count(&self) -> usize {
+        self.requests.entry_count()
             + self.attempts.len()
             + self.fetches.len()
             + self.cancellations.len()
             + self.responses.len()
-            + self.selection.keys()
+            + self.selection.key_count()
             + self.endpoints.len()
     }
 
-    /// What the budgets of endpoints in warm-up follow from, while a serving cache warms up.
+    /// The values from which the budgets of endpoints in warm-up are computed; `None` if no serving cache is
+    /// in warm-up.
     pub fn warmup_report(&self, now: Time) -> Option<WarmupReport> {
         let is_warming_up =
             |endpoint: &Endpoint| endpoint.is_serving() && endpoint.warmup_factor(now, &self.settings) < 1.0;
@@ -360,18 +370,20 @@
             .then(|| self.warmup_traffic.report(now, &self.response_times))
     }
 
-    /// A key's candidates, the highest weight first.
-    pub fn ranked(&self, key: Key) -> Vec<EndpointId> {
-        self.selection.ranked(key)
+    /// A key's candidates in descending order of weight.
+    pub fn ranked_candidates(&self, key: Key) -> Vec<EndpointId> {
+        self.selection.ranked_candidates(key)
     }
 
-    /// Something happened: waiting requests are looked at anew.
-    fn begin_event(&mut self, now: Time) {
+    /// Advances to the time of an event, and makes all waiting requests due for dispatch, since an endpoint
+    /// may now be available to them.
+    fn start_event(&mut self, now: Time) {
         self.advance(now);
         self.requests.restart_round();
     }
 
-    /// Brings everything up to date that changes with time alone.
+    /// Advances to the time `now`: processes deadlines that have passed, and runs a learning step if one is
+    /// due.
     fn advance(&mut self, now: Time) {
         if now > self.now {
             self.now = now;
@@ -380,13 +392,13 @@
         while let Some(deadline) = self.requests.pop_due_deadline(now) {
             self.on_deadline(now, deadline.at, deadline.id);
         }
-        if self.selection.begin_due_step(now) {
-            self.learn(now);
+        if self.selection.start_due_learning_step(now) {
+            self.run_learning_step(now);
         }
     }
 
-    /// A request's deadline has passed: that of its client, its latency objective, or the time at which a slow attempt
-    /// is looked at.
+    /// Handles a deadline of a request that has passed: the client's deadline, the latency objective, or the
+    /// time of the next check of a slow attempt.
     fn on_deadline(&mut self, now: Time, due_at: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if due_at >= request.client_deadline {
@@ -394,13 +406,14 @@
         } else if due_at >= request.slo_deadline && request.first_in_flight().is_none() {
             self.reject(id);
         } else {
-            self.cancel_lost_attempt(now, id);
+            self.cancel_or_recheck(now, id);
         }
     }
 
-    /// One learning step: updates the endpoints' pushes by their usage, and all weights by the pushes.
-    fn learn(&mut self, now: Time) {
-        self.settle_endpoints(now);
+    /// Runs one learning step: updates each endpoint's push by the endpoint's usage, and all weights by the
+    /// pushes.
+    fn run_learning_step(&mut self, now: Time) {
+        self.update_serving_endpoints(now);
         let settings = &self.settings;
         let serving = self.endpoints.iter().filter(|endpoint| endpoint.is_serving());
         let warm_size = serving.map(|cache| cache.size(settings) * cache.warmup_factor(now, settings)).sum();
@@ -410,13 +423,13 @@
         self.selection.push(&self.endpoints);
     }
 
-    fn settle_endpoints(&mut self, now: Time) {
-        self.endpoints.settle_removals(now);
+    fn update_serving_endpoints(&mut self, now: Time) {
+        self.endpoints.update_removed_endpoints(now);
         self.update_slot_table();
     }
 
-    /// Gives serving caches their shares of the slots. During warm-up a share grows in steps, so that few keys have
-    /// none but candidates in warm-up.
+    /// Sets the serving caches' shares of the slots. A share grows in steps during warm-up, so that few keys
+    /// have only candidates in warm-up.
     fn update_slot_table(&mut self) {
         let share = |endpoint: &Endpoint| {
             let warmup_factor = endpoint.warmup_factor(self.now, &self.settings);
--- a/crates/balancer/src/balancer/attempt_tracking.rs
+++ b/crates/balancer/src/balancer/attempt_tracking.rs
@@ -1,15 +1,16 @@
-//! Attempts in flight, and what a request goes through when one of them has ended.
+//! Attempts in flight, and how an attempt's result changes its request.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::attempt::{AttemptOutcome, AttemptResult};
 use crate::ids::{AttemptNumber, EndpointId, RequestId};
-use crate::pending_request::{InFlightAttempt, PendingRequest};
+use crate::pending_request::{PendingRequest, SentAttempt};
 
-/// All attempts whose result is not known yet, also those of requests that have ended.
+/// All attempts whose result is not known yet, including those of requests that already have a final
+/// response.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
-    attempts: HashMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    attempts: HashMap<(RequestId, AttemptNumber), SentAttempt>,
 }
 
 impl InFlightAttempts {
@@ -17,25 +18,26 @@
         self.attempts.len()
     }
 
-    pub fn insert(&mut self, id: RequestId, number: AttemptNumber, attempt: InFlightAttempt) {
+    pub fn insert(&mut self, id: RequestId, number: AttemptNumber, attempt: SentAttempt) {
         self.attempts.insert((id, number), attempt);
     }
 
-    /// Takes the attempt that a result is of. There is none if the result is unknown or came before.
-    pub fn remove(&mut self, id: RequestId, result: &AttemptResult) -> Option<InFlightAttempt> {
+    /// Removes and returns the attempt that a result belongs to; `None` if no such attempt is in flight, as
+    /// for a second result of the same attempt.
+    pub fn remove(&mut self, id: RequestId, result: &AttemptResult) -> Option<SentAttempt> {
         let attempt = self.attempts.remove(&(id, result.number))?;
-        (attempt.endpoint == result.cache).then_some(attempt)
+        (attempt.endpoint == result.endpoint).then_some(attempt)
     }
 
     /// The endpoints of the attempts for which `condition` holds.
-    pub fn endpoints_where(&self, condition: impl Fn(&InFlightAttempt) -> bool) -> BTreeSet<EndpointId> {
+    pub fn endpoints_where(&self, condition: impl Fn(&SentAttempt) -> bool) -> BTreeSet<EndpointId> {
         let attempts = self.attempts.values().filter(|attempt| condition(attempt));
         attempts.map(|attempt| attempt.endpoint).collect()
     }
 }
 
-/// Records a result with its request. `was_overtaken` is whether a later attempt at the same endpoint had its answer
-/// first, so that this one's answer was lost.
+/// Records an attempt's result in its request. `was_overtaken` says that a later attempt at the same endpoint
+/// was answered first, which shows that the answer to this attempt was lost.
 pub(super) fn record_result(
     request: &mut PendingRequest,
     result: &AttemptResult,
@@ -54,18 +56,19 @@
         request.missed_in_cache = true;
     }
     if !is_origin && excludes_endpoint(request, result, was_overtaken) {
-        request.excluded_endpoints.push(result.cache);
+        request.excluded_endpoints.push(result.endpoint);
     }
 }
 
-/// Whether the request's next attempt must go to another endpoint.
+/// Whether an attempt's result excludes its endpoint from the request's further attempts.
 fn excludes_endpoint(request: &PendingRequest, result: &AttemptResult, was_overtaken: bool) -> bool {
     match result.outcome {
         AttemptOutcome::Rejected | AttemptOutcome::NotSent => false,
         AttemptOutcome::Cancelled => !was_overtaken,
-        // The first reset may be due to its connection alone: the cache that holds the key is asked once more.
+        // A single reset may be a fault of the connection only, so the cache that holds the key gets a second
+        // attempt.
         AttemptOutcome::Reset => {
-            let attempts = request.attempts.iter().filter(|attempt| attempt.endpoint == result.cache);
+            let attempts = request.attempts.iter().filter(|attempt| attempt.endpoint == result.endpoint);
             attempts.count() != 1
         }
         AttemptOutcome::Fulfilled
--- a/crates/balancer/src/balancer/endpoint_list/tests.rs
+++ b/crates/balancer/src/balancer/endpoint_list/tests.rs
@@ -5,13 +5,13 @@
 use crate::seeded_hash::SeededRandom;
 use crate::settings::{Effect, Settings};
 
-fn settings_where_only_draining_binds(only_draining_binds: bool) -> Settings {
-    Settings { only_draining_binds, ..settings(Effect::Idempotent) }
+fn settings_where_only_draining_excludes(only_draining_excludes: bool) -> Settings {
+    Settings { only_draining_excludes, ..settings(Effect::Idempotent) }
 }
 
 fn apply(list: &mut EndpointList, ms: u64, updates: &[EndpointUpdate], complete: bool, settings: &Settings) {
     list.apply(at(ms), updates, complete, settings, &mut SeededRandom::new(7));
-    list.settle_removals(at(ms));
+    list.update_removed_endpoints(at(ms));
 }
 
 /// The ids of the serving caches.
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn roles_follow_the_kinds_and_the_origin_serves_no_keys() {
+fn roles_follow_the_kinds_and_the_origin_is_no_serving_cache() {
     let list = endpoints(2, &settings(Effect::Idempotent));
     assert_eq!(list.role(ORIGIN), EndpointRole::Origin);
     assert_eq!(list.role(EndpointId(0)), EndpointRole::Cache);
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn unlisted_endpoints_are_gone_but_stay_while_attempts_are_in_flight() {
-    let settings = settings_where_only_draining_binds(false);
+fn unlisted_endpoints_leave_service_but_keep_state_while_attempts_are_in_flight() {
+    let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(3, &settings);
     list.get_mut(EndpointId(1)).expect("listed").limit.on_attempt_sent();
     apply(&mut list, 10, &[listed(EndpointId(0))], true, &settings);
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn changes_leave_other_endpoints_as_they_are() {
-    let settings = settings_where_only_draining_binds(false);
+fn incomplete_list_leaves_other_endpoints_unchanged() {
+    let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(2, &settings);
     let draining = EndpointUpdate { ready: false, draining: true, ..listed(EndpointId(0)) };
     apply(&mut list, 10, &[draining], false, &settings);
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn restart_under_the_same_id_starts_anew_with_its_attempts_in_flight() {
-    let settings = settings_where_only_draining_binds(false);
+fn restart_under_the_same_id_drops_the_state_except_attempts_in_flight() {
+    let settings = settings_where_only_draining_excludes(false);
     let mut list = endpoints(1, &settings);
     let endpoint = list.get_mut(EndpointId(0)).expect("listed");
     endpoint.limit.on_attempt_sent();
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn list_that_drops_more_than_a_minority_is_doubted_for_a_while() {
-    let settings = settings_where_only_draining_binds(true);
+fn removal_of_more_than_a_minority_takes_effect_after_the_ttl_only() {
+    let settings = settings_where_only_draining_excludes(true);
     let mut list = endpoints(4, &settings);
     apply(
         &mut list,
@@ -76,23 +76,23 @@
         true,
         &settings,
     );
-    assert_eq!(serving(&list), [0, 1, 2], "one of four is believed to be gone");
-    assert!(list.get(ORIGIN).expect("remembered").listed.ready, "the origin is never");
+    assert_eq!(serving(&list), [0, 1, 2], "the removal of one cache of four is applied");
+    assert!(list.get(ORIGIN).expect("remembered").listed.ready, "the removal of the origin is not applied");
     apply(&mut list, 0, &[listed(EndpointId(0))], true, &settings);
     assert_eq!(serving(&list), [0, 1, 2, 3]);
-    list.settle_removals(at(0) + REMOVED_ENDPOINT_TTL);
+    list.update_removed_endpoints(at(0) + REMOVED_ENDPOINT_TTL);
     assert_eq!(serving(&list), [0]);
     assert!(list.get(ORIGIN).is_none());
 }
 
 #[test]
 fn each_entry_takes_one_random_draw() {
-    let settings = settings_where_only_draining_binds(false);
+    let settings = settings_where_only_draining_excludes(false);
     let mut random = SeededRandom::new(7);
     let mut list = EndpointList::default();
     let gone = EndpointUpdate { ready: false, ..listed(EndpointId(0)) };
     list.apply(at(0), &[listed(EndpointId(0)), gone, listed(EndpointId(1))], true, &settings, &mut random);
     let mut reference = SeededRandom::new(7);
-    let draws: Vec<f64> = (0..4).map(|_| reference.next_unit()).collect();
-    assert_eq!(random.next_unit(), draws[3]);
+    let draws: Vec<f64> = (0..4).map(|_| reference.next_unit_float()).collect();
+    assert_eq!(random.next_unit_float(), draws[3]);
 }
--- a/crates/balancer/src/balancer/request_queue/tests.rs
+++ b/crates/balancer/src/balancer/request_queue/tests.rs
@@ -9,8 +9,9 @@
 }
 
 fn insert(queue: &mut RequestQueue, id: u64, value: f64) {
-    let budget = Span::from_millis(100);
-    let request = Request { request_class: RequestClassId(0), key: Key(1), budget, work: None, write: false };
+    let client_timeout = Span::from_millis(100);
+    let request =
+        Request { request_class: RequestClassId(0), key: Key(1), client_timeout, work: None, write: false };
     let pending = PendingRequest {
         request,
         priority: queue.next_priority(value),
@@ -28,7 +29,7 @@
     queue.insert(RequestId(id), pending);
 }
 
-fn round(queue: &mut RequestQueue) -> Vec<u64> {
+fn waiting_requests(queue: &mut RequestQueue) -> Vec<u64> {
     std::iter::from_fn(|| queue.next_waiting()).map(|id| id.0).collect()
 }
 
@@ -38,10 +39,10 @@
     for (id, value) in [(1, 1.0), (2, 5.0), (3, 1.0), (4, 0.0), (5, 5.0)] {
         insert(&mut queue, id, value);
     }
-    assert_eq!(round(&mut queue), [2, 5, 1, 3, 4]);
-    assert_eq!(round(&mut queue), [], "each once in a round");
+    assert_eq!(waiting_requests(&mut queue), [2, 5, 1, 3, 4]);
+    assert_eq!(waiting_requests(&mut queue), [], "each request is returned once in a round");
     queue.restart_round();
-    assert_eq!(round(&mut queue), [2, 5, 1, 3, 4]);
+    assert_eq!(waiting_requests(&mut queue), [2, 5, 1, 3, 4]);
 }
 
 #[test]
@@ -50,7 +51,7 @@
     insert(&mut queue, 1, 1.0);
     queue.remove(RequestId(1));
     queue.set_waiting(RequestId(1));
-    assert_eq!(queue.entries(), 0);
+    assert_eq!(queue.entry_count(), 0);
     assert!(!queue.has_waiting());
 }
 
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -93,8 +93,13 @@
 
 fn record_sent(assembler: &mut ObservationAssembler, n: u64) {
     let slo = Span::from_millis(500);
-    let requested =
-        Request { request_class: RequestClassId(0), key: Key(9), budget: slo, work: None, write: false };
+    let requested = Request {
+        request_class: RequestClassId(0),
+        key: Key(9),
+        client_timeout: slo,
+        work: None,
+        write: false,
+    };
     let sent = SentAttempt {
         request: RequestId(n),
         number: AttemptNumber(0),
@@ -111,7 +116,7 @@
 fn record_finished(assembler: &mut ObservationAssembler, n: u64) -> Option<FinishedAttempt> {
     let result = AttemptResult {
         number: AttemptNumber(0),
-        cache: ENDPOINT,
+        endpoint: ENDPOINT,
         outcome: AttemptOutcome::CacheMiss,
         latency: Span::ZERO,
         answered: false,
@@ -147,7 +152,7 @@
 
 /// The rate that each lease of an update allows now.
 fn allowed(update: &ControlPlaneUpdate, now: Time) -> Vec<(EndpointId, f64)> {
-    update.leases.iter().map(|(endpoint, lease)| (*endpoint, lease.at(now))).collect()
+    update.leases.iter().map(|(endpoint, lease)| (*endpoint, lease.quota_at(now))).collect()
 }
 
 #[test]
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -83,7 +83,7 @@
         let next_number = self.attempts.entry(request).or_insert(0);
         let id = AttemptId { request, number: *next_number };
         *next_number += 1;
-        let in_flight = InFlightAttempt { id, cache: attempt.cache.0, sent: now };
+        let in_flight = InFlightAttempt { id, cache: attempt.endpoint.0, sent: now };
         self.in_flight.insert(id, in_flight);
         in_flight
     }
@@ -94,7 +94,7 @@
         slo: SLO,
         billed_value: 1.0,
         value_after_slo: 0.0,
-        offered: true,
+        is_offered: true,
         effect: Effect::Idempotent,
     };
     BalancerSettings {
@@ -103,24 +103,24 @@
         nodes: scenario.forwarders as f64,
         list_on_request: false,
         max_poll_interval: MAX_POLL_INTERVAL,
-        only_draining_binds: false,
-        cold_from: 0.2,
-        warm_after: WARMUP_TIME,
-        fall_multiple: 3.0,
-        fall_window: OVERLOAD_WINDOW,
+        only_draining_excludes: false,
+        initial_capacity_share: 0.2,
+        warmup_duration: WARMUP_TIME,
+        overload_multiple: 3.0,
+        overload_window: OVERLOAD_WINDOW,
         max_attempts: 3,
         hedged_requests: false,
         may_cancel: true,
         max_retry_after: MAX_RETRY_AFTER,
-        value_by_work: false,
-        steady_sizes: false,
+        is_value_per_work: false,
+        sizes_are_capacities: false,
     }
 }
 
 /// The endpoint list: all caches, and the origin after them.
 fn endpoints(scenario: &Scenario) -> Vec<EndpointUpdate> {
     let endpoint = |number: usize| EndpointUpdate {
-        cache: EndpointId(number as u64),
+        id: EndpointId(number as u64),
         kind: if number == scenario.caches { ORIGIN_KIND } else { KindId(0) },
         size: 1.0,
         zone: ZoneId(0),
@@ -152,7 +152,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key,
-            budget: REQUEST_BUDGET,
+            client_timeout: REQUEST_BUDGET,
             work: None,
             write: false,
         };
@@ -204,7 +204,7 @@
         state.member.health.on_observation(self.now, &observation);
         let result = AttemptResult {
             number: AttemptNumber(attempt.id.number),
-            cache: EndpointId(attempt.cache),
+            endpoint: EndpointId(attempt.cache),
             outcome,
             latency,
             answered: !state.pending.contains_key(&attempt.id.request),
@@ -234,13 +234,13 @@
     }
 
     fn send_attempt(&mut self, forwarder: usize, attempt: &Attempt) {
-        let is_hung = self.is_hung(attempt.cache.0);
+        let is_hung = self.is_hung(attempt.endpoint.0);
         if is_hung {
             self.record_wasted_attempt();
         }
-        let is_origin = self.is_origin(attempt.cache.0);
+        let is_origin = self.is_origin(attempt.endpoint.0);
         let state = &mut self.forwarders[forwarder];
-        let observation = Observation::AttemptSent { cache: attempt.cache, is_origin, write: false };
+        let observation = Observation::AttemptSent { cache: attempt.endpoint, is_origin, write: false };
         state.member.health.on_observation(self.now, &observation);
         let in_flight = state.start_attempt(attempt, self.now);
         let (duration, outcome) = if is_hung {
--- a/crates/fleet-simulator/src/policy/baseline.rs
+++ b/crates/fleet-simulator/src/policy/baseline.rs
@@ -68,15 +68,15 @@
 
     pub(super) fn on_endpoints_update(&mut self, updates: &[EndpointUpdate]) {
         for update in updates {
-            self.endpoints.insert(update.cache, *update);
+            self.endpoints.insert(update.id, *update);
         }
         self.origin = None;
         self.ready_caches.clear();
         for endpoint in self.endpoints.values() {
             if endpoint.kind == ORIGIN_KIND {
-                self.origin = self.origin.or(Some(endpoint.cache));
+                self.origin = self.origin.or(Some(endpoint.id));
             } else if endpoint.ready {
-                self.ready_caches.push(endpoint.cache);
+                self.ready_caches.push(endpoint.id);
             }
         }
         self.ranked_caches.clear();
@@ -85,7 +85,7 @@
     pub(super) fn on_request(&mut self, now: Time, id: RequestId, request: Request) {
         let slo = self.settings.request_classes[request.request_class.0 as usize].slo;
         let pending = PendingRequest {
-            deadline: now + request.budget,
+            deadline: now + request.client_timeout,
             wait_until: now + slo.scaled(MAX_WAIT_SLO_SHARE),
             request,
             attempts: 0,
@@ -104,7 +104,7 @@
         if result.outcome == AttemptOutcome::CacheMiss {
             pending.missed_in_cache = true;
         }
-        pending.excluded_endpoints.push(result.cache);
+        pending.excluded_endpoints.push(result.endpoint);
         if result.answered {
             self.pending.remove(&id);
         }
--- a/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
@@ -92,7 +92,7 @@
     /// A cache as the endpoint list describes it now.
     pub(super) fn endpoint_update(&self, cache: usize) -> EndpointUpdate {
         EndpointUpdate {
-            cache: EndpointId(cache as u64),
+            id: EndpointId(cache as u64),
             kind: KindId(0),
             size: if self.scenario.lists_capacities { self.scenario.capacities[cache] } else { 1.0 },
             zone: ZoneId(0),
@@ -120,7 +120,7 @@
     fn choose_hot_key(&self) -> Option<u64> {
         let busiest = self.nodes.iter().max_by(|a, b| a.rate.total_cmp(&b.rate))?;
         let is_at_cold_cache = |key: &u64| {
-            let ranked = busiest.balancer.ranked(Key(*key));
+            let ranked = busiest.balancer.ranked_candidates(Key(*key));
             ranked.first().is_some_and(|cache| cache.0 < self.scenario.cold_caches as u64)
         };
         (0..self.scenario.keys).rev().find(is_at_cold_cache)
@@ -128,7 +128,7 @@
 
     fn change_settings(&mut self) {
         self.overload_multiple = self.scenario.overload_multiple / OVERLOAD_MULTIPLE_DIVISOR;
-        let settings = Settings { fall_multiple: self.overload_multiple, ..self.scenario.settings() };
+        let settings = Settings { overload_multiple: self.overload_multiple, ..self.scenario.settings() };
         for node in 0..self.nodes.len() {
             self.nodes[node].balancer.on_settings_update(self.now, settings.clone());
             self.poll_balancer(node);
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -63,7 +63,7 @@
     /// A balancer that knows nothing but the endpoint list as it is now.
     fn new_balancer(&self, seed: u64) -> Balancer {
         let mut settings = self.scenario.settings();
-        settings.fall_multiple = self.overload_multiple;
+        settings.overload_multiple = self.overload_multiple;
         let seed = self.scenario.seed ^ seed << NODE_SEED_SHIFT;
         let mut balancer = Balancer::new(settings, seed, self.now);
         let ready = (0..self.servers.len()).filter(|cache| self.servers[*cache].ready);
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn on_endpoint_notified(&mut self, node: usize, endpoint: EndpointUpdate) {
-        let cache = endpoint.cache.0 as usize;
+        let cache = endpoint.id.0 as usize;
         if let Some(started) = endpoint.started
             && endpoint.ready
         {
@@ -110,7 +110,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key: Key(key),
-            budget: Span::from_secs_f64(self.scenario.slo * BUDGET_SLOS),
+            client_timeout: Span::from_secs_f64(self.scenario.slo * BUDGET_SLOS),
             work: self.scenario.declares_work.then_some(Span::from_secs_f64(work)),
             write: false,
         };
@@ -170,7 +170,7 @@
     }
 
     fn send(&mut self, node: usize, attempt: &Attempt) {
-        let cache = attempt.cache.0 as usize;
+        let cache = attempt.endpoint.0 as usize;
         let request = attempt.request.0;
         let state = &mut self.nodes[node];
         let Some(pending) = state.requests.get_mut(&request) else { return };
@@ -203,7 +203,7 @@
         }
         let result = AttemptResult {
             number: AttemptNumber(attempt.number),
-            cache: EndpointId(in_flight.cache as u64),
+            endpoint: EndpointId(in_flight.cache as u64),
             outcome,
             latency,
             answered: is_fulfilled,
--- a/crates/node/src/proxy/balancer_driver.rs
+++ b/crates/node/src/proxy/balancer_driver.rs
@@ -59,7 +59,7 @@
         if let Some(recorder) = &mut self.recorder {
             recorder.on_settings_update(settings.clone());
         }
-        self.directory.on_settings_update(names, settings.only_draining_binds);
+        self.directory.on_settings_update(names, settings.only_draining_excludes);
         self.balancer.on_settings_update(now, settings);
     }
 
@@ -177,7 +177,7 @@
     fn report_finished_attempt(&mut self, now: Time, finished: &FinishedAttempt) {
         let FinishedAttempt { request, result, response_bytes, load_report } = finished;
         if let Some(report) = load_report {
-            self.balancer.on_load_report(now, result.cache, report);
+            self.balancer.on_load_report(now, result.endpoint, report);
         }
         self.balancer.on_attempt_finished(now, *request, result);
         if let Some(recorder) = &mut self.recorder {
--- a/crates/node/src/proxy/node/mod.rs
+++ b/crates/node/src/proxy/node/mod.rs
@@ -72,7 +72,7 @@
         let is_list_pushed = !balancer_settings.list_on_request;
         let retry_after = balancer_settings.max_retry_after;
         let recorder = start_agent(&transport, control_plane_agent, &balancer_settings)?;
-        let directory = EndpointDirectory::new(names.clone(), balancer_settings.only_draining_binds);
+        let directory = EndpointDirectory::new(names.clone(), balancer_settings.only_draining_excludes);
         let balancer = Balancer::new(balancer_settings, seed, now);
         let mut requests = RequestTable::default();
         requests.set_load_report_header(reloadable.load_report_header);
--- a/crates/node/src/proxy/observation_recorder.rs
+++ b/crates/node/src/proxy/observation_recorder.rs
@@ -43,13 +43,13 @@
 
     fn observed_endpoint(&self, endpoint: &EndpointUpdate) -> ObservedEndpoint {
         ObservedEndpoint {
-            cache: endpoint.cache,
+            cache: endpoint.id,
             is_origin: Some(endpoint.kind) == self.settings.origin,
             // Only estimates use the truncated number; two zones that the settings do not name may share it.
             zone: endpoint.zone.0 as u16,
             size: endpoint.size,
             started: endpoint.started,
-            warm_after: self.settings.warm_after,
+            warm_after: self.settings.warmup_duration,
         }
     }
 
@@ -65,12 +65,12 @@
         let Some(active) = requests.get(attempt.request) else { return };
         let request = active.request();
         let name_hash = hash_request_name(active.client_request_id());
-        let ranked = if is_sampled(name_hash) { balancer.ranked(request.key) } else { Vec::new() };
+        let ranked = if is_sampled(name_hash) { balancer.ranked_candidates(request.key) } else { Vec::new() };
         let mut candidates = ranked.into_iter();
         let sent = SentAttempt {
             request: attempt.request,
             number,
-            endpoint: attempt.cache,
+            endpoint: attempt.endpoint,
             name_hash,
             requested: *request,
             bytes: u32::try_from(active.message().body.len()).unwrap_or(u32::MAX),
--- a/crates/node/tests/upstream/fixture.rs
+++ b/crates/node/tests/upstream/fixture.rs
@@ -75,7 +75,7 @@
     /// Lists the endpoint, or removes it from the list.
     pub fn set_listed(&mut self, is_listed: bool) {
         let update = EndpointUpdate {
-            cache: ENDPOINT,
+            id: ENDPOINT,
             kind: KindId(0),
             size: 1.0,
             zone: ZoneId(0),
@@ -130,7 +130,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key: Key(number),
-            budget: REQUEST_TIMEOUT,
+            client_timeout: REQUEST_TIMEOUT,
             work: None,
             write: method != "GET",
         };
@@ -139,8 +139,13 @@
         let inserted = self.requests.insert(self.client, request, client_request_id, message);
         let id = inserted.expect("an unused client request id");
         let attempt_number = self.requests.start_attempt(id).expect("a pending request");
-        let attempt =
-            Attempt { request: id, cache: ENDPOINT, timeout: REQUEST_TIMEOUT, begin_within, is_idempotent };
+        let attempt = Attempt {
+            request: id,
+            endpoint: ENDPOINT,
+            timeout: REQUEST_TIMEOUT,
+            begin_within,
+            is_idempotent,
+        };
         self.with_upstream(|upstream, turn| upstream.send(turn, &attempt, attempt_number));
         (id, attempt_number)
     }
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -41,12 +41,12 @@
             continue;
         }
         match column {
-            LoadColumn::Outstanding => report.held = Some(value),
-            LoadColumn::Queued => report.waiting = Some(value),
+            LoadColumn::Outstanding => report.requests_held = Some(value),
+            LoadColumn::Queued => report.requests_queued = Some(value),
             LoadColumn::ServiceTimeMs => {
-                report.service = Some(Span::from_secs_f64(value / MILLIS_PER_SECOND));
+                report.service_time = Some(Span::from_secs_f64(value / MILLIS_PER_SECOND));
             }
-            LoadColumn::ThroughputPerSecond => report.per_s = Some(value),
+            LoadColumn::ThroughputPerSecond => report.requests_per_s = Some(value),
             LoadColumn::Other => {}
         }
     }
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -63,7 +63,7 @@
     /// Withdraws all request classes, and restores the names that they had while offered.
     fn withdraw_all_classes(&mut self) {
         for class in &mut self.balancer_settings.request_classes {
-            class.offered = false;
+            class.is_offered = false;
         }
         for name in &mut self.names.request_classes {
             *name = name.trim_start_matches(WITHDRAWN_PREFIX).into();
@@ -80,7 +80,7 @@
                 && has_same_terms(&self.balancer_settings.request_classes[position], class)
         });
         if let Some(position) = same {
-            self.balancer_settings.request_classes[position].offered = true;
+            self.balancer_settings.request_classes[position].is_offered = true;
             return;
         }
         self.balancer_settings.request_classes.push(class.clone());
@@ -92,7 +92,7 @@
     fn prefix_withdrawn_names(&mut self) {
         let classes = &self.balancer_settings.request_classes;
         for (name, class) in self.names.request_classes.iter_mut().zip(classes) {
-            if !class.offered {
+            if !class.is_offered {
                 name.insert(0, WITHDRAWN_PREFIX);
             }
         }
@@ -101,7 +101,7 @@
 
 /// Whether a known class, offered or not, has the same terms as a new class.
 fn has_same_terms(known: &RequestClass, new: &RequestClass) -> bool {
-    let known = RequestClass { offered: true, ..known.clone() };
+    let known = RequestClass { is_offered: true, ..known.clone() };
     known == *new
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -113,7 +113,7 @@
     Request {
         request_class: RequestClassId(record.u16(12)),
         key: Key(record.u64(18)),
-        budget: Span(u64::from(record.u32(26))),
+        client_timeout: Span(u64::from(record.u32(26))),
         work: if flags & REQUEST_HAS_WORK != 0 { Some(work) } else { None },
         write: flags & REQUEST_IS_WRITE != 0,
     }
@@ -130,7 +130,7 @@
     };
     Ok(AttemptResult {
         number: AttemptNumber(record.u8(12)),
-        cache: record.endpoint(13),
+        endpoint: record.endpoint(13),
         outcome,
         latency: Span(u64::from(record.u32(20))),
         answered: record.u8(24) != 0,
@@ -148,7 +148,7 @@
     let state = entry.u8(8);
     let started = entry.u64(15);
     EndpointUpdate {
-        cache: entry.endpoint(9),
+        id: entry.endpoint(9),
         kind: KindId(entry.u16(0)),
         size: f64::from(entry.f32(2)),
         zone: ZoneId(u32::from(entry.u16(6))),
