--- a/crates/balancer/src/balancer/permission/tests.rs
+++ b/crates/balancer/src/balancer/permission/tests.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn rule_4_binds_warm_up_and_the_leased_origin() {
+fn rule_4_limits_attempts_in_warm_up_and_at_the_leased_origin() {
     let settings = settings(Effect::Idempotent);
     let mut list = endpoints(2, &settings);
     let endpoint = list.get_mut(EndpointId(1)).expect("listed");
--- a/crates/balancer/tests/leases.rs
+++ b/crates/balancer/tests/leases.rs
@@ -38,7 +38,7 @@
 
 /// One node with two warm caches that miss every key, an origin that holds all keys, and a cold cache if
 /// `cold_since_ms` is given.
-struct World {
+struct Fixture {
     balancer: Balancer,
     now_ms: u64,
     requests: u64,
@@ -48,8 +48,8 @@
     rate_limited: usize,
 }
 
-impl World {
-    fn new(nodes: f64, cold_since_ms: Option<u64>) -> World {
+impl Fixture {
+    fn new(nodes: f64, cold_since_ms: Option<u64>) -> Fixture {
         let slo = Span::from_millis(200);
         let classes = vec![request_class(slo, Effect::Idempotent), request_class(slo, Effect::NonIdempotent)];
         let settings = Settings { nodes, ..settings(classes) };
@@ -63,7 +63,7 @@
         }
         let mut balancer = Balancer::new(settings, 7, START);
         balancer.on_endpoints_update(START, &list, true);
-        World {
+        Fixture {
             balancer,
             now_ms: 0,
             requests: 0,
@@ -154,38 +154,38 @@
 
 #[test]
 fn origin_lease_limits_reads_and_expires_by_itself() {
-    let mut world = World::new(1.0, None);
-    let without_lease = world.run(2_000, 10, false).origin;
+    let mut fixture = Fixture::new(1.0, None);
+    let without_lease = fixture.run(2_000, 10, false).origin;
     assert!(without_lease > 190, "{without_lease} of 200 without a lease");
-    world.lease(ORIGIN, 10.0, 4_000, 1.0);
-    let leased = world.run(5_000, 10, false).origin;
+    fixture.lease(ORIGIN, 10.0, 4_000, 1.0);
+    let leased = fixture.run(5_000, 10, false).origin;
     // Ten fetches per second for three seconds, and up to ten more from a full budget.
     assert!((20..=41).contains(&leased), "{leased}");
-    assert!(world.rate_limited > 150, "{} rate-limited", world.rate_limited);
+    assert!(fixture.rate_limited > 150, "{} rate-limited", fixture.rate_limited);
     // The lease is neither revoked nor renewed: its quota falls before the expiry to one fetch per second,
     // which stays the quota after the expiry.
-    world.run(7_000, 10, false);
-    let expired = world.run(17_000, 10, false).origin;
+    fixture.run(7_000, 10, false);
+    let expired = fixture.run(17_000, 10, false).origin;
     assert!((5..=11).contains(&expired), "{expired} in ten seconds");
 }
 
 #[test]
 fn writes_are_not_limited_by_the_origin_lease() {
-    let mut world = World::new(1.0, None);
-    world.lease(ORIGIN, 1.0, 60_000, 1.0);
-    assert_eq!(world.run(2_000, 20, true).origin, 100);
+    let mut fixture = Fixture::new(1.0, None);
+    fixture.lease(ORIGIN, 1.0, 60_000, 1.0);
+    assert_eq!(fixture.run(2_000, 20, true).origin, 100);
     // Writes do not use the quota of reads either.
-    assert!(world.run(6_000, 20, false).origin >= 3);
+    assert!(fixture.run(6_000, 20, false).origin >= 3);
 }
 
 #[test]
 fn lease_of_cold_cache_only_lowers_the_work_sent() {
     let sent = |lease: Option<f64>| {
-        let mut world = World::new(1.0, Some(0));
+        let mut fixture = Fixture::new(1.0, Some(0));
         if let Some(quota) = lease {
-            world.lease(COLD, quota, 60_000, quota);
+            fixture.lease(COLD, quota, 60_000, quota);
         }
-        world.run(6_000, 2, false).cold
+        fixture.run(6_000, 2, false).cold
     };
     let without_lease = sent(None);
     assert_eq!(
