--- a/crates/control-plane/src/agent/worker.rs
+++ b/crates/control-plane/src/agent/worker.rs
@@ -200,7 +200,7 @@
         if let Some(config) = new_config {
             log::info!(event = "fleet_config_reloaded"; "the fleet configuration was read again: {config}");
             // New secrets or addresses alone leave the incarnation, and what was granted to it, valid.
-            restart |= !config.decides_like(&self.config);
+            restart |= !config.has_same_component_settings(&self.config);
             self.config = config;
         }
         if restart {
--- a/crates/control-plane/src/fleet_config/mod.rs
+++ b/crates/control-plane/src/fleet_config/mod.rs
@@ -1,9 +1,9 @@
-//! The fleet configuration (the operator's file): what all members of a fleet have to agree on, so that all of them read
-//! the same file. It names the planners and the secrets that sign messages, and sets the limits for the whole fleet. A
-//! component whose table is left out is disabled.
+//! The fleet configuration (the operator's file): the settings that all members of a fleet have to agree on.
+//! All members therefore read the same file. The file names the planners and the secrets that sign messages,
+//! and sets the limits for the whole fleet. A component whose table is missing from the file is disabled.
 //!
-//! `sections` has the file's tables, `validation` checks them, and `settings` converts them into the settings of
-//! the components.
+//! The module `sections` defines the file's tables, `validation` checks their values, and `settings` converts
+//! them into the settings of the components.
 
 mod sections;
 mod settings;
@@ -22,22 +22,22 @@
 pub use self::validation::{MAX_FORWARDERS, MAX_PLANNERS};
 use crate::config_error::{ConfigError, ConfigSource};
 
-/// A fleet configuration that was validated.
+/// A validated fleet configuration.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     /// The secrets that sign messages.
     pub secrets: Secrets,
-    /// The address to which each planner's messages are sent.
+    /// Each planner's address, to which the other members send their messages.
     pub planners: BTreeMap<PlannerId, SocketAddrV4>,
-    /// The most forwarders that the fleet will have.
+    /// The maximum number of forwarders in the fleet.
     pub max_forwarders: usize,
-    /// Limits on the origin and on cache servers that warm up; `None` disables leases.
+    /// Limits on the load of the origin and of cache servers that warm up; `None` disables leases.
     pub leases: Option<LeaseSection>,
     /// How often a failing endpoint is probed.
     pub probes: ProbeSection,
-    /// Growth of the shard map; `None` disables it.
+    /// When and how shards are split; `None` disables shard growth.
     pub shard_growth: Option<GrowthSection>,
-    /// Counterfactual comparison of endpoints; `None` disables it.
+    /// The counterfactual comparison of endpoints; `None` disables the comparison.
     pub counterfactual: Option<CounterfactualSection>,
 }
 
@@ -45,21 +45,21 @@
     /// Reads and validates a file.
     ///
     /// # Errors
-    /// Returns why the file is not a valid fleet configuration, with its line and key.
+    /// Returns an error with the file, the line and the key that is not valid.
     pub fn load(path: &Path) -> Result<FleetConfig, ConfigError> {
         FleetConfig::parse(&ConfigSource::load(path)?)
     }
 
-    /// Parses and validates a file that was read.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
-    /// As [`FleetConfig::load`].
+    /// Returns an error with the file, the line and the key that is not valid.
     pub fn parse(source: &ConfigSource) -> Result<FleetConfig, ConfigError> {
         let file: FleetFile = source.parse()?;
         validation::validate(file, source).map_err(|invalid| source.locate(invalid))
     }
 
-    /// Whether a component is enabled. Membership and endpoint health always are.
+    /// Whether a component is enabled. Membership and endpoint health are always enabled.
     pub fn enables(&self, kind: ComponentKind) -> bool {
         match kind {
             ComponentKind::Membership | ComponentKind::EndpointHealth => true,
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Whether components decide the same under both configurations. Only addresses and secrets may differ then.
-    pub fn decides_like(&self, other: &FleetConfig) -> bool {
+    /// Whether both configurations have the same settings for all components; addresses and secrets may
+    /// differ.
+    pub fn has_same_component_settings(&self, other: &FleetConfig) -> bool {
         self.planners.keys().eq(other.planners.keys())
             && self.max_forwarders == other.max_forwarders
             && self.leases == other.leases
@@ -84,10 +85,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let enabled = ComponentKind::ALL.into_iter().filter(|kind| self.enables(*kind));
         let names: Vec<_> = enabled.map(ComponentKind::name).collect();
-        let rotation = if self.secrets.previous.is_some() { ", a former secret too" } else { "" };
+        let rotation = if self.secrets.previous.is_some() { "; a former secret is accepted too" } else { "" };
         write!(
             f,
-            "{} planners, at most {} forwarders, {}{rotation}",
+            "{} planners, at most {} forwarders, enabled components: {}{rotation}",
             self.planners.len(),
             self.max_forwarders,
             names.join(", ")
--- a/crates/control-plane/src/fleet_config/settings.rs
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -6,14 +6,15 @@
 use super::FleetConfig;
 use super::sections::{DAY, DAY_MS, GrowthSection, LeaseSection};
 
-/// In short accounting days of tests, an interval shrinks to this part of its usual length at the least.
+/// The lowest factor by which an interval is scaled when a test shortens accounting days.
 const MIN_INTERVAL_SCALE: f64 = 0.05;
-/// In short accounting days, the part of a day between two rounds of a forwarder's reports: planners close a day when an
-/// eighth of the next one is over.
-const SHORT_DAY_ROUND_SCALE: f64 = 0.1;
-/// The length of a part of the copying, and the time to wait out a fault, relative to a given length of a step.
+/// With short accounting days, the time between two rounds of a forwarder's reports, as a fraction of a day.
+/// Planners close a day when an eighth of the next day is over, so that a round has to take less than that.
+const SHORT_DAY_REPORT_ROUND_SCALE: f64 = 0.1;
+/// The duration of one part of the copying, relative to the configured step duration.
 const COPY_PART_SCALE: f64 = 0.25;
-const FAULT_PATIENCE_SCALE: f64 = 3.0;
+/// How long a split waits for a fault to end, relative to the configured step duration.
+const FAULT_TIMEOUT_SCALE: f64 = 3.0;
 
 impl FleetConfig {
     /// The settings of leases; `None` if they are disabled.
@@ -33,15 +34,15 @@
 
     /// The settings of endpoint health.
     pub fn health_settings(&self) -> endpoint_health::Settings {
-        let turns = probe_scheduling::Settings {
+        let probes = probe_scheduling::Settings {
             window: Span::from_millis(self.probes.window_ms),
             target_probes: self.probes.probes_per_window,
             ..probe_scheduling::Settings::default()
         };
-        endpoint_health::Settings { probes: turns, ..endpoint_health::Settings::default() }
+        endpoint_health::Settings { probes, ..endpoint_health::Settings::default() }
     }
 
-    /// The settings of shard growth at a planner; `None` if it is disabled.
+    /// The settings of shard growth at a planner; `None` if shard growth is disabled.
     pub fn growth_settings(&self) -> Option<shard_growth::PlannerSettings> {
         let section = self.shard_growth.as_ref()?;
         let defaults = shard_growth::PlannerSettings::default();
@@ -59,12 +60,12 @@
         })
     }
 
-    /// The settings of shard growth at a forwarder; `None` if it is disabled.
+    /// The settings of shard growth at a forwarder; `None` if shard growth is disabled.
     pub fn growth_forwarder_settings(&self) -> Option<shard_growth::ForwarderSettings> {
         let section = self.shard_growth.as_ref()?;
         let defaults = shard_growth::ForwarderSettings::default();
         let report_round = if section.has_short_days() {
-            Span::from_millis(section.day_ms).scaled(SHORT_DAY_ROUND_SCALE)
+            Span::from_millis(section.day_ms).scaled(SHORT_DAY_REPORT_ROUND_SCALE)
         } else {
             defaults.report_round
         };
@@ -77,7 +78,7 @@
         })
     }
 
-    /// The settings of the counterfactual comparison; `None` if it is disabled.
+    /// The settings of the counterfactual comparison; `None` if the comparison is disabled.
     pub fn counterfactual_settings(&self) -> Option<counterfactual::Settings> {
         let section = self.counterfactual.as_ref()?;
         let comparison_interval = Span::from_millis(section.evaluation_interval_ms);
@@ -85,30 +86,31 @@
     }
 }
 
+/// Converts a value to thousandths, rounded to the nearest one.
 fn thousandths(value: f64) -> u32 {
     (value * 1000.0).round() as u32
 }
 
 impl LeaseSection {
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub fn duration(&self) -> Span {
         Span::from_millis(self.duration_ms)
     }
 }
 
 impl GrowthSection {
-    /// Whether an accounting day is shorter than a day, as in tests.
+    /// Whether an accounting day is shorter than a calendar day, as in tests.
     fn has_short_days(&self) -> bool {
         self.day_ms < DAY_MS
     }
 
-    /// Scales a duration by the length of an accounting day.
+    /// Scales a duration by the ratio of an accounting day to a calendar day.
     fn scale_to_day(&self, duration: Span) -> Span {
         duration.scaled(self.day_ms as f64 * 1000.0 / DAY.0 as f64)
     }
 
-    /// Scales an interval at which a message is repeated. In short days it shrinks only as far as messages can still be
-    /// received; otherwise it stays.
+    /// Scales the interval at which a message is repeated. With short accounting days the interval shrinks,
+    /// but only so far that the messages can still be received; otherwise the interval is unchanged.
     fn scale_interval(&self, interval: Span) -> Span {
         if self.has_short_days() {
             self.scale_to_day(interval).max(interval.scaled(MIN_INTERVAL_SCALE))
@@ -132,7 +134,7 @@
         let Some(step) = self.step_ms.map(Span::from_millis) else { return schedule };
         shard_growth::split_schedule::Settings {
             copy_step_duration: step.scaled(COPY_PART_SCALE),
-            fault_patience: step.scaled(FAULT_PATIENCE_SCALE),
+            fault_patience: step.scaled(FAULT_TIMEOUT_SCALE),
             planned_duration: step,
             dual_read_duration: step,
             switched_duration: step,
--- a/crates/control-plane/src/planner/message_router/renewal.rs
+++ b/crates/control-plane/src/planner/message_router/renewal.rs
@@ -48,7 +48,7 @@
 
     /// Applies a new configuration of the fleet.
     pub(super) fn reload(&mut self, fleet_config: Arc<FleetConfig>) {
-        let has_other_decisions = !fleet_config.decides_like(&self.fleet_config());
+        let has_other_decisions = !fleet_config.has_same_component_settings(&self.fleet_config());
         self.members.set_planners(self.clock.now(), fleet_config.planners.keys().copied());
         self.context.send_modify(|context| context.fleet_config = fleet_config);
         if has_other_decisions {
