--- a/crates/control-plane/src/config_error.rs
+++ b/crates/control-plane/src/config_error.rs
@@ -1,4 +1,5 @@
-//! Errors in configuration files. Each names the file, the line and the key, and says what an operator can do.
+//! Errors in configuration files. Each error names the file, the line and the key, and says what an operator
+//! can do.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -23,18 +24,18 @@
 /// What can be wrong with a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigErrorKind {
-    /// The system cannot read the file.
-    #[error("it can't be read: {0}")]
+    /// The file can't be read.
+    #[error("the file can't be read: {0}")]
     Unreadable(#[source] io::Error),
     /// The file is not TOML, or has an unknown key, lacks a key, or has a value of the wrong type.
     #[error("{}", .0.message().trim())]
     Syntax(#[source] Box<toml::de::Error>),
-    /// A value is outside of what its key allows.
+    /// A key does not allow the value that the file gives it.
     #[error("{key}: {reason}")]
     Value {
         /// The key, with its table's name before it.
         key: &'static str,
-        /// Which values are allowed, or why this one is not.
+        /// Which values are allowed, or why this value is not.
         reason: String,
     },
 }
@@ -42,12 +43,12 @@
 impl Remediation for ConfigErrorKind {
     fn remediation(&self) -> &'static str {
         match self {
-            ConfigErrorKind::Unreadable(_) => "Name a file that this program may read.",
+            ConfigErrorKind::Unreadable(_) => "Give the path of a file that this program may read.",
             ConfigErrorKind::Syntax(_) => {
-                "Write that line as docs/configuration.md has it, and `granitelb check` the file."
+                "Correct the line as docs/configuration.md describes it, and check the file with `granitelb check`."
             }
             ConfigErrorKind::Value { .. } => {
-                "Give that key a value that docs/configuration.md allows, and `granitelb check` the file."
+                "Set the key to a value that docs/configuration.md allows, and check the file with `granitelb check`."
             }
         }
     }
@@ -59,19 +60,21 @@
     }
 }
 
-/// A value that its key does not allow. Validation returns it; [`ConfigSource::locate`] adds the file and the line.
+/// A value that its key does not allow, as validation returns it. [`ConfigSource::locate`] adds the file and
+/// the line.
 #[derive(Debug)]
 pub struct InvalidValue {
     /// The key, with its table's name before it.
     pub key: &'static str,
-    /// Which values are allowed, or why this one is not.
+    /// Which values are allowed, or why this value is not.
     pub reason: String,
-    /// The byte offset of the value in the file, if the parser reported it. Otherwise the key is searched for.
+    /// The byte offset of the value in the file; `None` if the parser did not report it, and the key is
+    /// searched for.
     pub offset: Option<usize>,
 }
 
 impl InvalidValue {
-    /// An invalid value whose place in the file is found by its key.
+    /// Creates an invalid value whose line in the file is found by its key.
     pub fn new(key: &'static str, reason: impl Into<String>) -> InvalidValue {
         InvalidValue { key, reason: reason.into(), offset: None }
     }
@@ -89,7 +92,7 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// Returns [`ConfigErrorKind::Unreadable`] if the system cannot read it, or it is not UTF-8.
+    /// Returns [`ConfigErrorKind::Unreadable`] if the file can't be read or is not UTF-8.
     pub fn load(path: &Path) -> Result<ConfigSource, ConfigError> {
         match std::fs::read_to_string(path) {
             Ok(text) => Ok(ConfigSource { path: path.into(), text }),
@@ -103,7 +106,8 @@
     /// Parses the text as TOML.
     ///
     /// # Errors
-    /// Returns [`ConfigErrorKind::Syntax`] if the text is not a `T`.
+    /// Returns [`ConfigErrorKind::Syntax`] if the text is not TOML or does not have the keys and types of
+    /// `T`.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, ConfigError> {
         toml::from_str(&self.text).map_err(|error: toml::de::Error| ConfigError {
             path: self.path.clone(),
@@ -129,8 +133,9 @@
         self.text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1
     }
 
-    /// The first line that sets `key`, searched for from its table's header on. A key that is not set stands for the
-    /// header's line, or the first one of a file without it.
+    /// The number of the line that sets `key`: the first one after its table's header. If no line sets the
+    /// key, returns the line of the header, or line 1 if the file has no such header; `None` if the file is
+    /// empty.
     fn line_of_key(&self, key: &str) -> Option<usize> {
         let (table, name) = match key.rsplit_once('.') {
             Some((table, name)) => (Some(table), name),
