--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,5 +1,6 @@
-//! The clock of a process. It is set by the Unix clock at the start and then only goes forward, also while the process or
-//! its machine is suspended: a process that resumes must find that time has passed.
+//! The clock of a process. The clock is set to the Unix time at the start, and then only goes forward. It
+//! also advances while the process or its machine is suspended, so that a process that resumes finds that
+//! time has passed.
 
 use granitelb_balancer::time::Time;
 use rustix::time::{ClockId, clock_gettime};
@@ -9,14 +10,14 @@
 const MICROS_PER_MS: i64 = 1000;
 const NORMAL_RATE: f64 = 1.0;
 
-/// A clock that never goes back.
+/// A clock of Unix time that never goes back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// The Unix time at the start, in microseconds.
     unix_start_us: u64,
     /// The monotonic time at the start, in microseconds.
     monotonic_start_us: u64,
-    /// The seconds that this clock advances in a second; other than 1 only under fault injection.
+    /// The rate of this clock relative to the machine's; 1 except under fault injection.
     rate: f64,
 }
 
@@ -26,7 +27,8 @@
         Clock::with_faults(NORMAL_RATE, 0)
     }
 
-    /// Starts a clock that advances at another rate, and was set by a Unix clock that is ahead of this machine's.
+    /// Starts a clock that advances at `rate` relative to the machine's clock, from a Unix time that is
+    /// `ahead_ms` milliseconds ahead of the machine's.
     pub fn with_faults(rate: f64, ahead_ms: i64) -> Clock {
         let unix_us = std::time::UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
         Clock {
@@ -36,17 +38,18 @@
         }
     }
 
-    /// The time now.
+    /// The current Unix time by this clock.
     pub fn now(&self) -> Time {
         let elapsed_us = monotonic_us() - self.monotonic_start_us;
-        // Without faults no floating-point rounding is involved.
+        // The normal rate involves no floating-point rounding.
         let elapsed_us =
             if self.rate == NORMAL_RATE { elapsed_us } else { (elapsed_us as f64 * self.rate) as u64 };
         Time(self.unix_start_us + elapsed_us)
     }
 }
 
-/// Microseconds of a clock that also advances while the machine is suspended.
+/// The time since the machine's boot in microseconds, by a clock that also advances while the machine is
+/// suspended.
 fn monotonic_us() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * MICROS_PER_S + now.tv_nsec as u64 / NANOS_PER_MICRO
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,6 @@
-//! The control plane of a fleet as processes: configuration files, planners that exchange messages on sockets, the agent
-//! of a node, and state on disk. The decisions are made in `granitelb-coordination`.
+//! The processes of a fleet's control plane: configuration files, planners that exchange messages over
+//! sockets, the agent of a node, and state on disk. The components that decide are in
+//! `granitelb-coordination`.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
