--- a/crates/control-plane/src/planner/error.rs
+++ b/crates/control-plane/src/planner/error.rs
@@ -1,4 +1,4 @@
-//! Why a planner can't serve.
+//! Errors that keep a planner from running.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -10,31 +10,31 @@
 use crate::config_error::ConfigError;
 use crate::storage::StorageError;
 
-/// Why a planner can't serve.
+/// Why a planner can't start or can't go on.
 #[derive(Debug, Error)]
 pub enum PlannerError {
-    /// One of its files is invalid.
-    #[error("configuration, {0}")]
+    /// One of the planner's configuration files is invalid.
+    #[error("invalid configuration, {0}")]
     Config(#[from] ConfigError),
-    /// Its socket can't be bound.
-    #[error("messages can't be received at {address}: {source}")]
+    /// The planner's socket can't be bound.
+    #[error("the planner's socket can't be bound to {address}: {source}")]
     Bind {
-        /// The address that it was to listen on.
+        /// The address on which the planner is to listen.
         address: SocketAddrV4,
-        /// What the system reports.
+        /// The system's error.
         source: io::Error,
     },
-    /// Its store can't be used.
+    /// The planner's store can't be used.
     #[error("{0}")]
     Store(#[from] StorageError),
-    /// The system provides no threads, descriptors or signal handlers.
-    #[error("the system provides no threads or signal handlers: {0}")]
+    /// The system refuses a thread, a file descriptor or a signal handler.
+    #[error("the system refuses the planner a thread, a file descriptor or a signal handler: {0}")]
     SystemResources(io::Error),
-    /// A component did not return from a call for too long.
-    #[error("{0} never returned from a call")]
+    /// A component did not return from a call in time.
+    #[error("the component {0} did not return from a call in time")]
     ComponentTimedOut(ComponentKind),
     /// The message router has ended by itself.
-    #[error("messages can no longer be received")]
+    #[error("the message router has ended, and the planner can no longer receive messages")]
     RouterStopped,
 }
 
@@ -43,14 +43,16 @@
         match self {
             PlannerError::Config(error) => error.remediation(),
             PlannerError::Bind { .. } => {
-                "Stop the process that uses the port, or name an address of this machine by `listen` in the planner's file."
+                "Stop the process that uses the port, or set `listen` in the planner's file to an address of this machine."
             }
             PlannerError::Store(error) => error.remediation(),
-            PlannerError::SystemResources(_) => "Raise the limits of processes and descriptors.",
-            PlannerError::RouterStopped => "Look at the lines before this one, and restart the planner.",
+            PlannerError::SystemResources(_) => {
+                "Raise the limits of threads and file descriptors for this process."
+            }
+            PlannerError::RouterStopped => "Read the log lines before this one, and restart the planner.",
             PlannerError::ComponentTimedOut(_) => {
-                "Have a supervisor restart it, and report it with the lines before this one. If it happens again, remove \
-                 that component's section from the operator's file of all members."
+                "Have a supervisor restart the planner, and report the log lines before this one. If the component hangs \
+                 again, remove its section from the operator's file of all members."
             }
         }
     }
--- a/crates/control-plane/src/planner/mod.rs
+++ b/crates/control-plane/src/planner/mod.rs
@@ -1,9 +1,10 @@
-//! A planner's process: tasks that each own their state and exchange messages through bounded queues.
+//! The process of a planner: tasks that each own their state and exchange messages through bounded queues.
 //!
-//! The message router owns the socket and the membership, a task for each component owns that component, and a thread owns
-//! the store. Each task has its own thread: a component that computes for a second, or never returns, must not delay
-//! heartbeats, or others would take the planner for dead. All messages come in through one socket in one task, which spends
-//! some microseconds on each.
+//! The message router owns the socket and the membership, a task for each component owns that component, and
+//! a thread owns the store. Each task has its own thread, so that a component that computes for a second, or
+//! never returns, does not delay heartbeats: without heartbeats, other members would declare the planner
+//! failed. The message router alone receives messages, from one socket, and spends some microseconds on each
+//! message.
 
 mod component_status;
 mod component_task;
@@ -35,13 +36,13 @@
 pub use liveness::LivenessTimeouts;
 pub use planner_config::PlannerConfig;
 
-/// How often counts are logged.
+/// The interval at which the counts of messages are logged.
 const REPORT_INTERVAL: Span = Span::from_millis(60_000);
 
-/// Serves as a planner until a stop signal.
+/// Runs a planner until a stop signal.
 ///
 /// # Errors
-/// What keeps the planner from serving.
+/// Returns an error if the planner can't start or can't go on.
 pub fn run(path: &Path) -> Result<(), PlannerError> {
     let config = PlannerConfig::load(path)?;
     let mut runtime = tokio::runtime::Builder::new_current_thread();
@@ -49,7 +50,7 @@
     runtime.block_on(server::serve(path, config))
 }
 
-/// Logs an event of a component.
+/// Logs an event of the component whose task has this name.
 pub(crate) fn log_event(task: &str, event: &Event) {
     let level = if event.is_warning { log::Level::Warn } else { log::Level::Info };
     log::log!(level, event = event.name, task = task; "{}", event.message);
--- a/crates/control-plane/src/planner/planner_config.rs
+++ b/crates/control-plane/src/planner/planner_config.rs
@@ -1,4 +1,5 @@
-//! A planner's own configuration file: its number in the fleet's configuration, and where it stores its state.
+//! A planner's own configuration file: the planner's number in the fleet configuration, and where it stores
+//! its state.
 
 use std::fmt;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -12,7 +13,7 @@
 use crate::fault_injection::FaultInjection;
 use crate::fleet_config::FleetConfig;
 
-/// The file as it is written.
+/// The keys of the planner's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlannerFile {
@@ -26,26 +27,27 @@
     fault_injection: Option<FaultInjection>,
 }
 
-/// A planner's file and the fleet's configuration that it names, both validated.
+/// A planner's validated file, with the validated fleet configuration that the file names.
 #[derive(Clone, Debug)]
 pub struct PlannerConfig {
-    /// This planner's identity in the fleet's configuration.
+    /// This planner's number in the fleet configuration.
     pub id: PlannerId,
     /// The configuration that all members share.
     pub fleet_config: Arc<FleetConfig>,
-    /// The folder of its store; without one nothing is persisted.
+    /// The folder of the planner's store; `None` if the planner persists nothing.
     pub state_folder: Option<PathBuf>,
-    /// The address of its socket: the one in the fleet's configuration, unless its machine knows that by another one.
+    /// The address to which the planner's socket is bound. The fleet configuration gives it, unless the key
+    /// `listen` gives another address by which the planner's machine knows it.
     pub listen: SocketAddrV4,
     /// Faults to inject, for tests only.
     pub fault_injection: Option<FaultInjection>,
 }
 
 impl PlannerConfig {
-    /// Reads and validates both files.
+    /// Reads and validates the planner's file and the fleet configuration.
     ///
     /// # Errors
-    /// The first fault of either file, by file, line and key.
+    /// Returns an error with the file, the line and the key that is not valid.
     pub fn load(path: &Path) -> Result<PlannerConfig, ConfigError> {
         let source = ConfigSource::load(path)?;
         let file: PlannerFile = source.parse()?;
@@ -53,7 +55,8 @@
         file.validate(&source, fleet_config).map_err(|invalid| source.locate(invalid))
     }
 
-    /// The keys that differ from the running configuration and need a restart to apply.
+    /// The keys of the planner's file whose new values differ from those of `running` and apply only after a
+    /// restart.
     pub fn keys_requiring_restart(&self, running: &PlannerConfig) -> Vec<&'static str> {
         let mut keys = Vec::new();
         if self.id != running.id {
@@ -80,18 +83,20 @@
     ) -> Result<PlannerConfig, InvalidValue> {
         let id = PlannerId(self.number);
         let Some(&listed_address) = fleet_config.planners.get(&id) else {
-            let what = format!("the operator's file has no planner {}", self.number);
-            return Err(InvalidValue::new("number", what));
+            let reason = format!("the operator's file has no planner {}", self.number);
+            return Err(InvalidValue::new("number", reason));
         };
         let listen = match self.listen {
             None => listed_address,
             Some(SocketAddr::V4(listen)) => listen,
-            Some(other) => return Err(InvalidValue::new("listen", format!("{other} is not of IPv4"))),
+            Some(other) => {
+                return Err(InvalidValue::new("listen", format!("{other} must be an IPv4 address")));
+            }
         };
         if fleet_config.shard_growth.is_some() && self.state_folder.is_none() {
-            // Votes must survive a restart, or two shard maps could be agreed on.
-            let what = "growth is on, and needs a folder to store its votes";
-            return Err(InvalidValue::new("state", what));
+            // Without votes that survive a restart, planners could agree on two shard maps.
+            let reason = "must name a folder, since shard growth is enabled and has to store its votes";
+            return Err(InvalidValue::new("state", reason));
         }
         if let Some(fault_injection) = &self.fault_injection {
             fault_injection.validate()?;
@@ -109,7 +114,7 @@
 impl fmt::Display for PlannerConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let planners = self.fleet_config.planners.len();
-        write!(f, "planner {} of {planners}, messages at {}, ", self.id.0, self.listen)?;
+        write!(f, "planner {} of {planners}, receives messages at {}, ", self.id.0, self.listen)?;
         match &self.state_folder {
             Some(folder) => write!(f, "stores its state in {}; {}", folder.display(), self.fleet_config),
             None => write!(f, "stores no state; {}", self.fleet_config),
--- a/crates/control-plane/src/planner/server.rs
+++ b/crates/control-plane/src/planner/server.rs
@@ -1,7 +1,7 @@
 //! Starts a planner's threads, handles signals, and shuts down in order.
 //!
-//! Order of the shutdown: components end first and their last messages are sent; then the router ends; then the store's
-//! thread, whose last writer is dropped by then.
+//! Order of the shutdown: the components end first, and the router sends their last messages; then the router
+//! ends; then the store's thread ends, since its last writer was dropped.
 
 use std::net::{SocketAddrV4, UdpSocket};
 use std::path::Path;
@@ -27,31 +27,32 @@
 use crate::fleet_config::FleetConfig;
 use crate::storage::StorageWriter;
 
-/// Messages that wait to be sent.
+/// The maximum number of components' messages that wait to be sent.
 const OUTGOING_CAPACITY: usize = 1024;
+/// The maximum number of commands that wait for the router.
 const COMMAND_CAPACITY: usize = 4;
-/// How long components, and then the router, may take to end in order.
+/// How long a shutdown waits for the components to end, and then for the router.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// The socket's receive buffer, as far as the system allows it: a fifth of a second of a flood of 50,000 messages a second,
-/// during which this process may get no core.
+/// The size of the socket's receive buffer, as far as the system allows it. The buffer holds a flood of
+/// 50,000 messages a second for a fifth of a second, in which this process may get no CPU time.
 const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
 
-/// Serves as a planner until a stop signal.
+/// Runs a planner until a stop signal.
 ///
 /// # Errors
-/// What keeps the planner from serving.
+/// Returns an error if the planner can't start or can't go on.
 pub(super) async fn serve(path: &Path, config: PlannerConfig) -> Result<(), PlannerError> {
-    // Before anything is served: a signal without a handler ends the process.
+    // The handlers are installed first, since a signal without a handler ends the process at once.
     let mut signals = Signals::install().map_err(PlannerError::SystemResources)?;
-    log::info!(event = "starting"; "{config}");
+    log::info!(event = "starting"; "the planner is starting: {config}");
     log_fault_injection(&config);
     let mut planner = RunningPlanner::start(&config).await?;
-    log::info!(event = "ready"; "ready");
+    log::info!(event = "ready"; "the planner is ready");
     let result = planner.run_until_stopped(path, config, &mut signals).await;
-    log::info!(event = "stopping"; "stopping");
+    log::info!(event = "stopping"; "the planner is stopping");
     planner.shut_down().await;
     if result.is_ok() {
-        log::info!(event = "stopped"; "stopped");
+        log::info!(event = "stopped"; "the planner has stopped");
     }
     result
 }
@@ -60,7 +61,8 @@
     if let Some(faults) = &config.fault_injection {
         log::error!(
             event = "fault_injection";
-            "this planner injects faults, by [trial] in its file: {faults:?}. Remove that section, unless this is a test."
+            "this planner injects faults, since its file has the table [trial]: {faults:?}. Remove that table, unless \
+             this is a test."
         );
     }
 }
@@ -116,7 +118,7 @@
         })
     }
 
-    /// Handles signals until one asks to stop, or until the planner can no longer serve.
+    /// Handles signals until a stop signal, or until the planner can't go on.
     async fn run_until_stopped(
         &mut self,
         path: &Path,
@@ -134,7 +136,8 @@
                         }
                     }
                 },
-                // The router ends last, unless it can't receive at all.
+                // The channel closes when the router ends, before a stop only if the router can't receive
+                // messages.
                 timed_out = self.timed_out_components.recv() => return Err(match timed_out {
                     Some(kind) => PlannerError::ComponentTimedOut(kind),
                     None => PlannerError::RouterStopped,
@@ -143,16 +146,20 @@
         }
     }
 
-    /// Ends all threads in order. A router that has already ended takes no commands, which is all right.
+    /// Ends all threads in order. A command to a router that has already ended has no effect.
     async fn shut_down(self) {
         let _ = self.commands.send(RouterCommand::StopComponents).await;
         let components = self.component_threads.join(SHUTDOWN_TIMEOUT).await;
         if components == ShutdownOutcome::TimedOut {
-            log::warn!(event = "shutdown_timeout"; "not all tasks ended in order");
+            log::warn!(
+                event = "shutdown_timeout";
+                "the tasks of some components did not end in time; they end with the process"
+            );
         }
         let _ = self.commands.send(RouterCommand::Shutdown).await;
         self.router_thread.join(SHUTDOWN_TIMEOUT).await;
-        // With all writers dropped the store's thread ends after its last commit. A component that hangs still has one.
+        // The store's thread ends after its last commit when all writers are dropped. A component that hangs
+        // still has a writer, so that the thread would not end.
         if let Some(thread) = self.store_thread
             && components == ShutdownOutcome::Stopped
         {
@@ -161,7 +168,7 @@
     }
 }
 
-/// The context of a process that starts.
+/// The context with which a planner starts.
 async fn first_context(
     config: &PlannerConfig,
     storage: &StorageWriter,
@@ -187,28 +194,29 @@
     let failed = |source| PlannerError::Bind { address, source };
     let socket = UdpSocket::bind(address).map_err(failed)?;
     socket.set_nonblocking(true).map_err(failed)?;
-    // The system may allow less (`net.core.rmem_max`), and less is sufficient.
+    // The system may allow only a smaller buffer (`net.core.rmem_max`), which is sufficient.
     let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES);
     Ok(socket)
 }
 
-/// Reads the files again, and returns the fleet's configuration to apply. A fault in either file changes nothing.
+/// Reads the files again, and returns the fleet configuration to apply; `None` if either file is invalid, in
+/// which case the running configuration stays in force.
 fn reload(path: &Path, running: &mut PlannerConfig) -> Option<Arc<FleetConfig>> {
     let config = match PlannerConfig::load(path) {
         Ok(config) => config,
         Err(error) => {
             log::error!(
                 event = "reload_refused";
-                "configuration, {error}; the files before it stay in force. {}", error.remediation()
+                "invalid configuration, {error}; the former configuration stays in force. {}", error.remediation()
             );
             return None;
         }
     };
-    log::info!(event = "reloaded"; "read again: {config}");
+    log::info!(event = "reloaded"; "the configuration was read again: {config}");
     for key in config.keys_requiring_restart(running) {
         log::warn!(
             event = "reload_requires_restart", key = key;
-            "configuration, {key}: it differs, and applies at the next start only"
+            "configuration, {key}: the new value applies only after a restart of the planner"
         );
     }
     running.fleet_config = config.fleet_config.clone();
--- a/crates/control-plane/src/planner/test_support.rs
+++ b/crates/control-plane/src/planner/test_support.rs
@@ -1,4 +1,4 @@
-//! What several unit tests of the planner use.
+//! Members, messages and a fleet configuration for the planner's unit tests.
 
 use granitelb_coordination::endpoint_health::{Fragment, HealthMessage, HealthUpdate};
 use granitelb_coordination::message::Message;
--- a/crates/control-plane/src/planner/worker_threads.rs
+++ b/crates/control-plane/src/planner/worker_threads.rs
@@ -1,7 +1,8 @@
 //! Threads of a planner, each with one task and a single-threaded runtime of its own.
 //!
-//! A task that never returns from a call blocks only its own thread. A multi-threaded runtime does not guarantee that: a
-//! task that one worker is to run next can't be taken by another one.
+//! A task that never returns from a call therefore blocks only its own thread. A multi-threaded runtime does
+//! not guarantee that: a task that waits in a blocked worker's next-task slot can't be taken by another
+//! worker.
 
 use std::io;
 use std::time::Duration;
@@ -14,14 +15,15 @@
 pub(super) enum ShutdownOutcome {
     /// All tasks have ended, in order or by a panic.
     Stopped,
-    /// Some task still runs; its thread ends with the process.
+    /// At least one task still runs; its thread ends with the process.
     TimedOut,
 }
 
-/// A group of threads that is awaited together.
+/// A group of threads whose ends are awaited together.
 pub(super) struct WorkerThreads {
-    /// Each thread holds a clone and drops it as it ends.
+    /// Each thread holds a clone of this sender, and drops the clone when the thread ends.
     running: mpsc::Sender<()>,
+    /// Disconnects when all threads have ended.
     all_stopped: mpsc::Receiver<()>,
 }
 
@@ -34,7 +36,7 @@
     /// Runs a task on a new thread.
     ///
     /// # Errors
-    /// The system provides no thread, or no descriptors for its runtime.
+    /// Returns the system's error if it provides no thread, or no file descriptors for the runtime.
     pub(super) fn spawn(
         &mut self,
         name: &'static str,
@@ -49,7 +51,7 @@
         Ok(())
     }
 
-    /// Waits until all tasks have ended, at most for `limit`.
+    /// Waits until all tasks have ended, for at most `limit`.
     pub(super) async fn join(self, limit: Duration) -> ShutdownOutcome {
         let WorkerThreads { running, mut all_stopped } = self;
         drop(running);
