--- a/crates/control-plane/src/planner/state_store.rs
+++ b/crates/control-plane/src/planner/state_store.rs
@@ -21,19 +21,19 @@
 /// Opens the store that the configuration names, and starts its thread.
 ///
 /// # Errors
-/// The store can't be used, or the system provides no thread.
+/// Returns an error if the store can't be used, or if its thread can't be started.
 pub(super) fn open(config: &PlannerConfig) -> Result<PlannerStore, PlannerError> {
     let Some(folder) = &config.state_folder else {
         return Ok(PlannerStore { writer: StorageWriter::disabled(), thread: None });
     };
     let opened = storage::open(folder, config.id)?;
-    log_refused_store(&opened, "this planner starts without state");
+    log_refused_store(&opened, "the planner starts without state");
     let id = config.id;
     let folder = folder.clone();
-    // The folder may have been removed together with the store.
+    // This creates the folder again, which may have been removed together with the store.
     let reopen = move || {
         let opened = storage::open(&folder, id)?;
-        log_refused_store(&opened, "all that was stored goes into a new one");
+        log_refused_store(&opened, "a new file gets all state that was stored");
         Ok(opened.state_file)
     };
     let started = StorageWriter::start_at(Some(opened.path), opened.state_file, reopen);
@@ -41,22 +41,23 @@
     Ok(PlannerStore { writer, thread: Some(thread) })
 }
 
+/// Logs why a state file could not be used, if there was one, and what happens instead.
 fn log_refused_store(opened: &OpenedStorage, consequence: &str) {
-    let Some(RejectedFile { error, moved_to: aside }) = &opened.rejected else { return };
-    let aside = aside.display().to_string();
+    let Some(RejectedFile { error, moved_to }) = &opened.rejected else { return };
+    let moved_to = moved_to.display().to_string();
     log::error!(
-        event = "store_refused", aside = aside.as_str();
-        "{error}; it was renamed to {aside}, and {consequence}. {}", error.remediation()
+        event = "store_refused", aside = moved_to.as_str();
+        "{error}; the file was renamed to {moved_to}, and {consequence}. {}", error.remediation()
     );
 }
 
-/// Determines the incarnation of a process that starts, and stores it.
+/// Determines the incarnation with which a process starts, and stores it.
 ///
-/// It is greater than all before: those of this process by its clock, and stored ones also where the machine's clock was set
-/// back since.
+/// The incarnation is greater than all earlier ones of this planner: it is at least the time of the process's
+/// clock, and greater than the stored incarnation even if the machine's clock was set back since.
 ///
 /// # Errors
-/// The store can't be read or written.
+/// Returns an error if the store can't be read or written.
 pub(super) async fn first_incarnation(
     storage: &StorageWriter,
     clock: Clock,
@@ -66,14 +67,14 @@
     let incarnation = Incarnation(clock.now().0.max(last_incarnation + 1));
     store_incarnation(storage, incarnation)
         .await
-        .map_err(|lost| StorageError::WriteFailed(lost.to_string()))?;
+        .map_err(|error| StorageError::WriteFailed(error.to_string()))?;
     Ok(incarnation)
 }
 
 /// Stores the planner's incarnation.
 ///
 /// # Errors
-/// It is not durable.
+/// Returns an error if the incarnation is not durable.
 pub(super) async fn store_incarnation(
     storage: &StorageWriter,
     incarnation: Incarnation,
--- a/crates/control-plane/src/planner/state_store/tests.rs
+++ b/crates/control-plane/src/planner/state_store/tests.rs
@@ -15,7 +15,7 @@
     writer.persist(ComponentKind::Membership, vec![1]).await.expect("the snapshot is stored");
     writer.persist(ComponentKind::ShardGrowth, vec![2]).await.expect("the snapshot is stored");
     std::fs::remove_dir_all(&state_folder).expect("the folder exists");
-    // A file in its place, too.
+    // A file at the folder's path prevents the folder from being created again.
     std::fs::write(&state_folder, "no folder").expect("the file is written");
     for _ in 0..2 {
         let stored = writer.persist(ComponentKind::ShardGrowth, vec![3]).await;
--- a/crates/control-plane/src/planner/token_bucket.rs
+++ b/crates/control-plane/src/planner/token_bucket.rs
@@ -28,7 +28,7 @@
         true
     }
 
-    /// When a token was last asked for.
+    /// The time of the last call of [`TokenBucket::try_take`], or of the creation.
     pub(super) fn last_used_at(&self) -> Time {
         self.refilled_at
     }
