--- a/crates/control-plane/src/planner/mailbox.rs
+++ b/crates/control-plane/src/planner/mailbox.rs
@@ -1,11 +1,12 @@
-//! A bounded queue of messages for one component, in order.
+//! A bounded queue of messages for one component, in the order of their arrival.
 //!
-//! When it is full the oldest observation is shed, since the next one tells more. Other messages, such as a request for a
-//! lease or its return, are never shed: if only such messages wait, the sender has to wait as well. A closed mailbox, whose
-//! component is unresponsive, holds nothing and drops what comes.
+//! When the queue is full, its oldest observation is shed, since a later observation tells more. Other
+//! messages, such as a request for a lease or the return of a lease, are never shed: if the queue holds only
+//! such messages, the sender has to wait. The mailbox of an unresponsive component is closed: it holds no
+//! messages and drops those that arrive.
 //!
-//! A channel of tokio keeps the order but can't drop its oldest entry. This queue is behind a lock that is held for a few
-//! steps and never across an await.
+//! A channel of tokio keeps the order but can't drop its oldest entry. The queue is therefore behind a lock,
+//! which is held for a few steps and never across an await.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -22,7 +23,7 @@
 }
 
 impl ReceivedMessage {
-    /// Whether it is what a forwarder observed, which it reports repeatedly.
+    /// Whether the message is a forwarder's observation. Forwarders report observations repeatedly.
     fn is_observation(&self) -> bool {
         let is_of_observing_component = matches!(
             self.message.kind(),
@@ -32,11 +33,11 @@
     }
 }
 
-/// The mailbox is full and has nothing that may be shed; the message is returned.
+/// The error of a full mailbox without a message that may be shed. It returns the message that was not added.
 #[derive(Debug, PartialEq)]
 pub(super) struct MailboxFull(pub(super) Box<ReceivedMessage>);
 
-/// The queue between the message router and one component's task.
+/// The queue of messages from the message router to one component's task.
 pub(super) struct Mailbox {
     capacity: usize,
     queue: Mutex<Queue>,
@@ -47,7 +48,9 @@
 #[derive(Default)]
 struct Queue {
     messages: VecDeque<ReceivedMessage>,
+    /// The number of observations in `messages`.
     observations: usize,
+    /// The number of messages that were shed since the count was last taken.
     shed_count: u64,
     is_closed: bool,
 }
@@ -79,14 +82,17 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Queue> {
-        // A thread that panicked with the lock had changed at most one entry.
+        // The queue is valid even if a thread panicked with the lock: that thread had changed at most one
+        // entry.
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a message, and sheds one if that makes room for it.
+    /// Adds a message. If the mailbox is full, sheds its oldest observation to make room, or else the message
+    /// itself if that is an observation.
     ///
     /// # Errors
-    /// Returns the message if it must not be shed and has to wait for [`Mailbox::wait_for_capacity`].
+    /// Returns the message if there is no room and the message must not be shed. The caller has to wait for
+    /// [`Mailbox::wait_for_capacity`] before it adds the message again.
     pub(super) fn push(&self, received: ReceivedMessage) -> Result<(), MailboxFull> {
         let mut queue = self.lock();
         if queue.is_closed {
@@ -108,7 +114,7 @@
         Ok(())
     }
 
-    /// The next message, if there is one.
+    /// Removes and returns the next message; `None` if the mailbox is empty.
     pub(super) fn try_receive(&self) -> Option<ReceivedMessage> {
         let mut queue = self.lock();
         let received = queue.messages.pop_front()?;
@@ -118,7 +124,7 @@
         Some(received)
     }
 
-    /// Waits for the next message. Cancellation loses none.
+    /// Waits for the next message and removes it. A cancelled call loses no message.
     pub(super) async fn receive(&self) -> ReceivedMessage {
         loop {
             if let Some(received) = self.try_receive() {
@@ -135,7 +141,7 @@
         }
     }
 
-    /// Drops all messages that wait, and all that come until [`Mailbox::reopen`].
+    /// Drops all messages in the mailbox, and all that arrive until [`Mailbox::reopen`].
     pub(super) fn close(&self) {
         let mut queue = self.lock();
         queue.is_closed = true;
@@ -146,13 +152,13 @@
         self.message_removed.notify_one();
     }
 
-    /// Accepts messages again.
+    /// Accepts messages again after [`Mailbox::close`].
     pub(super) fn reopen(&self) {
         self.lock().is_closed = false;
         self.message_removed.notify_one();
     }
 
-    /// How many messages were shed since this was last called.
+    /// The number of messages that were shed since the last call.
     pub(super) fn take_shed_count(&self) -> u64 {
         std::mem::take(&mut self.lock().shed_count)
     }
--- a/crates/control-plane/src/planner/metrics.rs
+++ b/crates/control-plane/src/planner/metrics.rs
@@ -1,7 +1,7 @@
-//! Counts of a planner's messages, logged once a minute and at the end.
+//! Counts of a planner's messages, which are logged once a minute and when the planner stops.
 //!
-//! Each reason for which messages are rejected is logged with its last occurrence and what to do. The reasons are a fixed
-//! set of names, so the counts are bounded.
+//! Each reason for which messages are rejected is logged with its last occurrence and what an operator can
+//! do. The reasons are a fixed set of names, so that the number of counters is bounded.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,9 +12,9 @@
 use granitelb_coordination::membership::MembershipError;
 use granitelb_coordination::message::ComponentKind;
 
-const SAME_CONFIG_REMEDIATION: &str = "Give all members the same operator's file and send SIGHUP.";
+const SAME_CONFIG_REMEDIATION: &str = "Give all members the same operator's file and send them SIGHUP.";
 
-/// The operation of the socket that failed.
+/// An operation of the socket that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SocketOperation {
     Receive,
@@ -22,7 +22,7 @@
 }
 
 impl SocketOperation {
-    /// The stable name under which the log counts its failures.
+    /// The stable name under which the log counts failures of the operation.
     fn name(self) -> &'static str {
         match self {
             SocketOperation::Receive => "unread",
@@ -44,13 +44,14 @@
     }
 }
 
+/// The messages that were rejected for one reason.
 struct Rejections {
     count: u64,
     last_description: String,
     remediation: &'static str,
 }
 
-/// Counts since the last report.
+/// Counts of messages since the last report.
 #[derive(Default)]
 pub(super) struct MessageMetrics {
     received: u64,
@@ -67,7 +68,7 @@
         self.sent += 1;
     }
 
-    /// Counts a message that is rejected with an error.
+    /// Counts a message that is rejected with an error, under the error's stable name.
     pub(super) fn count_rejected(&mut self, name: &'static str, error: &dyn Remediation) {
         self.add(name, 1, error.to_string(), error.remediation());
     }
@@ -77,40 +78,42 @@
     }
 
     pub(super) fn count_socket_error(&mut self, operation: SocketOperation, error: &io::Error) {
-        let remediation = "Look whether the members' addresses can be reached from here.";
+        let remediation = "Check that the members' addresses can be reached from this host.";
         self.add(operation.name(), 1, error.to_string(), remediation);
     }
 
-    /// Counts a message of a planner that the fleet's configuration lacks.
+    /// Counts a message of a planner that is not in the fleet configuration.
     pub(super) fn count_unlisted_planner(&mut self, id: PlannerId) {
-        let description = format!("planner {} is not in the operator's file", id.0);
+        let description = format!("a message of planner {}, which is not in the operator's file", id.0);
         self.add("unlisted", 1, description, SAME_CONFIG_REMEDIATION);
     }
 
-    /// Counts a message for a component that is disabled here.
+    /// Counts a message for a component that is disabled at this planner.
     pub(super) fn count_disabled_component(&mut self, kind: ComponentKind) {
-        self.add("off", 1, format!("{kind} is disabled here"), SAME_CONFIG_REMEDIATION);
+        let description = format!("a message for {kind}, which is disabled at this planner");
+        self.add("off", 1, description, SAME_CONFIG_REMEDIATION);
     }
 
-    /// Counts a message that must not be shed and found its mailbox full; all behind it wait in the socket.
+    /// Counts a message that must not be shed and whose mailbox is full. Later messages wait in the socket
+    /// until the mailbox has room.
     pub(super) fn count_mailbox_full(&mut self, kind: ComponentKind) {
-        let remediation =
-            "The planner is short of CPU or its disk is slow: give it more, or start more planners.";
-        self.add("full", 1, format!("messages wait for {kind}"), remediation);
+        let remediation = "The planner lacks CPU time or its disk is slow: give it more CPU time or a faster disk, or \
+             start more planners.";
+        self.add("full", 1, format!("the mailbox of {kind} is full and delays all messages"), remediation);
     }
 
-    /// Counts observations that a mailbox has shed.
+    /// Counts messages that a mailbox has shed.
     pub(super) fn count_shed(&mut self, kind: ComponentKind, count: u64) {
         if count > 0 {
-            let remediation = "The planner is short of CPU: give it more, or start more planners.";
-            self.add("shed", count, format!("observations for {kind}"), remediation);
+            let remediation = "The planner lacks CPU time: give it more, or start more planners.";
+            self.add("shed", count, format!("the mailbox of {kind} was full or closed"), remediation);
         }
     }
 
-    /// Counts a message that can't be sent since its receiver's address is unknown.
+    /// Counts a message that can't be sent because the address of its receiver is unknown.
     pub(super) fn count_unknown_address(&mut self) {
-        let remediation = "Nothing, if a few: a forwarder has just left, or was not heard yet.";
-        self.add("nowhere", 1, "a message to a member of unknown address".into(), remediation);
+        let remediation = "Nothing, if there are a few: a forwarder has just left, or has sent nothing yet.";
+        self.add("nowhere", 1, "a message to a member whose address is unknown".into(), remediation);
     }
 
     fn add(&mut self, name: &'static str, count: u64, description: String, remediation: &'static str) {
@@ -123,7 +126,7 @@
         rejections.last_description = description;
     }
 
-    /// Logs all counts, and starts again from zero.
+    /// Logs all counts, and resets them to zero.
     pub(super) fn report(&mut self, alive_members: usize) {
         let MessageMetrics { received, sent, rejections } = std::mem::take(self);
         let mut summary = String::new();
@@ -140,7 +143,7 @@
         for (name, rejected) in rejections {
             log::warn!(
                 event = "messages_rejected", name = name, count = rejected.count;
-                "{name}, {} times, last: {}. {}",
+                "{} messages were rejected or lost ({name}); the last one: {}. {}",
                 rejected.count, rejected.last_description, rejected.remediation
             );
         }
