--- a/crates/control-plane/src/planner/component_status.rs
+++ b/crates/control-plane/src/planner/component_status.rs
@@ -1,7 +1,8 @@
-//! What one component of a planner publishes for the others.
+//! The status that each component of a planner publishes for the planner's other components.
 //!
-//! Each component overwrites its own entry and reads those of others. Only the latest value matters, so nothing queues. An
-//! entry that was not renewed within [`STATUS_EXPIRY`] is ignored, since its component's task may have died.
+//! Each component overwrites its own entry and reads the entries of others. Only the latest value of an entry
+//! matters, so that there is no queue. An entry that was not renewed within [`STATUS_EXPIRY`] is ignored,
+//! since the task of its component may have died.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +13,12 @@
 use granitelb_coordination::shard_growth::shard_map::ShardMapVersion;
 use tokio::sync::watch;
 
-/// How often components publish and read status.
+/// The interval at which a component publishes its status and reads that of others.
 pub(super) const STATUS_INTERVAL: Span = Span::from_millis(250);
+/// The age from which an entry is ignored.
 const STATUS_EXPIRY: Span = Span::from_millis(3000);
 
+/// A value with the time at which it was published.
 #[derive(Clone, Debug)]
 struct Timestamped<T> {
     published_at: Time,
@@ -23,17 +26,18 @@
 }
 
 impl<T> Timestamped<T> {
+    /// The value; `None` if it has expired.
     fn unexpired(&self, now: Time) -> Option<&T> {
         if now - self.published_at < STATUS_EXPIRY { Some(&self.value) } else { None }
     }
 }
 
-/// The entries of all components. Every clone reads and writes the same ones.
+/// The status entries of all components. All clones share the same entries.
 #[derive(Clone, Debug)]
 pub(super) struct ComponentStatus {
     failing_endpoints: watch::Sender<Option<Timestamped<BTreeSet<EndpointId>>>>,
     spare_capacity: watch::Sender<Option<Timestamped<Surplus>>>,
-    /// Does not expire.
+    /// The version at which the shard map last changed. This entry does not expire.
     shard_map_version: watch::Sender<Option<ShardMapVersion>>,
 }
 
@@ -46,12 +50,12 @@
         }
     }
 
-    /// Publishes the endpoints that fail, as endpoint health sees them.
+    /// Publishes the endpoints that endpoint health considers failing.
     pub(super) fn publish_failing_endpoints(&self, now: Time, value: BTreeSet<EndpointId>) {
         self.failing_endpoints.send_replace(Some(Timestamped { published_at: now, value }));
     }
 
-    /// Publishes what leases leave of the origin's capacity; `None` while that is unknown.
+    /// Publishes the origin's capacity that leases leave; `None` while this capacity is unknown.
     pub(super) fn publish_spare_capacity(&self, now: Time, spare: Option<Surplus>) {
         let entry = spare.map(|value| Timestamped { published_at: now, value });
         self.spare_capacity.send_replace(entry);
@@ -67,11 +71,11 @@
         *self.shard_map_version.borrow()
     }
 
-    /// The fleet's state on which shard growth decides; `None` if any part of it is unknown.
+    /// The state of the fleet by which shard growth decides; `None` if any part of this state is unknown.
     ///
-    /// Without leases, the spare capacity is the configured one. With leases it is what they leave, but at most the
-    /// configured one.
-    pub(super) fn fleet(
+    /// Without leases, the spare capacity is `configured_per_s` fetches a second. With leases, it is the
+    /// capacity that leases leave, but at most `configured_per_s`.
+    pub(super) fn fleet_status(
         &self,
         now: Time,
         has_leases: bool,
--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -1,6 +1,6 @@
-//! The components of a planner: one for each section of the fleet's configuration, each on its own thread with its own
-//! mailbox. All threads are started at once; a component whose section is absent gets no messages, and is created when a
-//! reload adds the section.
+//! The components of a planner: one for each section of the fleet configuration, each on its own thread with
+//! its own mailbox. All threads are started when the planner starts. A component whose section is absent gets
+//! no messages, and is created when a reload adds the section.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,14 +20,15 @@
 use super::worker_threads::WorkerThreads;
 use crate::fault_injection::FaultInjection;
 
-/// Messages that wait for a component: some seconds of a large fleet's, and at most 6 MB.
+/// The capacity of a component's mailbox, in messages: some seconds of a large fleet's messages, and at most
+/// 6 MB.
 const MAILBOX_CAPACITY: usize = 4096;
 
 /// Why a component is not created.
 #[derive(Debug, Error)]
 pub enum ComponentCreateError {
-    /// Its section is absent.
-    #[error("the operator's file leaves it out")]
+    /// The section of the component is absent from the fleet configuration.
+    #[error("the operator's file has no section for this component")]
     Disabled,
 }
 
@@ -35,17 +36,19 @@
     fn remediation(&self) -> &'static str {
         match self {
             ComponentCreateError::Disabled => {
-                "Nothing, if that is intended; else add its section to the operator's file of all members."
+                "Nothing, if the component is meant to be disabled; else add its section to the operator's file of all \
+                 members."
             }
         }
     }
 }
 
+/// The error of a component whose section is absent.
 fn disabled() -> CreateError {
     Box::new(ComponentCreateError::Disabled)
 }
 
-/// A component as the message router sees it.
+/// The message router's access to a component.
 pub(super) struct ComponentHandle {
     pub(super) mailbox: Arc<Mailbox>,
     pub(super) liveness: LivenessMonitor,
@@ -62,10 +65,10 @@
 }
 
 impl ComponentSpawner {
-    /// Starts all components, each on a thread of its own.
+    /// Starts the tasks of all components, each on a thread of its own.
     ///
     /// # Errors
-    /// The system provides no thread.
+    /// Returns the system's error if a thread can't be started.
     pub(super) fn spawn_all(&self, threads: &mut WorkerThreads) -> io::Result<ComponentHandles> {
         let mut components = BTreeMap::new();
         components.insert(ComponentKind::EndpointHealth, self.spawn(threads, endpoint_health_spec(self.me))?);
@@ -139,7 +142,8 @@
         create: Box::new(move |context| {
             let now = context.now;
             let settings = context.fleet_config.growth_settings().ok_or_else(disabled)?;
-            // The process's clock is Unix time, so all planners are on the same accounting day, or soon will be.
+            // The clock of each process is set to Unix time, so that all planners are on the same accounting
+            // day, except for a short time around the change of days.
             let day = shard_growth::accounting_day::AccountingDay((now.0 / settings.day_length.0) as u32);
             let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day_length.0) };
             let component = shard_growth::PlannerComponent::new(
@@ -160,7 +164,11 @@
         exchange_status: Some(Box::new(|component, now, fleet_config, status| {
             let configured_per_s =
                 fleet_config.shard_growth.as_ref().and_then(|growth| growth.spare_fetches_per_s);
-            component.set_fleet_status(status.fleet(now, fleet_config.leases.is_some(), configured_per_s));
+            component.set_fleet_status(status.fleet_status(
+                now,
+                fleet_config.leases.is_some(),
+                configured_per_s,
+            ));
             status.publish_shard_map_version(component.last_migration_version());
         })),
     }
@@ -178,13 +186,13 @@
             Message::Counterfactual(message) => Some(message),
             _ => None,
         },
-        exchange_status: Some(forget_samples_of_old_shard_maps()),
+        exchange_status: Some(discard_samples_of_old_shard_maps()),
     }
 }
 
-/// Notifies the counterfactual component once of each new shard map. Shard growth that has just started has seen no new
-/// map, and its version 0 is not one.
-fn forget_samples_of_old_shard_maps() -> ExchangeStatus<counterfactual::PlannerComponent> {
+/// Notifies the counterfactual component once of each new shard map, so that it discards samples of older
+/// ones. Shard growth that has just started publishes version 0, which is no new shard map.
+fn discard_samples_of_old_shard_maps() -> ExchangeStatus<counterfactual::PlannerComponent> {
     let known_version = AtomicU64::new(0);
     Box::new(move |component, now, _, status| {
         let Some(version) = status.shard_map_version() else { return };
--- a/crates/control-plane/src/planner/planner_config.rs
+++ b/crates/control-plane/src/planner/planner_config.rs
@@ -36,8 +36,9 @@
     pub fleet_config: Arc<FleetConfig>,
     /// The folder of the planner's store; `None` if the planner persists nothing.
     pub state_folder: Option<PathBuf>,
-    /// The address to which the planner's socket is bound. The fleet configuration gives it, unless the key
-    /// `listen` gives another address by which the planner's machine knows it.
+    /// The address to which the planner's socket is bound: `listen` of the planner's file, or else the
+    /// planner's address in the fleet configuration. `listen` is needed if the planner's machine knows that
+    /// address by another one.
     pub listen: SocketAddrV4,
     /// Faults to inject, for tests only.
     pub fault_injection: Option<FaultInjection>,
--- a/crates/control-plane/src/planner/server.rs
+++ b/crates/control-plane/src/planner/server.rs
@@ -136,8 +136,8 @@
                         }
                     }
                 },
-                // The channel closes when the router ends, before a stop only if the router can't receive
-                // messages.
+                // The channel closes when the router ends. Before a stop, that happens only if the router can't
+                // receive.
                 timed_out = self.timed_out_components.recv() => return Err(match timed_out {
                     Some(kind) => PlannerError::ComponentTimedOut(kind),
                     None => PlannerError::RouterStopped,
