--- a/crates/control-plane/src/planner/component_task/mod.rs
+++ b/crates/control-plane/src/planner/component_task/mod.rs
@@ -1,9 +1,11 @@
-//! The task of one component: it owns the component's state, delivers messages and time to it, and polls it.
+//! The task of one component. The task owns the component's state, passes messages and the time to the
+//! component, and polls the component for messages to send.
 //!
-//! A component that panics is named in the log and recreated from its last snapshot; the others go on.
+//! A component that panics is named in the log and recreated from its last snapshot; the other components go
+//! on.
 //!
-//! Invariant: the state on which a message depends is durable before the message is sent. Messages that were polled wait
-//! until the snapshot after them is stored; see [`running`].
+//! Invariant: the state on which a message depends is durable before the message is sent. Messages that were
+//! polled wait until the snapshot that was polled after them is stored; see [`running`].
 
 mod running;
 
@@ -27,11 +29,12 @@
 use crate::storage::StorageWriter;
 use running::RunningComponent;
 
-/// The delay before a component is recreated; it doubles each time the component soon fails again.
+/// The delay before a failed component is recreated. The delay doubles each time the component soon fails
+/// again.
 const RESTART_BACKOFF_INITIAL: Duration = Duration::from_millis(100);
 const RESTART_BACKOFF_MAX: Duration = Duration::from_secs(10);
 
-/// A message to be sent, and the incarnation in which it was written.
+/// A message to be sent, with the planner's incarnation in which the message was created.
 pub(super) struct OutgoingMessage {
     pub(super) incarnation: Incarnation,
     pub(super) to: Member,
@@ -41,7 +44,7 @@
 /// Why a component is not created.
 pub(super) type CreateError = Box<dyn Remediation + Send + Sync>;
 
-/// What a component is created from.
+/// The inputs from which a component is created.
 pub(super) struct CreateContext<'a> {
     pub(super) fleet_config: &'a FleetConfig,
     pub(super) incarnation: Incarnation,
@@ -50,30 +53,30 @@
     pub(super) snapshot: Option<&'a [u8]>,
 }
 
-/// Creates a component.
+/// A function that creates a component.
 pub(super) type CreateComponent<C> = Box<dyn Fn(CreateContext<'_>) -> Result<C, CreateError> + Send + Sync>;
 
-/// Publishes what other components of this planner need to know, and takes over what they publish. It is called
-/// repeatedly.
+/// A function that publishes the component's status for the planner's other components, and passes their
+/// status to the component. The component's task calls this function repeatedly.
 pub(super) type ExchangeStatus<C> = Box<dyn Fn(&mut C, Time, &FleetConfig, &ComponentStatus) + Send + Sync>;
 
-/// How one kind of component is created, and how its messages are wrapped.
+/// How to create one kind of component, and how to wrap its messages.
 pub(super) struct ComponentSpec<C: Component> {
     pub(super) kind: ComponentKind,
     pub(super) create: CreateComponent<C>,
     pub(super) wrap: fn(C::Message) -> Message,
     pub(super) unwrap: fn(Message) -> Option<C::Message>,
-    /// `None` for a component that shares nothing with the others.
+    /// `None` for a component that neither publishes nor reads a status.
     pub(super) exchange_status: Option<ExchangeStatus<C>>,
 }
 
-/// What every component's task has in common with the others.
+/// The channels and services that the tasks of all components share.
 #[derive(Clone)]
 pub(super) struct TaskHandles {
     pub(super) status: ComponentStatus,
     pub(super) context: watch::Receiver<SharedContext>,
     pub(super) outgoing: mpsc::Sender<OutgoingMessage>,
-    /// Requests a new incarnation of the whole planner.
+    /// A message on this channel requests a new incarnation of the whole planner.
     pub(super) renewal_requests: mpsc::Sender<()>,
     pub(super) storage: StorageWriter,
     pub(super) clock: Clock,
@@ -84,28 +87,30 @@
     pub(super) spec: ComponentSpec<C>,
     pub(super) handles: TaskHandles,
     pub(super) mailbox: Arc<Mailbox>,
-    /// Fault injection: the component never returns from its first message.
+    /// Whether the component never returns from its first message, as fault injection.
     pub(super) hangs_on_message: bool,
 }
 
-/// Why a component no longer runs.
+/// Why a component has ended.
 enum Exit {
-    /// The planner shuts down.
+    /// The planner is shutting down.
     Stopping,
     /// All components have to be recreated.
     NewGeneration,
-    /// The component can't be created with the fleet's configuration, and is disabled until the next generation.
+    /// The component can't be created with this fleet configuration, and is disabled until the next
+    /// generation.
     Disabled { generation: u64 },
-    /// Its snapshot can't be read now.
+    /// The component's snapshot can't be read now.
     SnapshotUnreadable,
 }
 
-/// Whether a component makes commitments under the planner's incarnation. If it forgets them, the whole planner must
-/// continue under a new one.
+/// Whether a component makes commitments under the planner's incarnation. If such a component loses its
+/// state, the whole planner must continue under a new incarnation.
 fn has_commitments(kind: ComponentKind) -> bool {
     matches!(kind, ComponentKind::Leases | ComponentKind::ShardGrowth)
 }
 
+/// The delay after the next failure, if the delay after this one is `backoff`.
 fn next_backoff(backoff: Duration) -> Duration {
     (backoff * 2).min(RESTART_BACKOFF_MAX)
 }
@@ -138,12 +143,13 @@
         }
     }
 
-    /// Waits before the component is recreated, and returns the backoff for its next failure.
+    /// Logs a panic, waits until the component may be recreated, and returns the delay after its next
+    /// failure.
     async fn recover_from_panic(&self, started_at: Time, backoff: Duration) -> Duration {
         let kind = self.spec.kind;
         log::error!(
             event = "task_failed", task = kind.name();
-            "the task of {kind} panicked and is restarted in {} ms. Report the lines before this one.",
+            "the task of the component {kind} panicked and is restarted in {} ms. Report the log lines before this one.",
             backoff.as_millis()
         );
         if has_commitments(kind) {
@@ -155,8 +161,8 @@
         if ran_for > RESTART_BACKOFF_MAX { RESTART_BACKOFF_INITIAL } else { next_backoff(backoff) }
     }
 
-    /// Waits for the next generation, not for each change of membership: that would only log again that the component is
-    /// disabled.
+    /// Waits for the next generation. Each change of the context would be too often, since every attempt to
+    /// create the component logs again that the component is disabled.
     async fn wait_for_generation_after(&self, generation: u64) -> Result<(), watch::error::RecvError> {
         let mut context = self.handles.context.clone();
         let next = async move {
@@ -166,8 +172,8 @@
         self.drop_messages_until(next).await
     }
 
-    /// Waits for something while there is no component. Messages that come meanwhile are for one that is gone, and must
-    /// not delay those for others.
+    /// Waits for an event while the component does not run, and drops the component's messages meanwhile. A
+    /// full mailbox would delay messages for other components.
     async fn drop_messages_until<T>(&self, event: impl Future<Output = T>) -> T {
         let drop_messages = async {
             loop {
@@ -176,11 +182,11 @@
         };
         tokio::select! {
             output = event => output,
-            () = drop_messages => unreachable!("it receives messages for ever"),
+            () = drop_messages => unreachable!("the loop never ends"),
         }
     }
 
-    /// Creates the component and runs it until it has to be recreated.
+    /// Creates the component, runs it until it has to end or to be recreated, and returns the reason.
     async fn run_once(&self) -> Exit {
         let mut context_updates = self.handles.context.clone();
         let context = context_updates.borrow_and_update().clone();
@@ -202,20 +208,22 @@
             Err(error) => {
                 log::error!(
                     event = "task_disabled", task = kind.name();
-                    "{kind} waits, its stored state can't be read: {error}. {}", error.remediation()
+                    "the component {kind} is not started yet, since its stored state can't be read: {error}. {}",
+                    error.remediation()
                 );
                 return Err(Exit::SnapshotUnreadable);
             }
         };
         let now = self.handles.clock.now();
-        // A component that is recreated in the same incarnation of the planner is a later one.
+        // A component that is recreated within one incarnation of the planner gets a greater incarnation of
+        // its own.
         let incarnation = Incarnation(context.incarnation.0.max(now.0));
         let fleet_config = &context.fleet_config;
         let create = CreateContext { fleet_config, incarnation, now, snapshot: snapshot.as_deref() };
         (self.spec.create)(create).map_err(|error| {
             log::info!(
                 event = "task_disabled", task = kind.name();
-                "{kind} is disabled: {error}. {}", error.remediation()
+                "the component {kind} is disabled: {error}. {}", error.remediation()
             );
             Exit::Disabled { generation: context.generation }
         })
--- a/crates/control-plane/src/planner/component_task/running.rs
+++ b/crates/control-plane/src/planner/component_task/running.rs
@@ -1,7 +1,8 @@
-//! A component between its creation and its end: the loop that delivers messages, polls, persists and sends.
+//! The loop of a running component: it delivers messages to the component, polls the component's messages and
+//! snapshot, stores the snapshot, and sends the messages.
 //!
-//! If a snapshot can't be stored, the messages that depend on it are dropped, as if the network had lost them, and the
-//! snapshot is stored before anything else is sent.
+//! If a snapshot can't be stored, the messages that depend on it are dropped, as if the network had lost
+//! them. The snapshot is then stored before any other message is sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,21 +21,24 @@
 use crate::planner::shared_context::SharedContext;
 use crate::planner::{REPORT_INTERVAL, log_event};
 
-/// Messages that are delivered before polling, and polled before sending, so that neither side starves the other.
+/// The maximum number of messages that are delivered before the component is polled, and polled before they
+/// are sent, so that neither received nor sent messages wait too long.
 const BATCH_SIZE: usize = 256;
+/// The minimum time between two attempts to store a snapshot after a failure.
 const STORE_RETRY_INTERVAL: Span = Span::from_millis(1000);
-/// A component that asks to be polled at once, over and over, leaves others their turn.
+/// The minimum time between two polls, for a component that always requests to be polled at once.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
 fn to_duration(span: Span) -> Duration {
     Duration::from_micros(span.0)
 }
 
-/// Whether the state of a component is stored.
+/// Whether the latest snapshot of a component is stored.
 #[derive(PartialEq, Eq)]
 enum SnapshotState {
+    /// The snapshot is stored.
     Durable,
-    /// It could not be stored, and messages that depend on it must not be sent.
+    /// The snapshot could not be stored, and messages that depend on it must not be sent.
     Pending,
 }
 
@@ -45,14 +49,14 @@
     Maybe,
 }
 
-/// Messages that the component ignored since the last report.
+/// The messages that the component ignored since the last report.
 #[derive(Default)]
 struct IgnoredMessages {
     count: u64,
     last_error: Option<String>,
 }
 
-/// A component and what its task tracks of it.
+/// A component with the state that its task keeps while the component runs.
 pub(super) struct RunningComponent<'a, C: Component> {
     task: &'a ComponentTask<C>,
     component: C,
@@ -61,9 +65,9 @@
     generation: u64,
     /// The planner's incarnation, which messages carry.
     incarnation: Incarnation,
-    /// The last snapshot, while it is not stored.
+    /// The latest snapshot if it is not stored yet.
     unsaved_snapshot: Option<Vec<u8>>,
-    /// After a failure the snapshot is not stored again before this.
+    /// The earliest time at which the snapshot may be stored again after a failure.
     store_retry_at: Time,
     is_store_failure_logged: bool,
     ignored: IgnoredMessages,
@@ -99,7 +103,7 @@
         self.task.handles.clock.now()
     }
 
-    /// Runs until the component has to end.
+    /// Runs the component until it has to end, and returns the reason.
     pub(super) async fn run(mut self, mut context_updates: watch::Receiver<SharedContext>) -> Exit {
         let mailbox = &self.task.mailbox;
         loop {
@@ -128,7 +132,8 @@
         }
     }
 
-    /// How long to sleep if nothing else happens; `None` if there is nothing to wake for.
+    /// How long to sleep if neither a message nor a change of the context arrives; `None` to sleep until one
+    /// does.
     fn time_to_wake(&self) -> Option<Duration> {
         let now = self.now();
         let mut wake = self.component.poll_timeout(now).map(|at| to_duration(at - now));
@@ -171,12 +176,12 @@
         if let Err(error) = self.component.on_message(now, sender, message) {
             self.ignored.count += 1;
             let task = self.task.spec.kind.name();
-            log::debug!(event = "message_ignored", task = task; "{}: {error}", sender.member);
+            log::debug!(event = "message_ignored", task = task; "ignored a message of {}: {error}", sender.member);
             self.ignored.last_error = Some(format!("{error}. {}", error.remediation()));
         }
     }
 
-    /// Polls all messages, and sends each batch once the state that it depends on is stored.
+    /// Polls all messages, and sends each batch after the snapshot on which it depends is stored.
     async fn poll_and_send(&mut self) {
         while self.poll_and_send_batch().await == MessagesLeft::Maybe {}
     }
@@ -199,26 +204,30 @@
         for (to, message) in batch {
             let message = (self.task.spec.wrap)(message);
             let outgoing = OutgoingMessage { incarnation: self.incarnation, to, message };
-            // The router ends after all components; a message that it no longer takes counts as lost.
+            // The router ends after all components. A message that a closed router does not take counts as
+            // lost.
             let _ = self.task.handles.outgoing.send(outgoing).await;
         }
         messages_left
     }
 
+    /// Stores the unsaved snapshot if there is one. After a failure, it is not stored again before the retry
+    /// interval.
     async fn store_snapshot(&mut self) -> SnapshotState {
         let Some(snapshot) = self.unsaved_snapshot.take() else { return SnapshotState::Durable };
         if self.now() < self.store_retry_at {
-            // Not with each message: a store that failed is verified entirely before it is written again.
+            // A retry with each message would be too expensive: a store that failed is verified entirely
+            // before it is written again.
             self.unsaved_snapshot = Some(snapshot);
             return SnapshotState::Pending;
         }
         let kind = self.task.spec.kind;
-        let Err(lost) = self.task.handles.storage.persist(kind, snapshot.clone()).await else {
+        let Err(error) = self.task.handles.storage.persist(kind, snapshot.clone()).await else {
             if self.is_store_failure_logged {
                 self.is_store_failure_logged = false;
                 log::info!(
                     event = "snapshot_write_recovered", task = kind.name();
-                    "the state of {kind} is stored again"
+                    "the state of the component {kind} is stored again"
                 );
             }
             return SnapshotState::Durable;
@@ -227,7 +236,9 @@
             self.is_store_failure_logged = true;
             log::error!(
                 event = "snapshot_write_failed", task = kind.name();
-                "{kind}: {lost}. {} No message of {kind} is sent until its state is stored.", lost.remediation()
+                "{kind}: the state of this component can't be stored: {error}. {} No message of {kind} is sent until its \
+                 state is stored.",
+                error.remediation()
             );
         }
         self.unsaved_snapshot = Some(snapshot);
@@ -250,13 +261,13 @@
         if let Some(last_error) = last_error {
             log::warn!(
                 event = "message_ignored", task = kind.name(), count = count;
-                "{kind} ignored {count} messages; the last one: {last_error}"
+                "the component {kind} ignored {count} messages; the last one: {last_error}"
             );
         }
     }
 }
 
-/// Sleeps for the time, or waits for ever if there is none.
+/// Sleeps for `time`, but at least for [`MIN_SLEEP`]; without a time, waits for ever.
 async fn sleep_or_wait(time: Option<Duration>) {
     match time {
         Some(time) => sleep(time.max(MIN_SLEEP)).await,
--- a/crates/control-plane/src/planner/component_task/tests.rs
+++ b/crates/control-plane/src/planner/component_task/tests.rs
@@ -1,4 +1,4 @@
-//! Tasks whose component panics or whose state can't be stored.
+//! Tests of component tasks whose component panics or whose snapshot can't be stored.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -24,7 +24,8 @@
 use crate::planner::test_support::{FORWARDER, PLANNER, fleet_config, health_message, message_from};
 use crate::storage::{StateFile, StorageError, StorageWriter};
 
-/// Panics at every third message. It sends how many messages it got since it was first created, and persists that.
+/// A component that panics at every third message. It sends and persists how many messages it got since it
+/// was first created.
 struct PanickingComponent {
     received: u8,
     has_changed: bool,
@@ -64,7 +65,7 @@
     }
 }
 
-/// A component's task, and the other ends of its channels.
+/// The mailbox of a component's task, and the other ends of the task's channels.
 struct TaskFixture {
     mailbox: Arc<Mailbox>,
     outgoing: mpsc::Receiver<OutgoingMessage>,
@@ -112,11 +113,11 @@
         self.mailbox.push(message_from(FORWARDER, number)).expect("the mailbox has room");
     }
 
-    /// The count in the next message, if one is sent soon.
+    /// The count in the next message; `None` if no message is sent within 700 ms.
     async fn next_count(&mut self) -> Option<u64> {
         let sent = timeout(Duration::from_millis(700), self.outgoing.recv()).await.ok()??;
         match sent.message {
-            Message::EndpointHealth(HealthMessage::Update(plan)) => Some(plan.version.0),
+            Message::EndpointHealth(HealthMessage::Update(update)) => Some(update.version.0),
             _ => None,
         }
     }
@@ -124,7 +125,7 @@
 
 static DISK_HAS_SPACE: AtomicBool = AtomicBool::new(true);
 
-/// A disk that is full at times.
+/// A disk that is full while [`DISK_HAS_SPACE`] is false.
 #[derive(Debug)]
 struct FlakyDisk(FileBackend);
 
@@ -172,7 +173,11 @@
     assert_eq!((fixture.next_count().await, fixture.next_count().await), (Some(1), Some(2)));
     tokio::time::sleep(Duration::from_millis(300)).await;
     fixture.deliver(4);
-    assert_eq!(fixture.next_count().await, Some(3), "two were stored before the panic");
+    assert_eq!(
+        fixture.next_count().await,
+        Some(3),
+        "two messages were counted in the snapshot before the panic"
+    );
     fixture.context.send_modify(|context| context.is_stopping = true);
     assert!(fixture.outgoing.recv().await.is_none(), "the task ends when the planner stops");
 }
@@ -198,6 +203,6 @@
     assert_eq!(
         fixture.next_count().await,
         Some(2),
-        "the state is complete; the message before counts as lost"
+        "the snapshot counts both messages; the message that depended on the failed write counts as lost"
     );
 }
