--- a/crates/control-plane/src/planner/ingress_limiter.rs
+++ b/crates/control-plane/src/planner/ingress_limiter.rs
@@ -1,16 +1,19 @@
 //! Limits how many messages a planner reads from each sender.
 //!
-//! Handling a message is expensive: its authentication tag is computed, its component processes it, and a message that
-//! must not be shed delays those behind it. A flood from one sender must not keep others from being heard.
+//! Handling a message is expensive: its authentication tag is computed, a component processes it, and a
+//! message that must not be shed delays all messages behind it. A flood from one sender must not prevent
+//! messages of other senders from being read. The limits are token buckets:
 //!
-//! - **Before authentication**, by source address: [`MEMBER_RATE_PER_S`] for an address from which a member was heard,
-//!   [`UNKNOWN_ADDRESS_RATE_PER_S`] for any other, and [`UNKNOWN_TOTAL_RATE_PER_S`] for all others together. A known
-//!   address has its own token bucket, which unknown senders can't drain.
-//! - **After authentication**, by the member that signed the message: [`MEMBER_RATE_PER_S`], from however many addresses
-//!   its messages come.
+//! - **Before authentication**, by source address: [`MEMBER_RATE_PER_S`] for an address from which a member
+//!   was heard, [`UNKNOWN_ADDRESS_RATE_PER_S`] for any other address, and [`UNKNOWN_TOTAL_RATE_PER_S`] for
+//!   all other addresses together. A known address has its own token bucket, which unknown senders can't
+//!   drain.
+//! - **After authentication**, by the member that signed the message: [`MEMBER_RATE_PER_S`] for the messages
+//!   of one member from all addresses.
 //!
-//! Dropping the excess is equivalent to losing it in the network, which every component tolerates. An address becomes
-//! known only by a message that was signed and not seen before, so a replay makes no address known.
+//! A message over a limit is dropped, which is equivalent to its loss in the network; every component
+//! tolerates such losses. An address becomes known only by a message that was signed and not received before,
+//! so that a replayed message makes no address known.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,34 +25,38 @@
 
 use super::token_bucket::TokenBucket;
 
-/// Messages a second, and the burst, of one member. A forwarder in a fleet of 2,000 cache servers sends some hundreds.
+/// The limit for one member, in messages a second, and the size of its burst, in messages. A forwarder in a
+/// fleet of 2,000 cache servers sends some hundreds a second.
 const MEMBER_RATE_PER_S: f64 = 1000.0;
-/// Messages a second of an address from which no member was heard: enough for a new member to be heard once, even through
-/// a network that loses half of its messages.
+/// The limit for one address from which no member was heard, in messages a second. The limit suffices to
+/// receive one message of a new member, even over a network that loses half of the messages.
 const UNKNOWN_ADDRESS_RATE_PER_S: f64 = 20.0;
-/// Messages a second of all unknown addresses together: all forwarders that a planner tracks may start at once.
+/// The limit for all unknown addresses together, in messages a second. All forwarders that a planner tracks
+/// may start at the same time.
 const UNKNOWN_TOTAL_RATE_PER_S: f64 = 5000.0;
-/// Unknown addresses with a bucket of their own; further ones are limited by the total alone.
+/// The maximum number of unknown addresses with a bucket of their own. Further unknown addresses are limited
+/// only by [`UNKNOWN_TOTAL_RATE_PER_S`].
 const MAX_UNKNOWN_ADDRESSES: usize = 1024;
-/// Known addresses, and members, that are tracked.
+/// The maximum number of known addresses, and also of members, that are tracked.
 const MAX_KNOWN: usize = 8192;
 /// An address from which no member was heard for this long is unknown again.
 const KNOWN_ADDRESS_EXPIRY: Span = Span::from_millis(10_000);
-const SWEEP_INTERVAL: Span = Span::from_millis(1000);
-/// A bucket that was not used for this long is full again, and need not be remembered.
+/// The interval at which addresses and members without recent messages are removed.
+const REMOVAL_INTERVAL: Span = Span::from_millis(1000);
+/// The time after which an unused bucket is full again. It equals a new bucket then, and is removed.
 const BUCKET_REFILL_TIME: Span = Span::from_millis(1000);
 
-/// Why a message is dropped before it is processed.
+/// The limit for which a message is dropped before it is processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RateLimitError {
-    /// A known address sends more than a member does.
-    #[error("more messages in a second than a member sends, from {0}")]
+    /// A known address sends more messages than a member does.
+    #[error("the address {0} sends more messages in a second than a member does")]
     Address(SocketAddr),
-    /// Addresses from which no member was heard send too much.
-    #[error("many messages from addresses from which no member was heard, the last {0}")]
+    /// Addresses from which no member was heard send too many messages.
+    #[error("too many messages come from addresses of which no member is known; the last address is {0}")]
     UnknownAddresses(SocketAddr),
-    /// Messages that one member signed are too many, over all addresses.
-    #[error("more messages in a second than a member sends, signed by {0}")]
+    /// One member signed too many messages, over all addresses.
+    #[error("more messages in a second are signed by {0} than a member sends")]
     Member(Member),
 }
 
@@ -68,12 +75,12 @@
     fn remediation(&self) -> &'static str {
         match self {
             RateLimitError::Address(_) | RateLimitError::UnknownAddresses(_) => {
-                "Find out who sends there, and close the planner's port to all but members. Known members are not \
-                 affected; new ones may take some seconds to join."
+                "Find out who sends from there, and close the planner's port to all addresses but those of members. \
+                 Known members are not affected; new members may take some seconds to join."
             }
             RateLimitError::Member(_) => {
-                "Find the process that runs under this name and stop it; if it is no member of this fleet, rotate the \
-                 secret."
+                "Find the process that runs under this name and stop it; if the process is no member of this fleet, \
+                 rotate the secret."
             }
         }
     }
@@ -91,7 +98,7 @@
     unknown_addresses: BTreeMap<SocketAddr, TokenBucket>,
     unknown_total: TokenBucket,
     members: BTreeMap<Member, TokenBucket>,
-    last_sweep_at: Time,
+    last_removal_at: Time,
 }
 
 impl IngressLimiter {
@@ -101,16 +108,16 @@
             unknown_addresses: BTreeMap::new(),
             unknown_total: TokenBucket::full(now, UNKNOWN_TOTAL_RATE_PER_S),
             members: BTreeMap::new(),
-            last_sweep_at: now,
+            last_removal_at: now,
         }
     }
 
-    /// Admits a datagram by its source address, before it is authenticated.
+    /// Admits a datagram by its source address, before the datagram is authenticated.
     ///
     /// # Errors
-    /// The limit that it exceeds.
+    /// Returns the limit that the datagram exceeds.
     pub(super) fn admit_address(&mut self, now: Time, from: SocketAddr) -> Result<(), RateLimitError> {
-        self.sweep(now);
+        self.remove_unused(now);
         if let Some(known) = self.known_addresses.get_mut(&from) {
             if known.bucket.try_take(now) {
                 return Ok(());
@@ -139,17 +146,17 @@
     /// Admits an authenticated message by the member that signed it.
     ///
     /// # Errors
-    /// The limit that it exceeds.
+    /// Returns the limit that the message exceeds.
     pub(super) fn admit_member(&mut self, now: Time, member: Member) -> Result<(), RateLimitError> {
         if self.members.len() >= MAX_KNOWN && !self.members.contains_key(&member) {
-            // Membership has no capacity for so many members either, and reports that.
+            // Membership has no capacity for so many members either, and rejects and counts the message.
             return Ok(());
         }
         let bucket = self.members.entry(member).or_insert_with(|| TokenBucket::full(now, MEMBER_RATE_PER_S));
         if bucket.try_take(now) { Ok(()) } else { Err(RateLimitError::Member(member)) }
     }
 
-    /// Marks an address as known: it sent an authentic message that was not seen before.
+    /// Marks an address as known after it sent an authentic message that was not received before.
     pub(super) fn on_message(&mut self, now: Time, from: SocketAddr) {
         self.unknown_addresses.remove(&from);
         if let Some(known) = self.known_addresses.get_mut(&from) {
@@ -162,12 +169,12 @@
         }
     }
 
-    /// Forgets addresses and members whose state equals that of new ones.
-    fn sweep(&mut self, now: Time) {
-        if now - self.last_sweep_at < SWEEP_INTERVAL {
+    /// Removes addresses and members whose state equals that of new ones.
+    fn remove_unused(&mut self, now: Time) {
+        if now - self.last_removal_at < REMOVAL_INTERVAL {
             return;
         }
-        self.last_sweep_at = now;
+        self.last_removal_at = now;
         self.unknown_addresses.retain(|_, bucket| now - bucket.last_used_at() < BUCKET_REFILL_TIME);
         self.members.retain(|_, bucket| now - bucket.last_used_at() < BUCKET_REFILL_TIME);
         self.known_addresses.retain(|_, known| now - known.last_heard_at < KNOWN_ADDRESS_EXPIRY);
--- a/crates/control-plane/src/planner/ingress_limiter/tests.rs
+++ b/crates/control-plane/src/planner/ingress_limiter/tests.rs
@@ -11,7 +11,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Sends `per_s` datagrams a second for ten seconds, and returns the share that is admitted.
+/// Sends `per_s` datagrams a second for ten seconds, and returns the share of them that is admitted.
 fn admitted_share(limiter: &mut IngressLimiter, per_s: u64, from: impl Fn(u64) -> SocketAddr) -> f64 {
     let total = per_s * 10;
     let is_admitted = |n: &u64| limiter.admit_address(Time(n * MICROS_PER_S / per_s), from(*n)).is_ok();
@@ -23,7 +23,7 @@
 fn known_address_is_admitted_during_flood_from_unknown_addresses() {
     let mut limiter = IngressLimiter::new(Time(0));
     limiter.on_message(Time(0), address(1));
-    // Every hundredth message is the member's, the others come from many addresses.
+    // Every hundredth message comes from the member's address, the others from many unknown addresses.
     let mut admitted = 0;
     for n in 0..100_000u64 {
         let now = Time(n * 20);
@@ -34,7 +34,7 @@
             admitted += u64::from(limiter.admit_address(now, address(2 + (n % 60_000) as u16)).is_ok());
         }
     }
-    // The rate over two seconds, and the burst.
+    // Two seconds at the total rate of unknown addresses, and the burst.
     assert!((10_000..=15_100).contains(&admitted), "{admitted}");
     assert!(limiter.unknown_addresses.len() <= MAX_UNKNOWN_ADDRESSES);
 }
--- a/crates/control-plane/src/planner/liveness.rs
+++ b/crates/control-plane/src/planner/liveness.rs
@@ -1,11 +1,13 @@
 //! Detects components that do not return from a call.
 //!
-//! An unresponsive component is named in the log and its mailbox is closed, so that messages for others are still read.
-//! If it stays unresponsive the process shuts down, for its supervisor to restart it.
+//! An unresponsive component is named in the log and its mailbox is closed, so that messages for other
+//! components are still read. If the component stays unresponsive, the process shuts down, and its supervisor
+//! restarts it.
 //!
-//! Each component has its own thread, so a hanging one delays no other and no heartbeat. It is detected by its polls: a
-//! task that waits has returned from its last poll. Time is counted in checks, each of which adds a bounded amount, so that
-//! a process that was suspended, or a machine that is slow for all, blames no component.
+//! Each component has its own thread, so that a hanging component delays neither other components nor
+//! heartbeats. A component hangs if its task does not return from a poll; a task that waits has returned from
+//! its last poll. The time in a poll is summed up over checks, and each check adds a bounded amount.
+//! Therefore no component is reported because the process was suspended or the whole machine is slow.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,15 +16,16 @@
 
 use granitelb_balancer::time::{Span, Time};
 
-/// The most that one check adds to the time a call has taken, whatever the clock says.
+/// The maximum time that one check adds to the duration of a call, however much time has passed since the
+/// last check.
 const MAX_TIME_PER_CHECK: Span = Span::from_millis(500);
 
-/// How long a call of a component may take.
+/// The limits on how long a call of a component may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LivenessTimeouts {
-    /// After this time the component is named in the log and its mailbox is closed.
+    /// The time after which the component is named in the log and its mailbox is closed.
     pub unresponsive_after: Span,
-    /// After this time the process shuts down.
+    /// The time after which the process shuts down.
     pub fatal_after: Span,
 }
 
@@ -35,12 +38,12 @@
     }
 }
 
-/// Counts the starts and ends of a task's polls. It is odd while a poll runs.
+/// A counter of the starts and ends of a task's polls. The count is odd while a poll runs.
 #[derive(Clone, Default)]
 pub(super) struct LivenessCounter(Arc<AtomicU64>);
 
 impl LivenessCounter {
-    /// Counts the polls of a task.
+    /// Wraps a task so that its polls are counted.
     pub(super) fn monitor<T>(&self, task: impl Future<Output = T> + Send + 'static) -> MonitoredTask<T> {
         MonitoredTask { counter: self.clone(), task: Box::pin(task) }
     }
@@ -54,7 +57,7 @@
     }
 }
 
-/// Counts the end of a poll, also where it panics.
+/// Counts the end of a poll when dropped, also if the poll panics.
 struct PollGuard<'a>(&'a LivenessCounter);
 
 impl Drop for PollGuard<'_> {
@@ -80,10 +83,10 @@
     }
 }
 
-/// What a check finds.
+/// What a check of a component has found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LivenessEvent {
-    /// A call has exceeded [`LivenessTimeouts::unresponsive_after`]; reported once.
+    /// A call has exceeded [`LivenessTimeouts::unresponsive_after`]. This event is reported once for a call.
     Unresponsive,
     /// A component that was unresponsive has returned from its call.
     Recovered,
@@ -91,12 +94,14 @@
     TimedOut,
 }
 
-/// Watches the counter of one task.
+/// Checks at intervals whether one task returns from its polls.
 pub(super) struct LivenessMonitor {
     counter: LivenessCounter,
     timeouts: LivenessTimeouts,
+    /// The count at the last check.
     last_count: u64,
     last_check_at: Time,
+    /// How long the current call has taken, over the checks that found the task in it.
     time_in_call: Span,
     is_unresponsive: bool,
 }
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Compares the counter with the one at the last check.
+    /// Compares the count with the count at the last check, and returns what has changed about the component.
     pub(super) fn check(&mut self, now: Time) -> Option<LivenessEvent> {
         let count = self.counter.get();
         let is_in_same_poll = count == self.last_count && !count.is_multiple_of(2);
--- a/crates/control-plane/src/planner/liveness/tests.rs
+++ b/crates/control-plane/src/planner/liveness/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn suspended_process_blames_no_task() {
+fn suspended_process_reports_no_task_as_unresponsive() {
     let counter = LivenessCounter::default();
     let mut monitor = LivenessMonitor::new(counter.clone(), LivenessTimeouts::default(), Time(0));
     counter.increment();
