--- a/crates/control-plane/src/planner/component_task/running.rs
+++ b/crates/control-plane/src/planner/component_task/running.rs
@@ -26,7 +26,8 @@
 const BATCH_SIZE: usize = 256;
 /// The minimum time between two attempts to store a snapshot after a failure.
 const STORE_RETRY_INTERVAL: Span = Span::from_millis(1000);
-/// The minimum time between two polls, for a component that always requests to be polled at once.
+/// The minimum sleep between two polls. A component that always requests to be polled at once thereby leaves
+/// CPU time to others.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
 fn to_duration(span: Span) -> Duration {
--- a/crates/control-plane/src/planner/message_router/mod.rs
+++ b/crates/control-plane/src/planner/message_router/mod.rs
@@ -1,15 +1,15 @@
-//! The message router: it owns the socket, the membership, and the addresses of members.
+//! The message router: the task that owns the socket, the membership, and the addresses of members.
 //!
-//! It authenticates what comes, has membership reject duplicates and stale senders, and puts messages into their
-//! component's mailbox. It seals, numbers and sends what components write. It publishes who is alive and under which
-//! incarnation this planner runs.
+//! The router authenticates received datagrams, lets membership reject duplicates and stale senders, and puts
+//! each message into the mailbox of its component. It numbers, seals and sends the messages of components. It
+//! publishes which members are alive and under which incarnation this planner runs.
 //!
-//! The router has its own thread, so no component can delay heartbeats, and it checks that each component still returns from
-//! its calls (`liveness`). How much of a flood is read is decided by `ingress_limiter`.
+//! The router has its own thread, so that no component can delay heartbeats. It checks that each component
+//! returns from its calls (`liveness`). The module `ingress_limiter` decides how much of a flood is read.
 //!
-//! Invariant: the router never waits for a component. When a mailbox is full of messages that must not be shed, the router
-//! leaves further datagrams in the socket while all else goes on. So a component that waits for the router never waits for
-//! itself.
+//! Invariant: the router never waits for a component. When a mailbox is full of messages that must not be
+//! shed, the router leaves further datagrams in the socket, and continues with all other work. A component
+//! that waits for the router therefore never waits for itself.
 
 mod receiving;
 mod renewal;
@@ -44,55 +44,59 @@
 use crate::fleet_config::FleetConfig;
 use crate::storage::StorageWriter;
 
-/// Messages that are read or written before all else gets its turn.
+/// The maximum number of messages that are read or sent before the router continues with other work.
 const BATCH_SIZE: usize = 64;
-/// How often all members are checked for those that have become silent; doing so with each message would cost too much.
+/// The interval at which members are checked for silence. A check of all members with each message would cost
+/// too much.
 const MEMBERSHIP_CHECK_INTERVAL: Span = Span::from_millis(100);
+/// The minimum time to sleep until membership has a message to send.
 const MIN_SLEEP: Span = Span::from_millis(1);
-/// The router is restarted this long after a panic.
+/// The delay before the router is restarted after a panic.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
-/// The task's name in the log.
+/// The name of the router's task in the log.
 pub(super) const TASK_NAME: &str = "message_router";
+/// The name of membership in the log.
 const MEMBERSHIP_TASK_NAME: &str = "members";
 
 /// A command of the planner's main task.
 pub(super) enum RouterCommand {
     /// A new configuration applies.
     Reload(Arc<FleetConfig>),
-    /// All components have to end; their last messages are still sent.
+    /// All components have to end, and the router still sends their last messages.
     StopComponents,
-    /// All components have ended.
+    /// All components have ended, and the router has to end.
     Shutdown,
 }
 
-/// What the router receives from other tasks.
+/// The channels on which the router receives from other tasks.
 pub(super) struct RouterInbox {
     pub(super) outgoing: mpsc::Receiver<OutgoingMessage>,
     pub(super) commands: mpsc::Receiver<RouterCommand>,
     pub(super) renewal_requests: mpsc::Receiver<()>,
 }
 
-/// What a router is created from.
+/// The parts from which a router is created.
 pub(super) struct RouterParts {
     pub(super) me: PlannerId,
-    /// A socket that does not block.
+    /// The planner's socket, which is non-blocking.
     pub(super) socket: StdUdpSocket,
     pub(super) clock: Clock,
     pub(super) components: ComponentHandles,
-    /// Gets a component whose call has timed out.
+    /// Receives the kind of a component whose call has timed out.
     pub(super) timed_out_components: mpsc::Sender<ComponentKind>,
     pub(super) context: watch::Sender<SharedContext>,
     pub(super) storage: StorageWriter,
 }
 
-/// Runs the router until [`RouterCommand::Shutdown`]. After a panic it continues as that of a new planner.
+/// Runs the router until [`RouterCommand::Shutdown`]. After a panic, the router continues under a new
+/// incarnation.
 pub(super) async fn run(parts: RouterParts, mut inbox: RouterInbox) {
     let mut router = match MessageRouter::new(parts) {
         Ok(router) => router,
         Err(error) => {
             log::error!(
                 event = "task_failed", task = TASK_NAME;
-                "messages can't be received: {error}. Raise the limit of descriptors."
+                "the message router can't use the planner's socket: {error}. Raise the limit of file descriptors."
             );
             return;
         }
@@ -100,7 +104,7 @@
     while AssertUnwindSafe(router.run(&mut inbox)).catch_unwind().await.is_err() {
         log::error!(
             event = "task_failed", task = TASK_NAME;
-            "the message router panicked and is restarted. Report the lines before this one."
+            "the message router panicked and is restarted. Report the log lines before this one."
         );
         sleep(RESTART_DELAY).await;
         router.reset();
@@ -110,7 +114,9 @@
 /// When membership is to be checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MembershipCheck {
+    /// At once.
     Immediate,
+    /// After [`MEMBERSHIP_CHECK_INTERVAL`] since the last check.
     WhenDue,
 }
 
@@ -121,17 +127,17 @@
     clock: Clock,
     members: Membership,
     incarnation: Incarnation,
-    /// The number of the last message that was sent.
+    /// The sequence number of the last message that was sealed.
     last_number: u64,
-    /// The addresses that alive forwarders last sent from.
+    /// The address from which each alive forwarder last sent a message.
     forwarder_addresses: BTreeMap<ForwarderId, SocketAddrV4>,
     components: ComponentHandles,
     ingress_limiter: IngressLimiter,
     timed_out_components: mpsc::Sender<ComponentKind>,
-    /// A message whose mailbox is full; nothing is read from the socket while there is one.
+    /// A message whose mailbox is full. The router does not read the socket while there is such a message.
     blocked_message: Option<ReceivedMessage>,
     context: watch::Sender<SharedContext>,
-    /// The incarnation that has to be stored.
+    /// Passes the incarnation that has to be stored to the task that stores it.
     incarnation_to_store: watch::Sender<Incarnation>,
     metrics: MessageMetrics,
     last_report_at: Time,
@@ -139,10 +145,10 @@
 }
 
 impl MessageRouter {
-    /// Creates the router. It has to be called in the runtime that is to run it.
+    /// Creates the router. The caller has to run in the runtime that will run the router.
     ///
     /// # Errors
-    /// The runtime can't poll the socket.
+    /// Returns the system's error if the runtime can't poll the socket.
     fn new(parts: RouterParts) -> io::Result<MessageRouter> {
         let RouterParts { me, socket, clock, components, timed_out_components, context, storage } = parts;
         let socket = UdpSocket::from_std(socket)?;
@@ -194,7 +200,8 @@
                 () = wait_for_capacity(blocking_mailbox.as_deref()) => self.deliver_blocked_message(),
                 ready = self.socket.readable(), if self.blocked_message.is_none() => match ready {
                     Ok(()) => self.read_socket(),
-                    // An unconnected socket has no lasting errors; it is read again at the next wake.
+                    // Errors of an unconnected socket do not last: the router reads the socket again when it
+                    // wakes next.
                     Err(error) => self.metrics.count_socket_error(SocketOperation::Receive, &error),
                 },
                 () = wake => {}
@@ -212,14 +219,15 @@
         Duration::from_micros((wake_at - now).max(MIN_SLEEP).0)
     }
 
-    /// The mailbox for which the blocked message waits.
+    /// The mailbox that has no room for the blocked message; `None` if no message is blocked.
     fn blocking_mailbox(&self) -> Option<Arc<Mailbox>> {
         let blocked = self.blocked_message.as_ref()?;
         let component = self.components.get(&blocked.message.kind())?;
         Some(component.mailbox.clone())
     }
 
-    /// Lets time pass: heartbeats, who is alive, a new incarnation if others took this planner for dead, and the report.
+    /// Does the work that is due by now: sends heartbeats, checks which members are alive, takes a new
+    /// incarnation if other members declared this planner failed, and logs events and metrics.
     fn advance(&mut self, check: MembershipCheck) {
         let now = self.clock.now();
         self.send_membership_messages(now);
@@ -253,7 +261,8 @@
         self.context.send_modify(|context| context.alive_members = alive.into());
     }
 
-    /// Closes the mailbox of an unresponsive component, so that it does not hold up messages for others.
+    /// Checks that all components return from their calls. Closes the mailbox of an unresponsive component,
+    /// so that messages for other components are not delayed.
     fn check_components(&mut self, now: Time) {
         for (kind, component) in &mut self.components {
             match component.liveness.check(now) {
@@ -262,19 +271,20 @@
                     component.mailbox.close();
                     log::error!(
                         event = "task_unresponsive", task = kind.name();
-                        "{kind} does not return from a call: its messages are dropped, all else goes on. If it stays so \
-                         this process ends, for its supervisor to restart it. Report it, with the planner's files."
+                        "the component {kind} does not return from a call: its messages are dropped, and all other \
+                         components go on. If the call does not return, the planner ends, and its supervisor has to \
+                         restart it. Report this line, with the planner's configuration files."
                     );
                 }
                 Some(LivenessEvent::Recovered) => {
                     component.mailbox.reopen();
                     log::warn!(
                         event = "task_recovered", task = kind.name();
-                        "{kind} has returned from its call, and gets messages again"
+                        "the component {kind} has returned from its call, and gets messages again"
                     );
                 }
                 Some(LivenessEvent::TimedOut) => {
-                    // A full channel means that the main task already knows.
+                    // If the channel is full, the main task already gets a component that has timed out.
                     let _ = self.timed_out_components.try_send(*kind);
                 }
             }
@@ -291,7 +301,7 @@
     }
 }
 
-/// Waits for room in a mailbox, or for ever if there is none to wait for.
+/// Waits for room in a mailbox; without a mailbox, waits for ever.
 async fn wait_for_capacity(mailbox: Option<&Mailbox>) {
     match mailbox {
         Some(mailbox) => mailbox.wait_for_capacity().await,
--- a/crates/control-plane/src/planner/message_router/receiving.rs
+++ b/crates/control-plane/src/planner/message_router/receiving.rs
@@ -1,4 +1,5 @@
-//! Reads datagrams, admits them, and delivers their messages to the components.
+//! The receiving side of the message router: reads datagrams, admits them, and delivers their messages to
+//! components.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,9 +14,10 @@
 use crate::planner::metrics::SocketOperation;
 
 impl MessageRouter {
-    /// Reads what the socket has, without waiting, until a message has to wait for its mailbox.
+    /// Reads the datagrams in the socket without waiting, up to a batch or until a message has to wait for
+    /// its mailbox.
     pub(super) fn read_socket(&mut self) {
-        // One byte more than a message has, so that a longer datagram is recognized.
+        // One byte more than the longest message, so that a longer datagram is recognized.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..BATCH_SIZE {
             if self.blocked_message.is_some() {
@@ -24,7 +26,7 @@
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) => self.on_datagram(&buffer[..length], from),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // A closed port at a receiver is reported here; datagrams of others can still be read.
+                // A receiver's closed port is reported as an error of this socket, which can still be read.
                 Err(error) => self.metrics.count_socket_error(SocketOperation::Receive, &error),
             }
         }
@@ -46,7 +48,8 @@
         self.deliver(received);
     }
 
-    /// Decodes a datagram if it is within the rate limits, signed, and of a member that may belong to the fleet.
+    /// Decodes a datagram; `None` if it exceeds a rate limit, has no valid signature, or is of an unlisted
+    /// planner.
     fn authenticate(&mut self, bytes: &[u8], from: SocketAddr) -> Option<ReceivedMessage> {
         let now = self.clock.now();
         if let Err(error) = self.ingress_limiter.admit_address(now, from) {
@@ -74,19 +77,20 @@
         Some(ReceivedMessage { sender, message })
     }
 
-    /// Has membership check the sender and the message's number, and returns whether the message counts.
+    /// Lets membership check the sender and its sequence number, and returns whether the message is to be
+    /// processed.
     fn admit_sender(&mut self, sender: Sender, from: SocketAddr) -> bool {
         let now = self.clock.now();
         let admission = self.members.accept(now, sender);
-        // The address of a member that was taken for dead is needed to notify it of that.
+        // A member that was declared failed is notified of that, for which its address is needed.
         if matches!(admission, Ok(_) | Err(MembershipError::DeclaredFailed)) {
-            self.remember_address(sender.member, from);
+            self.record_address(sender.member, from);
         }
         let is_new_member = match admission {
             Ok(acceptance) => acceptance == Acceptance::Joined,
             Err(error) => {
                 if error == MembershipError::StaleIncarnation {
-                    self.notify_succeeded(sender, from);
+                    self.notify_superseded(sender, from);
                 }
                 self.metrics.count_membership_error(error);
                 return false;
@@ -94,27 +98,30 @@
         };
         self.ingress_limiter.on_message(now, from);
         if is_new_member {
-            // A change of membership is published before the new member's messages.
+            // The new member is published before its messages are delivered.
             self.advance(MembershipCheck::Immediate);
         }
         true
     }
 
-    fn remember_address(&mut self, member: Member, from: SocketAddr) {
+    /// Records the address from which a forwarder sends. The addresses of planners are configured.
+    fn record_address(&mut self, member: Member, from: SocketAddr) {
         if let (Member::Forwarder(id), SocketAddr::V4(address)) = (member, from) {
             self.forwarder_addresses.insert(id, address);
         }
     }
 
-    /// Notifies a sender of an older incarnation that a newer one has been heard.
-    fn notify_succeeded(&mut self, sender: Sender, from: SocketAddr) {
+    /// Notifies the sender of an older incarnation that a newer incarnation of the same member has been
+    /// heard.
+    fn notify_superseded(&mut self, sender: Sender, from: SocketAddr) {
         let now = self.clock.now();
         if let Some(message) = self.members.superseded_notice(now, sender) {
             self.send_to_address(from, &Message::Membership(message));
         }
     }
 
-    /// Puts a message into its component's mailbox, or blocks reading until there is room for it.
+    /// Puts a message into its component's mailbox, or keeps it as the blocked message if the mailbox is
+    /// full.
     fn deliver(&mut self, received: ReceivedMessage) {
         let kind = received.message.kind();
         let is_enabled = self.fleet_config().enables(kind);
@@ -128,7 +135,7 @@
         }
     }
 
-    /// Delivers the message whose mailbox was full.
+    /// Tries again to deliver the blocked message.
     pub(super) fn deliver_blocked_message(&mut self) {
         if let Some(received) = self.blocked_message.take() {
             self.deliver(received);
--- a/crates/control-plane/src/planner/message_router/renewal.rs
+++ b/crates/control-plane/src/planner/message_router/renewal.rs
@@ -1,6 +1,7 @@
-//! New incarnations of the planner: after a panic, when others took it for dead, and when its configuration changes.
+//! New incarnations of the planner: after a panic, when other members declared the planner failed, and when
+//! its configuration changes.
 //!
-//! A new incarnation voids everything that the planner committed to under earlier ones.
+//! A new incarnation voids all commitments that the planner made under earlier incarnations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +17,11 @@
 use crate::planner::state_store::store_incarnation;
 use crate::storage::StorageWriter;
 
+/// The delay before a failed attempt to store the incarnation is repeated.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl MessageRouter {
-    /// Resets the router after a panic: its last step and all commitments are void.
+    /// Resets the router after a panic: the step that panicked and all commitments are void.
     pub(super) fn reset(&mut self) {
         let now = self.clock.now();
         self.blocked_message = None;
@@ -29,16 +31,17 @@
         self.renew();
     }
 
-    /// Continues under a greater incarnation, with all components recreated.
+    /// Takes a greater incarnation, under which all components are recreated.
     pub(super) fn renew(&mut self) {
         let incarnation = Incarnation(self.clock.now().0).max(self.members.min_next_incarnation());
         self.incarnation = incarnation;
         self.members.renew(incarnation);
         log::warn!(
             event = "incarnation_changed", incarnation = incarnation.0;
-            "continues as a new planner, under incarnation {}", incarnation.0
+            "this planner continues under the new incarnation {}; its earlier commitments are void", incarnation.0
         );
-        // The stored incarnation matters only to a restart whose clock is set back, so nothing waits for it.
+        // Nothing waits until the incarnation is stored: only a restart whose clock is set back needs the
+        // stored one.
         self.incarnation_to_store.send_replace(incarnation);
         self.context.send_modify(|context| {
             context.incarnation = incarnation;
@@ -46,20 +49,21 @@
         });
     }
 
-    /// Applies a new configuration of the fleet.
+    /// Applies a new fleet configuration.
     pub(super) fn reload(&mut self, fleet_config: Arc<FleetConfig>) {
-        let has_other_decisions = !fleet_config.has_same_component_settings(&self.fleet_config());
+        let has_component_changes = !fleet_config.has_same_component_settings(&self.fleet_config());
         self.members.set_planners(self.clock.now(), fleet_config.planners.keys().copied());
         self.context.send_modify(|context| context.fleet_config = fleet_config);
-        if has_other_decisions {
-            // Commitments under other settings no longer count, and are waited out.
+        if has_component_changes {
+            // Commitments made under the former settings are void, and the new incarnation waits until they
+            // expire.
             self.renew();
         }
     }
 }
 
-/// Starts the task that stores the latest incarnation. It stores one after the other, so that a later one is never
-/// overwritten by an earlier one.
+/// Starts the task that stores the latest incarnation. The task stores incarnations one after the other, so
+/// that an earlier incarnation never overwrites a later one.
 pub(super) fn spawn_incarnation_writer(
     storage: StorageWriter,
     first: Incarnation,
@@ -73,19 +77,19 @@
     sender
 }
 
-/// Stores the latest incarnation, and retries until that succeeds.
+/// Stores the latest incarnation, and retries until the incarnation is stored.
 async fn store_latest_incarnation(storage: &StorageWriter, incarnations: &mut watch::Receiver<Incarnation>) {
     let mut is_failure_logged = false;
     loop {
         let incarnation = *incarnations.borrow_and_update();
-        let Err(lost) = store_incarnation(storage, incarnation).await else { return };
+        let Err(error) = store_incarnation(storage, incarnation).await else { return };
         if !is_failure_logged {
             is_failure_logged = true;
             log::error!(
                 event = "snapshot_write_failed", task = MEMBERSHIP_TASK_NAME;
-                "incarnation {}: {lost}. {} Until it is stored, a restart with a clock that was set back may use a lesser one, and \
-                 be rejected.",
-                incarnation.0, lost.remediation()
+                "the planner's incarnation {} can't be stored: {error}. {} Until it is stored, a restart with a clock that \
+                 was set back may use a lesser incarnation, and other members would reject the planner's messages.",
+                incarnation.0, error.remediation()
             );
         }
         sleep(STORE_RETRY_INTERVAL).await;
--- a/crates/control-plane/src/planner/message_router/sending.rs
+++ b/crates/control-plane/src/planner/message_router/sending.rs
@@ -1,4 +1,4 @@
-//! Seals, numbers and sends messages.
+//! The sending side of the message router: numbers, seals and sends messages.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::planner::metrics::SocketOperation;
 
 impl MessageRouter {
-    /// Sends a message and those that wait behind it, up to a batch.
+    /// Sends a message and the messages that wait behind it in the queue, up to a batch.
     pub(super) fn send_batch(&mut self, first: OutgoingMessage, queue: &mut mpsc::Receiver<OutgoingMessage>) {
         self.send_outgoing(first);
         for _ in 1..BATCH_SIZE {
@@ -20,21 +20,22 @@
         }
     }
 
-    /// Sends all messages that still wait.
+    /// Sends all messages that still wait in the queue.
     pub(super) fn send_remaining(&mut self, queue: &mut mpsc::Receiver<OutgoingMessage>) {
         while let Ok(outgoing) = queue.try_recv() {
             self.send_outgoing(outgoing);
         }
     }
 
-    /// Sends a component's message, unless it was written in an earlier incarnation and is void.
+    /// Sends a component's message, unless the message is void because it was created in an earlier
+    /// incarnation.
     fn send_outgoing(&mut self, outgoing: OutgoingMessage) {
         if outgoing.incarnation == self.incarnation {
             self.send(outgoing.to, &outgoing.message);
         }
     }
 
-    /// Sends a message to a member, if its address is known.
+    /// Sends a message to a member, if the member's address is known.
     pub(super) fn send(&mut self, to: Member, message: &Message) {
         let address = match to {
             Member::Planner(id) => self.fleet_config().planners.get(&id).copied(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Sends a message to an address, and returns whether the socket took it.
+    /// Sends a message to an address, and returns whether the socket accepted the message.
     pub(super) fn send_to_address(&mut self, address: SocketAddr, message: &Message) -> bool {
         let fleet_config = self.fleet_config();
         self.last_number += 1;
