--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -1,17 +1,19 @@
-//! A planner's durable state: for each component the latest complete snapshot that it asked to persist, in an embedded
-//! database (`redb`) whose commits are atomic whenever the process is killed.
+//! A planner's durable state: for each component, the latest complete snapshot that the component persisted.
+//! The snapshots are in an embedded database (`redb`), whose commits are atomic whenever the process is
+//! killed.
 //!
 //! # Invariants
 //!
 //! - **A snapshot is durable before the messages that rely on it are sent**: a component's task waits for
 //!   [`StorageWriter::persist`].
-//! - **Only this planner's own intact file is read.** A file that is corrupt, or of another version or another planner,
-//!   is rejected: it is renamed, never written again, and reported; see [`open`].
-//! - **A file that is removed under its planner is replaced** by one with all persisted snapshots, as soon as its
-//!   directory can be written: what is written to an unlinked file does not survive the process.
-//! - **A planner that has lost its state starts with none**, which each component has to withstand: leases wait until
-//!   all that an earlier incarnation can have granted has ended, and shard growth votes on nothing until all other
-//!   planners have reported their state.
+//! - **Only this planner's own intact file is read.** A file that is corrupt, or of another version or
+//!   another planner, is rejected: it is renamed, never written again, and reported; see [`open`].
+//! - **A file that is removed while its planner runs is replaced** by a new file with all persisted
+//!   snapshots, as soon as the directory can be written. Without that, snapshots written to the unlinked file
+//!   would not survive the process.
+//! - **A planner that has lost its state starts without state**, which each component has to tolerate: leases
+//!   are granted only after all leases that an earlier incarnation can have granted have expired, and shard
+//!   growth votes on nothing until all other planners have reported their state.
 
 mod error;
 mod state_file;
@@ -27,39 +29,41 @@
 pub use self::state_file::{FORMAT_VERSION, StateFile};
 pub use self::writer::StorageWriter;
 
+/// The name of the state file in a planner's directory.
 const FILE_NAME: &str = "planner.redb";
 /// Appended to the name of a file that is being created.
 const NEW_SUFFIX: &str = ".new";
 /// Appended to the name of a rejected file, with a number after it.
 const REJECTED_SUFFIX: &str = ".refused-";
 
-/// An opened state file, and what happened to the one that was there before.
+/// An opened state file, and the file that it replaced, if any.
 pub struct OpenedStorage {
     /// The file, ready for use.
     pub state_file: StateFile,
-    /// Where it is.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The file that was there and could not be used, if there was one.
+    /// The former file at this path; `None` unless it could not be used.
     pub rejected: Option<RejectedFile>,
 }
 
-/// A file that could not be used and was renamed.
+/// A state file that could not be used and was renamed.
 #[derive(Debug)]
 pub struct RejectedFile {
-    /// Why it could not be used.
+    /// Why the file could not be used.
     pub error: StorageError,
-    /// Where it is now.
+    /// The path of the file after it was renamed.
     pub moved_to: PathBuf,
 }
 
-/// Opens a planner's state file in its directory, or creates one. If the contents of the existing file can't be used,
-/// the file is renamed and an empty one is created.
+/// Opens a planner's state file in its directory, or creates one. If the contents of the existing file can't
+/// be used, the file is renamed and an empty one is created.
 ///
 /// # Errors
-/// Returns an error if the directory can't be used, if the disk fails, or if another process has the file open.
+/// Returns an error if the directory can't be used, if the disk fails, or if another process has the file
+/// open.
 pub fn open(directory: &Path, planner: PlannerId) -> Result<OpenedStorage, StorageError> {
-    let unusable = |cause| directory_error(directory, cause);
-    fs::create_dir_all(directory).map_err(unusable)?;
+    let to_error = |cause| directory_error(directory, cause);
+    fs::create_dir_all(directory).map_err(to_error)?;
     let path = directory.join(FILE_NAME);
     if !path.exists() {
         create(directory, planner)?;
@@ -68,7 +72,7 @@
         Ok(state_file) => Ok(OpenedStorage { state_file, path, rejected: None }),
         Err(error) if error.concerns_contents() => {
             let moved_to = rejected_path(directory);
-            fs::rename(&path, &moved_to).map_err(unusable)?;
+            fs::rename(&path, &moved_to).map_err(to_error)?;
             create(directory, planner)?;
             let state_file = StateFile::open(&path, planner)?;
             Ok(OpenedStorage { state_file, path, rejected: Some(RejectedFile { error, moved_to }) })
@@ -77,17 +81,17 @@
     }
 }
 
-/// Creates an empty state file under a temporary name and renames it once it is complete. If the process is killed in
-/// between, there is no file rather than an incomplete one.
+/// Creates an empty state file under a temporary name, and renames the file once it is complete. If the
+/// process is killed in between, there is no state file instead of an incomplete one.
 fn create(directory: &Path, planner: PlannerId) -> Result<(), StorageError> {
-    let unusable = |cause| directory_error(directory, cause);
+    let to_error = |cause| directory_error(directory, cause);
     let new = directory.join(format!("{FILE_NAME}{NEW_SUFFIX}"));
     if new.exists() {
-        fs::remove_file(&new).map_err(unusable)?;
+        fs::remove_file(&new).map_err(to_error)?;
     }
     drop(StateFile::open(&new, planner)?);
-    fs::rename(&new, directory.join(FILE_NAME)).map_err(unusable)?;
-    sync_directory(directory).map_err(unusable)
+    fs::rename(&new, directory.join(FILE_NAME)).map_err(to_error)?;
+    sync_directory(directory).map_err(to_error)
 }
 
 /// Makes renames in a directory durable.
@@ -99,7 +103,7 @@
     StorageError::Directory { path: directory.into(), cause }
 }
 
-/// A path for a rejected file that does not exist yet.
+/// An unused path for a rejected file.
 fn rejected_path(directory: &Path) -> PathBuf {
     let mut candidates = (1..).map(|n| directory.join(format!("{FILE_NAME}{REJECTED_SUFFIX}{n}")));
     candidates.find(|path| !path.exists()).unwrap_or_else(|| directory.join("refused"))
--- a/crates/control-plane/src/storage/state_file.rs
+++ b/crates/control-plane/src/storage/state_file.rs
@@ -1,5 +1,5 @@
-//! The state file: a header with the format's version and the planner's number, and a table of snapshots with their
-//! checksums.
+//! The state file: a header with the format's version and the planner's number, and a table of snapshots with
+//! their checksums.
 
 use std::fs::{self, Metadata, OpenOptions};
 use std::io;
@@ -21,17 +21,18 @@
 const HEADER: TableDefinition<&str, u64> = TableDefinition::new("granitelb planner");
 const VERSION_KEY: &str = "version";
 const PLANNER_KEY: &str = "planner";
-/// By a component's name: the checksum of its snapshot, and the snapshot.
+/// The table of snapshots: each component's name with the checksum of its snapshot and the snapshot.
 const SNAPSHOTS: TableDefinition<&str, (u64, &[u8])> = TableDefinition::new("states");
 
-/// An open state file that was checked completely.
+/// An open state file whose contents were checked completely.
 pub struct StateFile {
     database: Database,
-    /// Which file it is; `None` if it is not a file, or the system did not tell.
+    /// The identity of the file; `None` if the storage backend is not a file, or the system does not report
+    /// the identity.
     identity: Option<FileIdentity>,
 }
 
-/// What tells a file from one that takes its place at the same path.
+/// The identity that distinguishes a file from another file that replaces it at the same path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileIdentity {
     device: u64,
@@ -45,10 +46,10 @@
 }
 
 impl StateFile {
-    /// Opens a planner's file, or creates it.
+    /// Opens a planner's file, or creates it if there is none.
     ///
     /// # Errors
-    /// Returns an error if the file is not intact, not this planner's, or can't be opened.
+    /// Returns an error if the file is corrupt, belongs to another planner, or can't be opened.
     pub fn open(path: &Path, planner: PlannerId) -> Result<StateFile, StorageError> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
         let file = file.map_err(|cause| StorageError::Directory { path: path.into(), cause })?;
@@ -60,13 +61,13 @@
         Ok(StateFile { identity, ..StateFile::on(backend, planner)? })
     }
 
-    /// As [`StateFile::open`], on any storage backend.
+    /// Opens a planner's state on any storage backend, or creates it if the backend is empty.
     ///
     /// # Errors
-    /// As [`StateFile::open`].
+    /// Returns an error if the state is corrupt, belongs to another planner, or can't be opened.
     pub fn on(backend: impl StorageBackend, planner: PlannerId) -> Result<StateFile, StorageError> {
         let state_file = StateFile { database: open_database(backend)?, identity: None };
-        // A process that was killed before it wrote the header leaves neither header nor snapshots.
+        // A process that was killed before it wrote the header has left neither a header nor snapshots.
         if state_file.is_empty().map_err(read_error)? {
             state_file.write_header(planner).map_err(write_failed)?;
         }
@@ -77,29 +78,30 @@
         Ok(state_file)
     }
 
-    /// Whether the file is still the one at this path. What is written to a file that was removed does not survive the
-    /// process.
+    /// Whether this file is still the file at `path`. Snapshots written to a file that was removed do not
+    /// survive the process.
     pub fn is_at(&self, path: &Path) -> bool {
         let current = fs::metadata(path).ok().map(|metadata| FileIdentity::of(&metadata));
         self.identity == current
     }
 
-    /// The latest snapshot of a component that was persisted; `None` if there is none.
+    /// The latest persisted snapshot of a component; `None` if there is none.
     ///
     /// # Errors
-    /// Returns an error if the snapshot can't be read or is not what was written.
+    /// Returns an error if the snapshot can't be read or its checksum does not match.
     pub fn read(&self, kind: ComponentKind) -> Result<Option<Vec<u8>>, StorageError> {
         let Some(entry) = self.read_entry(kind).map_err(read_error)? else { return Ok(None) };
         if entry.checksum != xxh3_64(&entry.bytes) {
-            return Err(corrupt(format!("the state of {kind} is not what was written")));
+            return Err(corrupt(format!("the checksum of the state of {kind} does not match")));
         }
         Ok(Some(entry.bytes))
     }
 
-    /// Persists snapshots, either all of them or none. They are durable once this returns.
+    /// Persists snapshots, either all of them or none. All are durable once the call returns without an
+    /// error.
     ///
     /// # Errors
-    /// Returns an error if none of them is durable.
+    /// Returns an error if none of the snapshots is durable.
     pub fn write(&self, snapshots: &[(ComponentKind, Vec<u8>)]) -> Result<(), StorageError> {
         self.write_entries(snapshots).map_err(write_failed)
     }
@@ -126,7 +128,7 @@
         let wrong_owner = |reason: String| Err(StorageError::WrongOwner { own: planner.0, reason });
         match (version, owner) {
             (Some(FORMAT_VERSION), Some(owner)) if owner == u64::from(planner.0) => Ok(()),
-            (Some(FORMAT_VERSION), Some(owner)) => wrong_owner(format!("it is planner {owner}'s")),
+            (Some(FORMAT_VERSION), Some(owner)) => wrong_owner(format!("it belongs to planner {owner}")),
             (Some(found), _) => Err(StorageError::UnsupportedVersion { found }),
             (None, _) => wrong_owner("another program wrote it".into()),
         }
@@ -168,22 +170,23 @@
     bytes: Vec<u8>,
 }
 
-/// Opens a database after a check of all its contents. The check itself may panic on corrupt contents.
+/// Opens a database and checks all its contents. The check itself may panic on corrupt contents.
 fn open_database(backend: impl StorageBackend) -> Result<Database, StorageError> {
     let open = || Database::builder().set_check_integrity_on_open(true).create_with_backend(backend);
     match catch_unwind(AssertUnwindSafe(open)) {
         Ok(Ok(database)) => Ok(database),
         Ok(Err(DatabaseError::DatabaseAlreadyOpen)) => Err(StorageError::InUse),
-        // An intact file on a full disk: to report it as corrupt would discard it.
+        // A file on a full disk is intact. If it were reported as corrupt, it would be replaced by an empty
+        // one.
         Ok(Err(DatabaseError::Storage(redb::StorageError::Io(error)))) if is_write_refusal(&error) => {
             Err(write_failed(error))
         }
         Ok(Err(error)) => Err(corrupt(error)),
-        Err(_) => Err(corrupt("it can't be checked")),
+        Err(_) => Err(corrupt("the check of its contents panicked")),
     }
 }
 
-/// Whether the disk does not take a write, as opposed to contents that can't be read.
+/// Whether the error is that the disk refuses a write, as opposed to contents that can't be read.
 fn is_write_refusal(error: &io::Error) -> bool {
     use std::io::ErrorKind::{
         FileTooLarge, PermissionDenied, QuotaExceeded, ReadOnlyFilesystem, StorageFull,
@@ -191,6 +194,8 @@
     [StorageFull, FileTooLarge, QuotaExceeded, ReadOnlyFilesystem, PermissionDenied].contains(&error.kind())
 }
 
+/// The error of a failed read: the contents are corrupt, unless the disk refused a write that the read
+/// involved.
 fn read_error(error: redb::Error) -> StorageError {
     match error {
         redb::Error::Io(error) if is_write_refusal(&error) => write_failed(error),
--- a/crates/control-plane/src/storage/writer.rs
+++ b/crates/control-plane/src/storage/writer.rs
@@ -1,5 +1,6 @@
-//! The thread that owns the state file, since a commit waits for the disk. Component tasks send it requests and wait
-//! without blocking anything else. Snapshots that arrive while it writes go into its next commit together.
+//! The thread that owns the state file, since a commit waits for the disk. Component tasks send requests to
+//! the thread, and wait for its replies without blocking anything else. Snapshots that arrive during a commit
+//! are written together in the next commit.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,10 +13,11 @@
 
 use super::{PersistError, StateFile, StorageError};
 
-/// The most requests in the queue. A component waits for the answer before its next request, so there are never more
-/// than there are components.
+/// The maximum number of requests in the queue. A component waits for the reply before its next request, so
+/// that there are never more requests than components.
 const MAX_QUEUED_REQUESTS: usize = 16;
 
+/// The name of the thread, as tools such as `top -H` show it.
 const THREAD_NAME: &str = "storage";
 
 enum Request {
@@ -23,7 +25,8 @@
     Read { kind: ComponentKind, reply: oneshot::Sender<Result<Option<Vec<u8>>, StorageError>> },
 }
 
-/// Sends requests to the thread that owns the state file. A disabled one persists nothing and reports success.
+/// Sends requests to the thread that owns the state file. A disabled writer persists nothing and reports
+/// success.
 #[derive(Clone)]
 pub struct StorageWriter(Option<mpsc::Sender<Request>>);
 
@@ -33,8 +36,8 @@
         StorageWriter(None)
     }
 
-    /// Starts the thread, which ends when the last clone of the writer is dropped. After a failed write the thread
-    /// calls `reopen` to open the file again.
+    /// Starts the thread, which ends when the last clone of the writer is dropped. After a failed operation
+    /// the thread calls `reopen` to open the file again.
     ///
     /// # Errors
     /// Returns the system's error if the thread cannot be started.
@@ -45,11 +48,11 @@
         StorageWriter::start_at(None, state_file, reopen)
     }
 
-    /// As [`StorageWriter::start`], with a file that must stay at `path`: it counts as removed as soon as another file
-    /// or none is there.
+    /// Starts the thread as [`StorageWriter::start`] does, with a file that must stay at `path`. The file
+    /// counts as removed as soon as there is another file or none at that path.
     ///
     /// # Errors
-    /// As [`StorageWriter::start`].
+    /// Returns the system's error if the thread cannot be started.
     pub fn start_at(
         path: Option<PathBuf>,
         state_file: StateFile,
@@ -68,36 +71,36 @@
         Ok((StorageWriter(Some(sender)), thread))
     }
 
-    /// Persists a component's snapshot, which is durable once this returns.
+    /// Persists a component's snapshot, which is durable once the call returns without an error.
     ///
     /// # Errors
     /// Returns an error if the snapshot is not durable.
     pub async fn persist(&self, kind: ComponentKind, snapshot: Vec<u8>) -> Result<(), PersistError> {
         let Some(sender) = &self.0 else { return Ok(()) };
-        let (reply, answer) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         let request = Request::Persist { kind, snapshot, reply };
         sender.send(request).await.map_err(|_| StorageError::WriterEnded)?;
-        answer.await.map_err(|_| StorageError::WriterEnded)?
+        receiver.await.map_err(|_| StorageError::WriterEnded)?
     }
 
-    /// The latest snapshot of a component that was persisted; `None` if there is none.
+    /// The latest persisted snapshot of a component; `None` if there is none.
     ///
     /// # Errors
-    /// Returns an error if it can't be read now.
+    /// Returns an error if the snapshot can't be read now.
     pub async fn read(&self, kind: ComponentKind) -> Result<Option<Vec<u8>>, StorageError> {
         let Some(sender) = &self.0 else { return Ok(None) };
-        let (reply, answer) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         let request = Request::Read { kind, reply };
         sender.send(request).await.map_err(|_| StorageError::WriterEnded)?;
-        answer.await.map_err(|_| StorageError::WriterEnded)?
+        receiver.await.map_err(|_| StorageError::WriterEnded)?
     }
 }
 
-/// The state of the thread.
+/// The state of the thread that owns the file.
 struct Storage {
-    /// Where the file must be, if that matters.
+    /// The path at which the file must be; `None` if the file may be anywhere.
     path: Option<PathBuf>,
-    /// `None` after a failure: the file takes no more writes until it is opened again.
+    /// The open file; `None` after a failure, until the file is opened again.
     state_file: Option<StateFile>,
     reopen: Box<dyn Fn() -> Result<StateFile, StorageError> + Send>,
     /// The latest snapshots that this process read or persisted.
@@ -108,7 +111,7 @@
 
 impl Storage {
     fn read(&mut self, kind: ComponentKind) -> Result<Option<Vec<u8>>, StorageError> {
-        // What was persisted last is known even if the disk no longer provides it.
+        // The snapshot that was persisted last is known even if the disk no longer provides it.
         if let Some(snapshot) = self.persisted.get(&kind) {
             return Ok(Some(snapshot.clone()));
         }
@@ -121,13 +124,14 @@
 
     fn write(&mut self, snapshots: Vec<(ComponentKind, Vec<u8>)>) -> Result<(), StorageError> {
         self.with_file(|file| file.write(&snapshots))?;
-        // If the file was removed just now, the next request finds out, and these snapshots are written again.
+        // If the file was removed just now, the next request detects that, and these snapshots are written
+        // again.
         self.persisted.extend(snapshots);
         Ok(())
     }
 
-    /// Runs an operation on the file. After a failure the next call opens the file again and writes all persisted
-    /// snapshots to it, whatever it contains.
+    /// Runs an operation on the file. After a failure, the next call opens the file again and writes all
+    /// persisted snapshots to the file, whatever the file contains.
     fn with_file<T>(
         &mut self,
         operation: impl FnOnce(&StateFile) -> Result<T, StorageError>,
@@ -152,6 +156,7 @@
         result
     }
 
+    /// Takes the open file out of the state, or opens the file again after a failure.
     fn take_file(&mut self) -> Result<StateFile, StorageError> {
         if let Some(file) = self.state_file.take() {
             return Ok(file);
@@ -161,7 +166,7 @@
     }
 }
 
-/// Snapshots that are written in one commit, with the channels that wait for it.
+/// Snapshots that are written in one commit, with the channels on which its result is awaited.
 #[derive(Default)]
 struct Batch {
     snapshots: Vec<(ComponentKind, Vec<u8>)>,
@@ -175,7 +180,7 @@
         }
         let result = storage.write(self.snapshots).map_err(PersistError::from);
         for reply in self.replies {
-            // A component that no longer waits has ended.
+            // Sending fails only if the component has ended and no longer waits.
             let _ = reply.send(result.clone());
         }
     }
