--- a/crates/control-plane/src/agent/handle.rs
+++ b/crates/control-plane/src/agent/handle.rs
@@ -1,22 +1,25 @@
-//! The exchange between the event loop and the agent's thread. Neither side ever waits for the other or wakes it:
+//! The exchange between the event loop and the agent's thread. Neither side ever waits for the other or wakes
+//! the other:
 //!
-//! - Observations go to the agent through a bounded ring that is allocated once. An observation that does not fit is
-//!   dropped and counted, except for an endpoint list, which is kept and queued again at the end of each iteration.
-//! - Updates for the balancer come back through a slot that holds the latest one. The event loop checks a flag first and
-//!   only ever tries the slot's lock.
+//! - Observations go to the agent through a bounded ring that is allocated once. An observation that does not
+//!   fit is dropped and counted, except for an endpoint list, which is kept and queued again at the end of
+//!   each iteration.
+//! - Updates for the balancer go to the event loop through a slot that holds the latest update. The event
+//!   loop checks a flag first, and then takes the slot's lock only if the lock is free.
 //!
-//! The agent polls the ring at its own intervals; the event loop looks into the slot once an iteration.
+//! The agent polls the ring at its own intervals; the event loop checks the slot once an iteration.
 //!
 //! # Invariant: an update is applied before messages that rely on it are sent
 //!
-//! A message to a planner may give up a lease, so the event loop must have stopped using that lease before. The agent
-//! sends nothing while an iteration is running that may have begun without the latest update. To tell, both sides share
-//! a counter that is incremented at the beginning and at the end of each iteration, so it is odd while one is running.
+//! A message to a planner may give up a lease, so the event loop must have stopped using that lease before.
+//! The agent sends nothing while an iteration is running that may have begun without the latest update. To
+//! detect such an iteration, both sides share a counter that is incremented at the beginning and at the end
+//! of each iteration, so that the counter is odd while an iteration is running.
 //!
-//! The event loop increments the counter and then reads the flag; the agent sets the flag and then reads the counter.
-//! With `SeqCst` all four operations have a single total order. An iteration whose increment the agent does not see
-//! therefore sees the agent's flag and begins with its update. With acquire and release alone, both sides could read
-//! the old value.
+//! The event loop increments the counter and then reads the flag; the agent sets the flag and then reads the
+//! counter. With `SeqCst` all four operations have a single total order. An iteration whose increment the
+//! agent does not see therefore sees the agent's flag and begins with the agent's update. With acquire and
+//! release alone, both sides could read the old value.
 
 use std::cell::Cell;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -31,10 +34,12 @@
 
 use super::observations::{RawObservation, TimedObservation};
 
-/// The capacity of the ring: a third of a second of a node at its highest rate, about 2.5 MB.
+/// The capacity of the ring, in observations: those of a third of a second at a node's highest rate, about
+/// 2.5 MB.
 const MAX_QUEUED_OBSERVATIONS: usize = 16_384;
-/// The age from which an update's endpoint health is ignored: a process that was suspended finds an old update. Leases
-/// are used at any age, since they carry their own expiry and the lease held before may be the larger one.
+/// The age from which an update's endpoint health is ignored: a process that was suspended may take an old
+/// update. The leases of an update are used at any age, since they carry their own expiry and the lease
+/// before may allow more.
 const UPDATE_MAX_AGE: Span = Span::from_millis(1000);
 /// How long the event loop waits on shutdown for the agent to send its last messages.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(60);
@@ -42,12 +47,13 @@
 /// The state that both sides share.
 #[derive(Default)]
 struct Shared {
-    /// Whether `update` holds an update that was not taken.
+    /// Whether `update` holds an update that the event loop has not taken.
     has_update: AtomicBool,
     update: Mutex<Option<TimedUpdate>>,
-    /// Observations that were dropped because the ring was full.
+    /// The number of observations that were dropped because the ring was full, since the count was last
+    /// taken.
     dropped: AtomicU64,
-    /// Incremented at the beginning and at the end of each iteration; see the module's invariant.
+    /// The number of beginnings and ends of iterations; see the module's invariant.
     iteration_counter: AtomicU64,
 }
 
@@ -66,7 +72,8 @@
 /// The event loop's end of the exchange with a running agent.
 ///
 /// Each iteration of the loop calls [`begin_iteration`](AgentHandle::begin_iteration) first and
-/// [`end_iteration`](AgentHandle::end_iteration) last. No call blocks, except for [`close`](AgentHandle::close).
+/// [`end_iteration`](AgentHandle::end_iteration) last. No call blocks, except for
+/// [`close`](AgentHandle::close).
 pub struct AgentHandle {
     observations: Producer<TimedObservation>,
     /// The latest endpoint list, if the ring had no space for it.
@@ -82,11 +89,11 @@
     shared: Arc<Shared>,
     /// The iteration counter after the latest update was published, until that update is known to be applied.
     unconfirmed_since: Cell<Option<u64>>,
-    /// Dropped with the channel, which disconnects `agent_ended`.
+    /// A sender that is dropped with this channel, which disconnects `agent_ended`.
     _ended: SyncSender<()>,
 }
 
-/// The event loop has dropped its handle, and all of its observations were received.
+/// The error that the event loop has dropped its handle and all of its observations were received.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Disconnected;
 
@@ -103,8 +110,8 @@
 }
 
 impl AgentHandle {
-    /// Queues an observation for the agent. If the queue is full, the observation is dropped and counted; an endpoint
-    /// list is kept instead, in place of an older one.
+    /// Queues an observation for the agent. If the queue is full, the observation is dropped and counted; an
+    /// endpoint list is kept instead, in place of an older one.
     pub fn record(&mut self, now: Time, observation: RawObservation) {
         match self.observations.push(TimedObservation { at: now, observation }) {
             Ok(()) => {}
@@ -120,8 +127,8 @@
         }
     }
 
-    /// Begins an iteration of the event loop. Returns the latest update if there is a new one; the loop must apply it
-    /// before it sends any attempt.
+    /// Begins an iteration of the event loop. Returns the latest update if there is a new one; the loop must
+    /// apply it before it sends any attempt.
     pub fn begin_iteration(&mut self, now: Time) -> Option<ControlPlaneUpdate> {
         self.shared.iteration_counter.fetch_add(1, Ordering::SeqCst);
         self.take_update(now)
@@ -153,11 +160,12 @@
         Some(update)
     }
 
-    /// Closes the exchange after the last attempt was sent. The agent returns its leases to the planners; this waits up
-    /// to 60 ms for that.
+    /// Closes the exchange after the last attempt was sent. The agent returns its leases to the planners and
+    /// ends; the call waits up to 60 ms for the end.
     pub fn close(self) {
         drop(self.observations);
-        // The agent's thread reports its end by disconnecting. One that takes longer is abandoned.
+        // The receiver returns when the agent's thread ends and disconnects it. A thread that takes longer is
+        // abandoned.
         let _ = self.agent_ended.recv_timeout(SHUTDOWN_TIMEOUT);
     }
 }
@@ -168,7 +176,8 @@
     /// # Errors
     /// Returns [`Disconnected`] once the event loop has closed its end and its last observation was received.
     pub fn try_recv(&mut self) -> Result<Option<TimedObservation>, Disconnected> {
-        // Checked before the read, so that what was queued before the loop closed is still received.
+        // The end of the event loop is checked before the read, so that observations queued before it are
+        // received.
         let is_closed = self.observations.is_abandoned();
         match self.observations.pop() {
             Ok(observation) => Ok(Some(observation)),
@@ -177,7 +186,7 @@
         }
     }
 
-    /// Publishes an update in place of the one before.
+    /// Publishes an update, which replaces the previous update.
     pub fn publish(&self, now: Time, update: ControlPlaneUpdate) {
         let mut slot = self.shared.update.lock().unwrap_or_else(PoisonError::into_inner);
         *slot = Some(TimedUpdate { at: now, update });
--- a/crates/control-plane/src/agent/handle/tests.rs
+++ b/crates/control-plane/src/agent/handle/tests.rs
@@ -16,7 +16,7 @@
     RawObservation::AttemptFinished { request: RequestId(n), result, bytes: 0 }
 }
 
-/// What was received from the channel.
+/// Counts of the observations that were received from the channel.
 #[derive(Default)]
 struct Received {
     attempts: u64,
@@ -38,8 +38,8 @@
 #[test]
 fn stalled_agent_loses_observations_but_no_endpoint_list() {
     let (mut handle, mut channel) = channel();
-    let all = 50_000;
-    for n in 0..all {
+    let attempts = 50_000;
+    for n in 0..attempts {
         handle.record(Time(n), finished_attempt(n));
         if n % 100 == 0 {
             handle.record(Time(n), RawObservation::EndpointsChanged(Vec::new()));
@@ -50,8 +50,8 @@
     received.drain(&mut channel);
     handle.end_iteration();
     received.drain(&mut channel);
-    assert_eq!(received.last_endpoints_at, all - 100, "the latest endpoint list");
-    assert_eq!(received.attempts + channel.take_dropped(), all);
+    assert_eq!(received.last_endpoints_at, attempts - 100, "the latest endpoint list");
+    assert_eq!(received.attempts + channel.take_dropped(), attempts);
     drop(handle);
     assert!(matches!(channel.try_recv(), Err(Disconnected)));
 }
@@ -63,10 +63,10 @@
         |n| ControlPlaneUpdate { failing: vec![(EndpointId(n), Time(0))], ..ControlPlaneUpdate::default() };
     assert_eq!(handle.begin_iteration(Time(0)), None);
     channel.publish(Time(0), update(1));
-    assert!(!channel.is_update_applied(), "an iteration is running that began without it");
+    assert!(!channel.is_update_applied(), "an iteration is running that began without the update");
     channel.publish(Time(5), update(2));
     handle.end_iteration();
-    assert!(channel.is_update_applied(), "the next iteration begins with it");
+    assert!(channel.is_update_applied(), "the next iteration begins with the update");
     assert_eq!(handle.begin_iteration(Time(10)), Some(update(2)));
     handle.end_iteration();
     assert_eq!(handle.begin_iteration(Time(10)), None);
--- a/crates/control-plane/src/agent/worker.rs
+++ b/crates/control-plane/src/agent/worker.rs
@@ -1,4 +1,5 @@
-//! The agent's thread: rounds of receiving messages, taking observations, publishing updates and sending messages.
+//! The agent's thread, which runs rounds: it receives messages, takes observations, publishes updates and
+//! sends messages.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -20,22 +21,24 @@
 use super::sockets::{Backlog, ReadScope, Sockets};
 use crate::fleet_config::FleetConfig;
 
-/// How long a round waits for a planner's message.
-const ROUND: Duration = Duration::from_millis(25);
-/// The most messages that are sent in a round.
+/// The maximum time that a round waits for a planner's message.
+const ROUND_DURATION: Duration = Duration::from_millis(25);
+/// The maximum number of messages that are sent in a round.
 const MAX_MESSAGES_PER_ROUND: usize = 256;
-/// The most observations that are taken in a round, before messages are received again.
+/// The maximum number of observations that are taken in a round, before messages are received again.
 const MAX_OBSERVATIONS_PER_ROUND: usize = 8192;
-/// How often an update is published if no message arrives: what planners no longer say must end.
+/// The interval at which updates are published if no message arrives, so that information that planners no
+/// longer send expires.
 const PUBLISH_INTERVAL: Span = Span::from_millis(200);
-/// How often the metrics are logged.
+/// The interval at which the metrics are logged.
 const METRICS_INTERVAL: Span = Span::from_millis(60_000);
-/// The pause before a failed agent is restarted.
+/// The delay before a failed agent is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(1000);
-/// The space for a received datagram. One byte more than a message may have, so that a longer one is recognized.
+/// The size of the buffer for a received datagram: one byte more than the longest message, so that a longer
+/// datagram is recognized.
 const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
-/// What outlives a restart of the agent.
+/// The agent's thread, with the state that outlives a restart of the agent.
 pub(super) struct Worker {
     forwarder: ForwarderId,
     address: Ipv4Addr,
@@ -45,25 +48,27 @@
     channel: AgentChannel,
     assembler: ObservationAssembler,
     incarnation: Incarnation,
-    /// The number of the last message, over all incarnations.
+    /// The sequence number of the last message, which increases over all incarnations.
     message_number: u64,
-    /// The latest endpoint list, which new components have to know.
+    /// The latest endpoint list, which recreated components have to get.
     endpoints: Option<Observation>,
     metrics: AgentMetrics,
 }
 
 /// Why [`Worker::run`] returned.
-enum Stopped {
+enum StopReason {
     /// The event loop has closed its handle.
     Disconnected,
     /// The sockets failed.
     SocketError(io::Error),
 }
 
-/// Whether a round of receiving has changed the state of a component.
+/// Whether a round has received messages that may have changed the state of a component.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Received {
+    /// No message was accepted.
     Nothing,
+    /// At least one message was accepted.
     Messages,
 }
 
@@ -71,7 +76,7 @@
 struct Schedule {
     publish_at: Time,
     log_metrics_at: Time,
-    /// When the common socket, to which any host can send, is read next.
+    /// The time from which the common socket, to which any host can send, is read again.
     read_common_at: Time,
 }
 
@@ -105,33 +110,43 @@
     pub fn supervise(mut self) {
         loop {
             match catch_unwind(AssertUnwindSafe(|| self.run())) {
-                Ok(Stopped::Disconnected) => return,
-                Ok(Stopped::SocketError(error)) => {
-                    log::error!(event = "control_plane_agent_socket_error"; "the agent's sockets failed and are opened again: {error}. Requests are served without the control plane; check that the system provides sockets at {}.", self.address);
+                Ok(StopReason::Disconnected) => return,
+                Ok(StopReason::SocketError(error)) => {
+                    log::error!(
+                        event = "control_plane_agent_socket_error";
+                        "the sockets of the control-plane agent failed and are opened again: {error}. Until then, \
+                         requests are served without the control plane. Check that the system provides sockets at {}.",
+                        self.address
+                    );
                 }
                 Err(_) => {
-                    log::error!(event = "control_plane_agent_panicked"; "the agent panicked and is restarted. Requests are served without the control plane; report the lines before this one.");
+                    log::error!(
+                        event = "control_plane_agent_panicked";
+                        "the control-plane agent panicked and is restarted. Until then, requests are served without the \
+                         control plane. Report the log lines before this one."
+                    );
                 }
             }
             thread::sleep(RESTART_DELAY);
         }
     }
 
-    fn run(&mut self) -> Stopped {
+    /// Runs the agent until it has to end or its sockets fail, and returns the reason.
+    fn run(&mut self) -> StopReason {
         let now = (self.clock)();
         let incarnation = self.next_incarnation(now, Incarnation(0));
         let mut components = Components::new(&self.config, self.forwarder, incarnation, now);
         self.replay_endpoints(&mut components, now);
         let mut sockets = match Sockets::open(self.address, &self.config.planners) {
             Ok(sockets) => sockets,
-            Err(error) => return Stopped::SocketError(error),
+            Err(error) => return StopReason::SocketError(error),
         };
         self.log_start(&sockets);
         let mut schedule =
             Schedule { publish_at: now, log_metrics_at: now + METRICS_INTERVAL, read_common_at: now };
         loop {
-            if let Err(stopped) = self.run_round(&mut sockets, &mut components, &mut schedule) {
-                return stopped;
+            if let Err(reason) = self.run_round(&mut sockets, &mut components, &mut schedule) {
+                return reason;
             }
         }
     }
@@ -141,12 +156,13 @@
         sockets: &mut Sockets,
         components: &mut Components,
         schedule: &mut Schedule,
-    ) -> Result<(), Stopped> {
-        let received = self.receive_messages(sockets, components, schedule).map_err(Stopped::SocketError)?;
+    ) -> Result<(), StopReason> {
+        let received =
+            self.receive_messages(sockets, components, schedule).map_err(StopReason::SocketError)?;
         if let Err(Disconnected) = self.take_observations(components) {
             components.shut_down();
             self.send_messages(sockets, components);
-            return Err(Stopped::Disconnected);
+            return Err(StopReason::Disconnected);
         }
         let now = (self.clock)();
         if received == Received::Messages {
@@ -172,25 +188,33 @@
         let planners = self.config.planners.len();
         match sockets.local_address() {
             Some(address) => {
-                log::info!(event = "control_plane_agent"; "messages are sent from {address} to {planners} planners");
+                log::info!(
+                    event = "control_plane_agent";
+                    "the control-plane agent has started: messages are sent from {address} to {planners} planners"
+                );
             }
-            None => log::info!(event = "control_plane_agent"; "messages are sent to {planners} planners"),
+            None => log::info!(
+                event = "control_plane_agent";
+                "the control-plane agent has started: messages are sent to {planners} planners"
+            ),
         }
     }
 
-    /// An incarnation that is later than all before, also those of an earlier process.
+    /// An incarnation that is greater than all earlier incarnations, also those of an earlier process.
     fn next_incarnation(&mut self, now: Time, min: Incarnation) -> Incarnation {
         self.incarnation = Incarnation(now.0.max(self.incarnation.0 + 1)).max(min);
         self.incarnation
     }
 
+    /// Passes the latest endpoint list to new components.
     fn replay_endpoints(&self, components: &mut Components, now: Time) {
         if let Some(endpoints) = &self.endpoints {
             components.on_observation(now, endpoints);
         }
     }
 
-    /// Applies a new fleet configuration, and restarts the components if that or the other members demand it.
+    /// Applies a new fleet configuration, if there is one. Restarts the components if their settings changed
+    /// or if other members declared this member failed.
     fn restart_if_needed(&mut self, sockets: &mut Sockets, components: &mut Components, now: Time) {
         let mut restart = components.needs_restart();
         let new_config = self.reload.take();
@@ -199,7 +223,7 @@
         }
         if let Some(config) = new_config {
             log::info!(event = "fleet_config_reloaded"; "the fleet configuration was read again: {config}");
-            // New secrets or addresses alone leave the incarnation, and what was granted to it, valid.
+            // If only secrets or addresses changed, the incarnation and its leases stay valid.
             restart |= !config.has_same_component_settings(&self.config);
             self.config = config;
         }
@@ -211,12 +235,12 @@
         sockets.set_planners(&self.config.planners);
     }
 
-    /// Publishes an update if it is due. Called only when the event loop has applied the one before.
+    /// Publishes an update if one is due. Called only when the event loop has applied the previous update.
     fn publish_if_due(&mut self, components: &mut Components, schedule: &mut Schedule, now: Time) {
         if schedule.publish_at > now {
             return;
         }
-        // Sending took a while.
+        // The time is read again, since sending took a while.
         let now = (self.clock)();
         schedule.publish_at = now + PUBLISH_INTERVAL;
         self.channel.publish(now, components.update(now));
@@ -225,7 +249,8 @@
     /// Sends messages, up to the limit of a round.
     fn send_messages(&mut self, sockets: &Sockets, components: &mut Components) {
         for _ in 0..MAX_MESSAGES_PER_ROUND {
-            // Each at the time of its own sending: a lease counts from the time at which it was requested.
+            // The time is read for each message, since a lease counts from the time at which it was
+            // requested.
             let Some((to, message)) = components.poll_message((self.clock)()) else { return };
             let Member::Planner(planner) = to else { continue };
             let Some(address) = self.config.planners.get(&planner) else { continue };
@@ -246,19 +271,19 @@
         }
     }
 
-    /// Waits for messages and processes them, up to the limit of a round. The common socket is read once in the length
-    /// of a round at most.
+    /// Waits for messages and processes them, up to the limit of a round. The common socket is read at most
+    /// once in [`ROUND_DURATION`].
     fn receive_messages(
         &mut self,
         sockets: &Sockets,
         components: &mut Components,
         schedule: &mut Schedule,
     ) -> io::Result<Received> {
-        sockets.wait(ROUND)?;
+        sockets.wait(ROUND_DURATION)?;
         let now = (self.clock)();
         let mut scope = ReadScope::Planners;
         if schedule.read_common_at <= now {
-            schedule.read_common_at = now + Span(ROUND.as_micros() as u64);
+            schedule.read_common_at = now + Span(ROUND_DURATION.as_micros() as u64);
             scope = ReadScope::All;
         }
         let mut received = Received::Nothing;
@@ -268,8 +293,9 @@
                 Err(rejected) => self.metrics.count_rejected(rejected),
             };
         if sockets.read(scope, &mut [0; RECEIVE_BUFFER_BYTES], on_datagram)? == Backlog::Remaining {
-            // A flood: the kernel drops what exceeds the limit of a round.
-            thread::sleep(ROUND);
+            // More datagrams than the limit of a round are a flood, of which the kernel drops the excess
+            // meanwhile.
+            thread::sleep(ROUND_DURATION);
         }
         Ok(received)
     }
@@ -289,6 +315,7 @@
     }
 }
 
+/// Opens a datagram and passes its message to the components.
 fn open_and_process(
     datagram: &[u8],
     config: &FleetConfig,
