--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -1,8 +1,9 @@
 //! The forwarder's side of all coordination components, behind one interface.
 //!
-//! A received message goes to the component that it is for, an observation goes to all of them, and what they have to
-//! tell the balancer is merged into one [`ControlPlaneUpdate`]. Membership is always there; any other component runs if
-//! the fleet configuration enables it, and messages for one that does not run are rejected.
+//! A received message is passed to the component that it addresses, and an observation to all components. The
+//! results of all components for the balancer are merged into one [`ControlPlaneUpdate`]. Membership always
+//! runs; any other component runs if the fleet configuration enables it. Messages for a component that does
+//! not run are rejected.
 
 use std::collections::BTreeMap;
 
@@ -20,20 +21,21 @@
 use super::metrics::RejectedMessage;
 use crate::fleet_config::FleetConfig;
 
-/// What an agent needs of a component beyond [`Component`].
+/// The operations of a forwarder's component that an agent needs in addition to [`Component`].
 trait ForwarderComponent: Component {
     /// Wraps one of the component's messages for sending.
     fn wrap(message: Self::Message) -> Message;
 
-    /// Unwraps a received message; `None` if it is another component's.
+    /// Unwraps a received message; `None` if it belongs to another component.
     fn unwrap(message: Message) -> Option<Self::Message>;
 
+    /// Handles an observation of the event loop.
     fn on_observation(&mut self, now: Time, observation: &Observation);
 
-    /// Adds what the balancer is to apply now.
+    /// Adds the component's current results to an update for the balancer.
     fn add_to_update(&mut self, _now: Time, _update: &mut ControlPlaneUpdate) {}
 
-    /// Prepares the last messages. The event loop sends no more attempts.
+    /// Prepares the component's last messages, after the event loop has sent its last attempt.
     fn shut_down(&mut self) {}
 }
 
@@ -123,7 +125,8 @@
     }
 }
 
-/// A [`ForwarderComponent`] without its associated types, so that different ones can be stored together.
+/// A [`ForwarderComponent`] without its associated types, so that components of different types can be stored
+/// together.
 trait AnyComponent {
     fn on_observation(&mut self, now: Time, observation: &Observation);
     fn on_message(&mut self, now: Time, from: Sender, message: Message) -> Result<(), RejectedMessage>;
@@ -194,7 +197,7 @@
     components
 }
 
-/// The lease that lifts an endpoint's limit: more than any node sends.
+/// The lease that removes an endpoint's limit: it allows more attempts than any node sends.
 const UNLIMITED_LEASE: Lease = Lease { most: 1e9, until: Time(0), then: 1e9 };
 
 /// All components of one forwarder.
@@ -202,9 +205,9 @@
     forwarder: ForwarderId,
     members: Membership,
     enabled: ComponentMap,
-    /// Endpoints with a lease in the latest update.
+    /// The endpoints with a lease in the latest update.
     leased: Vec<EndpointId>,
-    /// Endpoints that had a lease when leases were disabled.
+    /// The endpoints that had a lease when leases were disabled, whose limits are removed.
     unlimited: Vec<EndpointId>,
 }
 
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Continues with a new incarnation and new components. Which members are alive, and which of their messages were
-    /// received before, stays known.
+    /// Recreates all components under a new incarnation. Membership still knows which members are alive, and
+    /// which of their messages were received before.
     pub fn restart(&mut self, config: &FleetConfig, incarnation: Incarnation, now: Time) {
         self.members.renew(incarnation);
         self.members.set_planners(now, config.planners.keys().copied());
@@ -274,8 +277,8 @@
         }
     }
 
-    /// Whether other members took this one for failed. It has to restart with a new incarnation, and nothing that was
-    /// granted to the current one is valid any more.
+    /// Whether other members declared this member failed. The member then has to restart with a new
+    /// incarnation, and leases that were granted to the current incarnation are void.
     pub fn needs_restart(&self) -> bool {
         self.members.needs_new_incarnation()
     }
@@ -285,7 +288,7 @@
         self.members.min_next_incarnation()
     }
 
-    /// Prepares the last messages of all components. The event loop sends no more attempts.
+    /// Prepares the last messages of all components, after the event loop has sent its last attempt.
     pub fn shut_down(&mut self) {
         for component in self.enabled.values_mut() {
             component.shut_down();
@@ -299,7 +302,8 @@
         Some((to, message))
     }
 
-    /// Heartbeats come last, since any other message counts as one.
+    /// The next message of any component, or else of membership: heartbeats come last, since any other
+    /// message replaces a heartbeat.
     fn next_message(&mut self, now: Time) -> Option<(Member, Message)> {
         for component in self.enabled.values_mut() {
             if let Some(next) = component.poll_message(now) {
@@ -318,15 +322,15 @@
         self.enabled.values_mut().find_map(|component| component.poll_event())
     }
 
-    /// What the balancer is to apply now.
+    /// The update that the balancer is to apply now, with the results of all components.
     pub fn update(&mut self, now: Time) -> ControlPlaneUpdate {
         let mut update = ControlPlaneUpdate::default();
         for component in self.enabled.values_mut() {
             component.add_to_update(now, &mut update);
         }
         self.leased = update.leases.iter().map(|(endpoint, _)| *endpoint).collect();
-        // The balancer keeps a lease until it gets another one, and the event loop may miss an update. Limits are
-        // therefore lifted in each update for as long as leases are disabled.
+        // The balancer keeps a lease until it gets another lease, and the event loop may miss an update.
+        // While leases are disabled, each update therefore removes the limits again.
         let unlimited = self.unlimited.iter().map(|endpoint| (*endpoint, UNLIMITED_LEASE));
         update.leases.extend(unlimited);
         update
--- a/crates/control-plane/src/agent/metrics.rs
+++ b/crates/control-plane/src/agent/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters of messages and observations that were lost or rejected. They are logged once a minute, by name, with an
-//! example and what an operator can do.
+//! Counters of messages and observations that were lost or rejected. The counters are logged once a minute,
+//! by name, with an example and what an operator can do.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -13,36 +13,38 @@
 /// Why a message was not processed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RejectedMessage {
-    /// It could not be opened or sealed.
+    /// The message could not be opened or sealed.
     Envelope(EnvelopeError),
-    /// Its sender is not a current member, or it was received before.
+    /// The sender of the message is not a current member, or the message was received before.
     Stale(MembershipError),
-    /// It is for a component that the fleet configuration does not enable.
+    /// The message is for a component that the fleet configuration does not enable.
     ComponentDisabled,
-    /// The component that it is for rejected it.
+    /// The component to which the message belongs rejected it.
     Component {
         /// The component's error.
         reason: String,
-        /// What an operator can do about it.
+        /// What an operator can do about the error.
         remediation: &'static str,
     },
 }
 
 impl RejectedMessage {
-    /// A message that its component rejected with this error.
+    /// The reason for a message that its component rejected with `error`.
     pub fn by_component(error: &impl Remediation) -> RejectedMessage {
         RejectedMessage::Component { reason: error.to_string(), remediation: error.remediation() }
     }
 }
 
-/// A counter with the first example of what it counts.
+/// A counter with the description of the first event that it counted.
 struct Counter {
     count: u64,
     example: String,
+    /// What an operator can do.
     remediation: &'static str,
 }
 
-/// The counters since the last log line. Their number is bounded, since names are constants of the program.
+/// The counters since they were last logged. Their number is bounded, since their names are constants of the
+/// program.
 #[derive(Default)]
 pub(super) struct AgentMetrics {
     counters: BTreeMap<&'static str, Counter>,
@@ -58,7 +60,7 @@
                 "component_disabled",
                 1,
                 &"a message for a component that the fleet configuration does not enable",
-                "Give all members the same fleet configuration and send SIGHUP.",
+                "Give all members the same fleet configuration and send them SIGHUP.",
             ),
             RejectedMessage::Component { reason, remediation } => {
                 self.add("message_ignored", 1, &reason, remediation);
@@ -80,7 +82,7 @@
                 "observations_dropped",
                 count,
                 &"the queue from the event loop was full",
-                "The agent's thread lacks CPU time: give the machine more, or fewer requests.",
+                "The agent's thread lacks CPU time: give the machine more CPUs, or send this node fewer requests.",
             );
         }
     }
@@ -90,11 +92,15 @@
         self.counters.entry(name).or_insert_with(new).count += count;
     }
 
-    /// Logs what was counted since the last call, and starts again from zero.
+    /// Logs the counters, and resets them to zero.
     pub fn log(&mut self) {
         for (name, counter) in mem::take(&mut self.counters) {
             let Counter { count, example, remediation } = counter;
-            log::warn!(event = "agent_messages_lost", reason = name, count = count; "{name}, {count} times: {example}. {remediation}");
+            log::warn!(
+                event = "agent_messages_lost", reason = name, count = count;
+                "the control-plane agent lost or rejected {count} messages or observations ({name}); the first one: \
+                 {example}. {remediation}"
+            );
         }
     }
 
--- a/crates/control-plane/src/agent/observations.rs
+++ b/crates/control-plane/src/agent/observations.rs
@@ -1,8 +1,8 @@
-//! Observations of the event loop, and the joining of an attempt's start with its end.
+//! Observations of the event loop, and how the start of an attempt is joined with the attempt's end.
 //!
-//! The event loop records [`RawObservation`]s. They are cheap to record: none of the frequent ones allocates, and the
-//! loop looks nothing up. [`ObservationAssembler`], which belongs to the agent's thread, keeps the attempts in flight and
-//! turns raw observations into the [`Observation`]s that the components take.
+//! The event loop records [`RawObservation`]s, which are cheap to record: no frequent observation allocates,
+//! and the loop looks nothing up. [`ObservationAssembler`], which belongs to the agent's thread, keeps the
+//! attempts in flight and turns raw observations into the [`Observation`]s that the components handle.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 
 /// An event as the event loop records it.
 pub enum RawObservation {
-    /// The endpoint list has changed; attempts go to these endpoints only.
+    /// The endpoint list has changed; attempts are sent only to the endpoints of this list.
     EndpointsChanged(Vec<ObservedEndpoint>),
     /// An attempt was sent.
     AttemptSent(SentAttempt),
@@ -26,7 +26,7 @@
         /// The length of the response's body, in bytes.
         bytes: u32,
     },
-    /// A read that missed in the caches was rate-limited instead of being fetched from the origin.
+    /// A read was rate-limited after a cache miss instead of being fetched from the origin.
     FetchDenied,
 }
 
@@ -36,41 +36,43 @@
     pub observation: RawObservation,
 }
 
-/// An attempt at the moment it is sent.
+/// An attempt at the moment when it is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAttempt {
     /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The attempt's number among those of its request.
     pub number: AttemptNumber,
-    /// The endpoint that it is sent to.
+    /// The endpoint to which the attempt is sent.
     pub endpoint: EndpointId,
     /// The hash of the request's name; see [`super::hash_request_name`].
     pub name_hash: u64,
     /// What the client requested.
     pub requested: Request,
-    /// The length of the value that is written, in bytes.
+    /// The length of the value that a write sends, in bytes.
     pub bytes: u32,
-    /// The latency objective of the request's class.
+    /// The latency objective of the request's class, as a duration.
     pub slo: Span,
     /// The key's candidate endpoints in order of preference; given only for sampled requests.
     pub candidates: [Option<EndpointId>; 3],
 }
 
-/// The most attempts that are kept in flight. Past that the oldest are dropped: the end of an attempt may never be
-/// reported when the queue from the event loop overflows.
+/// The maximum number of attempts in flight that are kept. Beyond it, the oldest attempt is removed, since
+/// the end of an attempt is never reported if the queue from the event loop overflows.
 const MAX_IN_FLIGHT_ATTEMPTS: usize = 16_384;
 
 /// An attempt whose end has not been reported.
 struct InFlightAttempt {
     sent: SentAttempt,
-    /// Attempts that were in flight to the same endpoint when this one was sent.
+    /// The number of attempts that were in flight to the same endpoint when this attempt was sent.
     in_flight_at_send: u16,
 }
 
-/// Joins raw observations into complete ones. Its state is bounded by [`MAX_IN_FLIGHT_ATTEMPTS`] and the endpoint list.
+/// Joins raw observations into complete observations. Its state is bounded by [`MAX_IN_FLIGHT_ATTEMPTS`] and
+/// the endpoint list.
 #[derive(Default)]
 pub(super) struct ObservationAssembler {
+    /// Whether each endpoint of the list is the origin.
     is_origin: BTreeMap<EndpointId, bool>,
     attempts: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
     /// The number of attempts in flight to each endpoint that has any.
@@ -78,7 +80,8 @@
 }
 
 impl ObservationAssembler {
-    /// Takes a raw observation and returns the complete one; `None` for the end of an attempt whose start is unknown.
+    /// Converts a raw observation into a complete observation; `None` for the end of an attempt whose start
+    /// is unknown.
     pub fn assemble(&mut self, raw: RawObservation) -> Option<Observation> {
         match raw {
             RawObservation::EndpointsChanged(endpoints) => {
@@ -102,7 +105,7 @@
         if self.attempts.len() > MAX_IN_FLIGHT_ATTEMPTS
             && let Some((_, oldest)) = self.attempts.pop_first()
         {
-            self.release(oldest.sent.endpoint);
+            self.decrement_in_flight(oldest.sent.endpoint);
         }
         Observation::AttemptSent {
             cache: sent.endpoint,
@@ -118,7 +121,7 @@
         response_bytes: u32,
     ) -> Option<Observation> {
         let InFlightAttempt { sent, in_flight_at_send } = self.attempts.remove(&(request, result.number))?;
-        self.release(sent.endpoint);
+        self.decrement_in_flight(sent.endpoint);
         let requested = sent.requested;
         Some(Observation::AttemptFinished(Box::new(FinishedAttempt {
             request_hash: sent.name_hash,
@@ -138,8 +141,8 @@
         })))
     }
 
-    /// Counts one attempt less in flight to an endpoint.
-    fn release(&mut self, endpoint: EndpointId) {
+    /// Decreases the number of attempts in flight to an endpoint by one.
+    fn decrement_in_flight(&mut self, endpoint: EndpointId) {
         if let Some(in_flight) = self.in_flight.get_mut(&endpoint) {
             *in_flight = in_flight.saturating_sub(1);
             if *in_flight == 0 {
--- a/crates/control-plane/src/agent/sockets.rs
+++ b/crates/control-plane/src/agent/sockets.rs
@@ -1,11 +1,13 @@
-//! The agent's UDP sockets: a common one, and one connected socket for each planner, all bound to the same port.
+//! The agent's UDP sockets: a common socket, and one connected socket for each planner, all bound to the same
+//! port.
 //!
-//! The kernel delivers datagrams from a planner's configured address to the socket that is connected to it, and all
-//! others to the common socket. A flood from any other source therefore cannot fill a receive buffer in which a
-//! planner's messages wait, and the agent reads only a bounded number of its datagrams in a round.
+//! The kernel delivers datagrams from a planner's configured address to the socket that is connected to that
+//! address, and all other datagrams to the common socket. A flood from any other source therefore cannot fill
+//! a receive buffer in which a planner's messages wait, and the agent reads only a bounded number of the
+//! flood's datagrams in a round.
 //!
-//! The common socket serves planners that answer from an address other than their configured one, and sends to planners
-//! for which no connected socket could be opened.
+//! The common socket receives from planners that answer from another address than the configured one, and
+//! sends to planners for which no connected socket could be opened.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,7 +19,7 @@
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketType, sockopt};
 
-/// The most datagrams that are read from one socket in a round.
+/// The maximum number of datagrams that are read from one socket in a round.
 const MAX_DATAGRAMS_PER_SOCKET: usize = 128;
 
 /// A socket that is connected to one planner.
@@ -26,32 +28,33 @@
     socket: UdpSocket,
 }
 
-/// Whether a round also reads the common socket, to which any host can send.
+/// Which sockets a round reads. Any host can send to the common socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadScope {
     /// Only the sockets that are connected to planners.
     Planners,
-    /// The planners' sockets, then the common one.
+    /// The sockets that are connected to planners, then the common socket.
     All,
 }
 
-/// What a round of reading left behind.
+/// Whether sockets still hold datagrams after a round of reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Backlog {
-    /// Every socket that was read is empty.
+    /// All sockets that were read are empty.
     Drained,
-    /// A socket reached its limit for a round and may hold more.
+    /// A socket reached the limit of a round and may hold more datagrams.
     Remaining,
 }
 
 /// The sockets of one agent. All of them share the local address by which planners know the agent.
 pub(super) struct Sockets {
+    /// The socket that is not connected.
     common: UdpSocket,
     planners: BTreeMap<PlannerId, PlannerSocket>,
 }
 
 impl Sockets {
-    /// Opens the common socket at a free port of `address`, and one socket for each planner.
+    /// Opens the common socket at a free port of `address`, and a connected socket for each planner.
     ///
     /// # Errors
     /// Returns the system's error if the common socket cannot be opened.
@@ -62,9 +65,9 @@
         Ok(sockets)
     }
 
-    /// Replaces the set of planners. Sockets of planners whose address is unchanged stay open.
+    /// Replaces the set of planners. The sockets of planners whose address is unchanged stay open.
     ///
-    /// A planner for which no socket can be opened is reached through the common socket.
+    /// Messages to a planner for which no socket can be opened are sent from the common socket.
     pub fn set_planners(&mut self, planners: &BTreeMap<PlannerId, SocketAddrV4>) {
         self.planners.retain(|id, planner| planners.get(id) == Some(&planner.address));
         let Some(local) = self.local_address() else { return };
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Sends one datagram to a planner. A planner that is down is not an error: its absence is detected by heartbeats.
+    /// Sends one datagram to a planner. A planner that is down is not reported as an error, since heartbeats
+    /// detect that.
     ///
     /// # Errors
     /// Returns the system's error if the datagram was not sent.
@@ -97,7 +101,7 @@
         };
         match socket.send(datagram) {
             Ok(_) => Ok(()),
-            // This reports the fate of an earlier datagram; the current one has not been sent yet.
+            // The error reports that an earlier datagram was refused; this datagram has not been sent yet.
             Err(error) if is_refused(&error) => match socket.send(datagram) {
                 Err(error) if !is_refused(&error) => Err(error),
                 _ => Ok(()),
@@ -106,8 +110,8 @@
         }
     }
 
-    /// Blocks until a datagram from a planner arrives, for at most `timeout`. Datagrams on the common socket do not end
-    /// the wait.
+    /// Blocks until a datagram from a planner arrives, for at most `timeout`. Datagrams on the common socket
+    /// do not end the wait.
     ///
     /// # Errors
     /// Returns the system's error if polling fails.
@@ -121,8 +125,9 @@
         }
     }
 
-    /// Passes the datagrams that have arrived to `on_datagram`, those from planners first. Each socket is read up to a
-    /// limit; `buffer` holds one datagram at a time.
+    /// Passes the datagrams that have arrived to `on_datagram`, first those from planners' configured
+    /// addresses. Each socket is read up to [`MAX_DATAGRAMS_PER_SOCKET`]; `buffer` holds one datagram at a
+    /// time.
     ///
     /// # Errors
     /// Returns the system's error if a socket cannot be read.
@@ -156,13 +161,14 @@
     Ok(socket)
 }
 
-/// Opens a socket at `local` that receives only what comes from `remote`.
+/// Opens a socket at `local` that receives only datagrams from `remote`.
 fn connect(local: SocketAddrV4, remote: SocketAddrV4) -> io::Result<UdpSocket> {
     let socket = bind(local)?;
     socket.connect(remote)?;
     Ok(socket)
 }
 
+/// Reads the datagrams of one socket, up to [`MAX_DATAGRAMS_PER_SOCKET`].
 fn read_socket(
     socket: &UdpSocket,
     buffer: &mut [u8],
@@ -179,6 +185,7 @@
     Ok(Backlog::Remaining)
 }
 
+/// Whether an error reports that the receiver's port was closed for an earlier datagram.
 fn is_refused(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::ConnectionRefused
 }
--- a/crates/control-plane/src/agent/sockets/tests.rs
+++ b/crates/control-plane/src/agent/sockets/tests.rs
@@ -6,7 +6,7 @@
 
 use super::{MAX_DATAGRAMS_PER_SOCKET, ReadScope, Sockets};
 
-/// The first byte of datagrams that do not come from a planner; planners send other values.
+/// The first byte of the flood's datagrams; planners send other values.
 const FLOOD: u8 = 0;
 
 fn socket() -> (UdpSocket, SocketAddrV4) {
@@ -15,7 +15,7 @@
     (socket, address)
 }
 
-/// The first bytes of planners' datagrams, and the number of all datagrams.
+/// Reads all sockets, and returns the first bytes of planners' datagrams and the number of all datagrams.
 fn read(sockets: &Sockets) -> (Vec<u8>, usize) {
     let mut from_planners = Vec::new();
     let mut count = 0;
@@ -31,23 +31,23 @@
 
 #[test]
 fn flood_from_other_addresses_does_not_displace_planner_messages() {
-    let (one, two, stranger) = (socket(), socket(), socket());
+    let (planner_1, planner_2, flooder) = (socket(), socket(), socket());
     let planners = |addresses: &[(u8, SocketAddrV4)]| {
         addresses.iter().map(|(number, address)| (PlannerId(*number), *address)).collect()
     };
-    let mut sockets = Sockets::open(Ipv4Addr::LOCALHOST, &planners(&[(1, one.1)])).expect("sockets");
+    let mut sockets = Sockets::open(Ipv4Addr::LOCALHOST, &planners(&[(1, planner_1.1)])).expect("sockets");
     let local = sockets.local_address().expect("an address");
     for _ in 0..5000 {
-        stranger.0.send_to(&[FLOOD], local).expect("sent");
+        flooder.0.send_to(&[FLOOD], local).expect("sent");
     }
-    one.0.send_to(&[1], local).expect("sent");
+    planner_1.0.send_to(&[1], local).expect("sent");
     // The second planner is not configured yet: its datagram goes to the common socket, whose buffer is full.
-    two.0.send_to(&[2], local).expect("sent");
+    planner_2.0.send_to(&[2], local).expect("sent");
     sockets.wait(Duration::from_secs(1)).expect("waited");
     assert_eq!(read(&sockets), (vec![1], 1 + MAX_DATAGRAMS_PER_SOCKET));
-    sockets.set_planners(&planners(&[(1, one.1), (2, two.1)]));
-    two.0.send_to(&[2], local).expect("sent");
-    one.0.send_to(&[1], local).expect("sent");
+    sockets.set_planners(&planners(&[(1, planner_1.1), (2, planner_2.1)]));
+    planner_2.0.send_to(&[2], local).expect("sent");
+    planner_1.0.send_to(&[1], local).expect("sent");
     sockets.wait(Duration::from_secs(1)).expect("waited");
     assert_eq!(read(&sockets).0, [1, 2]);
     assert_eq!(sockets.local_address(), Some(local), "planners know the agent by this address");
--- a/crates/control-plane/src/agent/tests.rs
+++ b/crates/control-plane/src/agent/tests.rs
@@ -1,4 +1,5 @@
-//! The agent as a thread beside an event loop, with a planner that the test plays.
+//! Tests of the agent's thread and its parts. Each test acts as the event loop, and as a planner where one is
+//! needed.
 
 use std::net::{Ipv4Addr, UdpSocket};
 use std::path::PathBuf;
@@ -27,7 +28,7 @@
 const OTHER_SECRET: &str = "0f0e0d0c0b0a09080706050403020100";
 const FORWARDER: ForwarderId = ForwarderId(3);
 
-fn planner() -> UdpSocket {
+fn planner_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a socket");
     socket
@@ -38,7 +39,8 @@
     let text = format!(
         "secret = \"{secret}\"\nforwarders = 2\n[hindsight]\n[[planner]]\nnumber = 1\nletters = \"{address}\"\n"
     );
-    FleetConfig::parse(&ConfigSource { path: PathBuf::from("operator.toml"), text }).expect("it is valid")
+    FleetConfig::parse(&ConfigSource { path: PathBuf::from("operator.toml"), text })
+        .expect("the configuration is valid")
 }
 
 /// The sender of the next message that opens with the secrets of `config` and satisfies the condition.
@@ -59,13 +61,13 @@
 #[test]
 fn agent_restarts_after_a_panic_with_a_later_incarnation_and_applies_reloaded_configs() {
     const CLOCK_CALL_THAT_PANICS: u64 = 100;
-    let (first, second) = (planner(), planner());
+    let (first, second) = (planner_socket(), planner_socket());
     let before = fleet_config(&first, SECRET);
     let after = fleet_config(&second, OTHER_SECRET);
     let agent = Agent::new(before.clone(), "n", Ipv4Addr::LOCALHOST);
     let reload_handle = agent.reload_handle();
     let start = Instant::now();
-    // The clock is read a few times a round: the panic happens once, in the middle of the agent's run.
+    // The clock is read a few times in a round, so that the panic happens once, while the agent runs.
     let clock_calls = Arc::new(AtomicU64::new(0));
     let count = clock_calls.clone();
     let clock = move || {
@@ -74,14 +76,18 @@
         Time(1_000_000 + start.elapsed().as_micros() as u64)
     };
     let mut handle = agent.start(clock).expect("a thread");
-    let one = receive(&first, &before, |_| true);
-    assert_eq!(one.member, Member::Forwarder(ForwarderId::of_name("n")));
-    let two = receive(&first, &before, |sender| sender.incarnation > one.incarnation);
-    assert!(clock_calls.load(Ordering::Relaxed) > CLOCK_CALL_THAT_PANICS && two.sequence > one.sequence);
-    // Other secrets and addresses keep the incarnation, so that what was granted to it stays valid.
+    let original = receive(&first, &before, |_| true);
+    assert_eq!(original.member, Member::Forwarder(ForwarderId::of_name("n")));
+    let restarted = receive(&first, &before, |sender| sender.incarnation > original.incarnation);
+    assert!(
+        clock_calls.load(Ordering::Relaxed) > CLOCK_CALL_THAT_PANICS
+            && restarted.sequence > original.sequence
+    );
+    // A new secret and a new address keep the incarnation, so that its leases stay valid.
     reload_handle.reload(after.clone());
-    assert_eq!(receive(&second, &after, |_| true).incarnation, two.incarnation);
-    // The event loop continues all the while, and the agent ends with it.
+    assert_eq!(receive(&second, &after, |_| true).incarnation, restarted.incarnation);
+    // The event loop goes on after the agent's panic, and the agent ends when the event loop closes its
+    // handle.
     handle.record(Time(0), RawObservation::EndpointsChanged(Vec::new()));
     handle.end_iteration();
     let closed_at = Instant::now();
@@ -128,14 +134,14 @@
     let mut assembler = ObservationAssembler::default();
     record_sent(&mut assembler, 1);
     record_sent(&mut assembler, 2);
-    let second = record_finished(&mut assembler, 2).expect("its start is known");
+    let second = record_finished(&mut assembler, 2).expect("the start of the attempt is known");
     assert_eq!(second.request_hash, 2);
     assert_eq!(second.in_flight_at_send, 1);
     assert_eq!(second.candidates, vec![ENDPOINT]);
     assert_eq!(second.bytes, 3);
-    assert_eq!(record_finished(&mut assembler, 3), None, "its start was lost");
-    // The ends of these were lost: the number of attempts that are kept has a bound, which also bounds the count of
-    // those in flight.
+    assert_eq!(record_finished(&mut assembler, 3), None, "the start of the attempt was lost");
+    // The ends of these attempts are lost. The number of attempts that are kept is bounded, which also bounds
+    // the number of attempts in flight.
     for n in 10..60_000 {
         record_sent(&mut assembler, n);
     }
@@ -145,7 +151,7 @@
     );
 }
 
-/// The rate that each lease of an update allows now.
+/// The rate that each lease of an update allows at `now`, by endpoint.
 fn allowed(update: &ControlPlaneUpdate, now: Time) -> Vec<(EndpointId, f64)> {
     update.leases.iter().map(|(endpoint, lease)| (*endpoint, lease.at(now))).collect()
 }
@@ -153,7 +159,7 @@
 #[test]
 fn disabled_leases_no_longer_limit() {
     let now = Time(5_000_000);
-    let off = fleet_config(&planner(), SECRET);
+    let disabled = fleet_config(&planner_socket(), SECRET);
     let origin = EndpointId(9);
     let leases = LeaseSection {
         origin_fetches_per_s: 10.0,
@@ -162,8 +168,8 @@
         long_term_share: 0.0,
         duration_ms: 1000,
     };
-    let on = FleetConfig { leases: Some(leases), ..off.clone() };
-    let mut components = Components::new(&on, FORWARDER, Incarnation(1), now);
+    let enabled = FleetConfig { leases: Some(leases), ..disabled.clone() };
+    let mut components = Components::new(&enabled, FORWARDER, Incarnation(1), now);
     let endpoint = ObservedEndpoint {
         cache: origin,
         is_origin: true,
@@ -174,11 +180,11 @@
     };
     components.on_observation(now, &Observation::EndpointsChanged(vec![endpoint]));
     assert_eq!(allowed(&components.update(now), now), [(origin, 2.5)]);
-    components.restart(&off, Incarnation(2), now);
+    components.restart(&disabled, Incarnation(2), now);
     for _ in 0..2 {
-        assert!(allowed(&components.update(now), now)[0].1 > 1e6, "it is still limited");
+        assert!(allowed(&components.update(now), now)[0].1 > 1e6, "the origin is still limited");
     }
-    components.restart(&on, Incarnation(3), now);
+    components.restart(&enabled, Incarnation(3), now);
     components.on_observation(now, &Observation::EndpointsChanged(vec![endpoint]));
     assert_eq!(allowed(&components.update(now), now), [(origin, 2.5)]);
 }
@@ -186,7 +192,7 @@
 #[test]
 fn stale_messages_and_those_of_disabled_components_are_rejected_and_counted() {
     let now = Time(5_000_000);
-    let config = fleet_config(&planner(), SECRET);
+    let config = fleet_config(&planner_socket(), SECRET);
     let mut components = Components::new(&config, FORWARDER, Incarnation(1), now);
     let sender = |incarnation, number| Sender {
         member: Member::Planner(PlannerId(1)),
@@ -198,7 +204,7 @@
     let mut metrics = AgentMetrics::default();
     for (incarnation, number) in [(2, 1), (1, 9)] {
         let result = components.on_message(now, sender(incarnation, number), heartbeat());
-        metrics.count_rejected(result.expect_err("it is stale"));
+        metrics.count_rejected(result.expect_err("the message is stale"));
     }
     let lease = Message::Leases(LeaseMessage::Release { request_id: 1 });
     let result = components.on_message(now, sender(2, 2), lease);
