--- a/crates/control-plane/tests/disk_failures.rs
+++ b/crates/control-plane/tests/disk_failures.rs
@@ -1,4 +1,5 @@
-//! Planners whose disk is full, or whose folder is removed, during splits and leases. Planners are processes.
+//! Planners whose disk is full, or whose state folder is removed, while they split shards and grant leases.
+//! Planners are processes.
 
 use std::fs;
 use std::time::Duration;
@@ -13,23 +14,23 @@
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(25);
 const GRANT_ATTEMPTS: u64 = 60;
 
-fn lease_request(ask: u64) -> Message {
-    let needs = vec![Demand {
+fn lease_request(request_id: u64) -> Message {
+    let demands = vec![Demand {
         resource: Resource::Origin,
         amount: 5000,
-        request_in_use: ask,
+        request_in_use: request_id,
         requesters: 1,
         already_held: 0,
     }];
-    Message::Leases(LeaseMessage::Request { request_id: ask, demands: needs })
+    Message::Leases(LeaseMessage::Request { request_id, demands })
 }
 
-/// Runs until the planner has granted another lease.
+/// Runs the fleet until the planner has granted another lease.
 fn run_until_granted(growing: &mut GrowingFleet, planner: u8) {
     let before = growing.auditor.grants.get(&planner).copied();
     for attempt in 1..GRANT_ATTEMPTS {
-        let ask = Clock::start().now().0 + attempt;
-        growing.send_to_planners(0, &lease_request(ask));
+        let request_id = Clock::start().now().0 + attempt;
+        growing.send_to_planners(0, &lease_request(request_id));
         growing.run_for(Duration::from_millis(200));
         if growing.auditor.grants.get(&planner).copied() > before {
             return;
@@ -46,8 +47,9 @@
     GROWING_SHARDS.iter().all(|shard| growing.auditor.latest(*shard).splits >= 1)
 }
 
-/// The other two agree without it, as long as it does not lead. It sends nothing that depends on what it has not stored, and
-/// grants leases all the while.
+/// Guards against a full disk that stops a planner entirely. The planner sends no message that depends on a
+/// snapshot that is not stored, but grants leases all the while. The other two planners agree on shard maps
+/// without it, as long as it is not the leader.
 #[test]
 fn full_disk_stops_only_what_depends_on_it_until_there_is_space() {
     let mut growing =
@@ -67,14 +69,14 @@
     let message = failures[0]["message"].as_str().expect("the line has a message");
     assert!(message.starts_with("growth: ") && message.contains("Make room on the disk"), "{message}");
     for other in [1, 3] {
-        let gone = growing.planners[&other].events("member_failed");
-        assert!(gone.is_empty(), "heartbeats are sent all the while: {gone:#?}");
+        let failed_members = growing.planners[&other].events("member_failed");
+        assert!(failed_members.is_empty(), "heartbeats are sent all the while: {failed_members:#?}");
     }
     growing.planners[&2].limit_file_size(None);
     growing.run_until("storing again", PROGRESS_TIMEOUT, |g| {
         !g.planners[&2].events("snapshot_write_recovered").is_empty()
     });
-    // After a kill its store is intact, and the fleet completes the splits.
+    // The planner's store is intact after a kill, and the fleet completes the splits.
     growing.kill_planner(2);
     growing.start_planner(2);
     growing.run_until("split", PROGRESS_TIMEOUT, are_all_split);
@@ -82,6 +84,8 @@
     growing.auditor.check_steps();
 }
 
+/// Guards against a planner that goes on writing to a removed file, whose state would be lost when the
+/// planner is killed.
 #[test]
 fn removed_folder_is_recreated_and_the_planner_continues_with_its_state() {
     let mut growing = GrowingFleet::start(300, "spare_per_s = 1000000.0\n");
--- a/crates/control-plane/tests/main.rs
+++ b/crates/control-plane/tests/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the control plane, many of them on processes. They are one program, so that they are linked once and run beside
-//! each other.
+//! Tests of the control plane, many of which start processes. All are in one program, so that they are linked
+//! once and run in parallel.
 
 mod clock_skew;
 mod counterfactual;
@@ -12,7 +12,7 @@
 mod storage_format;
 mod support;
 
-/// A file that is not a module here would not be run.
+/// Guards against a test file that is not a module of this program, whose tests would not run.
 #[test]
 fn every_test_file_is_a_module() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
--- a/crates/control-plane/tests/stale_planners.rs
+++ b/crates/control-plane/tests/stale_planners.rs
@@ -36,7 +36,7 @@
     let (suspended, two) = (fleet.start(1), fleet.start(2));
     let first_address = fleet.addresses[0];
     let mut holders = LeaseHolders::new(&[1.0; 6], LEASABLE);
-    let before = holders.request_of_planner(&fleet, 1, FIRST_GRANTS);
+    let before = holders.request_from_planner(&fleet, 1, FIRST_GRANTS);
     assert!(before.max_held > 0 && before.violations == 0, "{before:?}");
     suspended.signal(Signal::STOP);
 
@@ -49,12 +49,12 @@
     two.signal(Signal::HUP);
     two.wait_for_event("reloaded");
     let successor = fleet.start_with_config(1, "planner-1-new.toml");
-    let alone = holders.request_of_planner(&fleet, 1, Duration::from_secs(7));
+    let alone = holders.request_from_planner(&fleet, 1, Duration::from_secs(7));
     assert!(alone.max_held > 0 && alone.violations == 0, "{alone:?}");
 
     suspended.signal(Signal::CONT);
     let addresses = [(1, first_address), (1, new_address), (2, fleet.addresses[1])];
-    let both = holders.request_of_each(Duration::from_secs(8), |n| Some(addresses[n % 3]));
+    let both = holders.request_from_each(Duration::from_secs(8), |n| Some(addresses[n % 3]));
     assert_eq!(both.violations, 0, "{both:?} of {LEASABLE}");
     suspended.wait_for_event("process_stalled");
     let succeeded = successor.wait_for_event("incarnation_superseded");
@@ -63,7 +63,7 @@
     // no planner has heard.
     drop((suspended, successor));
     let _successor = fleet.start_with_config(1, "planner-1-new.toml");
-    let after = holders.request_of_planner(&fleet, 1, Duration::from_secs(7));
+    let after = holders.request_from_planner(&fleet, 1, Duration::from_secs(7));
     assert!(
         after.violations == 0 && holders.held_by(0) > 0,
         "{after:?}: the planner that is left grants again"
@@ -75,15 +75,15 @@
     let fleet = Fleet::new(1);
     let _planner = fleet.start(1);
     let mut holders = LeaseHolders::new(&[1.0; 3], LEASABLE);
-    holders.request_of_planner(&fleet, 1, FIRST_GRANTS);
+    holders.request_from_planner(&fleet, 1, FIRST_GRANTS);
     assert!(holders.held_by(0) > 0);
     let mut violations = 0;
     for _ in 0..3 {
         holders.restart(0);
-        violations += holders.request_of_planner(&fleet, 1, Duration::from_millis(600)).violations;
+        violations += holders.request_from_planner(&fleet, 1, Duration::from_millis(600)).violations;
     }
     // Once the leases of its earlier incarnations have expired, it has its part again.
-    violations += holders.request_of_planner(&fleet, 1, Duration::from_millis(3200)).violations;
+    violations += holders.request_from_planner(&fleet, 1, Duration::from_millis(3200)).violations;
     assert_eq!(violations, 0);
     let held: Vec<_> = (0..3).map(|n| holders.held_by(n)).collect();
     assert!(held[0] * 2 > held[1] && held[0] > 0, "{held:?}");
@@ -120,13 +120,13 @@
     let planners: Vec<_> = (1..=3).map(|n| fleet.start(n)).collect();
     let mut holders = LeaseHolders::new(&[1.0; 6], 2 * LEASABLE);
     let planner_of = |n: usize| Some((n % 3 + 1, fleet.addresses[n % 3]));
-    holders.request_of_each(FIRST_GRANTS, planner_of);
+    holders.request_from_each(FIRST_GRANTS, planner_of);
     let config = fs::read_to_string(fleet.path("operator.toml")).expect("the file is read");
     let greater = config.replace("origin_per_s = 100.0", "origin_per_s = 200.0");
     fs::write(fleet.path("operator.toml"), greater).expect("the file is written");
     planners[0].signal(Signal::HUP);
     planners[0].wait_for_event("incarnation_changed");
-    let mixed = holders.request_of_each(Duration::from_secs(8), planner_of);
+    let mixed = holders.request_from_each(Duration::from_secs(8), planner_of);
     assert_eq!(mixed.violations, 0, "{mixed:?}");
     // A third of 150 and two thirds of 75.
     assert!((LEASABLE..=100_000).contains(&mixed.max_held), "{mixed:?}");
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -1,6 +1,7 @@
-//! A fleet whose days pass quickly: planners as processes, and forwarders that send and receive real messages. One message
-//! of ten is lost and one is duplicated, between planners by a relay in front of each of them. The shard maps that
-//! forwarders get are audited by the messages alone, with nothing of what agrees on them or schedules splits.
+//! A fleet whose accounting days pass quickly, with planners as processes, and forwarders that send and
+//! receive real messages. One message of ten is lost and one of ten is duplicated; for messages between
+//! planners, a relay in front of each planner does that. The shard maps that forwarders get are audited by
+//! the messages alone, without the code that agrees on shard maps or schedules splits.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -32,11 +33,11 @@
 const PLANNERS: usize = 3;
 const FORWARDERS: usize = 4;
 const CACHES: u64 = 60;
-/// The days of which planners have a history at the start.
+/// The number of days of which planners have a history at the start.
 const KNOWN_DAYS: u32 = 110;
 const DAY_MS: u64 = 2000;
 const MICROS_PER_MS: u64 = 1000;
-/// The part of a day in which its keys are read.
+/// The part of a day in which the keys of the day are read: from 30% to 60% of the day.
 const READS_START_US: u64 = DAY_MS * 300;
 const READS_END_US: u64 = DAY_MS * 600;
 const VALUE_BYTES: f64 = 1000.0;
@@ -44,15 +45,15 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const HISTORY_NOISE_SEED: u64 = 3;
 const NETWORK_FAULTS_SEED: u64 = 71;
-/// The shards that grow, both alike; they are on the same caches.
+/// The two shards that grow. They grow equally and are on the same caches.
 pub const GROWING_SHARDS: [ShardId; 2] = [ShardId(17), ShardId(90)];
 
-/// The number of keys on a day.
+/// The number of keys of a growing shard on a day.
 fn key_count(day: f64) -> f64 {
     500.0 * 1.02f64.powf(day)
 }
 
-/// The caches with their sizes, which are equal.
+/// All caches with their sizes, which are equal.
 pub fn caches() -> Vec<(EndpointId, f64)> {
     (0..CACHES).map(|c| (EndpointId(c), 1.0)).collect()
 }
@@ -61,13 +62,13 @@
     Time(UNIX_EPOCH.elapsed().expect("a time after 1970").as_micros() as u64)
 }
 
-/// Loses one message of ten, and duplicates one.
+/// Decides which messages are lost and which are duplicated: one of ten each.
 struct NetworkFaults {
     messages: u64,
 }
 
 impl NetworkFaults {
-    /// How often the next message arrives.
+    /// The number of times that the next message arrives.
     fn copies(&mut self) -> usize {
         self.messages += 1;
         match xxh3_64_with_seed(&self.messages.to_le_bytes(), NETWORK_FAULTS_SEED) % 10 {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Processes a message of a planner. One that membership or the component rejects does not count.
+    /// Processes a message of a planner. A message that membership or the component rejects has no effect.
     fn on_message(&mut self, now: Time, from: Sender, message: Message) {
         if self.members.accept(now, from).is_err() {
             return;
@@ -150,7 +151,7 @@
         }
     }
 
-    /// The next message to a planner.
+    /// The next message to a planner; `None` if there is none.
     fn poll_message(&mut self, now: Time) -> Option<(PlannerId, Message)> {
         let (to, message) = if let Some((to, message)) = self.growth.poll_message(now) {
             (to, Message::ShardGrowth(message))
@@ -163,6 +164,7 @@
         Some((planner, message))
     }
 
+    /// The shard map that the forwarder uses; `None` before it gets one.
     pub fn shard_map(&self) -> Option<ShardMap> {
         self.growth.shard_map()
     }
@@ -171,18 +173,18 @@
 /// A shard's state in a shard map.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardState {
-    /// The step of the split that is in progress.
+    /// The step of the split that is in progress; `None` without a split.
     pub step: Option<SplitPhase>,
-    /// How many splits are complete.
+    /// The number of completed splits.
     pub splits: u8,
 }
 
-/// What forwarders got from planners.
+/// A record of the shard maps and leases that forwarders got from planners.
 #[derive(Default)]
 pub struct Auditor {
-    /// Shard maps by their versions.
+    /// The shard maps by their versions.
     pub shard_maps: BTreeMap<u64, VersionedShardMap>,
-    /// How often each planner granted a lease.
+    /// The number of leases that each planner granted.
     pub grants: BTreeMap<u8, u64>,
 }
 
@@ -199,6 +201,8 @@
         }
     }
 
+    /// Checks that there is one shard map of each version, and that no two splits in progress use the same
+    /// cache.
     fn on_shard_map(&mut self, shard_map: &VersionedShardMap) {
         let version = shard_map.version.0;
         let known = self.shard_maps.entry(version).or_insert_with(|| shard_map.clone());
@@ -222,7 +226,7 @@
         ShardState { step: state.phase, splits: state.bits }
     }
 
-    /// Checks that each shard map differs from the one before in one shard, which went one step.
+    /// Checks that each shard map differs from the previous version in one shard, whose split went one step.
     pub fn check_steps(&self) {
         for (version, after) in &self.shard_maps {
             let Some(before) = self.shard_maps.get(&(version - 1)) else { continue };
@@ -247,7 +251,7 @@
     step == SplitPhase::Foreseen || step == SplitPhase::Withdrawn
 }
 
-/// Steps in their order.
+/// The rank of a step in the order of steps.
 pub fn step_rank(step: Option<SplitPhase>) -> u8 {
     match step {
         None => 0,
@@ -260,7 +264,8 @@
     }
 }
 
-/// The fleet. It makes progress only in [`GrowingFleet::run_until`] and [`GrowingFleet::run_for`].
+/// The fleet with its audit. Forwarders and relays make progress only in [`GrowingFleet::run_until`] and
+/// [`GrowingFleet::run_for`].
 pub struct GrowingFleet {
     pub fleet: Fleet,
     pub planners: BTreeMap<usize, Planner>,
@@ -275,7 +280,8 @@
 }
 
 impl GrowingFleet {
-    /// Starts all planners. `settings` are added to the fleet's configuration, whose last section is that of shard growth.
+    /// Starts all planners. `settings` are appended to the fleet configuration, whose last section is that of
+    /// shard growth.
     pub fn start(step_ms: u64, settings: &str) -> GrowingFleet {
         let fleet = Fleet::new(PLANNERS);
         let relays: Vec<_> = (0..PLANNERS).map(|_| bind_socket()).collect();
@@ -305,9 +311,9 @@
         growing
     }
 
-    /// Writes a planner's store with the history up to now and with empty votes. Without votes a planner that starts first
-    /// asks all others, and after a lost message again 5 s later; one that is killed meanwhile would stop the rest until
-    /// it is back.
+    /// Writes a planner's store with the history up to now and with empty votes. A planner without votes asks
+    /// all others when it starts, and asks again 5 s after a lost message. A planner that is killed in this
+    /// time would stop the other planners until it is restarted.
     fn write_store(&self, number: usize) {
         let day = |n: u32| {
             let drawn = xxh3_64_with_seed(&n.to_le_bytes(), HISTORY_NOISE_SEED) % 1000;
@@ -335,12 +341,12 @@
         self.planners.remove(&number).expect("the planner runs").kill();
     }
 
-    /// The planner that leads, which is the running one of the lowest number.
+    /// The number of the leader, which is the running planner with the lowest number.
     pub fn leader(&self) -> usize {
         *self.planners.keys().next().expect("a planner runs")
     }
 
-    /// Runs the fleet until a condition holds.
+    /// Runs the fleet until a condition holds. Fails with `description` after `timeout`.
     pub fn run_until(
         &mut self,
         description: &str,
@@ -384,7 +390,7 @@
         }
     }
 
-    /// Forwards messages of planners to planners.
+    /// Forwards the messages between planners, with losses and duplicates.
     fn relay_messages(&mut self) {
         for (relay, to) in self.relays.iter().zip(&self.fleet.addresses) {
             while let Some(bytes) = read_datagram(relay) {
@@ -415,7 +421,7 @@
         }
     }
 
-    /// Once a day, all of its keys are read, each at one forwarder.
+    /// Reads all keys of a day once a day, each key at one forwarder.
     fn read_keys(&mut self, now: Time) {
         let day_us = DAY_MS * MICROS_PER_MS;
         let day = now.0 / day_us;
@@ -439,7 +445,7 @@
         text += &format!("[[planner]]\nnumber = {number}\nletters = \"{address}\"\n");
         fleet.write_planner_config(number, &format!("listen = \"{}\"\n", fleet.addresses[n]));
     }
-    // A shard exceeds this some five days after those that are known.
+    // The size of a growing shard exceeds this capacity some five days after the days of the history.
     let shard_bytes = (VALUE_BYTES * key_count(f64::from(KNOWN_DAYS) + 5.0)) as u64;
     text += &format!(
         "[growth]\nshard_bytes = {shard_bytes}\nsplits_at_once = 2\nday_ms = {DAY_MS}\nstep_ms = {step_ms}\n"
--- a/crates/control-plane/tests/support/lease_holders.rs
+++ b/crates/control-plane/tests/support/lease_holders.rs
@@ -1,6 +1,6 @@
-//! Forwarders that request leases and hold them, each by a clock of its own, and an auditor of what all of them hold at
-//! each moment. The auditor uses the messages and the machine's own clock, and nothing of what planners or forwarders
-//! compute.
+//! Forwarders that request and hold leases, each by its own clock, and an audit of the sum of all their
+//! leases at each moment. The audit uses only the messages and the machine's clock, and none of the code of
+//! planners or forwarders.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,34 +13,39 @@
 
 use super::{Fleet, Forwarder, MAX_DATAGRAM_BYTES, SECRET, secrets};
 
+/// The interval at which each forwarder requests a lease.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval at which the leases of all forwarders are summed up.
 const AUDIT_INTERVAL: Duration = Duration::from_millis(2);
-/// What each requests, in thousandths of a fetch a second; it is more than there is for each.
+/// The amount that each forwarder requests, in thousandths of a fetch a second. It exceeds the part of each
+/// forwarder.
 const REQUESTED_AMOUNT: u32 = 60_000;
 
 /// A lease that was granted.
 struct Lease {
-    /// The request by which it was granted.
+    /// The id of the request for which the lease was granted.
     request: u64,
+    /// The leased rate, in thousandths of a fetch a second.
     amount: u32,
     expires_at: Instant,
 }
 
-/// A request that was not answered yet.
+/// A request that is not answered yet.
 struct PendingRequest {
     planner: PlannerId,
     sent_at: Instant,
 }
 
+/// A forwarder that requests and holds leases.
 struct LeaseHolder {
     forwarder: Forwarder,
-    /// The seconds that its clock advances in a second.
+    /// The rate of the forwarder's clock, relative to the machine's.
     clock_rate: f64,
     last_request: u64,
     pending: BTreeMap<u64, PendingRequest>,
     leases: BTreeMap<(PlannerId, Incarnation), Lease>,
     next_request_at: Instant,
-    /// The greatest incarnation of each planner that was heard.
+    /// The greatest incarnation of each planner from which a message was received.
     incarnations: BTreeMap<PlannerId, Incarnation>,
 }
 
@@ -63,7 +68,7 @@
         self.forwarder.send(&bytes, to);
     }
 
-    /// Processes all messages that have come, and forgets leases that have expired.
+    /// Processes all messages that have arrived, and removes leases that have expired.
     fn receive_all(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         while let Ok((length, _)) = self.forwarder.socket.recv_from(&mut buffer) {
@@ -77,7 +82,7 @@
 
     fn on_message(&mut self, from: Sender, message: Message) {
         let Member::Planner(planner) = from.member else { return };
-        if !self.is_of_latest_incarnation(planner, from.incarnation) {
+        if !self.record_incarnation(planner, from.incarnation) {
             return;
         }
         let Message::Leases(LeaseMessage::Grant { request_id, granted, duration }) = message else { return };
@@ -93,33 +98,35 @@
         self.leases.insert((planner, from.incarnation), lease);
     }
 
-    /// Records an incarnation of a planner, and returns whether no greater one was heard.
-    fn is_of_latest_incarnation(&mut self, planner: PlannerId, incarnation: Incarnation) -> bool {
+    /// Records an incarnation of a planner, and returns whether the planner has sent no message of a greater
+    /// one.
+    fn record_incarnation(&mut self, planner: PlannerId, incarnation: Incarnation) -> bool {
         let latest = self.incarnations.entry(planner).or_insert(incarnation);
         *latest = incarnation.max(*latest);
         incarnation == *latest
     }
 }
 
-/// What all holders held over a time.
+/// The result of the audits over a period.
 #[derive(Debug, Default)]
 pub struct AuditResult {
-    /// The maximum of the sum, in thousandths of a fetch a second.
+    /// The maximum of the sum of all leases, in thousandths of a fetch a second.
     pub max_held: u64,
-    /// How many audits found more than may be leased.
+    /// The number of audits in which the sum exceeded the capacity.
     pub violations: u64,
 }
 
+/// Forwarders whose leases are audited together.
 pub struct LeaseHolders {
     holders: Vec<LeaseHolder>,
-    /// The leases of earlier incarnations.
+    /// The leases that were granted to earlier incarnations of the holders.
     leases_before_restart: Vec<Lease>,
-    /// All that may be leased, in thousandths of a fetch a second.
+    /// The maximum that may be leased, in thousandths of a fetch a second.
     capacity: u64,
 }
 
 impl LeaseHolders {
-    /// One holder for each rate of a clock.
+    /// Creates one holder for each clock rate.
     pub fn new(clock_rates: &[f64], capacity: u64) -> LeaseHolders {
         let holder = |(n, clock_rate): (usize, &f64)| {
             let forwarder = Forwarder::new(&format!("holder-{n}"));
@@ -142,13 +149,14 @@
         }
     }
 
-    /// All request leases of one planner for this time.
-    pub fn request_of_planner(&mut self, fleet: &Fleet, planner: usize, time: Duration) -> AuditResult {
-        self.request_of_each(time, |_| Some((planner, fleet.addresses[planner - 1])))
+    /// All holders request leases from one planner for this time, while their leases are audited.
+    pub fn request_from_planner(&mut self, fleet: &Fleet, planner: usize, time: Duration) -> AuditResult {
+        self.request_from_each(time, |_| Some((planner, fleet.addresses[planner - 1])))
     }
 
-    /// Each requests leases of a planner at an address for this time, or is silent. All are audited every few milliseconds.
-    pub fn request_of_each(
+    /// Each holder requests leases from the planner at the address that `planner_of` returns for this time,
+    /// or sends nothing for `None`. The leases of all holders are audited every 2 ms.
+    pub fn request_from_each(
         &mut self,
         time: Duration,
         planner_of: impl Fn(usize) -> Option<(usize, SocketAddr)>,
@@ -173,6 +181,7 @@
         result
     }
 
+    /// The sum of all unexpired leases, in thousandths of a fetch a second.
     fn total_held(&self) -> u64 {
         let now = Instant::now();
         let leases =
@@ -180,7 +189,7 @@
         leases.filter(|lease| lease.expires_at > now).map(|lease| u64::from(lease.amount)).sum()
     }
 
-    /// Starts a new incarnation of a holder. What it held is audited as if it were still in use.
+    /// Starts a new incarnation of a holder. Its former leases are audited as if they were still in use.
     pub fn restart(&mut self, n: usize) {
         let holder = &mut self.holders[n];
         holder.forwarder.incarnation.0 += 1;
@@ -189,12 +198,12 @@
         self.leases_before_restart.extend(leases.into_values());
     }
 
-    /// What one holds now.
+    /// The sum of a holder's leases, in thousandths of a fetch a second.
     pub fn held_by(&self, n: usize) -> u64 {
         self.holders[n].leases.values().map(|lease| u64::from(lease.amount)).sum()
     }
 
-    /// The greatest incarnation of a planner that the first holder has heard.
+    /// The greatest incarnation in which a planner has sent a message to the first holder.
     pub fn incarnation_of(&self, planner: usize) -> Option<Incarnation> {
         self.holders[0].incarnations.get(&PlannerId(planner as u8)).copied()
     }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Planners as processes of the real program, and a forwarder that sends messages to them.
+//! Planners as processes of the real program, and a forwarder that sends messages to the planners.
 
-// Each test uses a part of it.
+// No test uses all of this module.
 #![allow(dead_code)]
 
 pub mod growing_fleet;
@@ -27,7 +27,7 @@
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
 const MAX_DATAGRAM_BYTES: usize = 2000;
 
-/// The program, built beside these tests.
+/// The path of the program, which is built when this is first called.
 fn program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
@@ -43,11 +43,12 @@
     })
 }
 
+/// The secrets of a member that has only the secret with these hexadecimal digits.
 pub fn secrets(hex: &str) -> Secrets {
     Secrets::single(Secret::new(&hex::decode(hex).expect("hexadecimal")).expect("long enough"))
 }
 
-/// A folder with the files of a fleet, whose planners listen on free ports.
+/// A folder with the configuration files of a fleet, whose planners listen on free ports.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub addresses: Vec<SocketAddr>,
@@ -71,7 +72,7 @@
         self.folder.path().join(name)
     }
 
-    /// Writes the configuration that all members share, with the lines of its secrets.
+    /// Writes the fleet configuration; `secrets` are the lines that set its secrets.
     pub fn write_fleet_config(&self, secrets: &str) {
         let mut text = format!("{secrets}\nforwarders = 10\n");
         for (n, address) in self.addresses.iter().enumerate() {
@@ -81,7 +82,7 @@
         fs::write(self.path("operator.toml"), text).expect("the file is written");
     }
 
-    /// Writes a planner's own file, with further lines.
+    /// Writes a planner's own file, with `further_lines` at its end.
     pub fn write_planner_config(&self, number: usize, further_lines: &str) {
         let text = format!(
             "number = {number}\noperator = \"operator.toml\"\nstate = \"state-{number}\"\n{further_lines}"
@@ -89,16 +90,17 @@
         fs::write(self.path(&format!("planner-{number}.toml")), text).expect("the file is written");
     }
 
+    /// The path of a planner's state file.
     pub fn store_file(&self, number: usize) -> PathBuf {
         self.path(&format!("state-{number}")).join("planner.redb")
     }
 
-    /// Starts a planner, and waits until it is ready.
+    /// Starts a planner, and waits until the planner is ready.
     pub fn start(&self, number: usize) -> Planner {
         self.start_with_config(number, &format!("planner-{number}.toml"))
     }
 
-    /// Starts a planner with a file of another name.
+    /// Starts a planner with the configuration file of this name, and waits until the planner is ready.
     pub fn start_with_config(&self, number: usize, config: &str) -> Planner {
         let files = fs::read_dir(self.folder.path()).expect("the fleet's folder").count();
         let log_path = self.path(&format!("log-{number}-{files}"));
@@ -112,7 +114,7 @@
     }
 }
 
-/// A running planner. It is killed when this is dropped.
+/// A planner's process, which is killed when this value is dropped.
 pub struct Planner {
     child: Child,
     log_path: PathBuf,
@@ -127,18 +129,19 @@
         kill_process(Pid::from_child(&self.child), signal).expect("the planner runs");
     }
 
-    /// The lines of its log with this event.
+    /// The lines of the planner's log with this event.
     pub fn events(&self, event: &str) -> Vec<Value> {
         let text = self.log();
         let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         lines.filter(|line| line["event"] == event).collect()
     }
 
+    /// Waits for a line with this event, and returns the line.
     pub fn wait_for_event(&self, event: &str) -> Value {
         self.wait_for_event_with(event, |_| true)
     }
 
-    /// Waits for a line with this event that meets a condition.
+    /// Waits for a line with this event that meets a condition, and returns the line.
     pub fn wait_for_event_with(&self, event: &str, is_expected: impl Fn(&Value) -> bool) -> Value {
         let deadline = Instant::now() + EVENT_TIMEOUT;
         loop {
@@ -150,19 +153,19 @@
         }
     }
 
-    /// Limits the size of the files that it writes; `None` removes the limit.
+    /// Limits the size of the files that the planner writes; `None` removes the limit.
     pub fn limit_file_size(&self, max_bytes: Option<u64>) {
         let limit = Rlimit { current: max_bytes, maximum: None };
         prlimit(Some(Pid::from_child(&self.child)), Resource::Fsize, limit).expect("the planner runs");
     }
 
-    /// Asks it to stop, and waits for that.
+    /// Sends SIGTERM to the planner, and waits until its process exits.
     pub fn stop(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         self.wait()
     }
 
-    /// Waits until it exits by itself.
+    /// Waits until the planner's process exits.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("the planner exits")
     }
@@ -180,7 +183,7 @@
     }
 }
 
-/// A member that seals and opens messages, with no logic of its own.
+/// A forwarder that seals and opens messages, without the logic of a real forwarder.
 pub struct Forwarder {
     pub socket: UdpSocket,
     me: Member,
@@ -210,7 +213,7 @@
         self.socket.send_to(bytes, to).expect("the datagram is sent");
     }
 
-    /// The next message that this secret opens, if one comes in time.
+    /// The next message that this secret opens; `None` if none arrives within `timeout`.
     pub fn receive(&self, secret: &str, timeout: Duration) -> Option<(Sender, Message)> {
         let deadline = Instant::now() + timeout;
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -224,13 +227,13 @@
     }
 }
 
-/// The result of `granitelb check`.
+/// The result of `granitelb check`: whether the files are valid, and what the program printed.
 pub struct CheckResult {
     pub is_valid: bool,
     pub output: String,
 }
 
-/// Runs `granitelb check`.
+/// Runs `granitelb check` with these arguments.
 pub fn run_check(args: &[&str]) -> CheckResult {
     let output = Command::new(program()).arg("check").args(args).output().expect("the program starts");
     let text = [output.stdout, output.stderr].concat();
