--- a/crates/control-plane/tests/remediation.rs
+++ b/crates/control-plane/tests/remediation.rs
@@ -1,4 +1,4 @@
-//! Every error of these crates has a sentence that tells an operator what to do.
+//! Every error of the control plane and of its components has a sentence that tells an operator what to do.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -8,8 +8,8 @@
 use granitelb_coordination::{Member, PlannerId};
 use granitelb_coordination::{counterfactual, endpoint_health, leases, membership, message, shard_growth};
 
-/// All values of an error type. The match in it fails to compile when a variant is added, which has to be added here as
-/// well.
+/// One value of each variant of an error type. If a variant is added to the type, the match in this macro
+/// fails to compile until the variant is listed here.
 macro_rules! all {
     ($type:ty: $($value:expr => $pattern:pat),+ $(,)?) => {{
         let is_listed = |error: &$type| match error { $($pattern => ()),+ };
@@ -29,49 +29,61 @@
     Box::new(serde::de::Error::custom("x"))
 }
 
-fn trouble() -> std::io::Error {
-    std::io::Error::other("trouble")
+fn io_error() -> std::io::Error {
+    std::io::Error::other("an I/O error")
 }
 
 fn every_error() -> Vec<NamedError> {
-    use config_error::{ConfigError, ConfigErrorKind as File};
-    use counterfactual::CounterfactualError as Judged;
-    use endpoint_health::HealthError as Verdicts;
-    use leases::LeaseError as Leases;
+    use config_error::{ConfigError, ConfigErrorKind};
+    use counterfactual::CounterfactualError;
+    use endpoint_health::HealthError;
+    use leases::LeaseError;
     use membership::MembershipError;
-    use message::EnvelopeError as Message;
-    use planner::{ComponentCreateError, PlannerError as Planner, RateLimitError};
-    use shard_growth::{GrowthError as Growth, SnapshotError};
-    use storage::{PersistError, StorageError as Store};
+    use message::EnvelopeError;
+    use planner::{ComponentCreateError, PlannerError, RateLimitError};
+    use shard_growth::{GrowthError, SnapshotError};
+    use storage::{PersistError, StorageError};
     let address = "127.0.0.1:1".parse().expect("an address");
-    let file = || ConfigError { path: "f".into(), line: Some(1), kind: File::Syntax(syntax_error()) };
+    let file =
+        || ConfigError { path: "f".into(), line: Some(1), kind: ConfigErrorKind::Syntax(syntax_error()) };
     [
-        all!(Message:
-            Message::ShortSecret => Message::ShortSecret, Message::UnknownProtocol => Message::UnknownProtocol,
-            Message::UnsupportedVersion(1) => Message::UnsupportedVersion(_), Message::InvalidSignature => Message::InvalidSignature,
-            Message::UnknownKind(9) => Message::UnknownKind(_), Message::Malformed => Message::Malformed,
-            Message::TooLong(9) => Message::TooLong(_)),
+        all!(EnvelopeError:
+            EnvelopeError::ShortSecret => EnvelopeError::ShortSecret,
+            EnvelopeError::UnknownProtocol => EnvelopeError::UnknownProtocol,
+            EnvelopeError::UnsupportedVersion(1) => EnvelopeError::UnsupportedVersion(_),
+            EnvelopeError::InvalidSignature => EnvelopeError::InvalidSignature,
+            EnvelopeError::UnknownKind(9) => EnvelopeError::UnknownKind(_),
+            EnvelopeError::Malformed => EnvelopeError::Malformed,
+            EnvelopeError::TooLong(9) => EnvelopeError::TooLong(_)),
         all!(MembershipError:
-            MembershipError::OwnName => MembershipError::OwnName, MembershipError::StaleIncarnation => MembershipError::StaleIncarnation, MembershipError::Duplicate => MembershipError::Duplicate,
-            MembershipError::TooOld => MembershipError::TooOld, MembershipError::DeclaredFailed => MembershipError::DeclaredFailed, MembershipError::CapacityExceeded => MembershipError::CapacityExceeded,
+            MembershipError::OwnName => MembershipError::OwnName,
+            MembershipError::StaleIncarnation => MembershipError::StaleIncarnation,
+            MembershipError::Duplicate => MembershipError::Duplicate,
+            MembershipError::TooOld => MembershipError::TooOld,
+            MembershipError::DeclaredFailed => MembershipError::DeclaredFailed,
+            MembershipError::CapacityExceeded => MembershipError::CapacityExceeded,
             MembershipError::UnauthorizedSender => MembershipError::UnauthorizedSender),
-        all!(File:
-            File::Unreadable(trouble()) => File::Unreadable(_), File::Syntax(syntax_error()) => File::Syntax(_),
-            File::Value { key: "k", reason: "w".into() } => File::Value { .. }),
-        all!(Store:
-            Store::Directory { path: "f".into(), cause: trouble() } => Store::Directory { .. }, Store::InUse => Store::InUse,
-            Store::Corrupt("x".into()) => Store::Corrupt(_), Store::UnsupportedVersion { found: 0 } => Store::UnsupportedVersion { .. },
-            Store::WrongOwner { own: 1, reason: "w".into() } => Store::WrongOwner { .. },
-            Store::WriteFailed("x".into()) => Store::WriteFailed(_),
-            Store::Removed { path: "f".into() } => Store::Removed { .. }, Store::WriterEnded => Store::WriterEnded),
-        all!(PersistError: PersistError::from(Store::InUse) => _),
-        all!(Planner:
-            Planner::Config(file()) => Planner::Config(_),
-            Planner::Bind { address: "127.0.0.1:1".parse().expect("an address"), source: trouble() } => Planner::Bind { .. },
-            Planner::Store(Store::InUse) => Planner::Store(_),
-            Planner::SystemResources(trouble()) => Planner::SystemResources(_),
-            Planner::ComponentTimedOut(message::ComponentKind::ShardGrowth) => Planner::ComponentTimedOut(_),
-            Planner::RouterStopped => Planner::RouterStopped),
+        all!(ConfigErrorKind:
+            ConfigErrorKind::Unreadable(io_error()) => ConfigErrorKind::Unreadable(_),
+            ConfigErrorKind::Syntax(syntax_error()) => ConfigErrorKind::Syntax(_),
+            ConfigErrorKind::Value { key: "k", reason: "w".into() } => ConfigErrorKind::Value { .. }),
+        all!(StorageError:
+            StorageError::Directory { path: "f".into(), cause: io_error() } => StorageError::Directory { .. },
+            StorageError::InUse => StorageError::InUse,
+            StorageError::Corrupt("x".into()) => StorageError::Corrupt(_),
+            StorageError::UnsupportedVersion { found: 0 } => StorageError::UnsupportedVersion { .. },
+            StorageError::WrongOwner { own: 1, reason: "w".into() } => StorageError::WrongOwner { .. },
+            StorageError::WriteFailed("x".into()) => StorageError::WriteFailed(_),
+            StorageError::Removed { path: "f".into() } => StorageError::Removed { .. },
+            StorageError::WriterEnded => StorageError::WriterEnded),
+        all!(PersistError: PersistError::from(StorageError::InUse) => _),
+        all!(PlannerError:
+            PlannerError::Config(file()) => PlannerError::Config(_),
+            PlannerError::Bind { address: "127.0.0.1:1".parse().expect("an address"), source: io_error() } => PlannerError::Bind { .. },
+            PlannerError::Store(StorageError::InUse) => PlannerError::Store(_),
+            PlannerError::SystemResources(io_error()) => PlannerError::SystemResources(_),
+            PlannerError::ComponentTimedOut(message::ComponentKind::ShardGrowth) => PlannerError::ComponentTimedOut(_),
+            PlannerError::RouterStopped => PlannerError::RouterStopped),
         all!(RateLimitError:
             RateLimitError::Address(address) => RateLimitError::Address(_),
             RateLimitError::UnknownAddresses(address) => RateLimitError::UnknownAddresses(_),
@@ -79,21 +91,33 @@
         all!(ComponentCreateError: ComponentCreateError::Disabled => ComponentCreateError::Disabled),
         all!(ConfigError: file() => ConfigError { .. }),
         all!(counterfactual::NoSupport: counterfactual::NoSupport => counterfactual::NoSupport),
-        all!(Verdicts:
-            Verdicts::InvalidFigure => Verdicts::InvalidFigure, Verdicts::Stale => Verdicts::Stale, Verdicts::CapacityExceeded => Verdicts::CapacityExceeded,
-            Verdicts::InvalidFragment => Verdicts::InvalidFragment, Verdicts::UnauthorizedSender => Verdicts::UnauthorizedSender),
-        all!(Leases:
-            Leases::Outdated => Leases::Outdated, Leases::TooManyEntries => Leases::TooManyEntries, Leases::UnknownPlanner => Leases::UnknownPlanner,
-            Leases::UnsolicitedGrant => Leases::UnsolicitedGrant, Leases::UnexpectedMessage => Leases::UnexpectedMessage, Leases::NoMembers => Leases::NoMembers,
-            Leases::SharesExceedCapacity => Leases::SharesExceedCapacity, Leases::InvalidDurations => Leases::InvalidDurations),
-        all!(Growth:
-            Growth::UnexpectedSender => Growth::UnexpectedSender, Growth::InvalidValue => Growth::InvalidValue, Growth::DayClosed => Growth::DayClosed,
-            Growth::CapacityExceeded => Growth::CapacityExceeded),
+        all!(HealthError:
+            HealthError::InvalidFigure => HealthError::InvalidFigure,
+            HealthError::Stale => HealthError::Stale,
+            HealthError::CapacityExceeded => HealthError::CapacityExceeded,
+            HealthError::InvalidFragment => HealthError::InvalidFragment,
+            HealthError::UnauthorizedSender => HealthError::UnauthorizedSender),
+        all!(LeaseError:
+            LeaseError::Outdated => LeaseError::Outdated,
+            LeaseError::TooManyEntries => LeaseError::TooManyEntries,
+            LeaseError::UnknownPlanner => LeaseError::UnknownPlanner,
+            LeaseError::UnsolicitedGrant => LeaseError::UnsolicitedGrant,
+            LeaseError::UnexpectedMessage => LeaseError::UnexpectedMessage,
+            LeaseError::NoMembers => LeaseError::NoMembers,
+            LeaseError::SharesExceedCapacity => LeaseError::SharesExceedCapacity,
+            LeaseError::InvalidDurations => LeaseError::InvalidDurations),
+        all!(GrowthError:
+            GrowthError::UnexpectedSender => GrowthError::UnexpectedSender,
+            GrowthError::InvalidValue => GrowthError::InvalidValue,
+            GrowthError::DayClosed => GrowthError::DayClosed,
+            GrowthError::CapacityExceeded => GrowthError::CapacityExceeded),
         all!(SnapshotError:
-            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_), SnapshotError::Corrupt => SnapshotError::Corrupt),
-        all!(Judged:
-            Judged::InvalidValue => Judged::InvalidValue, Judged::NotSampled => Judged::NotSampled,
-            Judged::WrongRole => Judged::WrongRole),
+            SnapshotError::OtherVersion(0) => SnapshotError::OtherVersion(_),
+            SnapshotError::Corrupt => SnapshotError::Corrupt),
+        all!(CounterfactualError:
+            CounterfactualError::InvalidValue => CounterfactualError::InvalidValue,
+            CounterfactualError::NotSampled => CounterfactualError::NotSampled,
+            CounterfactualError::WrongRole => CounterfactualError::WrongRole),
     ]
     .into_iter()
     .flatten()
@@ -110,12 +134,13 @@
             && remediation.ends_with('.');
         assert!(
             is_sentence && remediation != description,
-            "{type_name}, {description}: {remediation:?} is no sentence to an operator"
+            "{type_name}, {description}: {remediation:?} is not a sentence for an operator"
         );
     }
 }
 
-/// The types above are as many as the sources declare.
+/// Guards against an error type that the test above leaves out: it lists as many types as the sources
+/// declare.
 #[test]
 fn every_error_type_is_listed() {
     let mut declared = Vec::new();
@@ -126,7 +151,7 @@
     assert_eq!(listed.len(), declared.len(), "listed: {listed:#?}, declared in: {declared:#?}");
 }
 
-/// Adds the files that declare an error type, each as often as it does.
+/// Adds a file to `declared` once for each error type that the file declares, in a folder and its subfolders.
 fn find_error_types(folder: &Path, declared: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("the folder is read").flatten() {
         let path = entry.path();
@@ -139,6 +164,7 @@
     }
 }
 
+/// Whether a line of source derives or implements the error trait.
 fn declares_error(line: &str) -> bool {
     let is_derived = line.trim().strip_prefix("#[derive(").is_some_and(|derive| derive.contains("Error)"));
     is_derived || line.contains("Error for ") && line.contains("impl std::error::")
