--- a/crates/control-plane/tests/planner_process.rs
+++ b/crates/control-plane/tests/planner_process.rs
@@ -1,4 +1,5 @@
-//! Planners as processes on loopback: what they answer, reject, persist, and how they end and restart.
+//! Planners as processes on loopback: the messages that they answer and reject, the state that they persist,
+//! and how they end and restart.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -22,11 +23,12 @@
     forwarder.send(&heartbeat, to);
 }
 
-/// The next messages that come, each within the time.
+/// The messages that arrive, each within `timeout` after the previous one.
 fn receive_all(forwarder: &Forwarder, timeout: Duration) -> impl Iterator<Item = (Sender, Message)> {
     std::iter::from_fn(move || forwarder.receive(SECRET, timeout))
 }
 
+/// The text of a log line.
 fn message_of(line: &Value) -> &str {
     line["message"].as_str().expect("the line has a message")
 }
@@ -50,7 +52,7 @@
     for bytes in [&changed, &foreign, &of_older_version, &junk, &heartbeat] {
         forwarder.send(bytes, fleet.addresses[0]);
     }
-    // It still reads after those that were rejected.
+    // The planner still reads messages after the rejected ones.
     send_heartbeat(&mut forwarder, fleet.addresses[0]);
     thread::sleep(Duration::from_millis(200));
     assert!(planner.stop().success());
@@ -63,15 +65,15 @@
 #[test]
 fn planners_find_each_other_and_a_killed_one_restarts_with_its_store() {
     let fleet = Fleet::new(2);
-    let (one, mut two) = (fleet.start(1), fleet.start(2));
-    let is_of_two = |line: &Value| line["message"].as_str().is_some_and(|m| m.starts_with("planner 2"));
-    one.wait_for_event_with("member_joined", is_of_two);
-    two.kill();
-    one.wait_for_event_with("member_failed", is_of_two);
+    let (planner_1, mut planner_2) = (fleet.start(1), fleet.start(2));
+    let names_planner_2 = |line: &Value| line["message"].as_str().is_some_and(|m| m.starts_with("planner 2"));
+    planner_1.wait_for_event_with("member_joined", names_planner_2);
+    planner_2.kill();
+    planner_1.wait_for_event_with("member_failed", names_planner_2);
     let restarted = fleet.start(2);
     restarted.wait_for_event("member_joined");
     assert_eq!(restarted.events("store_refused"), Vec::<Value>::new());
-    one.wait_for_event_with("member_joined", |line| line["message"] == "planner 2 is back");
+    planner_1.wait_for_event_with("member_joined", |line| line["message"] == "planner 2 is back");
 }
 
 #[test]
@@ -88,11 +90,11 @@
         let refused = planner.wait_for_event("store_refused");
         let message = message_of(&refused);
         assert!(message.contains(reason), "{message}");
-        let aside = refused["aside"].as_str().expect("a path");
-        assert!(fs::metadata(aside).is_ok_and(|m| m.len() == bytes.len() as u64), "{aside}");
+        let moved_to = refused["aside"].as_str().expect("a path");
+        assert!(fs::metadata(moved_to).is_ok_and(|m| m.len() == bytes.len() as u64), "{moved_to}");
         assert!(planner.stop().success());
     }
-    // The new store is this planner's own.
+    // Planner 2 opens the store that it created in place of planner 1's store.
     let restarted = fleet.start(2);
     assert!(restarted.events("store_refused").is_empty());
 }
@@ -112,13 +114,14 @@
     let mut later = receive_all(&forwarder, ANSWER_TIMEOUT).take(20);
     assert!(
         later.any(|(from, _)| from.incarnation > before.incarnation),
-        "its messages carry the incarnation before"
+        "the planner's messages still carry the former incarnation"
     );
 }
 
-/// A planner once forgot the address of such a forwarder, and ignored all its messages from then on.
+/// Guards against a planner that removes the address of a forwarder that it declared failed: without the
+/// address, the planner can't notify the forwarder, and ignores all its further messages.
 #[test]
-fn partitioned_forwarder_is_notified_that_it_was_taken_for_dead() {
+fn partitioned_forwarder_is_notified_that_it_was_declared_failed() {
     let fleet = Fleet::new(1);
     let planner = fleet.start(1);
     let mut forwarder = Forwarder::new("node-1");
@@ -126,7 +129,7 @@
     planner.wait_for_event("member_failed");
     let started_at = Instant::now();
     loop {
-        assert!(started_at.elapsed() < ANSWER_TIMEOUT, "not notified");
+        assert!(started_at.elapsed() < ANSWER_TIMEOUT, "the forwarder was not notified");
         send_heartbeat(&mut forwarder, fleet.addresses[0]);
         let mut messages = receive_all(&forwarder, Duration::from_millis(100)).take(8);
         let is_notice =
@@ -155,16 +158,16 @@
     send_heartbeat(&mut forwarder, fleet.addresses[0]);
     assert!(
         forwarder.receive(OTHER_SECRET, ANSWER_TIMEOUT).is_some(),
-        "sealed with the new secret, opened with the former"
+        "the planner opens messages with the former secret and seals with the new one"
     );
     assert!(planner.stop().success());
     assert!(
         planner.events("incarnation_changed").is_empty(),
-        "a new secret is no reason to forget what was granted"
+        "a new secret must not void leases by a new incarnation"
     );
 }
 
-/// The amount that a grant has for its first resource, if it grants any.
+/// The first resource of a grant with its amount; `None` if nothing is granted.
 fn granted_amount(message: Message) -> Option<ResourceAmount> {
     match message {
         Message::Leases(LeaseMessage::Grant { granted, .. }) => {
@@ -180,16 +183,15 @@
     let _planner = fleet.start(1);
     let ready_at = Instant::now();
     let mut forwarder = Forwarder::new("node-1");
-    let granted = (1..60).find_map(|ask| {
-        let needs = vec![Demand {
+    let granted = (1..60).find_map(|request_id| {
+        let demands = vec![Demand {
             resource: Resource::Origin,
             amount: 20_000,
             request_in_use: 0,
             requesters: 1,
             already_held: 0,
         }];
-        let request = forwarder
-            .seal(&Message::Leases(LeaseMessage::Request { request_id: ask, demands: needs }), SECRET);
+        let request = forwarder.seal(&Message::Leases(LeaseMessage::Request { request_id, demands }), SECRET);
         forwarder.send(&request, fleet.addresses[0]);
         let mut messages = receive_all(&forwarder, Duration::from_millis(200)).take(8);
         messages.find_map(|(_, message)| granted_amount(message))
@@ -220,14 +222,16 @@
     assert!(run_check(&["--config", &format!("{deployed}planner.toml")]).is_valid);
 }
 
-/// Requests for leases are never shed by an open mailbox: if its component hangs, it would hold up all messages.
+/// Guards against a hanging component that delays all messages. An open mailbox never sheds requests for
+/// leases: if the leases component hangs and its mailbox stays open, the mailbox fills up and the planner
+/// reads no more messages.
 #[test]
 fn hanging_component_is_named_and_shed_and_its_process_shuts_down_in_order() {
     let fleet = Fleet::new(2);
     let faults = "[trial]\nhangs = \"leases\"\nhang_named_ms = 1000\nhang_ends_ms = 6000\n";
     fleet.write_planner_config(1, faults);
-    let (mut one, two) = (fleet.start(1), fleet.start(2));
-    assert!(message_of(&one.events("fault_injection")[0]).contains("injects faults"));
+    let (mut planner_1, planner_2) = (fleet.start(1), fleet.start(2));
+    assert!(message_of(&planner_1.events("fault_injection")[0]).contains("injects faults"));
     let mut forwarder = Forwarder::new("node-1");
     let mut send = |message: &Message| {
         let bytes = forwarder.seal(message, SECRET);
@@ -235,8 +239,8 @@
     };
     let request = Message::Leases(LeaseMessage::Request { request_id: 1, demands: Vec::new() });
     send(&request);
-    one.wait_for_event("task_unresponsive");
-    // More than a mailbox holds; what comes after is still read.
+    planner_1.wait_for_event("task_unresponsive");
+    // These are more messages than a mailbox holds. The planner still reads the heartbeat after them.
     let started_at = Instant::now();
     for n in 0..6000 {
         send(&request);
@@ -246,12 +250,13 @@
     }
     send(&HEARTBEAT);
     assert!(forwarder.receive(SECRET, Duration::from_millis(700)).is_some(), "heartbeats stopped");
-    assert!(started_at.elapsed() < Duration::from_secs(5), "the machine is too slow to tell");
-    assert!(two.events("member_failed").is_empty(), "{:?}", two.events("member_failed"));
-    let status = one.wait();
+    assert!(started_at.elapsed() < Duration::from_secs(5), "the machine is too slow for this test");
+    let failed_members = planner_2.events("member_failed");
+    assert!(failed_members.is_empty(), "{failed_members:?}");
+    let status = planner_1.wait();
     assert_eq!(status.code(), Some(1), "a supervisor sees that it failed");
-    assert_eq!(one.events("task_unresponsive").len(), 1);
-    let rejected = one.events("messages_rejected");
+    assert_eq!(planner_1.events("task_unresponsive").len(), 1);
+    let rejected = planner_1.events("messages_rejected");
     let shed = rejected.iter().find(|line| line["name"] == "shed").expect("shed messages are logged");
     assert!(shed["count"].as_u64().is_some_and(|n| n > 0), "{shed}");
 }
--- a/crates/control-plane/tests/stale_planners.rs
+++ b/crates/control-plane/tests/stale_planners.rs
@@ -1,5 +1,6 @@
-//! Planners that resume when others have taken over, two planners of one number, and configurations and secrets that
-//! differ between members. Planners are processes, forwarders hold leases, and an auditor sums up what all of them hold.
+//! Planners that resume after others have taken over, two planners of one number, and configurations and
+//! secrets that differ between members. Planners are processes, forwarders hold leases, and an audit sums up
+//! all leases.
 
 use std::fs;
 use std::net::UdpSocket;
@@ -11,12 +12,13 @@
 use crate::support::lease_holders::LeaseHolders;
 use crate::support::{Fleet, OTHER_SECRET, Planner, SECRET};
 
-/// What is leased of 100 fetches a second, in thousandths: a quarter is the forwarders' own.
+/// The part of 100 fetches a second that is leased, in thousandths of a fetch a second: forwarders use a
+/// quarter without a lease.
 const LEASABLE: u64 = 75_000;
-/// A planner that starts grants its first leases within this time.
+/// The time within which a planner that starts grants its first leases.
 const FIRST_GRANTS: Duration = Duration::from_millis(6500);
 
-/// Stops planners, and returns the rejections that each has logged.
+/// Stops planners, and returns the counts of rejected messages that they have logged.
 fn stop_and_collect_rejections(planners: &mut [Planner]) -> Vec<String> {
     let mut rejections = Vec::new();
     for planner in planners {
@@ -28,12 +30,13 @@
     rejections
 }
 
-/// A third of the holders uses the planner that was suspended, a third its successor of the same number, and a third the
-/// other planner: each would have its whole part to grant.
+/// Guards against two planners of one number that both grant that number's part, so that more is leased than
+/// the capacity. A third of the holders uses the suspended planner, a third its successor of the same number,
+/// and a third the other planner.
 #[test]
 fn suspended_planner_grants_nothing_beside_its_successor_of_the_same_number() {
     let mut fleet = Fleet::new(2);
-    let (suspended, two) = (fleet.start(1), fleet.start(2));
+    let (suspended, planner_2) = (fleet.start(1), fleet.start(2));
     let first_address = fleet.addresses[0];
     let mut holders = LeaseHolders::new(&[1.0; 6], LEASABLE);
     let before = holders.request_from_planner(&fleet, 1, FIRST_GRANTS);
@@ -46,8 +49,8 @@
     fleet.write_fleet_config(&format!("secret = \"{SECRET}\""));
     let text = "number = 1\noperator = \"operator.toml\"\nstate = \"state-1-new\"\n";
     fs::write(fleet.path("planner-1-new.toml"), text).expect("the file is written");
-    two.signal(Signal::HUP);
-    two.wait_for_event("reloaded");
+    planner_2.signal(Signal::HUP);
+    planner_2.wait_for_event("reloaded");
     let successor = fleet.start_with_config(1, "planner-1-new.toml");
     let alone = holders.request_from_planner(&fleet, 1, Duration::from_secs(7));
     assert!(alone.max_held > 0 && alone.violations == 0, "{alone:?}");
@@ -57,19 +60,21 @@
     let both = holders.request_from_each(Duration::from_secs(8), |n| Some(addresses[n % 3]));
     assert_eq!(both.violations, 0, "{both:?} of {LEASABLE}");
     suspended.wait_for_event("process_stalled");
-    let succeeded = successor.wait_for_event("incarnation_superseded");
-    assert!(succeeded["message"].as_str().is_some_and(|m| m.contains("two processes")), "{succeeded}");
-    // Both are stopped and one is restarted, since a forwarder may have heard an incarnation of the suspended planner that
-    // no planner has heard.
+    let superseded = successor.wait_for_event("incarnation_superseded");
+    assert!(superseded["message"].as_str().is_some_and(|m| m.contains("two processes")), "{superseded}");
+    // Both planners of the number are stopped and one is restarted, since forwarders may know an incarnation
+    // of the suspended planner that no planner knows.
     drop((suspended, successor));
     let _successor = fleet.start_with_config(1, "planner-1-new.toml");
     let after = holders.request_from_planner(&fleet, 1, Duration::from_secs(7));
     assert!(
         after.violations == 0 && holders.held_by(0) > 0,
-        "{after:?}: the planner that is left grants again"
+        "{after:?}: the planner that is left must grant leases again"
     );
 }
 
+/// Guards against a restarted forwarder whose messages are ignored, or whose leases of earlier incarnations
+/// are not counted or are counted for too long.
 #[test]
 fn forwarder_that_restarts_three_times_in_two_seconds_is_heard_at_once_and_counted_fully() {
     let fleet = Fleet::new(1);
@@ -82,14 +87,15 @@
         holders.restart(0);
         violations += holders.request_from_planner(&fleet, 1, Duration::from_millis(600)).violations;
     }
-    // Once the leases of its earlier incarnations have expired, it has its part again.
+    // The forwarder has its part again after the leases of its earlier incarnations have expired.
     violations += holders.request_from_planner(&fleet, 1, Duration::from_millis(3200)).violations;
     assert_eq!(violations, 0);
     let held: Vec<_> = (0..3).map(|n| holders.held_by(n)).collect();
     assert!(held[0] * 2 > held[1] && held[0] > 0, "{held:?}");
 }
 
-/// Three steps, each at one member after the other: all accept the new secret, all seal with it, none accepts the old one.
+/// The rotation takes three steps, each at one planner after the other: all planners accept the new secret,
+/// all seal with the new secret, and no planner accepts the old secret.
 #[test]
 fn secret_is_rotated_by_rolling_restarts_without_a_rejected_message() {
     let fleet = Fleet::new(3);
@@ -112,8 +118,8 @@
     assert!(!rejections.iter().any(|names| names.contains("forged")), "{rejections:?}");
 }
 
-/// Two planners are configured with 100 fetches a second and one with 200: what is leased is at most the greater, and each
-/// planner's part is within its own configuration.
+/// Two planners are configured with 100 fetches a second and one with 200. The sum of all leases is within
+/// the greater configuration, and each planner's leases are within its part of its own configuration.
 #[test]
 fn differing_configurations_add_up_to_at_most_the_greater_one() {
     let fleet = Fleet::new(3);
@@ -128,6 +134,6 @@
     planners[0].wait_for_event("incarnation_changed");
     let mixed = holders.request_from_each(Duration::from_secs(8), planner_of);
     assert_eq!(mixed.violations, 0, "{mixed:?}");
-    // A third of 150 and two thirds of 75.
+    // The upper bound is a third of 150 and two thirds of 75 fetches a second.
     assert!((LEASABLE..=100_000).contains(&mixed.max_held), "{mixed:?}");
 }
