--- a/crates/control-plane/tests/counterfactual.rs
+++ b/crates/control-plane/tests/counterfactual.rs
@@ -1,6 +1,7 @@
-//! Counterfactual estimates by processes: the components of several forwarders report their requests to two planners, one
-//! message of ten is lost and one is duplicated. Without a fault no cache is named; one that becomes slow is named by both
-//! planners; and no other is named when planners are killed, caches restart, a shard map is new and a forwarder lies.
+//! Counterfactual estimates with planners as processes. The components of several forwarders report their
+//! requests to two planners; one message of ten is lost and one of ten is duplicated. Without a fault no
+//! cache is named in the log. Both planners name a cache that becomes slow. No other cache is named when
+//! planners are killed, a cache restarts, the shard map changes, or a forwarder sends false reports.
 
 use std::fs;
 use std::thread;
@@ -23,20 +24,21 @@
 const CACHES: u64 = 4;
 const CANDIDATES: u64 = 3;
 const SLOW_CACHE: u64 = 0;
+/// The slow cache as the log names it.
 const SLOW_CACHE_IN_LOG: &str = "0000000000000000";
 const BASE_LATENCY: Span = Span::from_millis(10);
 const SLOW_EXTRA_LATENCY: Span = Span::from_millis(40);
 const SLO: Span = Span::from_millis(50);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// How often messages arrive, in turn.
+/// The number of times that each of ten consecutive messages arrives.
 const COPIES: [usize; 10] = [0, 1, 1, 1, 1, 1, 1, 1, 1, 2];
 
-/// The shard map by which candidates are chosen.
+/// The number of the shard map by which candidates are chosen.
 #[derive(Clone, Copy)]
 struct ShardMapNumber(u64);
 
-/// The attempt of a request. Every third request goes to its second candidate; a slow cache takes 40 ms longer of an SLO of
-/// 50. In another shard map keys have other candidates.
+/// The attempt of a request. One request of three goes to its second candidate. An attempt at the slow cache
+/// takes 40 ms longer, of an SLO of 50 ms. In another shard map a key has other candidates.
 fn attempt(request: u64, shard_map: ShardMapNumber, slow_cache: Option<u64>) -> FinishedAttempt {
     let candidate = |place| EndpointId((request + shard_map.0 + place) % CACHES);
     let candidates: Vec<_> = (0..CANDIDATES).map(candidate).collect();
@@ -45,7 +47,7 @@
     let noise = Span((request * 7919 % 101) * 100);
     let extra_latency = if slow_cache == Some(cache.0) { SLOW_EXTRA_LATENCY } else { Span::ZERO };
     FinishedAttempt {
-        request_hash: (request * 64..).find(|call| is_sampled(*call)).expect("one of two is sampled"),
+        request_hash: (request * 64..).find(|hash| is_sampled(*hash)).expect("one hash of two is sampled"),
         number: 0,
         key: Key(request),
         request_class: RequestClassId(0),
@@ -62,15 +64,17 @@
     }
 }
 
-/// A forwarder's component, and its socket.
+/// The counterfactual component of a forwarder, with the forwarder's socket.
 struct ReportingForwarder {
     component: ForwarderComponent,
     transport: Forwarder,
-    /// As a node's agent, it sends heartbeats whatever its components have to say. Without them a loaded machine, on which
-    /// reports come less often, lets planners take it for dead.
+    /// The time of the next heartbeat, which is sent even if the component has no messages, as by a node's
+    /// agent. Without heartbeats, planners on a loaded machine, where reports are less frequent, would
+    /// declare the forwarder failed.
     next_heartbeat: Time,
 }
 
+/// Planners as processes, and forwarders that report to them.
 struct ReportingFleet {
     fleet: Fleet,
     clock: Clock,
@@ -80,8 +84,9 @@
 }
 
 impl ReportingFleet {
-    /// Starts two planners that judge every 2 s, and forwarders. These must not be four or eight, since then each would see
-    /// the requests of one cache alone, and no cache is named by a single forwarder.
+    /// Starts two planners that compare caches every 2 s, and forwarders. The number of forwarders must not
+    /// be four or eight: each forwarder would report the requests of a single cache, and reports of a single
+    /// forwarder name no cache.
     fn start(forwarders: u64) -> (ReportingFleet, [Planner; 2]) {
         let fleet = Fleet::new(2);
         let config = fs::read_to_string(fleet.path("operator.toml")).expect("the file is read");
@@ -104,8 +109,8 @@
         (ReportingFleet { fleet, clock, forwarders, requests: 0, messages: 0 }, planners)
     }
 
-    /// Runs for a time or until a condition holds. Each forwarder handles a request every 20 ms, whose attempt is created
-    /// from the request's number and the forwarder's.
+    /// Runs for `time` or until a condition holds. Each forwarder handles a request every 20 ms; `attempt`
+    /// creates the request's attempt from the numbers of the request and of the forwarder.
     fn run(
         &mut self,
         time: Duration,
@@ -125,6 +130,7 @@
         }
     }
 
+    /// Sends the messages of a forwarder's component, of which some are lost and some are duplicated.
     fn send_messages(&mut self, n: usize) {
         let ReportingForwarder { component, transport, .. } = &mut self.forwarders[n];
         while let Some((to, message)) = component.poll_message(self.clock.now()) {
@@ -151,7 +157,7 @@
         }
     }
 
-    /// All forwarders' endpoint lists report that a cache has just started.
+    /// Gives all forwarders an endpoint list by which a cache has just started.
     fn restart_cache(&mut self, cache: u64) {
         let endpoint = ObservedEndpoint {
             cache: EndpointId(cache),
@@ -168,12 +174,13 @@
     }
 }
 
-/// The caches that a planner's log names with this event.
+/// The caches that lines with this event in a planner's log name.
 fn named_caches(planner: &Planner, event: &str) -> Vec<String> {
     let cache = |line: &Value| line["message"].as_str().and_then(|m| m.split(' ').nth(1)).map(String::from);
     planner.events(event).iter().filter_map(cache).collect()
 }
 
+/// Whether a planner has named no cache as worse or better than others.
 fn names_no_cache(planner: &Planner) -> bool {
     named_caches(planner, "hindsight_worse").is_empty()
         && named_caches(planner, "hindsight_better").is_empty()
@@ -204,8 +211,9 @@
     assert!(name_only_the_slow_cache(&planners));
 }
 
-/// A restart voids what was known of the cache: one planner has named it and withdraws that, another one is killed meanwhile
-/// and restarts without state, and a forwarder leaves for good.
+/// Guards against a restarted cache that is judged by reports from before its restart. The planner that has
+/// named the cache withdraws that; the other planner is killed and restarts without state; and one forwarder
+/// leaves for good.
 #[test]
 fn restarted_cache_is_not_judged_by_its_past() {
     let (mut fleet, mut planners) = ReportingFleet::start(6);
@@ -224,16 +232,21 @@
     assert!(names_no_cache(&planners[1]));
 }
 
-/// Half of the forwarders have a new shard map while the others have the old one, a planner is killed and restarts, and one
-/// forwarder of five reports all the while that cache 1 uses up the SLO: no cache is named. Then a cache is slow, and is
-/// named.
+/// Guards against a cache that is named because forwarders have different shard maps or because of one
+/// forwarder's false reports. Two of five forwarders have a new shard map while the others have the old one,
+/// a planner is killed and restarts, and one forwarder of five reports all the while that cache 1 uses up the
+/// SLO: no cache is named. Then a cache becomes slow, and is named.
 #[test]
-fn new_shard_map_and_lying_forwarder_name_no_cache_and_hide_none() {
-    const LYING_FORWARDER: usize = 0;
-    const SLANDERED_CACHE: u64 = 1;
+fn new_shard_map_and_false_reports_name_no_cache_and_hide_no_slow_cache() {
+    const FALSELY_REPORTING_FORWARDER: usize = 0;
+    const FALSELY_REPORTED_CACHE: u64 = 1;
     let attempt_with_maps = |maps: [u64; 5], slow_cache: Option<u64>| {
         move |request: u64, forwarder: usize| {
-            let reported = if forwarder == LYING_FORWARDER { Some(SLANDERED_CACHE) } else { slow_cache };
+            let reported = if forwarder == FALSELY_REPORTING_FORWARDER {
+                Some(FALSELY_REPORTED_CACHE)
+            } else {
+                slow_cache
+            };
             attempt(request, ShardMapNumber(maps[forwarder]), reported)
         }
     };
--- a/crates/control-plane/tests/shard_growth.rs
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -1,5 +1,6 @@
-//! Splits of growing shards by processes, with days that pass quickly: planners are killed at each step, and the origin is
-//! slow during a split; messages are lost and duplicated all the while.
+//! Splits of growing shards with planners as processes and accounting days that pass quickly. Planners are
+//! killed at each step of a split, and the origin is slow or a cache fails during a split. One message of ten
+//! is lost and one of ten is duplicated all the while.
 
 use std::fs;
 use std::time::Duration;
@@ -14,27 +15,30 @@
 use crate::support::growing_fleet::{GROWING_SHARDS, GrowingFleet, caches, step_rank};
 
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(25);
+/// The interval at which forwarders send a message in [`send_repeatedly`].
 const SEND_INTERVAL: Duration = Duration::from_millis(200);
 const REPORTING_FORWARDERS: usize = 2;
-/// More than the origin's capacity, in thousandths of a fetch a second.
+/// A lease request that exceeds the origin's capacity, in thousandths of a fetch a second.
 const EXCESSIVE_AMOUNT: u32 = 90_000_000;
 
+/// The rank of the step that the first growing shard's split has reached.
 fn current_rank(growing: &GrowingFleet) -> u8 {
     step_rank(growing.auditor.latest(GROWING_SHARDS[0]).step)
 }
 
-/// Whether both shards were split once. They grow on, so that the next split may be foreseen already.
+/// Whether both shards were split once. The shards continue to grow, so that their next split may be foreseen
+/// already.
 fn are_all_split_once(growing: &GrowingFleet) -> bool {
     GROWING_SHARDS.iter().all(|shard| growing.auditor.latest(*shard).splits == 1)
 }
 
 /// Whether all forwarders use the latest shard map.
-fn have_all_the_latest_map(growing: &GrowingFleet) -> bool {
+fn do_all_use_the_latest_map(growing: &GrowingFleet) -> bool {
     let latest = growing.auditor.shard_maps.values().last().map(VersionedShardMap::to_balancer_shard_map);
     growing.nodes.iter().all(|node| node.shard_map() == latest)
 }
 
-/// Kills the leader, waits until another one has made a step, and restarts the killed one.
+/// Kills the leader, waits until the next leader has made a step, and restarts the killed planner.
 fn fail_over(growing: &mut GrowingFleet, store: StoreAfterKill) {
     let leader = growing.leader();
     let latest = growing.auditor.latest(GROWING_SHARDS[0]);
@@ -51,6 +55,7 @@
     growing.start_planner(leader);
 }
 
+/// Whether a killed planner restarts with its store.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StoreAfterKill {
     Intact,
@@ -77,21 +82,21 @@
         fail_over(&mut growing, if is_store_lost { StoreAfterKill::Lost } else { StoreAfterKill::Intact });
     }
     growing.run_until("split", PROGRESS_TIMEOUT, are_all_split_once);
-    growing.run_until("of one shard map", PROGRESS_TIMEOUT, have_all_the_latest_map);
+    growing.run_until("of one shard map", PROGRESS_TIMEOUT, do_all_use_the_latest_map);
     growing.auditor.check_steps();
     let is_withdrawn = |shard_map: &VersionedShardMap| {
         shard_map.shards.values().any(|s| s.phase == Some(SplitPhase::Withdrawn))
     };
     assert!(
         !growing.auditor.shard_maps.values().any(is_withdrawn),
-        "killed planners are no reason to withdraw a split"
+        "a split was withdrawn because planners were killed"
     );
 }
 
-/// Creates a message from a number that increases.
+/// A function that creates a message from an increasing number.
 type CreateMessage = Box<dyn Fn(u64) -> Message>;
 
-/// Two forwarders send a message this often, each fifth of a second.
+/// Two forwarders send a message to all planners, `times` times at [`SEND_INTERVAL`].
 fn send_repeatedly(growing: &mut GrowingFleet, times: u32, create: impl Fn(u64) -> Message) {
     for _ in 0..times {
         let number = Clock::start().now().0;
@@ -102,40 +107,40 @@
     }
 }
 
-/// Requests this amount of the origin.
+/// Creates requests for a lease of this amount of the origin, in thousandths of a fetch a second.
 fn lease_request(amount: u32) -> impl Fn(u64) -> Message {
-    move |ask| {
-        let needs = vec![Demand {
+    move |request_id| {
+        let demands = vec![Demand {
             resource: Resource::Origin,
             amount,
-            request_in_use: ask,
+            request_in_use: request_id,
             requesters: 1,
             already_held: 0,
         }];
-        Message::Leases(LeaseMessage::Request { request_id: ask, demands: needs })
+        Message::Leases(LeaseMessage::Request { request_id, demands })
     }
 }
 
-/// Reports the results of attempts at one of the shard's caches.
+/// Creates health reports about one of the first growing shard's caches, with these counts of attempts.
 fn health_report(failed: f64, answered: f64) -> impl Fn(u64) -> Message {
     let shard = GROWING_SHARDS[0];
     let cache = *caches_of(shard.0, 1, &caches()).first().expect("the shard has caches");
-    let seen = EndpointCounts { endpoint: cache, failed, answered, in_flight: 0.0 };
+    let counts = EndpointCounts { endpoint: cache, failed, answered, in_flight: 0.0 };
     move |number| {
-        let report = HealthReport { sequence: number, fragment: Fragment::SINGLE, endpoints: vec![seen] };
+        let report = HealthReport { sequence: number, fragment: Fragment::SINGLE, endpoints: vec![counts] };
         Message::EndpointHealth(HealthMessage::Report(report))
     }
 }
 
-/// A fault, as forwarders report it.
+/// The messages by which forwarders report the beginning and the end of a fault.
 struct ReportedFault {
     begin: CreateMessage,
     end: CreateMessage,
 }
 
-/// Reports a fault until the split has made no step for four messages in a row.
+/// Reports a fault until the split has made no step during four reports in a row.
 fn report_until_paused(growing: &mut GrowingFleet, create: &CreateMessage, step: SplitPhase) {
-    // A part of the copying takes a quarter of a second.
+    // Without a fault, each part of the copying takes a quarter of a second, about as long as a report.
     let mut shard_maps = 0;
     let mut unchanged = 0;
     for _ in 0..10 {
@@ -147,7 +152,7 @@
             return;
         }
     }
-    panic!("the split continues past {step:?}");
+    panic!("the split continues past {step:?} during a reported fault");
 }
 
 fn run_until_step(growing: &mut GrowingFleet, step: SplitPhase) {
@@ -162,7 +167,7 @@
         ReportedFault { begin: Box::new(lease_request(EXCESSIVE_AMOUNT)), end: Box::new(lease_request(0)) };
     let failing_cache =
         ReportedFault { begin: Box::new(health_report(5.0, 0.0)), end: Box::new(health_report(0.0, 5.0)) };
-    // Both last for less time than a split waits.
+    // Each of these faults ends before the split stops waiting for the end.
     for (step, fault) in [(SplitPhase::Copying(2), slow_origin), (SplitPhase::Copying(7), failing_cache)] {
         run_until_step(&mut growing, step);
         report_until_paused(&mut growing, &fault.begin, step);
