--- a/crates/control-plane/examples/planner_cost.rs
+++ b/crates/control-plane/examples/planner_cost.rs
@@ -1,5 +1,6 @@
-//! Prints the cost of a planner's process by the number of forwarders. The program is named as the first argument and runs
-//! on loopback; this process plays forwarders that report and request leases twice a second.
+//! Prints the cost of a planner's process for several numbers of forwarders. The first argument is the path
+//! of the program, which runs as a planner on loopback. This process sends it the messages of forwarders,
+//! which report and request leases twice a second.
 
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
@@ -18,14 +19,16 @@
 const ROUNDS_PER_S: u64 = 2;
 const ROUNDS: u64 = ROUNDS_PER_S * MEASURED_S;
 const ROUND_US: u64 = 500_000;
+/// The number of sockets that all forwarders share.
 const SOCKETS: usize = 32;
 const CACHES: u64 = 70;
 const REPORTED_CACHES: u64 = 5;
 const FAILING_CACHE: u64 = 0;
 const MAX_DATAGRAM_BYTES: usize = 1500;
+/// The time that the planner gets to start before it is measured.
 const START_TIME: Duration = Duration::from_millis(500);
 const SECRET: [u8; 16] = [7; 16];
-/// Clock ticks a second in `/proc`.
+/// The clock ticks in a second in which `/proc` reports CPU times.
 const TICKS_PER_S: f64 = 100.0;
 const KB_PER_MB: f64 = 1024.0;
 
@@ -42,7 +45,7 @@
     }
 }
 
-/// What forwarders sent and received.
+/// The traffic of all forwarders.
 #[derive(Default)]
 struct Traffic {
     sent_bytes: usize,
@@ -50,7 +53,7 @@
     answers: u64,
 }
 
-/// Runs a planner with this many forwarders, and returns a row of the table.
+/// Runs a planner with this many forwarders, and returns the cells of a row of the table.
 fn measure(program: &str, folder: &Path, forwarders: u64) -> String {
     let address = UdpSocket::bind("127.0.0.1:0").expect("a free port").local_addr().expect("an address");
     write_configs(folder, address);
@@ -64,7 +67,7 @@
     thread::sleep(START_TIME);
     let cpu_before_s = cpu_time_s(&child);
     let started_at = Instant::now();
-    let traffic = play_forwarders(forwarders, address, started_at);
+    let traffic = run_forwarders(forwarders, address, started_at);
     let cpu_s = cpu_time_s(&child) - cpu_before_s;
     let resident = resident_mb(&child);
     child.kill().expect("the planner is killed");
@@ -93,9 +96,12 @@
     socket
 }
 
-fn play_forwarders(forwarders: u64, planner: SocketAddr, started_at: Instant) -> Traffic {
+/// Sends the messages of all forwarders in all rounds, spread evenly over each round, and receives the
+/// answers.
+fn run_forwarders(forwarders: u64, planner: SocketAddr, started_at: Instant) -> Traffic {
     let secrets = Secrets::single(Secret::new(&SECRET).expect("long enough"));
-    // A few sockets serve all forwarders: the planner answers to the address that a forwarder sent from.
+    // All forwarders share a few sockets, since the planner answers to the address from which a forwarder
+    // sent.
     let sockets: Vec<_> = (0..SOCKETS).map(|_| connect(planner)).collect();
     let mut traffic = Traffic::default();
     for round in 0..ROUNDS {
@@ -111,13 +117,13 @@
     traffic
 }
 
-/// Sends the messages of a forwarder in a round, and returns their bytes.
+/// Sends the messages of forwarder `n` in a round, and returns how many bytes were sent.
 fn send_messages(socket: &UdpSocket, secrets: &Secrets, n: u64, round: u64) -> usize {
     let member = Member::Forwarder(ForwarderId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     let messages = messages(n, round);
     let mut sent_bytes = 0;
-    for (k, message) in messages.iter().enumerate() {
-        let number = round * messages.len() as u64 + k as u64;
+    for (index, message) in messages.iter().enumerate() {
+        let number = round * messages.len() as u64 + index as u64;
         let sender = Sender { member, incarnation: Incarnation(1), sequence: number };
         let bytes = seal(sender, message, secrets).expect("the message is sealed");
         sent_bytes += socket.send(&bytes).unwrap_or(0);
@@ -133,16 +139,17 @@
     }
 }
 
-/// The messages of a forwarder in a round: a report on five of 70 caches, one of which fails, and a request for a lease.
+/// The messages of forwarder `n` in a round: a report on five of 70 caches, of which cache 0 fails, and a
+/// request for a lease.
 fn messages(n: u64, round: u64) -> Vec<Message> {
-    let seen = |k: u64| {
-        let cache = (n + round + 14 * k) % CACHES;
+    let counts = |index: u64| {
+        let cache = (n + round + 14 * index) % CACHES;
         let failed = f64::from(u8::from(cache == FAILING_CACHE));
         EndpointCounts { endpoint: EndpointId(cache), answered: 1.0 - failed, failed, in_flight: 0.0 }
     };
-    let caches = (0..REPORTED_CACHES).map(seen).collect();
+    let caches = (0..REPORTED_CACHES).map(counts).collect();
     let report = HealthReport { sequence: round + 1, fragment: Fragment::SINGLE, endpoints: caches };
-    let needs = vec![Demand {
+    let demands = vec![Demand {
         resource: Resource::Origin,
         amount: 500,
         request_in_use: round,
@@ -151,10 +158,11 @@
     }];
     vec![
         Message::EndpointHealth(HealthMessage::Report(report)),
-        Message::Leases(LeaseMessage::Request { request_id: round + 1, demands: needs }),
+        Message::Leases(LeaseMessage::Request { request_id: round + 1, demands }),
     ]
 }
 
+/// The user and system CPU time of a process, in seconds.
 fn cpu_time_s(child: &Child) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).expect("the planner runs");
     let after_name = stat.rsplit(')').next().expect("the program's name");
@@ -166,6 +174,7 @@
     (user + system) / TICKS_PER_S
 }
 
+/// The resident memory of a process, in MB.
 fn resident_mb(child: &Child) -> f64 {
     let status = fs::read_to_string(format!("/proc/{}/status", child.id())).expect("the planner runs");
     let text = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("the line of VmRSS");
--- a/crates/control-plane/tests/storage.rs
+++ b/crates/control-plane/tests/storage.rs
@@ -1,5 +1,5 @@
-//! The state file under crashes: a process that is killed at any step finds the latest complete snapshots again, also on
-//! a disk that loses parts of what was not synced.
+//! The state file under crashes: a process that was killed at any step finds the latest complete snapshots
+//! when it starts again, also on a disk that loses parts of the writes that were not synced.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,7 +10,7 @@
 use redb::{Database, StorageBackend, TableDefinition};
 
 const PLANNER: PlannerId = PlannerId(3);
-/// The unit of a write that survives a loss of power or not, in bytes.
+/// The size of a sector in bytes: at a loss of power, each sector of a write survives entirely or not at all.
 const SECTOR: usize = 512;
 
 /// A write that was not synced.
@@ -20,6 +20,7 @@
     bytes: Vec<u8>,
 }
 
+/// The contents of an emulated disk, and the point at which its process is killed.
 #[derive(Debug, Default)]
 struct Disk {
     /// The contents as the process reads them.
@@ -27,10 +28,11 @@
     /// The contents at the last sync, which survive a loss of power.
     synced: Vec<u8>,
     unsynced: Vec<UnsyncedWrite>,
-    /// The number of operations until the process is killed.
+    /// The number of operations until the process is killed; `None` if it is never killed.
     steps_left: Option<usize>,
 }
 
+/// A storage backend on an emulated disk. Clones share the disk.
 #[derive(Clone, Debug, Default)]
 struct Backend(Arc<Mutex<Disk>>);
 
@@ -39,6 +41,7 @@
         self.0.lock().expect("no test panics with the lock")
     }
 
+    /// Counts an operation, and returns the disk; an error once the process is killed.
     fn step(&self) -> io::Result<MutexGuard<'_, Disk>> {
         let mut disk = self.disk();
         match &mut disk.steps_left {
@@ -51,7 +54,8 @@
         }
     }
 
-    /// The disk after a loss of power: each sector that was not synced has either its old or its new contents.
+    /// The disk after a loss of power: each sector that was not synced has either its old or its new
+    /// contents.
     fn after_power_loss(&self, seed: u64) -> Backend {
         let disk = self.disk();
         let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
@@ -71,7 +75,7 @@
     }
 }
 
-/// The xorshift generator.
+/// The next state of an xorshift random number generator.
 fn next_random(mut state: u64) -> u64 {
     state ^= state << 13;
     state ^= state >> 7;
@@ -119,8 +123,9 @@
     (0..500 + n * 900).map(|byte| (byte ^ n) as u8).collect()
 }
 
-/// Commits the snapshots of two components four times; returns the last commit that was reported as durable.
-fn write_some(backend: &Backend) -> Option<u64> {
+/// Commits the snapshots of two components four times, and returns the number of the last commit that was
+/// reported as durable; `None` if none was.
+fn commit_four_times(backend: &Backend) -> Option<u64> {
     let file = StateFile::on(backend.clone(), PLANNER).ok()?;
     let mut durable = None;
     for n in 1..=4 {
@@ -141,20 +146,20 @@
         // A state file is created under another name, so it is complete when it is first used.
         drop(StateFile::on(backend.clone(), PLANNER).expect("created"));
         backend.disk().steps_left = Some(steps);
-        let durable = write_some(&backend);
+        let durable = commit_four_times(&backend);
         let survived = backend.after_power_loss(steps as u64 + 77);
         let file = StateFile::on(survived, PLANNER)
             .unwrap_or_else(|error| panic!("killed at step {steps}: {error}"));
-        let found = file.read(ComponentKind::Leases).expect("it is intact");
-        // The commit that was in progress may have succeeded or not; none before it is lost.
+        let found = file.read(ComponentKind::Leases).expect("the snapshot is intact");
+        // The commit that was in progress may have succeeded or not; no commit before it is lost.
         let next = durable.unwrap_or(0) + 1;
         let possible = [durable.map(snapshot), Some(snapshot(next))];
-        assert!(possible.contains(&found), "step {steps}: {durable:?} was durable, and not found");
+        assert!(possible.contains(&found), "step {steps}: commit {durable:?} was durable, but was not found");
         let commit = if found == Some(snapshot(next)) { Some(next) } else { durable };
         assert_eq!(
-            file.read(ComponentKind::ShardGrowth).expect("it is intact"),
+            file.read(ComponentKind::ShardGrowth).expect("the snapshot is intact"),
             commit.map(|n| snapshot(n + 1)),
-            "step {steps}: half of a commit"
+            "step {steps}: the snapshots are of different commits"
         );
         if durable == Some(4) {
             break;
@@ -180,7 +185,8 @@
     assert!(matches!(StateFile::on(backend, PLANNER), Err(StorageError::Corrupt(_))));
 }
 
-/// Opens a database that has only this table, with these values.
+/// The error when a state file is opened on a database that has only this table, with these values; `None` if
+/// it opens.
 fn error_of_database(values: &[(&str, u64)], table: TableDefinition<&str, u64>) -> Option<StorageError> {
     let backend = Backend::default();
     let database = Database::builder().create_with_backend(backend.clone()).expect("a database");
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -1,8 +1,10 @@
-//! The format of a planner's state file. `fixtures/planner.redb.txt` is a complete state file of planner 3 as the program
-//! wrote it when the fixture was made, and `fixtures/kept-states.txt` has its snapshots. Planners of that version may have
-//! left such a file: this program has to open it, read the same snapshots, and act on them.
+//! The format of a planner's state file. `fixtures/planner.redb.txt` is a complete state file of planner 3,
+//! as the program wrote it when the fixture was made, and `fixtures/kept-states.txt` has the snapshots of
+//! that file. Planners of that version may have left files of the same format: this program has to open them,
+//! read their snapshots, and act on them.
 //!
-//! No switch regenerates the fixtures. `storage.rs` tests files of another version and changed snapshots.
+//! The fixtures can't be regenerated. `storage.rs` tests files of another version and files with changed
+//! snapshots.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -33,12 +35,13 @@
 const SNAPSHOTS: &str = include_str!("fixtures/kept-states.txt");
 
 const PLANNER: PlannerId = PlannerId(3);
-/// The incarnation that wrote the file: far ahead of any clock, so that a later process takes the next one.
+/// The incarnation that wrote the file. It is far ahead of any clock, so that a later process takes the next
+/// incarnation.
 const INCARNATION: Incarnation = Incarnation(5_000_000_000_000_001);
 const NOW: Time = Time(1_764_000_000_000_000);
 
-/// The bytes of the state file. The fixture has its size, then lines of an offset, a count, and bytes in hexadecimal digits
-/// that are repeated there that many times; all other bytes are zero.
+/// The bytes of the state file. The fixture has its size, then lines of an offset, a count, and bytes in
+/// hexadecimal digits that are repeated there that many times; all other bytes are zero.
 fn state_file_bytes() -> Vec<u8> {
     let mut lines = STATE_FILE.lines();
     let size = lines.next().and_then(|line| line.strip_prefix("size ")).expect("a size");
@@ -74,8 +77,9 @@
     directory
 }
 
+/// Opens the state file in a directory, which has to succeed.
 fn opened(directory: &Path) -> OpenedStorage {
-    open(directory, PLANNER).unwrap_or_else(|error| panic!("it can't be opened: {error}"))
+    open(directory, PLANNER).unwrap_or_else(|error| panic!("the state file can't be opened: {error}"))
 }
 
 fn planner(number: u8, incarnation: u64) -> Sender {
@@ -86,7 +90,7 @@
     Sender { member: Member::Forwarder(ForwarderId(77)), incarnation: Incarnation(1), sequence: 1 }
 }
 
-/// Shard growth at this planner of three, restored from a snapshot.
+/// The shard growth component of planner 3 of three, restored from a snapshot.
 fn growth_from(incarnation: Incarnation, snapshot: Option<&[u8]>) -> shard_growth::PlannerComponent {
     let planners = [1, 2, 3].map(PlannerId).into();
     let settings = shard_growth::PlannerSettings { planners, ..shard_growth::PlannerSettings::default() };
@@ -122,11 +126,13 @@
 
 fn receive_vote(component: &mut shard_growth::PlannerComponent, from: u8, vote: ConsensusMessage) {
     let message = shard_growth::GrowthMessage::Consensus(vote);
-    component.on_message(NOW, planner(from, 100 + u64::from(from)), message).expect("it is accepted");
+    component
+        .on_message(NOW, planner(from, 100 + u64::from(from)), message)
+        .expect("the message is accepted");
 }
 
-/// Shard growth as it was when the file was written: shard map 40 is decided, shard map 41 was accepted from planner 1 in
-/// ballot 9, and ballot 12 was promised to planner 2.
+/// The shard growth component as it was when the file was written: shard map 40 is decided, shard map 41 was
+/// accepted from planner 1 in ballot 9, and ballot 12 was promised to planner 2.
 fn growth_that_voted() -> shard_growth::PlannerComponent {
     let mut component = growth_from(INCARNATION, None);
     for other in [1, 2] {
@@ -145,7 +151,7 @@
     }
     receive_vote(&mut component, 1, ConsensusMessage::Decided { shard_map: shard_map(40, 5) });
     let ended = shard_growth::GrowthMessage::ClosedDays { shard: ShardId(17), days: days() };
-    component.on_message(NOW, planner(2, 102), ended).expect("it is accepted");
+    component.on_message(NOW, planner(2, 102), ended).expect("the message is accepted");
     receive_vote(&mut component, 1, prepare(9, 1));
     receive_vote(
         &mut component,
@@ -164,7 +170,7 @@
     }
 }
 
-/// Its answer to a vote, after the snapshot on which the answer relies was taken.
+/// The component's answer to a vote, after the snapshot on which the answer relies was polled.
 fn answer(
     component: &mut shard_growth::PlannerComponent,
     from: u8,
@@ -186,11 +192,11 @@
     let known = snapshots();
     assert_eq!(known.keys().copied().collect::<Vec<_>>(), ["growth", "members"]);
     for kind in ComponentKind::ALL {
-        let found = runtime.block_on(writer.read(kind)).expect("it can be read");
+        let found = runtime.block_on(writer.read(kind)).expect("the snapshot can be read");
         assert_eq!(found.as_ref(), known.get(kind.name()), "the state of {kind}");
     }
     drop(writer);
-    thread.join().expect("it ends");
+    thread.join().expect("the thread ends");
 }
 
 #[test]
@@ -201,9 +207,9 @@
 
 #[test]
 fn growth_snapshot_contains_the_votes() {
-    let archive = Snapshot::from_bytes(&snapshots()["growth"]).expect("it can be read");
+    let snapshot = Snapshot::from_bytes(&snapshots()["growth"]).expect("the snapshot can be read");
     assert_eq!(
-        archive,
+        snapshot,
         Snapshot { consensus: Some(persisted_votes()), history: vec![(ShardId(17), days())] }
     );
 }
@@ -228,7 +234,7 @@
     let state = &snapshots()["growth"];
     let mut component = growth_from(Incarnation(INCARNATION.0 + 1), Some(state));
     assert_eq!(component.poll_snapshot(), None, "nothing has changed");
-    // The same promise again.
+    // Planner 3 promises the same ballot again.
     receive_vote(&mut component, 2, prepare(12, 2));
     let again = component.poll_snapshot().expect("a promise is persisted each time");
     assert_eq!(hex::encode(&again), hex::encode(state));
@@ -247,34 +253,36 @@
     assert!(planner.events("store_refused").is_empty() && planner.events("task_disabled").is_empty());
     planner.kill();
     let state_file = opened(directory).state_file;
-    let state = |kind| state_file.read(kind).expect("it can be read");
+    let state = |kind| state_file.read(kind).expect("the snapshot can be read");
     assert_eq!(state(ComponentKind::Membership), Some((INCARNATION.0 + 1).to_be_bytes().to_vec()));
     assert_eq!(
         state(ComponentKind::ShardGrowth).as_ref(),
         snapshots().get("growth"),
-        "there were no votes since"
+        "no votes were cast since the file was written"
     );
 }
 
-/// How much of the origin's fetches is granted to a request for far more than there is.
-fn granted(component: &mut leases::PlannerComponent, now: Time, ask: u64) -> u32 {
-    let need = Demand {
+/// The amount that is granted to a request for far more than the origin's capacity, in thousandths of a fetch
+/// a second.
+fn granted(component: &mut leases::PlannerComponent, now: Time, request_id: u64) -> u32 {
+    let demand = Demand {
         resource: Resource::Origin,
         amount: 1_000_000,
-        request_in_use: ask,
+        request_in_use: request_id,
         requesters: 1,
         already_held: 0,
     };
-    let message = leases::LeaseMessage::Request { request_id: ask, demands: vec![need] };
-    component.on_message(now, forwarder(), message).expect("it is accepted");
+    let message = leases::LeaseMessage::Request { request_id, demands: vec![demand] };
+    component.on_message(now, forwarder(), message).expect("the message is accepted");
     let Some((_, leases::LeaseMessage::Grant { granted, .. })) = component.poll_message(now) else {
-        panic!("request {ask} gets no grant");
+        panic!("request {request_id} gets no grant");
     };
     granted.iter().map(|granted| granted.amount).sum()
 }
 
-/// Leases have no snapshot: a planner that starts assumes that an earlier incarnation has granted everything, for as long
-/// as a grant can last.
+/// Guards against a restarted planner that grants capacity twice. The leases component has no snapshot: a
+/// planner that starts assumes that an earlier incarnation has granted all its capacity, for as long as a
+/// grant can last.
 #[test]
 fn leases_grant_nothing_until_grants_of_an_earlier_incarnation_have_expired() {
     let settings = leases::Settings { planners: [PLANNER].into(), ..leases::Settings::default() };
@@ -287,8 +295,8 @@
         leases::PlannerComponent::new(settings.clone(), PLANNER, Incarnation(INCARNATION.0 + 1), start);
     let wait = settings.grantor_duration(settings.max_duration);
     assert_eq!(wait, Span::from_millis(5100));
-    for (ms, ask) in (0..wait.0 / 1000).step_by(100).zip(2..) {
-        let amount = granted(&mut component, start + Span::from_millis(ms), ask);
+    for (ms, request_id) in (0..wait.0 / 1000).step_by(100).zip(2..) {
+        let amount = granted(&mut component, start + Span::from_millis(ms), request_id);
         assert_eq!(amount, 0, "{ms} ms after the start");
     }
     assert_eq!(granted(&mut component, start + wait, 1000), settings.escrow(Resource::Origin));
@@ -309,7 +317,7 @@
     };
     health
         .on_message(NOW, forwarder(), endpoint_health::HealthMessage::Report(report))
-        .expect("it is accepted");
+        .expect("the message is accepted");
     assert_eq!(health.poll_snapshot(), None);
     let mut counterfactual =
         counterfactual::PlannerComponent::new(counterfactual::Settings::default(), PLANNER, INCARNATION, NOW);
@@ -322,18 +330,19 @@
                 age_ms: 2,
             }]),
         )
-        .expect("it is accepted");
+        .expect("the message is accepted");
     assert_eq!(counterfactual.poll_snapshot(), None);
 }
 
-/// Opens a state file with these bytes, and checks that it is renamed as corrupt and an empty one is created.
+/// Opens a state file with these bytes, and checks that the file is renamed as corrupt and an empty file is
+/// created.
 fn assert_is_rejected_as_corrupt(bytes: &[u8]) {
     let directory = directory_with(bytes);
     let opened = opened(directory.path());
-    let RejectedFile { error, moved_to } = opened.rejected.expect("it is rejected");
+    let RejectedFile { error, moved_to } = opened.rejected.expect("the file is rejected");
     assert!(matches!(error, StorageError::Corrupt(_)), "{error}");
     assert!(moved_to.exists());
-    assert_eq!(opened.state_file.read(ComponentKind::Membership).expect("it can be read"), None);
+    assert_eq!(opened.state_file.read(ComponentKind::Membership).expect("the file can be read"), None);
 }
 
 #[test]
