--- a/crates/control-plane/src/agent/components.rs
+++ b/crates/control-plane/src/agent/components.rs
@@ -207,7 +207,7 @@
     enabled: ComponentMap,
     /// The endpoints with a lease in the latest update.
     leased: Vec<EndpointId>,
-    /// The endpoints that had a lease when leases were disabled, whose limits are removed.
+    /// The endpoints that had a lease when leases were disabled. Each update removes their limits.
     unlimited: Vec<EndpointId>,
 }
 
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Recreates all components under a new incarnation. Membership still knows which members are alive, and
-    /// which of their messages were received before.
+    /// Recreates all components except membership under a new incarnation. Membership keeps which members are
+    /// alive, and which of their messages were received before.
     pub fn restart(&mut self, config: &FleetConfig, incarnation: Incarnation, now: Time) {
         self.members.renew(incarnation);
         self.members.set_planners(now, config.planners.keys().copied());
--- a/crates/control-plane/src/agent/handle.rs
+++ b/crates/control-plane/src/agent/handle.rs
@@ -87,13 +87,15 @@
 pub(super) struct AgentChannel {
     observations: Consumer<TimedObservation>,
     shared: Arc<Shared>,
-    /// The iteration counter after the latest update was published, until that update is known to be applied.
+    /// The iteration counter after the latest update was published; `None` once that update is known to be
+    /// applied.
     unconfirmed_since: Cell<Option<u64>>,
     /// A sender that is dropped with this channel, which disconnects `agent_ended`.
     _ended: SyncSender<()>,
 }
 
-/// The error that the event loop has dropped its handle and all of its observations were received.
+/// The error that there are no more observations: the event loop has dropped its handle, and all were
+/// received.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Disconnected;
 
--- a/crates/control-plane/src/fault_injection.rs
+++ b/crates/control-plane/src/fault_injection.rs
@@ -11,7 +11,7 @@
 use crate::config_error::InvalidValue;
 use crate::planner::LivenessTimeouts;
 
-/// The faults to inject. A planner whose table `[trial]` is empty behaves as defaults.
+/// The faults to inject. A planner whose table `[trial]` is empty behaves as usual.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultInjection {
--- a/crates/control-plane/src/planner/component_task/running.rs
+++ b/crates/control-plane/src/planner/component_task/running.rs
@@ -177,7 +177,10 @@
         if let Err(error) = self.component.on_message(now, sender, message) {
             self.ignored.count += 1;
             let task = self.task.spec.kind.name();
-            log::debug!(event = "message_ignored", task = task; "ignored a message of {}: {error}", sender.member);
+            log::debug!(
+                event = "message_ignored", task = task;
+                "the component {task} ignored a message of {}: {error}", sender.member
+            );
             self.ignored.last_error = Some(format!("{error}. {}", error.remediation()));
         }
     }
--- a/crates/control-plane/src/planner/ingress_limiter.rs
+++ b/crates/control-plane/src/planner/ingress_limiter.rs
@@ -4,10 +4,10 @@
 //! message that must not be shed delays all messages behind it. A flood from one sender must not prevent
 //! messages of other senders from being read. The limits are token buckets:
 //!
-//! - **Before authentication**, by source address: [`MEMBER_RATE_PER_S`] for an address from which a member
-//!   was heard, [`UNKNOWN_ADDRESS_RATE_PER_S`] for any other address, and [`UNKNOWN_TOTAL_RATE_PER_S`] for
-//!   all other addresses together. A known address has its own token bucket, which unknown senders can't
-//!   drain.
+//! - **Before authentication**, by source address: [`MEMBER_RATE_PER_S`] for a known address, from which a
+//!   member's message was received recently, [`UNKNOWN_ADDRESS_RATE_PER_S`] for any other address, and
+//!   [`UNKNOWN_TOTAL_RATE_PER_S`] for all other addresses together. A known address has its own token bucket,
+//!   which unknown senders can't drain.
 //! - **After authentication**, by the member that signed the message: [`MEMBER_RATE_PER_S`] for the messages
 //!   of one member from all addresses.
 //!
@@ -28,8 +28,8 @@
 /// The limit for one member, in messages a second, and the size of its burst, in messages. A forwarder in a
 /// fleet of 2,000 cache servers sends some hundreds a second.
 const MEMBER_RATE_PER_S: f64 = 1000.0;
-/// The limit for one address from which no member was heard, in messages a second. The limit suffices to
-/// receive one message of a new member, even over a network that loses half of the messages.
+/// The limit for one unknown address, in messages a second. The limit suffices to receive one message of a
+/// new member, even over a network that loses half of the messages.
 const UNKNOWN_ADDRESS_RATE_PER_S: f64 = 20.0;
 /// The limit for all unknown addresses together, in messages a second. All forwarders that a planner tracks
 /// may start at the same time.
@@ -39,7 +39,7 @@
 const MAX_UNKNOWN_ADDRESSES: usize = 1024;
 /// The maximum number of known addresses, and also of members, that are tracked.
 const MAX_KNOWN: usize = 8192;
-/// An address from which no member was heard for this long is unknown again.
+/// The time without a member's message after which a known address is unknown again.
 const KNOWN_ADDRESS_EXPIRY: Span = Span::from_millis(10_000);
 /// The interval at which addresses and members without recent messages are removed.
 const REMOVAL_INTERVAL: Span = Span::from_millis(1000);
@@ -52,11 +52,11 @@
     /// A known address sends more messages than a member does.
     #[error("the address {0} sends more messages in a second than a member does")]
     Address(SocketAddr),
-    /// Addresses from which no member was heard send too many messages.
-    #[error("too many messages come from addresses of which no member is known; the last address is {0}")]
+    /// Unknown addresses, from which no member's message was received recently, send too many messages.
+    #[error("addresses that no known member uses send too many messages; the last address is {0}")]
     UnknownAddresses(SocketAddr),
     /// One member signed too many messages, over all addresses.
-    #[error("more messages in a second are signed by {0} than a member sends")]
+    #[error("{0} signs more messages in a second than a member sends")]
     Member(Member),
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// An address from which a member was heard.
+/// An address from which a member's message was received recently.
 struct KnownAddress {
     bucket: TokenBucket,
     last_heard_at: Time,
--- a/crates/control-plane/src/planner/message_router/mod.rs
+++ b/crates/control-plane/src/planner/message_router/mod.rs
@@ -114,9 +114,9 @@
 /// When membership is to be checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MembershipCheck {
-    /// At once.
+    /// Membership is checked at once.
     Immediate,
-    /// After [`MEMBERSHIP_CHECK_INTERVAL`] since the last check.
+    /// Membership is checked if [`MEMBERSHIP_CHECK_INTERVAL`] has passed since the last check.
     WhenDue,
 }
 
--- a/crates/control-plane/src/planner/message_router/receiving.rs
+++ b/crates/control-plane/src/planner/message_router/receiving.rs
@@ -111,8 +111,7 @@
         }
     }
 
-    /// Notifies the sender of an older incarnation that a newer incarnation of the same member has been
-    /// heard.
+    /// Notifies the sender of an older incarnation that the member has a newer incarnation.
     fn notify_superseded(&mut self, sender: Sender, from: SocketAddr) {
         let now = self.clock.now();
         if let Some(message) = self.members.superseded_notice(now, sender) {
--- a/crates/control-plane/src/planner/server.rs
+++ b/crates/control-plane/src/planner/server.rs
@@ -136,8 +136,8 @@
                         }
                     }
                 },
-                // The channel closes when the router ends. Before a stop, that happens only if the router can't
-                // receive.
+                // The channel closes when the router ends. Before a stop, that happens only if the router
+                // can't receive.
                 timed_out = self.timed_out_components.recv() => return Err(match timed_out {
                     Some(kind) => PlannerError::ComponentTimedOut(kind),
                     None => PlannerError::RouterStopped,
@@ -191,9 +191,9 @@
 }
 
 fn bind_socket(address: SocketAddrV4) -> Result<UdpSocket, PlannerError> {
-    let failed = |source| PlannerError::Bind { address, source };
-    let socket = UdpSocket::bind(address).map_err(failed)?;
-    socket.set_nonblocking(true).map_err(failed)?;
+    let to_error = |source| PlannerError::Bind { address, source };
+    let socket = UdpSocket::bind(address).map_err(to_error)?;
+    socket.set_nonblocking(true).map_err(to_error)?;
     // The system may allow only a smaller buffer (`net.core.rmem_max`), which is sufficient.
     let _ = rustix::net::sockopt::set_socket_recv_buffer_size(&socket, RECEIVE_BUFFER_BYTES);
     Ok(socket)
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -31,9 +31,9 @@
 
 /// The name of the state file in a planner's directory.
 const FILE_NAME: &str = "planner.redb";
-/// Appended to the name of a file that is being created.
+/// The suffix of the name of a state file that is being created.
 const NEW_SUFFIX: &str = ".new";
-/// Appended to the name of a rejected file, with a number after it.
+/// The suffix of the name of a rejected file, which is followed by a number.
 const REJECTED_SUFFIX: &str = ".refused-";
 
 /// An opened state file, and the file that it replaced, if any.
@@ -85,12 +85,12 @@
 /// process is killed in between, there is no state file instead of an incomplete one.
 fn create(directory: &Path, planner: PlannerId) -> Result<(), StorageError> {
     let to_error = |cause| directory_error(directory, cause);
-    let new = directory.join(format!("{FILE_NAME}{NEW_SUFFIX}"));
-    if new.exists() {
-        fs::remove_file(&new).map_err(to_error)?;
+    let new_path = directory.join(format!("{FILE_NAME}{NEW_SUFFIX}"));
+    if new_path.exists() {
+        fs::remove_file(&new_path).map_err(to_error)?;
     }
-    drop(StateFile::open(&new, planner)?);
-    fs::rename(&new, directory.join(FILE_NAME)).map_err(to_error)?;
+    drop(StateFile::open(&new_path, planner)?);
+    fs::rename(&new_path, directory.join(FILE_NAME)).map_err(to_error)?;
     sync_directory(directory).map_err(to_error)
 }
 
