--- a/crates/control-plane/tests/clock_skew.rs
+++ b/crates/control-plane/tests/clock_skew.rs
@@ -85,12 +85,12 @@
     let mut holders = LeaseHolders::new(&[1.0, 1.0], LEASABLE);
     let before = holders.request_from_planner(&fleet, 1, Duration::from_millis(6500));
     assert!(before.max_held > 0 && before.violations == 0, "{before:?}");
-    let first = holders.incarnation_of(1).expect("the planner was heard");
+    let first = holders.incarnation_of(1).expect("the holder has received a message of the planner");
     planner_1.kill();
     write_config_with_clock(&fleet, 1, "clock_ahead_ms = -3600000");
     planner_1 = fleet.start(1);
     let after = holders.request_from_planner(&fleet, 1, Duration::from_millis(1000));
-    let second = holders.incarnation_of(1).expect("the planner was heard");
+    let second = holders.incarnation_of(1).expect("the holder has received a message of the planner");
     assert!(second > first, "{second:?} after {first:?}");
     // The planner waits by its own clock until the leases of its earlier incarnation have expired, and then
     // grants leases.
--- a/crates/control-plane/tests/disk_failures.rs
+++ b/crates/control-plane/tests/disk_failures.rs
@@ -54,14 +54,14 @@
 fn full_disk_stops_only_what_depends_on_it_until_there_is_space() {
     let mut growing =
         GrowingFleet::start(300, "spare_per_s = 1000000.0\n[leases]\norigin_per_s = 100000.0\n");
-    growing.run_until("foreseen", PROGRESS_TIMEOUT, is_at(SplitPhase::Foreseen));
+    growing.run_until("a split is foreseen", PROGRESS_TIMEOUT, is_at(SplitPhase::Foreseen));
     growing.planners[&2].limit_file_size(Some(4096));
-    growing.run_until("failing to store", PROGRESS_TIMEOUT, |g| {
+    growing.run_until("planner 2 fails to store its state", PROGRESS_TIMEOUT, |g| {
         !g.planners[&2].events("snapshot_write_failed").is_empty()
     });
     let shard_maps = growing.auditor.shard_maps.len();
     run_until_granted(&mut growing, 2);
-    growing.run_until("continued by the others", PROGRESS_TIMEOUT, |g| {
+    growing.run_until("the other planners continue", PROGRESS_TIMEOUT, |g| {
         g.auditor.shard_maps.len() >= shard_maps + 2
     });
     let failures = growing.planners[&2].events("snapshot_write_failed");
@@ -73,13 +73,13 @@
         assert!(failed_members.is_empty(), "heartbeats are sent all the while: {failed_members:#?}");
     }
     growing.planners[&2].limit_file_size(None);
-    growing.run_until("storing again", PROGRESS_TIMEOUT, |g| {
+    growing.run_until("the planner stores its state again", PROGRESS_TIMEOUT, |g| {
         !g.planners[&2].events("snapshot_write_recovered").is_empty()
     });
     // The planner's store is intact after a kill, and the fleet completes the splits.
     growing.kill_planner(2);
     growing.start_planner(2);
-    growing.run_until("split", PROGRESS_TIMEOUT, are_all_split);
+    growing.run_until("both shards are split", PROGRESS_TIMEOUT, are_all_split);
     assert!(growing.planners[&2].events("store_refused").is_empty());
     growing.auditor.check_steps();
 }
@@ -89,9 +89,9 @@
 #[test]
 fn removed_folder_is_recreated_and_the_planner_continues_with_its_state() {
     let mut growing = GrowingFleet::start(300, "spare_per_s = 1000000.0\n");
-    growing.run_until("foreseen", PROGRESS_TIMEOUT, is_at(SplitPhase::Foreseen));
+    growing.run_until("a split is foreseen", PROGRESS_TIMEOUT, is_at(SplitPhase::Foreseen));
     fs::remove_dir_all(growing.fleet.path("state-1")).expect("the folder exists");
-    growing.run_until("storing again", PROGRESS_TIMEOUT, |g| {
+    growing.run_until("the planner stores its state again", PROGRESS_TIMEOUT, |g| {
         !g.planners[&1].events("snapshot_write_recovered").is_empty()
     });
     let failures = growing.planners[&1].events("snapshot_write_failed");
@@ -100,6 +100,6 @@
     growing.start_planner(1);
     let refused = growing.planners[&1].events("store_refused");
     assert!(refused.is_empty() && growing.fleet.store_file(1).exists(), "{refused:#?}");
-    growing.run_until("split", PROGRESS_TIMEOUT, are_all_split);
+    growing.run_until("both shards are split", PROGRESS_TIMEOUT, are_all_split);
     growing.auditor.check_steps();
 }
--- a/crates/control-plane/tests/planner_process.rs
+++ b/crates/control-plane/tests/planner_process.rs
@@ -48,8 +48,8 @@
     let foreign = forwarder.seal(&HEARTBEAT, OTHER_SECRET);
     let mut of_older_version = forwarder.seal(&HEARTBEAT, SECRET);
     of_older_version[2] = 1;
-    let junk = b"GET / HTTP/1.1\r\n\r\n".to_vec();
-    for bytes in [&changed, &foreign, &of_older_version, &junk, &heartbeat] {
+    let no_message = b"GET / HTTP/1.1\r\n\r\n".to_vec();
+    for bytes in [&changed, &foreign, &of_older_version, &no_message, &heartbeat] {
         forwarder.send(bytes, fleet.addresses[0]);
     }
     // The planner still reads messages after the rejected ones.
--- a/crates/control-plane/tests/shard_growth.rs
+++ b/crates/control-plane/tests/shard_growth.rs
@@ -45,7 +45,9 @@
     println!("{:?}: killed planner {leader} at {latest:?}", growing.started_at.elapsed());
     growing.kill_planner(leader);
     let shard_maps = growing.auditor.shard_maps.len();
-    growing.run_until("continued", PROGRESS_TIMEOUT, |g| g.auditor.shard_maps.len() > shard_maps);
+    growing.run_until("the next leader continues", PROGRESS_TIMEOUT, |g| {
+        g.auditor.shard_maps.len() > shard_maps
+    });
     let latest = growing.auditor.latest(GROWING_SHARDS[0]);
     println!("{:?}: then {latest:?}", growing.started_at.elapsed());
     if store == StoreAfterKill::Lost {
@@ -75,14 +77,14 @@
     ];
     for step in steps {
         let rank = step_rank(Some(step));
-        growing.run_until(&format!("at {step:?}"), PROGRESS_TIMEOUT, |g| {
+        growing.run_until(&format!("the split is at {step:?}"), PROGRESS_TIMEOUT, |g| {
             g.auditor.latest(GROWING_SHARDS[0]).splits == 1 || current_rank(g) >= rank
         });
         let is_store_lost = step == SplitPhase::Copying(9);
         fail_over(&mut growing, if is_store_lost { StoreAfterKill::Lost } else { StoreAfterKill::Intact });
     }
-    growing.run_until("split", PROGRESS_TIMEOUT, are_all_split_once);
-    growing.run_until("of one shard map", PROGRESS_TIMEOUT, do_all_use_the_latest_map);
+    growing.run_until("both shards are split", PROGRESS_TIMEOUT, are_all_split_once);
+    growing.run_until("all forwarders use one shard map", PROGRESS_TIMEOUT, do_all_use_the_latest_map);
     growing.auditor.check_steps();
     let is_withdrawn = |shard_map: &VersionedShardMap| {
         shard_map.shards.values().any(|s| s.phase == Some(SplitPhase::Withdrawn))
@@ -157,7 +159,7 @@
 
 fn run_until_step(growing: &mut GrowingFleet, step: SplitPhase) {
     let rank = step_rank(Some(step));
-    growing.run_until(&format!("at {step:?}"), PROGRESS_TIMEOUT, |g| current_rank(g) >= rank);
+    growing.run_until(&format!("the split is at {step:?}"), PROGRESS_TIMEOUT, |g| current_rank(g) >= rank);
 }
 
 #[test]
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -189,11 +189,11 @@
     let (writer, thread) =
         StorageWriter::start(opened.state_file, || Err(StorageError::WriterEnded)).expect("a thread");
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-    let known = snapshots();
-    assert_eq!(known.keys().copied().collect::<Vec<_>>(), ["growth", "members"]);
+    let expected = snapshots();
+    assert_eq!(expected.keys().copied().collect::<Vec<_>>(), ["growth", "members"]);
     for kind in ComponentKind::ALL {
         let found = runtime.block_on(writer.read(kind)).expect("the snapshot can be read");
-        assert_eq!(found.as_ref(), known.get(kind.name()), "the state of {kind}");
+        assert_eq!(found.as_ref(), expected.get(kind.name()), "the state of {kind}");
     }
     drop(writer);
     thread.join().expect("the thread ends");
@@ -242,8 +242,8 @@
 
 #[test]
 fn planner_started_on_the_file_takes_the_next_incarnation() {
-    let known = &snapshots()["members"];
-    assert_eq!(known[..], INCARNATION.0.to_be_bytes());
+    let incarnation = &snapshots()["members"];
+    assert_eq!(incarnation[..], INCARNATION.0.to_be_bytes());
     let fleet = Fleet::new(3);
     let store = fleet.store_file(3);
     let directory = store.parent().expect("a directory");
--- a/crates/control-plane/tests/support/growing_fleet.rs
+++ b/crates/control-plane/tests/support/growing_fleet.rs
@@ -316,8 +316,8 @@
     /// time would stop the other planners until it is restarted.
     fn write_store(&self, number: usize) {
         let day = |n: u32| {
-            let drawn = xxh3_64_with_seed(&n.to_le_bytes(), HISTORY_NOISE_SEED) % 1000;
-            let keys = key_count(f64::from(n)) * (0.995 + 0.00001 * drawn as f64);
+            let noise = xxh3_64_with_seed(&n.to_le_bytes(), HISTORY_NOISE_SEED) % 1000;
+            let keys = key_count(f64::from(n)) * (0.995 + 0.00001 * noise as f64);
             ClosedDay {
                 day: AccountingDay(self.first_day as u32 + n),
                 bytes: (keys * VALUE_BYTES) as f32,
@@ -346,7 +346,7 @@
         *self.planners.keys().next().expect("a planner runs")
     }
 
-    /// Runs the fleet until a condition holds. Fails with `description` after `timeout`.
+    /// Runs the fleet until a condition holds, which `description` states. Fails after `timeout`.
     pub fn run_until(
         &mut self,
         description: &str,
@@ -355,7 +355,7 @@
     ) {
         let deadline = Instant::now() + timeout;
         while !is_met(self) {
-            assert!(Instant::now() < deadline, "not {description}: {}", self.describe());
+            assert!(Instant::now() < deadline, "not within {timeout:?}: {description}\n{}", self.describe());
             self.run_once();
             thread::sleep(POLL_INTERVAL);
         }
@@ -363,7 +363,7 @@
 
     pub fn run_for(&mut self, time: Duration) {
         let deadline = Instant::now() + time;
-        self.run_until("a while", 2 * time, |_| Instant::now() >= deadline);
+        self.run_until("the time has passed", 2 * time, |_| Instant::now() >= deadline);
     }
 
     fn describe(&self) -> String {
--- a/crates/control-plane/tests/support/lease_holders.rs
+++ b/crates/control-plane/tests/support/lease_holders.rs
@@ -149,13 +149,14 @@
         }
     }
 
-    /// All holders request leases from one planner for this time, while their leases are audited.
+    /// During `time`, all holders request leases from one planner, and their leases are audited.
     pub fn request_from_planner(&mut self, fleet: &Fleet, planner: usize, time: Duration) -> AuditResult {
         self.request_from_each(time, |_| Some((planner, fleet.addresses[planner - 1])))
     }
 
-    /// Each holder requests leases from the planner at the address that `planner_of` returns for this time,
-    /// or sends nothing for `None`. The leases of all holders are audited every 2 ms.
+    /// During `time`, each holder requests leases from the planner that `planner_of` returns for the holder,
+    /// at that planner's address, or sends nothing for `None`. The leases of all holders are audited every 2
+    /// ms.
     pub fn request_from_each(
         &mut self,
         time: Duration,
