--- a/crates/control-plane/src/fleet_config/mod.rs
+++ b/crates/control-plane/src/fleet_config/mod.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether both configurations have the same settings for all components; addresses and secrets may
-    /// differ.
+    /// Whether both configurations have the same planner numbers and the same settings for all components;
+    /// addresses and secrets may differ.
     pub fn has_same_component_settings(&self, other: &FleetConfig) -> bool {
         self.planners.keys().eq(other.planners.keys())
             && self.max_forwarders == other.max_forwarders
