--- a/crates/control-plane/src/planner/ingress_limiter.rs
+++ b/crates/control-plane/src/planner/ingress_limiter.rs
@@ -46,7 +46,7 @@
 /// The time after which an unused bucket is full again. It equals a new bucket then, and is removed.
 const BUCKET_REFILL_TIME: Span = Span::from_millis(1000);
 
-/// The limit for which a message is dropped before it is processed.
+/// The limit that a message exceeds, for which it is dropped before it is processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RateLimitError {
     /// A known address sends more messages than a member does.
