--- a/crates/balancer/src/balancer/assessment.rs
+++ b/crates/balancer/src/balancer/assessment.rs
@@ -9,9 +9,9 @@
 use super::concurrency_limit::{Congestion, LimitSample};
 use super::{Balancer, PROMPT_SLO_SHARE, SLOW_SLO_SHARE};
 
-/// The largest relative growth of a cache's low concurrency limit at one answer. It is bounded so that the
-/// small limits of many nodes settle where few attempts meet congestion, and it is smaller than the origin's
-/// because faster growth would keep a cache congested that works worse the more requests it holds.
+/// The largest relative growth of a cache's low concurrency limit at one answer. The bound lets the small
+/// limits of many nodes settle where few attempts meet congestion. The growth is smaller than the origin's:
+/// faster growth would keep a cache congested that works worse the more requests it holds.
 const CACHE_LIMIT_GROWTH: f64 = 0.1;
 /// The largest relative growth of the origin's low concurrency limit at one answer.
 const ORIGIN_LIMIT_GROWTH: f64 = 0.3;
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -43,8 +43,8 @@
         self.send(now, id, target)
     }
 
-    /// Whether only the origin can serve the request: the request is a write of a cache-aside site, or it had
-    /// a cache miss and no endpoint from before a shard migration can be asked.
+    /// Whether only the origin can serve the request: the request is a write of a cache-aside site, or the
+    /// request had a cache miss and no endpoint from before a shard migration can be asked.
     fn needs_origin(&self, now: Time, request: &PendingRequest) -> bool {
         let is_origin_write = request.request.write && self.settings.is_cache_aside();
         is_origin_write || request.missed_in_cache && self.previous_endpoint(now, request).is_none()
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -210,10 +210,10 @@
         self.endpoints.insert(update.id, endpoint);
     }
 
-    /// Decides which endpoints stay in service that the list dropped while only draining excludes them. The
-    /// origin, and all caches if the list dropped more than a minority of them, stay in service and are
-    /// assessed by their responses, since such a list is doubted. If these endpoints are in fact gone, probes
-    /// of them cost attempts until [`REMOVED_ENDPOINT_TTL`] has passed.
+    /// Decides which of the endpoints that the list dropped stay in service, where only draining excludes an
+    /// endpoint. The origin, and all caches if the list dropped more than a minority of them, stay in service
+    /// and are assessed by their responses, since such a list is doubted. If these endpoints are in fact
+    /// gone, probes of them cost attempts until [`REMOVED_ENDPOINT_TTL`] has passed.
     pub fn update_removed_endpoints(&mut self, now: Time) {
         self.endpoints.retain(|_, endpoint| endpoint.is_retained(now) || endpoint.limit.in_flight() > 0.0);
         let caches: Vec<&Endpoint> = self.iter().filter(|endpoint| !endpoint.is_origin()).collect();
--- a/crates/balancer/src/balancer/endpoint_selection.rs
+++ b/crates/balancer/src/balancer/endpoint_selection.rs
@@ -264,7 +264,7 @@
 }
 
 /// A key's new candidates, with the stored weights of those that were candidates before. If another endpoint
-/// ranks first, all weights start at their initial values, at every node alike: with the stored weights, keys
+/// ranks first, all weights start at their initial values at every node: with the stored weights, keys
 /// would stay at the other candidates and leave the new endpoint idle.
 fn merge_candidates(initial: Candidates, known: &Candidates) -> Candidates {
     let first = |candidates: &Candidates| candidates[0].map(|candidate| candidate.endpoint);
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -16,11 +16,11 @@
     pub nodes: f64,
     /// Whether service discovery sends the endpoint list only on request.
     pub list_on_request: bool,
-    /// The longest time between a node's requests for a watch while it has none; zero if the site sets no
-    /// limit.
+    /// The longest time between a node's requests for a watch while no watch is established; zero if the site
+    /// sets no limit.
     pub max_poll_interval: Span,
     /// Whether only endpoints that were listed as draining are excluded from new attempts. Then an entry that
-    /// lists an endpoint as gone, or a list without the endpoint, does not prove that it is gone.
+    /// lists an endpoint as gone, or a list without the endpoint, does not prove that the endpoint is gone.
     pub only_draining_excludes: bool,
     /// The least share of its capacity that an endpoint has when it starts.
     pub initial_capacity_share: f64,
