--- a/crates/coordination/src/leases/error.rs
+++ b/crates/coordination/src/leases/error.rs
@@ -1,34 +1,41 @@
-//! Errors of the lease component.
+//! Errors of the lease component: why a message is ignored, or why settings are rejected.
 
 use crate::component::Remediation;
 
-/// Why a message is ignored, or why settings are refused.
+/// The reason why the lease component ignores a message or rejects its settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
-    /// A request or a grant is older than one that was handled, or comes from an earlier incarnation.
-    #[error("leases: a request that is no newer than one before")]
+    /// A request or a grant is not newer than one that was handled already, or comes from an earlier
+    /// incarnation.
+    #[error(
+        "leases: message ignored: it is not newer than one that was handled before, or is from an earlier incarnation"
+    )]
     Outdated,
-    /// A limit on stored entries or on queued messages is reached.
-    #[error("leases: more forwarders or warming caches than the limits allow")]
+    /// The limit on claims, on warming cache servers or on queued messages is reached.
+    #[error(
+        "leases: request ignored: the limit on forwarders, on warming cache servers or on queued messages is reached"
+    )]
     TooManyEntries,
     /// The sender is a planner that the fleet configuration does not list.
-    #[error("leases: a planner that the fleet configuration does not have")]
+    #[error("leases: message ignored: the fleet configuration does not list the planner that sent it")]
     UnknownPlanner,
-    /// A grant answers no request that is still remembered.
-    #[error("leases: a grant that answers no recent request")]
+    /// A grant answers no request that is pending.
+    #[error("leases: grant ignored: no pending request of this member matches it")]
     UnsolicitedGrant,
-    /// The message is addressed to the other side of the protocol.
-    #[error("leases: a message that is not for this side")]
+    /// Members with the recipient's role do not receive this kind of message from the sender.
+    #[error("leases: message ignored: a member of this role does not receive it from its sender")]
     UnexpectedMessage,
-    /// The settings name no planner or no forwarder.
-    #[error("leases: neither forwarders nor planners to share among")]
+    /// The settings list no planner, or allow no forwarder.
+    #[error("leases: invalid settings: at least one planner and one forwarder are required")]
     NoMembers,
-    /// The guaranteed and the long-term part come to more than the capacity.
-    #[error("leases: a reserve and long-term allocations of more than the capacity")]
+    /// The guaranteed part and the long-term part add up to more than the capacity.
+    #[error(
+        "leases: invalid settings: the guaranteed and the long-term part add up to more than the capacity"
+    )]
     SharesExceedCapacity,
-    /// The durations of leases and loans contradict each other.
+    /// The durations of leases and loans and their maximum contradict each other.
     #[error(
-        "leases: invalid durations: a lease has to be shorter than a loan, by the margin of clocks, and both within the longest"
+        "leases: invalid durations: a loan must be longer than a lease plus the clock margin, and neither may exceed the maximum duration"
     )]
     InvalidDurations,
 }
@@ -37,26 +44,26 @@
     fn remediation(&self) -> &'static str {
         match self {
             LeaseError::Outdated => {
-                "Nothing to do: messages were duplicated or reordered. If it goes on, two processes may bear one name."
+                "Nothing to do if it is rare: messages were duplicated or reordered. If it continues, look for two processes that run under one name."
             }
             LeaseError::TooManyEntries => {
-                "Look for a process that makes up forwarders\' names. If the fleet is that large, report it: max_claims or max_warming_caches has to be raised."
+                "Look for a process that invents forwarders' names. If the fleet really is this large, report it: max_claims or max_warming_caches has to be raised."
             }
             LeaseError::UnknownPlanner => "Give all planners and forwarders the same fleet configuration.",
             LeaseError::UnsolicitedGrant => {
-                "Nothing to do if it is rare: an answer was late. If it goes on, look at the network between the two."
+                "Nothing to do if it is rare: the grant was late. If it continues, check the network between the planner and this member."
             }
             LeaseError::UnexpectedMessage => {
-                "Check whether a planner's address is listed as a forwarder's, or whether versions are mixed."
+                "Check whether a planner's address is listed as a forwarder's, or whether members run different versions of the program."
             }
             LeaseError::NoMembers => {
                 "Name at least one planner and one forwarder in the fleet configuration."
             }
             LeaseError::SharesExceedCapacity => {
-                "Set reserve and standing under [leases] so that both come to 1 at most."
+                "Set reserve and standing under [leases] so that they add up to at most 1."
             }
             LeaseError::InvalidDurations => {
-                "Set the durations of leases, of loans and the maximum, each greater than the one before; 2 s, 4 s and 5 s serve."
+                "Set the lease duration, the loan duration and the maximum duration, each greater than the one before, for example to 2 s, 4 s and 5 s."
             }
         }
     }
