--- a/crates/coordination/src/leases/demand_estimator.rs
+++ b/crates/coordination/src/leases/demand_estimator.rs
@@ -1,47 +1,52 @@
-//! Estimates how much of a resource a forwarder needs: its recent usage plus a margin, and more where it used all that it
-//! was permitted.
+//! Estimates how much of a resource a forwarder needs: its recent usage plus a margin, and more if it used
+//! nearly all that it was permitted.
 
 use granitelb_balancer::time::Time;
 
-/// The number of windows over which usage is averaged.
+/// The number of averages of usage, each over its own window.
 const WINDOWS: usize = 2;
-/// The time constants of the averages, in seconds. Attempts arrive at random: usage is averaged over a short and a long
-/// window, and the greater average counts.
+/// The time constants of the averages, in seconds. Attempts arrive at random, so usage is averaged over a
+/// short and a long window, and the greater average is used.
 const WINDOW_SECONDS: [f64; WINDOWS] = [1.0, 4.0];
-/// Usage above this share of what was permitted counts as saturated: the forwarder would have used more.
+/// A forwarder whose usage is at least this share of its permitted amount is saturated: it would probably use
+/// more.
 const SATURATION_THRESHOLD: f64 = 0.75;
-/// A saturated forwarder requests this multiple of what it is permitted.
+/// A saturated forwarder requests this multiple of its permitted amount.
 const SATURATED_GROWTH: f64 = 2.5;
-/// A saturated forwarder requests at most this multiple of its usage, plus an even share; without the limit it would
-/// request ever more until the window has passed.
+/// A saturated forwarder requests at most this multiple of its usage, plus an even share. Without the limit
+/// its requests would keep growing until its earlier usage has left the averaging window.
 const SATURATED_USAGE_LIMIT: f64 = 3.0;
 /// The multiple of its usage that a forwarder requests when it is not saturated.
 const USAGE_HEADROOM: f64 = 1.2;
-/// The part of an even share that is added to a request, because few attempts arrive unevenly.
+/// The part of an even share that is added to the request of a forwarder that is not saturated, because its
+/// arrivals fluctuate widely when they are few.
 const UNEVENNESS_MARGIN: f64 = 0.25;
-/// The multiple of its usage that a forwarder requests where rejected attempts are reported too, because requests arrive
-/// at random.
+/// The multiple of its usage that a forwarder requests where usage includes rejected attempts. The excess
+/// covers random arrivals.
 const REPORTED_HEADROOM: f64 = 1.1;
-/// The short window's average counts by what exceeds this multiple of its deviation, where rejected attempts are reported.
+/// Where usage includes rejected attempts, this multiple of the short average's standard deviation is
+/// subtracted from that average.
 const REPORTED_DEVIATIONS: f64 = 0.4;
-/// The part of an even share that is added where rejected attempts are reported. With more of it, the heaviest forwarders
-/// lost what light ones do not use.
+/// The part of an even share that is added where usage includes rejected attempts. A larger part gave light
+/// forwarders capacity that they did not use, and took it from the heaviest forwarders.
 const REPORTED_UNEVENNESS_MARGIN: f64 = 0.1;
-/// A demand that was not used falls by this part of the difference with each estimate.
+/// A demand that is no longer used falls by this part of the difference with each estimate.
 const DECREASE_FACTOR: f64 = 0.5;
-/// Relative changes up to this part are not reported: the planner counts a demand that fluctuates twice for a while.
+/// Changes up to this part of the last reported demand are not reported: after each change the planner counts
+/// both the former and the new amount for a while.
 const REPORT_THRESHOLD: f64 = 0.15;
-/// Usage below this amount a second counts as none.
+/// Usage below this many amounts a second counts as zero.
 const MIN_USAGE: f64 = 1.0;
 
-/// What the usage that is added to a [`DemandEstimator`] consists of.
+/// Which attempts the usage that is added to a [`DemandEstimator`] includes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UsageReporting {
-    /// Only attempts that were sent. Demand beyond what is permitted has to be found out step by step.
+    /// Only attempts that were sent. Demand beyond the permitted amount is found by requesting more step by
+    /// step.
     SentOnly,
     /// Attempts that were sent and those that were rejected for lack of capacity.
     IncludesRejected {
-        /// The amount of one attempt.
+        /// The amount of one attempt, in the resource's amounts.
         amount_per_attempt: f64,
     },
 }
@@ -49,9 +54,9 @@
 /// Estimates a forwarder's demand for one resource from its usage.
 #[derive(Clone, Debug)]
 pub struct DemandEstimator {
-    /// Mean usage in amounts a second, over each window.
+    /// The mean usage over each window, in amounts a second.
     usage: [f64; WINDOWS],
-    /// Mean of what was permitted, likewise.
+    /// The mean of the permitted amount over each window, in amounts a second.
     permitted: [f64; WINDOWS],
     usage_since_update: f64,
     updated_at: Time,
@@ -60,7 +65,7 @@
 }
 
 impl DemandEstimator {
-    /// Creates an estimator that knows of no usage.
+    /// Creates an estimator without usage.
     pub fn new(now: Time, reporting: UsageReporting) -> DemandEstimator {
         DemandEstimator {
             usage: [0.0; WINDOWS],
@@ -77,8 +82,8 @@
         self.usage_since_update += amount;
     }
 
-    /// The demand now, where the forwarder is permitted to use `permitted`, and `even_share` is an even division of the
-    /// capacity among all forwarders. All are in the resource's amounts.
+    /// Returns the current demand. The forwarder may use `permitted` now, and `even_share` is an even
+    /// division of the capacity among all forwarders. All three are in the resource's amounts, a second.
     pub fn estimate(&mut self, now: Time, permitted: f64, even_share: f64) -> f64 {
         let elapsed = (now - self.updated_at).as_secs_f64();
         if elapsed <= 0.0 {
@@ -131,8 +136,8 @@
         usage * REPORTED_HEADROOM + even_share * REPORTED_UNEVENNESS_MARGIN
     }
 
-    /// Grows from what is permitted and not from what was requested: where that was not granted, the demand would grow
-    /// without end.
+    /// The demand of a saturated forwarder. It grows from the permitted amount and not from the requested
+    /// one: a demand that is not granted would otherwise grow without end.
     fn saturated_demand(&self, permitted: f64, even_share: f64) -> f64 {
         let limit = self.greatest_usage() * SATURATED_USAGE_LIMIT + even_share;
         (permitted * SATURATED_GROWTH).min(limit).max(even_share)
--- a/crates/coordination/src/leases/holdings.rs
+++ b/crates/coordination/src/leases/holdings.rs
@@ -1,5 +1,5 @@
-//! The leases that a forwarder holds: its pending requests and, for each planner and resource, the grant that was
-//! requested last. Expiry is measured by the forwarder's own clock.
+//! The leases that a forwarder holds: its pending requests and, for each planner and resource, the grant that
+//! it requested last. Expiry is measured by the forwarder's own clock.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,11 @@
 };
 use crate::member::{Incarnation, PlannerId};
 
-/// The number of pending requests that are remembered; a grant that answers an older one is ignored.
+/// The maximum number of pending requests. The oldest ones beyond it are forgotten, and grants that answer
+/// them are ignored.
 pub(super) const MAX_PENDING_REQUESTS: usize = 256;
 
-/// A request that was sent and may still be answered.
+/// A request that was sent to a planner and may still be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
     pub(super) planner: PlannerId,
@@ -32,7 +33,8 @@
     request_id: u64,
     amount: u32,
     expires_at: Time,
-    /// Whether the balancer was notified of it. Until then it may still use the grant before.
+    /// Whether the balancer was notified of this lease. Until then the balancer may still use the previous
+    /// grant.
     is_applied: bool,
 }
 
@@ -46,7 +48,8 @@
 }
 
 impl Holdings {
-    /// Returns the messages that request these amounts of one planner; each message is a request of its own.
+    /// Returns the messages that request these amounts from one planner. Each message is a request with its
+    /// own number.
     pub fn request(
         &mut self,
         now: Time,
@@ -57,7 +60,7 @@
         for chunk in amounts.chunks(MAX_DEMANDS_PER_MESSAGE) {
             self.last_request_id += 1;
             self.pending.insert(self.last_request_id, PendingRequest { planner, sent_at: now });
-            let demands = chunk.iter().map(|wanted| self.demand(planner, wanted)).collect();
+            let demands = chunk.iter().map(|requested| self.demand(planner, requested)).collect();
             messages.push(LeaseMessage::Request { request_id: self.last_request_id, demands });
         }
         while self.pending.len() > MAX_PENDING_REQUESTS {
@@ -66,23 +69,22 @@
         messages
     }
 
-    fn demand(&self, planner: PlannerId, wanted: &ResourceAmount) -> Demand {
+    fn demand(&self, planner: PlannerId, requested: &ResourceAmount) -> Demand {
         let held = self.leases.iter().filter(|(key, lease)| {
-            key.resource == wanted.resource && key.planner == planner && lease.is_applied
+            key.resource == requested.resource && key.planner == planner && lease.is_applied
         });
         Demand {
-            resource: wanted.resource,
-            amount: wanted.amount,
+            resource: requested.resource,
+            amount: requested.amount,
             request_in_use: held.map(|(_, lease)| lease.request_id).max().unwrap_or(0),
             requesters: 1,
             already_held: 0,
         }
     }
 
-    /// Takes up a grant. It lasts for `duration` from when its request was sent.
+    /// Records a grant. It lasts for `duration` from when the request that it answers was sent.
     ///
-    /// # Errors
-    /// Returns why the grant is ignored.
+    /// Returns the reason if the grant is ignored.
     pub fn on_grant(
         &mut self,
         now: Time,
@@ -100,9 +102,11 @@
             return Err(LeaseError::UnsolicitedGrant);
         };
         self.incarnations.insert(planner, incarnation);
-        // Grants of earlier requests are not used once this one is: the next request reports this.
-        self.pending
-            .retain(|id, other| other.planner != planner || other.sent_at >= sent_at && *id != request_id);
+        // From now on this grant is used in place of grants of earlier requests; the next request reports
+        // that to the planner.
+        self.pending.retain(|id, pending| {
+            pending.planner != planner || pending.sent_at >= sent_at && *id != request_id
+        });
         let expires_at = sent_at + duration;
         for ResourceAmount { resource, amount } in granted.iter().take(MAX_DEMANDS_PER_MESSAGE).copied() {
             let key = LeaseKey { resource, planner, incarnation };
@@ -117,19 +121,20 @@
         self.leases.retain(|_, lease| lease.expires_at > now);
     }
 
-    /// Records that the balancer goes by what is held now.
+    /// Records that the balancer uses the leases that are held now.
     pub fn mark_applied(&mut self) {
         for lease in self.leases.values_mut() {
             lease.is_applied = true;
         }
     }
 
-    /// The amount of a resource that may be used now, without the guaranteed share.
+    /// The leased amount of a resource that may be used now, in the resource's amounts. The guaranteed share
+    /// is not included.
     pub fn usable(&self, now: Time, resource: Resource) -> u32 {
         self.live(now, resource).fold(0, |sum, lease| sum.saturating_add(lease.amount))
     }
 
-    /// When the first of the leases of a resource expires.
+    /// The time at which the first of the resource's leases expires.
     pub fn first_expiry(&self, now: Time, resource: Resource) -> Option<Time> {
         self.live(now, resource).filter(|lease| lease.amount > 0).map(|lease| lease.expires_at).min()
     }
@@ -141,16 +146,17 @@
             .map(|(_, lease)| lease)
     }
 
-    /// The resources of which leases are held. One that is leased from several planners is repeated.
+    /// The resources that are leased. A resource that several planners lease is repeated.
     pub fn resources(&self) -> impl Iterator<Item = Resource> {
         self.leases.keys().map(|key| key.resource)
     }
 
-    /// Stops using all leases, and those that may yet be granted. Returns the messages that release them.
+    /// Gives up all leases, including those that pending requests may yet be granted. Returns the messages
+    /// that release them.
     pub fn release_all(&mut self) -> Vec<(PlannerId, LeaseMessage)> {
         let holders = self.leases.keys().map(|key| key.planner);
-        let asked = self.pending.values().map(|request| request.planner);
-        let mut planners: Vec<_> = holders.chain(asked).collect();
+        let requested_from = self.pending.values().map(|request| request.planner);
+        let mut planners: Vec<_> = holders.chain(requested_from).collect();
         planners.sort_unstable();
         planners.dedup();
         self.leases.clear();
