--- a/crates/coordination/src/leases/message.rs
+++ b/crates/coordination/src/leases/message.rs
@@ -7,10 +7,11 @@
 use super::{Resource, ResourceAmount};
 use crate::member::Incarnation;
 
-/// The number of demands, whatever their values, that fit into a message of 1,100 bytes.
+/// The maximum number of demands in a message. This many fit into a message of 1,100 bytes, whatever their
+/// values.
 pub const MAX_DEMANDS_PER_MESSAGE: usize = 30;
 
-/// A duration on the wire, in microseconds. Grants last seconds, so 32 bits suffice.
+/// A duration on the wire, in microseconds. Grants last seconds, so 32 bits are enough.
 pub type WireDuration = u32;
 
 /// How much of one resource the sender of a request needs.
@@ -18,28 +19,32 @@
 pub struct Demand {
     /// The resource.
     pub resource: Resource,
-    /// The amount that is needed from this grantor, in the resource's amounts.
+    /// The amount that is needed from the recipient, in the resource's amounts.
     pub amount: u32,
-    /// The request whose grant is in use now. Grants of earlier requests are thereby released.
+    /// The number of the request whose grant the sender uses now. Grants of earlier requests are released by
+    /// this message.
     pub request_in_use: u64,
-    /// How many forwarders are short of the resource, where a planner asks on behalf of several; 1 otherwise.
+    /// The number of forwarders that are short of the resource, where a planner requests a loan for several;
+    /// otherwise 1.
     pub requesters: u32,
-    /// What these forwarders have already without this grantor.
+    /// The amount that these forwarders have already without the recipient, in the resource's amounts.
     pub already_held: u32,
 }
 
 /// A forwarder's request for its long-term allocation at one planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LongTermRequest {
-    /// The request's number, in a sequence of its own that rises with each request of an incarnation.
+    /// The request's number. It rises with each long-term request of an incarnation; requests for leases are
+    /// numbered separately.
     pub request_id: u64,
     /// The forwarder's long-term demand, in thousandths of a fetch a second.
     pub demand: u32,
-    /// The request whose grant is in use now.
+    /// The number of the request whose grant the sender uses now.
     pub request_in_use: u64,
     /// The incarnation of the planner that this request is addressed to.
     pub planner_incarnation: Incarnation,
-    /// What the forwarder holds of this planner's, whichever incarnation granted it.
+    /// The amount of this planner's long-term escrow that the forwarder holds, whichever incarnation of the
+    /// planner granted it, in thousandths of a fetch a second.
     pub already_held: u32,
 }
 
@@ -48,29 +53,30 @@
 pub enum LeaseMessage {
     /// A forwarder requests leases, or a planner requests loans.
     Request {
-        /// The request's number, which rises with each request of an incarnation.
+        /// The request's number. It rises with each request of an incarnation.
         request_id: u64,
-        /// What is needed, one entry for each resource.
+        /// The demands, one for each resource.
         demands: Vec<Demand>,
     },
     /// Answers a [`LeaseMessage::Request`].
     Grant {
         /// The request that this answers.
         request_id: u64,
-        /// What is granted of each resource.
+        /// The amount that is granted of each resource.
         granted: Vec<ResourceAmount>,
         /// How long the grant lasts from when the request was sent.
         duration: WireDuration,
     },
-    /// The sender does not use what it requested up to this request, and will not use it.
+    /// The sender releases what it was granted for its requests up to this one, and ignores later grants for
+    /// them.
     Release {
         /// The last request that is covered.
         request_id: u64,
     },
     /// A forwarder requests its long-term allocation of the origin's fetches.
     RequestLongTerm(LongTermRequest),
-    /// Answers a [`LeaseMessage::RequestLongTerm`]. With a duration of zero nothing is granted or revoked: the message
-    /// only informs the forwarder of the planner's incarnation.
+    /// Answers a [`LeaseMessage::RequestLongTerm`]. With a duration of zero the message grants and revokes
+    /// nothing: it only informs the forwarder of the planner's incarnation.
     GrantLongTerm {
         /// The request that this answers.
         request_id: u64,
@@ -79,7 +85,8 @@
         /// How long the grant lasts from when the request was sent.
         duration: WireDuration,
     },
-    /// The sender does not use the long-term allocations that it requested up to this request, and will not use them.
+    /// The sender releases the long-term allocations that it was granted for its requests up to this one, and
+    /// ignores later grants for them.
     ReleaseLongTerm {
         /// The last request that is covered.
         request_id: u64,
--- a/crates/coordination/src/leases/resource.rs
+++ b/crates/coordination/src/leases/resource.rs
@@ -1,11 +1,11 @@
-//! The resources whose capacity is shared out, and amounts of them.
+//! The resources whose capacity forwarders share, and amounts of them.
 
 use granitelb_balancer::ids::EndpointId;
 use serde::{Deserialize, Serialize};
 
-/// Amounts of [`Resource::Origin`] in one fetch a second.
+/// The number of amounts of [`Resource::Origin`] in one fetch a second.
 const AMOUNTS_PER_FETCH: f64 = 1e3;
-/// Amounts of [`Resource::WarmingCache`] in one second of work a second.
+/// The number of amounts of [`Resource::WarmingCache`] in one second of work a second.
 const AMOUNTS_PER_SECOND_OF_WORK: f64 = 1e6;
 
 /// A resource whose capacity forwarders share.
@@ -15,8 +15,9 @@
 pub enum Resource {
     /// Fetches at the origin. Amounts are in thousandths of a fetch a second.
     Origin,
-    /// Work at a cache server that is warming up, as if it were warm and of size 1. Amounts are in millionths of a second
-    /// of work a second: in thousandths, the guaranteed share of one in 300 forwarders would round to nothing.
+    /// Work at a cache server that is warming up, scaled as if the server were warm and of size 1. Amounts
+    /// are in millionths of a second of work a second: in thousandths, the guaranteed share of one of 300
+    /// forwarders would be rounded to zero.
     WarmingCache(#[serde(with = "endpoint_id")] EndpointId),
 }
 
@@ -30,16 +31,16 @@
     }
 }
 
-/// An amount of a resource, on the wire a pair of the two fields.
+/// An amount of a resource. On the wire it is a pair of the two fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceAmount {
     /// The resource.
     pub resource: Resource,
-    /// How much of it, in the resource's amounts.
+    /// The amount, in the unit that [`Resource`] defines for the resource.
     pub amount: u32,
 }
 
-/// Writes an endpoint's id as a plain number.
+/// Serializes an endpoint's id as a plain number.
 mod endpoint_id {
     use granitelb_balancer::ids::EndpointId;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/coordination/src/leases/settings.rs
+++ b/crates/coordination/src/leases/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the lease component, and the quantities that follow from them.
+//! The settings of the lease component, and the quantities that are computed from them.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +8,9 @@
 use crate::component::HEARTBEAT_INTERVAL;
 use crate::member::PlannerId;
 
-/// A whole, where parts are given in thousandths.
+/// The number of thousandths in a whole.
 const PER_MILLE: u32 = 1000;
-/// No lease or loan may last longer: a planner that starts has to wait this out.
+/// The upper limit on [`Settings::max_duration`]. A planner that starts grants nothing for that long.
 const MAX_DURATION_LIMIT: Span = Span::from_millis(60_000);
 
 /// The settings of the lease component. All members of a fleet must have the same ones.
@@ -18,38 +18,40 @@
 pub struct Settings {
     /// Fetches a second that the origin can serve, in thousandths.
     pub origin_capacity: u32,
-    /// Work a second that a warm cache server of size 1 can do, in millionths of a second.
+    /// Work that a warm cache server of size 1 can do, in millionths of a second of work a second.
     pub warming_cache_capacity: u32,
     /// Thousandths of each capacity that are divided into guaranteed shares, which never expire.
     pub guaranteed_per_mille: u32,
-    /// Thousandths of the origin's capacity that are handed out as long-term allocations; 0 turns these off.
+    /// Thousandths of the origin's capacity that are granted as long-term allocations; 0 disables long-term
+    /// allocations.
     pub long_term_per_mille: u32,
-    /// How long a long-term allocation lasts. It has to be the same at all members at all times, because it is what a
-    /// planner that starts waits out.
+    /// How long a long-term allocation lasts. The duration must be the same at all members at all times,
+    /// because a planner that starts waits this long before it increases any allocation.
     pub long_term_duration: Span,
-    /// The greatest number of forwarders that are ever up.
+    /// The maximum number of forwarders that run at a time.
     pub forwarder_count: u32,
-    /// All planners.
+    /// All planners of the fleet.
     pub planners: BTreeSet<PlannerId>,
     /// How long a lease to a forwarder lasts.
     pub lease_duration: Span,
     /// How long a loan to another planner lasts.
     pub loan_duration: Span,
-    /// No lease or loan was ever set to last longer: a planner that starts waits this out.
+    /// An upper bound on every lease and loan duration that was ever set. A planner that starts waits this
+    /// long, plus a margin, before it grants anything.
     pub max_duration: Span,
-    /// Thousandths by which the rates of two clocks may differ.
+    /// The maximum difference between the rates of two clocks, in thousandths.
     pub clock_drift_per_mille: u32,
-    /// A fixed margin on top of the clock drift.
+    /// A fixed margin that is added to the margin for clock drift.
     pub clock_margin: Span,
-    /// The interval between requests.
+    /// The interval between two requests of a member.
     pub request_interval: Span,
-    /// How long a planner uses its targets before it computes them anew.
+    /// How long a planner uses its targets before it recomputes them.
     pub target_refresh_interval: Span,
-    /// The share of its capacity that a cache server has when it starts.
+    /// The share of its warm capacity that a cache server has when it starts, from 0 to 1.
     pub initial_warmup_factor: f64,
-    /// The greatest number of warming cache servers that are tracked.
+    /// The maximum number of warming cache servers that are tracked.
     pub max_warming_caches: usize,
-    /// The greatest number of claims in one ledger.
+    /// The maximum number of claims in one ledger.
     pub max_claims: usize,
 }
 
@@ -86,13 +88,15 @@
         }
     }
 
-    /// Each forwarder's guaranteed share. It is rounded down, so that the sum of all shares is within the guaranteed part.
+    /// Each forwarder's guaranteed share, in the resource's amounts. It is rounded down, so that the sum of
+    /// all shares is within the guaranteed part.
     pub fn guaranteed_share(&self, resource: Resource) -> u32 {
         let guaranteed = per_mille_of(self.capacity(resource), self.guaranteed_per_mille);
         (guaranteed / u64::from(self.forwarder_count.max(1))) as u32
     }
 
-    /// Each planner's escrow: its part of what neither guaranteed shares nor long-term allocations take.
+    /// Each planner's escrow, in the resource's amounts: its part of the capacity that remains without the
+    /// guaranteed shares and the long-term allocations.
     pub fn escrow(&self, resource: Resource) -> u32 {
         let guaranteed = u64::from(self.guaranteed_share(resource)) * u64::from(self.forwarder_count.max(1));
         let taken = guaranteed + self.long_term_capacity(resource);
@@ -100,12 +104,14 @@
         (remaining / self.planner_count()) as u32
     }
 
-    /// Each planner's long-term escrow: its part of what is handed out as long-term allocations.
+    /// Each planner's long-term escrow, in thousandths of a fetch a second: its part of the capacity for
+    /// long-term allocations.
     pub fn long_term_escrow(&self) -> u32 {
         (self.long_term_capacity(Resource::Origin) / self.planner_count()) as u32
     }
 
-    /// How long a grantor counts a grant that lasts for `duration` at its holder.
+    /// How long a grantor counts a grant that its holder may use for `duration`: the duration plus the
+    /// margins for clock drift.
     pub fn grantor_duration(&self, duration: Span) -> Span {
         let drift = Span(duration.0 * u64::from(self.clock_drift_per_mille) / u64::from(PER_MILLE));
         duration + drift + self.clock_margin
@@ -126,7 +132,8 @@
         }
         let exceeds_maximum =
             self.lease_duration > self.max_duration || self.loan_duration > self.max_duration;
-        // A loan that is shorter than the leases granted from it would never be of use.
+        // A lease is granted from a loan only if the loan lasts at least as long as the lease, so a shorter
+        // loan is useless.
         let is_loan_too_short = self.loan_duration <= self.grantor_duration(self.lease_duration);
         if self.max_duration > MAX_DURATION_LIMIT
             || exceeds_maximum
