--- a/crates/coordination/src/leases/forwarder/limits.rs
+++ b/crates/coordination/src/leases/forwarder/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that a forwarder's balancer goes by: the guaranteed share, leases and long-term allocations together.
+//! The limits on a forwarder's balancer: the guaranteed share, leases and long-term allocations added up.
 
 use granitelb_balancer::Lease;
 use granitelb_balancer::ids::EndpointId;
@@ -7,13 +7,13 @@
 use super::ForwarderComponent;
 use crate::leases::Resource;
 
-/// The last part of a lease, in which the balancer passes over to what is left without it, plus a request interval, in
-/// which it is not notified again.
+/// The part at the end of a lease that is not used: the time in which the balancer reduces its rate to the
+/// limit without the lease, plus one request interval, in which it is not notified again.
 const LEASE_END_MARGIN: Span = Span::from_millis(750);
 
 impl ForwarderComponent {
-    /// What the balancer may use now, of each origin and each warming cache server. The balancer has to be notified of it
-    /// before any message that is polled afterwards is sent.
+    /// The limits that apply to the balancer now, for each origin and each warming cache server. The balancer
+    /// must be notified of them before any message that is polled afterwards is sent.
     pub fn current_leases(&mut self, now: Time) -> Vec<(EndpointId, Lease)> {
         self.holdings.expire(now);
         self.holdings.mark_applied();
@@ -33,7 +33,7 @@
         leases
     }
 
-    /// The balancer's limit on a resource, multiplied by `factor`.
+    /// The balancer's limit on a resource, multiplied by `factor`, in fetches or seconds of work a second.
     fn lease(&self, now: Time, resource: Resource, factor: f64) -> Lease {
         let guaranteed = self.settings.guaranteed_share(resource);
         let in_units = |amount: u32| f64::from(amount) / resource.amounts_per_unit() * factor;
@@ -43,8 +43,8 @@
             Resource::Origin => (self.long_term.usable(now), self.long_term.first_expiry(now)),
             Resource::WarmingCache(_) => (0, None),
         };
-        // After a lease's expiry the balancer is limited to the guaranteed share. So that this does not take the long-term
-        // allocation away too, the last moments of the lease are not used.
+        // When the limit expires, the balancer falls back to the guaranteed share. The lease is ignored
+        // shortly before it expires, so that its expiry does not withdraw the long-term allocation too.
         if allocated_until.is_some() && leased_until.is_some_and(|until| until - now <= LEASE_END_MARGIN) {
             leased = 0;
             leased_until = None;
@@ -54,7 +54,7 @@
         Lease { most, until, then: in_units(guaranteed) }
     }
 
-    /// What may be used of a resource without leases.
+    /// The amount of a resource that may be used without leases, in the resource's amounts.
     pub(super) fn share_without_leases(&self, now: Time, resource: Resource) -> u32 {
         let guaranteed = self.settings.guaranteed_share(resource);
         match resource {
--- a/crates/coordination/src/leases/forwarder/mod.rs
+++ b/crates/coordination/src/leases/forwarder/mod.rs
@@ -1,5 +1,5 @@
-//! A forwarder's side: estimates its demand from what the balancer does, requests leases of one planner at a time, and
-//! limits the balancer to what it holds.
+//! The forwarder's side of the lease component. It estimates the forwarder's demand from what the balancer
+//! does, requests leases from one planner at a time, and limits the balancer to what the forwarder holds.
 
 mod limits;
 mod planner_selection;
@@ -18,7 +18,8 @@
 use planner_selection::PlannerSelector;
 use usage::ResourceUsage;
 
-/// How often to check whether the balancer was notified of its limits, before the first long-term request.
+/// The interval at which the component checks whether the balancer was notified of its limits, before the
+/// first long-term request.
 const FIRST_NOTIFICATION_POLL: Span = Span::from_millis(50);
 /// A time that is never reached.
 const NEVER: Time = Time(u64::MAX);
@@ -35,10 +36,11 @@
     long_term: LongTermAllocations,
     long_term_demand: LongTermDemandEstimator,
     next_long_term_request: Time,
-    /// Whether the balancer was notified of its limit at the origin in this incarnation. Until then it may go by what an
-    /// earlier incarnation held, which the first long-term request revokes at planners.
+    /// Whether the balancer was notified of its limit at the origin in this incarnation. Until then it may
+    /// still use the allocation of an earlier incarnation, which the first long-term request revokes at the
+    /// planners.
     has_notified_balancer: bool,
-    /// Whether leases are held, as last logged.
+    /// Whether leases were held at the last log line about them.
     has_leases: bool,
     events: VecDeque<Event>,
 }
@@ -51,7 +53,7 @@
         _incarnation: Incarnation,
         now: Time,
     ) -> ForwarderComponent {
-        // Spread over the interval, because all forwarders may start at once.
+        // First requests are spread over the interval, because all forwarders may start at the same time.
         let offset = xxh3_64_with_seed(&[], me.0) % settings.request_interval.0.max(1);
         let first_request = now + Span(offset);
         let has_long_term = settings.long_term_escrow() > 0;
@@ -73,13 +75,13 @@
         }
     }
 
-    /// Takes note of what the balancer did.
+    /// Updates the estimates of demand by what the balancer did.
     pub fn on_observation(&mut self, now: Time, observation: &Observation) {
         match observation {
             Observation::EndpointsChanged(endpoints) => self.on_endpoints_changed(now, endpoints),
             Observation::AttemptSent { is_origin: true, write: false, .. } | Observation::FetchDenied => {
-                // Rejected fetches count too: estimated from sent ones alone, a demand far beyond the limit would be
-                // found out step by step.
+                // Rejected fetches count too. With sent fetches alone, a demand far beyond the limit would be
+                // found only step by step.
                 let amount = Resource::Origin.amounts_per_unit();
                 self.usage.record_fetch(amount);
                 self.long_term_demand.record_usage(amount);
@@ -92,7 +94,8 @@
         }
     }
 
-    /// Releases everything, so that other forwarders need not wait for its expiry. The balancer must have stopped sending.
+    /// Releases all leases and long-term allocations, so that other forwarders need not wait until they
+    /// expire. The balancer must have stopped sending.
     pub fn shut_down(&mut self) {
         for (planner, message) in self.holdings.release_all() {
             self.outbox.push_back((Member::Planner(planner), message));
@@ -109,13 +112,14 @@
     fn on_endpoints_changed(&mut self, now: Time, endpoints: &[ObservedEndpoint]) {
         let has_new_warming_cache = self.usage.on_endpoints_changed(now, endpoints, &self.settings);
         if has_new_warming_cache {
-            // Spread over the interval, because other forwarders see the cache server at the same time.
+            // Requests are spread over the interval, because the other forwarders see the new cache server at
+            // the same time.
             let offset = Span(self.me.0 % self.settings.request_interval.0.max(1));
             self.next_request = self.next_request.min(now + offset);
         }
     }
 
-    /// Requests leases for what is needed beyond the share without leases.
+    /// Requests leases for the demand that exceeds the share without leases.
     fn request_leases(&mut self, now: Time) {
         self.usage.forget_warm_caches(now, &self.settings);
         self.holdings.expire(now);
@@ -144,7 +148,8 @@
             let even_share = even_share(&self.settings, resource);
             let demand = estimator.estimate(now, permitted, even_share).min(capacity);
             let excess = (demand - f64::from(share)).max(0.0) as u32;
-            // A demand that has ended is reported once more, so that the planner knows.
+            // A demand that has fallen to zero is still reported while a lease is held, so that the planner
+            // learns of the fall.
             if excess > 0 || leased > 0 {
                 amounts.insert(resource, excess);
             }
@@ -155,7 +160,7 @@
         amounts.into_iter().map(|(resource, amount)| ResourceAmount { resource, amount }).collect()
     }
 
-    /// Requests the long-term allocation of each planner that is alive.
+    /// Requests a long-term allocation from each planner that is alive.
     fn request_long_term(&mut self, now: Time) {
         self.long_term.expire(now);
         let demand = self.long_term_demand.estimate(now);
@@ -165,17 +170,18 @@
         }
     }
 
-    /// Logs when the first lease is held and when none is held any more.
+    /// Logs that the first lease is held, or that no lease is held any more.
     fn log_lease_changes(&mut self, now: Time) {
         let has_leases = self.holdings.resources().any(|resource| self.holdings.usable(now, resource) > 0);
-        if has_leases == self.has_leases || !has_leases && !self.planners.is_any_unavailable() {
+        if has_leases == self.has_leases || !has_leases && !self.planners.has_unavailable_planner() {
             return;
         }
         self.has_leases = has_leases;
         let message = if has_leases {
-            "uses leases of planners"
+            "this forwarder uses leases of planners beyond its guaranteed share"
         } else {
-            "no planner grants leases: limited to the guaranteed share"
+            "no planner grants leases: this forwarder is limited to its guaranteed share and its long-term allocations; \
+             check that the planners run and can be reached from here"
         };
         self.events.push_back(Event {
             name: "leases",
@@ -185,7 +191,7 @@
     }
 }
 
-/// An even division of a resource's capacity among all forwarders.
+/// The share of each forwarder if a resource's capacity is divided evenly, in the resource's amounts.
 fn even_share(settings: &Settings, resource: Resource) -> f64 {
     f64::from(settings.capacity(resource)) / f64::from(settings.forwarder_count.max(1))
 }
@@ -202,7 +208,8 @@
         let sender = PlannerIncarnation { planner, incarnation: from.incarnation };
         self.long_term.on_planner_message(sender);
         match message {
-            // Nothing is granted or revoked: the next request reports to this incarnation what is held.
+            // The planner has only announced its incarnation. The next request reports to this incarnation
+            // what is held.
             LeaseMessage::GrantLongTerm { duration: 0, .. } => Ok(()),
             LeaseMessage::GrantLongTerm { request_id, amount, duration } => {
                 let duration = Span(u64::from(duration)).min(self.settings.long_term_duration);
--- a/crates/coordination/src/leases/forwarder/planner_selection.rs
+++ b/crates/coordination/src/leases/forwarder/planner_selection.rs
@@ -1,4 +1,4 @@
-//! Chooses the planner that a forwarder requests leases of.
+//! The choice of the planner from which a forwarder requests leases.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,18 +8,20 @@
 use crate::leases::Settings;
 use crate::member::{ForwarderId, Member, PlannerId};
 
-/// A planner that leaves this many requests in a row unanswered is avoided for [`AVOIDANCE_TIME`].
+/// A planner that has left this many consecutive requests unanswered is avoided for [`AVOIDANCE_TIME`].
 const MAX_UNANSWERED_REQUESTS: u8 = 2;
+/// How long an unresponsive planner is avoided, from the last request that was sent to it.
 const AVOIDANCE_TIME: Span = Span::from_millis(5000);
 
-/// The requests that a planner left unanswered in a row.
+/// The consecutive requests that a planner has left unanswered.
 #[derive(Clone, Copy)]
 struct UnansweredRequests {
     count: u8,
     last_sent_at: Time,
 }
 
-/// Chooses the planner that a forwarder requests leases of, by rendezvous hashing among those that answer.
+/// Chooses the planner from which a forwarder requests leases, by rendezvous hashing among the planners that
+/// answer.
 pub struct PlannerSelector {
     me: ForwarderId,
     alive: BTreeSet<PlannerId>,
@@ -27,12 +29,12 @@
 }
 
 impl PlannerSelector {
-    /// Creates a selector that knows of no planner.
+    /// Creates a selector without planners.
     pub fn new(me: ForwarderId) -> PlannerSelector {
         PlannerSelector { me, alive: BTreeSet::new(), unanswered: BTreeMap::new() }
     }
 
-    /// Replaces the planners that are alive.
+    /// Replaces the set of planners that are alive.
     pub fn on_membership_change(&mut self, alive: &[Member]) {
         let planners = alive.iter().filter_map(|member| match member {
             Member::Planner(id) => Some(*id),
@@ -43,7 +45,7 @@
         self.alive = alive;
     }
 
-    /// Records a request to a planner.
+    /// Records that a request was sent to a planner.
     pub fn on_request_sent(&mut self, now: Time, planner: PlannerId) {
         let none = UnansweredRequests { count: 0, last_sent_at: now };
         let unanswered = self.unanswered.entry(planner).or_insert(none);
@@ -51,17 +53,18 @@
         unanswered.last_sent_at = now;
     }
 
-    /// Records a planner's answer.
+    /// Records that a planner has answered.
     pub fn on_answer(&mut self, planner: PlannerId) {
         self.unanswered.remove(&planner);
     }
 
-    /// The planners of the settings that are alive, in their order.
+    /// The planners of the settings that are alive, in ascending order.
     pub fn candidates<'a>(&'a self, settings: &'a Settings) -> impl Iterator<Item = PlannerId> + 'a {
         self.alive.iter().filter(|id| settings.planners.contains(id)).copied()
     }
 
-    /// The first planner in this forwarder's order that answers. If none does, the one that was asked longest ago.
+    /// Returns the first planner that answers, in this forwarder's order of preference. If no planner
+    /// answers, returns the one whose last request is the oldest.
     pub fn select(&mut self, now: Time, settings: &Settings) -> Option<PlannerId> {
         self.unanswered.retain(|_, requests| now - requests.last_sent_at < AVOIDANCE_TIME);
         let mut order: Vec<_> = self.candidates(settings).collect();
@@ -72,12 +75,12 @@
         order.into_iter().min_by_key(|id| self.unanswered.get(id).map(|requests| requests.last_sent_at))
     }
 
-    /// Whether any planner does not answer, or none is alive.
-    pub fn is_any_unavailable(&self) -> bool {
+    /// Whether any planner is unresponsive, or no planner is alive.
+    pub fn has_unavailable_planner(&self) -> bool {
         self.alive.is_empty() || self.unanswered.keys().any(|id| self.is_unresponsive(*id))
     }
 
-    /// The number of planners that owe an answer.
+    /// The number of planners that have not answered their last request.
     pub fn unanswered_count(&self) -> usize {
         self.unanswered.len()
     }
--- a/crates/coordination/src/leases/forwarder/usage.rs
+++ b/crates/coordination/src/leases/forwarder/usage.rs
@@ -1,4 +1,4 @@
-//! What the balancer uses of each resource.
+//! The balancer's usage of each resource.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::iter;
@@ -11,11 +11,11 @@
 use crate::leases::{Resource, Settings};
 use crate::observation::{FinishedAttempt, ObservedEndpoint};
 
-/// The mean work of an attempt until one has finished, in seconds.
+/// The assumed mean work of an attempt before any attempt has finished, in seconds.
 const INITIAL_MEAN_WORK: f64 = 0.005;
-/// The weight of each finished attempt in the mean work.
+/// The weight of each finished attempt in the exponential mean of the work.
 const MEAN_WORK_WEIGHT: f64 = 0.05;
-/// Cache servers count as at least this large.
+/// The minimum size of a cache server in calculations; it keeps divisors above zero.
 const MIN_SIZE: f64 = 1e-3;
 
 /// A cache server that is warming up.
@@ -24,11 +24,12 @@
     demand: DemandEstimator,
 }
 
-/// The endpoints that are limited by leases, and the balancer's usage of each resource.
+/// The endpoints whose use leases limit, and the balancer's usage of each resource.
 pub struct ResourceUsage {
     origins: BTreeSet<EndpointId>,
     origin_demand: DemandEstimator,
-    /// All cache servers that are warming up or may be, up to the limit of the settings.
+    /// The cache servers that are warming up, up to the limit of the settings. Some may have become warm
+    /// since the last update.
     warming: BTreeMap<EndpointId, WarmingCache>,
     /// The mean work of an attempt at a cache server, in seconds.
     mean_work: f64,
@@ -60,10 +61,10 @@
             .iter()
             .filter(|endpoint| !endpoint.is_origin && warmup_factor(settings, now, endpoint) < 1.0)
             .take(settings.max_warming_caches);
-        let mut before = std::mem::take(&mut self.warming);
+        let mut previous = std::mem::take(&mut self.warming);
         let mut has_new = false;
         for endpoint in warming {
-            let demand = match before.remove(&endpoint.cache) {
+            let demand = match previous.remove(&endpoint.cache) {
                 Some(known) => known.demand,
                 None => {
                     has_new = true;
@@ -80,16 +81,16 @@
         self.origin_demand.record_usage(amount);
     }
 
-    /// Records an attempt that was sent to a cache server, as its expected work.
+    /// Records an attempt that was sent to a cache server. Its usage is the mean work of an attempt.
     pub fn record_cache_attempt(&mut self, now: Time, endpoint: EndpointId, settings: &Settings) {
         let Some(cache) = self.warming.get_mut(&endpoint) else { return };
-        // Scaled as if the cache server were warm and of size 1, as leases are.
+        // Usage is scaled as if the cache server were warm and of size 1, because leases are.
         let scale = warmup_factor(settings, now, &cache.endpoint) * cache.endpoint.size.max(MIN_SIZE);
         let amounts_per_second = Resource::WarmingCache(endpoint).amounts_per_unit();
         cache.demand.record_usage(self.mean_work * amounts_per_second / scale);
     }
 
-    /// Updates the mean work from a finished attempt, if it was fulfilled by a cache server.
+    /// Updates the mean work by a finished attempt, if a cache server fulfilled it.
     pub fn record_finished_attempt(&mut self, attempt: &FinishedAttempt) {
         if attempt.is_origin || attempt.outcome != AttemptOutcome::Fulfilled {
             return;
@@ -98,7 +99,7 @@
         self.mean_work += MEAN_WORK_WEIGHT * (work - self.mean_work);
     }
 
-    /// Removes the cache servers that are warm by now.
+    /// Removes the cache servers that have become warm.
     pub fn forget_warm_caches(&mut self, now: Time, settings: &Settings) {
         self.warming.retain(|_, cache| warmup_factor(settings, now, &cache.endpoint) < 1.0);
     }
@@ -126,7 +127,7 @@
     }
 }
 
-/// The share of its capacity that a server has, by the time since it started.
+/// The share of its warm capacity that a cache server has now, by the time since its start; 1 for a warm one.
 fn warmup_factor(settings: &Settings, now: Time, endpoint: &ObservedEndpoint) -> f64 {
     let Some(started) = endpoint.started.filter(|_| endpoint.warm_after > Span::ZERO) else { return 1.0 };
     let progress = (now - started).as_secs_f64() / endpoint.warm_after.as_secs_f64();
