--- a/crates/coordination/src/leases/ledger/claim.rs
+++ b/crates/coordination/src/leases/ledger/claim.rs
@@ -1,4 +1,4 @@
-//! What one incarnation of a member requested of a planner, and what it may still hold.
+//! The claim of one incarnation of a member at a planner: what it requested, and what it may still hold.
 
 use std::collections::VecDeque;
 
@@ -7,13 +7,13 @@
 use super::{Demand, MAX_SEPARATE_GRANTS};
 use crate::member::{Incarnation, Member, Sender};
 
-/// Identifies a claim. Each incarnation of a member has its own, because what was granted to an earlier one may still be
-/// held.
+/// Identifies a claim. Each incarnation of a member has a claim of its own, because the grants to an earlier
+/// incarnation may still be held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimId {
-    /// The member that requests.
+    /// The member that requests leases or loans.
     pub member: Member,
-    /// Its incarnation.
+    /// The member's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -29,28 +29,28 @@
     }
 }
 
-/// A grant, by the planner's clock.
+/// A grant. Its expiry is measured by the planner's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// The request that it answers.
+    /// The number of the request that the grant answers.
     pub request_id: u64,
-    /// What was granted.
+    /// The granted amount, in the resource's amounts.
     pub amount: u32,
-    /// Until when the planner counts it.
+    /// The time until which the planner counts the grant.
     pub expires_at: Time,
 }
 
-/// What one incarnation of a member requested, and the grants to it that may still be in use.
+/// The last request of one incarnation of a member, and the grants to it that may still be in use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The demand by the last request.
+    /// The demand in the last request.
     pub demand: Demand,
-    /// The last request.
+    /// The number of the last request.
     pub request_id: u64,
     /// When the last request arrived.
     pub requested_at: Time,
-    /// From the oldest to the newest grant, amounts fall and expiries rise: a grant that is no greater than a later one
-    /// does not count.
+    /// The grants that count, from the oldest to the newest. Amounts decrease and expiries increase: a grant
+    /// is removed when a later one of at least its amount is added.
     grants: VecDeque<Grant>,
 }
 
@@ -60,22 +60,23 @@
         Claim { demand, request_id, requested_at: now, grants: VecDeque::new() }
     }
 
-    /// The most that the claimant may hold: the greatest grant that has not expired.
+    /// The most that the claimant may hold, in the resource's amounts: the greatest grant that has not
+    /// expired.
     pub fn outstanding(&self) -> u32 {
         self.grants.front().map_or(0, |grant| grant.amount)
     }
 
-    /// What is missing to a target.
+    /// The amount by which the claim is below a target.
     pub fn shortfall(&self, target: u32) -> u64 {
         u64::from(target.saturating_sub(self.outstanding()))
     }
 
-    /// When the greatest grant expires.
+    /// The time at which the greatest grant expires.
     pub fn first_expiry(&self) -> Option<Time> {
         self.grants.front().map(|grant| grant.expires_at)
     }
 
-    /// Whether nothing is granted.
+    /// Whether no grant counts.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
@@ -85,13 +86,13 @@
         self.grants.len()
     }
 
-    /// Adds a grant. If too many would be counted separately, it is merged with the newest one, into a grant of the
-    /// greater amount and the later expiry.
+    /// Adds a grant. If there would be too many to count separately, it is merged with the newest one: the
+    /// merged grant has the greater amount and the later expiry.
     pub fn add(&mut self, grant: Grant) {
         if grant.amount == 0 {
             return;
         }
-        while self.grants.back().is_some_and(|older| older.amount <= grant.amount) {
+        while self.grants.back().is_some_and(|newest| newest.amount <= grant.amount) {
             self.grants.pop_back();
         }
         let is_full = self.grants.len() >= MAX_SEPARATE_GRANTS;
@@ -104,14 +105,14 @@
         }
     }
 
-    /// Drops grants from the oldest on, as long as the predicate holds.
-    pub fn drop_while(&mut self, predicate: impl Fn(&Grant) -> bool) {
+    /// Removes grants from the oldest on, as long as the predicate holds.
+    pub fn remove_while(&mut self, predicate: impl Fn(&Grant) -> bool) {
         while self.grants.front().is_some_and(&predicate) {
             self.grants.pop_front();
         }
     }
 
-    /// Drops all grants.
+    /// Removes all grants.
     pub fn clear(&mut self) {
         self.grants.clear();
     }
--- a/crates/coordination/src/leases/ledger/fair_share.rs
+++ b/crates/coordination/src/leases/ledger/fair_share.rs
@@ -1,16 +1,17 @@
-//! Max-min fairness: demands are met in full up to a common level.
+//! Max-min fairness: demands are met in full up to a level that is common to all forwarders.
 
 use crate::leases::Demand;
 
-/// What a demand gets at a level. Forwarders that are short at another planner have something there already.
+/// The share of a demand at a level, in the resource's amounts. Forwarders for which another planner requests
+/// already hold an amount there, which is subtracted.
 pub fn fair_share(demand: &Demand, level: u32) -> u32 {
     let for_all_requesters = u64::from(level) * u64::from(demand.requesters.max(1));
     let limit = for_all_requesters.saturating_sub(u64::from(demand.already_held));
     u64::from(demand.amount).min(limit) as u32
 }
 
-/// The greatest level at which the shares of all demands add up to no more than what is available. It is found by
-/// bisection, in whole amounts; [`u32::MAX`] where all demands are met.
+/// Returns the greatest level at which the shares of all demands add up to at most the available amount, or
+/// [`u32::MAX`] if all demands are met. The level is found by bisection, in whole amounts.
 pub fn max_min_level(demands: &[Demand], available: u64) -> u32 {
     let greatest =
         demands.iter().map(|demand| demand.amount.saturating_add(demand.already_held)).max().unwrap_or(0);
--- a/crates/coordination/src/leases/ledger/fair_targets.rs
+++ b/crates/coordination/src/leases/ledger/fair_targets.rs
@@ -1,4 +1,4 @@
-//! The fair targets of a ledger's claims, and what is missing to them.
+//! The fair targets of a ledger's claims, and the amounts by which claims are below them.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -7,31 +7,33 @@
 use crate::leases::Demand;
 use crate::member::{Member, PlannerId};
 
-/// The levels of max-min fairness: all that are short of a resource have as much as each other.
+/// The levels of max-min fairness: all claimants that are short of a resource get the same amount of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct FairLevels {
     computed_at: Time,
-    /// The level for planners that borrow.
+    /// The level for planners that request loans.
     loans: u32,
-    /// The level for forwarders.
+    /// The level for forwarders that request leases.
     leases: u32,
-    /// The sum of what forwarders have less than their targets.
+    /// The sum of the amounts by which forwarders are below their targets.
     pub(super) total_shortfall: u64,
 }
 
-/// What a planner should ask another one for, on behalf of its forwarders that are short.
+/// The loan that a planner should request from another planner, for its forwarders that are short of a
+/// resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BorrowingDemand {
-    /// The sum of what they are short of.
+    /// The sum of what these forwarders are short of, in the resource's amounts.
     pub amount: u32,
-    /// How many are short.
+    /// The number of forwarders that are short.
     pub requesters: u32,
-    /// What they have without that planner.
+    /// The amount that these forwarders have without the other planner.
     pub already_held: u32,
 }
 
 impl Ledger {
-    /// What this planner should ask the lender for, if its forwarders are short.
+    /// Returns the loan that this planner should request from the lender, or `None` if its forwarders are not
+    /// short.
     pub fn borrowing_demand(
         &self,
         now: Time,
@@ -45,26 +47,26 @@
             .collect();
         demands.sort_unstable();
         let mut available = u64::from(self.escrow) + self.newest_loans(Some(lender));
-        let mut short = demands.len();
+        let mut unmet_count = demands.len();
         for demand in &demands {
-            if *demand * short as u64 > available {
+            if *demand * unmet_count as u64 > available {
                 break;
             }
             available -= demand;
-            short -= 1;
+            unmet_count -= 1;
         }
-        if short == 0 {
+        if unmet_count == 0 {
             return None;
         }
-        let wanted: u64 = demands.iter().rev().take(short).sum();
+        let unmet_demand: u64 = demands.iter().rev().take(unmet_count).sum();
         Some(BorrowingDemand {
-            amount: saturate(wanted - available),
-            requesters: saturate(short as u64),
+            amount: saturate(unmet_demand - available),
+            requesters: saturate(unmet_count as u64),
             already_held: saturate(available),
         })
     }
 
-    /// A claim's target: all of its demand, or as much as the others that are short have.
+    /// A claim's target: its whole demand, or as much as the other claims that are not fully met get.
     pub(super) fn fair_target(&mut self, now: Time, id: ClaimId, policy: GrantPolicy) -> u32 {
         let levels = match self.levels {
             Some(levels) if now - levels.computed_at < policy.target_refresh_interval => levels,
@@ -77,8 +79,8 @@
         }
     }
 
-    /// The level for loans is that of all who request. Loans come back slowly: until they do, this planner's forwarders
-    /// share evenly what is left.
+    /// Recomputes the levels. The level for loans is computed over the demands of forwarders and planners
+    /// together. Loans return slowly: until they do, this planner's forwarders share the rest evenly.
     fn compute_levels(&mut self, now: Time, policy: GrantPolicy) -> FairLevels {
         let recent = || self.recent_claims(now, policy.demand_window);
         let by_planners: Vec<Demand> =
@@ -86,13 +88,14 @@
         let by_forwarders: Vec<Demand> =
             recent().filter(|(id, _)| id.is_forwarder()).map(|(_, claim)| claim.demand).collect();
         let all: Vec<Demand> = by_planners.iter().chain(&by_forwarders).copied().collect();
-        let planned = u64::from(self.escrow) + self.newest_loans(None);
-        let loan_level = max_min_level(&all, planned);
+        let with_newest_loans = u64::from(self.escrow) + self.newest_loans(None);
+        let loan_level = max_min_level(&all, with_newest_loans);
         let due_to_planners: u64 =
             by_planners.iter().map(|demand| u64::from(fair_share(demand, loan_level))).sum();
-        let assured =
+        let lasting_for_lease =
             u64::from(self.escrow) + self.borrowed_until(now + policy.lease_grantor_duration, |_| 0);
-        let remaining = planned.min(assured).saturating_sub(self.loaned.max(due_to_planners));
+        let remaining =
+            with_newest_loans.min(lasting_for_lease).saturating_sub(self.loaned.max(due_to_planners));
         let lease_level = max_min_level(&by_forwarders, remaining);
         let total_shortfall = recent()
             .filter(|(id, _)| id.is_forwarder())
--- a/crates/coordination/src/leases/ledger/loan.rs
+++ b/crates/coordination/src/leases/ledger/loan.rs
@@ -4,25 +4,25 @@
 
 use super::MAX_SEPARATE_GRANTS;
 
-/// A loan from another planner, by the borrower's clock.
+/// A loan from another planner. Its expiry is measured by the borrower's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Loan {
-    /// The request that it answers.
+    /// The number of the request that the loan answers.
     pub request_id: u64,
-    /// What is lent.
+    /// The lent amount, in the resource's amounts.
     pub amount: u32,
-    /// Until when it may be used.
+    /// The time until which the loan may be used.
     pub expires_at: Time,
 }
 
-/// The loans of one lender that the borrower has not given up, from the oldest to the newest.
+/// The loans of one lender that the borrower has not released, from the oldest to the newest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LenderLoans {
     loans: Vec<Loan>,
 }
 
 impl LenderLoans {
-    /// Adds a loan, unless it is no newer than a known one or there are too many.
+    /// Adds a loan, unless it is not newer than a known one or there are [`MAX_SEPARATE_GRANTS`] already.
     pub fn add(&mut self, loan: Loan) {
         let is_newest = self.loans.last().is_none_or(|newest| newest.request_id < loan.request_id);
         if is_newest && self.loans.len() < MAX_SEPARATE_GRANTS {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What is lent at least up to `at`, by the loans for the requests from `first_request` on.
+    /// The amount that is lent at least until `at`, by the loans for the requests from `first_request` on.
     pub fn lasting_until(&self, at: Time, first_request: u64) -> u32 {
         self.loans
             .iter()
@@ -45,12 +45,12 @@
         self.loans.last()
     }
 
-    /// The request of the oldest loan.
+    /// The number of the request for the oldest loan.
     pub fn oldest_request(&self) -> Option<u64> {
         self.loans.first().map(|loan| loan.request_id)
     }
 
-    /// Gives up all loans but the newest.
+    /// Releases all loans except the newest.
     pub fn keep_newest(&mut self) {
         let first_kept = self.newest().map_or(0, |loan| loan.request_id);
         self.loans.retain(|loan| loan.request_id >= first_kept);
--- a/crates/coordination/src/leases/ledger/mod.rs
+++ b/crates/coordination/src/leases/ledger/mod.rs
@@ -1,9 +1,10 @@
-//! A planner's ledger of one resource: who requested what, and all that may still be held by anyone.
+//! A planner's ledger of one resource: the requests of each claimant, and the grants that may still be held.
 //!
 //! # Invariant
 //!
-//! The totals of leases and of loans are always the sums of what each claim counts, and a claim counts the greatest of its
-//! grants that have not expired. The totals can therefore only be too great, never too small.
+//! The total of leases and the total of loans are always the sums of the amounts at which claims are counted,
+//! and a claim is counted at the greatest of its grants that have not expired. So the totals may be greater
+//! than what is held, but never smaller.
 
 mod claim;
 mod fair_share;
@@ -26,38 +27,38 @@
 use fair_targets::FairLevels;
 use loan::LenderLoans;
 
-/// The greatest number of grants of a claim, and of loans of a lender, that are counted separately.
+/// The maximum number of grants of a claim, and of loans from a lender, that are counted separately.
 const MAX_SEPARATE_GRANTS: usize = 16;
 
-/// When a claim's greatest grant expires.
+/// The time at which a claim's greatest grant expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Expiry {
     at: Time,
     claim: ClaimId,
 }
 
-/// How a planner computes grants.
+/// The durations by which a planner computes grants.
 #[derive(Clone, Copy)]
 pub struct GrantPolicy {
-    /// How long the grant that is asked for counts in the ledger.
+    /// How long the requested grant counts in the ledger.
     pub grantor_duration: Span,
     /// How long a lease counts in the ledger.
     pub lease_grantor_duration: Span,
-    /// Demands that were reported within this time count.
+    /// The age up to which a reported demand counts.
     pub demand_window: Span,
-    /// How long the levels are used before they are computed anew. Computed at each request, they would cost more the
-    /// more forwarders there are.
+    /// How long fair-share levels are used before they are recomputed. Recomputed at each request, they would
+    /// make a request cost more the more forwarders there are.
     pub target_refresh_interval: Span,
 }
 
-/// What a grant aims at.
+/// The target of a grant, and the quantities that limit it.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantTarget {
     /// The amount that the claim should have.
     pub amount: u32,
-    /// What all claims together have less than their targets.
+    /// The sum of the amounts by which claims are below their targets.
     pub total_shortfall: u64,
-    /// What other planners lend for as long as the grant counts.
+    /// The amount that other planners lend for as long as the grant counts.
     pub borrowed: u64,
 }
 
@@ -69,8 +70,8 @@
     lenders: BTreeMap<PlannerIncarnation, LenderLoans>,
     leased: u64,
     loaned: u64,
-    /// The claims by when their greatest grant expires. Without this order, a request would cost more the more forwarders
-    /// there are.
+    /// The claims in the order in which their greatest grants expire. Without this order, a request would
+    /// cost more the more forwarders there are.
     expiries: BTreeSet<Expiry>,
     levels: Option<FairLevels>,
 }
@@ -81,12 +82,12 @@
         Ledger { escrow, ..Ledger::default() }
     }
 
-    /// The planner's own part of the resource.
+    /// The planner's own part of the resource, in the resource's amounts.
     pub fn escrow(&self) -> u32 {
         self.escrow
     }
 
-    /// Replaces the planner's own part of the resource. What is granted stays counted.
+    /// Replaces the planner's own part of the resource. Existing grants stay counted.
     pub fn set_escrow(&mut self, escrow: u32) {
         self.escrow = escrow;
     }
@@ -101,17 +102,18 @@
         self.claims.len()
     }
 
-    /// Whether there is a claim of this id.
+    /// Whether there is a claim with this id.
     pub fn has_claim(&self, id: ClaimId) -> bool {
         self.claims.contains_key(&id)
     }
 
-    /// What a claim may hold, 0 for an unknown one.
+    /// The most that a claimant may hold, in the resource's amounts; 0 if there is no claim with this id.
     pub fn outstanding(&self, id: ClaimId) -> u32 {
         self.claims.get(&id).map_or(0, Claim::outstanding)
     }
 
-    /// Records a request. Returns whether it is newer than those before; an older one changes nothing.
+    /// Records a request. Returns whether it is newer than all earlier requests of the claim; an older one
+    /// changes nothing.
     pub fn record_request(&mut self, now: Time, id: ClaimId, request_id: u64, demand: Demand) -> bool {
         if self.claims.get(&id).is_some_and(|claim| claim.request_id >= request_id) {
             return false;
@@ -120,14 +122,14 @@
         claim.demand = demand;
         claim.request_id = request_id;
         claim.requested_at = now;
-        self.update_claim(id, |claim| claim.drop_while(|grant| grant.request_id < demand.request_in_use));
+        self.update_claim(id, |claim| claim.remove_while(|grant| grant.request_id < demand.request_in_use));
         true
     }
 
-    /// Takes back what was granted for requests up to this one.
+    /// Stops counting the grants for requests up to this one, and sets the claim's demand to zero.
     pub fn release(&mut self, id: ClaimId, request_id: u64) {
         self.update_claim(id, |claim| {
-            claim.drop_while(|grant| grant.request_id <= request_id);
+            claim.remove_while(|grant| grant.request_id <= request_id);
             claim.demand.amount = 0;
             claim.request_id = claim.request_id.max(request_id);
         });
@@ -137,7 +139,7 @@
     /// Removes grants and loans that have expired.
     pub fn expire(&mut self, now: Time) {
         while let Some(expiry) = self.expiries.first().copied().filter(|expiry| expiry.at <= now) {
-            self.update_claim(expiry.claim, |claim| claim.drop_while(|grant| grant.expires_at <= now));
+            self.update_claim(expiry.claim, |claim| claim.remove_while(|grant| grant.expires_at <= now));
         }
         for lender in self.lenders.values_mut() {
             lender.expire(now);
@@ -145,20 +147,20 @@
         self.lenders.retain(|_, lender| !lender.is_empty());
     }
 
-    /// Removes claims that hold nothing and sent no request for the given time. Returns whether the ledger still holds
-    /// anything.
+    /// Removes the claims that hold nothing and have sent no request for the given time. Returns whether the
+    /// ledger still has claims or loans.
     pub fn remove_idle_claims(&mut self, now: Time, idle_after: Span) -> bool {
         self.claims.retain(|_, claim| !claim.is_empty() || now - claim.requested_at < idle_after);
         !self.claims.is_empty() || !self.lenders.is_empty()
     }
 
-    /// Grants a claim its fair target as far as the ledger allows, and returns the amount.
+    /// Grants a claim its fair target as far as the ledger allows, and returns the granted amount.
     pub fn grant(&mut self, now: Time, id: ClaimId, policy: GrantPolicy) -> u32 {
         self.expire(now);
         let amount = self.fair_target(now, id, policy);
         let borrowed = match id.member {
             Member::Forwarder(_) => self.borrowed_until(now + policy.grantor_duration, |_| 0),
-            // Loans are not lent on.
+            // A planner does not lend what it has borrowed.
             Member::Planner(_) => 0,
         };
         let total_shortfall = self.levels.map_or(0, |levels| levels.total_shortfall);
@@ -166,7 +168,7 @@
         self.grant_target(now, id, target, policy.grantor_duration)
     }
 
-    /// Grants a target as far as the escrow and what is borrowed allow, and returns the amount.
+    /// Grants a target as far as the escrow and the borrowed amount allow, and returns the granted amount.
     pub fn grant_target(
         &mut self,
         now: Time,
@@ -178,10 +180,12 @@
         let request_id = claim.request_id;
         let counted = u64::from(claim.outstanding());
         let taken_by_others = self.leased + self.loaned - counted;
-        // An amount that was counted before is still counted: it may be granted again, and no more.
+        // The claim's earlier grants are still counted. If nothing else is available, that amount may be
+        // granted again, but no more.
         let available = (u64::from(self.escrow) + target.borrowed).saturating_sub(taken_by_others);
-        // What others have released becomes available later than it is due. While that is so, claims get of it in
-        // proportion to what they are short of: else the first to ask after each release would get all of it.
+        // What other claims have released becomes available only after a delay. Until then each claim gets a
+        // part of the available amount in proportion to its shortfall; otherwise the first claim to request
+        // after each release would get all of it.
         let target_amount = u64::from(target.amount);
         let shortfall = target_amount.saturating_sub(counted);
         let total_shortfall = target.total_shortfall.max(shortfall).max(1);
@@ -198,7 +202,7 @@
         self.claims.range((Excluded(id), Included(latest))).next().is_some()
     }
 
-    /// Revokes what earlier incarnations of the member were granted.
+    /// Revokes the grants to earlier incarnations of the member.
     pub fn revoke_earlier_incarnations(&mut self, id: ClaimId) {
         let first = ClaimId { incarnation: Incarnation(0), ..id };
         let earlier: Vec<_> = self.claims.range(first..id).map(|(earlier, _)| *earlier).collect();
@@ -208,14 +212,15 @@
         }
     }
 
-    /// Records a loan. One that is older than a known loan may have been given up, and is ignored.
+    /// Records a loan to this planner. A loan that is older than a known one may have been released already,
+    /// and is ignored.
     pub fn add_loan(&mut self, lender: PlannerIncarnation, loan: Loan) {
         self.lenders.entry(lender).or_default().add(loan);
     }
 
-    /// Gives up the lender's loans except the newest, if the ledger balances without them. Returns the request of the
-    /// oldest loan that is still in use, 0 if there is none.
-    pub fn settle_loans(&mut self, now: Time, lender: PlannerId, lease_grantor_duration: Span) -> u64 {
+    /// Releases the lender's loans except the newest, if the ledger balances without them. Returns the number
+    /// of the request for the oldest loan that is still in use, 0 if there is none.
+    pub fn release_older_loans(&mut self, now: Time, lender: PlannerId, lease_grantor_duration: Span) -> u64 {
         self.expire(now);
         let without_older = u64::from(self.escrow)
             + self.borrowed_until(now + lease_grantor_duration, |id| {
@@ -227,22 +232,23 @@
             }
         }
         let incarnations = self.lenders.iter().filter(|(id, _)| id.planner == lender);
-        // Request numbers are those of this planner's own incarnation. So one number serves for all incarnations of the
-        // lender, provided that it is the least.
+        // The numbers are those of this planner's own requests. So the least one serves for all incarnations
+        // of the lender.
         incarnations.filter_map(|(_, loans)| loans.oldest_request()).min().unwrap_or(0)
     }
 
-    /// What is neither leased nor lent, including what others lend to this planner.
+    /// The amount that is neither leased nor lent, including loans to this planner, in the resource's
+    /// amounts.
     pub fn available(&self) -> u64 {
         (u64::from(self.escrow) + self.newest_loans(None)).saturating_sub(self.leased + self.loaned)
     }
 
-    /// All that forwarders may hold.
+    /// The sum of what forwarders may hold, in the resource's amounts.
     pub fn leased(&self) -> u64 {
         self.leased
     }
 
-    /// All that other planners may have borrowed.
+    /// The sum of what other planners may have borrowed, in the resource's amounts.
     pub fn loaned(&self) -> u64 {
         self.loaned
     }
@@ -254,7 +260,7 @@
         claims + loans
     }
 
-    /// Changes a claim, and keeps the totals and the order of expiries consistent with it.
+    /// Changes a claim, and updates the totals and the order of expiries accordingly.
     fn update_claim(&mut self, id: ClaimId, update: impl FnOnce(&mut Claim)) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let outstanding_before = u64::from(claim.outstanding());
@@ -279,12 +285,13 @@
         self.lenders.get(lender).and_then(LenderLoans::newest).map_or(0, |loan| loan.request_id)
     }
 
-    /// What others lend at least up to `at`, by loans for the requests from `first_request` on.
+    /// The amount that other planners lend at least until `at`, by loans for the requests from
+    /// `first_request` on.
     fn borrowed_until(&self, at: Time, first_request: impl Fn(&PlannerIncarnation) -> u64) -> u64 {
         self.lenders.iter().map(|(id, loans)| u64::from(loans.lasting_until(at, first_request(id)))).sum()
     }
 
-    /// What others lend by their newest loans, which is what targets are computed from.
+    /// The amount that other planners lend by their newest loans. Targets are computed from this amount.
     fn newest_loans(&self, except: Option<PlannerId>) -> u64 {
         self.lenders
             .iter()
--- a/crates/coordination/src/leases/planner/borrowing.rs
+++ b/crates/coordination/src/leases/planner/borrowing.rs
@@ -1,4 +1,4 @@
-//! Borrowing: a planner whose forwarders are short requests loans of the other planners.
+//! Borrowing: a planner whose forwarders are short of a resource requests loans from the other planners.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,8 @@
 };
 use crate::member::{Member, PlannerId, Sender};
 
-/// The number of requests for loans that are remembered: one or a few for each other planner and interval.
+/// The maximum number of pending requests for loans; the oldest ones beyond it are forgotten. There are one
+/// or a few requests for each other planner and interval.
 const MAX_PENDING_LOAN_REQUESTS: usize = 1024;
 
 /// A planner's pending requests for loans.
@@ -23,16 +24,17 @@
 }
 
 impl LoanRequests {
-    /// Records a request to this lender, and returns its number.
+    /// Records a request to this lender, and returns the request's number.
     fn add(&mut self, now: Time, lender: PlannerId) -> u64 {
         self.last_request_id += 1;
         self.pending.insert(self.last_request_id, PendingRequest { planner: lender, sent_at: now });
         self.last_request_id
     }
 
-    /// Removes a request that is answered, and the lender's earlier ones: they are given up with the next request, so
-    /// their grants must not be taken up after this. Returns when the request was sent, if it is known.
-    fn answer(&mut self, lender: PlannerId, request_id: u64) -> Option<Time> {
+    /// Removes a request that is answered, and earlier requests to the same lender: the next request releases
+    /// their grants, so these must not be used after this one. Returns when the request was sent, if it was
+    /// pending.
+    fn take_answered(&mut self, lender: PlannerId, request_id: u64) -> Option<Time> {
         let request = self.pending.get(&request_id).filter(|request| request.planner == lender)?;
         let sent_at = request.sent_at;
         self.pending
@@ -40,7 +42,7 @@
         Some(sent_at)
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         while self.pending.len() > MAX_PENDING_LOAN_REQUESTS {
             self.pending.pop_first();
         }
@@ -58,7 +60,7 @@
 }
 
 impl PlannerComponent {
-    /// Takes up a loan from another planner.
+    /// Records a loan from another planner.
     pub(super) fn on_loan(
         &mut self,
         from: Sender,
@@ -67,7 +69,7 @@
         duration: Span,
     ) -> Result<(), LeaseError> {
         let Member::Planner(planner) = from.member else { return Err(LeaseError::UnexpectedMessage) };
-        let Some(sent_at) = self.loan_requests.answer(planner, request_id) else {
+        let Some(sent_at) = self.loan_requests.take_answered(planner, request_id) else {
             return Err(LeaseError::UnsolicitedGrant);
         };
         let lender = PlannerIncarnation { planner, incarnation: from.incarnation };
@@ -80,7 +82,8 @@
         Ok(())
     }
 
-    /// Requests of each other planner what forwarders are short of here, and releases what they are not.
+    /// Requests from each other planner the amounts that this planner's forwarders are short of, and releases
+    /// loans that are no longer needed.
     pub(super) fn request_loans(&mut self, now: Time) {
         let idle_after = self.settings.grantor_duration(self.settings.max_duration);
         self.ledgers.retain(|_, ledger| {
@@ -98,7 +101,7 @@
                 }
             }
         }
-        self.loan_requests.forget_oldest();
+        self.loan_requests.remove_oldest();
     }
 
     fn loan_demands(&mut self, now: Time, lender: PlannerId) -> Vec<Demand> {
@@ -106,13 +109,13 @@
         let lease_grantor_duration = self.settings.grantor_duration(self.settings.lease_duration);
         let mut demands = Vec::new();
         for (resource, ledger) in &mut self.ledgers {
-            let wanted = ledger.borrowing_demand(now, demand_window, lender);
-            let request_in_use = ledger.settle_loans(now, lender, lease_grantor_duration);
-            if wanted.is_none() && request_in_use == 0 {
+            let loan_demand = ledger.borrowing_demand(now, demand_window, lender);
+            let request_in_use = ledger.release_older_loans(now, lender, lease_grantor_duration);
+            if loan_demand.is_none() && request_in_use == 0 {
                 continue;
             }
-            let nothing = BorrowingDemand { amount: 0, requesters: 1, already_held: 0 };
-            let BorrowingDemand { amount, requesters, already_held } = wanted.unwrap_or(nothing);
+            let no_demand = BorrowingDemand { amount: 0, requesters: 1, already_held: 0 };
+            let BorrowingDemand { amount, requesters, already_held } = loan_demand.unwrap_or(no_demand);
             demands.push(Demand { resource: *resource, amount, request_in_use, requesters, already_held });
         }
         demands
--- a/crates/coordination/src/leases/settings.rs
+++ b/crates/coordination/src/leases/settings.rs
@@ -10,7 +10,8 @@
 
 /// The number of thousandths in a whole.
 const PER_MILLE: u32 = 1000;
-/// The upper limit on [`Settings::max_duration`]. A planner that starts grants nothing for that long.
+/// The upper limit on [`Settings::max_duration`], which a planner that starts waits out before it grants
+/// anything.
 const MAX_DURATION_LIMIT: Span = Span::from_millis(60_000);
 
 /// The settings of the lease component. All members of a fleet must have the same ones.
