--- a/crates/coordination/src/leases/long_term/allocations.rs
+++ b/crates/coordination/src/leases/long_term/allocations.rs
@@ -1,4 +1,4 @@
-//! A forwarder's long-term allocations, one of each planner.
+//! A forwarder's long-term allocations, one from each planner.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::leases::{LeaseError, LongTermRequest, PlannerIncarnation};
 use crate::member::{Incarnation, PlannerId};
 
-/// The interval between requests. It is short against the duration of an allocation: one request is answered in time even
-/// if most messages are lost.
+/// The interval between requests to a planner. It is much shorter than an allocation's duration, so that one
+/// request is answered in time even if most messages are lost.
 pub const REQUEST_INTERVAL: Span = Span::from_millis(1000);
-/// The last part of an allocation's duration, in which it falls to nothing.
+/// The part at the end of an allocation's duration in which its usable amount falls linearly to zero.
 const RAMP_DOWN_FRACTION: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +21,8 @@
     amount: u32,
     requested_at: Time,
     expires_at: Time,
-    /// The last request whose grant the balancer was notified of. Until the next notification it may use that grant.
+    /// The number of the last request whose grant the balancer was notified of. Until the next notification
+    /// the balancer may use that grant.
     request_in_use: u64,
 }
 
@@ -30,7 +31,7 @@
         self.expires_at > now
     }
 
-    /// What may be used now: all of the amount, and linearly less in the last part of the duration.
+    /// The amount that may be used now: the whole amount, or linearly less in the last part of the duration.
     fn usable(&self, now: Time) -> u32 {
         let remaining = (self.expires_at - now).as_secs_f64();
         let duration = (self.expires_at - self.requested_at).as_secs_f64();
@@ -39,7 +40,7 @@
     }
 }
 
-/// A forwarder's long-term allocations, one of each planner, and its pending requests.
+/// A forwarder's long-term allocations, one from each planner, and its pending requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LongTermAllocations {
     last_request_id: u64,
@@ -49,13 +50,13 @@
 }
 
 impl LongTermAllocations {
-    /// Records that the planner sent a message under this incarnation.
+    /// Records that a planner sent a message under this incarnation.
     pub fn on_planner_message(&mut self, from: PlannerIncarnation) {
         let known = self.incarnations.entry(from.planner).or_insert(from.incarnation);
         *known = from.incarnation.max(*known);
     }
 
-    /// Returns a new request to the planner. The demand is in thousandths of a fetch a second.
+    /// Returns a new request to the planner. `demand` is in thousandths of a fetch a second.
     pub fn request(&mut self, now: Time, planner: PlannerId, demand: u32) -> LongTermRequest {
         self.last_request_id += 1;
         self.pending.insert(self.last_request_id, PendingRequest { planner, sent_at: now });
@@ -72,10 +73,10 @@
         }
     }
 
-    /// Takes up a grant. It lasts for `duration` from when its request was sent, and replaces the one before.
+    /// Records a grant, which replaces the previous allocation from its planner. It lasts for `duration` from
+    /// when the request that it answers was sent.
     ///
-    /// # Errors
-    /// Returns why the grant is ignored.
+    /// Returns the reason if the grant is ignored.
     pub fn on_grant(
         &mut self,
         now: Time,
@@ -113,24 +114,25 @@
         self.allocations.retain(|_, allocation| allocation.is_live(now));
     }
 
-    /// Records that the balancer goes by what is held now.
+    /// Records that the balancer uses the allocations that are held now.
     pub fn mark_applied(&mut self) {
         for allocation in self.allocations.values_mut() {
             allocation.request_in_use = allocation.request_id;
         }
     }
 
-    /// The amount that may be used now.
+    /// The amount that may be used now, in thousandths of a fetch a second.
     pub fn usable(&self, now: Time) -> u32 {
         self.live(now).fold(0, |sum, allocation| sum.saturating_add(allocation.usable(now)))
     }
 
-    /// The amount that was granted and has not expired, without the ramp at the end.
+    /// The granted amount that has not expired, in thousandths of a fetch a second. The linear decrease at
+    /// the end is not applied.
     pub fn granted(&self, now: Time) -> u32 {
         self.live(now).fold(0, |sum, allocation| sum.saturating_add(allocation.amount))
     }
 
-    /// When the first of the allocations expires.
+    /// The time at which the first of the allocations expires.
     pub fn first_expiry(&self, now: Time) -> Option<Time> {
         self.live(now)
             .filter(|allocation| allocation.amount > 0)
@@ -142,8 +144,8 @@
         self.allocations.values().filter(move |allocation| allocation.is_live(now))
     }
 
-    /// Stops using all allocations, and those that may yet be granted. Returns the planners that must be told so, and the
-    /// last request.
+    /// Gives up all allocations, including those that pending requests may yet be granted. Returns the
+    /// planners that must be notified, and the last request.
     pub fn release_all(&mut self) -> ReleasedAllocations {
         let mut planners: Vec<_> = self.allocations.keys().copied().collect();
         planners.extend(self.pending.values().map(|request| request.planner));
@@ -160,11 +162,11 @@
     }
 }
 
-/// What a forwarder has to report when it releases its long-term allocations.
+/// What a forwarder must report to planners when it releases its long-term allocations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReleasedAllocations {
     /// The planners whose allocations were held or requested.
     pub planners: Vec<PlannerId>,
-    /// The last request that is covered.
+    /// The number of the last request whose grant is released.
     pub last_request_id: u64,
 }
--- a/crates/coordination/src/leases/long_term/grantor.rs
+++ b/crates/coordination/src/leases/long_term/grantor.rs
@@ -1,4 +1,5 @@
-//! A planner's side of long-term allocations: its long-term escrow, and who may hold how much of it.
+//! The planner's side of long-term allocations: its long-term escrow, and the amount that each forwarder may
+//! hold of it.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -12,7 +13,8 @@
 pub struct LongTermGrantor {
     incarnation: Incarnation,
     ledger: Ledger,
-    /// Until then, what an earlier incarnation granted may still be held.
+    /// The end of the wait in which grants of an earlier incarnation may still be held; `None` once the wait
+    /// is over.
     startup_wait_until: Option<Time>,
     shares: Option<Apportionment>,
 }
@@ -28,19 +30,19 @@
         }
     }
 
-    /// Takes up other settings, after the same wait as at a start. What is held stays in the ledger.
+    /// Applies other settings, after the same wait as at a start. Existing grants stay in the ledger.
     pub fn on_settings_update(&mut self, settings: &Settings, now: Time) {
         self.startup_wait_until = Some(now + grantor_duration(settings));
         self.ledger.set_escrow(settings.long_term_escrow());
-        // What forwarders report of earlier incarnations' grants no longer counts, because requests from before this
-        // moment name this incarnation too.
+        // Reports of what forwarders hold of earlier incarnations' grants are ignored from now on, because
+        // requests that were sent before this moment name this incarnation too.
         self.incarnation = Incarnation(u64::MAX);
     }
 
-    /// Handles a request. Returns the amount that is granted, or `None` where the request is not answered with a grant.
+    /// Handles a request. Returns the granted amount in thousandths of a fetch a second, or `None` if nothing
+    /// is granted.
     ///
-    /// # Errors
-    /// Returns why the request is ignored.
+    /// Returns the reason if the request is ignored.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -68,7 +70,7 @@
         Ok(Some(self.ledger.grant_target(now, claim, target, grantor_duration(settings))))
     }
 
-    /// Takes back what the sender was granted for requests up to this one.
+    /// Stops counting what the sender was granted for requests up to this one.
     pub fn on_release(&mut self, from: Sender, request_id: u64) {
         self.ledger.release(ClaimId::of(from), request_id);
     }
@@ -78,12 +80,12 @@
         self.ledger.entries()
     }
 
-    /// All that may be held of the escrow by this incarnation's grants.
+    /// The most that forwarders may hold by this incarnation's grants, in thousandths of a fetch a second.
     pub fn outstanding(&self) -> u64 {
         self.ledger.leased()
     }
 
-    /// All state that decides what the grantor does next, for a search over states.
+    /// All state that determines the grantor's behaviour, for a search over states.
     pub fn hashable_state(&self) -> impl std::hash::Hash + '_ {
         let shares = self.shares.map(|shares| shares.hashable_state());
         (self.incarnation, &self.ledger, self.startup_wait_until, shares)
@@ -122,8 +124,9 @@
         Ok(())
     }
 
-    /// During the wait after a start: grants what the forwarder holds already. A request that does not report it to this
-    /// incarnation is not answered with a grant: the forwarder continues with what it holds.
+    /// Answers a request during the wait after a start: grants the amount that the forwarder holds already.
+    /// If the request does not report that amount to this incarnation, nothing is granted, and the forwarder
+    /// continues with what it holds.
     fn grant_again(
         &mut self,
         now: Time,
@@ -153,7 +156,8 @@
     }
 }
 
-/// What a request demands of this planner: the same part is demanded of each planner.
+/// The part of a request's demand that this planner is to grant. The demand is divided evenly among the
+/// planners.
 fn demand_of(request: LongTermRequest, settings: &Settings) -> u32 {
     request.demand / settings.planners.len().max(1) as u32
 }
--- a/crates/coordination/src/leases/message.rs
+++ b/crates/coordination/src/leases/message.rs
@@ -70,7 +70,7 @@
     /// The sender releases what it was granted for its requests up to this one, and ignores later grants for
     /// them.
     Release {
-        /// The last request that is covered.
+        /// The number of the last request whose grant is released.
         request_id: u64,
     },
     /// A forwarder requests its long-term allocation of the origin's fetches.
@@ -88,7 +88,7 @@
     /// The sender releases the long-term allocations that it was granted for its requests up to this one, and
     /// ignores later grants for them.
     ReleaseLongTerm {
-        /// The last request that is covered.
+        /// The number of the last request whose grant is released.
         request_id: u64,
     },
 }
