--- a/crates/coordination/src/leases/planner/mod.rs
+++ b/crates/coordination/src/leases/planner/mod.rs
@@ -1,4 +1,5 @@
-//! A planner's side: grants leases to forwarders and loans to other planners, and borrows where its forwarders are short.
+//! The planner's side of the lease component. It grants leases to forwarders and loans to other planners, and
+//! requests loans when its forwarders are short of a resource.
 
 mod borrowing;
 mod surplus;
@@ -17,17 +18,18 @@
 
 pub use surplus::Surplus;
 
-/// The greatest number of messages that wait for the host. Beyond it requests are refused, as if they were lost.
+/// The maximum number of messages that wait for the host. While the queue is full, requests are rejected,
+/// which has the same effect as their loss.
 const MAX_QUEUED_MESSAGES: usize = 8192;
 
-/// What may be held of one resource by a planner's grants.
+/// What members may hold of one resource by a planner's grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutstandingGrants {
     /// The resource.
     pub resource: Resource,
-    /// All that forwarders may hold.
+    /// The sum of what forwarders may hold, in the resource's amounts.
     pub leased: u64,
-    /// All that other planners may have borrowed.
+    /// The sum of what other planners may have borrowed, in the resource's amounts.
     pub loaned: u64,
 }
 
@@ -36,20 +38,21 @@
 pub struct PlannerComponent {
     settings: Settings,
     me: PlannerId,
-    /// Until then, what an earlier incarnation granted may still be held.
+    /// The end of the wait in which grants of an earlier incarnation may still be held; `None` once the wait
+    /// is over.
     startup_wait_until: Option<Time>,
     ledgers: BTreeMap<Resource, Ledger>,
     long_term: LongTermGrantor,
     alive_planners: BTreeSet<PlannerId>,
     outbox: VecDeque<(Member, LeaseMessage)>,
     loan_requests: LoanRequests,
-    next_borrowing: Time,
+    next_loan_requests: Time,
     events: VecDeque<Event>,
 }
 
 impl PlannerComponent {
-    /// Creates the component. The settings must have been checked with [`Settings::check`], and the incarnation must be
-    /// greater than each one before it.
+    /// Creates the component. The settings must have been checked with [`Settings::check`], and the
+    /// incarnation must be greater than every earlier one of this planner.
     pub fn new(settings: Settings, me: PlannerId, incarnation: Incarnation, now: Time) -> PlannerComponent {
         let startup_wait_until = Some(now + settings.grantor_duration(settings.max_duration));
         let long_term = LongTermGrantor::new(&settings, incarnation, now);
@@ -62,12 +65,13 @@
             alive_planners: BTreeSet::new(),
             outbox: VecDeque::new(),
             loan_requests: LoanRequests::default(),
-            next_borrowing: now,
+            next_loan_requests: now,
             events: VecDeque::new(),
         }
     }
 
-    /// Takes up other settings, after the same wait as at a start: other members may go by the former ones for a while.
+    /// Applies other settings, after the same wait as at a start: other members may use the former settings
+    /// for a while.
     pub fn on_settings_update(&mut self, now: Time, settings: Settings) {
         let max_duration = self.settings.max_duration.max(settings.max_duration);
         let wait = self.settings.grantor_duration(max_duration).max(settings.grantor_duration(max_duration));
@@ -79,7 +83,7 @@
         }
     }
 
-    /// All state that decides what the component does next, for a search over states.
+    /// All state that determines the component's behaviour, for a search over states.
     pub fn hashable_state(&self) -> impl std::hash::Hash + '_ {
         (
             self.startup_wait_until,
@@ -88,11 +92,11 @@
             &self.alive_planners,
             &self.outbox,
             self.loan_requests.pending(),
-            self.next_borrowing,
+            self.next_loan_requests,
         )
     }
 
-    /// What may be held by this planner's grants, for each resource.
+    /// What members may hold by this planner's grants, for each resource.
     pub fn outstanding_grants(&self) -> impl Iterator<Item = OutstandingGrants> + '_ {
         self.ledgers.iter().map(|(resource, ledger)| OutstandingGrants {
             resource: *resource,
@@ -109,11 +113,12 @@
         for (resource, ledger) in &mut self.ledgers {
             ledger.set_escrow(self.settings.escrow(*resource));
         }
-        let message = "the wait after the start is over: grants leases from its escrow".to_string();
+        let message =
+            "the wait after the start or a change of settings is over: this planner grants leases from its escrow".to_string();
         self.events.push_back(Event { name: "leases_ready", message, is_warning: false });
     }
 
-    /// The ledger of a resource, created if the limit allows.
+    /// Returns the ledger of a resource. Creates it if the limit on warming cache servers allows.
     fn ledger(&mut self, resource: Resource) -> Result<&mut Ledger, LeaseError> {
         if !self.ledgers.contains_key(&resource) && self.ledgers.len() > self.settings.max_warming_caches {
             return Err(LeaseError::TooManyEntries);
@@ -125,7 +130,7 @@
         Ok(self.ledgers.entry(resource).or_insert_with(|| Ledger::new(escrow)))
     }
 
-    /// How long a grant to this member lasts.
+    /// The duration of a grant to this member.
     fn grant_duration(&self, member: Member) -> Result<Span, LeaseError> {
         match member {
             Member::Forwarder(_) => Ok(self.settings.lease_duration),
@@ -161,7 +166,8 @@
                 Err(error) => last_error = Some(error),
             }
         }
-        // A request that was answered is not answered again: its grant may have been released since.
+        // A request that was answered before is not answered again, because its grant may have been released
+        // since.
         match last_error {
             Some(error) if granted.is_empty() => Err(error),
             _ => {
@@ -172,7 +178,8 @@
         }
     }
 
-    /// Records one demand of a request and returns the amount that is granted to it.
+    /// Records one demand of a request and returns the amount that is granted to it, in the resource's
+    /// amounts.
     fn grant_demand(
         &mut self,
         now: Time,
@@ -207,8 +214,9 @@
                 let duration = self.settings.long_term_duration.0 as u32;
                 LeaseMessage::GrantLongTerm { request_id, amount, duration }
             }
-            // During the wait after a start, a request that is addressed to an earlier incarnation is only told this
-            // incarnation, so that the forwarder can address its next request to it.
+            // During the wait after a start, the answer to a request that is addressed to an earlier
+            // incarnation grants nothing. It announces this incarnation, so that the forwarder can address
+            // its next request to it.
             None => LeaseMessage::GrantLongTerm { request_id, amount: 0, duration: 0 },
         };
         self.outbox.push_back((from.member, grant));
@@ -253,8 +261,8 @@
 
     fn poll_message(&mut self, now: Time) -> Option<(Member, LeaseMessage)> {
         self.end_startup_wait(now);
-        if now >= self.next_borrowing {
-            self.next_borrowing = now + self.settings.request_interval;
+        if now >= self.next_loan_requests {
+            self.next_loan_requests = now + self.settings.request_interval;
             self.request_loans(now);
         }
         self.outbox.pop_front()
@@ -267,8 +275,8 @@
         if self.ledgers.is_empty() {
             return None;
         }
-        let end_of_wait = self.startup_wait_until.unwrap_or(self.next_borrowing);
-        Some(self.next_borrowing.min(end_of_wait).max(now))
+        let end_of_wait = self.startup_wait_until.unwrap_or(self.next_loan_requests);
+        Some(self.next_loan_requests.min(end_of_wait).max(now))
     }
 
     fn poll_event(&mut self) -> Option<Event> {
--- a/crates/coordination/src/leases/planner/surplus.rs
+++ b/crates/coordination/src/leases/planner/surplus.rs
@@ -1,23 +1,23 @@
-//! The origin's capacity that is not leased, as one planner knows it.
+//! The origin's capacity that is not leased, as far as one planner knows.
 
 use granitelb_balancer::time::Time;
 
 use super::PlannerComponent;
 use crate::leases::Resource;
 
-/// What the origin could serve beyond what is leased, as one planner knows it.
+/// The origin's capacity that is not leased, as far as one planner knows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Surplus {
-    /// Fetches a second.
+    /// The available capacity, in fetches a second.
     pub fetches_per_second: f64,
-    /// Whether any forwarder is short of what it needs.
+    /// Whether the planner cannot meet the demand of every forwarder that requests leases from it.
     pub has_unmet_demand: bool,
 }
 
 impl PlannerComponent {
-    /// What is available of this planner's escrow and of loans to it. Other planners' escrows and the guaranteed shares
-    /// are not visible here, so the figure is too small and never too great. `None` while it is not known what an earlier
-    /// incarnation granted.
+    /// Returns the part of this planner's escrow and of loans to it that is available. Other planners'
+    /// escrows and the guaranteed shares are not included, so the result is at most the origin's real
+    /// surplus. `None` during the wait after a start, while the grants of an earlier incarnation are unknown.
     pub fn surplus(&self, now: Time) -> Option<Surplus> {
         if self.startup_wait_until.is_some_and(|until| until > now) {
             return None;
