--- a/crates/coordination/src/membership/heartbeat_schedule.rs
+++ b/crates/coordination/src/membership/heartbeat_schedule.rs
@@ -1,4 +1,4 @@
-//! When the next heartbeat to each member is due.
+//! The schedule of the next heartbeat to each member.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,11 +6,11 @@
 
 use crate::member::Member;
 
-/// The members that receive heartbeats, ordered by the time of the next one.
+/// The members that receive heartbeats, with the time at which the next heartbeat to each is due.
 #[derive(Default)]
 pub struct HeartbeatSchedule {
     due_at: BTreeMap<Member, Time>,
-    /// The same entries in the order of their times.
+    /// The entries of `due_at`, in the order of their times.
     queue: BTreeSet<(Time, Member)>,
 }
 
@@ -20,7 +20,7 @@
         self.due_at.contains_key(&member)
     }
 
-    /// Sets the time of the next heartbeat to the member, in place of an earlier one.
+    /// Sets the time of the next heartbeat to the member, and replaces the time that was set before.
     pub fn set(&mut self, member: Member, at: Time) {
         if let Some(before) = self.due_at.insert(member, at) {
             self.queue.remove(&(before, member));
@@ -35,13 +35,13 @@
         }
     }
 
-    /// The member whose heartbeat is due first, if it is due by now.
+    /// Returns the member whose heartbeat is due first, if that heartbeat is due by `now`.
     pub fn first_due(&self, now: Time) -> Option<Member> {
         let (at, member) = self.queue.first().copied()?;
         if at <= now { Some(member) } else { None }
     }
 
-    /// The time of the next heartbeat.
+    /// The time at which the next heartbeat to any member is due.
     pub fn next_time(&self) -> Option<Time> {
         self.queue.first().map(|(at, _)| *at)
     }
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -1,24 +1,31 @@
 //! Membership and failure detection.
 //!
-//! Members send heartbeats, and any other message counts as one. A member that is silent for [`crate::component::FAILURE_TIMEOUT`] is
-//! considered failed. Forwarders send heartbeats to all planners; planners send them to one another and to the forwarders
-//! that they know. This is a star, in which forwarders know nothing of one another.
+//! Members send heartbeats; any other message counts as a heartbeat. A member that is silent for
+//! [`FAILURE_TIMEOUT`](crate::component::FAILURE_TIMEOUT) is considered failed. Forwarders send heartbeats to
+//! all planners; planners send heartbeats to one another and to the forwarders that they know. The topology
+//! is a star, in which forwarders know nothing of one another.
 //!
 //! Invariants, and the reasons for them:
-//! - **A message is accepted once.** Each carries its sender's incarnation and sequence number. Accepted sequence numbers
-//!   are remembered, and one below all that are remembered is rejected.
-//! - **An earlier incarnation is never accepted again.** Incarnations rise; only one greater than the last known one
-//!   replaces it.
-//! - **What a member sent before it was considered failed no longer counts.** A forwarder that returns under the same
-//!   incarnation is rejected until it takes a new one. A planner is rejected for one heartbeat interval, in which it finds
-//!   out by its own clock that it was stalled, and then is accepted again: a planner that was cut off from a few members
-//!   has not changed, and must not give up what it granted to the others.
-//! - **An incarnation that is lower than the known one is notified**, and continues under a greater one. A forwarder's is
-//!   notified only once the other one is silent: two processes with one name are usually a replacement, and the older may
-//!   go on alone until it ends. A planner's is notified at once: of two processes under one number each supersedes the
-//!   other, and since a new incarnation grants no lease for some seconds, neither does until one has ended.
-//! - **A member that was itself stalled judges nobody by that time.** The others seemed silent because nobody received.
-//! - **Memory is bounded.** Members past the bounds are rejected; those that failed longest ago are evicted first.
+//! - **A message is accepted once.** Each message carries its sender's incarnation and sequence number.
+//!   Accepted sequence numbers are remembered, and a sequence number below all that are remembered is
+//!   rejected.
+//! - **An earlier incarnation is never accepted again.** Incarnations increase; only an incarnation that is
+//!   greater than the last known one replaces it.
+//! - **Messages that a member sent before it was considered failed are ignored.** A forwarder that returns
+//!   under the same incarnation is rejected until it takes a new one. A planner that returns is rejected for
+//!   one heartbeat interval, in which it finds out by its own clock whether it was stalled, and is then
+//!   accepted again: a planner that was cut off from a few members has kept its state, and must not give up
+//!   what it granted to the others.
+//! - **A member under a lower incarnation than the known one is notified**, and continues under a greater
+//!   one. A forwarder is notified only once the process under the greater incarnation is silent: two
+//!   processes with one name are usually a replacement, and the older process may continue alone until it
+//!   ends. A planner is notified at once: of two processes under one number each supersedes the other, and
+//!   since a new incarnation grants no lease for some seconds, neither process grants leases until one has
+//!   ended.
+//! - **A member that was itself stalled does not count that time against others.** They seemed silent because
+//!   the member received nothing.
+//! - **Memory is bounded.** Members beyond the bounds are rejected; members that failed longest ago are
+//!   evicted first.
 
 mod error;
 mod heartbeat_schedule;
--- a/crates/coordination/src/membership/own_incarnation.rs
+++ b/crates/coordination/src/membership/own_incarnation.rs
@@ -1,4 +1,4 @@
-//! The incarnation of this member itself, and the reasons for which it becomes invalid.
+//! The incarnation of this member itself, and what invalidates it.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,25 @@
 use crate::component::FAILURE_TIMEOUT;
 use crate::member::{Incarnation, Member};
 
-/// With fewer other planners alive, no planner can be declared failed: of two planners that were cut off from each
-/// other neither had failed.
+/// With fewer other planners alive than this, no planner is declared failed: of two planners that are cut off
+/// from each other, each considers the other failed although neither is.
 const MIN_PLANNERS_FOR_MAJORITY: usize = 2;
 
-/// This member's incarnation. Once it is invalid it stays so until the member continues under a greater one.
+/// This member's incarnation. An invalid incarnation stays invalid until the member continues under a greater
+/// one.
 pub struct OwnIncarnation {
     current: Incarnation,
     needs_renewal: bool,
-    /// The greatest incarnation under this member's identity of which it was notified.
+    /// The greatest incarnation under this member's identity of which this member was notified.
     superseded_by: Incarnation,
-    /// When this member last gave way to a greater incarnation.
+    /// When a greater incarnation last invalidated the current one.
     superseded_at: Option<Time>,
-    /// Planners that have declared this member failed, and when.
+    /// The planners that have declared this member failed, with the time of each declaration.
     declared_failed_by: BTreeMap<Member, Time>,
 }
 
 impl OwnIncarnation {
-    /// A valid incarnation.
+    /// Creates a valid incarnation.
     pub fn new(current: Incarnation) -> OwnIncarnation {
         OwnIncarnation {
             current,
@@ -40,12 +41,12 @@
         self.current
     }
 
-    /// Whether the member may go on only under a greater incarnation.
+    /// Whether the current incarnation is invalid, so that the member must continue under a greater one.
     pub fn needs_renewal(&self) -> bool {
         self.needs_renewal
     }
 
-    /// Makes the current incarnation invalid.
+    /// Invalidates the current incarnation.
     pub fn invalidate(&mut self) {
         self.needs_renewal = true;
     }
@@ -62,16 +63,17 @@
         self.declared_failed_by.clear();
     }
 
-    /// Whether a notice about this incarnation applies: it is the current one and still valid.
+    /// Whether the given incarnation is the current one and still valid.
     pub fn is_valid(&self, incarnation: Incarnation) -> bool {
         incarnation == self.current && !self.needs_renewal
     }
 
-    /// Handles the notice that an incarnation of this member is superseded, and returns whether the current one gives
-    /// way. It does so at most once within a failure timeout.
+    /// Handles the notice that an incarnation of this member is superseded by the incarnation `by`. Returns
+    /// whether the notice invalidates the current incarnation, which happens at most once within a failure
+    /// timeout.
     pub fn on_superseded(&mut self, now: Time, incarnation: Incarnation, by: Incarnation) -> bool {
-        let gave_way_recently = self.superseded_at.is_some_and(|at| now - at < FAILURE_TIMEOUT);
-        if !self.is_valid(incarnation) || by <= incarnation || gave_way_recently {
+        let was_superseded_recently = self.superseded_at.is_some_and(|at| now - at < FAILURE_TIMEOUT);
+        if !self.is_valid(incarnation) || by <= incarnation || was_superseded_recently {
             return false;
         }
         self.superseded_by = by;
@@ -80,16 +82,16 @@
         true
     }
 
-    /// Records that a planner has declared this member failed, and returns whether more than half of the other planners
-    /// that are alive have done so recently.
-    pub fn is_declared_failed_by_majority(&mut self, now: Time, by: Member, live_planners: usize) -> bool {
+    /// Records that a planner has declared this member failed. Returns whether more than half of the other
+    /// planners that are alive have done so within the last failure timeout.
+    pub fn record_failure_declaration(&mut self, now: Time, by: Member, live_planners: usize) -> bool {
         self.declared_failed_by.insert(by, now);
         self.declared_failed_by.retain(|_, at| now - *at < FAILURE_TIMEOUT);
         live_planners >= MIN_PLANNERS_FOR_MAJORITY && self.declared_failed_by.len() * 2 > live_planners
     }
 
-    /// Forgets what a member has declared.
-    pub fn forget(&mut self, member: Member) {
+    /// Removes the declaration of a member.
+    pub fn remove_declaration(&mut self, member: Member) {
         self.declared_failed_by.remove(&member);
     }
 
--- a/crates/coordination/src/membership/peer.rs
+++ b/crates/coordination/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! The state of another member, as far as its messages show it.
+//! The state of another member, as known from its messages.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -13,14 +13,15 @@
     incarnation: Incarnation,
     window: ReplayWindow,
     last_heard: Time,
-    /// When it came back under the incarnation under which it was considered failed.
+    /// When the member returned under an incarnation that was considered failed; `None` unless it is rejected
+    /// for that.
     returned_at: Option<Time>,
-    /// When an earlier incarnation was last notified that this one supersedes it.
+    /// When an earlier incarnation of the member was last notified that this one supersedes it.
     last_superseded_notice: Option<Time>,
 }
 
 impl PeerState {
-    /// The state after the first message of an incarnation.
+    /// Creates the state after the first message of an incarnation.
     pub fn new(now: Time, from: Sender) -> PeerState {
         let mut window = ReplayWindow::default();
         window.insert(from.sequence);
@@ -33,23 +34,23 @@
         }
     }
 
-    /// When the last message arrived from it.
+    /// The time at which the last message of the member arrived.
     pub fn last_heard(&self) -> Time {
         self.last_heard
     }
 
-    /// Whether it counts as alive.
+    /// Whether the member is considered alive.
     pub fn is_alive(&self, now: Time) -> bool {
         self.returned_at.is_none() && now - self.last_heard < FAILURE_TIMEOUT
     }
 
-    /// Whether it goes on under an incarnation that was considered failed.
+    /// Whether the member continues under an incarnation that was considered failed.
     pub fn is_declared_failed(&self) -> bool {
         self.returned_at.is_some()
     }
 
-    /// Returns the known incarnation if it is greater than `incarnation` and no notice of it was due within the last
-    /// heartbeat interval. The notice counts as sent.
+    /// Returns the known incarnation if it is greater than `incarnation` and no notice of it was returned
+    /// within the last heartbeat interval. The notice is counted as sent.
     pub fn take_superseded_notice(&mut self, now: Time, incarnation: Incarnation) -> Option<Incarnation> {
         let sent_recently = self.last_superseded_notice.is_some_and(|at| now - at < HEARTBEAT_INTERVAL);
         if self.incarnation <= incarnation || sent_recently {
@@ -59,12 +60,12 @@
         Some(self.incarnation)
     }
 
-    /// Does not count a time against it in which this member itself was stalled.
+    /// Extends the member's deadline by a time in which this process itself was stalled.
     pub fn extend_deadline(&mut self, stall: Span) {
         self.last_heard = self.last_heard + stall;
     }
 
-    /// Updates the state by a message that has arrived from it.
+    /// Updates the state by a message that has arrived from the member.
     ///
     /// # Errors
     /// Returns the reason if the message must be ignored.
@@ -81,7 +82,8 @@
             SequenceStatus::TooOld => return Err(MembershipError::TooOld),
             SequenceStatus::New => self.window.insert(from.sequence),
         }
-        // Judged when it sends: whether anyone polled while it was silent does not matter.
+        // A silent member is recognized when it sends again, so it does not matter whether the host polled
+        // during the silence.
         if now - self.last_heard >= FAILURE_TIMEOUT {
             self.returned_at = Some(now);
         }
@@ -89,8 +91,9 @@
         self.check_return(now, from.member)
     }
 
-    /// A planner that was considered failed is accepted again after one heartbeat interval. Messages that were in its
-    /// queues when it stalled arrive within that time, and by then it knows that it was stalled.
+    /// Rejects a member that returned after it was considered failed. A planner is accepted again after one
+    /// heartbeat interval: messages that were in its queues when it stalled arrive within that time, and by
+    /// then the planner knows that it was stalled.
     fn check_return(&mut self, now: Time, member: Member) -> Result<(), MembershipError> {
         let Some(returned_at) = self.returned_at else { return Ok(()) };
         let is_planner = matches!(member, Member::Planner(_));
--- a/crates/coordination/src/membership/tracker.rs
+++ b/crates/coordination/src/membership/tracker.rs
@@ -1,4 +1,4 @@
-//! The failure detector of one member.
+//! The failure detector of a member: which other members are alive.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,29 +12,32 @@
 use crate::component::{Component, Event, FAILURE_TIMEOUT, HEARTBEAT_INTERVAL};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-/// A gap of at least this length between two calls of the host is time in which this member was stalled.
+/// A gap of at least this length between two calls of the host counts as time in which this member was
+/// stalled.
 const STALL_THRESHOLD: Span = Span::from_millis(1000);
-/// The interval at which the peers are scanned for silent ones.
+/// The interval at which peers are checked for silence.
 const SCAN_INTERVAL: Span = Span::from_millis(100);
-/// How long a heartbeat is delayed after another message, in heartbeat intervals. It is longer than one interval: a
-/// member that answers reports which come once an interval would otherwise send a heartbeat just before each answer.
+/// The delay of the next heartbeat after another message to the same member, in heartbeat intervals. It is
+/// longer than one interval: a member that answers reports, which arrive once an interval, would otherwise
+/// send a heartbeat just before each answer.
 const DELAY_AFTER_MESSAGE: f64 = 1.25;
-/// Multiplier of the hash that spreads first heartbeats (2^64 divided by the golden ratio).
+/// The multiplier of the hash that spreads first heartbeats over an interval (2^64 divided by the golden
+/// ratio).
 const SPREAD_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Events beyond this number are dropped if nobody polls them.
+/// The maximum number of events that wait to be polled. Further events are dropped, except warnings.
 const MAX_EVENTS: usize = 64;
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// What accepting a message meant for the set of members that are alive.
+/// How accepting a message changed the set of members that are alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
     /// The sender was alive already.
     AlreadyAlive,
-    /// The sender is new, or has come back.
+    /// The sender is new, or has returned after it was considered failed.
     Joined,
 }
 
-/// Tracks which members are alive, and under which incarnation this member itself may go on.
+/// Tracks which members are alive, and whether this member must continue under a new incarnation.
 pub struct Membership {
     me: Member,
     incarnation: OwnIncarnation,
@@ -42,19 +45,21 @@
     planners: BTreeSet<PlannerId>,
     peers: BTreeMap<Member, PeerState>,
     heartbeats: HeartbeatSchedule,
-    /// Members that are still to be notified that they were considered failed.
+    /// The members that are still to be notified that they were considered failed, with the incarnation
+    /// concerned.
     failure_notices: BTreeMap<Member, Incarnation>,
     /// The time of the host's last call.
     last_call: Time,
-    /// The set of live members as the host knows it.
+    /// The set of live members that the host was last given.
     reported_alive: Vec<Member>,
     last_scan: Time,
-    /// Whether the set of live members has to be computed anew before the scan interval ends.
+    /// Whether the set of live members must be recomputed before the scan interval ends.
     needs_scan: bool,
     events: VecDeque<Event>,
 }
 
-/// Spreads first heartbeats over an interval; the result is always the same for the same member.
+/// The delay of the first heartbeat to a member. It spreads first heartbeats over an interval, and is always
+/// the same for the same member.
 fn heartbeat_offset(member: Member) -> Span {
     let id = match member {
         Member::Planner(id) => u64::from(id.0),
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Sets the configured planners. They receive heartbeats whether they are alive or not.
+    /// Sets the configured planners. They receive heartbeats even if they are not alive.
     pub fn set_planners(&mut self, now: Time, planners: impl IntoIterator<Item = PlannerId>) {
         let planners: BTreeSet<_> = planners
             .into_iter()
@@ -99,7 +104,7 @@
         self.planners = planners;
     }
 
-    /// Decides by its sender whether a message that has arrived is to be handled.
+    /// Decides by the sender of a message whether the message is to be handled.
     ///
     /// # Errors
     /// Returns the reason if the message must be ignored.
@@ -134,14 +139,15 @@
         Ok(Acceptance::Joined)
     }
 
-    fn on_joined(&mut self, now: Time, member: Member, what: &str) {
+    fn on_joined(&mut self, now: Time, member: Member, change: &str) {
         self.needs_scan = true;
-        self.push_event("member_joined", format!("{member} {what}"));
+        self.push_event("member_joined", format!("{member} {change}"));
         self.start_heartbeats(now, member);
     }
 
-    /// Returns the notice to send in reply to a message that was ignored for its incarnation, if one is due. It has to go
-    /// to the address that the message came from, since the other process of that identity is elsewhere.
+    /// Returns the notice to send in reply to a message that was ignored because of its incarnation, if a
+    /// notice is due. It must be sent to the address that the message came from, since the other process with
+    /// the same identity has another address.
     pub fn superseded_notice(&mut self, now: Time, from: Sender) -> Option<MembershipMessage> {
         let Member::Planner(_) = self.me else { return None };
         let peer = self.peers.get_mut(&from.member)?;
@@ -155,22 +161,25 @@
         }
     }
 
-    /// The lowest incarnation under which this member may go on after its current one.
+    /// The lowest incarnation under which this member may continue after its current one.
     pub fn min_next_incarnation(&self) -> Incarnation {
         self.incarnation.min_next()
     }
 
     /// The other members that are alive, in order.
     pub fn alive(&self, now: Time) -> Vec<Member> {
-        // A stall of this member is accounted for by its next input, and counts against nobody until then.
+        // The next input accounts for a stall of this member. Until then the stall is not counted as silence
+        // of others.
         let now = if now - self.last_call >= STALL_THRESHOLD { self.last_call } else { now };
         self.peers.iter().filter(|(_, peer)| peer.is_alive(now)).map(|(member, _)| *member).collect()
     }
 
-    /// Returns the other members that are alive if they have changed since the last change that was returned.
+    /// Returns the other members that are alive, if they have changed since the last time that they were
+    /// returned.
     pub fn poll_change(&mut self, now: Time) -> Option<Vec<Member>> {
         self.advance(now);
-        // Hosts poll after each message, and scanning thousands of peers costs more than the message.
+        // Hosts poll after each message, and a scan of thousands of peers costs more than handling the
+        // message.
         if !self.needs_scan && now - self.last_scan < SCAN_INTERVAL {
             return None;
         }
@@ -184,26 +193,29 @@
         for member in before {
             if alive.binary_search(&member).is_err() {
                 let silence_ms = FAILURE_TIMEOUT.0 / MICROS_PER_MILLI;
-                self.push_event("member_failed", format!("{member} has been silent for {silence_ms} ms"));
+                self.push_event(
+                    "member_failed",
+                    format!("{member} has been silent for {silence_ms} ms and is considered failed"),
+                );
             }
         }
         Some(alive)
     }
 
-    /// Records that a message of any kind was sent to a member: it stands in for a heartbeat.
+    /// Records that a message of any kind was sent to a member, in place of a heartbeat.
     pub fn on_message_sent(&mut self, now: Time, to: Member) {
         if self.heartbeats.contains(to) {
             self.heartbeats.set(to, now + HEARTBEAT_INTERVAL.scaled(DELAY_AFTER_MESSAGE));
         }
     }
 
-    /// Whether this member was considered failed or superseded. Its components then have to be created anew under a
-    /// greater incarnation.
+    /// Whether this member must continue under a greater incarnation, because it was stalled, considered
+    /// failed or superseded. Its components must then be created anew.
     pub fn needs_new_incarnation(&self) -> bool {
         self.incarnation.needs_renewal()
     }
 
-    /// Continues under a new incarnation; what is known of other members stays.
+    /// Continues under a new incarnation, and keeps the state of other members.
     pub fn renew(&mut self, incarnation: Incarnation) {
         self.incarnation.renew(incarnation);
     }
@@ -213,7 +225,7 @@
         self.incarnation.current()
     }
 
-    /// Advances the time. If this member was stalled, the others are not considered silent for that time.
+    /// Advances the time. If this member was stalled, that time is not counted as silence of others.
     fn advance(&mut self, now: Time) {
         let gap = now - self.last_call;
         if gap >= STALL_THRESHOLD {
@@ -223,14 +235,18 @@
         }
         if gap >= FAILURE_TIMEOUT && !self.incarnation.needs_renewal() {
             let stall_ms = gap.0 / MICROS_PER_MILLI;
-            let text = format!("stalled for {stall_ms} ms: continues under a new incarnation");
+            let text = format!(
+                "this member was stalled for {stall_ms} ms and continues under a new incarnation; if this repeats, \
+                 check its machine for overload and suspension"
+            );
             self.incarnation.invalidate();
             self.push_warning("process_stalled", text);
         }
         self.last_call = self.last_call.max(now);
     }
 
-    /// Makes sure that there is room for one more member of this kind: evicts the one that failed longest ago.
+    /// Ensures that there is room for one more member of this kind: if necessary, evicts the member that
+    /// failed longest ago.
     fn make_room(&mut self, now: Time, member: Member) -> Result<(), MembershipError> {
         let first_forwarder = Member::Forwarder(ForwarderId(0));
         let planners = self.peers.range(..first_forwarder);
@@ -250,11 +266,11 @@
         let oldest = oldest.map(|(member, _)| *member).ok_or(MembershipError::CapacityExceeded)?;
         self.peers.remove(&oldest);
         self.failure_notices.remove(&oldest);
-        self.incarnation.forget(oldest);
+        self.incarnation.remove_declaration(oldest);
         Ok(())
     }
 
-    /// Starts heartbeats to a member that has joined. Forwarders send none to forwarders.
+    /// Starts heartbeats to a member that has joined. Forwarders send no heartbeats to other forwarders.
     fn start_heartbeats(&mut self, now: Time, member: Member) {
         let both_forwarders = matches!((self.me, member), (Member::Forwarder(_), Member::Forwarder(_)));
         if !both_forwarders && !self.heartbeats.contains(member) {
@@ -273,29 +289,34 @@
     }
 
     fn on_declared_failed(&mut self, now: Time, by: Member, incarnation: Incarnation) {
-        if self.incarnation.is_valid(incarnation) && self.is_declared_failed(now, by) {
+        if self.incarnation.is_valid(incarnation) && self.accepts_failure_declaration(now, by) {
             self.incarnation.invalidate();
-            let text = format!("{by} considered this member failed: continues under a new incarnation");
+            let text = format!(
+                "{by} considered this member failed, so this member continues under a new incarnation; if this repeats, \
+                 check the network between the two"
+            );
             self.push_warning("member_rejoined", text);
         }
     }
 
-    /// Whether the declaration of one more planner is decisive. For a forwarder one planner is enough: a new incarnation
-    /// costs it little. For a planner it takes more than half of the planners that are alive.
-    fn is_declared_failed(&mut self, now: Time, by: Member) -> bool {
+    /// Records that a planner has declared this member failed. Returns whether this member must accept the
+    /// declaration. For a forwarder one planner is enough, because a new incarnation costs a forwarder
+    /// little. A planner accepts it once more than half of the other planners that are alive have declared
+    /// it.
+    fn accepts_failure_declaration(&mut self, now: Time, by: Member) -> bool {
         if let Member::Forwarder(_) = self.me {
             return true;
         }
         let alive = self.alive(now);
         let planners = alive.iter().filter(|member| matches!(member, Member::Planner(_))).count();
-        self.incarnation.is_declared_failed_by_majority(now, by, planners)
+        self.incarnation.record_failure_declaration(now, by, planners)
     }
 
     fn on_superseded(&mut self, now: Time, from: Member, incarnation: Incarnation, by: Incarnation) {
         if self.incarnation.on_superseded(now, incarnation, by) {
             let text = format!(
-                "{from} knows a greater incarnation under this member's name: continues under a new one. If this \
-                 repeats, two processes have one name or number: stop one"
+                "{from} knows a greater incarnation under this member's name, so this member continues under a new \
+                 one. If this repeats, two processes have one name or number: stop one of them"
             );
             self.push_warning("incarnation_superseded", text);
         }
@@ -336,7 +357,7 @@
         Ok(())
     }
 
-    /// Does nothing: this component is the source of the change.
+    /// Does nothing, because this component is the source of membership changes.
     fn on_membership_change(&mut self, _: Time, _: &[Member]) {}
 
     fn poll_message(&mut self, now: Time) -> Option<(Member, MembershipMessage)> {
@@ -355,7 +376,8 @@
     }
 
     fn poll_timeout(&self, now: Time) -> Option<Time> {
-        // Often enough to notice soon who has become silent, and never so late that it looks like a stall.
+        // The host polls often enough to find silent members soon, and before the gap between its calls
+        // counts as a stall.
         let next_scan = now + Span(HEARTBEAT_INTERVAL.0 / 2);
         let next_heartbeat = self.heartbeats.next_time();
         Some(next_heartbeat.map_or(next_scan, |at| at.min(next_scan)))
