--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -1,17 +1,17 @@
 //! The encoding of messages as signed datagrams, one message each.
 //!
-//! A datagram is the magic `GL`, a version, a kind, then the sender and the message in postcard's format, then a tag over
-//! all of this: an HMAC-SHA-256 truncated to 16 bytes, as in RFC 4868.
+//! A datagram consists of the magic `GL`, a version, a kind, the sender and the message in postcard's format,
+//! and a tag over all of these: an HMAC-SHA-256 truncated to 16 bytes, as in RFC 4868.
 //!
-//! - The tag is verified before any part of the body is decoded, so only a holder of the secret reaches the decoders.
-//!   A malformed datagram of such a holder is rejected as a whole all the same.
-//! - An unsupported version or kind is an error of its own, so that a fleet in the middle of an update can be
-//!   distinguished from an attack.
-//! - This module knows no time and keeps no state: [`crate::membership`] rejects duplicates by the sender's sequence
-//!   number.
-//! - Two secrets may be valid at a time. Datagrams are sealed with the current one and opened with either, so secrets
-//!   are rotated without a moment in which members reject each other: first the new one is distributed while the
-//!   previous one stays valid, then the previous one is removed.
+//! - The tag is verified before any part of the body is decoded, so only datagrams of members that hold the
+//!   secret reach the decoders. A malformed datagram from such a member is still rejected as a whole.
+//! - An unsupported version and an unknown kind are separate errors, so that a fleet in the middle of an
+//!   update can be distinguished from an attack.
+//! - This module reads no clock and keeps no state: [`crate::membership`] rejects duplicates by the sender's
+//!   sequence number.
+//! - Two secrets may be valid at a time. Datagrams are sealed with the current secret and opened with either
+//!   one, so that members never reject each other during a rotation: first the new secret is distributed
+//!   while the previous one stays valid, then the previous one is removed.
 
 use std::fmt;
 
@@ -25,27 +25,27 @@
 use crate::member::Sender;
 use crate::message::{ComponentKind, Message};
 
-/// The maximum size of a datagram, in bytes: it passes any usual link without fragmentation.
+/// The maximum size of a datagram, in bytes. Datagrams of this size pass any usual link without
+/// fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The minimum length of a secret, in bytes: a shorter one can be guessed.
 pub const MIN_SECRET_BYTES: usize = 16;
 
 const MAGIC: [u8; 2] = *b"GL";
 const VERSION: u8 = 2;
-/// Magic, version and kind.
+/// The length of the header in bytes: magic, version and kind.
 const HEADER_BYTES: usize = 4;
-/// The length to which the HMAC-SHA-256 is truncated.
+/// The length in bytes to which the HMAC-SHA-256 is truncated.
 const TAG_BYTES: usize = 16;
 
-/// The key that all members share and that signs each datagram.
+/// The key that all members share and with which each datagram is signed.
 #[derive(Clone)]
 pub struct Secret(Hmac<Sha256>);
 
 impl Secret {
     /// Creates a secret from its bytes.
     ///
-    /// # Errors
-    /// Returns [`EnvelopeError::ShortSecret`] below [`MIN_SECRET_BYTES`].
+    /// Returns [`EnvelopeError::ShortSecret`] if there are fewer than [`MIN_SECRET_BYTES`] bytes.
     pub fn new(bytes: &[u8]) -> Result<Secret, EnvelopeError> {
         if bytes.len() < MIN_SECRET_BYTES {
             return Err(EnvelopeError::ShortSecret);
@@ -64,17 +64,17 @@
     }
 }
 
-/// The secrets that are valid now.
+/// The secrets that are currently valid.
 #[derive(Clone, Debug)]
 pub struct Secrets {
-    /// Seals and opens datagrams.
+    /// The secret with which datagrams are sealed and opened.
     pub current: Secret,
-    /// Only opens datagrams, during a rotation.
+    /// The secret with which datagrams are only opened, during a rotation.
     pub previous: Option<Secret>,
 }
 
 impl Secrets {
-    /// A single valid secret, outside of rotations.
+    /// Creates secrets of which only one is valid, as outside of rotations.
     pub fn single(secret: Secret) -> Secrets {
         Secrets { current: secret, previous: None }
     }
@@ -87,34 +87,36 @@
     }
 }
 
-/// The reason why bytes are not a valid datagram, or a message can't be sealed.
+/// The reason why bytes are not a valid datagram, why a message can't be sealed, or why a secret is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum EnvelopeError {
-    /// The secret has fewer than [`MIN_SECRET_BYTES`].
-    #[error("a secret has at least {MIN_SECRET_BYTES} bytes")]
+    /// The secret has fewer than [`MIN_SECRET_BYTES`] bytes.
+    #[error("the secret is too short: it must have at least {MIN_SECRET_BYTES} bytes")]
     ShortSecret,
     /// The datagram is too short or does not begin with the magic.
-    #[error("not a message of this protocol")]
+    #[error("the datagram is not a message of the control plane's protocol")]
     UnknownProtocol,
-    /// The datagram has this version of the protocol.
-    #[error("version {0} of the message protocol, not {VERSION}")]
+    /// The datagram has this version of the protocol, which the program does not support.
+    #[error(
+        "the datagram has version {0} of the message protocol, and this program supports only version {VERSION}"
+    )]
     UnsupportedVersion(u8),
     /// The tag matches none of the valid secrets.
-    #[error("not signed with the secret, or changed on its way")]
+    #[error("the datagram is not signed with a valid secret, or was modified in transit")]
     InvalidSignature,
-    /// The datagram is signed and has this kind, which no component has.
-    #[error("messages of kind {0} are unknown")]
+    /// The datagram is signed correctly, but its kind belongs to no component.
+    #[error("the datagram is signed correctly, but holds a message of unknown kind {0}")]
     UnknownKind(u8),
-    /// The datagram is signed, but its body can't be decoded.
-    #[error("signed, but its content can't be decoded")]
+    /// The datagram is signed correctly, but its body can't be decoded; or a message can't be encoded.
+    #[error("the message's content can't be decoded from a correctly signed datagram, or can't be encoded")]
     Malformed,
-    /// The datagram has this many bytes.
-    #[error("{0} bytes, {MAX_DATAGRAM_BYTES} at most")]
+    /// The datagram has this many bytes, which is more than [`MAX_DATAGRAM_BYTES`].
+    #[error("the datagram has {0} bytes, and at most {MAX_DATAGRAM_BYTES} are allowed")]
     TooLong(usize),
 }
 
 impl EnvelopeError {
-    /// The stable name of the error, for counters in the log.
+    /// The stable name of the error, by which it is counted in the log.
     pub fn name(&self) -> &'static str {
         match self {
             EnvelopeError::ShortSecret => "short_secret",
@@ -133,29 +135,30 @@
         match self {
             EnvelopeError::ShortSecret => "Generate a longer secret: `openssl rand -hex 32` writes 32 bytes.",
             EnvelopeError::UnknownProtocol => {
-                "Find out who sends to the control-plane port, and close it to everyone but members."
+                "Find out who sends to the control-plane port, and close the port to everyone but members."
             }
             EnvelopeError::UnsupportedVersion(_) | EnvelopeError::UnknownKind(_) => {
-                "Bring all members to one version of the program; until then they decide without each other."
+                "Run the same version of the program at all members; until then, members of different versions decide \
+                 independently of each other."
             }
             EnvelopeError::InvalidSignature => {
-                "Give all members the same fleet configuration file and send SIGHUP; if it lasts, find out who sends."
+                "Give all members the same fleet configuration file and send them SIGHUP; if it continues, find out \
+                 who sends these datagrams."
             }
             EnvelopeError::Malformed => {
-                "Bring all members to one version of the program; if they are, report a bug."
+                "Run the same version of the program at all members; if they do already, report a bug."
             }
             EnvelopeError::TooLong(_) => {
-                "Report a bug: a component wrote a message that is too long for one datagram."
+                "Report a bug: a component created a message that is too long for one datagram."
             }
         }
     }
 }
 
-/// Encodes and signs a message.
+/// Encodes and signs a message as a datagram.
 ///
-/// # Errors
-/// Returns [`EnvelopeError::TooLong`] above [`MAX_DATAGRAM_BYTES`], and [`EnvelopeError::Malformed`] if the message can't
-/// be encoded.
+/// Returns [`EnvelopeError::TooLong`] if the datagram is longer than [`MAX_DATAGRAM_BYTES`], and
+/// [`EnvelopeError::Malformed`] if the message can't be encoded.
 pub fn seal(sender: Sender, message: &Message, secrets: &Secrets) -> Result<Vec<u8>, EnvelopeError> {
     let header = [MAGIC[0], MAGIC[1], VERSION, message.kind() as u8];
     let mut bytes = match message {
@@ -171,7 +174,7 @@
     Ok(bytes)
 }
 
-/// Verifies and decodes a datagram.
+/// Verifies and decodes a datagram. Returns its sender and its message.
 ///
 /// # Errors
 /// Returns the reason why the bytes are not exactly one message that is signed with a valid secret.
@@ -227,7 +230,7 @@
 ) -> Result<(Sender, Message), EnvelopeError> {
     match postcard::take_from_bytes::<(Sender, M)>(bytes) {
         Ok(((sender, body), [])) => Ok((sender, wrap(body))),
-        // Bytes after the end of the body mean that the sender's format is another one.
+        // Bytes after the end of the body mean that the sender uses another format.
         Ok(_) | Err(_) => Err(EnvelopeError::Malformed),
     }
 }
