--- a/crates/coordination/src/component.rs
+++ b/crates/coordination/src/component.rs
@@ -1,13 +1,14 @@
 //! The interface that all components share, at planners and at forwarders.
 //!
-//! A component is a state machine without I/O: messages arrive, time passes, and the host polls what follows. It reads
-//! no clock. `now` is always the host's own clock and is never compared with the clock of another member.
+//! A component is a state machine without I/O. The host passes messages and the time to it, and polls the
+//! resulting messages, timeouts and events. A component reads no clock: `now` is always the host's own clock
+//! and is never compared with the clock of another member.
 
 use granitelb_balancer::time::{Span, Time};
 
 use crate::member::{Member, Sender};
 
-/// A member that sends nothing for this long is considered failed. This is four heartbeat intervals.
+/// A member that sends no message for this long is considered failed. This is four heartbeat intervals.
 pub const FAILURE_TIMEOUT: Span = Span::from_millis(2000);
 /// The interval between two heartbeats to the same member.
 pub const HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
@@ -18,25 +19,27 @@
     fn remediation(&self) -> &'static str;
 }
 
-/// An occurrence that is worth a line in the log.
+/// An event that the host writes to the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// The stable name by which programs find the event.
+    /// The stable name by which log processors find the event.
     pub name: &'static str,
-    /// A sentence for a human reader.
+    /// The log line's text for a human reader.
     pub message: String,
-    /// Whether an operator should look at it.
+    /// Whether the event is logged as a warning, because an operator should look at it.
     pub is_warning: bool,
 }
 
-/// One side of a component. The `on_` methods only update state; the `poll_` methods are called until they return none.
+/// The planner's or the forwarder's side of a component. The `on_` methods only update state; the host calls
+/// the `poll_` methods until they return `None`.
 pub trait Component {
-    /// The messages that both sides of the component exchange.
+    /// The messages that the two sides of the component exchange.
     type Message;
     /// The reasons for which a message is rejected.
     type Error: Remediation;
 
-    /// Handles a message. The host has checked its envelope: it is signed, its sender is alive, and it is no duplicate.
+    /// Handles a message. The host has checked the message's envelope: the message is signed, its sender is
+    /// alive, and it is not a duplicate.
     ///
     /// # Errors
     /// Returns the reason if the message is rejected; a rejected message changes nothing.
@@ -51,8 +54,9 @@
     /// Returns the time at which to poll again if there is no input before.
     fn poll_timeout(&self, now: Time) -> Option<Time>;
 
-    /// Returns the complete state to persist, or none if it has not changed. The host must have persisted it before it
-    /// sends any message that is polled afterwards, and passes it to the component when it is created anew.
+    /// Returns the complete state to persist, or `None` if the state has not changed. The host must persist
+    /// it before it sends any message that is polled afterwards, and passes it to the component when the
+    /// component is created anew.
     fn poll_snapshot(&mut self) -> Option<Vec<u8>> {
         None
     }
@@ -62,6 +66,7 @@
         None
     }
 
-    /// The number of entries in memory. It is bounded, whatever the component receives and however long it runs.
+    /// The number of entries in memory. The number is bounded, whatever the component receives and however
+    /// long it runs.
     fn entries(&self) -> usize;
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,8 +1,9 @@
-//! Replicated and shared state of a fleet, free of I/O, clocks and unseeded randomness.
+//! The replicated and shared state of a fleet, without I/O, clocks or unseeded randomness.
 //!
-//! Each component is a module with a planner's side and a forwarder's side that exchange messages. Inputs update the
-//! state, and the host polls the outputs that follow from them (see [`component::Component`]). Transport is elsewhere:
-//! `crates/control-plane` runs the components in processes, `crates/fleet-simulator` runs all of them in one process.
+//! Each component is a module with a planner's side and a forwarder's side that exchange messages. Inputs
+//! update the state of a component, and the host polls the resulting outputs (see [`component::Component`]).
+//! Transport is implemented elsewhere: `crates/control-plane` runs the components in processes,
+//! `crates/fleet-simulator` runs all of them in one process.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A planner, by its number in the fleet's configuration file.
+/// Identifies a planner: its number in the fleet's configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlannerId(pub u8);
 
-/// A forwarder, by a hash of its name; it stays the same over restarts.
+/// Identifies a forwarder: a hash of its name, which stays the same over restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ForwarderId(pub u64);
 
@@ -20,12 +20,13 @@
     }
 }
 
-/// One start of a member, or its return after it was considered failed. Later incarnations are greater. As soon as a
-/// greater incarnation of a member is known, everything that an earlier one sent is void.
+/// Numbers the starts of a member and its returns after it was considered failed. Later incarnations are
+/// greater. As soon as a greater incarnation of a member is known, all messages that an earlier one sent are
+/// ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// A member of the fleet. Planners sort before forwarders.
+/// A member of the fleet. In the order of members, all planners come before all forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Member {
     /// A process that coordinates the fleet.
@@ -43,13 +44,14 @@
     }
 }
 
-/// The sender of a message, part of each envelope.
+/// The sender of a message, with the message's sequence number. Each envelope contains it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
     /// The member that sent the message.
     pub member: Member,
-    /// The incarnation under which it was sent.
+    /// The incarnation of the member under which the message was sent.
     pub incarnation: Incarnation,
-    /// The message's sequence number. It rises with each message of an incarnation, whoever the recipient is.
+    /// The message's sequence number. It increases with each message that an incarnation sends, to any
+    /// recipient.
     pub sequence: u64,
 }
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -1,6 +1,6 @@
 //! The messages that members exchange, by component.
 //!
-//! Their encoding as signed datagrams is in [`crate::envelope`], whose items are re-exported here.
+//! The encoding of messages as signed datagrams is in [`crate::envelope`], whose items are re-exported here.
 
 use std::fmt;
 
@@ -14,26 +14,26 @@
     Membership(membership::MembershipMessage),
     /// A forwarder's report on endpoints, or a planner's update on their health.
     EndpointHealth(endpoint_health::HealthMessage),
-    /// A request, grant or return of a lease.
+    /// A request, grant or release of leases, loans or long-term allocations.
     Leases(leases::LeaseMessage),
-    /// Statistics on shards, the shard map, or a vote of its consensus.
+    /// Statistics on shards, the shard map, or a message of the consensus on it.
     ShardGrowth(shard_growth::GrowthMessage),
     /// Sampled requests, or the comparisons that result from them.
     Counterfactual(counterfactual::CounterfactualMessage),
 }
 
-/// The component that a message belongs to. The discriminant is the kind byte of an envelope.
+/// The component that a message belongs to. The discriminant is the kind byte in an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ComponentKind {
-    /// [`crate::membership`]
+    /// The failure detector, [`crate::membership`].
     Membership = 1,
-    /// [`crate::endpoint_health`]
+    /// The health of cache servers, [`crate::endpoint_health`].
     EndpointHealth = 2,
-    /// [`crate::leases`]
+    /// Leases on shared capacity, [`crate::leases`].
     Leases = 3,
-    /// [`crate::shard_growth`]
+    /// Forecasts of shard growth and splits of shards, [`crate::shard_growth`].
     ShardGrowth = 4,
-    /// [`crate::counterfactual`]
+    /// Evaluation of endpoint selection from sampled requests, [`crate::counterfactual`].
     Counterfactual = 5,
 }
 
