--- a/crates/coordination/src/endpoint_health/error.rs
+++ b/crates/coordination/src/endpoint_health/error.rs
@@ -1,4 +1,4 @@
-//! Why a message about endpoints is rejected.
+//! The error for rejected messages about the health of endpoints.
 
 use thiserror::Error;
 
@@ -7,20 +7,22 @@
 /// The reason why a report or an update is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum HealthError {
-    /// A figure is negative, not finite, or greater than any forwarder can have counted.
-    #[error("a figure that no forwarder can have counted")]
+    /// A count is negative, not finite, or greater than any forwarder can have counted.
+    #[error(
+        "health report rejected: a count is negative, not finite or greater than a forwarder can have counted"
+    )]
     InvalidFigure,
     /// The message is a duplicate, or older than one that was accepted before.
-    #[error("it is a duplicate, or older than one that was accepted before")]
+    #[error("health message rejected: it is a duplicate, or older than one that was accepted before")]
     Stale,
-    /// There is no room for the message's sender or endpoints.
-    #[error("more forwarders or caches than the program supports")]
+    /// The maximum number of forwarders or endpoints is reached.
+    #[error("health message rejected: the fleet has more forwarders or caches than the program supports")]
     CapacityExceeded,
     /// The fragment's index or count is out of range.
-    #[error("an impossible fragment")]
+    #[error("health message rejected: its fragment index or fragment count is out of range")]
     InvalidFragment,
-    /// A forwarder sent an update, or a planner a report.
-    #[error("its sender may not send it")]
+    /// A forwarder sent an update, or a planner sent a report.
+    #[error("health message rejected: only forwarders may send reports, and only planners may send updates")]
     UnauthorizedSender,
 }
 
@@ -28,15 +30,15 @@
     fn remediation(&self) -> &'static str {
         match self {
             HealthError::InvalidFigure => {
-                "A forwarder that holds the secret sends impossible figures: check which program and version runs there."
+                "A forwarder that holds the secret sends impossible counts: check which program and version runs there."
             }
             HealthError::Stale => {
-                "Nothing, if there are few: networks duplicate and delay datagrams. If there are many, look at the \
-                 network."
+                "Nothing to do if there are few: networks duplicate and delay datagrams. If there are many, check the \
+                 network between the members."
             }
             HealthError::CapacityExceeded => {
-                "Count the fleet's forwarders (4,096 at most) and caches (2,048 at most): beyond these the fleet has \
-                 to be split, each part with planners of its own."
+                "Count the fleet's forwarders (at most 4,096) and caches (at most 2,048). If there are more, split the \
+                 fleet into parts with planners of their own."
             }
             HealthError::InvalidFragment => "Check that all members run the same version of the program.",
             HealthError::UnauthorizedSender => {
