--- a/crates/coordination/src/endpoint_health/aggregator.rs
+++ b/crates/coordination/src/endpoint_health/aggregator.rs
@@ -1,4 +1,4 @@
-//! A planner's aggregation of the reports of all forwarders.
+//! The aggregation of all forwarders' reports at a planner.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,10 +15,10 @@
 use crate::member::{ForwarderId, Incarnation};
 use crate::probe_scheduling::{self, ProbeOutcome, ProbeScheduler};
 
-/// The maximum number of endpoints: this many fit into the fragments of an update.
+/// The maximum number of endpoints. This many fit into the fragments of an update.
 pub const MAX_ENDPOINTS: usize = 2048;
 
-/// Events beyond this number are dropped if nobody polls them.
+/// The maximum number of events that wait to be polled; further ones are dropped.
 const MAX_EVENTS: usize = 64;
 
 /// The settings of a planner's aggregation.
@@ -26,7 +26,7 @@
 pub struct Settings {
     /// The minimum interval between two updates to the same forwarder.
     pub min_update_interval: Span,
-    /// How long a forwarder that sends no report and an endpoint that no report names are retained.
+    /// How long a forwarder that sends no reports, or an endpoint that no report names, is retained.
     pub retention: Span,
     /// The maximum number of forwarders; further ones are rejected.
     pub max_forwarders: usize,
@@ -48,7 +48,7 @@
     }
 }
 
-/// An update to send.
+/// An update that the host is to send to a forwarder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingUpdate {
     /// The recipient.
@@ -64,8 +64,8 @@
     forwarders: BTreeMap<ForwarderId, ForwarderRecord>,
     endpoints: BTreeMap<EndpointId, EndpointView>,
     probe_scheduler: ProbeScheduler,
-    /// The forwarders that an update is due to, by time: a search among all of them would make an update cost more the
-    /// more forwarders there are.
+    /// The forwarders to which an update is due, in the order of its time. Without this order, an update
+    /// would cost more the more forwarders there are.
     update_queue: BTreeSet<(Time, ForwarderId)>,
     last_eviction: Time,
     events: VecDeque<Event>,
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Sets the live forwarders, in order, and the number of live planners with a lower number than this one.
+    /// Sets the live forwarders, in ascending order, and the number of live planners with a lower number than
+    /// this one.
     pub fn on_membership_change(&mut self, forwarders: Vec<ForwarderId>, planners_ahead: usize) {
         self.probe_scheduler.on_membership_change(forwarders, planners_ahead);
     }
@@ -110,7 +111,7 @@
 
         let mut record = self.forwarders.remove(&from).unwrap_or_else(|| ForwarderRecord::new(id, now));
         if record.report != id {
-            self.withdraw_in_flight(&record);
+            self.subtract_in_flight(&record);
             record.start_report(id);
         }
         record.fragments.insert(report.fragment);
@@ -125,7 +126,7 @@
         Ok(())
     }
 
-    /// Returns the next update that is due.
+    /// Returns the next update that is due, or `None` if no update is due yet.
     pub fn poll_update(&mut self, now: Time) -> Option<OutgoingUpdate> {
         self.evict_silent(now);
         let (due, to) = self.update_queue.first().copied()?;
@@ -150,7 +151,7 @@
         Some(OutgoingUpdate { to, fragments })
     }
 
-    /// When the next update is due.
+    /// The time at which the next update is due.
     pub fn poll_timeout(&self) -> Option<Time> {
         self.update_queue.first().map(|(at, _)| *at)
     }
@@ -178,8 +179,8 @@
 
     fn check_fresh(&self, from: ForwarderId, id: ReportId, fragment: Fragment) -> Result<(), HealthError> {
         let Some(record) = self.forwarders.get(&from) else { return Ok(()) };
-        let is_duplicate = record.report == id && record.fragments.contains(fragment);
-        if record.report > id || is_duplicate {
+        let is_duplicate_fragment = record.report == id && record.fragments.contains(fragment);
+        if record.report > id || is_duplicate_fragment {
             return Err(HealthError::Stale);
         }
         Ok(())
@@ -188,8 +189,8 @@
     fn check_capacity(&self, from: ForwarderId, report: &HealthReport) -> Result<(), HealthError> {
         let is_new = !self.forwarders.contains_key(&from);
         let too_many_forwarders = is_new && self.forwarders.len() >= self.settings.max_forwarders;
-        let named = report.endpoints.iter();
-        let new_endpoints = named.filter(|counts| !self.endpoints.contains_key(&counts.endpoint)).count();
+        let reported = report.endpoints.iter();
+        let new_endpoints = reported.filter(|counts| !self.endpoints.contains_key(&counts.endpoint)).count();
         let too_many_endpoints = self.endpoints.len() + new_endpoints > self.settings.max_endpoints;
         if too_many_forwarders || too_many_endpoints {
             return Err(HealthError::CapacityExceeded);
@@ -208,7 +209,7 @@
         let view = self.endpoints.entry(endpoint).or_insert_with(|| EndpointView::new(now));
         let was_failing = view.is_failing();
         view.on_counts(now, from, counts);
-        // If a report names an endpoint twice, only the last number of attempts in flight counts.
+        // If a report names an endpoint twice, only the last number of attempts in flight is counted.
         let counted = record.in_flight.insert(endpoint, counts.in_flight).unwrap_or(0.0);
         view.in_flight += counts.in_flight - counted;
         match (was_failing, view.is_failing()) {
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Counts attempts at a failing endpoint as probes. They are counted when they are sent: a second or two pass until
-    /// one has ended.
+    /// Counts attempts at a failing endpoint as probes. Each is counted when it is sent, because one or two
+    /// seconds pass until it ends.
     fn on_probes(&mut self, now: Time, record: &ForwarderRecord, counts: &EndpointCounts) {
         let before = record.previous_in_flight.get(&counts.endpoint).copied().unwrap_or(0.0);
         let sent = (counts.in_flight - before + counts.answered + counts.failed).max(0.0);
@@ -235,9 +236,9 @@
         self.probe_scheduler.on_probes(now, counts.endpoint, sent, outcome);
     }
 
-    fn push_event(&mut self, name: &'static str, endpoint: EndpointId, what: &str, is_warning: bool) {
+    fn push_event(&mut self, name: &'static str, endpoint: EndpointId, state: &str, is_warning: bool) {
         if self.events.len() < MAX_EVENTS {
-            let message = format!("cache {:016x} {what}, by the reports of forwarders", endpoint.0);
+            let message = format!("cache {:016x} {state} according to the reports of forwarders", endpoint.0);
             self.events.push_back(Event { name, message, is_warning });
         }
     }
@@ -260,8 +261,8 @@
         statuses
     }
 
-    /// Subtracts the attempts in flight by a forwarder's latest report from the endpoints' totals.
-    fn withdraw_in_flight(&mut self, record: &ForwarderRecord) {
+    /// Subtracts the attempts in flight in a forwarder's latest report from the endpoints' totals.
+    fn subtract_in_flight(&mut self, record: &ForwarderRecord) {
         for (endpoint, in_flight) in &record.in_flight {
             if let Some(view) = self.endpoints.get_mut(endpoint) {
                 view.in_flight -= in_flight;
@@ -269,8 +270,8 @@
         }
     }
 
-    /// Evicts forwarders without a recent report and endpoints that no recent report names. Runs at most once in the
-    /// interval between updates.
+    /// Evicts forwarders without a recent report, and endpoints that no recent report names. Runs at most
+    /// once per minimum interval between updates.
     fn evict_silent(&mut self, now: Time) {
         if now - self.last_eviction < self.settings.min_update_interval {
             return;
@@ -294,7 +295,7 @@
 
     fn evict_forwarder(&mut self, id: ForwarderId) {
         let Some(record) = self.forwarders.remove(&id) else { return };
-        self.withdraw_in_flight(&record);
+        self.subtract_in_flight(&record);
         if let Some(due) = record.update_due {
             self.update_queue.remove(&(due, id));
         }
--- a/crates/coordination/src/endpoint_health/components.rs
+++ b/crates/coordination/src/endpoint_health/components.rs
@@ -1,4 +1,4 @@
-//! The planner's and the forwarder's side as components.
+//! The planner's and the forwarder's side of endpoint health as components.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -15,14 +15,14 @@
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use crate::observation::Observation;
 
-/// The number of slots over which the first reports of forwarders are spread.
+/// The number of offsets within an interval over which the first reports of forwarders are spread.
 const REPORT_OFFSETS: u64 = 1024;
 
 /// The planner's side: receives reports and sends updates.
 pub struct PlannerComponent {
     me: PlannerId,
     aggregator: HealthAggregator,
-    /// Fragments of an update that are still to be polled.
+    /// The fragments of the last update that the host has not polled yet.
     outbox: VecDeque<(Member, HealthMessage)>,
 }
 
@@ -93,14 +93,14 @@
     /// The live planners; each receives every report.
     planners: Vec<PlannerId>,
     next_report: Time,
-    /// Fragments of the last report that are still to be polled.
+    /// The fragments of the last report that the host has not polled yet.
     outbox: VecDeque<(Member, HealthMessage)>,
 }
 
 impl ForwarderComponent {
     /// Creates the component without any observation. Its state does not depend on the incarnation.
     pub fn new(_: Settings, me: ForwarderId, _: Incarnation, now: Time) -> ForwarderComponent {
-        // Forwarders that start together do not all report at the same time.
+        // First reports are spread over the interval, because forwarders may start at the same time.
         let offset = (me.0 % REPORT_OFFSETS) as f64 / REPORT_OFFSETS as f64;
         ForwarderComponent {
             reporter: HealthReporter::new(),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The merged updates of all planners, for the balancer.
+    /// The merged update of all planners, for the balancer.
     pub fn control_plane_update(&self, now: Time) -> ControlPlaneUpdate {
         self.merger.control_plane_update(now)
     }
@@ -146,7 +146,8 @@
         let delay = now - self.next_report;
         let scheduled = if delay < HEARTBEAT_INTERVAL { self.next_report } else { now };
         self.next_report = scheduled + HEARTBEAT_INTERVAL;
-        // What was not polled within a whole interval is older than the new report.
+        // Fragments that were not polled within a whole interval are dropped, because the new report replaces
+        // them.
         self.outbox.clear();
         let fragments = self.reporter.next_report();
         for planner in &self.planners {
--- a/crates/coordination/src/endpoint_health/endpoint_view.rs
+++ b/crates/coordination/src/endpoint_health/endpoint_view.rs
@@ -1,4 +1,4 @@
-//! One endpoint by the reports of all forwarders together.
+//! The view of one endpoint by the reports of all forwarders together.
 
 use granitelb_balancer::decaying::DecayingSum;
 use granitelb_balancer::time::{Span, Time};
@@ -7,24 +7,27 @@
 use super::update::HealthStatus;
 use crate::member::ForwarderId;
 
-/// The time constant of the evidence: an endpoint that has recovered must not be considered failing for long.
+/// The time constant with which evidence decays. It is short so that an endpoint that has recovered is not
+/// considered failing for long.
 const EVIDENCE_MEMORY: Span = Span::from_millis(2000);
-/// The recent failures from which on an endpoint is failing.
+/// The minimum number of recent failures of a failing endpoint.
 const MIN_FAILURES: f64 = 3.0;
-/// An endpoint with at least this many recent answers for each recent failure is not failing.
+/// An endpoint with at least this many recent answers per recent failure is not failing.
 const ANSWERS_PER_FAILURE: f64 = 0.5;
-/// One forwarder may itself be cut off: if several use the endpoint, this many have to report failures.
+/// The minimum number of forwarders that must report failures if several use the endpoint, because a single
+/// forwarder may itself be cut off.
 const MIN_REPORTERS: usize = 2;
-/// The answers since the last failure from which on an endpoint has recovered.
+/// The minimum number of answers since the last failure of an endpoint that has recovered.
 const MIN_ANSWERS: f64 = 2.0;
-/// The time constant of the rate of attempts.
+/// The time constant of the mean rate of attempts.
 const RATE_MEMORY: Span = Span::from_millis(10_000);
-/// The minimum age in seconds of an endpoint that is assumed for its rate of attempts.
+/// The age in seconds that is assumed at least for an endpoint when its rate of attempts is computed.
 const MIN_RATE_AGE_SECS: f64 = 1.0;
-/// An endpoint without a reported attempt for this long is no longer said to fail.
+/// The status of an endpoint whose last reported failure is this old is no longer sent as failing.
 const FAILING_STATUS_LIFETIME: Span = Span::from_millis(20_000);
 
-/// The last report of each of a few forwarders, as many as it takes to know that there are [`MIN_REPORTERS`].
+/// The times of the last reports of a few forwarders: at most [`MIN_REPORTERS`], which is enough to know
+/// whether there are that many.
 #[derive(Default)]
 struct RecentReporters(Vec<(ForwarderId, Time)>);
 
@@ -46,27 +49,27 @@
 pub struct EndpointView {
     answered: DecayingSum,
     failed: DecayingSum,
-    /// All attempts that finished while the endpoint was not failing.
+    /// The attempts that finished while the endpoint was not failing.
     finished: DecayingSum,
     created_at: Time,
-    /// Forwarders that reported failures.
+    /// The forwarders that recently reported failures.
     failure_reporters: RecentReporters,
-    /// Forwarders that reported anything.
+    /// The forwarders that recently reported answers or failures.
     reporters: RecentReporters,
     last_failure: Option<Time>,
     answers_since_failure: f64,
     last_answer: Option<Time>,
-    /// Whether it was found to fail and has not answered enough since. This is kept as state: when all forwarders avoid
-    /// the endpoint there is no evidence of it.
+    /// Whether the endpoint was found failing and has not answered often enough since. This is stored because
+    /// there is no evidence of the failure once all forwarders avoid the endpoint.
     is_failing: bool,
-    /// Attempts in flight at all forwarders.
+    /// The number of attempts in flight at the endpoint, over all forwarders.
     pub in_flight: f64,
-    /// When it was last named in a report.
+    /// When a report last named the endpoint.
     pub last_reported: Time,
 }
 
 impl EndpointView {
-    /// The view of an endpoint without any evidence.
+    /// Creates the view of an endpoint without any evidence.
     pub fn new(now: Time) -> EndpointView {
         EndpointView {
             answered: DecayingSum::new(EVIDENCE_MEMORY, now),
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Adds the answers and failures of a report; attempts in flight are the caller's to add.
+    /// Adds the answers and failures of a report. The caller adds the attempts in flight.
     pub fn on_counts(&mut self, now: Time, from: ForwarderId, counts: &EndpointCounts) {
         self.last_reported = now;
         if counts.answered + counts.failed > 0.0 {
@@ -116,9 +119,11 @@
         self.is_failing
     }
 
-    /// The recent attempts per second that finished, over all forwarders.
+    /// The recent rate of finished attempts over all forwarders, in attempts per second. Attempts at a
+    /// failing endpoint are not included.
     pub fn rate(&self, now: Time) -> f64 {
-        // The sum of an endpoint that is known for less than the time constant lacks the part before.
+        // The decaying sum of a new endpoint lacks the time before the endpoint was known, so it is scaled up
+        // by the missing weight.
         let age_secs = (now - self.created_at).as_secs_f64().max(MIN_RATE_AGE_SECS);
         let age = age_secs / RATE_MEMORY.as_secs_f64();
         self.finished.read(now) / (RATE_MEMORY.as_secs_f64() * (1.0 - (-age).exp()))
--- a/crates/coordination/src/endpoint_health/forwarder_record.rs
+++ b/crates/coordination/src/endpoint_health/forwarder_record.rs
@@ -1,4 +1,4 @@
-//! What a planner records about a forwarder that reports to it.
+//! A planner's record of a forwarder that reports to it.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,33 @@
 use super::fragment::ReceivedFragments;
 use crate::member::Incarnation;
 
-/// Identifies a report of one forwarder; later ones are greater.
+/// Identifies a report of one forwarder. The identifiers of later reports are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReportId {
     pub incarnation: Incarnation,
     pub sequence: u64,
 }
 
-/// A forwarder by its latest report.
+/// The state of a forwarder by its latest report.
 pub struct ForwarderRecord {
-    /// The latest report.
+    /// The identifier of the latest report.
     pub report: ReportId,
     /// The fragments of the latest report that were received.
     pub fragments: ReceivedFragments,
-    /// When the last fragment was received.
+    /// When the last fragment of a report was received.
     pub last_heard: Time,
-    /// When the last update was sent to it, if ever.
+    /// When the last update was sent to the forwarder; `None` if none was sent.
     pub last_update: Option<Time>,
-    /// When the next update is due; none if it has not reported since the last one.
+    /// When the next update is due; `None` if the forwarder has not reported since the last update.
     pub update_due: Option<Time>,
-    /// Attempts in flight at each endpoint by the latest report.
+    /// The attempts in flight at each endpoint in the latest report.
     pub in_flight: BTreeMap<EndpointId, f64>,
-    /// Attempts in flight at each endpoint by the report before.
+    /// The attempts in flight at each endpoint in the report before the latest one.
     pub previous_in_flight: BTreeMap<EndpointId, f64>,
 }
 
 impl ForwarderRecord {
-    /// The record of a forwarder whose first report is being received.
+    /// Creates the record of a forwarder whose first report is being received.
     pub fn new(report: ReportId, now: Time) -> ForwarderRecord {
         ForwarderRecord {
             report,
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Starts the next report: the attempts in flight by the report until now become the previous ones.
+    /// Starts the next report. The attempts in flight in the previous report are kept as the previous ones.
     pub fn start_report(&mut self, report: ReportId) {
         self.report = report;
         self.fragments = ReceivedFragments::default();
         self.previous_in_flight = std::mem::take(&mut self.in_flight);
     }
 
-    /// When the next update is due, now that the forwarder has reported: as soon as the interval since the last allows.
+    /// Returns when the next update is due, now that the forwarder has reported: as soon as the minimum
+    /// interval since the last update allows.
     pub fn next_update_time(&self, now: Time, min_interval: Span) -> Time {
         if let Some(due) = self.update_due {
             return due;
--- a/crates/coordination/src/endpoint_health/fragment.rs
+++ b/crates/coordination/src/endpoint_health/fragment.rs
@@ -1,13 +1,13 @@
-//! Fragments of batches that are too long for one datagram. Each fragment makes sense alone.
+//! Fragments of batches that are too long for one datagram. Each fragment can be interpreted alone.
 
 use serde::{Deserialize, Serialize};
 
 use super::error::HealthError;
 
-/// The number of endpoints in a fragment. An endpoint takes up to 22 bytes in a report and 16 in an update, so these fit
-/// into 1,100 bytes.
+/// The maximum number of endpoints in a fragment. An endpoint takes up to 22 bytes in a report and 16 in an
+/// update, so this many fit into 1,100 bytes.
 const ENDPOINTS_PER_FRAGMENT: usize = 46;
-/// The maximum number of fragments: enough to name all endpoints that a planner tracks.
+/// The maximum number of fragments in a batch: enough to name all endpoints that a planner tracks.
 const MAX_FRAGMENTS: u8 = 64;
 
 /// The place of a fragment in its batch.
@@ -23,7 +23,7 @@
     /// The only fragment of a batch that fits into one datagram.
     pub const SINGLE: Fragment = Fragment { index: 0, count: 1 };
 
-    /// Checks the index and the count.
+    /// Checks that the index and the count are in range.
     ///
     /// # Errors
     /// Returns [`HealthError::InvalidFragment`] if one of them is out of range.
@@ -34,8 +34,8 @@
         Ok(())
     }
 
-    /// Splits a batch of items and makes a message of each fragment. An empty batch has one fragment too; items beyond
-    /// the last possible fragment are dropped.
+    /// Splits a batch of items into fragments, and returns the message made from each. An empty batch has one
+    /// fragment; items beyond the last possible fragment are dropped.
     pub fn split<T: Clone, M>(items: &[T], message: impl Fn(Fragment, Vec<T>) -> M) -> Vec<M> {
         if items.is_empty() {
             return vec![message(Fragment::SINGLE, Vec::new())];
--- a/crates/coordination/src/endpoint_health/merger.rs
+++ b/crates/coordination/src/endpoint_health/merger.rs
@@ -1,4 +1,4 @@
-//! A forwarder's view of the updates of all planners.
+//! The merged view of all planners' updates at a forwarder.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,10 +12,10 @@
 use super::update::{HealthStatus, HealthUpdate, Version};
 use crate::member::{Incarnation, PlannerId};
 
-/// How long a status is valid after it was received: a planner that is silent must not go on deciding.
+/// How long a status is valid after it was received, so that a silent planner has no influence any longer.
 const STATUS_LIFETIME: Span = Span::from_millis(2000);
 
-/// Identifies an update of one planner; later ones are greater.
+/// Identifies an update of one planner. The identifiers of later updates are greater.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct UpdateId {
     incarnation: Incarnation,
@@ -29,15 +29,15 @@
     received_at: Time,
 }
 
-/// One version of a planner's update, as far as its fragments were received.
+/// The received fragments of one version of a planner's update.
 struct ReceivedUpdate {
     id: UpdateId,
     fragments: ReceivedFragments,
     statuses: Vec<ReceivedStatus>,
 }
 
-/// The updates of one planner. While the latest one is incomplete, the previous one remains valid for the endpoints that
-/// the latest does not name.
+/// The updates of one planner. While the latest update is incomplete, the previous one remains valid for the
+/// endpoints that the latest does not name.
 #[derive(Default)]
 struct PlannerUpdates {
     previous: Option<ReceivedUpdate>,
@@ -47,7 +47,7 @@
 /// The freshest evidence about an endpoint.
 #[derive(Clone, Copy)]
 struct Evidence {
-    /// When it was observed, by this forwarder's clock.
+    /// When the answer or failure was reported to the planner, by this forwarder's clock.
     at: Time,
     is_failing: bool,
 }
@@ -55,7 +55,7 @@
 /// Merges the updates of all planners into one.
 #[derive(Default)]
 pub struct UpdateMerger {
-    /// There are no more entries than planner numbers.
+    /// The updates of each planner. There are at most as many entries as planner numbers.
     planners: BTreeMap<PlannerId, PlannerUpdates>,
 }
 
@@ -84,9 +84,9 @@
         self.planners.entry(from).or_default().accept(now, id, update)
     }
 
-    /// The merged update. Where planners differ on an endpoint, the one with the fresher evidence is believed; if both
-    /// are equally fresh the endpoint is not failing. An endpoint that this forwarder is assigned to probe is omitted, so
-    /// that it is used.
+    /// The merged update. Where planners differ on an endpoint, the status with the more recent evidence is
+    /// used; if both are equally recent, the endpoint is not failing. An endpoint that this forwarder is
+    /// assigned to probe is omitted, so that the balancer sends attempts to it.
     pub fn control_plane_update(&self, now: Time) -> ControlPlaneUpdate {
         let assigned_probes = self.assigned_probes(now);
         let mut update = ControlPlaneUpdate::default();
@@ -100,7 +100,7 @@
         update
     }
 
-    /// The failing endpoints that any planner has assigned this forwarder to probe, in order.
+    /// The failing endpoints that any planner has assigned to this forwarder for probes, in order.
     pub fn assigned_probes(&self, now: Time) -> Vec<EndpointId> {
         let mut assigned = BTreeSet::new();
         for received in self.valid_statuses(now) {
@@ -135,7 +135,7 @@
 }
 
 impl Evidence {
-    /// The time in transit is not accounted for.
+    /// The evidence in a received status. Its age does not include the time in transit.
     fn of(received: ReceivedStatus) -> Evidence {
         let (ago, is_failing) = match received.status {
             HealthStatus::Failing { ago } | HealthStatus::Probe { ago } => (ago, true),
--- a/crates/coordination/src/endpoint_health/mod.rs
+++ b/crates/coordination/src/endpoint_health/mod.rs
@@ -1,12 +1,14 @@
-//! Health of the fleet's cache servers, by passive checks of all forwarders together.
+//! The health of the fleet's cache servers, by passive checks of all forwarders together.
 //!
-//! Forwarders report what came of their attempts. Planners merge the reports into one view of each endpoint, derive a
-//! health status from it and send it to the forwarders, which take it as information.
+//! Forwarders report the results of their attempts. Planners merge the reports into one view of each
+//! endpoint, derive a health status from the view and send the status to the forwarders. A forwarder's
+//! balancer treats it as one more piece of evidence.
 //!
-//! A report and an update each make sense alone: the next one makes up for a lost one. What is too long for a datagram is
-//! split into fragments ([`Fragment`]) of one sequence number or version. Fragments arrive in any order, each counts
-//! once, and none makes another one of the same batch stale. While the latest version of an update is incomplete, the
-//! previous one remains valid for the endpoints that the latest does not name.
+//! Each report and each update can be interpreted alone, so the next one compensates for a lost one. A report
+//! or an update that is too long for a datagram is split into fragments ([`Fragment`]) with the same sequence
+//! number or version. Fragments arrive in any order, each is counted once, and no fragment makes another one
+//! of the same batch stale. While the latest version of an update is incomplete, the previous version remains
+//! valid for the endpoints that the latest does not name.
 
 mod aggregator;
 mod components;
@@ -30,11 +32,11 @@
 pub use reporter::HealthReporter;
 pub use update::{HealthStatus, HealthUpdate, Version};
 
-/// The messages between the two sides of the component.
+/// The messages between the planner's and the forwarder's side of the component.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HealthMessage {
-    /// From a forwarder to all planners.
+    /// A forwarder's report to all planners.
     Report(HealthReport),
-    /// From a planner to a forwarder.
+    /// A planner's update to a forwarder.
     Update(HealthUpdate),
 }
--- a/crates/coordination/src/endpoint_health/report.rs
+++ b/crates/coordination/src/endpoint_health/report.rs
@@ -1,4 +1,4 @@
-//! A forwarder's report on its attempts.
+//! The report of a forwarder on its attempts.
 
 use granitelb_balancer::ids::EndpointId;
 use serde::{Deserialize, Serialize};
@@ -6,29 +6,30 @@
 use super::error::HealthError;
 use super::fragment::Fragment;
 
-/// The greatest count that a report may hold. A report covers a short time, in which one forwarder has at most this many
+/// The maximum count in a report. A report covers a short time, in which one forwarder has at most this many
 /// attempts.
 const MAX_ATTEMPTS: f64 = 1e6;
 
-/// What came of the attempts at one endpoint since the previous report.
+/// The results of the attempts at one endpoint since the previous report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointCounts {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Attempts that were answered in any way that shows the endpoint to be up, including a miss and a full queue.
+    /// The number of attempts that were answered in any way that shows that the endpoint is up. A cache miss
+    /// and a rejection because of a full queue are answers too.
     #[serde(with = "single_precision")]
     pub answered: f64,
-    /// Attempts that were not answered: timed out, cancelled for silence, unreachable, reset, or with a malformed
-    /// response.
+    /// The number of attempts that were not answered: timed out, cancelled because the endpoint was silent,
+    /// unreachable, reset, or with a malformed response.
     #[serde(with = "single_precision")]
     pub failed: f64,
-    /// Attempts in flight at the time of the report.
+    /// The number of attempts in flight at the time of the report.
     #[serde(with = "single_precision")]
     pub in_flight: f64,
 }
 
 impl EndpointCounts {
-    /// Counts of an endpoint of which nothing was observed yet.
+    /// Creates counts of zero for an endpoint.
     pub fn new(endpoint: EndpointId) -> EndpointCounts {
         EndpointCounts { endpoint, answered: 0.0, failed: 0.0, in_flight: 0.0 }
     }
@@ -38,7 +39,7 @@
     }
 }
 
-/// The encoding of counts: single precision is enough for those of one report.
+/// The encoding of counts. Single precision is enough for the counts in one report.
 mod single_precision {
     use serde::{Deserialize, Deserializer, Serializer};
 
@@ -54,7 +55,8 @@
 /// A report, or a fragment of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Rises with each report of an incarnation, so that duplicates and late ones are recognized.
+    /// The report's sequence number. It increases with each report of an incarnation, so that duplicate and
+    /// late reports are recognized.
     pub sequence: u64,
     /// The place of this fragment in the report.
     pub fragment: Fragment,
@@ -63,10 +65,11 @@
 }
 
 impl HealthReport {
-    /// Checks that a forwarder can have counted this. One implausible figure makes the whole report suspect.
+    /// Checks that a forwarder can have counted what the report says. One implausible count makes the whole
+    /// report suspect.
     ///
-    /// # Errors
-    /// Returns [`HealthError::InvalidFragment`] or [`HealthError::InvalidFigure`].
+    /// Returns [`HealthError::InvalidFragment`] or [`HealthError::InvalidFigure`] if the report is
+    /// implausible.
     pub fn check(&self) -> Result<(), HealthError> {
         self.fragment.check()?;
         if self.endpoints.iter().all(EndpointCounts::is_plausible) {
--- a/crates/coordination/src/endpoint_health/reporter.rs
+++ b/crates/coordination/src/endpoint_health/reporter.rs
@@ -1,4 +1,4 @@
-//! A forwarder's counts of its attempts, for its reports.
+//! The counts of a forwarder's attempts, from which its reports are made.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 use super::fragment::Fragment;
 use super::report::{EndpointCounts, HealthReport};
 
-/// An attempt without an answer that lasted less than this share of its latency objective is no evidence about the
+/// An unanswered attempt that lasted less than this share of its latency objective is no evidence about the
 /// endpoint. The balancer applies the same share.
 const MIN_SILENCE_SHARE: f64 = 0.5;
 
-/// What the end of an attempt shows about its endpoint.
+/// The evidence about an endpoint in the end of an attempt.
 enum AttemptEvidence {
     Answered,
     Failed,
@@ -29,12 +29,13 @@
 }
 
 impl HealthReporter {
-    /// Creates a reporter that has counted nothing.
+    /// Creates a reporter without counts.
     pub fn new() -> HealthReporter {
         HealthReporter::default()
     }
 
-    /// The counts of an endpoint, unless it would be one too many.
+    /// Returns the counts of an endpoint, or `None` if the endpoint is new and [`MAX_ENDPOINTS`] are counted
+    /// already.
     fn counts_of(&mut self, endpoint: EndpointId) -> Option<&mut EndpointCounts> {
         if self.counts.len() >= MAX_ENDPOINTS && !self.counts.contains_key(&endpoint) {
             return None;
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Returns the fragments of a report on everything since the previous one. The sums start anew, so a lost report
-    /// loses its own counts and no more.
+    /// Returns the fragments of a report on the attempts since the previous report. Answers and failures are
+    /// then counted from zero again, so a lost report loses only its own counts.
     pub fn next_report(&mut self) -> Vec<HealthReport> {
         self.sequence += 1;
         let counts: Vec<_> = self.counts.values().copied().collect();
@@ -94,11 +95,12 @@
         AttemptOutcome::Unreachable | AttemptOutcome::Errored | AttemptOutcome::Reset => {
             AttemptEvidence::Failed
         }
-        // A forwarder that may cancel silent attempts does so with each one at a hung endpoint: none ever times out.
+        // A forwarder that may cancel silent attempts cancels every attempt at a hung endpoint, so that none
+        // ever times out.
         AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if latency >= slo.scaled(MIN_SILENCE_SHARE) => {
             AttemptEvidence::Failed
         }
-        // It was never sent, had little time, or was cancelled soon.
+        // The attempt was never sent, had little time, or was cancelled soon after it was sent.
         AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {
             AttemptEvidence::Inconclusive
         }
--- a/crates/coordination/src/endpoint_health/update.rs
+++ b/crates/coordination/src/endpoint_health/update.rs
@@ -1,4 +1,4 @@
-//! A planner's update on the health of endpoints.
+//! The update of a planner on the health of endpoints.
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Span;
@@ -6,16 +6,17 @@
 
 use super::fragment::Fragment;
 
-/// The version of an update; it rises with each update of a planner's incarnation.
+/// The version of an update. It increases with each update of a planner's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version(pub u64);
 
-/// The health of an endpoint by the reports of all forwarders together. Without enough evidence there is none.
+/// The health of an endpoint by the reports of all forwarders together. An endpoint without enough evidence
+/// has no status.
 ///
-/// Ages rather than times are sent, since the members' clocks differ.
+/// Statuses contain ages instead of times, because the members' clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HealthStatus {
-    /// The endpoint leaves requests unanswered.
+    /// The endpoint leaves attempts unanswered.
     Failing {
         /// How long ago the last failure was reported.
         ago: Span,
@@ -32,8 +33,8 @@
     },
 }
 
-/// An update, or a fragment of one. It names every endpoint that has a status, so no earlier update is needed to
-/// interpret it.
+/// An update, or a fragment of one. An update names every endpoint that has a status, so no earlier update is
+/// needed to interpret it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthUpdate {
     /// The update's version.
