--- a/crates/coordination/src/endpoint_health/endpoint_view.rs
+++ b/crates/coordination/src/endpoint_health/endpoint_view.rs
@@ -23,7 +23,7 @@
 const RATE_MEMORY: Span = Span::from_millis(10_000);
 /// The age in seconds that is assumed at least for an endpoint when its rate of attempts is computed.
 const MIN_RATE_AGE_SECS: f64 = 1.0;
-/// The status of an endpoint whose last reported failure is this old is no longer sent as failing.
+/// The maximum age of the last reported failure at which an endpoint's status is still sent as failing.
 const FAILING_STATUS_LIFETIME: Span = Span::from_millis(20_000);
 
 /// The times of the last reports of a few forwarders: at most [`MIN_REPORTERS`], which is enough to know
--- a/crates/coordination/src/probe_scheduling/assignment.rs
+++ b/crates/coordination/src/probe_scheduling/assignment.rs
@@ -1,5 +1,5 @@
-//! The choice of the forwarders for a task: those with the greatest hash of task, window and forwarder (rendezvous
-//! hashing).
+//! The choice of the forwarders for a task: the ones with the greatest hash of task, window and forwarder
+//! (rendezvous hashing).
 
 use std::cmp::Reverse;
 
@@ -8,23 +8,24 @@
 
 use crate::member::ForwarderId;
 
-/// A task that some forwarders do for all.
+/// A task that a few forwarders do for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Task {
-    /// To probe a failing endpoint.
+    /// Probing a failing endpoint.
     Probe(EndpointId),
-    /// To connect first to an endpoint that comes up.
+    /// Connecting first to an endpoint that starts.
     Connect(EndpointId),
-    /// To poll service discovery again when watches break.
+    /// Polling service discovery again when watches break.
     PollDiscovery,
 }
 
-/// A period of time in which assignments do not change, by its number. Each planner counts its own.
+/// The number of a period of time in which assignments do not change. Each planner counts windows by its own
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Window(pub u64);
 
-/// The rendezvous hash of a forwarder. It depends on the three arguments alone: whoever knows the same members makes the
-/// same choice.
+/// Returns the rendezvous hash of a forwarder for a task and a window. The hash depends on these three
+/// arguments alone, so all planners that know the same members make the same choice.
 fn weight(task: Task, window: Window, member: ForwarderId) -> u64 {
     let (seed, endpoint) = match task {
         Task::Probe(endpoint) => (0, endpoint.0),
@@ -38,7 +39,8 @@
     hash.digest()
 }
 
-/// Chooses up to `count` of the members for a task, by descending weight. A smaller choice is a prefix of a larger one.
+/// Chooses up to `count` of the members for a task, by descending weight. A smaller choice is a prefix of a
+/// larger one.
 pub fn assignees(task: Task, window: Window, members: &[ForwarderId], count: usize) -> Vec<ForwarderId> {
     if count == 0 {
         return Vec::new();
@@ -46,7 +48,7 @@
     let weighted = members.iter().map(|member| Reverse((weight(task, window, *member), *member)));
     let mut candidates: Vec<_> = weighted.collect();
     if count < candidates.len() {
-        // Only those that are chosen are sorted: there may be thousands of members.
+        // Only the chosen members are sorted, because there may be thousands of members.
         candidates.select_nth_unstable(count - 1);
         candidates.truncate(count);
     }
--- a/crates/coordination/src/probe_scheduling/scheduler.rs
+++ b/crates/coordination/src/probe_scheduling/scheduler.rs
@@ -1,4 +1,4 @@
-//! How many forwarders probe each failing endpoint, and which ones.
+//! The number of forwarders that probe each failing endpoint, and the choice of these forwarders.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,39 @@
 use super::assignment::{Task, Window, assignees};
 use crate::member::ForwarderId;
 
-/// Until all forwarders were notified, attempts that are no probes go to a failing endpoint. They are not counted in this
-/// many windows, including the one in which it began to fail.
+/// The number of windows in which attempts at an endpoint that has begun to fail are not counted as probes,
+/// including the window in which it began to fail. Until all forwarders are notified, ordinary attempts still
+/// go to the endpoint.
 const UNCOUNTED_WINDOWS: u64 = 1;
-/// A planner that is not the first assigns probes after this many windows without any, for each planner ahead of it.
+/// A planner assigns probes after this many windows without any, for each live planner with a lower number.
 const STANDBY_WINDOWS: u64 = 2;
-/// The greatest share of the forwarders that are assigned at first, whatever the earlier rate of attempts suggests.
+/// The maximum share of the forwarders that is assigned initially, whatever the earlier rate of attempts
+/// suggests.
 const MAX_INITIAL_SHARE: f64 = 0.125;
-/// The weight of past windows decays by this factor in each window.
+/// The factor by which the weight of past windows decays in each window.
 const DECAY_PER_WINDOW: f64 = 0.8;
-/// After an answered probe the number of assignees grows by this factor: one more answer is needed to be sure.
+/// The factor by which the number of assignees grows after an answered probe, because one more answer is
+/// needed to confirm the recovery.
 const GROWTH_ON_ANSWER: usize = 4;
-/// The factor by which the number of assignees grows at most from one window to the next.
+/// The maximum factor by which the number of assignees grows from one window to the next.
 const MAX_GROWTH_PER_WINDOW: usize = 2;
-/// A planner that is not the first stops assigning at this multiple of the target number of probes.
+/// A planner stops assigning probes at this multiple of the target number of probes, if a live planner has a
+/// lower number.
 const EXCESS_PROBES: f64 = 2.0;
-/// A lower bound for expected numbers of probes, so that they can be divisors.
+/// The lower bound of expected numbers of probes, which keeps divisors above zero.
 const MIN_EXPECTED_PROBES: f64 = 1e-3;
 
 /// The settings of the probe scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long an assignment lasts. Long enough for an assignee to be notified, wait its second and send a probe; short,
-    /// since an assignee that failed unnoticed keeps its assignment.
+    /// How long an assignment lasts. The window is long enough for an assignee to be notified, wait one
+    /// second and send a probe, and otherwise short, because an assignee keeps its assignment while its
+    /// failure is not known.
     pub window: Span,
-    /// The target number of probes of an endpoint in a window, over the fleet.
+    /// The target number of probes of an endpoint in a window, over the whole fleet.
     pub target_probes: f64,
-    /// The maximum number of failing endpoints with assignments. All forwarders probe further ones by their own backoff.
+    /// The maximum number of failing endpoints with assignments. Any further failing endpoint is probed by
+    /// all forwarders, by their own backoff.
     pub max_endpoints: usize,
 }
 
@@ -50,36 +56,38 @@
     }
 }
 
-/// Whether any of the reported probes was answered.
+/// Whether any of the probes in a report was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// None was answered.
+    /// No probe was answered.
     Unanswered,
-    /// At least one was answered.
+    /// At least one probe was answered.
     Answered,
 }
 
-/// The probes of one failing endpoint.
+/// The probes of one failing endpoint, and the forwarders that are assigned to send them.
 struct FailingEndpoint {
     failing_since: Window,
     assignee_count: usize,
     initial_count: usize,
-    /// Decaying sum of the assignments over windows.
+    /// The decaying sum of the numbers of assignees over windows.
     past_assignments: f64,
-    /// Decaying sum of the probes over windows; both together are what one assignment brings.
+    /// The decaying sum of the probes over windows. Divided by `past_assignments`, it is the number of probes
+    /// per assignee.
     past_probes: f64,
-    /// Probes in the current window.
+    /// The number of probes in the current window.
     probes: f64,
     /// Whether a probe was answered in the current window.
     is_answered: bool,
     /// The number of windows in a row without a probe.
     windows_without_probes: u64,
-    /// In order.
+    /// The assigned forwarders, in ascending order.
     assignees: Vec<ForwarderId>,
 }
 
 impl FailingEndpoint {
-    /// Sets the number of assignees for the next window by what the assignments have brought so far.
+    /// Sets the number of assignees for the next window by the number of probes that assignees have sent so
+    /// far.
     fn adapt(&mut self, target_probes: f64, planners_ahead: u64, member_count: usize) {
         if self.probes > 0.0 {
             self.windows_without_probes = 0;
@@ -94,17 +102,17 @@
     fn next_count(&self, target_probes: f64, planners_ahead: u64) -> usize {
         let max_count = (self.assignee_count * MAX_GROWTH_PER_WINDOW).max(1);
         let past_probes = self.past_probes.max(MIN_EXPECTED_PROBES);
-        let sufficient = (target_probes * self.past_assignments / past_probes).round();
-        let sufficient = sufficient.min(max_count as f64) as usize;
+        let sufficient_count = (target_probes * self.past_assignments / past_probes).round();
+        let sufficient_count = sufficient_count.min(max_count as f64) as usize;
         if planners_ahead == 0 {
-            return sufficient.max(1);
+            return sufficient_count.max(1);
         }
         if self.assignee_count == 0 {
-            // As far as probes show, a planner ahead of this one assigns them.
+            // Recent probes show that a planner with a lower number assigns forwarders.
             let others_assign = self.windows_without_probes < STANDBY_WINDOWS * planners_ahead;
             return if others_assign { 0 } else { self.initial_count };
         }
-        if self.probes >= EXCESS_PROBES * target_probes { 0 } else { sufficient }
+        if self.probes >= EXCESS_PROBES * target_probes { 0 } else { sufficient_count }
     }
 
     fn assign(&mut self, endpoint: EndpointId, window: Window, members: &[ForwarderId]) {
@@ -118,7 +126,7 @@
     settings: Settings,
     window: Window,
     members: Vec<ForwarderId>,
-    /// Live planners with a lower number than this one.
+    /// The number of live planners with a lower number than this one.
     planners_ahead: u64,
     failing: BTreeMap<EndpointId, FailingEndpoint>,
 }
@@ -135,7 +143,8 @@
         }
     }
 
-    /// Sets the live forwarders, in order, and the number of live planners with a lower number than this one.
+    /// Sets the live forwarders, in ascending order, and the number of live planners with a lower number than
+    /// this one.
     pub fn on_membership_change(&mut self, members: Vec<ForwarderId>, planners_ahead: usize) {
         self.members = members;
         self.planners_ahead = planners_ahead as u64;
@@ -147,8 +156,8 @@
         }
     }
 
-    /// Starts assignments for an endpoint that has begun to fail. Before that it received `rate` attempts per second, over
-    /// all forwarders.
+    /// Starts assignments for an endpoint that has begun to fail. `rate` is the number of attempts per second
+    /// that the endpoint received before, from all forwarders.
     pub fn on_endpoint_failing(&mut self, now: Time, endpoint: EndpointId, rate: f64) {
         self.advance(now);
         if self.failing.len() >= self.settings.max_endpoints || self.failing.contains_key(&endpoint) {
@@ -202,16 +211,16 @@
         self.members.len() + failing
     }
 
-    /// The number of forwarders that together send the target number of probes, if each goes on sending its share of the
-    /// earlier attempts; at least one, and at most [`MAX_INITIAL_SHARE`] of all.
+    /// The number of forwarders that together send the target number of probes, if each continues to send its
+    /// share of the earlier attempts; at least one, and at most [`MAX_INITIAL_SHARE`] of all.
     fn initial_count(&self, rate: f64) -> f64 {
         let members = self.members.len() as f64;
         let attempts_per_window = (rate * self.settings.window.as_secs_f64()).max(MIN_EXPECTED_PROBES);
-        let sufficient = (members * self.settings.target_probes / attempts_per_window).ceil();
-        sufficient.min((members * MAX_INITIAL_SHARE).ceil()).max(1.0)
+        let sufficient_count = (members * self.settings.target_probes / attempts_per_window).ceil();
+        sufficient_count.min((members * MAX_INITIAL_SHARE).ceil()).max(1.0)
     }
 
-    /// Starts the window of this time, unless it has started already.
+    /// Starts the window that contains `now`, unless that window has started already.
     fn advance(&mut self, now: Time) {
         let window = self.settings.window_at(now);
         if window <= self.window {
