--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases between one forwarder and one planner, step by step.
+//! Tests of leases and long-term allocations between one forwarder and one planner.
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
@@ -12,9 +12,9 @@
 
 const PLANNER: PlannerId = PlannerId(1);
 const FORWARDER: ForwarderId = ForwarderId(3);
-/// The encoded size up to which a message fits into an envelope with a margin.
+/// The maximum encoded size of a message, in bytes. It is less than an envelope can hold.
 const MAX_ENCODED_BYTES: usize = 1100;
-/// One fetch a second, in amounts.
+/// One fetch a second, in amounts of [`Resource::Origin`].
 const FETCH_PER_SECOND: u32 = 1000;
 
 fn forwarder_sender(id: u64) -> Sender {
@@ -36,14 +36,15 @@
     }
 }
 
-/// A forwarder that knows of a planner, but of no endpoints.
+/// Creates a forwarder that knows one planner and no endpoints.
 fn forwarder(settings: Settings, incarnation: Incarnation) -> ForwarderComponent {
     let mut forwarder = ForwarderComponent::new(settings, FORWARDER, incarnation, at(0));
     forwarder.on_membership_change(at(0), &[Member::Planner(PLANNER)]);
     forwarder
 }
 
-/// The amount of the last request for leases that the forwarder sends now, if it sends any.
+/// Returns the total amount of the last request for leases that the forwarder sends now, or `None` if it
+/// sends none.
 fn poll_requested_amount(forwarder: &mut ForwarderComponent, now: Time) -> Option<u32> {
     let mut requested = None;
     while let Some((_, message)) = forwarder.poll_message(now) {
@@ -54,7 +55,8 @@
     requested
 }
 
-/// Gives a message to the planner, and returns the amount that it grants in answer.
+/// Passes a message to the planner, and returns the amount that the planner grants in answer; 0 if it does
+/// not answer.
 fn granted_amount(
     planner: &mut PlannerComponent,
     now: Time,
@@ -91,7 +93,8 @@
     let mut second = Holdings::default();
     let whole_capacity = [ResourceAmount { resource: Resource::Origin, amount: 100_000 }];
     let request = first.request(at(0), PLANNER, &whole_capacity).remove(0);
-    // The capacity is 100 fetches a second. 25 of them are guaranteed, in shares of 83 thousandths.
+    // The capacity is 100 fetches a second. 25 of these are guaranteed, in shares of 83 thousandths of a
+    // fetch a second.
     assert_eq!(granted_amount(&mut planner, at(1), 1, request.clone()), Ok(75_100));
     assert_eq!(granted_amount(&mut planner, at(2), 1, request), Err(LeaseError::Outdated));
     let request = second.request(at(3), PLANNER, &whole_capacity).remove(0);
@@ -103,8 +106,8 @@
     assert_eq!(granted_amount(&mut planner, at(200), 2, request), Ok(75_100));
 }
 
-/// Estimated from sent fetches alone, a demand of nine a second was requested as 0.1: with a share of 0.08 a second, a
-/// forwarder sends one in twelve seconds.
+/// Guards against a demand that is estimated from sent fetches alone. With a guaranteed share of 0.08 fetches
+/// a second a forwarder sends one fetch in twelve seconds, so a demand of 9 a second was requested as 0.1.
 #[test]
 fn rejected_reads_count_as_demand() {
     let mut forwarder = forwarder(Settings::default(), Incarnation(1));
@@ -122,8 +125,9 @@
     assert!(expected.contains(&requested), "{requested} thousandths of a fetch a second");
 }
 
-/// A larger margin took from the heaviest forwarders what light ones do not use: 4.7 for a demand of 2 a second at 300
-/// nodes.
+/// Guards against requests with a large margin, which gave light forwarders capacity that they did not use
+/// and took it from the heaviest forwarders: at 300 nodes, a demand of 2 fetches a second was requested as
+/// 4.7.
 #[test]
 fn requested_amount_is_usage_plus_a_small_margin() {
     let settings = Settings { origin_capacity: 2_000_000, guaranteed_per_mille: 0, ..Settings::default() };
@@ -139,15 +143,16 @@
     assert!((2_200..3_400).contains(&requested), "{requested} thousandths of a fetch a second");
 }
 
-/// In thousandths it rounded to nothing at 300 nodes: without a planner, no warming cache server got a request.
+/// Guards against a guaranteed share of zero. In thousandths, the share was rounded to zero at 300 nodes, so
+/// that without a planner no warming cache server received a request.
 #[test]
 fn guaranteed_share_of_a_warming_cache_is_not_rounded_to_zero() {
     let settings = Settings { warming_cache_capacity: 500_000, forwarder_count: 300, ..Settings::default() };
     assert_eq!(settings.guaranteed_share(Resource::WarmingCache(EndpointId(1))), 416);
 }
 
-/// The first request revokes what an earlier incarnation held at the planner, which the balancer may use until it is
-/// notified.
+/// The first long-term request of an incarnation revokes the allocation of an earlier incarnation at the
+/// planner. The balancer may use that allocation until it is notified, so it must be notified first.
 #[test]
 fn new_incarnation_requests_long_term_allocations_only_after_notifying_its_balancer() {
     let settings = Settings { long_term_per_mille: 500, ..Settings::default() };
@@ -157,7 +162,7 @@
             .filter(|(_, message)| matches!(message, LeaseMessage::RequestLongTerm(_)))
             .count()
     };
-    // Without endpoints the notification is empty: the balancer still has the lease of before.
+    // Without endpoints the notification is empty, so the balancer still uses the earlier lease.
     forwarder.current_leases(at(0));
     assert_eq!(count_requests(&mut forwarder, 600), 0);
     forwarder.on_observation(at(600), &Observation::EndpointsChanged(vec![origin()]));
@@ -166,8 +171,8 @@
     assert_eq!(count_requests(&mut forwarder, 1800), 1);
 }
 
-/// With no other lease messages a forwarder never learned the planner's new incarnation, and its allocation expired during
-/// that planner's wait.
+/// Guards against an allocation that expires during a restarted planner's wait. A forwarder without other
+/// lease messages did not learn the planner's new incarnation, so the planner did not grant the amount again.
 #[test]
 fn restarted_planner_grants_again_what_a_forwarder_reports() {
     let settings = Settings { long_term_per_mille: 500, ..Settings::default() };
@@ -193,7 +198,8 @@
         }
         limits.push(forwarder.current_leases(at(ms))[0].1.most);
     }
-    // Without an answer the limit would fall from the 25th second on, until the expiry at the 30th.
+    // Without a new grant the limit would fall from the 25th second on, until the allocation expires in the
+    // 30th.
     let [established, before_restart, last] = [limits[60], limits[99], limits[289]];
     assert!(established > 0.2 && last >= before_restart, "{established} {before_restart} {last}");
 }
--- a/crates/coordination/tests/leases_long_term.rs
+++ b/crates/coordination/tests/leases_long_term.rs
@@ -1,7 +1,8 @@
-//! Long-term allocations: exhaustive search over the orders of requests, answers and restarts between one planner and two
-//! forwarders, up to a depth. Messages are delayed, duplicated or lost, the planner restarts at any moment, up to twice,
-//! and a forwarder may continue under a new incarnation. What forwarders hold adds up to no more than the planner's
-//! long-term escrow. Broken variants of the protocol are detected.
+//! Exhaustive search, up to a depth, over the orders of long-term requests, answers and restarts between one
+//! planner and two forwarders. Messages are delayed, duplicated or lost, the planner restarts at any moment,
+//! up to twice, and a forwarder may continue under a new incarnation. The allocations that forwarders hold
+//! must add up to at most the planner's long-term escrow. The search must detect each broken variant of the
+//! protocol.
 
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
@@ -15,7 +16,7 @@
 const PLANNER: PlannerId = PlannerId(0);
 const FORWARDERS: usize = 2;
 const ESCROW: u32 = 10;
-/// What each forwarder requests.
+/// The demand of each forwarder, in thousandths of a fetch a second.
 const DEMAND: u32 = 8;
 const DURATION: Span = Span(4);
 const FIRST_INCARNATION: Incarnation = Incarnation(1);
@@ -23,13 +24,15 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
     Correct,
-    /// A planner that starts grants anew at once.
+    /// A planner grants immediately after its start.
     NoStartupWait,
-    /// A planner grants again whatever a request reports, whichever incarnation the request was addressed to.
+    /// A planner grants again any amount that a request reports, whichever incarnation the request was
+    /// addressed to.
     IncarnationIgnored,
-    /// A forwarder counts an allocation from when the grant arrives.
+    /// A forwarder measures an allocation's duration from the arrival of the grant.
     DurationFromArrival,
-    /// A forwarder's new incarnation continues with what the one before held, though the planner takes that for revoked.
+    /// A forwarder's new incarnation continues to use the allocations of the previous one, although the
+    /// planner considers them revoked.
     AllocationsKept,
 }
 
@@ -57,7 +60,7 @@
     },
     Grant {
         to: usize,
-        /// The incarnation of the forwarder that requested.
+        /// The incarnation under which the forwarder requested.
         incarnation: Incarnation,
         planner_incarnation: Incarnation,
         sent_at: Time,
@@ -75,7 +78,7 @@
     }
 }
 
-/// How much of each kind of step and fault is left.
+/// The number of steps and faults of each kind that may still happen.
 #[derive(Clone, Hash)]
 struct Budget {
     ticks: u8,
@@ -83,7 +86,7 @@
     planner_restarts: u8,
     forwarder_restarts: u8,
     duplicates: u8,
-    /// A message arrives within this number of ticks, or never.
+    /// The maximum delay of a message, in ticks; a message that has not arrived by then is lost.
     max_delay: u64,
 }
 
@@ -119,7 +122,7 @@
     }
 
     fn fingerprint(&self) -> u64 {
-        let all = (
+        let state = (
             self.now,
             self.planner_incarnation,
             self.planner.hashable_state(),
@@ -127,7 +130,7 @@
             &self.messages,
             &self.budget,
         );
-        BuildHasherDefault::<DefaultHasher>::default().hash_one(all)
+        BuildHasherDefault::<DefaultHasher>::default().hash_one(state)
     }
 
     fn held(&self) -> u32 {
@@ -212,7 +215,8 @@
                 to, incarnation, planner_incarnation, requested_at, request_id, amount, ..
             } => {
                 let forwarder = &mut self.forwarders[to];
-                // As by the envelope: a message to an earlier incarnation is not known to have been requested.
+                // The forwarder ignores answers to requests of its earlier incarnations, because it does not
+                // know those requests.
                 if forwarder.incarnation != incarnation {
                     return;
                 }
@@ -221,14 +225,14 @@
                     duration = duration + (self.now - requested_at);
                 }
                 let from = PlannerIncarnation { planner: PLANNER, incarnation: planner_incarnation };
-                // Whether the forwarder ignores the grant is its own decision.
+                // The result is unused: the forwarder may ignore the grant.
                 let _ = forwarder.allocations.on_grant(self.now, from, request_id, amount, duration);
                 forwarder.allocations.mark_applied();
             }
         }
     }
 
-    /// All states that may follow.
+    /// All states that may follow this one.
     fn successors(&self, variant: Variant) -> Vec<State> {
         let mut successors = Vec::new();
         if self.budget.ticks > 0 {
@@ -263,15 +267,15 @@
 
 struct SearchResult {
     most_held: u32,
-    /// Whether a later incarnation of the planner had granted anything in some state.
+    /// Whether a later incarnation of the planner had made a grant in any state.
     has_granted_again: bool,
 }
 
 fn search(variant: Variant, budget: Budget) -> SearchResult {
     let mut visited = HashSet::new();
-    let mut open = vec![State::start(budget)];
+    let mut unexplored = vec![State::start(budget)];
     let mut result = SearchResult { most_held: 0, has_granted_again: false };
-    while let Some(state) = open.pop() {
+    while let Some(state) = unexplored.pop() {
         result.most_held = result.most_held.max(state.held());
         result.has_granted_again |= state.has_grants_of_later_incarnation();
         if result.most_held > ESCROW {
@@ -279,7 +283,7 @@
         }
         for successor in state.successors(variant) {
             if visited.insert(successor.fingerprint()) {
-                open.push(successor);
+                unexplored.push(successor);
             }
         }
     }
--- a/crates/coordination/tests/leases_model.rs
+++ b/crates/coordination/tests/leases_model.rs
@@ -1,12 +1,12 @@
-//! Exhaustive search over the orders of messages between two planners and three forwarders, up to a depth: messages are
-//! lost, duplicated, delayed and reordered, and one planner restarts. At each moment, what forwarders hold adds up to no
-//! more than the capacity.
+//! Exhaustive search, up to a depth, over the orders of messages between two planners and three forwarders.
+//! Messages are lost, duplicated, delayed and reordered, and one planner restarts. At each moment, the leases
+//! that forwarders hold must add up to at most the capacity.
 //!
-//! A message takes at least one tick, so the steps of different members within a tick are independent: members take their
-//! turns in order, and all steps that each may take there are tried. Of what a forwarder holds within a tick, the greatest
-//! amount counts.
+//! A message takes at least one tick, so the steps of different members within a tick are independent:
+//! members take turns in a fixed order, and every possible step of each member is tried in its turn. For each
+//! forwarder, the greatest amount that it held within a tick is counted.
 //!
-//! Three broken variants of the protocol are each detected.
+//! The search must detect each of three broken variants of the protocol.
 
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
@@ -21,23 +21,23 @@
 
 const FORWARDERS: usize = 3;
 const PLANNERS: [PlannerId; 2] = [PlannerId(0), PlannerId(1)];
-/// The forwarder that is served by the second planner and may change to the first one.
+/// The forwarder that uses the second planner and may change to the first one.
 const ROAMING_FORWARDER: usize = 2;
 const CAPACITY: u32 = 10;
-/// When the search begins, planners have been up for longer than any lease lasts.
+/// The time at which the search begins. The planners have then been running for longer than any lease lasts.
 const START: Time = Time(100);
-/// By how much the variant [`Variant::LongLoan`] extends a loan, in microseconds.
+/// The extension of a loan in the variant [`Variant::LongLoan`], in microseconds.
 const LOAN_EXTENSION: u32 = 4;
-/// When the first forwarder sends its two requests before the search.
+/// The times at which the first forwarder sends its two requests before the search.
 const SETUP_REQUESTS_AT: [Time; 2] = [START, Time(START.0 + 4)];
 const SETUP_TICKS: u8 = 5;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
     Correct,
-    /// A planner that restarts grants at once.
+    /// A planner grants immediately after its restart.
     NoStartupWait,
-    /// A forwarder counts a lease from when the grant arrives.
+    /// A forwarder measures a lease's duration from the arrival of the grant.
     DurationFromArrival,
     /// A borrower counts a loan for longer than the lender does.
     LongLoan,
@@ -60,14 +60,15 @@
     }
 }
 
-/// How much of each kind of step and fault is left.
+/// The number of steps and faults of each kind that may still happen.
 #[derive(Clone, Hash)]
 struct Budget {
     requests: [u8; FORWARDERS],
     duplicates: u8,
     restarts: u8,
     ticks: u8,
-    /// A message arrives within this number of ticks or never; a lease lasts 4 and a loan 7.
+    /// The maximum delay of a message, in ticks; a message that has not arrived by then is lost. A lease
+    /// lasts 4 ticks and a loan 7.
     max_delay: u64,
 }
 
@@ -95,15 +96,16 @@
 #[derive(Clone)]
 struct State {
     now: Time,
-    /// The member whose turn it is: first the planners, then the forwarders.
+    /// The index of the member whose turn it is: first the planners, then the forwarders.
     turn: usize,
-    /// The most that each forwarder held in this tick.
+    /// The greatest amount that each forwarder held in this tick.
     peaks: [u32; FORWARDERS],
     planners: Vec<Planner>,
     forwarders: Vec<Holdings>,
     /// When each request of a forwarder was sent.
     requested_at: BTreeMap<RequestKey, Time>,
-    /// The messages in flight, each with the number of times that it may still arrive. What never arrives is lost.
+    /// The messages in flight, each with the number of times that it may still arrive. A message that never
+    /// arrives is lost.
     messages: BTreeMap<InFlightMessage, u8>,
     budget: Budget,
 }
@@ -142,8 +144,9 @@
             .iter()
             .map(|planner| (planner.incarnation, planner.component.hashable_state()))
             .collect();
-        let all = (self.now, self.turn, self.peaks, planners, &self.forwarders, &self.messages, &self.budget);
-        BuildHasherDefault::<DefaultHasher>::default().hash_one(all)
+        let state =
+            (self.now, self.turn, self.peaks, planners, &self.forwarders, &self.messages, &self.budget);
+        BuildHasherDefault::<DefaultHasher>::default().hash_one(state)
     }
 
     fn update_peaks(&mut self) {
@@ -155,11 +158,11 @@
     fn member_in_turn(&self) -> Member {
         match self.turn {
             planner if planner < PLANNERS.len() => Member::Planner(PLANNERS[planner]),
-            other => Member::Forwarder(ForwarderId((other - PLANNERS.len()) as u64)),
+            index => Member::Forwarder(ForwarderId((index - PLANNERS.len()) as u64)),
         }
     }
 
-    /// Ends the turn; after the last one, a tick passes.
+    /// Ends the turn. After the last turn of a tick, the next tick begins.
     fn end_turn(&mut self) {
         self.turn += 1;
         if self.turn == PLANNERS.len() + FORWARDERS {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Delivers a message. It may arrive once more if `is_duplicated`.
+    /// Delivers a message. If `is_duplicated`, the message may arrive once more.
     fn deliver(&mut self, message: &InFlightMessage, is_duplicated: bool, variant: Variant) {
         if is_duplicated {
             self.budget.duplicates -= 1;
@@ -216,7 +219,7 @@
         if let (LeaseMessage::Grant { duration, .. }, Variant::LongLoan) = (&mut message, variant) {
             *duration += LOAN_EXTENSION;
         }
-        // Whether the planner ignores the message is its own decision.
+        // The result is unused: the planner may ignore the message.
         let _ = self.planners[index].component.on_message(self.now, sender, message);
         self.send_planner_messages(index);
     }
@@ -232,7 +235,7 @@
         }
         let from = PlannerIncarnation { planner, incarnation: envelope.incarnation };
         let forwarder = &mut self.forwarders[index];
-        // Whether the forwarder ignores the grant is its own decision.
+        // The result is unused: the forwarder may ignore the grant.
         let _ = forwarder.on_grant(self.now, from, *request_id, granted, duration);
         forwarder.mark_applied();
         self.update_peaks();
@@ -273,8 +276,9 @@
 }
 
 impl Search {
-    /// The first forwarder requests, its planner borrows, the forwarder requests again, and all messages arrive at once.
-    /// The search begins here, with a loan and a request in flight.
+    /// Brings the state to the start of the search, with a loan and a request in flight: the first forwarder
+    /// requests, its planner requests a loan, the forwarder requests again, and each message arrives as soon
+    /// as possible.
     fn with_loan_in_flight(&mut self, mut state: State) -> State {
         let ticks_of_search = state.budget.ticks;
         state.budget.ticks += SETUP_TICKS;
@@ -291,10 +295,11 @@
         state
     }
 
-    /// All states that may follow.
+    /// All states that may follow the given one.
     fn successors(&self, state: &State) -> Vec<State> {
         let mut successors = Vec::new();
-        // First, so that it is explored last: a violation is mostly found where messages arrive.
+        // The end of the turn is added first, so that it is explored last: most violations are found where
+        // messages arrive.
         if state.budget.ticks > 0 {
             successors.push(changed(state, State::end_turn));
         }
@@ -326,10 +331,10 @@
         }
     }
 
-    /// Explores all states. Returns whether the capacity was exceeded anywhere.
+    /// Explores all states that can be reached. Returns whether the capacity was exceeded in any state.
     fn exceeds_capacity(&mut self, start: State) -> bool {
-        let mut open = vec![start];
-        while let Some(state) = open.pop() {
+        let mut unexplored = vec![start];
+        while let Some(state) = unexplored.pop() {
             self.most_held = self.most_held.max(state.held());
             if self.most_held > CAPACITY {
                 return true;
@@ -337,7 +342,7 @@
             self.has_seen_loans |= state.has_loans();
             for successor in self.successors(&state) {
                 if self.visited.insert(successor.fingerprint()) {
-                    open.push(successor);
+                    unexplored.push(successor);
                 }
             }
         }
