--- a/crates/coordination/tests/main.rs
+++ b/crates/coordination/tests/main.rs
@@ -1,4 +1,5 @@
-//! The tests of what the fleet decides: one program, so that they are linked once and run beside each other.
+//! The integration tests of the crate. They are one program, so that they are linked once and run in
+//! parallel.
 
 mod counterfactual;
 mod counterfactual_randomized_assignment;
@@ -16,7 +17,7 @@
 mod probe_scheduling;
 mod wire_format;
 
-/// A file that is not a module here would not be run.
+/// Guards against a test file that is not run because main.rs does not declare it as a module.
 #[test]
 fn every_file_of_tests_is_a_module() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The failure detector with lost and duplicate messages, suspended processes and new incarnations.
+//! Tests of the failure detector with lost and duplicate messages, suspended processes and new incarnations.
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::{Component, FAILURE_TIMEOUT, HEARTBEAT_INTERVAL, Remediation};
@@ -38,7 +38,7 @@
     MembershipMessage::Superseded { incarnation: Incarnation(incarnation), by: Incarnation(by) }
 }
 
-/// Passes time as a host does that polls at each timeout, and returns the messages to send.
+/// Simulates a host that polls at each timeout, and returns the messages to send.
 fn run(membership: &mut Membership, from: Time, to: Time) -> Vec<(Member, MembershipMessage)> {
     let mut now = from;
     let mut messages = Vec::new();
@@ -64,7 +64,8 @@
     }
     assert_eq!(planner.accept(ms(3), from(FORWARDER, 1, 1300)), Err(MembershipError::TooOld));
     assert_eq!(planner.accept(ms(3), from(FORWARDER, 1, 1301)), Err(MembershipError::TooOld));
-    // The sequence of a new incarnation starts anywhere, and ends the incarnation before.
+    // The sequence numbers of a new incarnation may start at any number. Its first message ends the earlier
+    // incarnation.
     assert_eq!(planner.accept(ms(4), from(FORWARDER, 2, 0)), Ok(Acceptance::AlreadyAlive));
     assert_eq!(planner.accept(ms(5), from(FORWARDER, 1, 5000)), Err(MembershipError::StaleIncarnation));
     assert_eq!(planner.accept(ms(5), from(PLANNER, 9, 1)), Err(MembershipError::OwnName));
@@ -85,7 +86,7 @@
     let mut forwarder = forwarder_membership(1);
     run(&mut forwarder, ms(0), ms(2100));
     assert!(!forwarder.needs_new_incarnation());
-    // Notices for an earlier incarnation and those of forwarders are ignored.
+    // Notices for an earlier incarnation and notices from forwarders are ignored.
     forwarder.on_message(ms(2101), from(PLANNER, 1, 1), declared_failed(0)).expect("accepted");
     forwarder.on_message(ms(2101), from(FORWARDER, 1, 1), declared_failed(1)).expect_err("unauthorized");
     assert!(!forwarder.needs_new_incarnation());
@@ -102,18 +103,19 @@
     let mut planner = planner_membership();
     planner.accept(ms(0), from(FORWARDER, 9, 1)).expect("accepted");
     let older = from(FORWARDER, 4, 1);
-    // The other process of its name is alive: it may be the replacement.
+    // The process with the greater incarnation is alive and may be a replacement, so the older process is not
+    // notified.
     assert_eq!(planner.accept(ms(10), older), Err(MembershipError::StaleIncarnation));
     assert_eq!(planner.superseded_notice(ms(10), older), None);
     run(&mut planner, ms(10), ms(2100));
     assert_eq!(planner.superseded_notice(ms(2100), older), Some(superseded(4, 9)));
     assert_eq!(planner.superseded_notice(ms(2200), older), None, "notified a moment ago");
-    // A planner's number belongs to one process: it is notified at once.
+    // A planner is notified at once, because only one process may run under its number.
     let other_planner = Member::Planner(PlannerId(2));
     planner.accept(ms(2200), from(other_planner, 9, 1)).expect("accepted");
     assert!(planner.superseded_notice(ms(2200), from(other_planner, 4, 1)).is_some());
     let current = from(FORWARDER, 9, 2);
-    assert_eq!(planner.superseded_notice(ms(2200), current), None, "it is the current incarnation");
+    assert_eq!(planner.superseded_notice(ms(2200), current), None, "the sender has the current incarnation");
     assert_eq!(planner.accept(ms(2300), from(FORWARDER, 10, 1)), Ok(Acceptance::Joined));
 }
 
@@ -128,11 +130,14 @@
     assert_eq!(forwarder.min_next_incarnation(), Incarnation(10));
     forwarder.renew(Incarnation(10));
     forwarder.on_message(ms(1000), from(PLANNER, 1, 3), superseded(10, 11)).expect("accepted");
-    assert!(!forwarder.needs_new_incarnation(), "it gave way a moment ago");
+    assert!(
+        !forwarder.needs_new_incarnation(),
+        "a notice within the failure timeout after another one is ignored"
+    );
 }
 
 #[test]
-fn stalled_member_detects_it_and_does_not_judge_others_by_that_time() {
+fn stalled_member_detects_its_stall_and_does_not_count_it_as_silence_of_others() {
     let mut planner = planner_membership();
     planner.accept(ms(0), from(FORWARDER, 1, 1)).expect("accepted");
     run(&mut planner, ms(0), ms(400));
@@ -168,12 +173,13 @@
 }
 
 #[test]
-fn heartbeats_are_sent_only_where_no_other_message_stands_in() {
+fn heartbeats_are_sent_only_if_no_other_message_replaces_them() {
     let mut forwarder = forwarder_membership(1);
     forwarder.set_planners(ms(0), [PlannerId(0), PlannerId(1)]);
     let heartbeats = run(&mut forwarder, ms(0), ms(9999));
     assert_eq!(heartbeats.len(), 2 * 20, "{heartbeats:?}");
-    // Another message stands in for a heartbeat, and a planner that is no longer configured receives none.
+    // Another message replaces a heartbeat, and a planner that is no longer configured receives no
+    // heartbeats.
     forwarder.set_planners(ms(10_000), [PlannerId(0)]);
     for now in (10_000..20_000).step_by(100) {
         forwarder.on_message_sent(ms(now), PLANNER);
