--- a/crates/coordination/tests/endpoint_health.rs
+++ b/crates/coordination/tests/endpoint_health.rs
@@ -1,4 +1,4 @@
-//! Endpoint health: planners aggregate reports, and forwarders merge the planners' updates.
+//! Tests of endpoint health: planners aggregate reports, and forwarders merge the planners' updates.
 
 use std::iter;
 
@@ -19,7 +19,7 @@
 const ENDPOINT: EndpointId = EndpointId(7);
 const PLANNER: PlannerId = PlannerId(0);
 const OTHER_PLANNER: PlannerId = PlannerId(1);
-/// The endpoints in one fragment.
+/// The maximum number of endpoints in one fragment.
 const FRAGMENT_LENGTH: usize = 46;
 
 fn ms(ms: u64) -> Time {
@@ -61,7 +61,7 @@
     aggregator.on_report(at, ForwarderId(forwarder), Incarnation(1), report)
 }
 
-/// The endpoint's status in the next update.
+/// Returns the status of [`ENDPOINT`] in the next update.
 fn next_status(aggregator: &mut HealthAggregator, at: Time) -> Option<HealthStatus> {
     let update = aggregator.poll_update(at).expect("an update is due");
     let named = update.fragments[0].statuses.iter().find(|(endpoint, _)| *endpoint == ENDPOINT);
@@ -75,11 +75,11 @@
     receive(&mut aggregator, ms(0), 2, &report(1, 1.0, 0.0)).expect("accepted");
     assert_eq!(next_status(&mut aggregator, ms(0)), None);
     receive(&mut aggregator, ms(500), 1, &report(2, 0.0, 4.0)).expect("accepted");
-    // One forwarder alone may itself be cut off.
+    // Failures reported by one forwarder are not enough, because that forwarder may itself be cut off.
     assert_eq!(next_status(&mut aggregator, ms(500)), None);
     receive(&mut aggregator, ms(600), 2, &report(2, 0.0, 4.0)).expect("accepted");
     assert_eq!(next_status(&mut aggregator, ms(600)), Some(failing(0)));
-    // Two answers show that it has recovered; the status expires within some seconds.
+    // Two answers show that the endpoint has recovered. The status expires a few seconds later.
     receive(&mut aggregator, ms(2500), 1, &report(3, 2.0, 0.0)).expect("accepted");
     assert_eq!(next_status(&mut aggregator, ms(2500)), Some(recovered(0)));
     receive(&mut aggregator, ms(6000), 1, &report(4, 0.0, 0.0)).expect("accepted");
@@ -92,7 +92,7 @@
     assert!(aggregator.poll_update(ms(0)).is_none());
     receive(&mut aggregator, ms(0), 1, &report(1, 0.0, 0.0)).expect("accepted");
     assert_eq!(next_status(&mut aggregator, ms(0)), None);
-    // There are no two updates within the interval, and none without a report since the last one.
+    // At most one update is sent within the interval, and none without a report since the last update.
     receive(&mut aggregator, ms(100), 1, &report(2, 0.0, 0.0)).expect("accepted");
     assert!(aggregator.poll_update(ms(100)).is_none());
     assert!(aggregator.poll_update(ms(250)).is_some());
@@ -125,7 +125,8 @@
     assert_eq!(second, Err(HealthError::CapacityExceeded));
     assert_eq!(aggregator.entries(), 3 + 1 + 3);
     assert!((aggregator.in_flight(ENDPOINT) - 3.0).abs() < 1e-9);
-    // The sequence of a new incarnation starts anew, and what its last one had in flight is withdrawn.
+    // A new incarnation numbers its reports from 1 again, and the attempts in flight of the previous one are
+    // subtracted.
     for (at, sequence) in [(ms(9000), 1), (ms(11_000), 2)] {
         let accepted = aggregator.on_report(at, ForwarderId(1), Incarnation(2), &report(sequence, 0.0, 0.0));
         accepted.expect("a new incarnation");
@@ -146,12 +147,13 @@
     assert!(merger.control_plane_update(ms(1000)).failing.is_empty());
     assert_eq!(merger.on_update(ms(1200), PLANNER, first, update(2, failing(0))), Ok(()));
     assert_eq!(merger.control_plane_update(ms(1200)).failing, vec![(ENDPOINT, ms(1200))]);
-    // Older updates change nothing, even less those of an earlier incarnation; a new incarnation's start from one.
+    // Older updates and updates of an earlier incarnation change nothing. The versions of a new incarnation
+    // start from 1 again.
     let stale = Err(HealthError::Stale);
     assert_eq!(merger.on_update(ms(1300), PLANNER, first, update(1, recovered(0))), stale);
     assert_eq!(merger.on_update(ms(1300), PLANNER, second, update(1, failing(0))), Ok(()));
     assert_eq!(merger.on_update(ms(1300), PLANNER, first, update(9, recovered(0))), stale);
-    // A planner that is silent for 2 s decides nothing.
+    // The statuses of a planner that is silent for 2 s are no longer valid.
     assert_eq!(merger.control_plane_update(ms(3400)), ControlPlaneUpdate::default());
 }
 
@@ -161,7 +163,7 @@
     let finished = [
         (AttemptOutcome::Fulfilled, 20),
         (AttemptOutcome::TimedOut, 900),
-        // Cancelled for silence, as a forwarder that may cancel does with each attempt at a hung endpoint.
+        // A forwarder that may cancel silent attempts cancels every attempt at a hung endpoint.
         (AttemptOutcome::Cancelled, 310),
         (AttemptOutcome::Cancelled, 200),
         (AttemptOutcome::TimedOut, 100),
@@ -210,9 +212,10 @@
         let is_avoided = !merger.control_plane_update(ms(0)).failing.is_empty();
         assert_eq!(!is_avoided, merger.assigned_probes(ms(0)) == [ENDPOINT]);
     }
-    // Hardly any attempt was observed before: an eighth of the forwarders initially.
+    // Hardly any attempts were observed before the failure, so an eighth of the forwarders is assigned
+    // initially.
     assert_eq!(probing, 3);
-    // Another planner that assigns no probes does not withdraw the assignment.
+    // The assignment remains valid when another planner assigns no probes.
     let probe = update(1, HealthStatus::Probe { ago: Span::ZERO });
     merger.on_update(ms(0), PLANNER, Incarnation(2), probe).expect("accepted");
     merger.on_update(ms(1), OTHER_PLANNER, Incarnation(1), update(1, failing(0))).expect("accepted");
@@ -223,12 +226,12 @@
     ForwarderComponent::new(Settings::default(), ForwarderId(id), Incarnation(1), ms(0))
 }
 
-/// A forwarder with attempts in flight at more endpoints than it may report.
+/// Creates a forwarder with attempts in flight at more endpoints than it may report.
 fn forwarder_with_many_endpoints(id: u64) -> ForwarderComponent {
     let mut forwarder = forwarder_component(id);
     forwarder.on_membership_change(ms(0), &[Member::Planner(PLANNER)]);
     for endpoint in 0..MAX_ENDPOINTS as u64 + 50 {
-        // Identities of the greatest encoded length.
+        // These identifiers have the greatest encoded length.
         let cache = EndpointId(endpoint << 50 | endpoint);
         for _ in 0..4 {
             let sent = Observation::AttemptSent { cache, is_origin: false, write: false };
--- a/crates/coordination/tests/envelope.rs
+++ b/crates/coordination/tests/envelope.rs
@@ -1,4 +1,5 @@
-//! Envelopes: sealed messages are opened again, and nothing else is.
+//! Tests of envelopes: messages that were sealed with a valid secret can be opened, and all other bytes are
+//! rejected.
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::Span;
@@ -66,7 +67,7 @@
     prop_oneof![reports(), updates()]
 }
 
-/// Signs the bytes with our secret, so that only their content can be at fault.
+/// Signs the bytes with our secret, so that only their content can cause a rejection.
 fn sign(bytes: &[u8]) -> Vec<u8> {
     let mac = Hmac::<Sha256>::new_from_slice(OUR_SECRET).expect("any length is valid");
     let tag = mac.chain_update(bytes).finalize().into_bytes();
@@ -103,8 +104,8 @@
     fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), kind in 0u8..8) {
         let ours = secrets(OUR_SECRET, None);
         prop_assert!(open(&bytes, &ours).is_err());
-        // A holder of the secret may send anything too. What is decoded then is as long as what was sent, not as long as
-        // it claims to be.
+        // A holder of the secret may also send arbitrary bytes. The decoded message is then at most as long
+        // as the bytes that were sent, whatever length they claim.
         let _ = open(&sign(&[&[b'G', b'L', 2, kind], &bytes[..]].concat()), &ours);
     }
 }
--- a/crates/coordination/tests/probe_scheduling.rs
+++ b/crates/coordination/tests/probe_scheduling.rs
@@ -1,4 +1,5 @@
-//! Assignments are even and stable when members come and go, and the rate of probes does not depend on the fleet's size.
+//! Tests of probe assignments: they are even, they stay stable when members join and fail, and the rate of
+//! probes does not depend on the fleet's size.
 
 use granitelb_balancer::ids::EndpointId;
 use granitelb_balancer::time::{Span, Time};
@@ -40,7 +41,7 @@
     assigned(scheduler, ms(window * WINDOW_MS), members).len()
 }
 
-/// Jain's fairness index of the assignments per member.
+/// Returns Jain's fairness index of the numbers of assignments per member.
 fn fairness(counts: &[f64]) -> f64 {
     let sum: f64 = counts.iter().sum();
     let squares: f64 = counts.iter().map(|count| count * count).sum();
@@ -81,7 +82,8 @@
                 moved += 2 - stayed;
             }
         }
-        // Each task has two assignees, so over all removals there are twice as many moves as tasks.
+        // Each task has two assignees, so all removals together move twice as many assignments as there are
+        // tasks.
         assert_eq!(moved, 2 * tasks.len());
     }
 }
@@ -102,20 +104,22 @@
     let all = members(300);
     let mut scheduler = scheduler(&all, 0);
     scheduler.on_endpoint_failing(ms(0), ENDPOINT, 30.0);
-    // Initially as many as send the target together, by what all of them sent before.
+    // The initial assignees together send the target number of probes, by the rate of all forwarders before
+    // the failure.
     let initial = (300.0 * Settings::default().target_probes / 60.0).ceil() as usize;
     assert_eq!(assigned_in(&mut scheduler, 0, &all), initial);
-    // Attempts that end in the first window were sent before the failure was known.
+    // Attempts in the first window are not counted, because they were sent before the failure was known.
     scheduler.on_probes(ms(100), ENDPOINT, 80.0, ProbeOutcome::Unanswered);
     let grown = [1, 2, 3, 4, 5].map(|window| assigned_in(&mut scheduler, window, &all));
     assert_eq!(grown[0], initial);
     assert!(grown.windows(2).all(|w| w[0] < w[1] && w[1] <= 2 * w[0]), "{grown:?}");
     assert!(grown[4] >= 4 * initial, "{grown:?}");
-    // Too many probes.
+    // More probes than the target reduce the number of assignees.
     scheduler.on_probes(ms(5 * WINDOW_MS + 10), ENDPOINT, 9.0, ProbeOutcome::Unanswered);
     let fewer = assigned_in(&mut scheduler, 6, &all);
     assert!(fewer < grown[4] / 2, "{fewer} of {grown:?}");
-    // An answer requires another one at once; further answers in the window change nothing.
+    // An answer increases the number of assignees at once, so that another one arrives soon. Further answers
+    // in the window change nothing.
     scheduler.on_probes(ms(6 * WINDOW_MS + 10), ENDPOINT, 1.0, ProbeOutcome::Answered);
     scheduler.on_probes(ms(6 * WINDOW_MS + 10), ENDPOINT, 1.0, ProbeOutcome::Answered);
     assert_eq!(assigned_in(&mut scheduler, 6, &all), 4 * fewer);
@@ -123,7 +127,7 @@
     assert_eq!(assigned_in(&mut scheduler, 6, &all), 0);
 }
 
-/// The mean number of probes in a window, over many windows with simulated requests.
+/// Checks the mean number of probes in a window, over many windows with simulated requests.
 #[test_case(3, 40.0; "three members with many requests")]
 #[test_case(30, 1.0; "thirty members")]
 #[test_case(300, 0.05; "three hundred members with few requests")]
@@ -137,7 +141,7 @@
     for window in 0..WINDOWS {
         for _ in assigned(&mut scheduler, ms(window * WINDOW_MS), &all) {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            // An assignee sends one probe in its window, if it has a request.
+            // An assignee sends one probe in a window if it has a request for the endpoint.
             let has_request = (random >> 11) as f64 / (1_u64 << 53) as f64 > (-requests_per_window).exp();
             let probes = f64::from(u8::from(has_request));
             let at = ms(window * WINDOW_MS + 500);
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -1,9 +1,10 @@
-//! The bytes of messages on the wire. `fixtures/wire-format.txt` holds one sealed message for each variant of each
-//! component's messages, as the program wrote them when the file was made. Members of that version may be running, so the
-//! same message has to be sealed to the same bytes, and the bytes have to be opened to the same message. A field or a
-//! variant that is moved, added or removed changes them, and needs a new version of the protocol.
+//! Tests of the bytes of messages on the wire. `fixtures/wire-format.txt` holds one sealed message for each
+//! variant of each component's messages, as the program wrote them when the file was created. Members of that
+//! version may be running, so the same message must be sealed to the same bytes, and the bytes must be opened
+//! to the same message. A field or a variant that is moved, added or removed changes the bytes, and needs a
+//! new version of the protocol.
 //!
-//! There is no switch that writes the file anew: where a message is added, the failing test prints its line.
+//! The file is not written automatically. When a message is added, the failing test prints the line to add.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -35,7 +36,7 @@
 
 const FIXTURE: &str = include_str!("fixtures/wire-format.txt");
 
-/// A message by the name that it has in the fixture.
+/// A message and its name in the fixture.
 type Named<M> = (&'static str, M);
 
 fn secrets() -> Secrets {
@@ -136,7 +137,7 @@
     ]
 }
 
-fn all_steps() -> [SplitPhase; 6] {
+fn all_split_phases() -> [SplitPhase; 6] {
     [
         SplitPhase::Foreseen,
         SplitPhase::Planned,
@@ -147,9 +148,9 @@
     ]
 }
 
-/// A form with a settled shard, and one at each step of a split.
+/// A shard map with one shard that is not being split, and one shard in each phase of a split.
 fn shard_map(version: u64) -> VersionedShardMap {
-    let splitting = all_steps().into_iter().zip(21..).map(|(step, shard)| (shard, 2, Some(step)));
+    let splitting = all_split_phases().into_iter().zip(21..).map(|(phase, shard)| (shard, 2, Some(phase)));
     let shards = [(20, 3, None)].into_iter().chain(splitting);
     let shards = shards.map(|(shard, bits, phase)| (ShardId(shard), ShardLayout { bits, phase })).collect();
     VersionedShardMap { version: ShardMapVersion(version), shards }
@@ -159,9 +160,9 @@
     Ballot { round: n, planner: 5, incarnation: n + 1000 }
 }
 
-fn votes() -> Vec<Named<ConsensusMessage>> {
+fn consensus_messages() -> Vec<Named<ConsensusMessage>> {
     let version = ShardMapVersion(901);
-    let here = |accepted| ConsensusMessage::RecoveryResponse {
+    let recovery_response = |accepted| ConsensusMessage::RecoveryResponse {
         to_incarnation: 921,
         decided: ShardMapVersion(922),
         promised: ballot(923),
@@ -183,8 +184,8 @@
         ("growth.vote.refused", ConsensusMessage::Rejected { version, promised: ballot(908) }),
         ("growth.vote.decided", ConsensusMessage::Decided { shard_map: shard_map(909) }),
         ("growth.vote.where", ConsensusMessage::RecoveryRequest { incarnation: 910 }),
-        ("growth.vote.here", here(accepted)),
-        ("growth.vote.here_with_none", here(None)),
+        ("growth.vote.here", recovery_response(accepted)),
+        ("growth.vote.here_with_none", recovery_response(None)),
     ]
 }
 
@@ -214,7 +215,11 @@
         ("growth.ended", GrowthMessage::ClosedDays { shard: ShardId(204), days }),
         ("growth.origin_slow", GrowthMessage::OriginSlow),
     ];
-    messages.extend(votes().into_iter().map(|(name, vote)| (name, GrowthMessage::Consensus(vote))));
+    messages.extend(
+        consensus_messages()
+            .into_iter()
+            .map(|(name, consensus_message)| (name, GrowthMessage::Consensus(consensus_message))),
+    );
     messages
 }
 
@@ -262,7 +267,7 @@
     ]
 }
 
-/// Every message with its sender: a forwarder, and for one message a planner.
+/// All messages with their names and senders. The sender is a forwarder, except for one message of a planner.
 fn all_messages() -> Vec<(&'static str, Sender, Message)> {
     fn of<M>(messages: Vec<Named<M>>, wrap: fn(M) -> Message) -> Vec<Named<Message>> {
         messages.into_iter().map(|(name, message)| (name, wrap(message))).collect()
@@ -284,7 +289,7 @@
     all
 }
 
-/// The fixture's lines: the bytes by name.
+/// The lines of the fixture: the bytes of each message by its name.
 fn fixture() -> BTreeMap<&'static str, Vec<u8>> {
     let line = |line: &'static str| {
         let (name, bytes) = line.split_once(" = ").expect("a name and its bytes");
@@ -321,12 +326,13 @@
     assert_eq!(FIXTURE.lines().count(), messages.len(), "two lines of one name");
 }
 
-/// Postcard writes a variant's index first.
+/// Returns the index of a value's variant, which postcard writes first.
 fn variant_index(value: &impl Serialize) -> u8 {
-    postcard::to_allocvec(value).expect("it can be written")[0]
+    postcard::to_allocvec(value).expect("the value can be encoded")[0]
 }
 
-/// The indices of all variants that exist: those that can be decoded, as each one can from zeros.
+/// Returns the indices of all variants of a type: the ones that can be decoded, since each variant can be
+/// decoded from zeros.
 fn all_variant_indices<T: DeserializeOwned>() -> BTreeSet<u8> {
     let can_be_decoded = |index: &u8| {
         let mut bytes = [0; 64];
@@ -352,17 +358,17 @@
     assert_has_all_variants(&without_names(leases_messages()));
     assert_has_all_variants(&without_names(growth_messages()));
     assert_has_all_variants(&without_names(counterfactual_messages()));
-    assert_has_all_variants(&without_names(votes()));
+    assert_has_all_variants(&without_names(consensus_messages()));
     assert_has_all_variants(&all_health_statuses());
     assert_has_all_variants(&all_resources());
-    assert_has_all_variants(&all_steps());
+    assert_has_all_variants(&all_split_phases());
     assert_has_all_variants(&all_service_outcomes());
     assert_has_all_variants(&all_comparisons());
     assert_has_all_variants(&[SketchKind::Read, SketchKind::Written]);
     assert_has_all_variants(&[from_planner().member, from_forwarder().member]);
 }
 
-/// Stored data and the log use these names, the wire these numbers.
+/// Guards the names, which stored data and the log use, and the numbers, which are sent on the wire.
 #[test]
 fn component_kinds_have_stable_names_and_numbers() {
     let kinds = ComponentKind::ALL.map(|kind| (kind as u8, kind.name()));
