--- a/crates/coordination/src/leases/demand_estimator.rs
+++ b/crates/coordination/src/leases/demand_estimator.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the current demand. The forwarder may use `permitted` now, and `even_share` is an even
-    /// division of the capacity among all forwarders. All three are in the resource's amounts, a second.
+    /// division of the capacity among all forwarders. All three are in the resource's amounts.
     pub fn estimate(&mut self, now: Time, permitted: f64, even_share: f64) -> f64 {
         let elapsed = (now - self.updated_at).as_secs_f64();
         if elapsed <= 0.0 {
--- a/crates/coordination/src/leases/error.rs
+++ b/crates/coordination/src/leases/error.rs
@@ -22,8 +22,8 @@
     /// A grant answers no request that is pending.
     #[error("leases: grant ignored: no pending request of this member matches it")]
     UnsolicitedGrant,
-    /// Members with the recipient's role do not receive this kind of message from the sender.
-    #[error("leases: message ignored: a member of this role does not receive it from its sender")]
+    /// The recipient does not accept this kind of message from a member with the sender's role.
+    #[error("leases: message ignored: this member does not accept messages of this kind from the sender")]
     UnexpectedMessage,
     /// The settings list no planner, or allow no forwarder.
     #[error("leases: invalid settings: at least one planner and one forwarder are required")]
--- a/crates/coordination/src/leases/ledger/claim.rs
+++ b/crates/coordination/src/leases/ledger/claim.rs
@@ -76,7 +76,7 @@
         self.grants.front().map(|grant| grant.expires_at)
     }
 
-    /// Whether no grant counts.
+    /// Whether no grant of the claim counts.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
--- a/crates/coordination/src/leases/mod.rs
+++ b/crates/coordination/src/leases/mod.rs
@@ -1,10 +1,11 @@
-//! Leases on shared capacity. The capacity is the origin's fetches and the work of each cache server that is
-//! warming up. It is granted by demand, so that what all forwarders together may send never exceeds it.
+//! Leases on shared capacity: the origin's fetches, and the work of each cache server that is warming up.
+//! Capacity is granted by demand, so that what all forwarders together may send never exceeds the capacity.
 //!
-//! Of a capacity W, each of N forwarders has a *guaranteed share* of `rho W / N` that never expires. The
-//! remaining capacity is divided evenly among the P planners of the fleet configuration; each planner's part
-//! is its *escrow*. A planner grants leases to forwarders from its escrow and from loans that other planners
-//! make to it. It makes loans to other planners from its escrow alone. Every lease and every loan expires.
+//! Of a capacity W, each of N forwarders has a *guaranteed share* of `rho W / N` that never expires, where
+//! rho is the guaranteed part of the capacity. The remaining capacity is divided evenly among the P planners
+//! of the fleet configuration; each planner's part is its *escrow*. A planner grants leases to forwarders
+//! from its escrow and from loans that other planners make to it. It makes loans to other planners from its
+//! escrow alone. Every lease and every loan expires.
 //!
 //! # Invariant
 //!
@@ -31,9 +32,9 @@
 //!   loan. Take any moment t, the greatest grant of each holder that is valid at t, and among these grants
 //!   the one that was made last, at g. All the others were counted at g, so the sum is within the limit that
 //!   was applied to the last grant; and t is before g plus the grantor duration, until which the loans last.
-//! - **The lender stops using a loaned amount before the borrower starts,** and the borrower stops using it
-//!   before the lender counts it as its own again, by the first point. So escrows and loans add up to the sum
-//!   of the escrows, which is W less the guaranteed shares.
+//! - **A loan is subtracted in the lender's ledger before it is added in the borrower's,** and it expires in
+//!   the borrower's ledger before the lender has the amount again, by the first point. So escrows and loans
+//!   add up to the sum of the escrows, which is W less the guaranteed shares.
 //! - **A planner that starts does not know the grants of its earlier incarnations,** so it grants nothing
 //!   until the grantor duration of the longest lease or loan that the settings allow has passed. It does not
 //!   know the loans that were made to its previous incarnation either; leases that were granted from such a
--- a/crates/coordination/src/membership/tracker.rs
+++ b/crates/coordination/src/membership/tracker.rs
@@ -146,8 +146,8 @@
     }
 
     /// Returns the notice to send in reply to a message that was ignored because of its incarnation, if a
-    /// notice is due. It must be sent to the address that the message came from, since the other process with
-    /// the same identity has another address.
+    /// notice is due. The notice must be sent to the address that the message came from, since the other
+    /// process with the same identity has another address.
     pub fn superseded_notice(&mut self, now: Time, from: Sender) -> Option<MembershipMessage> {
         let Member::Planner(_) = self.me else { return None };
         let peer = self.peers.get_mut(&from.member)?;
@@ -210,7 +210,7 @@
     }
 
     /// Whether this member must continue under a greater incarnation, because it was stalled, considered
-    /// failed or superseded. Its components must then be created anew.
+    /// failed or superseded. The host must then create the member's components anew.
     pub fn needs_new_incarnation(&self) -> bool {
         self.incarnation.needs_renewal()
     }
