--- a/crates/coordination/src/endpoint_health/merger.rs
+++ b/crates/coordination/src/endpoint_health/merger.rs
@@ -44,7 +44,7 @@
     latest: Option<ReceivedUpdate>,
 }
 
-/// The freshest evidence about an endpoint.
+/// The most recent evidence about an endpoint.
 #[derive(Clone, Copy)]
 struct Evidence {
     /// When the answer or failure was reported to the planner, by this forwarder's clock.
@@ -67,8 +67,8 @@
 
     /// Handles an update, or a fragment of one, from a planner.
     ///
-    /// # Errors
-    /// Returns the reason if the update is rejected: it is invalid, a duplicate, or older than the planner's latest one.
+    /// Returns the reason if the update is rejected: it is invalid, a duplicate, or older than the planner's
+    /// latest update.
     pub fn on_update(
         &mut self,
         now: Time,
@@ -90,7 +90,7 @@
     pub fn control_plane_update(&self, now: Time) -> ControlPlaneUpdate {
         let assigned_probes = self.assigned_probes(now);
         let mut update = ControlPlaneUpdate::default();
-        for (endpoint, evidence) in self.freshest_evidence(now) {
+        for (endpoint, evidence) in self.latest_evidence(now) {
             if !evidence.is_failing {
                 update.answering.push((endpoint, evidence.at));
             } else if assigned_probes.binary_search(&endpoint).is_err() {
@@ -121,16 +121,16 @@
         self.planners.values().flat_map(move |planner| planner.valid_statuses(now))
     }
 
-    fn freshest_evidence(&self, now: Time) -> BTreeMap<EndpointId, Evidence> {
-        let mut freshest: BTreeMap<EndpointId, Evidence> = BTreeMap::new();
+    fn latest_evidence(&self, now: Time) -> BTreeMap<EndpointId, Evidence> {
+        let mut latest: BTreeMap<EndpointId, Evidence> = BTreeMap::new();
         for received in self.valid_statuses(now) {
             let evidence = Evidence::of(received);
-            let known = freshest.entry(received.endpoint).or_insert(evidence);
+            let known = latest.entry(received.endpoint).or_insert(evidence);
             if evidence.overrides(*known) {
                 *known = evidence;
             }
         }
-        freshest
+        latest
     }
 }
 
--- a/crates/coordination/src/probe_scheduling/mod.rs
+++ b/crates/coordination/src/probe_scheduling/mod.rs
@@ -14,11 +14,11 @@
 //!   assigned until the window ends; a forwarder that is known to have failed is not chosen.
 //! - **Planners need not agree on windows.** Each planner counts windows by its own clock. The live planner
 //!   with the lowest number assigns probes. A planner with a higher number assigns probes only after windows
-//!   in which no probe was observed, for example when the first planner has just started and does not know of
-//!   the failure, and stops while there are more probes than the target. All planners observe the same
-//!   probes, since forwarders report to all planners. A forwarder is assigned if any planner assigns it; in
-//!   the worst case, when planners do not see one another, the number of probes is multiplied by the number
-//!   of planners.
+//!   in which no probe was observed, for example when the planner with the lowest number has just started and
+//!   does not know of the failure, and stops while there are more probes than the target. All planners
+//!   observe the same probes, since forwarders report to all planners. A forwarder is assigned if any planner
+//!   assigns it; in the worst case, when planners do not see one another, the number of probes is multiplied
+//!   by the number of planners.
 //! - **Recovery does not depend on assignments.** When planners are silent, forwarders that are not assigned
 //!   still probe by their own backoff.
 
--- a/crates/coordination/src/probe_scheduling/scheduler.rs
+++ b/crates/coordination/src/probe_scheduling/scheduler.rs
@@ -79,7 +79,7 @@
     probes: f64,
     /// Whether a probe was answered in the current window.
     is_answered: bool,
-    /// The number of windows in a row without a probe.
+    /// The number of consecutive windows without a probe.
     windows_without_probes: u64,
     /// The assigned forwarders, in ascending order.
     assignees: Vec<ForwarderId>,
--- a/crates/coordination/tests/endpoint_health.rs
+++ b/crates/coordination/tests/endpoint_health.rs
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_planner_with_fresher_evidence_is_believed() {
+fn the_planner_with_the_latest_evidence_decides() {
     let mut merger = UpdateMerger::new();
     let first = Incarnation(1);
     let second = Incarnation(2);
