--- a/crates/coordination/src/counterfactual/estimate.rs
+++ b/crates/coordination/src/counterfactual/estimate.rs
@@ -1,8 +1,8 @@
-//! The result of an estimation: a figure with its interval, or that there is no support for one.
+//! The result of an estimation: an estimate with its confidence interval, or [`NoSupport`].
 
-/// No node's choice gives evidence, so there is no figure.
+/// There are too few suitable requests for an estimate, so there is no figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no node's choice gives evidence")]
+#[error("there are too few suitable requests in the sample for an estimate")]
 pub struct NoSupport;
 
 /// An estimate with its 95% confidence interval.
@@ -10,25 +10,25 @@
 pub struct Estimate {
     /// The point estimate.
     pub mean: f64,
-    /// The lower end of the interval.
+    /// The lower end of the confidence interval.
     pub low: f64,
-    /// The upper end of the interval.
+    /// The upper end of the confidence interval.
     pub high: f64,
-    /// The probability of as large a figure, or a larger one, by chance alone.
+    /// The probability that chance alone gives an estimate at least as far from the hypothesis.
     pub p_value: f64,
-    /// Whether several forwarders saw it: it doesn't rest on a single one that is cut off from a cache, or lies.
+    /// Whether the estimate holds without any single forwarder, which may be cut off from a cache, or lie.
     pub is_corroborated: bool,
-    /// The number of requests on which it rests.
+    /// The number of requests from which the mean is estimated.
     pub requests: usize,
-    /// What it speaks of; empty for estimates by randomized assignment.
+    /// The strata that the estimate covers; empty for estimates by randomized assignment.
     pub strata: Vec<Stratum>,
 }
 
-/// The requests of one work class that are part of an estimate.
+/// The work class and candidate positions of one part of the requests that an estimate covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stratum {
     /// The work class.
     pub work_class: u8,
-    /// The positions among the candidates that are compared.
+    /// The positions among the candidates that the estimate covers.
     pub positions: Vec<usize>,
 }
--- a/crates/coordination/src/counterfactual/event.rs
+++ b/crates/coordination/src/counterfactual/event.rs
@@ -1,4 +1,4 @@
-//! Lines for the log: their event names, which alerts and tests match, and their sentences.
+//! Events for the log: their names, which alerts and tests match, and their messages.
 
 use super::estimate::{Estimate, NoSupport};
 use super::message::{Comparison, ComparisonReport, ComparisonScale};
@@ -6,7 +6,7 @@
 use crate::component::Event;
 use crate::member::Member;
 
-/// A planner's event for a comparison.
+/// The event that a planner logs for a comparison.
 pub(super) fn comparison_event(report: &ComparisonReport, scale: ComparisonScale) -> Event {
     let (name, is_warning) = match report.comparison {
         Comparison::NoSupport => ("hindsight_no_support", false),
@@ -21,7 +21,7 @@
     Event { name, message, is_warning }
 }
 
-/// A forwarder's event for a comparison that a planner reported.
+/// The event that a forwarder logs for a comparison that a planner reported.
 pub(super) fn reported_comparison_event(
     planner: Member,
     report: &ComparisonReport,
@@ -38,13 +38,17 @@
 fn describe_waited_share(report: &ComparisonReport) -> String {
     let subject = subject(report);
     let figures = format!(
-        "{:+.1}% of the SLO waited, 95% interval {:+.1} to {:+.1}",
+        "{:+.1}% of the SLO in waiting time, 95% confidence interval {:+.1}% to {:+.1}%",
         100.0 * report.estimate,
         100.0 * report.low,
         100.0 * report.high
     );
     match report.comparison {
-        Comparison::NoSupport => format!("{subject}: no node's choice gives evidence"),
+        Comparison::NoSupport => {
+            format!(
+                "{subject}: too few requests were sampled to compare it with its requests' other candidates"
+            )
+        }
         Comparison::AsGood => {
             format!("{subject} is as good as its requests' other candidates ({figures})")
         }
@@ -56,47 +60,50 @@
 fn describe_time_ratio(report: &ComparisonReport) -> String {
     let subject = subject(report);
     let figures = format!(
-        "{:.2} times the time of other caches' requests, 95% interval {:.2} to {:.2}",
+        "its requests take {:.2} times the time of other caches' requests, 95% confidence interval {:.2} to {:.2}",
         report.estimate, report.low, report.high
     );
     match report.comparison {
         Comparison::NoSupport => {
-            format!("{subject}: too few keys are assigned to it to compare its times with others'")
+            format!(
+                "{subject}: too few keys have it as first candidate to compare its times with other caches"
+            )
         }
-        Comparison::AsGood => format!("{subject} is about as quick as others ({figures})"),
-        Comparison::Worse => format!("{subject} is slower than others: {figures}"),
-        Comparison::Better => format!("{subject} is quicker than others: {figures}"),
+        Comparison::AsGood => format!("{subject} is about as fast as other caches ({figures})"),
+        Comparison::Worse => format!("{subject} is slower than other caches: {figures}"),
+        Comparison::Better => format!("{subject} is faster than other caches: {figures}"),
     }
 }
 
-/// A policy with its estimated value, the share of requests in time.
+/// A selection policy with the estimated share of first attempts that it would have fulfilled within the SLO.
 pub(super) struct PolicyValue {
     pub policy: SelectionPolicy,
     pub in_time: Result<Estimate, NoSupport>,
 }
 
-/// A planner's event for the values of policies.
+/// The event that a planner logs for the values of selection policies.
 pub(super) fn policy_values_event(request_class: u16, values: &[PolicyValue]) -> Event {
     let described: Vec<String> = values.iter().map(describe_policy_value).collect();
+    let described = described.join(", ");
     let message =
-        format!("request class {request_class}, first attempts fulfilled in time: {}", described.join(", "));
+        format!("request class {request_class}, share of first attempts fulfilled in time:  {described}");
     Event { name: "hindsight_values", message, is_warning: false }
 }
 
 fn describe_policy_value(value: &PolicyValue) -> String {
     let policy = match value.policy {
         SelectionPolicy::FirstCandidate => "first candidate".to_owned(),
-        SelectionPolicy::UniformRandom => "random candidate of three".to_owned(),
-        SelectionPolicy::Observed => "as observed".to_owned(),
+        SelectionPolicy::UniformRandom => "random one of three candidates".to_owned(),
+        SelectionPolicy::Observed => "observed selection".to_owned(),
         SelectionPolicy::SecondWhenBusy(in_flight) => {
-            format!("second candidate at {in_flight} in flight to the first")
+            format!("second candidate if {in_flight} or more attempts are in flight to the first")
         }
     };
     match &value.in_time {
         Ok(estimate) => {
             let [mean, low, high] = [estimate.mean, estimate.low, estimate.high].map(|share| 100.0 * share);
-            format!("{policy} {mean:.1}% ({low:.1} to {high:.1})")
+            format!("{policy} {mean:.1}% (95% confidence interval {low:.1}% to {high:.1}%)")
         }
-        Err(NoSupport) => format!("{policy}: no support"),
+        Err(NoSupport) => format!("{policy} not estimated (too few requests sampled)"),
     }
 }
--- a/crates/coordination/src/counterfactual/message.rs
+++ b/crates/coordination/src/counterfactual/message.rs
@@ -1,42 +1,42 @@
-//! Messages between forwarders and planners. They travel in postcard's form: the order of fields and of variants is part
-//! of the protocol.
+//! Messages between forwarders and planners. They are encoded with postcard: the order of fields and of
+//! variants is part of the protocol.
 
 use serde::{Deserialize, Serialize};
 
 use super::sampled_request::SampledRequest;
 
-/// How a cache compares with the alternatives, for one request class.
+/// How a cache compares with other caches, for one request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Comparison {
-    /// No node's choice gives evidence.
+    /// There is too little evidence to compare the cache.
     NoSupport,
-    /// No difference that is worth reporting.
+    /// There is no difference that is worth reporting.
     AsGood,
-    /// Requests fare worse at this cache.
+    /// Requests are served worse by this cache.
     Worse,
-    /// Requests fare better at this cache.
+    /// Requests are served better by this cache.
     Better,
 }
 
 impl Comparison {
-    /// Whether a difference was found.
+    /// Whether the cache is worse or better than the others.
     pub(super) fn is_difference(self) -> bool {
         matches!(self, Comparison::Worse | Comparison::Better)
     }
 }
 
-/// The scale on which a cache is compared.
+/// The scale of the estimate by which a cache is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ComparisonScale {
-    /// How much longer a request waits at the cache than at its other candidates, as a share of the SLO. Estimated from
-    /// the nodes' choices.
+    /// How much longer a request waits at the cache than at its other candidates, as a share of the SLO. The
+    /// share is estimated from the nodes' choices.
     WaitedShare,
-    /// The ratio of the time of requests whose first candidate the cache is to that of other caches' requests. Estimated
-    /// from the randomized assignment of keys.
+    /// The ratio of the time of requests whose first candidate is the cache to the time of other caches'
+    /// requests. The ratio is estimated from the randomized assignment of keys.
     TimeRatio,
 }
 
-/// A comparison as planners report it to forwarders, for their log.
+/// A comparison as planners report it to forwarders, which log it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ComparisonReport {
     /// The cache, by its endpoint's number.
@@ -45,11 +45,11 @@
     pub request_class: u16,
     /// How the cache compares.
     pub comparison: Comparison,
-    /// The estimate, on the scale of the message; 0 without support.
+    /// The point estimate, on the scale of the message; 0 without support.
     pub estimate: f32,
-    /// The lower end of the estimate's 95% interval.
+    /// The lower end of the estimate's 95% confidence interval; 0 without support.
     pub low: f32,
-    /// The upper end of the estimate's 95% interval.
+    /// The upper end of the estimate's 95% confidence interval; 0 without support.
     pub high: f32,
 }
 
@@ -58,11 +58,11 @@
 pub struct CacheStart {
     /// The cache, by its endpoint's number.
     pub cache: u64,
-    /// How long before the message the cache started, in milliseconds.
+    /// How long before the message was sent the cache started, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A message between the two sides.
+/// A message between a forwarder and a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CounterfactualMessage {
     /// From a forwarder: sampled requests that have ended.
@@ -71,7 +71,8 @@
     CacheStarts(Vec<CacheStart>),
     /// From a planner: comparisons by [`ComparisonScale::WaitedShare`].
     WaitedShareReports(Vec<ComparisonReport>),
-    /// From a planner: comparisons by [`ComparisonScale::TimeRatio`]. It has a variant of its own so that earlier versions
-    /// refuse it and go on reading the other.
+    /// From a planner: comparisons by [`ComparisonScale::TimeRatio`]. They have a variant of their own so
+    /// that earlier versions reject this variant and continue to read
+    /// [`CounterfactualMessage::WaitedShareReports`].
     TimeRatioReports(Vec<ComparisonReport>),
 }
--- a/crates/coordination/src/counterfactual/mod.rs
+++ b/crates/coordination/src/counterfactual/mod.rs
@@ -1,37 +1,43 @@
-//! Off-policy evaluation of the nodes' endpoint selection: would requests have been served better elsewhere?
+//! Off-policy evaluation of the nodes' endpoint selection: estimates whether other caches would have served
+//! requests better.
 //!
-//! Forwarders report a hashed sample of the requests that they served ([`SampledRequest`]). Planners estimate from
-//! these reports, without sending a single request elsewhere:
+//! Forwarders report a hashed sample of the requests that they served ([`SampledRequest`]). From these
+//! reports alone, without sending any request to another cache, planners estimate:
 //!
-//! - **The effect of a cache** ([`Dataset::compare_cache`]): how much more of the SLO requests wait at a cache than they
-//!   would have waited at their other candidates. The estimator is doubly robust: an outcome model predicts each
-//!   candidate, and requests that were really sent there correct the prediction, weighted by the inverse of their
-//!   propensity. It is valid if either the model or the propensities are right among alike requests, that is, if
-//!   whatever steers a node's choice and also affects the time is among the covariates that alike requests share: request
-//!   class, work class, candidate position, cache, and time bucket (no unmeasured confounding).
-//! - **The value of a selection policy** ([`Dataset::policy_value`]): the mean outcome had each request alone been
-//!   sent by that policy, under the same assumptions. Requests are assumed not to interfere: one request does not
-//!   move load, so the value of a policy is right for a small part of the requests, and a hint for more.
-//! - **The time ratio of a cache by randomized assignment** ([`RandomizedAssignment`]): which cache is a key's first
-//!   candidate is drawn by a hash, as in a randomized trial whose units are keys. Requests are compared by their first
-//!   candidate wherever they were sent (intention to treat), so this needs no variation in the nodes' choices and no
-//!   assumption about what steers them.
+//! - **The effect of a cache** ([`Dataset::compare_cache`]): how much more of the SLO requests wait at a
+//!   cache than they would have waited at their other candidates. The estimator is doubly robust: an outcome
+//!   model predicts the outcome at each candidate, and the requests that were sent to a candidate correct the
+//!   model's prediction there, weighted by the inverse of their propensity. The estimate is valid if the
+//!   model or the propensities are right among requests with equal covariates. This holds if there is no
+//!   unmeasured confounding: every variable that affects both a node's choice and the time must be a
+//!   covariate. The covariates are request class, work class, candidate position, cache, and time bucket.
+//! - **The value of a selection policy** ([`Dataset::policy_value`]): the mean outcome if each request alone
+//!   had been sent by the policy, under the same assumptions. Requests are assumed not to interfere: moving
+//!   one request does not move load. The value of a policy is therefore right for a small part of the
+//!   requests, and a hint for a larger part.
+//! - **The time ratio of a cache by randomized assignment** ([`RandomizedAssignment`]): a hash draws which
+//!   cache is a key's first candidate, as in a randomized trial whose units are keys. Requests are compared
+//!   by their first candidate wherever they were sent (intention to treat). The comparison therefore needs no
+//!   variation in the nodes' choices and no assumption about what determines the choices.
 //!
-//! Only first attempts of reads count: retries are sent because of how the first attempt went, and writes are not
-//! considered.
+//! Only first attempts of reads count: whether a retry is sent depends on the outcome of the first attempt,
+//! and writes are not considered.
 //!
-//! Times of requests that were cancelled are right-censored and enter through the Kaplan-Meier curve of their group.
-//! Estimates become a [`Comparison`] of each cache with the others, controlled for the false discovery rate, with
-//! hysteresis. Comparisons inform people, through the log and through messages to forwarders; they trigger nothing.
+//! Times of cancelled requests are right-censored and enter through the Kaplan-Meier curve of their group.
+//! Estimates become a [`Comparison`] of each cache with the others, controlled for the false discovery rate,
+//! with hysteresis. Planners log the comparisons and send them to forwarders, which log them too; comparisons
+//! trigger nothing else.
 //!
 //! # Invariants
 //!
-//! - There is no figure without support (overlap): where no node's choice gives evidence the result is [`NoSupport`],
-//!   which holds no number. No request is sent elsewhere for the sake of an estimate, so evidence is only what nodes
-//!   chose by themselves, for reasons of their own: their views differ.
-//! - Estimates depend on the set of reports alone, not on their order, repetition or loss (see the planner component).
-//! - The planner component owns the reports, the comparisons and the times of cache starts; a forwarder component owns
-//!   the reports that are not sent yet. Nothing is persisted.
+//! - Every figure has support (overlap): where the nodes' choices give too little evidence, the result is
+//!   [`NoSupport`], which holds no number. No request is sent to another cache for the sake of an estimate,
+//!   so the only evidence is what nodes chose for reasons of their own; choices differ because nodes' views
+//!   differ.
+//! - Estimates depend only on the set of reports, not on their order or repetition; a lost report costs
+//!   support only (see the planner component).
+//! - The planner component owns the reports, the comparisons and the times of cache starts; a forwarder
+//!   component owns the reports that are not sent yet. Nothing is persisted.
 
 mod cache_effect;
 mod cluster_variance;
