--- a/crates/coordination/src/counterfactual/comparison.rs
+++ b/crates/coordination/src/counterfactual/comparison.rs
@@ -1,15 +1,16 @@
-//! The comparison of a cache over time, with hysteresis: one finding changes nothing.
+//! The comparison of a cache over time, with hysteresis: a single finding neither enters nor leaves a
+//! comparison of worse or better.
 //!
-//! Invariant: a comparison of worse or better is entered only by findings that are discoveries several times in a row, and
-//! left only once the interval has held zero for several more. Discoveries of a round are controlled for their false
-//! discovery rate over all caches and request classes (`multiple_testing`): by p-values for estimates from the nodes'
-//! choices, by e-values for those from the randomized assignment.
+//! Invariant: a comparison of worse or better is entered only after several discoveries in a row, and left
+//! only after the confidence interval has contained zero several times in a row. The discoveries of a round
+//! are controlled for their false discovery rate over all caches and request classes (`multiple_testing`): by
+//! p-values for estimates from the nodes' choices, by e-values for estimates from the randomized assignment.
 
 use super::estimate::{Estimate, NoSupport};
 use super::message::{Comparison, ComparisonReport, ComparisonScale};
 use super::settings::Settings;
 
-/// What is compared. Its order is that of reports and log lines.
+/// Identifies a comparison. Reports and log lines are in the order of their keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ComparisonKey {
     pub cache: u64,
@@ -21,9 +22,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct ComparisonTracker {
     comparison: Comparison,
-    /// What the last findings were, other than the comparison.
+    /// The last finding that differed from the comparison.
     pending: Comparison,
-    /// How many times in a row they were that.
+    /// How many times in a row the finding was `pending`.
     pending_findings: u32,
     last_estimate: Option<Estimate>,
 }
@@ -40,12 +41,12 @@
 }
 
 impl ComparisonTracker {
-    /// How the cache compares now.
+    /// The current comparison of the cache.
     pub fn comparison(&self) -> Comparison {
         self.comparison
     }
 
-    /// Takes in a new finding, and whether it is a discovery. Returns whether the comparison has changed.
+    /// Updates the comparison with a new estimate. Returns whether the comparison has changed.
     pub fn update(
         &mut self,
         settings: &Settings,
@@ -53,23 +54,23 @@
         estimate: Result<Estimate, NoSupport>,
         is_discovery: bool,
     ) -> bool {
-        let found = self.finding(settings.min_effect(scale), &estimate, is_discovery);
+        let finding = self.finding(settings.min_effect(scale), &estimate, is_discovery);
         self.last_estimate = estimate.ok();
-        if found == self.comparison {
+        if finding == self.comparison {
             self.pending_findings = 0;
             return false;
         }
-        self.pending_findings = if found == self.pending { self.pending_findings + 1 } else { 1 };
-        self.pending = found;
-        if self.pending_findings < findings_to_change(settings, self.comparison, found) {
+        self.pending_findings = if finding == self.pending { self.pending_findings + 1 } else { 1 };
+        self.pending = finding;
+        if self.pending_findings < findings_to_change(settings, self.comparison, finding) {
             return false;
         }
-        self.comparison = found;
+        self.comparison = finding;
         self.pending_findings = 0;
         true
     }
 
-    /// The comparison that an estimate speaks for by itself.
+    /// The comparison that a single estimate supports, given the current one.
     fn finding(
         &self,
         min_effect: f64,
@@ -83,7 +84,8 @@
         if is_discovery && estimate.mean <= -min_effect {
             return Comparison::Better;
         }
-        // Neither a discovery nor clearly none: a comparison that was well entered stays.
+        // An estimate that is no discovery, but whose interval is still on the same side of zero, keeps the
+        // comparison.
         match self.comparison {
             Comparison::Worse if estimate.low > 0.0 => Comparison::Worse,
             Comparison::Better if estimate.high < 0.0 => Comparison::Better,
@@ -93,12 +95,12 @@
 
     /// The comparison as it is reported to forwarders.
     pub fn report(&self, key: ComparisonKey) -> ComparisonReport {
-        let reported = |figure: f64| match key.scale {
+        let to_report_scale = |figure: f64| match key.scale {
             ComparisonScale::WaitedShare => figure as f32,
             ComparisonScale::TimeRatio => figure.exp() as f32,
         };
-        let figure = |of: fn(&Estimate) -> f64| {
-            self.last_estimate.as_ref().map_or(0.0, |estimate| reported(of(estimate)))
+        let figure = |field: fn(&Estimate) -> f64| {
+            self.last_estimate.as_ref().map_or(0.0, |estimate| to_report_scale(field(estimate)))
         };
         ComparisonReport {
             cache: key.cache,
@@ -111,7 +113,7 @@
     }
 }
 
-/// How many findings in a row it takes to change from one comparison to another.
+/// The number of findings in a row after which the comparison changes from `from` to `to`.
 fn findings_to_change(settings: &Settings, from: Comparison, to: Comparison) -> u32 {
     if to.is_difference() {
         settings.findings_to_enter
--- a/crates/coordination/src/counterfactual/comparison/tests.rs
+++ b/crates/coordination/src/counterfactual/comparison/tests.rs
@@ -29,7 +29,7 @@
     for n in 1..=settings.findings_to_enter {
         assert_eq!(update(0.2, true).0, n == settings.findings_to_enter);
     }
-    // No discovery, but the interval is still above zero.
+    // An estimate that is no discovery keeps the comparison while its interval is above zero.
     assert_eq!(update(0.05, false), (false, Comparison::Worse));
     for n in 1..=settings.findings_to_leave {
         assert_eq!(update(0.01, false).0, n == settings.findings_to_leave);
--- a/crates/coordination/src/counterfactual/kaplan_meier/tests.rs
+++ b/crates/coordination/src/counterfactual/kaplan_meier/tests.rs
@@ -1,7 +1,7 @@
 use super::{CensoredTime, PseudoValue, pseudo_values};
 
-fn mean(values: &[PseudoValue], of: fn(&PseudoValue) -> f64) -> f64 {
-    values.iter().map(of).sum::<f64>() / values.len() as f64
+fn mean(values: &[PseudoValue], field: fn(&PseudoValue) -> f64) -> f64 {
+    values.iter().map(field).sum::<f64>() / values.len() as f64
 }
 
 fn time(duration: f64, is_observed: bool) -> CensoredTime {
@@ -18,12 +18,13 @@
     }
 }
 
-/// A curve worked out by hand: 3 observed, 1 censored after the first response, horizon 4.
+/// The expected curve is computed by hand: within the horizon of 4, three responses arrive and one request is
+/// censored after the first response.
 #[test]
 fn the_mean_of_pseudo_values_is_the_figure_of_the_curve() {
     let group = [time(1.0, true), time(1.5, false), time(2.0, true), time(3.0, true), time(5.0, false)];
     let values = pseudo_values(&group, 4.0, 1).expect("enough");
-    // Survival after 1: 0.8; after 2: 0.8 * 2/3; after 3: 0.8 * 1/3.
+    // The survival after 1 is 0.8, after 2 it is 0.8 * 2/3, and after 3 it is 0.8 * 1/3.
     let curve = 1.0 + 0.8 + 0.8 * 2.0 / 3.0 + 0.8 / 3.0;
     assert!((mean(&values, |v| v.waited) - curve / 4.0).abs() < 1e-9);
     assert!((mean(&values, |v| v.in_time) - (1.0 - 0.8 / 3.0)).abs() < 1e-9);
