--- a/crates/coordination/src/counterfactual/outcome.rs
+++ b/crates/coordination/src/counterfactual/outcome.rs
@@ -1,4 +1,5 @@
-//! What is estimated of a request, and its value from the Kaplan-Meier curves of alike requests.
+//! The outcome measures of requests, and their pseudo-values from the Kaplan-Meier curves of groups of
+//! similar requests.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +7,24 @@
 use super::sampled_request::{SampledRequest, ServiceOutcome};
 use crate::member::ForwarderId;
 
-/// The fewest resolved times of a curve, keys of a cache, and choices of a candidate that support a figure.
+/// The fewest resolved times of a curve, keys of a cache, or choices of a candidate that support an estimate.
 pub(super) const MIN_SUPPORT: usize = 5;
 
-/// It is known at once that a failed request gets no response: it waits all of the SLO, and nothing of it is censored.
+/// The pseudo-value of a failed request: it is known at once to get no response, so it counts as waiting for
+/// all of the SLO, and it is never censored.
 const FAILED: PseudoValue = PseudoValue { waited: 1.0, in_time: 0.0 };
 
-/// The figure that is estimated of requests.
+/// The outcome of a request that is estimated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OutcomeMeasure {
-    /// The share of the SLO that a request waits; one that is not answered within it waits all of it.
+    /// The share of the SLO that a request waits; 1 for a request that is not answered within the SLO.
     WaitedShare,
-    /// Whether a request is fulfilled within the SLO.
+    /// Whether a request is fulfilled within the SLO: 1 or 0.
     InTime,
 }
 
 impl OutcomeMeasure {
+    /// The measure of a request with this pseudo-value.
     pub(super) fn of(self, value: &PseudoValue) -> f64 {
         match self {
             OutcomeMeasure::WaitedShare => value.waited,
@@ -30,7 +33,7 @@
     }
 }
 
-/// A sampled request with who reported it and when it ended.
+/// A sampled request with the forwarder that reported it and the time bucket in which it ended.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedRequest<'a> {
     /// The report.
@@ -41,9 +44,11 @@
     pub time_bucket: u64,
 }
 
-/// The pseudo-values of the requests whose group has enough resolved times, by the request's index.
+/// Returns the pseudo-values of failed requests and of the requests whose group has enough resolved times, by
+/// the request's index.
 ///
-/// `scale` turns a duration in tenths of a millisecond into the unit of the curve and has to grow with it.
+/// `scale` converts a duration in tenths of a millisecond into the unit of the curve; it has to be
+/// increasing.
 pub(super) fn pseudo_values_by_group<G: Ord>(
     requests: &[ReportedRequest<'_>],
     group_of: impl Fn(&SampledRequest) -> G,
@@ -61,14 +66,15 @@
         values.extend(failed.into_iter().map(|index| (index, FAILED)));
         let times: Vec<CensoredTime> =
             waited.iter().map(|index| censored_time(requests[*index].request, &scale)).collect();
-        if let Some(of_group) = pseudo_values(&times, horizon, MIN_SUPPORT) {
-            values.extend(waited.into_iter().zip(of_group));
+        if let Some(group_values) = pseudo_values(&times, horizon, MIN_SUPPORT) {
+            values.extend(waited.into_iter().zip(group_values));
         }
     }
     values
 }
 
-/// A request class has one SLO; if it changes, the greatest is what all its requests can be judged by.
+/// Returns the greatest SLO of the requests, in tenths of a millisecond. A request class has one SLO; if it
+/// changes, all requests of the class are measured against the greatest.
 pub(super) fn greatest_slo(requests: &[ReportedRequest<'_>]) -> u32 {
     requests.iter().map(|reported| reported.request.slo).max().unwrap_or(0)
 }
--- a/crates/coordination/src/counterfactual/outcome_model.rs
+++ b/crates/coordination/src/counterfactual/outcome_model.rs
@@ -1,10 +1,12 @@
-//! The outcome model: a request's expected outcome at a candidate, by what is known before it is sent.
+//! The outcome model: predicts a request's outcome at a candidate from what is known before the request is
+//! sent.
 //!
-//! It is a mixture of hits and misses by cache and position, with means by work class, plus effects of the time bucket.
-//! Figures of single caches are shrunk toward those of all caches (partial pooling).
+//! The model is a mixture of hits and misses by cache and position, with means by work class, plus effects of
+//! the time bucket. Estimates of single caches are shrunk toward those of all caches (partial pooling).
 //!
-//! Invariant: the model answers for every cache, position and work class, and leans on what is known of all caches as far as
-//! little is known of the one. It need not be right: whoever uses it adds the residuals of the requests really sent there.
+//! Invariant: the model has a prediction for every cache, position and work class; the less is known of a
+//! cache, the closer its prediction is to that for all caches. The model need not be right: estimators that
+//! use it add the residuals of the requests that were sent to the candidate.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +14,14 @@
 use super::outcome::OutcomeMeasure;
 use super::sampled_request::{MAX_CANDIDATES, ServiceOutcome, WORK_CLASSES};
 
-/// The mean of all caches counts as much as this many requests of the one.
+/// The number of requests of a cache whose weight the mean of all caches has in that cache's shrunk mean.
 const PRIOR_REQUESTS: f64 = 5.0;
-/// The hit rate toward which that of all caches is shrunk.
+/// The hit rate toward which the hit rate of all caches is shrunk.
 const PRIOR_HIT_RATE: f64 = 0.5;
-/// Means are estimated by work class, for hits and misses.
-const MEAN_KINDS: usize = WORK_CLASSES as usize * 2;
+/// The number of mean outcomes: one of hits and one of misses for each work class.
+const MEAN_COUNT: usize = WORK_CLASSES as usize * 2;
 
+/// A sum of weighted values, and the sum of their weights.
 #[derive(Clone, Copy, Default)]
 struct WeightedSum {
     weight: f64,
@@ -37,14 +40,16 @@
     }
 }
 
-fn mean_kind(work_class: u8, is_hit: bool) -> usize {
+/// The index of the mean outcome of hits or misses of a work class.
+fn mean_index(work_class: u8, is_hit: bool) -> usize {
     usize::from(work_class) * 2 + usize::from(is_hit)
 }
 
+/// The sums over the requests that were sent to one cache.
 #[derive(Clone, Copy, Default)]
 struct CacheSums {
     hits: [WeightedSum; MAX_CANDIDATES],
-    outcomes: [WeightedSum; MEAN_KINDS],
+    outcomes: [WeightedSum; MEAN_COUNT],
 }
 
 /// A time bucket at one cache.
@@ -57,11 +62,11 @@
 /// A fitted model of one outcome measure.
 pub(super) struct OutcomeModel {
     hit_rates: [f64; MAX_CANDIDATES],
-    mean_outcomes: [f64; MEAN_KINDS],
+    mean_outcomes: [f64; MEAN_COUNT],
     caches: BTreeMap<u64, CacheSums>,
-    /// What a time bucket adds at all caches.
+    /// The mean that a time bucket adds to the outcomes at all caches.
     time_effects: BTreeMap<u64, WeightedSum>,
-    /// What a time bucket adds at one cache beyond that.
+    /// The mean that a time bucket adds to the outcomes at one cache, beyond its effect at all caches.
     cache_time_effects: BTreeMap<CacheTimeBucket, WeightedSum>,
 }
 
@@ -73,7 +78,7 @@
     ) -> OutcomeModel {
         let mut model = OutcomeModel {
             hit_rates: [0.0; MAX_CANDIDATES],
-            mean_outcomes: [0.0; MEAN_KINDS],
+            mean_outcomes: [0.0; MEAN_COUNT],
             caches: BTreeMap::new(),
             time_effects: BTreeMap::new(),
             cache_time_effects: BTreeMap::new(),
@@ -86,7 +91,7 @@
     }
 
     fn fit_hit_rates<'a>(&mut self, requests: impl Iterator<Item = &'a LabeledRequest>) {
-        let mut of_all = [WeightedSum::default(); MAX_CANDIDATES];
+        let mut all_caches = [WeightedSum::default(); MAX_CANDIDATES];
         for labeled in requests {
             let hit = match labeled.request.outcome {
                 ServiceOutcome::Hit => 1.0,
@@ -94,11 +99,11 @@
                 ServiceOutcome::Censored | ServiceOutcome::Failed => continue,
             };
             let position = labeled.position();
-            of_all[position].add(1.0, hit);
-            let of_cache = self.caches.entry(labeled.request.chosen_cache()).or_default();
-            of_cache.hits[position].add(1.0, hit);
+            all_caches[position].add(1.0, hit);
+            let cache_sums = self.caches.entry(labeled.request.chosen_cache()).or_default();
+            cache_sums.hits[position].add(1.0, hit);
         }
-        self.hit_rates = of_all.map(|sum| sum.shrunk_mean(PRIOR_HIT_RATE));
+        self.hit_rates = all_caches.map(|sum| sum.shrunk_mean(PRIOR_HIT_RATE));
     }
 
     fn fit_mean_outcomes<'a>(
@@ -106,32 +111,33 @@
         requests: impl Iterator<Item = &'a LabeledRequest>,
         measure: OutcomeMeasure,
     ) {
-        let mut of_all = [WeightedSum::default(); MEAN_KINDS];
+        let mut all_caches = [WeightedSum::default(); MEAN_COUNT];
         for labeled in requests {
             let position = labeled.position();
-            let of_cache = self.caches.entry(labeled.request.chosen_cache()).or_default();
-            // It isn't known whether a censored request would have been a hit: it counts as both, by their shares.
+            let cache_sums = self.caches.entry(labeled.request.chosen_cache()).or_default();
+            // Whether a censored or failed request would have been a hit is unknown: it counts as both, by
+            // their shares.
             let hit_share = match labeled.request.outcome {
                 ServiceOutcome::Hit => 1.0,
                 ServiceOutcome::Miss => 0.0,
                 ServiceOutcome::Censored | ServiceOutcome::Failed => {
-                    of_cache.hits[position].shrunk_mean(self.hit_rates[position])
+                    cache_sums.hits[position].shrunk_mean(self.hit_rates[position])
                 }
             };
             let value = measure.of(&labeled.pseudo_value);
             for (is_hit, weight) in [(true, hit_share), (false, 1.0 - hit_share)] {
-                let kind = mean_kind(labeled.request.work_class, is_hit);
-                of_all[kind].add(weight, value);
-                of_cache.outcomes[kind].add(weight, value);
+                let index = mean_index(labeled.request.work_class, is_hit);
+                all_caches[index].add(weight, value);
+                cache_sums.outcomes[index].add(weight, value);
             }
         }
         let mut total = WeightedSum::default();
-        for sum in of_all {
+        for sum in all_caches {
             total.weight += sum.weight;
             total.sum += sum.sum;
         }
         let mean = total.sum / total.weight.max(1.0);
-        self.mean_outcomes = of_all.map(|sum| sum.shrunk_mean(mean));
+        self.mean_outcomes = all_caches.map(|sum| sum.shrunk_mean(mean));
     }
 
     fn fit_time_effects<'a>(
@@ -154,25 +160,27 @@
         let mut effects: BTreeMap<CacheTimeBucket, WeightedSum> = BTreeMap::new();
         for labeled in requests {
             let cache = labeled.request.chosen_cache();
-            let at = CacheTimeBucket { cache, time_bucket: labeled.time_bucket };
-            effects.entry(at).or_default().add(1.0, self.residual(labeled, measure));
+            let bucket = CacheTimeBucket { cache, time_bucket: labeled.time_bucket };
+            effects.entry(bucket).or_default().add(1.0, self.residual(labeled, measure));
         }
         self.cache_time_effects = effects;
     }
 
-    /// By how much the model, as far as it is fitted, misses a request's outcome where it was sent.
+    /// A request's outcome at the cache to which it was sent minus the prediction of the model as far as it
+    /// is fitted.
     fn residual(&self, labeled: &LabeledRequest, measure: OutcomeMeasure) -> f64 {
         measure.of(&labeled.pseudo_value) - self.predict(labeled.chosen_candidate(), labeled.time_bucket)
     }
 
     /// The expected outcome of a request at a candidate.
     pub fn predict(&self, candidate: CandidateKey, time_bucket: u64) -> f64 {
-        let CandidateKey { cache, at } = candidate;
-        let own = self.caches.get(&cache).copied().unwrap_or_default();
-        let hit_rate = own.hits[at.position].shrunk_mean(self.hit_rates[at.position]);
+        let CandidateKey { cache, position_key } = candidate;
+        let cache_sums = self.caches.get(&cache).copied().unwrap_or_default();
+        let hit_rate =
+            cache_sums.hits[position_key.position].shrunk_mean(self.hit_rates[position_key.position]);
         let outcome = |is_hit: bool| {
-            let kind = mean_kind(at.work_class, is_hit);
-            own.outcomes[kind].shrunk_mean(self.mean_outcomes[kind])
+            let index = mean_index(position_key.work_class, is_hit);
+            cache_sums.outcomes[index].shrunk_mean(self.mean_outcomes[index])
         };
         let time_effect = self.time_effects.get(&time_bucket).map_or(0.0, |sum| sum.shrunk_mean(0.0));
         let cache_time_effect = self
--- a/crates/coordination/src/counterfactual/policy_value.rs
+++ b/crates/coordination/src/counterfactual/policy_value.rs
@@ -1,4 +1,4 @@
-//! The values of selection policies that nodes did not follow (off-policy evaluation).
+//! The estimated values of selection policies that nodes did not follow (off-policy evaluation).
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,11 @@
 use super::sampled_request::{MAX_CANDIDATES, WORK_CLASSES};
 use super::weighted_mean::WeightedMean;
 
-/// The most of a policy's selections that may fall on caches to which nobody sent such requests.
+/// The greatest share of a policy's selections that may fall on caches to which no node sent such requests.
 const MAX_UNSEEN_SHARE: f64 = 0.1;
-/// What differs between keys differs alike in the requests that were served: such an interval is rather too wide, and may
-/// rest on few keys.
-const MIN_POLICY_KEYS: f64 = 0.0;
+/// The fewest effective keys for the value of a policy. Few keys suffice: differences between keys affect the
+/// policy and the served requests alike, so the confidence interval is too wide rather than too narrow.
+const MIN_EFFECTIVE_KEYS_OF_POLICY: f64 = 0.0;
 
 /// A way to select among a key's candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,14 +23,15 @@
     FirstCandidate,
     /// One of the first three candidates, with the same probability.
     UniformRandom,
-    /// The balancer's own selection, as it was made.
+    /// The selection that the balancer made.
     Observed,
-    /// The observed selection, but a request that went to its first candidate while the node had this many attempts or more
-    /// in flight there goes to its second.
+    /// The observed selection, except that a request goes to its second candidate if it was sent to its first
+    /// while the node had this many attempts or more in flight there.
     SecondWhenBusy(u8),
 }
 
-/// The requests of a work class that a policy moves, and those that went to the second candidate by themselves.
+/// The number of requests of a work class that the policy moves to the second candidate, and of those that
+/// nodes sent there.
 #[derive(Clone, Copy, Default)]
 struct MoveCounts {
     moved: usize,
@@ -38,22 +39,24 @@
 }
 
 impl MoveCounts {
-    /// How many moved requests each request at the second candidate stands for.
+    /// The number of moved requests that each request at the second candidate stands for.
     fn ratio(self) -> f64 {
         self.moved as f64 / self.at_second as f64
     }
 
-    /// Whether the moved requests have enough others to stand for them, each for a few at the most.
+    /// Whether enough requests were sent to the second candidate to stand for the moved ones, each for few
+    /// enough of them.
     fn has_support(self) -> bool {
         self.moved == 0 || self.at_second >= MIN_SUPPORT && self.ratio() <= MIN_PROPENSITY.recip()
     }
 }
 
 impl Dataset {
-    /// The mean of a measure that requests would have got by a policy, had each alone been sent so.
+    /// Estimates the mean of a measure if each request alone had been sent by the policy.
     ///
     /// # Errors
-    /// Where requests would go to candidates to which none like them went.
+    /// Returns [`NoSupport`] if the policy would send requests to candidates to which too few similar
+    /// requests were sent.
     pub fn policy_value(
         &self,
         policy: SelectionPolicy,
@@ -66,7 +69,7 @@
                 self.value_of_probabilities(&equal, measure)
             }
             SelectionPolicy::Observed => self.value_as_observed(measure),
-            SelectionPolicy::SecondWhenBusy(in_flight) => self.value_if_moved(in_flight, measure),
+            SelectionPolicy::SecondWhenBusy(in_flight) => self.value_of_moving_when_busy(in_flight, measure),
         }
     }
 
@@ -76,10 +79,10 @@
             .iter()
             .map(|labeled| Contribution { labeled, value: measure.of(&labeled.pseudo_value) })
             .collect();
-        self.mean_of(&contributions, 0..WORK_CLASSES, &[0, 1, 2])
+        self.estimate_mean(&contributions, 0..WORK_CLASSES, &[0, 1, 2])
     }
 
-    /// The value of a policy that selects each position with a fixed probability.
+    /// Estimates the value of a policy that selects each position with a fixed probability.
     fn value_of_probabilities(
         &self,
         probabilities: &[f64; MAX_CANDIDATES],
@@ -89,8 +92,8 @@
             (0..MAX_CANDIDATES).filter(|position| probabilities[*position] > 0.0).collect();
         let has_support = |work_class: &u8| {
             positions.iter().all(|position| {
-                let at = PositionKey { position: *position, work_class: *work_class };
-                self.choices_of_all_caches(at).has_support()
+                let position_key = PositionKey { position: *position, work_class: *work_class };
+                self.choice_counts_of_all_caches(position_key).has_support()
             })
         };
         let work_classes: BTreeSet<u8> = (0..WORK_CLASSES).filter(has_support).collect();
@@ -100,7 +103,8 @@
             .filter(|labeled| work_classes.contains(&labeled.request.work_class))
             .filter(|labeled| labeled.request.candidates.len() == MAX_CANDIDATES)
             .collect();
-        // A cache to which nobody sent such requests is predicted from the others alone: little may rest on that.
+        // The outcome at a cache to which no such request was sent is predicted from other caches alone: only
+        // a small share of the selections may depend on such predictions.
         let unseen = self.probability_of_unseen(&requests, &positions, probabilities);
         if unseen > MAX_UNSEEN_SHARE * requests.len() as f64 {
             return Err(NoSupport);
@@ -114,10 +118,11 @@
         };
         let contributions: Vec<_> =
             requests.iter().map(|labeled| Contribution { labeled, value: value(labeled) }).collect();
-        self.mean_of(&contributions, work_classes, &positions)
+        self.estimate_mean(&contributions, work_classes, &positions)
     }
 
-    /// The sum over requests of the probability that each is sent to a cache to which no such request went.
+    /// The sum over requests of the probability that the policy sends them to a cache to which no such
+    /// request was sent.
     fn probability_of_unseen(
         &self,
         requests: &[&LabeledRequest],
@@ -127,7 +132,7 @@
         let mut unseen = 0.0;
         for labeled in requests {
             for position in positions {
-                if self.choices(labeled.candidate(*position)).chosen == 0 {
+                if self.choice_counts(labeled.candidate(*position)).chosen == 0 {
                     unseen += probabilities[*position];
                 }
             }
@@ -135,17 +140,22 @@
         unseen
     }
 
-    /// The value of moving requests to their second candidate when the node has `in_flight` attempts at the first.
-    /// Requests that went to the second by themselves stand for the moved ones.
-    fn value_if_moved(&self, in_flight: u8, measure: OutcomeMeasure) -> Result<Estimate, NoSupport> {
+    /// Estimates the value of sending requests to their second candidate when the node has `in_flight`
+    /// attempts or more at the first. Requests that nodes sent to the second candidate stand for the moved
+    /// ones.
+    fn value_of_moving_when_busy(
+        &self,
+        in_flight: u8,
+        measure: OutcomeMeasure,
+    ) -> Result<Estimate, NoSupport> {
         let is_moved = |labeled: &LabeledRequest| {
             labeled.request.position == 0 && labeled.request.in_flight >= in_flight
         };
         let mut counts = [MoveCounts::default(); WORK_CLASSES as usize];
         for labeled in &self.requests {
-            let of_class = &mut counts[usize::from(labeled.request.work_class)];
-            of_class.moved += usize::from(is_moved(labeled));
-            of_class.at_second += usize::from(labeled.request.position == 1);
+            let class_counts = &mut counts[usize::from(labeled.request.work_class)];
+            class_counts.moved += usize::from(is_moved(labeled));
+            class_counts.at_second += usize::from(labeled.request.position == 1);
         }
         let work_classes: BTreeSet<u8> =
             (0..WORK_CLASSES).filter(|work_class| counts[usize::from(*work_class)].has_support()).collect();
@@ -166,10 +176,11 @@
             .filter(|labeled| work_classes.contains(&labeled.request.work_class))
             .map(|labeled| Contribution { labeled, value: value(labeled) })
             .collect();
-        self.mean_of(&contributions, work_classes, &[0, 1])
+        self.estimate_mean(&contributions, work_classes, &[0, 1])
     }
 
-    fn mean_of(
+    /// Estimates the mean of the contributions, if they cover enough of the requests.
+    fn estimate_mean(
         &self,
         contributions: &[Contribution<'_>],
         work_classes: impl IntoIterator<Item = u8>,
@@ -185,6 +196,6 @@
             .into_iter()
             .map(|work_class| Stratum { work_class, positions: positions.to_vec() })
             .collect();
-        mean.into_estimate(strata, MIN_POLICY_KEYS, self.forwarder_count)
+        mean.into_estimate(strata, MIN_EFFECTIVE_KEYS_OF_POLICY, self.forwarder_count)
     }
 }
--- a/crates/coordination/src/counterfactual/randomized_assignment.rs
+++ b/crates/coordination/src/counterfactual/randomized_assignment.rs
@@ -153,12 +153,12 @@
     let horizon = log_scale(greatest_slo(reported));
     let of_cache = pseudo_values_by_group(
         reported,
-        |request| (request.candidates[0], request.work_class, request.left_first_candidate()),
+        |request| (request.candidates[0], request.work_class, request.chose_later_candidate()),
         log_scale,
     );
     let of_all = pseudo_values_by_group(
         reported,
-        |request| (request.work_class, request.left_first_candidate()),
+        |request| (request.work_class, request.chose_later_candidate()),
         log_scale,
     );
     let mut timed = Vec::new();
--- a/crates/coordination/src/counterfactual/randomized_assignment/arm.rs
+++ b/crates/coordination/src/counterfactual/randomized_assignment/arm.rs
@@ -76,7 +76,7 @@
         let deviation = (key_sum(requests) - key_weight(requests.len()) * mean) / weight;
         let part = deviation.powi(2) * small_sample_factor;
         total.variance += part;
-        total.squares += part * part;
+        total.sum_of_squares += part * part;
     }
     total
 }
--- a/crates/coordination/src/counterfactual/settings.rs
+++ b/crates/coordination/src/counterfactual/settings.rs
@@ -1,52 +1,55 @@
-//! Settings of both sides, with their defaults.
+//! The settings of the forwarder's and the planner's component, with their defaults.
 
 use granitelb_balancer::time::Span;
 
 use super::message::ComparisonScale;
 use super::policy_value::SelectionPolicy;
 
-/// Settings of the forwarder's and the planner's component.
+/// The settings of the forwarder's and the planner's component.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// A forwarder gathers requests for this long, or until a message is full.
+    /// How long a forwarder collects requests before it sends them, unless a message is full earlier.
     pub batch_interval: Span,
-    /// A request that missed in its cache is awaited for this long before it counts as censored.
+    /// How long a forwarder waits for the response to a request after a cache miss; then the request counts
+    /// as censored.
     pub miss_timeout: Span,
-    /// What a forwarder sends at most, to all planners together.
+    /// The most bytes per second that a forwarder sends to all planners together.
     pub bytes_per_second: f64,
     /// The most bytes in the body of a message with requests.
     pub max_message_bytes: usize,
-    /// The most requests that a forwarder holds until they are reported.
+    /// The most ended requests that a forwarder queues until they are reported.
     pub max_queued_requests: usize,
     /// The most requests that a forwarder holds while they wait for a response after a cache miss.
     pub max_pending_misses: usize,
-    /// Estimates rest on the requests of this long.
+    /// The age up to which requests are used for estimates.
     pub window: Span,
-    /// Requests of one such stretch of time share what the moment adds to their times.
+    /// The length of a time bucket; estimates assume one common effect of the time bucket on all its
+    /// requests.
     pub time_bucket: Span,
-    /// How often caches are compared.
+    /// The interval between two rounds, in each of which all caches are compared.
     pub comparison_interval: Span,
-    /// How often the values of `policies` are logged.
+    /// The interval at which the values of `policies` are logged.
     pub policy_value_interval: Span,
     /// The selection policies whose values are logged.
     pub policies: Vec<SelectionPolicy>,
-    /// How often comparisons of worse and better are reported again.
+    /// The interval at which comparisons of worse or better are reported to forwarders again.
     pub report_repeat_interval: Span,
-    /// Two starts of one cache that are reported within this are the same start.
+    /// The difference in time up to which two reported starts of one cache are the same start.
     pub start_tolerance: Span,
-    /// The false discovery rate: of the caches found worse or better in a round, this share may be so by chance.
+    /// The false discovery rate: the expected share, among the caches found worse or better in a round, of
+    /// those found by chance.
     pub false_discovery_rate: f64,
     /// The smallest effect that is worth reporting, as a share of the SLO.
     pub min_waited_share: f64,
     /// The smallest ratio of times that is worth reporting.
     pub min_time_ratio: f64,
-    /// Findings in a row that it takes to enter a comparison of worse or better.
+    /// The number of findings in a row after which a cache is compared as worse or better.
     pub findings_to_enter: u32,
-    /// Findings in a row that it takes to leave a comparison of worse or better.
+    /// The number of findings in a row after which a comparison of worse or better is withdrawn.
     pub findings_to_leave: u32,
-    /// The most requests that a planner holds.
+    /// The most requests that a planner stores.
     pub max_requests: usize,
-    /// The most requests that a planner holds of one forwarder.
+    /// The most requests of one forwarder that a planner stores.
     pub max_requests_per_forwarder: usize,
     /// The most caches whose starts are tracked.
     pub max_caches: usize,
@@ -56,7 +59,7 @@
     pub max_comparisons: usize,
     /// The most events that wait for the log.
     pub max_events: usize,
-    /// The most messages of one round to each forwarder.
+    /// The most messages that a planner sends to each forwarder in one round.
     pub max_messages: usize,
 }
 
@@ -98,8 +101,8 @@
 }
 
 impl Settings {
-    /// The smallest effect that is worth reporting, on the scale of the estimates: a ratio of times is estimated by its
-    /// logarithm.
+    /// The smallest effect that is worth reporting, on the scale of the estimates: a share of the SLO, or the
+    /// logarithm of a ratio of times.
     pub fn min_effect(&self, scale: ComparisonScale) -> f64 {
         match scale {
             ComparisonScale::WaitedShare => self.min_waited_share,
--- a/crates/coordination/src/counterfactual/weighted_mean.rs
+++ b/crates/coordination/src/counterfactual/weighted_mean.rs
@@ -1,4 +1,4 @@
-//! A weighted sum of means over strata, whose interval rests on how keys differ.
+//! A weighted sum of means over strata, with a confidence interval from the variance between keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,23 +6,25 @@
 use super::estimate::{Estimate, NoSupport, Stratum};
 use crate::member::ForwarderId;
 
-/// The fewest keys that have to bear the variance: of fewer their spread is a guess, and the interval with it.
+/// The fewest effective keys for a confidence interval; the variance between fewer keys can hardly be
+/// estimated.
 pub(super) const MIN_EFFECTIVE_KEYS: f64 = 4.0;
-/// With fewer forwarders their variance can't be estimated.
+/// The fewest forwarders between which the variance can be estimated.
 const MIN_FORWARDERS: usize = 8;
-/// A mean of this many standard errors by forwarders is one that they have in common; what only one of them saw makes one.
-const MIN_FORWARDER_DEVIATION: f64 = 2.0;
-/// The share of a mean that has to be left whichever forwarder is left out.
-const MIN_SHARE_LEFT: f64 = 0.5;
+/// The number of standard errors by forwarder from which on a mean is common to the forwarders. A mean that
+/// stems from a single forwarder is one standard error.
+const MIN_FORWARDER_STANDARD_ERRORS: f64 = 2.0;
+/// The share of a mean that has to remain whichever forwarder is left out.
+const MIN_REMAINING_SHARE: f64 = 0.5;
 
-/// The sum and the number of some values.
+/// The sum and the count of values.
 #[derive(Clone, Copy, Default)]
 struct ValueSum {
     sum: f64,
     count: f64,
 }
 
-/// One of the means, by forwarder.
+/// One mean of the weighted sum, with its values by forwarder.
 struct Term {
     weight: f64,
     total: ValueSum,
@@ -30,17 +32,18 @@
 }
 
 impl Term {
-    /// What the term adds to the sum without a forwarder; none if nobody else contributes to it.
+    /// The term's weighted mean without a forwarder's values; none if no other forwarder contributes to the
+    /// term.
     fn without(&self, forwarder: ForwarderId) -> Option<f64> {
-        let own = self.by_forwarder.get(&forwarder).copied().unwrap_or_default();
-        if self.total.count <= own.count {
+        let forwarder_sum = self.by_forwarder.get(&forwarder).copied().unwrap_or_default();
+        if self.total.count <= forwarder_sum.count {
             return None;
         }
-        Some(self.weight * (self.total.sum - own.sum) / (self.total.count - own.count))
+        Some(self.weight * (self.total.sum - forwarder_sum.sum) / (self.total.count - forwarder_sum.count))
     }
 }
 
-/// The sum as it is added up.
+/// The weighted sum of the means added so far, and its variances by key and by forwarder.
 #[derive(Default)]
 pub(super) struct WeightedMean {
     mean: f64,
@@ -51,7 +54,7 @@
 }
 
 impl WeightedMean {
-    /// Adds the mean of some contributions, with its weight in the sum.
+    /// Adds the mean of the contributions, with its weight in the sum.
     pub fn add(&mut self, weight: f64, contributions: &[Contribution<'_>]) {
         let size = contributions.len() as f64;
         let mean = contributions.iter().map(|contribution| contribution.value).sum::<f64>() / size;
@@ -61,20 +64,21 @@
         self.requests += contributions.len();
         let mut by_forwarder: BTreeMap<ForwarderId, ValueSum> = BTreeMap::new();
         for contribution in contributions {
-            let own = by_forwarder.entry(contribution.labeled.forwarder).or_default();
-            own.sum += contribution.value;
-            own.count += 1.0;
+            let forwarder_sum = by_forwarder.entry(contribution.labeled.forwarder).or_default();
+            forwarder_sum.sum += contribution.value;
+            forwarder_sum.count += 1.0;
         }
         let total = ValueSum { sum: mean * size, count: size };
         self.terms.push(Term { weight, total, by_forwarder });
     }
 
-    /// Widens the interval as if there were one key more like the one that adds most to the variance.
-    pub fn allow_for_unseen_key(&mut self) {
+    /// Widens the confidence interval as if the key that adds most to the variance occurred once more.
+    pub fn add_unseen_key_variance(&mut self) {
         self.by_key = self.by_key.with_one_more_cluster();
     }
 
-    /// Whether enough of the mean is left whichever forwarder is left out (a jackknife over forwarders).
+    /// Whether [`MIN_REMAINING_SHARE`] of the mean remains whichever forwarder is left out (a jackknife over
+    /// forwarders).
     fn survives_without_any_forwarder(&self) -> bool {
         let forwarders: BTreeSet<ForwarderId> =
             self.terms.iter().flat_map(|term| term.by_forwarder.keys().copied()).collect();
@@ -83,30 +87,32 @@
         }
         let sign = self.mean.signum();
         forwarders.into_iter().all(|forwarder| {
-            let left: Option<f64> = self.terms.iter().map(|term| term.without(forwarder)).sum();
-            left.is_some_and(|left| left * sign / MIN_SHARE_LEFT >= self.mean.abs())
+            let remaining: Option<f64> = self.terms.iter().map(|term| term.without(forwarder)).sum();
+            remaining.is_some_and(|remaining| remaining * sign / MIN_REMAINING_SHARE >= self.mean.abs())
         })
     }
 
-    /// Whether the mean is one that forwarders have in common, as far as there are enough of them to estimate that.
+    /// Whether the mean is common to the forwarders; true if there are too few forwarders to estimate the
+    /// variance between them.
     fn is_common_to_forwarders(&self, forwarder_count: usize) -> bool {
-        let deviation = self.by_forwarder.variance.sqrt();
-        forwarder_count < MIN_FORWARDERS || self.mean.abs() >= MIN_FORWARDER_DEVIATION * deviation
+        let standard_error = self.by_forwarder.variance.sqrt();
+        forwarder_count < MIN_FORWARDERS || self.mean.abs() >= MIN_FORWARDER_STANDARD_ERRORS * standard_error
     }
 
-    /// The estimate with its interval.
+    /// Returns the estimate with its confidence interval.
     ///
     /// # Errors
-    /// Where the variance can't be estimated or rests on fewer than `min_effective_keys` keys.
+    /// Returns [`NoSupport`] if the variance can't be estimated or the effective number of keys is below
+    /// `min_effective_keys`.
     pub fn into_estimate(
         self,
         strata: Vec<Stratum>,
         min_effective_keys: f64,
         forwarder_count: usize,
     ) -> Result<Estimate, NoSupport> {
-        let error = self.by_key.variance.sqrt();
-        let is_sound = error.is_finite() && self.mean.is_finite() && error > 0.0;
-        if !is_sound || self.by_key.effective_clusters() < min_effective_keys {
+        let standard_error = self.by_key.variance.sqrt();
+        let has_variance = standard_error.is_finite() && self.mean.is_finite() && standard_error > 0.0;
+        if !has_variance || self.by_key.effective_clusters() < min_effective_keys {
             return Err(NoSupport);
         }
         let half_width = self.by_key.half_width();
