--- a/crates/coordination/src/counterfactual/forwarder/mod.rs
+++ b/crates/coordination/src/counterfactual/forwarder/mod.rs
@@ -1,13 +1,14 @@
-//! The forwarder's side: makes one report of each sampled read and sends the reports to planners in small messages. It
-//! logs the comparisons that planners report.
+//! The forwarder component: creates one report of each sampled read, sends the reports to planners in small
+//! messages, and logs the comparisons that planners report.
 //!
 //! # Invariants
 //!
-//! - Whatever the load, a forwarder sends no more than [`Settings::bytes_per_second`] over all planners: a message is made
-//!   only when the byte budget covers it.
-//! - It holds no more requests than its settings say: the oldest is dropped when there is no capacity.
-//! - What is dropped or lost makes estimates wider, never biased: whether a request is reported depends on its hash and its
-//!   age, not on its outcome.
+//! - Whatever the load, a forwarder sends at most [`Settings::bytes_per_second`] to all planners together: a
+//!   message is created only when the byte budget covers it.
+//! - A forwarder holds at most as many requests as its settings allow: at capacity, the oldest request is
+//!   dropped.
+//! - Dropped and lost reports widen confidence intervals but do not bias estimates: whether a request is
+//!   reported depends on its hash and its age, not on its outcome.
 
 mod byte_budget;
 mod pending_misses;
@@ -36,16 +37,16 @@
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 use crate::observation::{FinishedAttempt, Observation};
 
-/// The variant and the length of a message.
+/// The most bytes of the variant and the length at the start of a message.
 const MESSAGE_HEADER_BYTES: usize = 8;
-/// The most cache starts in a message.
+/// The most cache starts in one message.
 const MAX_STARTS_PER_MESSAGE: usize = 60;
-/// The most bytes of a cache start.
+/// The most bytes of an encoded cache start.
 const CACHE_START_BYTES: usize = 15;
-/// How soon the component is polled again while its byte budget refills for the next message.
+/// The interval at which the component is polled while its byte budget refills for the next message.
 const BUDGET_POLL_INTERVAL: Span = Span::from_millis(50);
 
-/// The forwarder's side of the component.
+/// The forwarder component of off-policy evaluation.
 pub struct ForwarderComponent {
     settings: Settings,
     pending_misses: PendingMisses,
@@ -54,19 +55,19 @@
     planners: Vec<PlannerId>,
     outgoing: VecDeque<(Member, CounterfactualMessage)>,
     budget: ByteBudget,
-    /// Comparisons by the planners' last messages.
+    /// The comparisons that planners reported last.
     comparisons: BTreeMap<ComparisonKey, Comparison>,
     events: VecDeque<Event>,
 }
 
-/// An age in messages, in milliseconds.
+/// Returns the age at `now` of an event at `at`, in milliseconds as in messages.
 fn age_ms(now: Time, at: Time) -> u32 {
     const MICROS_PER_MS: u64 = 1000;
     u32::try_from((now - at).0 / MICROS_PER_MS).unwrap_or(u32::MAX)
 }
 
 impl ForwarderComponent {
-    /// A component that has observed nothing.
+    /// Creates a component that has not observed anything.
     pub fn new(
         settings: Settings,
         _id: ForwarderId,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Takes in what the forwarder's event loop observed.
+    /// Handles an observation of the forwarder's event loop.
     pub fn on_observation(&mut self, now: Time, observation: &Observation) {
         match observation {
             Observation::EndpointsChanged(endpoints) => {
@@ -98,12 +99,13 @@
         }
     }
 
-    /// How many sampled requests were not reported, because the queue was full or the byte budget too small.
+    /// The number of sampled requests that were not reported because the queue was full or the byte budget
+    /// too small.
     pub fn dropped_requests(&self) -> u64 {
         self.reports.dropped()
     }
 
-    /// How a cache compares for a request class, by the last message of a planner.
+    /// The comparison of a cache for a request class that a planner reported last.
     pub fn comparison(&self, cache: u64, request_class: u16, scale: ComparisonScale) -> Option<Comparison> {
         self.comparisons.get(&ComparisonKey { cache, request_class, scale }).copied()
     }
@@ -115,38 +117,39 @@
         if self.pending_misses.record_attempt(now, attempt.request_hash) {
             if attempt.outcome == AttemptOutcome::Fulfilled {
                 let ended = self.pending_misses.finish(attempt.request_hash, ServiceOutcome::Miss);
-                self.report(ended);
+                self.queue_report(ended);
             }
             return;
         }
         let Some(request) = sampled_request(attempt).filter(SampledRequest::is_valid) else { return };
         if request.outcome == ServiceOutcome::Miss {
-            self.await_response(now, attempt.latency, request);
+            self.add_pending_miss(now, attempt.latency, request);
         } else {
-            self.report(Some(EndedRequest { ended_at: now, request }));
+            self.queue_report(Some(EndedRequest { ended_at: now, request }));
         }
     }
 
-    /// Waits for the response to a request that missed in its cache `latency` after it was sent.
-    fn await_response(&mut self, now: Time, latency: Span, request: SampledRequest) {
+    /// Adds a request that missed in its cache, `latency` after it was sent, to those that wait for a response.
+    fn add_pending_miss(&mut self, now: Time, latency: Span, request: SampledRequest) {
         if self.pending_misses.len() >= self.settings.max_pending_misses {
             let oldest = self.pending_misses.finish_oldest();
-            self.report(oldest);
+            self.queue_report(oldest);
         }
         let sent_at = Time(now.0.saturating_sub(latency.0));
         self.pending_misses.insert(now, request, sent_at, now + self.settings.miss_timeout);
     }
 
-    fn report(&mut self, ended: Option<EndedRequest>) {
+    fn queue_report(&mut self, ended: Option<EndedRequest>) {
         if let Some(ended) = ended {
             self.reports.push(ended, self.settings.max_queued_requests);
         }
     }
 
-    /// Gives up requests that were awaited long enough, and drops what planners would find too old.
+    /// Reports as censored the pending requests whose deadline has passed, and drops the queued requests that
+    /// planners would reject as too old.
     fn expire(&mut self, now: Time) {
         while let Some(ended) = self.pending_misses.finish_expired(now) {
-            self.report(Some(ended));
+            self.queue_report(Some(ended));
         }
         self.reports.drop_older_than(now, self.settings.window);
     }
@@ -158,22 +161,26 @@
         self.budget.refill(now, rate, capacity);
     }
 
-    /// Makes the next message, one copy for each planner, if it is due and the budget covers it. Starts go first, as they
-    /// void earlier requests.
-    fn write_messages(&mut self, now: Time) {
+    /// Queues the next message, one copy for each planner, if the message is due and the byte budget covers
+    /// it. Cache starts are sent before requests, as planners discard the requests that ended before a start.
+    fn queue_message(&mut self, now: Time) {
         if self.planners.is_empty() {
             return;
         }
-        let message =
-            if self.starts.is_idle() { self.requests_message(now) } else { self.starts_message(now) };
+        let message = if self.starts.are_all_reported() {
+            self.requests_message(now)
+        } else {
+            self.starts_message(now)
+        };
         let Some(message) = message else { return };
         for planner in &self.planners {
             self.outgoing.push_back((Member::Planner(*planner), message.clone()));
         }
     }
 
+    /// Returns a message with cache starts if the byte budget covers it.
     fn starts_message(&mut self, now: Time) -> Option<CounterfactualMessage> {
-        let count = self.starts.unreported().min(MAX_STARTS_PER_MESSAGE);
+        let count = self.starts.unreported_count().min(MAX_STARTS_PER_MESSAGE);
         let bytes = MESSAGE_HEADER_BYTES + count * CACHE_START_BYTES;
         if !self.budget.try_take(bytes * self.planners.len()) {
             return None;
@@ -181,11 +188,14 @@
         Some(CounterfactualMessage::CacheStarts(self.starts.take(now, count)))
     }
 
+    /// Returns a message with requests if it is due and the byte budget covers it.
     fn requests_message(&mut self, now: Time) -> Option<CounterfactualMessage> {
         let batch = self.reports.next_batch(self.settings.max_message_bytes);
         let is_full = batch.requests < self.reports.len();
-        let is_due =
-            self.reports.oldest().is_some_and(|ended_at| now - ended_at >= self.settings.batch_interval);
+        let is_due = self
+            .reports
+            .oldest_ended_at()
+            .is_some_and(|ended_at| now - ended_at >= self.settings.batch_interval);
         if batch.requests == 0 || !(is_full || is_due) {
             return None;
         }
@@ -195,8 +205,8 @@
         Some(CounterfactualMessage::Requests(self.reports.take(now, batch)))
     }
 
-    /// Logs a planner's comparison if it is news.
-    fn on_report(&mut self, planner: Member, report: &ComparisonReport, scale: ComparisonScale) {
+    /// Logs a planner's comparison if it differs from the last one.
+    fn on_comparison_report(&mut self, planner: Member, report: &ComparisonReport, scale: ComparisonScale) {
         let key = ComparisonKey { cache: report.cache, request_class: report.request_class, scale };
         if self.comparisons.get(&key) == Some(&report.comparison) {
             return;
@@ -238,7 +248,7 @@
             return Err(CounterfactualError::InvalidValue);
         }
         for report in &reports {
-            self.on_report(from.member, report, scale);
+            self.on_comparison_report(from.member, report, scale);
         }
         Ok(())
     }
@@ -250,7 +260,7 @@
                 self.planners.push(*id);
             }
         }
-        // A message to a planner that has gone would never be sent.
+        // Messages to planners that are no longer alive are removed, as they could never be sent.
         self.outgoing.retain(|(to, _)| alive.contains(to));
     }
 
@@ -258,7 +268,7 @@
         self.expire(now);
         self.refill_budget(now);
         if self.outgoing.is_empty() {
-            self.write_messages(now);
+            self.queue_message(now);
         }
         self.outgoing.pop_front()
     }
@@ -267,12 +277,12 @@
         if !self.outgoing.is_empty() {
             return Some(now);
         }
-        if !self.starts.is_idle() {
+        if !self.starts.are_all_reported() {
             return Some(now + BUDGET_POLL_INTERVAL);
         }
         let batch_due = self
             .reports
-            .oldest()
+            .oldest_ended_at()
             .map(|ended_at| (ended_at + self.settings.batch_interval).max(now + BUDGET_POLL_INTERVAL));
         batch_due.into_iter().chain(self.pending_misses.next_deadline()).min()
     }
--- a/crates/coordination/src/counterfactual/forwarder/pending_misses.rs
+++ b/crates/coordination/src/counterfactual/forwarder/pending_misses.rs
@@ -1,4 +1,4 @@
-//! Requests that missed in the cache to which they were sent first, until they are answered from elsewhere.
+//! Requests that missed in the cache to which they were sent first, until another endpoint responds.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,57 +12,62 @@
     pub request: SampledRequest,
 }
 
+/// A request that waits for a response after a cache miss.
 struct PendingMiss {
     request: SampledRequest,
     sent_at: Time,
-    /// When its last attempt ended.
+    /// When the request's last attempt ended.
     last_attempt_at: Time,
 }
 
+/// The time up to which a request waits for a response.
 struct Deadline {
     at: Time,
     request_hash: u64,
 }
 
-/// Invariant: each pending request has a deadline in the queue; a deadline may outlive its request.
+/// The requests that wait for a response after a cache miss, with their deadlines.
+///
+/// Invariant: each pending request has a deadline in the queue; a deadline may remain after its request was
+/// removed.
 #[derive(Default)]
 pub(super) struct PendingMisses {
     by_request: BTreeMap<u64, PendingMiss>,
-    /// In the order in which requests missed, which is that of their deadlines.
+    /// The deadlines in the order of the cache misses, which is also the order of time.
     deadlines: VecDeque<Deadline>,
 }
 
 impl PendingMisses {
-    /// How many requests are pending.
+    /// The number of pending requests.
     pub fn len(&self) -> usize {
         self.by_request.len()
     }
 
-    /// How many entries are held.
+    /// The number of entries in memory: requests and deadlines.
     pub fn entries(&self) -> usize {
         self.by_request.len() + self.deadlines.len()
     }
 
-    /// When the next deadline is due.
+    /// The time of the next deadline.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.front().map(|deadline| deadline.at)
     }
 
-    /// Adds a request that was sent at `sent_at`, missed now and is awaited until `deadline`.
+    /// Adds a request that was sent at `sent_at`, missed now and waits for a response until `deadline`.
     pub fn insert(&mut self, now: Time, request: SampledRequest, sent_at: Time, deadline: Time) {
         let request_hash = request.request_hash;
         self.by_request.insert(request_hash, PendingMiss { request, sent_at, last_attempt_at: now });
         self.deadlines.push_back(Deadline { at: deadline, request_hash });
     }
 
-    /// Notes that another attempt of a pending request has ended. Returns whether the request is pending.
+    /// Records that another attempt of a pending request has ended. Returns whether the request is pending.
     pub fn record_attempt(&mut self, now: Time, request_hash: u64) -> bool {
         let Some(pending) = self.by_request.get_mut(&request_hash) else { return false };
         pending.last_attempt_at = now;
         true
     }
 
-    /// Removes a pending request. Its duration is the time until its last attempt ended.
+    /// Removes a pending request. The request's duration is the time until its last attempt ended.
     pub fn finish(&mut self, request_hash: u64, outcome: ServiceOutcome) -> Option<EndedRequest> {
         let PendingMiss { mut request, sent_at, last_attempt_at } = self.by_request.remove(&request_hash)?;
         request.outcome = outcome;
@@ -70,7 +75,7 @@
         Some(EndedRequest { ended_at: last_attempt_at, request })
     }
 
-    /// Removes the oldest pending request, as a censored one.
+    /// Removes the oldest pending request and returns it as censored.
     pub fn finish_oldest(&mut self) -> Option<EndedRequest> {
         while let Some(deadline) = self.deadlines.pop_front() {
             let ended = self.finish(deadline.request_hash, ServiceOutcome::Censored);
@@ -81,7 +86,7 @@
         None
     }
 
-    /// Removes the next request whose deadline has passed, as a censored one.
+    /// Removes the next pending request whose deadline has passed and returns it as censored.
     pub fn finish_expired(&mut self, now: Time) -> Option<EndedRequest> {
         while let Some(deadline) = self.deadlines.front() {
             let request_hash = deadline.request_hash;
--- a/crates/coordination/src/counterfactual/forwarder/selection.rs
+++ b/crates/coordination/src/counterfactual/forwarder/selection.rs
@@ -1,4 +1,4 @@
-//! Turns a finished attempt into the report of a selection.
+//! Converts a finished attempt into the report of a selection.
 
 use granitelb_balancer::AttemptOutcome;
 
@@ -8,7 +8,8 @@
 use crate::counterfactual::sampling::sampling_rank;
 use crate::observation::FinishedAttempt;
 
-/// The report of a first attempt; none if the attempt was not the request's first selection among its key's candidates.
+/// Returns the report of a first attempt; none if the attempt is a retry, went to an origin or to a cache
+/// that is not among the key's first candidates, or was not sent.
 pub(super) fn sampled_request(attempt: &FinishedAttempt) -> Option<SampledRequest> {
     if attempt.number != 0 || attempt.is_origin {
         return None;
--- a/crates/coordination/src/counterfactual/randomized_assignment.rs
+++ b/crates/coordination/src/counterfactual/randomized_assignment.rs
@@ -1,21 +1,24 @@
-//! Comparison of caches by randomized assignment: a hash draws which cache is a key's first candidate, so caches get alike
-//! keys by chance, and their requests' times can be compared although no request was ever sent elsewhere.
+//! Comparison of caches by randomized assignment: a hash draws which cache is a key's first candidate, so the
+//! keys of different caches are alike apart from chance. The times of the caches' requests can therefore be
+//! compared although no request was sent to a second candidate.
 //!
-//! Estimated is the logarithm of the ratio of times, from requests grouped by their first candidate, in units of keys. It
-//! is valid because the hash is independent of everything that makes a key slow; that is all it assumes, next to the
-//! censoring within a group being like that of `kaplan_meier`.
+//! The estimate is the logarithm of the ratio of times, from requests grouped by their first candidate, with
+//! keys as units. The estimate is valid because the hash is independent of everything that makes a key slow.
+//! The only further assumption is that of `kaplan_meier` about censoring within a group.
 //!
-//! Limits: a node's weights begin at the hash and move keys away from busy caches, those that are seldom asked for sooner,
-//! so a slow cache keeps quicker requests, which hides a little of the difference. A cache that is far from all nodes is
-//! rightly slower by it. That a cache is slower does not mean that requests would fare better elsewhere.
+//! Limits: a node's weights start from the hash and move keys away from busy caches, rarely requested keys
+//! first, so a slow cache keeps faster requests, which hides a little of the difference. A cache that is far
+//! from all nodes is rightly found slower by its distance. That a cache is slower does not mean that other
+//! caches would serve its requests better.
 //!
 //! # Invariants
 //!
-//! - The comparison rests on the draw and not on choices. Requests count at their first candidate wherever they were sent
-//!   (intention to treat), so that what steers a node's choice can't sort them.
-//! - Keys are what is drawn, so the interval rests on how keys differ.
-//! - Times are taken by their logarithm: a cache of three times the time is as far off whether that is a hundredth of the
-//!   SLO or all of it.
+//! - The comparison depends on the draw and not on the nodes' choices. Requests count for their first
+//!   candidate wherever they were sent (intention to treat), so the reasons for a node's choice can't bias
+//!   the comparison.
+//! - The units of the draw are keys, so the confidence interval follows from the variance between keys.
+//! - Times enter by their logarithm: a cache that takes three times as long differs equally whether its times
+//!   are a hundredth of the SLO or all of it.
 
 mod arm;
 mod time_bucket_means;
@@ -29,45 +32,48 @@
 use super::outcome::{ReportedRequest, greatest_slo, pseudo_values_by_group};
 use crate::member::ForwarderId;
 
-/// Shorter durations make no difference to anybody, in tenths of a millisecond.
-const SHORTEST_DURATION: u32 = 10;
-/// The fewest other caches whose median a single one of them can't move.
+/// The duration in tenths of a millisecond up to which durations count as equal, since the difference matters
+/// to no client.
+const MIN_DURATION_TENTHS_OF_MS: u32 = 10;
+/// The fewest other caches for a comparison, so that no single one of them determines their median.
 const MIN_OTHER_CACHES: usize = 3;
-/// The standard deviation that differences beyond the smallest one are expected to have, by the logarithm. A wrong guess
-/// costs requests and not validity.
-const EXPECTED_EFFECT: f64 = 0.3;
+/// The expected standard deviation of effects beyond the smallest reported one, as logarithms of ratios of
+/// times. If it differs from the true one, a finding takes more requests, but stays valid.
+const EXPECTED_EFFECT_DEVIATION: f64 = 0.3;
 
-/// A cache compared with the others, by the logarithm of the ratio of times.
+/// The comparison of a cache with the other caches, by the logarithm of the ratio of times.
 pub struct AssignmentComparison {
-    /// The logarithm of the ratio.
+    /// The logarithm of the ratio of the cache's times to those of the other caches.
     pub estimate: Estimate,
-    /// The e-value against the cache being as good as the others: a test martingale's wealth. Under that hypothesis it
-    /// exceeds `n` with a probability of at most `1/n`, whenever one looks.
+    /// The e-value against the hypothesis that the cache is as good as the others: the wealth of a test
+    /// martingale. If the hypothesis is true, the e-value exceeds `n` with a probability of at most `1/n`,
+    /// whenever it is checked.
     ///
-    /// This holds in the limit of many keys while evidence accumulates. Once the window slides, old requests leave it and
-    /// the theorem no longer applies as such; that it takes several rounds to enter a comparison makes up for that.
+    /// This bound holds in the limit of many keys while evidence accumulates. Once the window slides, old
+    /// requests leave it and the theorem no longer applies as such; requiring several findings in a row
+    /// compensates for this.
     pub e_value: f64,
 }
 
-/// The keys of one request class that the hash assigned to each cache, with their requests' times.
+/// The keys of one request class that the hash assigned to each cache, with the times of their requests.
 pub struct RandomizedAssignment {
     arms: BTreeMap<u64, Arm>,
     forwarders: BTreeSet<ForwarderId>,
 }
 
 impl RandomizedAssignment {
-    /// Prepares the requests of one request class.
+    /// Groups the requests of one request class by their first candidate.
     pub fn new<'a>(requests: impl Iterator<Item = ReportedRequest<'a>>) -> RandomizedAssignment {
         let reported: Vec<_> = requests.collect();
-        let timed = log_durations(&reported);
-        let means = TimeBucketMeans::new(&timed);
+        let timed_requests = log_durations(&reported);
+        let means = TimeBucketMeans::new(&timed_requests);
         let mut by_cache: BTreeMap<u64, RequestsByKey> = BTreeMap::new();
-        for TimedRequest { reported, log_duration } in timed {
+        for TimedRequest { reported, log_duration } in timed_requests {
             let request = reported.request;
             let excess = log_duration - means.mean(request.work_class, reported.time_bucket);
             let keys = by_cache.entry(request.candidates[0]).or_default();
-            let of_key = keys.entry(request.key_hash).or_default();
-            of_key.push(ExcessDuration { forwarder: reported.forwarder, excess });
+            let key_requests = keys.entry(request.key_hash).or_default();
+            key_requests.push(ExcessDuration { forwarder: reported.forwarder, excess });
         }
         let mut arms = BTreeMap::new();
         for (cache, keys) in &by_cache {
@@ -79,26 +85,27 @@
         RandomizedAssignment { arms, forwarders }
     }
 
-    /// The caches that are the first candidate of enough keys, in order.
+    /// Returns the caches that are the first candidate of enough keys, in ascending order.
     pub fn caches(&self) -> impl Iterator<Item = u64> + '_ {
         self.arms.keys().copied()
     }
 
-    /// How much longer requests take whose first candidate the cache is than those of the median of the other caches, by
-    /// the logarithm; and the evidence that it is more than `min_effect`.
+    /// Compares the times of requests whose first candidate is the cache with the median of the other caches,
+    /// by the logarithm of their ratio, and tests whether the difference is greater than `min_effect`.
     ///
     /// # Errors
-    /// Where it, or the others, are the first candidate of too few keys.
+    /// Returns [`NoSupport`] if the cache is the first candidate of too few keys, or too few other caches are
+    /// the first candidate of enough keys.
     pub fn compare_cache(&self, cache: u64, min_effect: f64) -> Result<AssignmentComparison, NoSupport> {
-        let own = self.arms.get(&cache).ok_or(NoSupport)?;
+        let arm = self.arms.get(&cache).ok_or(NoSupport)?;
         let others: Vec<&Arm> = self.others(cache).collect();
         if others.len() < MIN_OTHER_CACHES {
             return Err(NoSupport);
         }
-        let mean = own.mean - median(others.iter().map(|other| other.mean).collect());
+        let mean = arm.mean - median(others.iter().map(|other| other.mean).collect());
         let variance = ClusterVariance {
-            variance: own.key_variance.variance + variance_of_median(&others),
-            ..own.key_variance
+            variance: arm.key_variance.variance + variance_of_median(&others),
+            ..arm.key_variance
         };
         let half_width = variance.half_width();
         if !(mean.is_finite() && half_width.is_finite() && half_width > 0.0) {
@@ -111,7 +118,7 @@
             high: mean + half_width,
             p_value: libm::erfc(deviate.max(0.0) / std::f64::consts::SQRT_2),
             is_corroborated: self.survives_without_any_forwarder(cache, mean, min_effect),
-            requests: own.request_count,
+            requests: arm.request_count,
             strata: Vec::new(),
         };
         Ok(AssignmentComparison { estimate, e_value: mixture_e_value(deviate, variance.variance) })
@@ -121,53 +128,58 @@
         self.arms.iter().filter(move |(other, _)| **other != cache).map(|(_, arm)| arm)
     }
 
-    /// Whether the difference stands whichever forwarder is left out: what rests on one alone
-    /// may be due to its being cut off, or lying.
+    /// Whether the difference remains at least `min_effect` whichever forwarder is left out: a difference
+    /// that depends on a single forwarder may stem from a forwarder that is cut off from a cache, or lies.
+    /// Also true for a smaller difference, and if there are fewer than two forwarders.
     fn survives_without_any_forwarder(&self, cache: u64, mean: f64, min_effect: f64) -> bool {
         if mean.abs() < min_effect || self.forwarders.len() < 2 {
             return true;
         }
         self.forwarders.iter().all(|forwarder| {
-            let left = self.difference_without(cache, *forwarder);
-            left.is_some_and(|left| left * mean.signum() >= min_effect)
+            let remaining = self.difference_without(cache, *forwarder);
+            remaining.is_some_and(|remaining| remaining * mean.signum() >= min_effect)
         })
     }
 
+    /// The difference of the cache to the median of the others without a forwarder's requests; none if too
+    /// few requests remain.
     fn difference_without(&self, cache: u64, forwarder: ForwarderId) -> Option<f64> {
-        let own = self.arms.get(&cache)?.mean_without(forwarder)?;
+        let mean = self.arms.get(&cache)?.mean_without(forwarder)?;
         let others: Vec<f64> = self.others(cache).filter_map(|other| other.mean_without(forwarder)).collect();
         if others.len() < MIN_OTHER_CACHES {
             return None;
         }
-        Some(own - median(others))
+        Some(mean - median(others))
     }
 }
 
-/// A duration in tenths of a millisecond on the logarithm's scale: it grows by one where a time grows by a factor of e.
+/// Converts a duration in tenths of a millisecond to the logarithmic scale: 0 for the shortest duration, and
+/// one more for each factor of e.
 fn log_scale(tenths: u32) -> f64 {
-    (f64::from(tenths.max(SHORTEST_DURATION)) / f64::from(SHORTEST_DURATION)).ln()
+    (f64::from(tenths.max(MIN_DURATION_TENTHS_OF_MS)) / f64::from(MIN_DURATION_TENTHS_OF_MS)).ln()
 }
 
-/// The requests with the logarithm of their times, from the curve of their first candidate or else from that of all.
+/// Returns the requests with the logarithm of their times, from the curve of their first candidate's
+/// requests, or else from the curve of the requests of all caches.
 fn log_durations<'a>(reported: &[ReportedRequest<'a>]) -> Vec<TimedRequest<'a>> {
     let horizon = log_scale(greatest_slo(reported));
-    let of_cache = pseudo_values_by_group(
+    let cache_values = pseudo_values_by_group(
         reported,
         |request| (request.candidates[0], request.work_class, request.chose_later_candidate()),
         log_scale,
     );
-    let of_all = pseudo_values_by_group(
+    let all_caches_values = pseudo_values_by_group(
         reported,
         |request| (request.work_class, request.chose_later_candidate()),
         log_scale,
     );
-    let mut timed = Vec::new();
+    let mut timed_requests = Vec::new();
     for (index, reported) in reported.iter().enumerate() {
-        if let Some(value) = of_cache.get(&index).or_else(|| of_all.get(&index)) {
-            timed.push(TimedRequest { reported: *reported, log_duration: value.waited * horizon });
+        if let Some(value) = cache_values.get(&index).or_else(|| all_caches_values.get(&index)) {
+            timed_requests.push(TimedRequest { reported: *reported, log_duration: value.waited * horizon });
         }
     }
-    timed
+    timed_requests
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -176,17 +188,18 @@
     if count % 2 == 1 { values[count / 2] } else { (values[count / 2 - 1] + values[count / 2]) / 2.0 }
 }
 
-/// The variance of the median of the arms' means: π/2 times that of their mean.
+/// The variance of the median of the arms' means: π/2 times the variance of the mean of the arms' means.
 fn variance_of_median(arms: &[&Arm]) -> f64 {
     let count = arms.len() as f64;
     arms.iter().map(|arm| arm.key_variance.variance).sum::<f64>() / count / count
         * std::f64::consts::FRAC_PI_2
 }
 
-/// The e-value of a normal deviate: the likelihood ratio of a normal mixture of effects beyond the smallest one.
+/// The e-value of a normal deviate: the likelihood ratio of a normal mixture of effects beyond the smallest
+/// reported one.
 fn mixture_e_value(deviate: f64, variance: f64) -> f64 {
     if deviate > 0.0 {
-        let relative = EXPECTED_EFFECT * EXPECTED_EFFECT / variance;
+        let relative = EXPECTED_EFFECT_DEVIATION * EXPECTED_EFFECT_DEVIATION / variance;
         (deviate * deviate / 2.0 * relative / (1.0 + relative)).exp() / (1.0 + relative).sqrt()
     } else {
         0.0
--- a/crates/coordination/src/counterfactual/randomized_assignment/arm.rs
+++ b/crates/coordination/src/counterfactual/randomized_assignment/arm.rs
@@ -1,4 +1,5 @@
-//! One arm of the trial: the keys that were assigned to one cache, and the mean of their requests.
+//! One arm of the randomized trial: the keys that were assigned to one cache, and the mean excess time of
+//! their requests.
 
 use std::collections::BTreeMap;
 
@@ -7,29 +8,30 @@
 use crate::counterfactual::weighted_mean::MIN_EFFECTIVE_KEYS;
 use crate::member::ForwarderId;
 
-/// The intra-key correlation: requests of one key are as alike as if this share of what differs were the key's own. A hot
-/// key counts as ten requests.
+/// The intra-key correlation: the share of the variance that the requests of one key have in common. However
+/// many requests a hot key has, it counts as ten at most.
 const INTRA_KEY_CORRELATION: f64 = 0.1;
-/// A weight below this share of the total is rounding error.
+/// The share of the total weight up to which a remaining weight is rounding error.
 const NEGLIGIBLE_WEIGHT: f64 = 1e-9;
 
-/// By how much a request's time exceeded that of its work class at the moment, by the logarithm.
+/// The difference between the logarithm of a request's time and the mean of its work class in the same time
+/// bucket, with the forwarder that reported the request.
 pub(super) struct ExcessDuration {
     pub forwarder: ForwarderId,
     pub excess: f64,
 }
 
-/// The requests of each key of which one cache is the first candidate.
+/// The requests whose first candidate is one cache, by the hash of their key.
 pub(super) type RequestsByKey = BTreeMap<u32, Vec<ExcessDuration>>;
 
-/// A sum of weighted values, and of their weights.
+/// A sum of weighted values, and the sum of their weights.
 #[derive(Clone, Copy, Default)]
 pub(super) struct WeightedSum {
     pub sum: f64,
     pub weight: f64,
 }
 
-/// An arm of the trial: the keys that were assigned to one cache.
+/// The estimates of one arm of the trial.
 pub(super) struct Arm {
     pub mean: f64,
     pub key_variance: ClusterVariance,
@@ -39,7 +41,8 @@
 }
 
 impl Arm {
-    /// The figures of an arm; none where too few keys bear the variance.
+    /// Estimates the mean and variance of an arm; none if the keys, or the effective number of keys, are too
+    /// few.
     pub fn new(keys: &RequestsByKey) -> Option<Arm> {
         let weight: f64 = keys.values().map(|requests| key_weight(requests.len())).sum();
         let mean = keys.values().map(|requests| key_sum(requests)).sum::<f64>() / weight;
@@ -58,16 +61,16 @@
         })
     }
 
-    /// The mean without a forwarder; none if hardly anything is left.
+    /// The mean without a forwarder's requests; none if no other requests remain.
     pub fn mean_without(&self, forwarder: ForwarderId) -> Option<f64> {
-        let own = self.by_forwarder.get(&forwarder).copied().unwrap_or_default();
-        let sum = self.mean * self.weight - own.sum;
-        let weight = self.weight - own.weight;
+        let forwarder_sum = self.by_forwarder.get(&forwarder).copied().unwrap_or_default();
+        let sum = self.mean * self.weight - forwarder_sum.sum;
+        let weight = self.weight - forwarder_sum.weight;
         if weight > NEGLIGIBLE_WEIGHT * self.weight { Some(sum / weight) } else { None }
     }
 }
 
-/// The variance of an arm's mean, by keys.
+/// The variance of an arm's mean, from the variance between keys.
 fn key_variance(keys: &RequestsByKey, mean: f64, weight: f64) -> ClusterVariance {
     let count = keys.len() as f64;
     let small_sample_factor = count / (count - 1.0);
@@ -81,25 +84,26 @@
     total
 }
 
+/// The weighted sums of the requests that each forwarder reported.
 fn sums_by_forwarder(keys: &RequestsByKey) -> BTreeMap<ForwarderId, WeightedSum> {
     let mut by_forwarder: BTreeMap<ForwarderId, WeightedSum> = BTreeMap::new();
     for requests in keys.values() {
         let weight = key_weight(requests.len()) / requests.len() as f64;
         for request in requests {
-            let own = by_forwarder.entry(request.forwarder).or_default();
-            own.sum += weight * request.excess;
-            own.weight += weight;
+            let forwarder_sum = by_forwarder.entry(request.forwarder).or_default();
+            forwarder_sum.sum += weight * request.excess;
+            forwarder_sum.weight += weight;
         }
     }
     by_forwarder
 }
 
-/// The effective number of requests among `count` of one key.
+/// The effective number of requests of a key with `count` requests.
 fn key_weight(count: usize) -> f64 {
     count as f64 / (1.0 + (count as f64 - 1.0) * INTRA_KEY_CORRELATION)
 }
 
-/// The weighted sum of a key's requests.
+/// The weighted sum of the excess times of a key's requests.
 fn key_sum(requests: &[ExcessDuration]) -> f64 {
     let sum: f64 = requests.iter().map(|request| request.excess).sum();
     key_weight(requests.len()) * sum / requests.len() as f64
