--- a/crates/coordination/src/counterfactual/planner/cache_starts.rs
+++ b/crates/coordination/src/counterfactual/planner/cache_starts.rs
@@ -1,4 +1,4 @@
-//! When caches started: requests that a cache served before its start tell nothing about it now.
+//! The start times of caches. Requests that a cache served before its start tell nothing about the cache now.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,14 @@
 }
 
 impl CacheStarts {
-    /// How many caches are tracked.
+    /// The number of caches that are tracked.
     pub fn len(&self) -> usize {
         self.by_cache.len()
     }
 
-    /// Takes in a start. Returns whether it is a new one; starts within `tolerance` of a known one are the same, since
-    /// forwarders learn of one start at times that differ a little. With `capacity` caches tracked no other is taken in.
+    /// Records a start of a cache. Returns whether the start is new and was recorded. A start no
+    /// more than `tolerance` later than the known one is not new, since forwarders report slightly different
+    /// times for one start. If `capacity` caches are tracked, no other cache is added.
     pub fn record(&mut self, cache: u64, started_at: Time, tolerance: Span, capacity: usize) -> bool {
         let known = self.by_cache.get(&cache).copied();
         let is_known = known.is_some_and(|known| started_at <= known + tolerance);
@@ -34,7 +35,7 @@
         self.by_cache.get(&cache).is_some_and(|started_at| at < *started_at)
     }
 
-    /// Forgets starts that are older than the window.
+    /// Removes starts that are older than the window.
     pub fn expire(&mut self, now: Time, window: Span) {
         self.by_cache.retain(|_, started_at| now - *started_at <= window);
     }
--- a/crates/coordination/src/counterfactual/planner/mod.rs
+++ b/crates/coordination/src/counterfactual/planner/mod.rs
@@ -1,12 +1,14 @@
-//! The planner's side: merges what forwarders report, estimates in rounds, and reports how caches compare.
+//! The planner component: stores the requests that forwarders report, estimates in rounds, and reports the
+//! comparisons of caches.
 //!
 //! # Invariants
 //!
-//! - What is stored depends only on which reports arrived, not on their order or repetition (`request_store`); a lost message
-//!   costs support and nothing else. What is older than a candidate's start is void, and is refused by its own time.
-//! - One forwarder alone names nobody: a discovery counts only if it stands without any single forwarder and another
-//!   forwarder used the cache too.
-//! - A comparison of worse or better that was reported is retracted when nothing is known of the cache any more.
+//! - The stored requests depend only on which reports arrived, not on the order or repetition of reports
+//!   (`request_store`); a lost message costs support and nothing else. A request that ended before the start
+//!   of one of its candidates is void, and its report is rejected whenever it arrives.
+//! - A single forwarder can't cause a comparison of worse or better: a discovery counts only if it holds
+//!   without any single forwarder and another forwarder used the cache too.
+//! - A reported comparison of worse or better is retracted when nothing is known of the cache any more.
 
 mod cache_starts;
 mod pending_reports;
@@ -34,32 +36,33 @@
 use crate::component::{Component, Event};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-/// The fewest forwarders that have to have used a cache that is named.
+/// The fewest forwarders that must have used a cache before the cache is compared as worse or better.
 const MIN_CORROBORATING_FORWARDERS: usize = 2;
 
-/// The planner's side of the component.
+/// The planner component of off-policy evaluation.
 pub struct PlannerComponent {
     settings: Settings,
     requests: RequestStore,
-    /// What ended before this is void: it was served by an earlier shard map.
+    /// The time of the last shard map change. Requests that ended before it are void, as an earlier shard map
+    /// applied.
     valid_since: Time,
     starts: CacheStarts,
     comparisons: BTreeMap<ComparisonKey, ComparisonTracker>,
     forwarders: Vec<ForwarderId>,
     last_round_at: Time,
-    policies_valued_at: Time,
+    policy_values_logged_at: Time,
     outgoing: VecDeque<(Member, CounterfactualMessage)>,
     reports: PendingReports,
     events: VecDeque<Event>,
 }
 
-/// When something happened that a message gives by its age.
-fn time_before(now: Time, age_ms: u32) -> Time {
+/// Returns the time of an event that a message states by its age at `now`.
+fn time_at_age(now: Time, age_ms: u32) -> Time {
     Time(now.0.saturating_sub(Span::from_millis(u64::from(age_ms)).0))
 }
 
 impl PlannerComponent {
-    /// A component that knows of no request.
+    /// Creates a component without any requests.
     pub fn new(settings: Settings, _id: PlannerId, _incarnation: Incarnation, now: Time) -> PlannerComponent {
         let limits = StoreLimits {
             requests: settings.max_requests,
@@ -73,14 +76,15 @@
             comparisons: BTreeMap::new(),
             forwarders: Vec::new(),
             last_round_at: now,
-            policies_valued_at: now,
+            policy_values_logged_at: now,
             outgoing: VecDeque::new(),
             reports: PendingReports::new(now),
             events: VecDeque::new(),
         }
     }
 
-    /// Keys have other candidates from now on: requests of the old shard map tell nothing about the new one.
+    /// Discards all requests and retracts all comparisons at a change of the shard map. Keys have other
+    /// candidates from then on, so requests under the old shard map tell nothing about the new one.
     pub fn on_shard_map_change(&mut self, now: Time) {
         self.valid_since = now;
         self.requests.clear();
@@ -93,23 +97,23 @@
         self.requests.request_classes()
     }
 
-    /// The stored requests of a request class, prepared for estimates by the nodes' choices.
+    /// The stored requests of a request class, prepared for estimates from the nodes' choices.
     pub fn dataset(&self, request_class: u16) -> Dataset {
         Dataset::new(self.reported_requests(request_class))
     }
 
-    /// The stored requests of a request class, prepared for estimates by the randomized assignment.
+    /// The stored requests of a request class, prepared for estimates from the randomized assignment.
     pub fn randomized_assignment(&self, request_class: u16) -> RandomizedAssignment {
         RandomizedAssignment::new(self.reported_requests(request_class))
     }
 
-    /// How a cache compares for a request class.
+    /// The comparison of a cache for a request class on a scale.
     pub fn comparison(&self, cache: u64, request_class: u16, scale: ComparisonScale) -> Comparison {
         let tracker = self.comparisons.get(&ComparisonKey { cache, request_class, scale });
         tracker.map_or(Comparison::NoSupport, ComparisonTracker::comparison)
     }
 
-    /// How many requests are stored.
+    /// The number of stored requests.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
@@ -125,8 +129,9 @@
         )
     }
 
+    /// Stores a reported request unless it is older than the window or void.
     fn on_request(&mut self, now: Time, forwarder: ForwarderId, request: SampledRequest) {
-        let ended_at = time_before(now, request.age_ms);
+        let ended_at = time_at_age(now, request.age_ms);
         let is_old = now - ended_at > self.settings.window || ended_at < self.valid_since;
         let is_void = request.candidates.iter().any(|cache| self.starts.started_after(*cache, ended_at));
         if !is_old && !is_void {
@@ -134,29 +139,31 @@
         }
     }
 
+    /// Handles a new start of a cache: discards the earlier requests that have the cache as a candidate, and
+    /// the comparisons of the cache.
     fn on_cache_start(&mut self, now: Time, start: CacheStart) {
         let CacheStart { cache, age_ms } = start;
-        let started_at = time_before(now, age_ms);
+        let started_at = time_at_age(now, age_ms);
         let Settings { window, start_tolerance, max_caches, .. } = self.settings;
         if now - started_at > window || !self.starts.record(cache, started_at, start_tolerance, max_caches) {
             return;
         }
         self.requests
             .retain(|stored| stored.ended_at >= started_at || !stored.request.candidates.contains(&cache));
-        let of_cache = self.comparisons.extract_if(.., |key, _| key.cache == cache).collect();
-        self.retract(of_cache);
+        let removed = self.comparisons.extract_if(.., |key, _| key.cache == cache).collect();
+        self.retract(removed);
     }
 
-    /// Reports of comparisons that are dropped that nothing is known of the cache now.
-    fn retract(&mut self, dropped: BTreeMap<ComparisonKey, ComparisonTracker>) {
-        for (key, tracker) in dropped {
+    /// Reports for each removed comparison of worse or better that nothing is known of the cache any more.
+    fn retract(&mut self, removed: BTreeMap<ComparisonKey, ComparisonTracker>) {
+        for (key, tracker) in removed {
             if tracker.comparison().is_difference() {
                 self.publish(key.scale, ComparisonTracker::default().report(key));
             }
         }
     }
 
-    /// Logs a change of a comparison, and sends it with the next round.
+    /// Logs a change of a comparison, and queues its report for the end of the next round.
     fn publish(&mut self, scale: ComparisonScale, report: ComparisonReport) {
         self.log(comparison_event(&report, scale));
         self.reports.push(scale, report, self.settings.max_comparisons);
@@ -168,7 +175,8 @@
         }
     }
 
-    /// Forgets what is old and compares anew, if a round is due.
+    /// Runs a round if it is due: removes old requests and cache starts, estimates, and updates the
+    /// comparisons.
     fn run_round_if_due(&mut self, now: Time) {
         if now - self.last_round_at < self.settings.comparison_interval {
             return;
@@ -176,42 +184,44 @@
         self.last_round_at = now;
         self.requests.expire(now, self.settings.window);
         self.starts.expire(now, self.settings.window);
-        let values_policies = now - self.policies_valued_at >= self.settings.policy_value_interval;
-        if values_policies {
-            self.policies_valued_at = now;
+        let are_policy_values_due = now - self.policy_values_logged_at >= self.settings.policy_value_interval;
+        if are_policy_values_due {
+            self.policy_values_logged_at = now;
         }
-        let findings = self.estimate(values_policies);
+        let findings = self.estimate(are_policy_values_due);
         self.apply(findings);
         self.send_reports(now);
     }
 
-    fn estimate(&mut self, values_policies: bool) -> Vec<Finding> {
+    /// Estimates all comparisons of a round, and logs the values of selection policies if they are due.
+    fn estimate(&mut self, are_policy_values_due: bool) -> Vec<Finding> {
         let min_effect = self.settings.min_effect(ComparisonScale::TimeRatio);
         let mut round = Round::default();
         for request_class in self.request_classes().into_iter().take(self.settings.max_request_classes) {
-            // Both scales have the same part of the comparisons that are left.
+            // Each scale may use half of the comparisons that remain.
             let limit = self.settings.max_comparisons.saturating_sub(round.len()) / 2;
             let dataset = self.dataset(request_class);
             round.add_effects(request_class, &dataset, limit);
             let assignment = self.randomized_assignment(request_class);
             round.add_time_ratios(request_class, &assignment, limit, min_effect);
-            if values_policies {
+            if are_policy_values_due {
                 self.log_policy_values(request_class, &dataset);
             }
         }
         round.into_findings(self.settings.false_discovery_rate)
     }
 
+    /// Updates the comparisons with the findings of a round, and retracts comparisons without a finding.
     fn apply(&mut self, findings: Vec<Finding>) {
         let mut comparisons = BTreeMap::new();
         for Finding { key, estimate, is_discovery } in findings {
-            let counts = is_discovery
+            let is_confirmed_discovery = is_discovery
                 && estimate.as_ref().is_ok_and(|estimate| estimate.is_corroborated)
-                && self.is_used_by_several(key.cache);
+                && self.is_used_by_several_forwarders(key.cache);
             let mut tracker = self.comparisons.remove(&key).unwrap_or_default();
             let before = tracker.comparison();
-            let has_changed = tracker.update(&self.settings, key.scale, estimate, counts);
-            // That there is or isn't support for a cache of which nothing was reported is no news.
+            let has_changed = tracker.update(&self.settings, key.scale, estimate, is_confirmed_discovery);
+            // Changes between no support and as good are not reported.
             if has_changed && (before.is_difference() || tracker.comparison().is_difference()) {
                 self.publish(key.scale, tracker.report(key));
             }
@@ -221,18 +231,20 @@
         self.retract(without_finding);
     }
 
-    /// One forwarder may be cut off from a cache by itself, or lie: another has to have used it, however few there are.
-    fn is_used_by_several(&self, cache: u64) -> bool {
+    /// Whether several forwarders used the cache. Another forwarder must have used it, however few there are,
+    /// since a single forwarder may be the only one that is cut off from the cache, or lie. True if only one
+    /// forwarder reports at all.
+    fn is_used_by_several_forwarders(&self, cache: u64) -> bool {
         self.requests.forwarder_count() < MIN_CORROBORATING_FORWARDERS
-            || self.requests.is_chosen_by(cache, MIN_CORROBORATING_FORWARDERS)
+            || self.requests.is_chosen_by_forwarders(cache, MIN_CORROBORATING_FORWARDERS)
     }
 
-    /// Makes the messages of a round. Messages of the last one that were not sent by now are replaced.
+    /// Queues the messages of a round. They replace the messages of the last round that are not sent yet.
     fn send_reports(&mut self, now: Time) {
         if self.reports.is_repetition_due(now, self.settings.report_repeat_interval) {
             for (key, tracker) in &self.comparisons {
                 if tracker.comparison().is_difference() {
-                    self.reports.repeat(key.scale, tracker.report(*key));
+                    self.reports.push_repetition(key.scale, tracker.report(*key));
                 }
             }
         }
--- a/crates/coordination/src/counterfactual/planner/request_store.rs
+++ b/crates/coordination/src/counterfactual/planner/request_store.rs
@@ -1,7 +1,8 @@
-//! The requests that forwarders reported within the window, within bounds.
+//! A bounded store of the requests that forwarders reported and that ended within the window.
 //!
-//! Invariant: what is stored depends only on which reports arrived, not on their order or repetition. A forwarder's report of a
-//! request is stored once, with the earlier of its times; and of too many those of the lowest ranks stay, whenever they arrived.
+//! Invariant: the stored requests depend only on which reports arrived, not on the order or repetition of
+//! reports. A forwarder's report of a request is stored once, with the earliest of its times. If there are
+//! too many requests, those with the lowest ranks are kept, whenever their reports arrived.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,27 +12,31 @@
 use crate::counterfactual::sampling::sampling_rank;
 use crate::member::ForwarderId;
 
-/// A request's place in the order by which the store is thinned out.
+/// Identifies a stored request. Requests are kept in the order of their keys: at capacity, the greatest are
+/// removed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     rank: u64,
     request_hash: u64,
 }
 
-/// A request as it is stored.
+/// A stored request.
 pub(super) struct StoredRequest {
-    /// The report, with an age of 0.
+    /// The report, with its age set to 0.
     pub request: SampledRequest,
     /// When the request ended, by the planner's clock.
     pub ended_at: Time,
 }
 
+/// The stored requests of one forwarder.
 type RequestsOfForwarder = BTreeMap<RequestKey, StoredRequest>;
 
-/// The bounds of the store.
+/// The most requests that the store holds.
 #[derive(Clone, Copy)]
 pub(super) struct StoreLimits {
+    /// The most requests in all.
     pub requests: usize,
+    /// The most requests of one forwarder.
     pub requests_per_forwarder: usize,
 }
 
@@ -40,22 +45,23 @@
     limits: StoreLimits,
     by_forwarder: BTreeMap<ForwarderId, RequestsOfForwarder>,
     count: usize,
-    /// Requests whose rank is not below this are left out; it halves when there are too many.
+    /// Only requests of a rank below this limit are stored. The limit is halved when there are too many
+    /// requests.
     rank_limit: u64,
 }
 
 impl RequestStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: StoreLimits) -> RequestStore {
         RequestStore { limits, by_forwarder: BTreeMap::new(), count: 0, rank_limit: u64::MAX }
     }
 
-    /// How many requests are stored.
+    /// The number of stored requests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// How many forwarders reported any of them.
+    /// The number of forwarders that reported any of the stored requests.
     pub fn forwarder_count(&self) -> usize {
         self.by_forwarder.len()
     }
@@ -72,12 +78,12 @@
         self.iter().map(|(_, stored)| stored.request.request_class).collect()
     }
 
-    /// Whether at least `count` forwarders reported a request that they sent to the cache.
-    pub fn is_chosen_by(&self, cache: u64, count: usize) -> bool {
-        let chose = |requests: &&RequestsOfForwarder| {
+    /// Whether at least `count` forwarders reported a request that they sent first to the cache.
+    pub fn is_chosen_by_forwarders(&self, cache: u64, count: usize) -> bool {
+        let has_chosen = |requests: &&RequestsOfForwarder| {
             requests.values().any(|stored| stored.request.chosen_cache() == cache)
         };
-        self.by_forwarder.values().filter(chose).take(count).count() == count
+        self.by_forwarder.values().filter(has_chosen).take(count).count() == count
     }
 
     /// Stores a request that ended at `ended_at`.
@@ -88,16 +94,17 @@
         }
         request.age_ms = 0;
         let key = RequestKey { rank, request_hash: request.request_hash };
-        let of_forwarder = self.by_forwarder.entry(forwarder).or_default();
-        if let Some(known) = of_forwarder.get_mut(&key) {
-            known.ended_at = known.ended_at.min(ended_at);
+        let forwarder_requests = self.by_forwarder.entry(forwarder).or_default();
+        if let Some(stored) = forwarder_requests.get_mut(&key) {
+            stored.ended_at = stored.ended_at.min(ended_at);
             return;
         }
-        of_forwarder.insert(key, StoredRequest { request, ended_at });
+        forwarder_requests.insert(key, StoredRequest { request, ended_at });
         self.count += 1;
-        // A forwarder that floods, or lies, has a bounded part of the store.
-        if of_forwarder.len() > self.limits.requests_per_forwarder {
-            of_forwarder.pop_last();
+        // The limit bounds the part of the store that a forwarder can fill with a flood of requests, or with
+        // false ones.
+        if forwarder_requests.len() > self.limits.requests_per_forwarder {
+            forwarder_requests.pop_last();
             self.count -= 1;
         }
         while self.count > self.limits.requests && self.rank_limit > 1 {
@@ -107,11 +114,12 @@
         }
     }
 
-    /// Removes requests that are older than the window, and takes in more of them again if there is capacity.
+    /// Removes requests that are older than the window, and doubles the rank limit if less than a quarter of
+    /// the capacity is used, so that more requests are stored again.
     pub fn expire(&mut self, now: Time, window: Span) {
-        const MIN_LOAD_DIVISOR: usize = 4;
+        const MOSTLY_EMPTY_DIVISOR: usize = 4;
         self.retain(|stored| now - stored.ended_at <= window);
-        if self.count < self.limits.requests / MIN_LOAD_DIVISOR {
+        if self.count < self.limits.requests / MOSTLY_EMPTY_DIVISOR {
             self.rank_limit = self.rank_limit.saturating_mul(2);
         }
     }
--- a/crates/coordination/src/counterfactual/planner/round.rs
+++ b/crates/coordination/src/counterfactual/planner/round.rs
@@ -1,4 +1,4 @@
-//! The estimates of one round over all caches and request classes, of which discoveries are named together.
+//! The estimates of one round over all caches and request classes, whose discoveries are determined together.
 
 use crate::counterfactual::comparison::ComparisonKey;
 use crate::counterfactual::dataset::Dataset;
@@ -8,33 +8,33 @@
 use crate::counterfactual::outcome::OutcomeMeasure;
 use crate::counterfactual::randomized_assignment::RandomizedAssignment;
 
-/// An estimate, and whether it is a discovery.
+/// The estimate of one comparison, and whether the estimate is a discovery.
 pub(super) struct Finding {
     pub key: ComparisonKey,
     pub estimate: Result<Estimate, NoSupport>,
     pub is_discovery: bool,
 }
 
-/// The estimates of a round.
+/// The estimates of one round.
 #[derive(Default)]
 pub(super) struct Round {
-    /// From the nodes' choices.
+    /// The effects of caches, estimated from the nodes' choices.
     effects: Vec<Finding>,
-    /// From the randomized assignment.
+    /// The time ratios of caches, estimated from the randomized assignment.
     time_ratios: Vec<Finding>,
-    /// Of the effects with support, in their order.
+    /// The p-values of the effects with support, in the order of `effects`.
     p_values: Vec<f64>,
-    /// Of the ratios with support, in their order.
+    /// The e-values of the time ratios with support, in the order of `time_ratios`.
     e_values: Vec<f64>,
 }
 
 impl Round {
-    /// How many comparisons were made.
+    /// The number of comparisons in the round.
     pub fn len(&self) -> usize {
         self.effects.len() + self.time_ratios.len()
     }
 
-    /// Estimates the effects of the first `limit` caches.
+    /// Adds the estimated effects of the first `limit` caches of the dataset.
     pub fn add_effects(&mut self, request_class: u16, dataset: &Dataset, limit: usize) {
         for cache in dataset.caches().into_iter().take(limit) {
             let estimate = dataset.compare_cache(cache, OutcomeMeasure::WaitedShare);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Estimates the ratios of times of the first `limit` caches.
+    /// Adds the estimated time ratios of the first `limit` caches of the assignment.
     pub fn add_time_ratios(
         &mut self,
         request_class: u16,
@@ -65,19 +65,19 @@
         }
     }
 
-    /// The findings, with discoveries at this false discovery rate.
+    /// Returns all findings, with the discoveries at the given false discovery rate.
     pub fn into_findings(mut self, false_discovery_rate: f64) -> Vec<Finding> {
-        let effects_found = benjamini_hochberg(&self.p_values, false_discovery_rate);
-        name_discoveries(&mut self.effects, &effects_found);
-        let time_ratios_found = e_benjamini_hochberg(&self.e_values, false_discovery_rate);
-        name_discoveries(&mut self.time_ratios, &time_ratios_found);
+        let effect_discoveries = benjamini_hochberg(&self.p_values, false_discovery_rate);
+        mark_discoveries(&mut self.effects, &effect_discoveries);
+        let time_ratio_discoveries = e_benjamini_hochberg(&self.e_values, false_discovery_rate);
+        mark_discoveries(&mut self.time_ratios, &time_ratio_discoveries);
         self.effects.append(&mut self.time_ratios);
         self.effects
     }
 }
 
-/// Marks the findings with support by the results of the tests, which stand in the same order.
-fn name_discoveries(findings: &mut [Finding], is_discovery: &[bool]) {
+/// Marks the discoveries among the findings with support; `is_discovery` is in the order of these findings.
+fn mark_discoveries(findings: &mut [Finding], is_discovery: &[bool]) {
     let supported = findings.iter_mut().filter(|finding| finding.estimate.is_ok());
     for (finding, is_discovery) in supported.zip(is_discovery) {
         finding.is_discovery = *is_discovery;
