--- a/crates/coordination/src/counterfactual/comparison/tests.rs
+++ b/crates/coordination/src/counterfactual/comparison/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn one_finding_changes_nothing_and_a_comparison_is_left_slowly() {
+fn one_finding_changes_nothing_and_several_findings_end_a_comparison() {
     let settings = Settings::default();
     let mut tracker = ComparisonTracker::default();
     let mut update = |mean: f64, is_discovery: bool| {
--- a/crates/coordination/src/counterfactual/multiple_testing/tests.rs
+++ b/crates/coordination/src/counterfactual/multiple_testing/tests.rs
@@ -12,7 +12,7 @@
 /// If its hypothesis is true, an e-value is `n` or more with a probability of at most `1/n`. At a rate of
 /// 0.01, one rejection among two hypotheses needs an e-value of 200, so 150 is not enough.
 #[test]
-fn e_values_are_judged_by_the_number_of_hypotheses() {
+fn e_value_thresholds_grow_with_the_number_of_hypotheses() {
     assert_eq!(e_benjamini_hochberg(&[150.0, 0.0], 0.01), [false; 2]);
     assert_eq!(e_benjamini_hochberg(&[150.0, 110.0], 0.01), [true; 2]);
     assert_eq!(e_benjamini_hochberg(&[1.0, 250.0, 0.0], 0.01), [false; 3]);
