--- a/crates/coordination/examples/cost.rs
+++ b/crates/coordination/examples/cost.rs
@@ -1,6 +1,6 @@
-//! Prints what one planner costs by the number of forwarders: messages opened, members tracked, reports merged and
-//! updates sealed in this process, without sockets. Each forwarder reports twice a second on five of 70 endpoints, one of
-//! which hangs.
+//! Prints the cost of endpoint health at one planner, by the number of forwarders. The planner opens
+//! messages, tracks members, merges reports and seals updates in this process, without sockets. Each
+//! forwarder reports twice per second on five of 70 endpoints, one of which hangs.
 
 use std::time::Instant;
 
@@ -25,7 +25,7 @@
 const PLANNER: PlannerId = PlannerId(1);
 const INCARNATION: Incarnation = Incarnation(1);
 
-/// A planner that seals what it sends and discards it.
+/// A planner that seals its messages, counts them and discards them.
 struct Planner {
     secrets: Secrets,
     membership: Membership,
@@ -73,12 +73,14 @@
     }
 }
 
+/// The counts of one endpoint in a report. Endpoint 0 hangs: its only attempt fails.
 fn counts(forwarder: u64, sequence: u64, index: u64) -> EndpointCounts {
     let endpoint = (forwarder + sequence + ENDPOINTS / ENDPOINTS_PER_REPORT * index) % ENDPOINTS;
     let failed = f64::from(u8::from(endpoint == 0));
     EndpointCounts { endpoint: EndpointId(endpoint), answered: 1.0 - failed, failed, in_flight: 0.0 }
 }
 
+/// The sealed message with a report of a forwarder.
 fn sealed_report(forwarder: u64, sequence: u64, secrets: &Secrets) -> Vec<u8> {
     let endpoints = (0..ENDPOINTS_PER_REPORT).map(|index| counts(forwarder, sequence, index)).collect();
     let report = HealthReport { sequence, fragment: Fragment::SINGLE, endpoints };
@@ -88,6 +90,7 @@
     message::seal(sender, &message, secrets).expect("short enough")
 }
 
+/// Measures and prints the cost with this many forwarders.
 fn measure(forwarders: u64, secrets: &Secrets) {
     let mut datagrams = Vec::new();
     for sequence in 1..=REPORTS_PER_SECOND * SECONDS {
@@ -99,20 +102,20 @@
     let mut planner = Planner::new(secrets.clone());
     let time_of = |index: usize| Time(0) + Span(index as u64 * REPORT_INTERVAL_MICROS / forwarders);
 
-    let began = Instant::now();
+    let start = Instant::now();
     for (index, datagram) in joining.iter().enumerate() {
         planner.on_datagram(time_of(index), datagram);
     }
-    let joining_secs = began.elapsed().as_secs_f64();
+    let joining_secs = start.elapsed().as_secs_f64();
 
-    // All forwarders have joined: from here on it is the cost of a fleet that does not change.
+    // All forwarders have joined: the cost of a fleet without changes is measured from here on.
     planner.bytes_sent = 0;
     planner.updates_sent = 0;
-    let began = Instant::now();
+    let start = Instant::now();
     for (index, datagram) in steady.iter().enumerate() {
         planner.on_datagram(time_of(joining.len() + index), datagram);
     }
-    let cpu_secs = began.elapsed().as_secs_f64();
+    let cpu_secs = start.elapsed().as_secs_f64();
 
     let bytes_received: usize = steady.iter().map(Vec::len).sum();
     let seconds = SECONDS as f64 - REPORT_INTERVAL_SECS;
@@ -129,8 +132,8 @@
 
 fn main() {
     println!(
-        "| forwarders | of a core | a report in, an update out | bytes in a second | bytes out a second | entries | \
-         all joining |"
+        "| forwarders | share of a core | time per report and update | bytes received per second | bytes sent per second | \
+         entries | time for all to join |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let secrets = Secrets::single(Secret::new(b"of all that are asked").expect("long enough"));
--- a/crates/coordination/examples/counterfactual_cost.rs
+++ b/crates/coordination/examples/counterfactual_cost.rs
@@ -1,5 +1,6 @@
-//! Prints what counterfactual estimation costs a planner and the network, by the number of forwarders: in one process,
-//! without sockets. Each forwarder serves three requests a second of two request classes over 200 caches.
+//! Prints the processor time and network traffic of off-policy evaluation at a planner, by the number of
+//! forwarders. All runs in one process, without sockets. Each forwarder serves three requests per second, of
+//! two request classes, from 200 caches.
 
 use std::time::{Duration, Instant};
 
@@ -17,12 +18,13 @@
 const KEYS: u64 = 20_000;
 const FORWARDERS: [u64; 7] = [50, 100, 200, 300, 500, 1000, 2000];
 
+/// A pseudo-random number of `n`.
 fn mix(n: u64) -> u64 {
     let x = (n ^ (n >> 31)).wrapping_mul(0x7fb5_d329_728e_a185);
     (x ^ (x >> 27)).wrapping_mul(0x81da_def4_bc2d_d44d) >> 7
 }
 
-/// The `n`th request, if it is sampled.
+/// Returns the `n`th request; none if it is not sampled.
 fn sampled_request(n: u64) -> Option<SampledRequest> {
     let request_hash = mix(n);
     if !is_sampled(request_hash) {
@@ -46,15 +48,18 @@
     })
 }
 
-/// What a run cost.
+/// The cost of a run.
 #[derive(Default)]
 struct Cost {
+    /// The bytes of the messages to the planner.
     bytes: usize,
+    /// The time in which the planner handled messages and ran rounds.
     busy: Duration,
     longest_round: Duration,
     stored_requests: usize,
 }
 
+/// Runs a planner with this many forwarders for [`SECONDS`] of simulated time.
 fn run(forwarders: u64) -> Cost {
     let mut planner = PlannerComponent::new(Settings::default(), PlannerId(1), Incarnation(1), Time(0));
     let mut cost = Cost::default();
@@ -68,14 +73,14 @@
             let from = Sender { member, incarnation: Incarnation(1), sequence: batch };
             let message = CounterfactualMessage::Requests(requests);
             cost.bytes += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len());
-            let began = Instant::now();
+            let start = Instant::now();
             planner.on_message(now, from, message).expect("a valid message");
-            cost.busy += began.elapsed();
+            cost.busy += start.elapsed();
         }
-        let began = Instant::now();
+        let start = Instant::now();
         while planner.poll_message(now).is_some() {}
-        cost.longest_round = cost.longest_round.max(began.elapsed());
-        cost.busy += began.elapsed();
+        cost.longest_round = cost.longest_round.max(start.elapsed());
+        cost.busy += start.elapsed();
     }
     cost.stored_requests = planner.request_count();
     cost
@@ -83,7 +88,7 @@
 
 fn main() {
     println!(
-        "| forwarders | bytes in a second | of a core | a round takes, at the longest | requests stored |"
+        "| forwarders | bytes received per second | share of a core | longest round | requests stored |"
     );
     println!("| --- | --- | --- | --- | --- |");
     for forwarders in FORWARDERS {
--- a/crates/coordination/tests/counterfactual.rs
+++ b/crates/coordination/tests/counterfactual.rs
@@ -1,4 +1,5 @@
-//! Both sides of counterfactual estimation: what is stored and sent, whatever the input.
+//! The forwarder and planner components of off-policy evaluation: what they store and send, and what planners
+//! estimate.
 
 use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::ids::{EndpointId, Key, RequestClassId};
@@ -25,20 +26,21 @@
     Sender { member: Member::Forwarder(ForwarderId(forwarder)), incarnation: Incarnation(1), sequence: 1 }
 }
 
-/// The hash of the `n`th request that is sampled.
+/// The hash of a sampled request; a different one for each `n`.
 fn sampled_hash(n: u64) -> u64 {
-    (n * 64..).find(|hash| is_sampled(*hash)).expect("one in two")
+    (n * 64..).find(|hash| is_sampled(*hash)).expect("one request in two is sampled")
 }
 
+/// The hash of a request that is not sampled.
 fn unsampled_hash() -> u64 {
-    (0..).find(|hash| !is_sampled(*hash)).expect("one in two")
+    (0..).find(|hash| !is_sampled(*hash)).expect("one request in two is sampled")
 }
 
-/// A request of four caches, of which cache 0 is slower by `delay` tenths of a millisecond.
+/// A request with three of four caches as candidates. Cache 0 takes `delay` tenths of a millisecond longer.
 fn sampled_request(n: u64, delay: u32) -> SampledRequest {
     let candidates = [n % 4, (n + 1) % 4, (n + 2) % 4];
     let position = if (n / 4).is_multiple_of(3) { 1 } else { 0 };
-    let own_delay = if candidates[position] == 0 { delay } else { 0 };
+    let cache_delay = if candidates[position] == 0 { delay } else { 0 };
     SampledRequest {
         request_hash: sampled_hash(n),
         key_hash: n as u32,
@@ -47,7 +49,7 @@
         candidates: candidates.to_vec(),
         position: position as u8,
         outcome: if n.is_multiple_of(11) { ServiceOutcome::Miss } else { ServiceOutcome::Hit },
-        duration: 100 + (n * 7919 % 101) as u32 + own_delay,
+        duration: 100 + (n * 7919 % 101) as u32 + cache_delay,
         slo: 500,
         in_flight: 0,
         age_ms: (n % 5000) as u32,
@@ -70,7 +72,7 @@
     ForwarderComponent::new(settings, ForwarderId(1), Incarnation(1), at(0))
 }
 
-/// All estimates of a planner, as text.
+/// All estimates of a planner, as text to compare planners by.
 fn estimates(planner: &PlannerComponent) -> String {
     let dataset = planner.dataset(0);
     let measures = [OutcomeMeasure::WaitedShare, OutcomeMeasure::InTime];
@@ -86,7 +88,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Messages that come twice and in any order lead to the same estimates, also where not all requests can be stored.
+    /// Messages that arrive in another order or twice lead to the same estimates, also if not all requests
+    /// can be stored.
     #[test]
     fn order_and_repetition_of_messages_change_nothing(
         order in Just((0..40u64).collect::<Vec<_>>()).prop_shuffle(),
@@ -95,25 +98,25 @@
         max_requests_per_forwarder in prop_oneof![Just(90usize), Just(100_000)],
     ) {
         let new_planner = || planner_with(Settings { max_requests, max_requests_per_forwarder, ..settings() });
-        let batch = |b: u64| {
-            let requests = (b * 10..b * 10 + 10).map(|n| sampled_request(n, 100));
+        let message = |index: u64| {
+            let requests = (index * 10..index * 10 + 10).map(|n| sampled_request(n, 100));
             CounterfactualMessage::Requests(requests.collect())
         };
-        let mut plain = new_planner();
-        let mut mixed = new_planner();
-        for b in 0..40 {
-            plain.on_message(at(9000), from(b % 3), batch(b)).expect("valid");
+        let mut in_order = new_planner();
+        let mut shuffled = new_planner();
+        for index in 0..40 {
+            in_order.on_message(at(9000), from(index % 3), message(index)).expect("a valid message");
         }
-        for b in order {
-            for _ in 0..=u8::from(twice[b as usize]) {
-                mixed.on_message(at(9000), from(b % 3), batch(b)).expect("valid");
+        for index in order {
+            for _ in 0..=u8::from(twice[index as usize]) {
+                shuffled.on_message(at(9000), from(index % 3), message(index)).expect("a valid message");
             }
         }
-        prop_assert_eq!(plain.request_count(), mixed.request_count());
-        prop_assert_eq!(estimates(&plain), estimates(&mixed));
+        prop_assert_eq!(in_order.request_count(), shuffled.request_count());
+        prop_assert_eq!(estimates(&in_order), estimates(&shuffled));
     }
 
-    /// Whatever a forwarder observes, it holds and sends no more than its bounds.
+    /// Whatever a forwarder observes, it stores and sends no more than its limits.
     #[test]
     fn a_forwarder_bounds_what_it_holds_and_sends(seed in any::<u64>(), planners in 1u8..5) {
         let settings =
@@ -136,27 +139,29 @@
             }
             prop_assert!(forwarder.entries() <= 300 + 2 * 2000);
         }
-        // What the budget held at first, and what four seconds add.
+        // The most that the byte budget may hold at first, and what it gains in four seconds.
         let allowed = 2.0 * settings.bytes_per_second + 4.0 * settings.bytes_per_second;
         prop_assert!((bytes as f64) < allowed, "{bytes} of {allowed}");
         prop_assert!(bytes > 4000 && forwarder.dropped_requests() > 0);
     }
 
-    /// Any message at all is stored within bounds or refused as a whole.
+    /// A planner stores requests of arbitrary values within its limits, or rejects the message as a whole.
     #[test]
-    fn a_planner_bounds_what_it_holds(calls in proptest::collection::vec(any::<(u64, u8, u8, u32, u32, u32, u16)>(), 0..60)) {
+    fn a_planner_bounds_what_it_holds(
+        requests in proptest::collection::vec(any::<(u64, u8, u8, u32, u32, u32, u16)>(), 0..60),
+    ) {
         let mut planner = planner_with(Settings { max_requests: 20, max_comparisons: 10, ..settings() });
-        for (n, values) in calls.chunks(7).enumerate() {
-            let requests = values.iter().map(|(call, position, class, duration, slo, age, request_class)| {
+        for (n, values) in requests.chunks(7).enumerate() {
+            let requests = values.iter().map(|(request_number, position, class, duration, slo, age, request_class)| {
                 SampledRequest {
-                    request_hash: sampled_hash(call % 1_000_000),
+                    request_hash: sampled_hash(request_number % 1_000_000),
                     position: position % 4,
                     work_class: class % 5,
                     duration: *duration,
                     slo: *slo,
                     age_ms: *age,
                     request_class: *request_class,
-                    ..sampled_request(*call % 1000, 0)
+                    ..sampled_request(*request_number % 1000, 0)
                 }
             });
             let now = at(n as u64 * 4000);
@@ -168,6 +173,7 @@
     }
 }
 
+/// The `number`th attempt of the sampled request `n`, sent to a cache or to the origin.
 fn finished_attempt(n: u64, number: u8, outcome: AttemptOutcome, cache: u64) -> FinishedAttempt {
     FinishedAttempt {
         request_hash: sampled_hash(n % 1_000_000_000),
@@ -187,7 +193,8 @@
     }
 }
 
-/// What a forwarder reports of these attempts, each with the time of its end in milliseconds.
+/// Returns the requests that a forwarder reports after these attempts, each with the time of its end in
+/// milliseconds.
 fn reports_of(attempts: &[(u64, FinishedAttempt)]) -> Vec<SampledRequest> {
     let mut forwarder = forwarder_with(settings());
     forwarder.on_membership_change(at(0), &[PLANNER]);
@@ -211,12 +218,13 @@
     let reports = reports_of(&[(10, first.clone()), (25, fulfilled)]);
     let figures: Vec<_> = reports.iter().map(|r| (r.position, r.outcome, r.duration)).collect();
     assert_eq!(figures, [(1, ServiceOutcome::Miss, 200)]);
-    // Cancelled at the origin, it is censored after that time.
+    // A request whose attempt at the origin is cancelled is reported as censored after the time until then.
     let cancelled = finished_attempt(1, 1, AttemptOutcome::Cancelled, ORIGIN);
     let reports = reports_of(&[(10, first.clone()), (25, cancelled)]);
     let figures: Vec<_> = reports.iter().map(|r| (r.outcome, r.duration)).collect();
     assert_eq!(figures, [(ServiceOutcome::Censored, 200)]);
-    // Retries are chosen for what became of the first attempt; writes and unsampled requests are not reported.
+    // Retries are not reported, as they depend on the outcome of the first attempt; nor are writes and
+    // unsampled requests.
     let retry = finished_attempt(2, 1, AttemptOutcome::Fulfilled, 2);
     let write = FinishedAttempt { write: true, ..finished_attempt(3, 0, AttemptOutcome::Fulfilled, 0) };
     let unsampled = FinishedAttempt {
@@ -237,7 +245,7 @@
         let now = at(round * 10_000);
         for n in round * 400..round * 400 + 400 {
             let message = CounterfactualMessage::Requests(vec![sampled_request(n, 150)]);
-            planner.on_message(now, from(n % 3), message).expect("valid");
+            planner.on_message(now, from(n % 3), message).expect("a valid message");
         }
         while let Some((to, message)) = planner.poll_message(now) {
             assert_eq!(to, forwarder);
@@ -249,22 +257,23 @@
                     time_ratios.extend(reports.iter().map(|r| (r.cache, r.comparison)));
                 }
                 CounterfactualMessage::Requests(_) | CounterfactualMessage::CacheStarts(_) => {
-                    panic!("not for a forwarder")
+                    panic!("a planner sent a message of forwarders")
                 }
             }
         }
     }
-    // It takes two findings in a row. Caches that are compared with the slow one are better than it.
+    // A comparison takes two findings in a row. Caches that are compared with the slow cache may be found
+    // better.
     assert!(effects.contains(&(2, 0, Comparison::Worse)), "{effects:?}");
     assert!(!effects.iter().any(|(round, ..)| *round < 2), "{effects:?}");
     let only_slow = time_ratios.iter().all(|(cache, _)| *cache == 0);
     assert!(time_ratios.contains(&(0, Comparison::Worse)) && only_slow, "{time_ratios:?}");
     let started = CounterfactualMessage::CacheStarts(vec![CacheStart { cache: 0, age_ms: 1000 }]);
-    planner.on_message(at(42_000), from(1), started).expect("valid");
+    planner.on_message(at(42_000), from(1), started).expect("a valid message");
     for scale in [ComparisonScale::WaitedShare, ComparisonScale::TimeRatio] {
         assert_eq!(planner.comparison(0, 0, scale), Comparison::NoSupport);
     }
-    // The next messages retract the comparison at those to whom it was reported.
+    // The messages of the next round retract the comparison at the forwarders to which it was reported.
     let retracts = |message: &CounterfactualMessage| match message {
         CounterfactualMessage::TimeRatioReports(reports) => {
             reports.iter().any(|report| report.comparison == Comparison::NoSupport)
@@ -274,13 +283,16 @@
     assert!(std::iter::from_fn(|| planner.poll_message(at(52_000))).any(|(_, message)| retracts(&message)));
     let late = SampledRequest { age_ms: 14_000, ..sampled_request(9999, 150) };
     let before = planner.request_count();
-    planner.on_message(at(53_000), from(1), CounterfactualMessage::Requests(vec![late])).expect("ignored");
+    planner
+        .on_message(at(53_000), from(1), CounterfactualMessage::Requests(vec![late]))
+        .expect("a valid message");
     assert!(!planner.dataset(0).caches().contains(&0) && planner.request_count() == before);
     planner.on_shard_map_change(at(54_000));
     assert_eq!(planner.request_count(), 0);
 }
 
-/// A forwarder that is cut off from a cache by itself, whether others use the cache as well or not.
+/// A forwarder that alone is cut off from a cache reports it as failing. The cache must not be compared as
+/// worse, whether other forwarders use it or not.
 #[test_case(3, false; "few forwarders and no other uses the cache")]
 #[test_case(24, true; "many forwarders of which others use the cache")]
 #[test_case(4, true; "few forwarders of which others use the cache")]
@@ -298,11 +310,12 @@
                 request.outcome = ServiceOutcome::Failed;
             }
             let message = CounterfactualMessage::Requests(vec![request]);
-            planner.on_message(now, from(sender), message).expect("valid");
+            planner.on_message(now, from(sender), message).expect("a valid message");
         }
         while planner.poll_message(now).is_some() {}
     }
-    let estimate = planner.dataset(0).compare_cache(0, OutcomeMeasure::WaitedShare).expect("support");
+    let estimate =
+        planner.dataset(0).compare_cache(0, OutcomeMeasure::WaitedShare).expect("an estimate with support");
     assert!(estimate.low > 0.0, "{estimate:?}");
     assert_ne!(planner.comparison(0, 0, ComparisonScale::WaitedShare), Comparison::Worse);
 }
@@ -363,7 +376,7 @@
     };
     let start = CacheStart { cache: 5, age_ms: 4000 };
     assert_eq!(reports(9000, 5000), [(PLANNER, CounterfactualMessage::CacheStarts(vec![start]))]);
-    // The ages in the endpoint list vary a little.
+    // The age in the endpoint list varies a little: a start 400 ms later is the same start.
     assert_eq!(reports(11_000, 5400), []);
     assert_eq!(reports(60_000, 59_000).len(), 1);
 }
--- a/crates/coordination/tests/counterfactual_randomized_assignment.rs
+++ b/crates/coordination/tests/counterfactual_randomized_assignment.rs
@@ -1,4 +1,5 @@
-//! Caches compared by randomized assignment: all requests went to their first candidate, as behind real nodes.
+//! Caches compared by randomized assignment, while all requests are sent to their first candidate, as at real
+//! nodes.
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::component::Component;
@@ -12,7 +13,7 @@
 const CACHES: u64 = 6;
 const ROUND_MS: u64 = 10_000;
 const REQUESTS_PER_ROUND: u64 = 1200;
-/// By the logarithm.
+/// The smallest effect to test for, as the logarithm of a ratio of times.
 const MIN_EFFECT: f64 = 0.2;
 
 fn at(ms: u64) -> Time {
@@ -24,14 +25,15 @@
     (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// A hit takes 4 ms of an SLO of 400 ms; one request of 16 is a miss and takes ten times as long.
+/// The `n`th request. A hit takes 2 to 8.3 ms of an SLO of 400 ms; one request of 16 is a miss and takes ten
+/// times as long.
 fn sampled_request(n: u64) -> SampledRequest {
     let key = mix(n) >> 54;
     let first = mix(key + 7) % CACHES;
     let outcome = if mix(n + 3) >> 60 == 0 { ServiceOutcome::Miss } else { ServiceOutcome::Hit };
     let factor = if outcome == ServiceOutcome::Miss { 10 } else { 1 };
     SampledRequest {
-        request_hash: (n * 64..).find(|hash| is_sampled(*hash)).expect("one in two"),
+        request_hash: (n * 64..).find(|hash| is_sampled(*hash)).expect("one request in two is sampled"),
         key_hash: key as u32,
         request_class: 0,
         work_class: 0,
@@ -45,7 +47,8 @@
     }
 }
 
-/// A planner after some rounds of requests of this many forwarders, each request altered by its forwarder.
+/// A planner after `rounds` rounds of requests from `forwarders` forwarders; `alter` changes each request
+/// before its forwarder, the first argument, reports it.
 fn planner_after(rounds: u64, forwarders: u64, alter: impl Fn(u64, &mut SampledRequest)) -> PlannerComponent {
     let settings = Settings { comparison_interval: Span::from_millis(ROUND_MS), ..Settings::default() };
     let mut planner = PlannerComponent::new(settings, PlannerId(1), Incarnation(1), at(0));
@@ -60,14 +63,16 @@
                 incarnation: Incarnation(1),
                 sequence: 1,
             };
-            planner.on_message(now, from, CounterfactualMessage::Requests(vec![request])).expect("valid");
+            planner
+                .on_message(now, from, CounterfactualMessage::Requests(vec![request]))
+                .expect("a valid message");
         }
         while planner.poll_message(now).is_some() {}
     }
     planner
 }
 
-/// The caches that differ from the others, by the ratio of times.
+/// The caches that are compared as worse or better by the ratio of times.
 fn differing_caches(planner: &PlannerComponent) -> Vec<(u64, Comparison)> {
     (0..CACHES)
         .map(|cache| (cache, planner.comparison(cache, 0, ComparisonScale::TimeRatio)))
@@ -75,12 +80,14 @@
         .collect()
 }
 
+/// Whether no cache can be compared by the randomized assignment.
 fn has_no_support(planner: &PlannerComponent) -> bool {
     let assignment = planner.randomized_assignment(0);
     (0..CACHES).all(|cache| assignment.compare_cache(cache, MIN_EFFECT).is_err())
 }
 
-/// Behind real nodes next to nothing goes to second candidates: estimates by the nodes' choices have no support, and say so.
+/// Real nodes send hardly any request to a second candidate, so estimates from the nodes' choices have no
+/// support. The randomized assignment must still find the slow cache.
 #[test]
 fn a_threefold_slow_cache_far_below_the_slo_is_found_though_all_requests_went_to_their_first_candidate() {
     let slow = |_, request: &mut SampledRequest| {
@@ -97,11 +104,12 @@
     assert!(differing_caches(&planner_after(12, 8, |_, _| ())).is_empty());
 }
 
-/// One forwarder reports of a good cache that it takes 20 times as long, or of all others that they take no time.
+/// One forwarder falsely reports that a good cache takes 20 times as long, or that all other caches take no
+/// time.
 #[test_case(2, true; "one of two of one cache")]
 #[test_case(5, true; "one of five of one cache")]
 #[test_case(4, false; "one of four of all the others")]
-fn false_reports_of_a_single_forwarder_find_no_difference(forwarders: u64, of_one_cache: bool) {
+fn false_reports_of_a_single_forwarder_make_no_cache_differ(forwarders: u64, of_one_cache: bool) {
     let falsify = |forwarder, request: &mut SampledRequest| {
         if forwarder == 0 && (request.chosen_cache() == 2) == of_one_cache {
             request.duration = if of_one_cache { request.duration * 20 } else { 1 };
@@ -110,9 +118,10 @@
     assert_eq!(differing_caches(&planner_after(6, forwarders, falsify)), []);
 }
 
-/// A hot key has a cache for its own: its time is the key's, and one key bears no interval.
+/// A hot key makes up most requests of a cache, so the cache's mean time is that of the key. A single key
+/// gives no variance between keys, so the cache must not be compared as worse.
 #[test]
-fn a_slow_hot_key_finds_no_difference() {
+fn a_slow_hot_key_does_not_make_its_cache_differ() {
     let hot_key = |_, request: &mut SampledRequest| {
         if request.request_hash.is_multiple_of(3) {
             request.key_hash = 1 << 20;
