--- a/crates/coordination/src/counterfactual/dataset.rs
+++ b/crates/coordination/src/counterfactual/dataset.rs
@@ -13,8 +13,7 @@
 /// The smallest propensity at which requests are weighted by its inverse; below it, one request would stand
 /// for too many.
 pub(super) const MIN_PROPENSITY: f64 = 0.03;
-/// The number of requests of a cache whose weight the propensity over all caches has in that cache's shrunk
-/// propensity.
+/// The weight of the propensity over all caches in a cache's shrunk propensity, as a number of requests.
 const PRIOR_REQUESTS: f64 = 4.0;
 /// The number of folds. Each request is predicted by a model that is fitted without the requests of its fold.
 const FOLDS: usize = 2;
--- a/crates/coordination/src/counterfactual/forwarder/mod.rs
+++ b/crates/coordination/src/counterfactual/forwarder/mod.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Adds a request that missed in its cache, `latency` after it was sent, to those that wait for a response.
+    /// Adds a request that missed in its cache, `latency` after it was sent, to the pending misses.
     fn add_pending_miss(&mut self, now: Time, latency: Span, request: SampledRequest) {
         if self.pending_misses.len() >= self.settings.max_pending_misses {
             let oldest = self.pending_misses.finish_oldest();
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns a message with cache starts if the byte budget covers it.
+    /// Returns the next message with cache starts if the byte budget covers the message.
     fn starts_message(&mut self, now: Time) -> Option<CounterfactualMessage> {
         let count = self.starts.unreported_count().min(MAX_STARTS_PER_MESSAGE);
         let bytes = MESSAGE_HEADER_BYTES + count * CACHE_START_BYTES;
@@ -188,7 +188,7 @@
         Some(CounterfactualMessage::CacheStarts(self.starts.take(now, count)))
     }
 
-    /// Returns a message with requests if it is due and the byte budget covers it.
+    /// Returns the next message with requests if a batch is due and the byte budget covers the message.
     fn requests_message(&mut self, now: Time) -> Option<CounterfactualMessage> {
         let batch = self.reports.next_batch(self.settings.max_message_bytes);
         let is_full = batch.requests < self.reports.len();
--- a/crates/coordination/src/counterfactual/outcome_model.rs
+++ b/crates/coordination/src/counterfactual/outcome_model.rs
@@ -14,7 +14,7 @@
 use super::outcome::OutcomeMeasure;
 use super::sampled_request::{MAX_CANDIDATES, ServiceOutcome, WORK_CLASSES};
 
-/// The number of requests of a cache whose weight the mean of all caches has in that cache's shrunk mean.
+/// The weight of the mean of all caches in a cache's shrunk mean, as a number of requests.
 const PRIOR_REQUESTS: f64 = 5.0;
 /// The hit rate toward which the hit rate of all caches is shrunk.
 const PRIOR_HIT_RATE: f64 = 0.5;
--- a/crates/coordination/src/counterfactual/randomized_assignment/arm.rs
+++ b/crates/coordination/src/counterfactual/randomized_assignment/arm.rs
@@ -8,8 +8,8 @@
 use crate::counterfactual::weighted_mean::MIN_EFFECTIVE_KEYS;
 use crate::member::ForwarderId;
 
-/// The intra-key correlation: the share of the variance that the requests of one key have in common. However
-/// many requests a hot key has, it counts as ten at most.
+/// The intra-key correlation: the share of the variance that the requests of one key have in common. A hot
+/// key counts as ten requests at most, however many it has.
 const INTRA_KEY_CORRELATION: f64 = 0.1;
 /// The share of the total weight up to which a remaining weight is rounding error.
 const NEGLIGIBLE_WEIGHT: f64 = 1e-9;
--- a/crates/coordination/src/counterfactual/randomized_assignment/time_bucket_means.rs
+++ b/crates/coordination/src/counterfactual/randomized_assignment/time_bucket_means.rs
@@ -5,8 +5,7 @@
 use super::arm::WeightedSum;
 use crate::counterfactual::outcome::ReportedRequest;
 
-/// The number of requests whose weight the mean of all time buckets has in the shrunk mean of one time
-/// bucket.
+/// The weight of the mean of all time buckets in a time bucket's shrunk mean, as a number of requests.
 const PRIOR_REQUESTS: f64 = 5.0;
 
 /// A request with the logarithm of its time.
