--- a/crates/testbed/src/audit/figures/mod.rs
+++ b/crates/testbed/src/audit/figures/mod.rs
@@ -118,7 +118,7 @@
         figures.measure_latencies(event_log);
         figures.measure_load(event_log);
         let busiest_second = figures.seconds.iter().map(|second| second.fetches).max().unwrap_or(0);
-        figures.origin_fetches = busiest_second as f64 / experiment.world.origin.capacity();
+        figures.origin_fetches = busiest_second as f64 / experiment.environment.origin.capacity();
         figures.measure_drains(event_log);
         figures.fleet = FleetFigures::measure(experiment, schedule, event_log, &figures.seconds);
         figures.disconnects = DisconnectFigures::measure(event_log, link_delay_ms(experiment));
--- a/crates/testbed/src/audit/fleet/mod.rs
+++ b/crates/testbed/src/audit/fleet/mod.rs
@@ -96,7 +96,7 @@
             ..FleetFigures::default()
         };
         if let Some(form) = experiment.fleet.as_ref().and_then(|fleet| fleet.leases.as_ref()) {
-            figures.leased_ratio = leases.max_leased_ratio(form, experiment.world.nodes);
+            figures.leased_ratio = leases.max_leased_ratio(form, experiment.environment.nodes);
             figures.origin_over_capacity = quotas::origin_over_capacity(form, experiment, event_log);
             figures.warming_over_capacity = quotas::warming_over_capacity(form, experiment, event_log);
         }
--- a/crates/testbed/src/audit/fleet/quotas.rs
+++ b/crates/testbed/src/audit/fleet/quotas.rs
@@ -61,7 +61,7 @@
     experiment: &Experiment,
     event_log: &EventLog,
 ) -> f64 {
-    let warm_after_ms = experiment.world.cache.warm_after_s * MILLIS_PER_SECOND;
+    let warm_after_ms = experiment.environment.cache.warm_after_s * MILLIS_PER_SECOND;
     let mut arrivals: BTreeMap<usize, Vec<Arrival>> = BTreeMap::new();
     for attempt in &event_log.server_attempts {
         let Some(started) = event_log.servers[attempt.server.0].started else { continue };
--- a/crates/testbed/src/audit/rules/effects.rs
+++ b/crates/testbed/src/audit/rules/effects.rs
@@ -60,7 +60,7 @@
 
 /// Checks that no attempt is sent while another one for the same request is in flight.
 pub(super) fn check_hedging(index: &RunIndex<'_>, findings: &mut Findings) {
-    if index.experiment.world.hedging {
+    if index.experiment.environment.hedging {
         return;
     }
     for id in index.forwarded_ids() {
--- a/crates/testbed/src/audit/rules/overload.rs
+++ b/crates/testbed/src/audit/rules/overload.rs
@@ -24,7 +24,7 @@
 
 /// Whether over two thirds of the attempts that overloaded a cache came from nodes that had been notified of its start.
 fn is_by_notified_nodes(index: &RunIndex<'_>, server: ServerId, at: Timestamp) -> bool {
-    let window_ms = index.experiment.world.cache.overload_window_s * MILLIS_PER_SECOND;
+    let window_ms = index.experiment.environment.cache.overload_window_s * MILLIS_PER_SECOND;
     let started = last_start(index, server, at);
     let mut attempts = 0;
     let mut notified_attempts = 0;
--- a/crates/testbed/src/world/error.rs
+++ b/crates/testbed/src/environment/error.rs
@@ -9,7 +9,7 @@
 /// Why an experiment could not be played. None of these is a judgement of the program under test, except where a process
 /// did not start: its log in the run's directory tells more.
 #[derive(Debug)]
-pub enum WorldError {
+pub enum EnvironmentError {
     /// The runtime of the simulated servers did not start: the system lacks threads or descriptors.
     Runtime(std::io::Error),
     /// The directory for configurations and logs can't be created.
@@ -29,34 +29,34 @@
     TooSlow,
 }
 
-impl fmt::Display for WorldError {
+impl fmt::Display for EnvironmentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WorldError::Runtime(source) | WorldError::Build(source) => source.fmt(f),
-            WorldError::CreateDirectory { path, source } => write!(f, "{}: {source}", path.display()),
-            WorldError::NodeStart(source) => source.fmt(f),
-            WorldError::PlannerStart(source) => source.fmt(f),
-            WorldError::TooSlow => {
+            EnvironmentError::Runtime(source) | EnvironmentError::Build(source) => source.fmt(f),
+            EnvironmentError::CreateDirectory { path, source } => write!(f, "{}: {source}", path.display()),
+            EnvironmentError::NodeStart(source) => source.fmt(f),
+            EnvironmentError::PlannerStart(source) => source.fmt(f),
+            EnvironmentError::TooSlow => {
                 f.write_str("the nodes took too long to start: this machine is too busy to judge them")
             }
         }
     }
 }
 
-impl Error for WorldError {
+impl Error for EnvironmentError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            WorldError::Runtime(source) | WorldError::Build(source) => Some(source),
-            WorldError::CreateDirectory { source, .. } => Some(source),
-            WorldError::NodeStart(source) => Some(source),
-            WorldError::PlannerStart(source) => Some(source.as_ref()),
-            WorldError::TooSlow => None,
+            EnvironmentError::Runtime(source) | EnvironmentError::Build(source) => Some(source),
+            EnvironmentError::CreateDirectory { source, .. } => Some(source),
+            EnvironmentError::NodeStart(source) => Some(source),
+            EnvironmentError::PlannerStart(source) => Some(source.as_ref()),
+            EnvironmentError::TooSlow => None,
         }
     }
 }
 
-impl From<NodeStartError> for WorldError {
-    fn from(source: NodeStartError) -> WorldError {
-        WorldError::NodeStart(source)
+impl From<NodeStartError> for EnvironmentError {
+    fn from(source: NodeStartError) -> EnvironmentError {
+        EnvironmentError::NodeStart(source)
     }
 }
--- a/crates/testbed/src/world/faults/caches.rs
+++ b/crates/testbed/src/environment/faults/caches.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::super::World;
+use super::super::TestEnvironment;
 use super::super::cache::CacheSlot;
 use super::super::listener::ListenerState;
 use super::Phase;
@@ -15,8 +15,8 @@
 const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
 /// Begins or ends a fault at the cache in a slot.
-pub async fn apply(world: &World, fault: &Fault, number: usize, phase: Phase) {
-    let slot = &world.slots[number];
+pub async fn apply(environment: &TestEnvironment, fault: &Fault, number: usize, phase: Phase) {
+    let slot = &environment.slots[number];
     match (fault.kind, phase) {
         (FaultKind::Hang, phase) => {
             slot.is_hung.send_replace(phase.is_begin());
@@ -24,41 +24,41 @@
         (FaultKind::Slow, Phase::Begin) => slot.set_slowdown(fault.factor.unwrap_or(1.0)),
         (FaultKind::Slow, Phase::End) => slot.set_slowdown(1.0),
         (FaultKind::Reset, Phase::Begin) => {
-            reset_until(world, slot, Timestamp::from_s(fault.at_s + fault.for_s)).await;
+            reset_until(environment, slot, Timestamp::from_s(fault.at_s + fault.for_s)).await;
         }
         (FaultKind::ConnectDelayed, Phase::Begin) => slot.set_listener_state(ListenerState::Unresponsive),
         (FaultKind::ConnectDelayed, Phase::End) => slot.set_listener_state(ListenerState::Accepting),
         (FaultKind::Crash, Phase::Begin) => slot.set_listener_state(ListenerState::Refusing),
         (FaultKind::Crash, Phase::End) => {
-            slot.replace_server(slot.id(), Some(world.event_log.now()));
+            slot.replace_server(slot.id(), Some(environment.event_log.now()));
             slot.set_listener_state(ListenerState::Accepting);
-            world.list_slot(number, EndpointState::Ready);
+            environment.list_slot(number, EndpointState::Ready);
         }
         (FaultKind::Drain, Phase::Begin) => {
-            world.list_slot(number, EndpointState::Draining);
+            environment.list_slot(number, EndpointState::Draining);
             tokio::time::sleep(DRAIN_NOTICE).await;
             slot.drain();
         }
         (FaultKind::Drain, Phase::End) | (FaultKind::Remove, Phase::Begin) => {
-            world.list_slot(number, EndpointState::Removed);
+            environment.list_slot(number, EndpointState::Removed);
         }
         (FaultKind::Remove, Phase::End) => slot.set_listener_state(ListenerState::Refusing),
         (FaultKind::Replace, Phase::Begin) => {
-            world.list_slot(number, EndpointState::Removed);
+            environment.list_slot(number, EndpointState::Removed);
             slot.reset_connections();
-            world.replace_server(number);
-            world.list_slot(number, EndpointState::Ready);
+            environment.replace_server(number);
+            environment.list_slot(number, EndpointState::Ready);
         }
         _ => {}
     }
 }
 
 /// Resets the connections of a slot again and again until a time of the run, at least once.
-async fn reset_until(world: &World, slot: &CacheSlot, end: Timestamp) {
+async fn reset_until(environment: &TestEnvironment, slot: &CacheSlot, end: Timestamp) {
     loop {
         slot.reset_connections();
         tokio::time::sleep(RESET_INTERVAL).await;
-        if world.event_log.now() >= end {
+        if environment.event_log.now() >= end {
             return;
         }
     }
--- a/crates/testbed/src/world/faults/links.rs
+++ b/crates/testbed/src/environment/faults/links.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use super::super::World;
+use super::super::TestEnvironment;
 use super::super::link::{DirectionState, LinkState};
 use super::super::listener::ListenerState;
 use super::Phase;
 use crate::experiment::{Fault, FaultKind, LinkDirection};
 
 /// Begins or ends a fault of the links between the named caches and nodes. Faults of other kinds are ignored.
-pub fn apply(world: &World, fault: &Fault, caches: &[usize], nodes: &[usize], phase: Phase) {
+pub fn apply(environment: &TestEnvironment, fault: &Fault, caches: &[usize], nodes: &[usize], phase: Phase) {
     let Some(state) = direction_state(fault, phase) else { return };
     // A machine that receives nothing accepts no connections.
     let is_unreachable = fault.kind == FaultKind::LinkSilent && phase == Phase::Begin;
     let listener_state = if is_unreachable { ListenerState::Unresponsive } else { ListenerState::Accepting };
     for cache in caches {
-        let Some(listeners) = world.slots[*cache].listeners.get() else { continue };
+        let Some(listeners) = environment.slots[*cache].listeners.get() else { continue };
         for listener in nodes.iter().filter_map(|node| listeners.get(*node)) {
             listener.link.send_modify(|link| set_directions(link, fault, state));
             listener.set_state(listener_state);
--- a/crates/testbed/src/world/faults/mod.rs
+++ b/crates/testbed/src/environment/faults/mod.rs
@@ -4,16 +4,16 @@
 //! the event log holds the beginning and the end of the complete fault.
 
 mod caches;
-mod environment;
 mod links;
 mod nodes;
 mod planners;
+mod shared;
 
 use std::sync::Arc;
 
 use tokio::task::JoinSet;
 
-use super::{World, growth};
+use super::{TestEnvironment, growth};
 use crate::event_log::{Event, Timestamp};
 use crate::experiment::{Fault, FaultKind, NodeAction};
 
@@ -47,7 +47,7 @@
     /// The messages between members.
     Messages,
     /// The world as a whole: origin, discovery, clients and links.
-    Environment,
+    Shared,
 }
 
 impl Scope {
@@ -72,104 +72,104 @@
             | FaultKind::PlannerByzantine => Scope::EachPlanner,
             FaultKind::Resize => Scope::NodeCount,
             _ if kind.affects_messages() => Scope::Messages,
-            _ => Scope::Environment,
+            _ => Scope::Shared,
         }
     }
 }
 
 /// Injects all faults of the experiment and returns when the last one has ended.
-pub async fn inject_all(world: Arc<World>) {
+pub async fn inject_all(environment: Arc<TestEnvironment>) {
     let mut faults = JoinSet::new();
-    for (id, fault) in world.experiment.faults().into_iter().enumerate() {
-        faults.spawn(inject(world.clone(), id, fault));
+    for (id, fault) in environment.experiment.faults().into_iter().enumerate() {
+        faults.spawn(inject(environment.clone(), id, fault));
     }
     while faults.join_next().await.is_some() {}
 }
 
 /// Waits until a time of the run, in seconds from its start.
-async fn sleep_until(world: &World, seconds: f64) {
-    tokio::time::sleep_until(world.event_log.instant(Timestamp::from_s(seconds)).into()).await;
+async fn sleep_until(environment: &TestEnvironment, seconds: f64) {
+    tokio::time::sleep_until(environment.event_log.instant(Timestamp::from_s(seconds)).into()).await;
 }
 
 /// Injects one fault from its beginning to its end.
-async fn inject(world: Arc<World>, id: usize, fault: Fault) {
-    let caches = fault.target_caches(&world.experiment);
-    let nodes = named_or_all(&fault.nodes, world.nodes.len());
+async fn inject(environment: Arc<TestEnvironment>, id: usize, fault: Fault) {
+    let caches = fault.target_caches(&environment.experiment);
+    let nodes = named_or_all(&fault.nodes, environment.nodes.len());
     let what = describe(&fault, &caches);
-    let Some(fault) = growth::await_phase(&world, fault).await else { return };
-    world.event_log.event(Event::FaultBegan { what: what.clone() });
+    let Some(fault) = growth::await_phase(&environment, fault).await else { return };
+    environment.event_log.event(Event::FaultBegan { what: what.clone() });
     match Scope::of(fault.kind) {
-        Scope::EachCache => inject_at_each_cache(&world, &fault, caches).await,
-        Scope::EachNode => inject_at_each_node(&world, &fault, nodes).await,
-        Scope::EachPlanner => inject_at_each_planner(&world, &fault).await,
-        Scope::NodeCount => resize(&world, &fault).await,
+        Scope::EachCache => inject_at_each_cache(&environment, &fault, caches).await,
+        Scope::EachNode => inject_at_each_node(&environment, &fault, nodes).await,
+        Scope::EachPlanner => inject_at_each_planner(&environment, &fault).await,
+        Scope::NodeCount => resize(&environment, &fault).await,
         Scope::Messages => {
-            let Some(relay) = &world.relay else { return };
+            let Some(relay) = &environment.relay else { return };
             relay.begin_fault(id, &fault);
-            sleep_until(&world, fault.end_s()).await;
+            sleep_until(&environment, fault.end_s()).await;
             relay.end_fault(id);
         }
-        Scope::Environment => {
-            environment::apply(&world, &fault, &caches, &nodes, Phase::Begin).await;
-            sleep_until(&world, fault.end_s()).await;
-            environment::apply(&world, &fault, &caches, &nodes, Phase::End).await;
+        Scope::Shared => {
+            shared::apply(&environment, &fault, &caches, &nodes, Phase::Begin).await;
+            sleep_until(&environment, fault.end_s()).await;
+            shared::apply(&environment, &fault, &caches, &nodes, Phase::End).await;
         }
     }
-    world.event_log.event(Event::FaultEnded { what });
+    environment.event_log.event(Event::FaultEnded { what });
 }
 
-async fn inject_at_each_cache(world: &Arc<World>, fault: &Fault, caches: Vec<usize>) {
+async fn inject_at_each_cache(environment: &Arc<TestEnvironment>, fault: &Fault, caches: Vec<usize>) {
     let mut tasks = JoinSet::new();
     for (n, cache) in caches.into_iter().enumerate() {
-        let world = world.clone();
+        let environment = environment.clone();
         let fault = fault.clone();
         tasks.spawn(async move {
             let begin_s = fault.at_s + n as f64 * fault.stagger_s;
-            sleep_until(&world, begin_s).await;
-            caches::apply(&world, &fault, cache, Phase::Begin).await;
-            sleep_until(&world, begin_s + fault.for_s).await;
-            caches::apply(&world, &fault, cache, Phase::End).await;
+            sleep_until(&environment, begin_s).await;
+            caches::apply(&environment, &fault, cache, Phase::Begin).await;
+            sleep_until(&environment, begin_s + fault.for_s).await;
+            caches::apply(&environment, &fault, cache, Phase::End).await;
         });
     }
     while tasks.join_next().await.is_some() {}
 }
 
-async fn inject_at_each_node(world: &Arc<World>, fault: &Fault, nodes: Vec<usize>) {
+async fn inject_at_each_node(environment: &Arc<TestEnvironment>, fault: &Fault, nodes: Vec<usize>) {
     let mut tasks = JoinSet::new();
     for (n, node) in nodes.into_iter().enumerate() {
-        let world = world.clone();
+        let environment = environment.clone();
         // Each node has its own part of the timeline.
         let mut fault = fault.clone();
         fault.at_s += n as f64 * fault.stagger_s;
         fault.nodes = vec![node];
         tasks.spawn(async move {
-            sleep_until(&world, fault.at_s).await;
-            nodes::apply(&world, &fault, node).await;
+            sleep_until(&environment, fault.at_s).await;
+            nodes::apply(&environment, &fault, node).await;
         });
     }
     while tasks.join_next().await.is_some() {}
 }
 
-async fn inject_at_each_planner(world: &Arc<World>, fault: &Fault) {
+async fn inject_at_each_planner(environment: &Arc<TestEnvironment>, fault: &Fault) {
     let mut tasks = JoinSet::new();
-    for planner in named_or_all(&fault.planners, world.planners.len()) {
-        let world = world.clone();
+    for planner in named_or_all(&fault.planners, environment.planners.len()) {
+        let environment = environment.clone();
         let fault = fault.clone();
-        tasks.spawn(async move { planners::apply(&world, &fault, planner).await });
+        tasks.spawn(async move { planners::apply(&environment, &fault, planner).await });
     }
     while tasks.join_next().await.is_some() {}
 }
 
 /// Starts or stops nodes until as many run as the fault says.
-async fn resize(world: &Arc<World>, fault: &Fault) {
+async fn resize(environment: &Arc<TestEnvironment>, fault: &Fault) {
     let mut tasks = JoinSet::new();
-    for change in world.experiment.node_changes(fault.at_s) {
-        let world = world.clone();
+    for change in environment.experiment.node_changes(fault.at_s) {
+        let environment = environment.clone();
         tasks.spawn(async move {
-            sleep_until(&world, change.at_s).await;
+            sleep_until(&environment, change.at_s).await;
             match change.action {
-                NodeAction::Start => nodes::start(&world, change.node).await,
-                NodeAction::Stop => nodes::stop(&world, change.node).await,
+                NodeAction::Start => nodes::start(&environment, change.node).await,
+                NodeAction::Stop => nodes::stop(&environment, change.node).await,
             }
         });
     }
--- a/crates/testbed/src/world/faults/planners.rs
+++ b/crates/testbed/src/environment/faults/planners.rs
@@ -4,7 +4,7 @@
 
 use rustix::process::Signal;
 
-use super::super::World;
+use super::super::TestEnvironment;
 use super::super::byzantine_planner::{self, ForgedGrants};
 use super::super::planner::Planner;
 use super::sleep_until;
@@ -12,58 +12,64 @@
 use crate::experiment::{FalseClaim, Fault, FaultKind, StoreCondition};
 
 /// Carries out a fault at a planner from its beginning to its end.
-pub async fn apply(world: &World, fault: &Fault, number: usize) {
-    let mut planner = world.planners[number].lock().await;
-    world.event_log.event(Event::PlannerDown { planner: number });
+pub async fn apply(environment: &TestEnvironment, fault: &Fault, number: usize) {
+    let mut planner = environment.planners[number].lock().await;
+    environment.event_log.event(Event::PlannerDown { planner: number });
     match fault.kind {
         FaultKind::PlannerFreeze => {
             planner.signal(Signal::STOP);
-            sleep_until(world, fault.end_s()).await;
+            sleep_until(environment, fault.end_s()).await;
             planner.signal(Signal::CONT);
         }
         FaultKind::PlannerRestart => {
             planner.stop().await;
-            sleep_until(world, fault.end_s()).await;
-            start_again(world, fault, &mut planner);
+            sleep_until(environment, fault.end_s()).await;
+            start_again(environment, fault, &mut planner);
         }
         FaultKind::PlannerByzantine => {
             planner.kill().await;
             match fault.false_claim {
-                Some(false_claim) => impersonate(world, fault, &planner, false_claim).await,
-                None => sleep_until(world, fault.end_s()).await,
+                Some(false_claim) => impersonate(environment, fault, &planner, false_claim).await,
+                None => sleep_until(environment, fault.end_s()).await,
             }
-            start_again(world, fault, &mut planner);
+            start_again(environment, fault, &mut planner);
         }
         _ => {
             planner.kill().await;
-            sleep_until(world, fault.end_s()).await;
-            start_again(world, fault, &mut planner);
+            sleep_until(environment, fault.end_s()).await;
+            start_again(environment, fault, &mut planner);
         }
     }
-    world.event_log.event(Event::PlannerUp { planner: number });
+    environment.event_log.event(Event::PlannerUp { planner: number });
 }
 
 /// Runs a byzantine planner at a planner's address until the end of the fault.
-async fn impersonate(world: &World, fault: &Fault, planner: &Planner, false_claim: FalseClaim) {
-    let leases = world.experiment.fleet.as_ref().and_then(|fleet| fleet.leases.clone()).unwrap_or_default();
+async fn impersonate(
+    environment: &TestEnvironment,
+    fault: &Fault,
+    planner: &Planner,
+    false_claim: FalseClaim,
+) {
+    let leases =
+        environment.experiment.fleet.as_ref().and_then(|fleet| fleet.leases.clone()).unwrap_or_default();
     // In the units of the lease messages: thousandths of a request a second, and microseconds.
     let grants = ForgedGrants {
         origin: (leases.origin_per_s * 1e3) as u32,
         warming_cache: (leases.cold_cache_work * 1e6) as u32,
         duration: leases.lease_ms as u32 * 1000,
     };
-    let secret = world.secret.clone();
+    let secret = environment.secret.clone();
     let byzantine = byzantine_planner::run(planner.index, planner.address, secret, false_claim, grants);
     tokio::select! {
         () = byzantine => {}
-        () = sleep_until(world, fault.end_s()) => {}
+        () = sleep_until(environment, fault.end_s()) => {}
     }
 }
 
 /// Starts a planner with its state files as the fault leaves them, and records a failure to do so.
-fn start_again(world: &World, fault: &Fault, planner: &mut Planner) {
+fn start_again(environment: &TestEnvironment, fault: &Fault, planner: &mut Planner) {
     if let Err(error) = prepare_and_start(planner, fault.store) {
-        world.event_log.event(Event::PlannerCrashed { planner: planner.index, how: error.to_string() });
+        environment.event_log.event(Event::PlannerCrashed { planner: planner.index, how: error.to_string() });
     }
 }
 
--- a/crates/testbed/src/world/growth.rs
+++ b/crates/testbed/src/environment/growth.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::World;
+use super::TestEnvironment;
 use super::cache::CacheSlot;
 use super::planner::{StartError, planner_number};
 use crate::event_log::{EventLogWriter, Member, RelayedMessage, Timestamp, Version};
@@ -71,7 +71,7 @@
 /// Stores the first keys of growing shards, each at the cache that an unsplit shard map places it at.
 pub fn preload(experiment: &Experiment, slots: &[Arc<CacheSlot>], event_log: &EventLogWriter) {
     let Some(growth) = &experiment.growth else { return };
-    let slots = &slots[..experiment.world.caches];
+    let slots = &slots[..experiment.environment.caches];
     let names: Vec<String> =
         event_log.write(|log| slots.iter().map(|slot| log.servers[slot.id().0].name.clone()).collect());
     let placement = Placement::new(names.iter().map(String::as_str));
@@ -106,25 +106,26 @@
 ///
 /// # Errors
 /// Says why the planner has not accepted them.
-pub async fn seed_history(world: &World) -> Result<(), HistoryError> {
-    let Some(growth) = world.experiment.growth.as_ref().filter(|growth| growth.history_days > 0) else {
+pub async fn seed_history(environment: &TestEnvironment) -> Result<(), HistoryError> {
+    let Some(growth) = environment.experiment.growth.as_ref().filter(|growth| growth.history_days > 0) else {
         return Ok(());
     };
-    let planner = world.planners[0].lock().await.address;
-    world.planners[0].lock().await.start().map_err(HistoryError::Start)?;
+    let planner = environment.planners[0].lock().await.address;
+    environment.planners[0].lock().await.start().map_err(HistoryError::Start)?;
     let socket = UdpSocket::bind(("127.0.0.1", 0)).await.map_err(HistoryError::Socket)?;
     let began = Instant::now();
     let mut sequence = 0;
     while began.elapsed() < HISTORY_TIMEOUT {
         for shard in &growth.shards {
-            let sizes = past_sizes(growth, &world.experiment, world.event_log.unix_start_ms, *shard);
+            let sizes =
+                past_sizes(growth, &environment.experiment, environment.event_log.unix_start_ms, *shard);
             for days in sizes.chunks(DAYS_PER_MESSAGE) {
                 sequence += 1;
-                send_days(world, &socket, planner, sequence, *shard, days).await;
+                send_days(environment, &socket, planner, sequence, *shard, days).await;
             }
         }
         sleep(HISTORY_RETRY_INTERVAL).await;
-        let accepted = shards_passed_on(world);
+        let accepted = shards_passed_on(environment);
         if growth.shards.iter().all(|shard| accepted.contains(shard)) {
             return Ok(());
         }
@@ -133,7 +134,7 @@
 }
 
 async fn send_days(
-    world: &World,
+    environment: &TestEnvironment,
     socket: &UdpSocket,
     planner: SocketAddr,
     sequence: u64,
@@ -142,24 +143,24 @@
 ) {
     let sender = Sender { member: Signer::Planner(planner_number(1)), incarnation: 1, sequence };
     let message = ShardGrowthMessage::EndedDays { shard, days: days.to_vec() };
-    if let Some(bytes) = encode(&world.secret, MessageKind::ShardGrowth, sender, &message) {
+    if let Some(bytes) = encode(&environment.secret, MessageKind::ShardGrowth, sender, &message) {
         // A lost datagram is sent again with the next round.
         let _ = socket.send_to(&bytes, planner).await;
     }
 }
 
-fn decode_growth(world: &World, message: &RelayedMessage) -> Option<ShardGrowthMessage> {
-    let (_, growth) = decode(&world.secret, MessageKind::ShardGrowth, &message.bytes)?;
+fn decode_growth(environment: &TestEnvironment, message: &RelayedMessage) -> Option<ShardGrowthMessage> {
+    let (_, growth) = decode(&environment.secret, MessageKind::ShardGrowth, &message.bytes)?;
     Some(growth)
 }
 
 /// The shards whose history the first planner passes on to others, and has accepted therefore.
-fn shards_passed_on(world: &World) -> BTreeSet<u8> {
-    world.event_log.write(|log| {
+fn shards_passed_on(environment: &TestEnvironment) -> BTreeSet<u8> {
+    environment.event_log.write(|log| {
         let mut shards = BTreeSet::new();
         for message in &log.messages {
             if message.from == Member::Planner(0)
-                && let Some(ShardGrowthMessage::EndedDays { shard, .. }) = decode_growth(world, message)
+                && let Some(ShardGrowthMessage::EndedDays { shard, .. }) = decode_growth(environment, message)
             {
                 shards.insert(shard);
             }
@@ -170,17 +171,17 @@
 
 /// Waits until a fault begins: at its own time or, if it names a phase, when some node is sent a shard map with a split in
 /// this phase after that. Returns the fault with the time at which it begins; `None` where it can't end within the run.
-pub async fn await_phase(world: &World, mut fault: Fault) -> Option<Fault> {
-    sleep_until(world.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
+pub async fn await_phase(environment: &TestEnvironment, mut fault: Fault) -> Option<Fault> {
+    sleep_until(environment.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
     let Some(phase) = fault.at_step else { return Some(fault) };
     let mut seen = 0;
     loop {
-        let now_s = world.event_log.now().seconds();
-        if now_s + fault.for_s > world.experiment.seconds {
+        let now_s = environment.event_log.now().seconds();
+        if now_s + fault.for_s > environment.experiment.seconds {
             return None;
         }
-        let new = messages_to_nodes_since(world, &mut seen);
-        if new.iter().any(|message| has_split_in(world, message, phase)) {
+        let new = messages_to_nodes_since(environment, &mut seen);
+        if new.iter().any(|message| has_split_in(environment, message, phase)) {
             fault.at_s = now_s;
             return Some(fault);
         }
@@ -189,15 +190,15 @@
 }
 
 /// The messages to nodes from index `seen` on, which moves to the end of the log.
-fn messages_to_nodes_since(world: &World, seen: &mut usize) -> Vec<RelayedMessage> {
-    world.event_log.write(|log| {
+fn messages_to_nodes_since(environment: &TestEnvironment, seen: &mut usize) -> Vec<RelayedMessage> {
+    environment.event_log.write(|log| {
         let new = &log.messages[(*seen).min(log.messages.len())..];
         *seen = log.messages.len();
         new.iter().filter(|message| matches!(message.to, Member::Node(_))).cloned().collect()
     })
 }
 
-fn has_split_in(world: &World, message: &RelayedMessage, phase: SplitPhase) -> bool {
-    let Some(ShardGrowthMessage::Map { map }) = decode_growth(world, message) else { return false };
+fn has_split_in(environment: &TestEnvironment, message: &RelayedMessage, phase: SplitPhase) -> bool {
+    let Some(ShardGrowthMessage::Map { map }) = decode_growth(environment, message) else { return false };
     map.shards.values().any(|state| state.phase == Some(phase))
 }
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -50,7 +50,7 @@
 use planner::Planner;
 use relay::Relay;
 
-pub use error::WorldError;
+pub use error::EnvironmentError;
 
 /// Threads of the runtime on which a run's simulated servers live.
 const WORKER_THREADS: usize = 3;
@@ -83,7 +83,7 @@
 }
 
 /// Everything that takes part in a run.
-pub struct World {
+pub struct TestEnvironment {
     experiment: Arc<Experiment>,
     event_log: EventLogWriter,
     origin: Arc<Origin>,
@@ -108,13 +108,13 @@
 ///
 /// # Errors
 /// If the world could not be started, or not in time.
-pub fn play(run: &Run<'_>) -> Result<EventLog, WorldError> {
+pub fn play(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     // A runtime of its own: the simulated servers have their threads however many runs go side by side.
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()
-        .map_err(WorldError::Runtime)?;
+        .map_err(EnvironmentError::Runtime)?;
     let event_log = runtime.block_on(run::play(run));
     runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
     event_log
@@ -126,7 +126,7 @@
     std::env::temp_dir().join(process).join(format!("{name}-{seed}"))
 }
 
-impl World {
+impl TestEnvironment {
     /// The longest timeout that a client has for a request.
     fn max_client_timeout(&self) -> Duration {
         let timeouts_ms =
--- a/crates/testbed/src/world/monitor.rs
+++ b/crates/testbed/src/environment/monitor.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::World;
+use super::TestEnvironment;
 use crate::event_log::{EventLogWriter, Timestamp};
 
 /// Interval between two samples of each process.
@@ -12,14 +12,14 @@
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Samples all processes until the task is aborted. A process that a fault occupies is passed over.
-pub async fn sample_processes(world: Arc<World>) {
+pub async fn sample_processes(environment: Arc<TestEnvironment>) {
     loop {
-        for node in &world.nodes {
+        for node in &environment.nodes {
             if let Ok(mut node) = node.try_lock() {
                 node.sample();
             }
         }
-        for planner in &world.planners {
+        for planner in &environment.planners {
             if let Ok(mut planner) = planner.try_lock() {
                 planner.check_exit();
             }
--- a/crates/testbed/src/world/node_config.rs
+++ b/crates/testbed/src/environment/node_config.rs
@@ -22,7 +22,7 @@
     discovery: SocketAddr,
     seed: u64,
 ) -> Value {
-    let world = &experiment.world;
+    let environment = &experiment.environment;
     let classes: Vec<Value> =
         experiment.request_classes.iter().map(|class| request_class(experiment, class)).collect();
     let tenants: Vec<Value> = experiment
@@ -34,19 +34,19 @@
     json!({
         "name": format!("node-{}", node.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed ^ (node.0 as u64 + 1)),
-        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.max_sockets},
+        "limits": {"cores": 1.0, "memory_mb": environment.memory_mb, "sockets": environment.max_sockets},
         "settings": {
-            "Discovery": "ask", "Siblings": world.nodes, "Zones": world.zones, "Shapes": ["plain", "origin"],
+            "Discovery": "ask", "Siblings": environment.nodes, "Zones": environment.zones, "Shapes": ["plain", "origin"],
             "Specifics": {"Mode": "aside", "OriginKind": 1},
             "Products": classes,
             "Tenants": tenants,
-            "Bounds": {"MostShots": world.max_attempts, "MayCancel": world.may_cancel,
-                "SecondCopies": world.hedging, "RetryAfter": world.max_retry_after_ms > 0,
-                "MaxRetryAfterUs": world.max_retry_after_ms * 1000, "ConnectTimeoutUs": CONNECT_TIMEOUT_US,
-                "KeepaliveUs": microseconds(world.cache.keepalive_s)},
-            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": world.cache.cold_speed,
-                "WarmAfterUs": microseconds(world.cache.warm_after_s),
-                "FallMultiple": world.cache.overload_multiple, "FallUs": microseconds(world.cache.overload_window_s)},
+            "Bounds": {"MostShots": environment.max_attempts, "MayCancel": environment.may_cancel,
+                "SecondCopies": environment.hedging, "RetryAfter": environment.max_retry_after_ms > 0,
+                "MaxRetryAfterUs": environment.max_retry_after_ms * 1000, "ConnectTimeoutUs": CONNECT_TIMEOUT_US,
+                "KeepaliveUs": microseconds(environment.cache.keepalive_s)},
+            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": environment.cache.cold_speed,
+                "WarmAfterUs": microseconds(environment.cache.warm_after_s),
+                "FallMultiple": environment.cache.overload_multiple, "FallUs": microseconds(environment.cache.overload_window_s)},
         },
     })
 }
@@ -58,7 +58,7 @@
         RequestEffect::NonIdempotent => "non_idempotent",
     };
     json!({"Name": class.name, "Effect": effect, "DedupScope": "all",
-        "WindowUs": microseconds(experiment.world.origin.idempotency_window_s), "LatencySloUs": class.slo_ms * 1000,
+        "WindowUs": microseconds(experiment.environment.origin.idempotency_window_s), "LatencySloUs": class.slo_ms * 1000,
         "ClientTimeoutUs": class.timeout_ms * 1000, "BilledValue": class.value})
 }
 
--- a/crates/testbed/src/world/planner.rs
+++ b/crates/testbed/src/environment/planner.rs
@@ -81,7 +81,7 @@
     let hex_secret: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
     let mut file = toml::Table::new();
     file.insert("secret".into(), hex_secret.into());
-    file.insert("forwarders".into(), (experiment.world.nodes as i64).into());
+    file.insert("forwarders".into(), (experiment.environment.nodes as i64).into());
     let mut planner_tables = Vec::new();
     for (index, address) in planners.iter().enumerate() {
         let mut planner = toml::Table::new();
--- a/crates/testbed/src/world/run.rs
+++ b/crates/testbed/src/environment/run.rs
@@ -6,8 +6,8 @@
 use futures_util::StreamExt;
 
 use super::clients::Clients;
-use super::error::WorldError;
-use super::{Run, World, faults, growth, monitor};
+use super::error::EnvironmentError;
+use super::{Run, TestEnvironment, faults, growth, monitor};
 use crate::event_log::{Event, EventLog, EventLogWriter, Timestamp};
 use crate::experiment::Experiment;
 
@@ -24,60 +24,61 @@
 ///
 /// # Errors
 /// If the world could not be started, or not in time.
-pub async fn play(run: &Run<'_>) -> Result<EventLog, WorldError> {
+pub async fn play(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     std::fs::create_dir_all(run.folder)
-        .map_err(|source| WorldError::CreateDirectory { path: run.folder.into(), source })?;
+        .map_err(|source| EnvironmentError::CreateDirectory { path: run.folder.into(), source })?;
     let experiment = Arc::new(run.experiment.clone());
     let event_log = EventLogWriter::new(Instant::now() + start_duration(&experiment));
-    let world = World::build(&experiment, run, event_log.clone()).await.map_err(WorldError::Build)?;
-    let world = Arc::new(world);
-    start_processes(&world).await?;
+    let environment =
+        TestEnvironment::build(&experiment, run, event_log.clone()).await.map_err(EnvironmentError::Build)?;
+    let environment = Arc::new(environment);
+    start_processes(&environment).await?;
     if event_log.now() > Timestamp(0) {
-        return Err(WorldError::TooSlow);
+        return Err(EnvironmentError::TooSlow);
     }
-    play_timeline(&world, run).await;
-    stop_processes(&world).await;
-    event_log.write(|log| log.secret.clone_from(&world.secret));
+    play_timeline(&environment, run).await;
+    stop_processes(&environment).await;
+    event_log.write(|log| log.secret.clone_from(&environment.secret));
     Ok(event_log.close())
 }
 
 /// Time that the start may take. The time of the first request is fixed before anything starts, so that servers can be
 /// as old as they have to be.
 fn start_duration(experiment: &Experiment) -> Duration {
-    let nodes = experiment.world.nodes as u32;
+    let nodes = experiment.environment.nodes as u32;
     BASE_START_TIME + START_TIME_PER_NODE * nodes + SETTLING_TIME + growth::lead_time(experiment)
 }
 
 /// Starts the planners, and then the nodes with which the run begins.
-async fn start_processes(world: &World) -> Result<(), WorldError> {
-    growth::seed_history(world).await.map_err(|error| WorldError::PlannerStart(error.into()))?;
-    for planner in &world.planners {
-        planner.lock().await.start().map_err(|error| WorldError::PlannerStart(error.into()))?;
+async fn start_processes(environment: &TestEnvironment) -> Result<(), EnvironmentError> {
+    growth::seed_history(environment).await.map_err(|error| EnvironmentError::PlannerStart(error.into()))?;
+    for planner in &environment.planners {
+        planner.lock().await.start().map_err(|error| EnvironmentError::PlannerStart(error.into()))?;
     }
-    let initial = world.experiment.initial_nodes();
+    let initial = environment.experiment.initial_nodes();
     // Several at a time: one after the other, forty nodes take longer than a run.
     let starts =
-        world.nodes.iter().take(initial).map(|node| async move { node.lock().await.start(None).await });
+        environment.nodes.iter().take(initial).map(|node| async move { node.lock().await.start(None).await });
     for result in run_concurrently(starts).await {
         result?;
     }
-    for node in world.nodes.iter().skip(initial) {
-        world.event_log.event(Event::NodeStopping { node: node.lock().await.id });
+    for node in environment.nodes.iter().skip(initial) {
+        environment.event_log.event(Event::NodeStopping { node: node.lock().await.id });
     }
     Ok(())
 }
 
 /// Plays all requests and faults, and returns when both have ended.
-async fn play_timeline(world: &Arc<World>, run: &Run<'_>) {
-    let sampling = tokio::spawn(monitor::sample_processes(world.clone()));
-    let stalls = tokio::spawn(monitor::measure_stalls(world.event_log.clone()));
-    let faults = tokio::spawn(faults::inject_all(world.clone()));
+async fn play_timeline(environment: &Arc<TestEnvironment>, run: &Run<'_>) {
+    let sampling = tokio::spawn(monitor::sample_processes(environment.clone()));
+    let stalls = tokio::spawn(monitor::measure_stalls(environment.event_log.clone()));
+    let faults = tokio::spawn(faults::inject_all(environment.clone()));
     let clients = Clients::new(
-        world.experiment.clone(),
+        environment.experiment.clone(),
         Arc::new(run.schedule.clone()),
-        world.event_log.clone(),
-        &world.node_addresses,
-        world.mass_disconnect.subscribe(),
+        environment.event_log.clone(),
+        &environment.node_addresses,
+        environment.mass_disconnect.subscribe(),
     );
     clients.run().await;
     let _ = faults.await;
@@ -86,15 +87,15 @@
 }
 
 /// Samples each process a last time and stops it gracefully.
-async fn stop_processes(world: &World) {
-    let max_client_timeout = world.max_client_timeout();
-    let stops = world.nodes.iter().map(|node| async move {
+async fn stop_processes(environment: &TestEnvironment) {
+    let max_client_timeout = environment.max_client_timeout();
+    let stops = environment.nodes.iter().map(|node| async move {
         let mut node = node.lock().await;
         node.sample();
         node.stop(max_client_timeout).await;
     });
     run_concurrently(stops).await;
-    for planner in &world.planners {
+    for planner in &environment.planners {
         let mut planner = planner.lock().await;
         planner.check_exit();
         planner.stop().await;
--- a/crates/testbed/src/world/startup.rs
+++ b/crates/testbed/src/environment/startup.rs
@@ -18,7 +18,7 @@
 use super::origin::Origin;
 use super::planner::{self, Persistence, Planner, PlannerSetup};
 use super::relay::Relay;
-use super::{Front, Run, World, growth};
+use super::{Front, Run, TestEnvironment, growth};
 use crate::event_log::{
     EndpointState, EventLogWriter, Member, NodeId, ServerId, ServerInfo, Timestamp, Version,
 };
@@ -31,14 +31,14 @@
 const INITIAL_VERSION: Version = Version(0);
 
 /// Builds the parts of one world.
-struct WorldBuilder<'a> {
+struct EnvironmentBuilder<'a> {
     experiment: &'a Arc<Experiment>,
     run: &'a Run<'a>,
     event_log: EventLogWriter,
     addresses: Addresses,
 }
 
-impl World {
+impl TestEnvironment {
     /// Builds the world of a run. Simulated servers serve from now on; processes are prepared and not started.
     ///
     /// # Errors
@@ -47,10 +47,10 @@
         experiment: &Arc<Experiment>,
         run: &Run<'_>,
         event_log: EventLogWriter,
-    ) -> std::io::Result<World> {
+    ) -> std::io::Result<TestEnvironment> {
         static RUN_COUNT: AtomicU8 = AtomicU8::new(0);
         let addresses = Addresses::new(RUN_COUNT.fetch_add(1, Ordering::Relaxed));
-        let builder = WorldBuilder { experiment, run, event_log, addresses };
+        let builder = EnvironmentBuilder { experiment, run, event_log, addresses };
         builder.build().await
     }
 
@@ -59,7 +59,7 @@
         let slot = &self.slots[slot];
         let id = slot.id();
         let uid = self.event_log.write(|log| log.servers[id.0].name.clone());
-        let zones = &self.experiment.world.zones;
+        let zones = &self.experiment.environment.zones;
         self.discovery.put(ListedEndpoint {
             id,
             uid,
@@ -85,7 +85,7 @@
             id: self.origin.id,
             uid: "origin".into(),
             addresses: self.origin_listeners.iter().map(|listener| listener.address).collect(),
-            zone: self.experiment.world.zones[0].clone(),
+            zone: self.experiment.environment.zones[0].clone(),
             model: "origin",
             state: EndpointState::Ready,
             boot_ms: 0,
@@ -106,10 +106,10 @@
     }
 }
 
-impl WorldBuilder<'_> {
-    async fn build(&self) -> std::io::Result<World> {
+impl EnvironmentBuilder<'_> {
+    async fn build(&self) -> std::io::Result<TestEnvironment> {
         let origin_id = record_server(&self.event_log, "origin".into(), None, None);
-        let origin_config = self.experiment.world.origin.clone();
+        let origin_config = self.experiment.environment.origin.clone();
         let origin = Arc::new(Origin::new(origin_id, origin_config, self.event_log.clone()));
         let origin_listeners = self.bind_origin(&origin).await?;
         let slots = self.build_slots(&origin).await?;
@@ -117,9 +117,9 @@
         growth::preload(self.experiment, &slots, &self.event_log);
         let discovery = Arc::new(Discovery::new(self.event_log.clone()));
         let discovery_ips: Vec<_> =
-            (0..self.experiment.world.nodes).map(|node| self.addresses.discovery(node)).collect();
+            (0..self.experiment.environment.nodes).map(|node| self.addresses.discovery(node)).collect();
         let discovery_addresses = discovery.bind(&discovery_ips, Duration::ZERO).await?;
-        let mut world = World {
+        let mut environment = TestEnvironment {
             experiment: self.experiment.clone(),
             event_log: self.event_log.clone(),
             origin,
@@ -134,18 +134,18 @@
             secret: (0..SECRET_WORDS).flat_map(|n| mix64(self.run.seed, n).to_be_bytes()).collect(),
             mass_disconnect: watch::Sender::default(),
         };
-        self.add_planners(&mut world).await?;
-        world.list_origin();
-        for slot in 0..self.experiment.world.caches {
-            world.list_slot(slot, EndpointState::Ready);
+        self.add_planners(&mut environment).await?;
+        environment.list_origin();
+        for slot in 0..self.experiment.environment.caches {
+            environment.list_slot(slot, EndpointState::Ready);
         }
-        self.add_nodes(&mut world, &discovery_addresses);
-        Ok(world)
+        self.add_nodes(&mut environment, &discovery_addresses);
+        Ok(environment)
     }
 
     async fn bind_origin(&self, origin: &Arc<Origin>) -> std::io::Result<Vec<Listener>> {
         let mut listeners = Vec::new();
-        for node in 0..self.experiment.world.nodes {
+        for node in 0..self.experiment.environment.nodes {
             let ip = self.addresses.origin(node);
             let state = ListenerState::Accepting;
             listeners.push(Listener::bind(ip, NodeId(node), state, origin.clone()).await?);
@@ -157,14 +157,14 @@
     async fn build_slots(&self, origin: &Arc<Origin>) -> std::io::Result<Vec<Arc<CacheSlot>>> {
         let mut slots = Vec::new();
         for number in 0..self.experiment.max_caches() {
-            let is_occupied = number < self.experiment.world.caches;
+            let is_occupied = number < self.experiment.environment.caches;
             let id = record_server(&self.event_log, server_name(number, 0), Some(number), None);
-            let config = self.experiment.world.cache.clone();
+            let config = self.experiment.environment.cache.clone();
             let event_log = self.event_log.clone();
             let slot = Arc::new(CacheSlot::new(number, config, event_log, origin.clone(), id, None));
             let state = if is_occupied { ListenerState::Accepting } else { ListenerState::Refusing };
             let mut listeners = Vec::new();
-            for node in 0..self.experiment.world.nodes {
+            for node in 0..self.experiment.environment.nodes {
                 let ip = self.addresses.slot(node, number);
                 listeners.push(Listener::bind(ip, NodeId(node), state, slot.clone()).await?);
             }
@@ -179,29 +179,30 @@
 
     /// Fills a cache with as many values as it holds: the most popular ones last, so that they are evicted last.
     fn preload(&self, slot: &CacheSlot) {
-        let keys = self.experiment.load.keys.min(self.experiment.world.cache.capacity_values as u64);
+        let keys = self.experiment.load.keys.min(self.experiment.environment.cache.capacity_values as u64);
         for key in (0..keys).rev() {
             slot.store(key, INITIAL_VERSION, INITIAL_VERSION);
         }
     }
 
     /// Opens the message relay and prepares the planners, if the experiment has any.
-    async fn add_planners(&self, world: &mut World) -> std::io::Result<()> {
+    async fn add_planners(&self, environment: &mut TestEnvironment) -> std::io::Result<()> {
         let Front::Nodes(program) = self.run.front else { return Ok(()) };
         let planner_addresses: Vec<SocketAddr> =
             (0..self.experiment.planners()).map(|planner| self.addresses.planner(planner)).collect();
         if planner_addresses.is_empty() {
             return Ok(());
         }
-        let nodes = self.experiment.world.nodes;
+        let nodes = self.experiment.environment.nodes;
         let place = |receiver, represented| self.addresses.relay(receiver, represented);
         let event_log = self.event_log.clone();
         let relay = Relay::open(nodes, &planner_addresses, place, self.run.seed, event_log).await?;
-        world.relay = Some(relay);
+        environment.relay = Some(relay);
         let is_volatile = self.experiment.fleet.as_ref().is_some_and(|fleet| fleet.volatile_planners);
         let persistence = if is_volatile { Persistence::InMemory } else { Persistence::Persistent };
         for (index, address) in planner_addresses.iter().enumerate() {
-            let config = world.fleet_config(Member::Planner(index), &planner_addresses).unwrap_or_default();
+            let config =
+                environment.fleet_config(Member::Planner(index), &planner_addresses).unwrap_or_default();
             let setup = PlannerSetup {
                 index,
                 address: *address,
@@ -211,19 +212,19 @@
                 persistence,
             };
             let planner = Planner::new(setup, self.event_log.clone())?;
-            world.planners.push(Mutex::new(planner));
+            environment.planners.push(Mutex::new(planner));
         }
         Ok(())
     }
 
     /// Prepares the nodes. Without a front, clients connect to the first cache in place of each node.
-    fn add_nodes(&self, world: &mut World, discovery_addresses: &[SocketAddr]) {
+    fn add_nodes(&self, environment: &mut TestEnvironment, discovery_addresses: &[SocketAddr]) {
         for (node, discovery) in discovery_addresses.iter().enumerate() {
-            let first_cache = world.slots[0].listeners.get().map(|listeners| listeners[node].address);
+            let first_cache = environment.slots[0].listeners.get().map(|listeners| listeners[node].address);
             let listen = self.addresses.node(node);
             let program = match (self.run.front, first_cache) {
                 (Front::None, Some(address)) => {
-                    world.node_addresses.push(address);
+                    environment.node_addresses.push(address);
                     continue;
                 }
                 (Front::None, None) => continue,
@@ -237,11 +238,11 @@
                 program,
                 self.run.folder,
                 config,
-                world.fleet_config(Member::Node(node), &[]),
+                environment.fleet_config(Member::Node(node), &[]),
                 self.event_log.clone(),
             );
-            world.node_addresses.push(listen);
-            world.nodes.push(Mutex::new(process));
+            environment.node_addresses.push(listen);
+            environment.nodes.push(Mutex::new(process));
         }
     }
 }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -4,6 +4,7 @@
 //! A file is read and checked here, before anything is started. An error names the file, the line and the key. The types
 //! in the submodules are plain data: they are read once and never change while the experiment runs. TOML keys are mapped
 //! to field names by `#[serde(rename = "…")]`.
+mod environment;
 mod error;
 mod expectations;
 mod fault;
@@ -14,7 +15,6 @@
 mod request_class;
 mod shard_growth;
 mod source_text;
-mod world;
 
 use std::path::Path;
 
@@ -24,6 +24,7 @@
 use error::{Range, check_ranges};
 use source_text::SourceText;
 
+pub use environment::{CacheConfig, EnvironmentConfig, OriginConfig};
 pub use error::{ExperimentError, ExperimentErrorKind, InvalidReason, InvalidValue};
 pub use expectations::Expectations;
 pub use fault::{FalseClaim, Fault, LinkDirection, ResponseCorruption, StoreCondition};
@@ -33,7 +34,6 @@
 pub use node_changes::{NodeAction, NodeChange};
 pub use request_class::{RequestClass, RequestEffect};
 pub use shard_growth::{GrowthConfig, GrowthExpectations};
-pub use world::{CacheConfig, OriginConfig, WorldConfig};
 
 /// The shortest run, in seconds.
 const MIN_RUN_S: f64 = 1.0;
@@ -54,8 +54,8 @@
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
     /// The processes and servers that exist, and their capacities.
-    #[serde(default)]
-    pub world: WorldConfig,
+    #[serde(rename = "world", default)]
+    pub environment: EnvironmentConfig,
     /// The control plane. Without it, each node works on its own.
     pub fleet: Option<FleetConfig>,
     /// Shards whose number of keys grows during the run.
@@ -133,7 +133,7 @@
     pub fn max_caches(&self) -> usize {
         let faults = self.faults.iter().map(Spanned::get_ref);
         let added = faults.filter(|fault| fault.kind == FaultKind::AddCaches).map(|fault| fault.count);
-        self.world.caches + added.sum::<usize>()
+        self.environment.caches + added.sum::<usize>()
     }
 
     /// The same experiment without faults of planners and of control-plane messages: the baseline that the loss of
@@ -155,12 +155,12 @@
         }
         request_class::check(&self.request_classes)?;
         if let Some(fleet) = &self.fleet {
-            fleet.check(self.world.nodes)?;
+            fleet.check(self.environment.nodes)?;
         }
         if let Some(growth) = &self.growth {
             growth.check(self.fleet.as_ref())?;
         }
-        self.world.check()?;
+        self.environment.check()?;
         self.load.check()
     }
 }
--- a/crates/testbed/src/experiment/world.rs
+++ b/crates/testbed/src/experiment/environment.rs
@@ -7,7 +7,7 @@
 /// The processes and servers that exist.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct WorldConfig {
+pub struct EnvironmentConfig {
     /// The number of nodes, each a process of the program under test.
     pub nodes: usize,
     /// The number of cache servers at the start.
@@ -35,9 +35,9 @@
     pub max_retry_after_ms: u64,
 }
 
-impl Default for WorldConfig {
-    fn default() -> WorldConfig {
-        WorldConfig {
+impl Default for EnvironmentConfig {
+    fn default() -> EnvironmentConfig {
+        EnvironmentConfig {
             nodes: 2,
             caches: 6,
             zones: vec!["a".into(), "b".into()],
@@ -151,7 +151,7 @@
     }
 }
 
-impl WorldConfig {
+impl EnvironmentConfig {
     pub(super) fn check(&self) -> Result<(), InvalidValue> {
         check_ranges(&[
             Range::new("world.nodes", self.nodes as f64, 1.0, 40.0),
--- a/crates/testbed/src/experiment/fault.rs
+++ b/crates/testbed/src/experiment/fault.rs
@@ -161,9 +161,9 @@
     pub fn target_caches(&self, experiment: &Experiment) -> Vec<usize> {
         let mut targets = self.caches.clone();
         if let Some(zone) = &self.zone {
-            let zones = &experiment.world.zones;
+            let zones = &experiment.environment.zones;
             let in_zone = |cache: &usize| zones[cache % zones.len()] == *zone;
-            targets.extend((0..experiment.world.caches).filter(in_zone));
+            targets.extend((0..experiment.environment.caches).filter(in_zone));
         }
         targets
     }
@@ -192,17 +192,17 @@
 
     fn check_targets(&self, experiment: &Experiment) -> Result<(), InvalidValue> {
         check_indices("caches", "cache", &self.caches, experiment.max_caches())?;
-        check_indices("nodes", "node", &self.nodes, experiment.world.nodes)?;
+        check_indices("nodes", "node", &self.nodes, experiment.environment.nodes)?;
         check_indices("planners", "planner", &self.planners, experiment.planners())?;
         if self.kind.affects_planners() && experiment.planners() == 0 {
             return Err(InvalidValue::rule("kind", "there is no planner: set fleet.planners"));
         }
-        let max = experiment.world.nodes;
+        let max = experiment.environment.nodes;
         if self.kind == FaultKind::Resize && !(1..=max).contains(&self.count) {
             return Err(InvalidValue::new("count", InvalidReason::NodeCount { max }));
         }
         if let Some(zone) = &self.zone
-            && !experiment.world.zones.contains(zone)
+            && !experiment.environment.zones.contains(zone)
         {
             return Err(InvalidValue::new("zone", InvalidReason::NoSuchZone(zone.clone())));
         }
--- a/crates/testbed/src/experiment/node_changes.rs
+++ b/crates/testbed/src/experiment/node_changes.rs
@@ -64,7 +64,7 @@
     /// The number of nodes that run at the start.
     pub fn initial_nodes(&self) -> usize {
         let configured = self.fleet.as_ref().and_then(|fleet| fleet.initial_nodes);
-        configured.unwrap_or(self.world.nodes)
+        configured.unwrap_or(self.environment.nodes)
     }
 
     fn resizes(&self) -> Vec<Resize> {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -9,7 +9,7 @@
 //! 1. records and reference models: [`event_log`], [`message_reference`], [`shard_map_reference`], [`stats`]
 //! 2. [`experiment`]: the definition of what to run
 //! 3. [`schedule`], [`shard_workload`], [`request_generator`], [`recording`]: the requests of a run
-//! 4. [`world`]: servers, clients, processes and faults; [`faulty_node`] stands in for the program in tests
+//! 4. [`environment`]: servers, clients, processes and faults; [`faulty_node`] stands in for the program in tests
 //! 5. [`audit`]: what was measured and which rules were broken
 //! 6. [`run_result`]: one run, audited; [`report`] writes it down
 //! 7. [`runs`], [`compare`], [`hunt`], [`throughput`]: what commands do; [`program`] finds the program under test
@@ -20,6 +20,7 @@
 pub mod audit;
 pub mod command;
 pub mod compare;
+pub mod environment;
 pub mod event_log;
 pub mod experiment;
 pub mod faulty_node;
@@ -36,4 +37,3 @@
 pub mod shard_workload;
 pub mod stats;
 pub mod throughput;
-pub mod world;
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -174,7 +174,7 @@
         None => None,
         Some(name) => Some(tenant_index(experiment, name)?),
     };
-    if attempt.node >= experiment.world.nodes {
+    if attempt.node >= experiment.environment.nodes {
         return Err(RecordingErrorKind::UnknownNode(attempt.node));
     }
     if attempt.at_us < 0 || attempt.at_us as f64 >= experiment.seconds * US_PER_S {
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -45,7 +45,7 @@
         let points = seconds.map(|(n, second)| (n as f64 + 0.5, value(second))).collect();
         Line { label, colour, points }
     };
-    let capacity = experiment.world.origin.capacity();
+    let capacity = experiment.environment.origin.capacity();
     let capacity_points = vec![(0.0, capacity), (experiment.seconds, capacity)];
     let service = [line("service", BLUE, Second::service)];
     let latencies = [line("p50", BLUE, |second| second.p50_ms), line("p99", MAGENTA, |second| second.p99_ms)];
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 
 use crate::audit::{self, AuditResult};
+use crate::environment::{self, EnvironmentError, Front, Run};
 use crate::event_log::EventLog;
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
-use crate::world::{self, Front, Run, WorldError};
 
 /// The testbed itself is on time if it sends 99.9% of its requests within this many milliseconds of their due time.
 pub const ON_TIME_MS: f64 = 2.0;
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct RunError {
     /// What failed.
-    pub cause: WorldError,
+    pub cause: EnvironmentError,
 }
 
 impl fmt::Display for RunError {
@@ -103,12 +103,12 @@
     seed: u64,
     node: &Path,
 ) -> Result<EventLog, RunError> {
-    let folder = world::scratch(&experiment.name, seed);
+    let folder = environment::scratch(&experiment.name, seed);
     let run = Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder };
-    world::play(&run).map_err(|cause| RunError { cause })
+    environment::play(&run).map_err(|cause| RunError { cause })
 }
 
 /// Removes a run's scratch folder. A failure is ignored: the folder is a temporary one.
 fn remove_scratch_folder(experiment: &Experiment, seed: u64) {
-    let _ = std::fs::remove_dir_all(world::scratch(&experiment.name, seed));
+    let _ = std::fs::remove_dir_all(environment::scratch(&experiment.name, seed));
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -8,7 +8,7 @@
 use crate::experiment::Experiment;
 use crate::report::ReportError;
 use crate::run_result::{RunError, RunOutcome, RunResult, run_experiment};
-use crate::{report, world};
+use crate::{environment, report};
 
 /// How often a run is repeated because the testbed itself was late.
 const MAX_LATE_RERUNS: usize = 2;
@@ -144,7 +144,7 @@
     }
     let outcome = RunOutcome::of(&result.audit_result);
     if outcome == RunOutcome::Failed {
-        let folder = world::scratch(&experiment.name, seed);
+        let folder = environment::scratch(&experiment.name, seed);
         text += &format!("\n    what the nodes logged: {}", folder.display());
     }
     RunSummary { text, outcome }
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -11,11 +11,11 @@
 
 use hdrhistogram::Histogram;
 
+use crate::environment::{self, Front, Run};
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, EventLog};
 use crate::experiment::{Experiment, ExperimentError};
 use crate::run_result::{ON_TIME_MS, RunError};
 use crate::schedule::Schedule;
-use crate::world::{self, Front, Run};
 
 pub use curve::{ComparedPoint, Curve, Point};
 pub use relay::{RelayError, relay};
@@ -120,9 +120,9 @@
     let RunParameters { seconds, seed } = parameters;
     let experiment = experiment(rate, seconds)?;
     let schedule = Schedule::draw(&experiment, seed);
-    let folder = world::scratch("throughput", seed);
+    let folder = environment::scratch("throughput", seed);
     let run = Run { experiment: &experiment, schedule: &schedule, seed, front, folder: &folder };
-    let event_log = world::play(&run).map_err(|cause| ThroughputError::Run(RunError { cause }))?;
+    let event_log = environment::play(&run).map_err(|cause| ThroughputError::Run(RunError { cause }))?;
     // The folder is a temporary one.
     let _ = std::fs::remove_dir_all(&folder);
     Ok(measure(&event_log, rate))
--- a/crates/testbed/tests/counterfactual.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -105,7 +105,7 @@
     let fleet = &audit_result.figures.fleet;
     assert_eq!(
         (fleet.slow_caches_detected, fleet.false_detections),
-        (0, experiment.world.caches),
+        (0, experiment.environment.caches),
         "{fleet:?}"
     );
     let unmet = &audit_result.unmet_expectations;
