--- a/crates/testbed/src/environment/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -1,7 +1,7 @@
 //! The world of an experiment: simulated cache servers, origin, discovery and clients around real nodes and planners, all
 //! on loopback.
 //!
-//! [`play`] runs an experiment once and returns its event log. The simulated servers, the clients and the faults live in
+//! [`execute`] runs an experiment once and returns its event log. The simulated servers, the clients and the faults live in
 //! one process and write that log; nodes and planners are processes of their own. The world owns every listener, process
 //! and simulated server of its run.
 
@@ -66,14 +66,14 @@
     /// Seed of the nodes, of the fleet's secret and of the message relay.
     pub seed: u64,
     /// What stands between clients and caches.
-    pub front: Front<'a>,
+    pub frontend: Frontend<'a>,
     /// Directory for configurations and logs.
     pub folder: &'a Path,
 }
 
 /// What stands between clients and caches.
 #[derive(Clone, Copy, Debug)]
-pub enum Front<'a> {
+pub enum Frontend<'a> {
     /// The program under test at this path: one process for each node.
     Nodes(&'a Path),
     /// In place of each node, a relay of bytes to the first cache, run by the testbed's program at this path.
@@ -108,20 +108,20 @@
 ///
 /// # Errors
 /// If the world could not be started, or not in time.
-pub fn play(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
+pub fn execute(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     // A runtime of its own: the simulated servers have their threads however many runs go side by side.
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()
         .map_err(EnvironmentError::Runtime)?;
-    let event_log = runtime.block_on(run::play(run));
+    let event_log = runtime.block_on(run::execute(run));
     runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
     event_log
 }
 
 /// Directory for the files of a run, below the system's directory for temporary files.
-pub fn scratch(name: &str, seed: u64) -> PathBuf {
+pub fn scratch_directory(name: &str, seed: u64) -> PathBuf {
     let process = format!("granitelb-testbed-{}", std::process::id());
     std::env::temp_dir().join(process).join(format!("{name}-{seed}"))
 }
--- a/crates/testbed/src/environment/run.rs
+++ b/crates/testbed/src/environment/run.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// If the world could not be started, or not in time.
-pub async fn play(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
+pub async fn execute(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     std::fs::create_dir_all(run.folder)
         .map_err(|source| EnvironmentError::CreateDirectory { path: run.folder.into(), source })?;
     let experiment = Arc::new(run.experiment.clone());
@@ -36,7 +36,7 @@
     if event_log.now() > Timestamp(0) {
         return Err(EnvironmentError::TooSlow);
     }
-    play_timeline(&environment, run).await;
+    run_timeline(&environment, run).await;
     stop_processes(&environment).await;
     event_log.write(|log| log.secret.clone_from(&environment.secret));
     Ok(event_log.close())
@@ -69,7 +69,7 @@
 }
 
 /// Plays all requests and faults, and returns when both have ended.
-async fn play_timeline(environment: &Arc<TestEnvironment>, run: &Run<'_>) {
+async fn run_timeline(environment: &Arc<TestEnvironment>, run: &Run<'_>) {
     let sampling = tokio::spawn(monitor::sample_processes(environment.clone()));
     let stalls = tokio::spawn(monitor::measure_stalls(environment.event_log.clone()));
     let faults = tokio::spawn(faults::inject_all(environment.clone()));
--- a/crates/testbed/src/environment/startup.rs
+++ b/crates/testbed/src/environment/startup.rs
@@ -18,7 +18,7 @@
 use super::origin::Origin;
 use super::planner::{self, Persistence, Planner, PlannerSetup};
 use super::relay::Relay;
-use super::{Front, Run, TestEnvironment, growth};
+use super::{Frontend, Run, TestEnvironment, growth};
 use crate::event_log::{
     EndpointState, EventLogWriter, Member, NodeId, ServerId, ServerInfo, Timestamp, Version,
 };
@@ -187,7 +187,7 @@
 
     /// Opens the message relay and prepares the planners, if the experiment has any.
     async fn add_planners(&self, environment: &mut TestEnvironment) -> std::io::Result<()> {
-        let Front::Nodes(program) = self.run.front else { return Ok(()) };
+        let Frontend::Nodes(program) = self.run.frontend else { return Ok(()) };
         let planner_addresses: Vec<SocketAddr> =
             (0..self.experiment.planners()).map(|planner| self.addresses.planner(planner)).collect();
         if planner_addresses.is_empty() {
@@ -222,14 +222,14 @@
         for (node, discovery) in discovery_addresses.iter().enumerate() {
             let first_cache = environment.slots[0].listeners.get().map(|listeners| listeners[node].address);
             let listen = self.addresses.node(node);
-            let program = match (self.run.front, first_cache) {
-                (Front::None, Some(address)) => {
+            let program = match (self.run.frontend, first_cache) {
+                (Frontend::None, Some(address)) => {
                     environment.node_addresses.push(address);
                     continue;
                 }
-                (Front::None, None) => continue,
-                (Front::Relays(path), Some(upstream)) => Program::TcpRelay { path: path.into(), upstream },
-                (Front::Nodes(path) | Front::Relays(path), _) => Program::Node { path: path.into() },
+                (Frontend::None, None) => continue,
+                (Frontend::Relays(path), Some(upstream)) => Program::TcpRelay { path: path.into(), upstream },
+                (Frontend::Nodes(path) | Frontend::Relays(path), _) => Program::Node { path: path.into() },
             };
             let config = node_config(self.experiment, NodeId(node), listen, *discovery, self.run.seed);
             let process = NodeProcess::new(
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use crate::audit::{self, AuditResult};
-use crate::environment::{self, EnvironmentError, Front, Run};
+use crate::environment::{self, EnvironmentError, Frontend, Run};
 use crate::event_log::EventLog;
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
@@ -71,7 +71,7 @@
     seed: u64,
     node: &Path,
 ) -> Result<RunResult, RunError> {
-    let event_log = run_world(experiment, schedule, seed, node)?;
+    let event_log = execute_run(experiment, schedule, seed, node)?;
     let baseline_service = match experiment.expectations.service_loss {
         Some(_) => Some(baseline_service(experiment, schedule, seed, node)?),
         None => None,
@@ -92,23 +92,23 @@
     node: &Path,
 ) -> Result<f64, RunError> {
     let baseline = experiment.without_control_plane_faults();
-    let event_log = run_world(&baseline, schedule, seed, node)?;
+    let event_log = execute_run(&baseline, schedule, seed, node)?;
     remove_scratch_folder(&baseline, seed);
     Ok(audit::audit(&baseline, schedule, &event_log).figures.service)
 }
 
-fn run_world(
+fn execute_run(
     experiment: &Experiment,
     schedule: &Schedule,
     seed: u64,
     node: &Path,
 ) -> Result<EventLog, RunError> {
-    let folder = environment::scratch(&experiment.name, seed);
-    let run = Run { experiment, schedule, seed, front: Front::Nodes(node), folder: &folder };
-    environment::play(&run).map_err(|cause| RunError { cause })
+    let folder = environment::scratch_directory(&experiment.name, seed);
+    let run = Run { experiment, schedule, seed, frontend: Frontend::Nodes(node), folder: &folder };
+    environment::execute(&run).map_err(|cause| RunError { cause })
 }
 
 /// Removes a run's scratch folder. A failure is ignored: the folder is a temporary one.
 fn remove_scratch_folder(experiment: &Experiment, seed: u64) {
-    let _ = std::fs::remove_dir_all(environment::scratch(&experiment.name, seed));
+    let _ = std::fs::remove_dir_all(environment::scratch_directory(&experiment.name, seed));
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -144,7 +144,7 @@
     }
     let outcome = RunOutcome::of(&result.audit_result);
     if outcome == RunOutcome::Failed {
-        let folder = environment::scratch(&experiment.name, seed);
+        let folder = environment::scratch_directory(&experiment.name, seed);
         text += &format!("\n    what the nodes logged: {}", folder.display());
     }
     RunSummary { text, outcome }
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -11,7 +11,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::environment::{self, Front, Run};
+use crate::environment::{self, Frontend, Run};
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, EventLog};
 use crate::experiment::{Experiment, ExperimentError};
 use crate::run_result::{ON_TIME_MS, RunError};
@@ -116,13 +116,13 @@
     seed: u64,
 }
 
-fn run_point(front: Front<'_>, rate: f64, parameters: RunParameters) -> Result<Point, ThroughputError> {
+fn run_point(frontend: Frontend<'_>, rate: f64, parameters: RunParameters) -> Result<Point, ThroughputError> {
     let RunParameters { seconds, seed } = parameters;
     let experiment = experiment(rate, seconds)?;
     let schedule = Schedule::draw(&experiment, seed);
-    let folder = environment::scratch("throughput", seed);
-    let run = Run { experiment: &experiment, schedule: &schedule, seed, front, folder: &folder };
-    let event_log = environment::play(&run).map_err(|cause| ThroughputError::Run(RunError { cause }))?;
+    let folder = environment::scratch_directory("throughput", seed);
+    let run = Run { experiment: &experiment, schedule: &schedule, seed, frontend, folder: &folder };
+    let event_log = environment::execute(&run).map_err(|cause| ThroughputError::Run(RunError { cause }))?;
     // The folder is a temporary one.
     let _ = std::fs::remove_dir_all(&folder);
     Ok(measure(&event_log, rate))
@@ -131,13 +131,13 @@
 /// The first run for which the testbed was on time; without a proxy, the fastest of several such runs. None where the testbed
 /// was late in all runs.
 fn run_on_time(
-    front: Front<'_>,
+    frontend: Frontend<'_>,
     rate: f64,
     parameters: RunParameters,
 ) -> Result<Option<Point>, ThroughputError> {
     let mut best: Option<Point> = None;
     for _ in 0..MAX_RUNS {
-        let point = run_point(front, rate, parameters)?;
+        let point = run_point(frontend, rate, parameters)?;
         if point.testbed_late_ms > ON_TIME_MS {
             continue;
         }
@@ -146,7 +146,7 @@
         }
         // What is added is the difference from the fastest run without a proxy: a single stall of the machine must affect
         // neither side.
-        if !matches!(front, Front::None) {
+        if !matches!(frontend, Frontend::None) {
             break;
         }
     }
@@ -155,13 +155,13 @@
 
 /// The run of a proxy that adds least; the first one that adds little enough.
 fn compare_at_rate(
-    front: Front<'_>,
+    frontend: Frontend<'_>,
     baseline: &Point,
     parameters: RunParameters,
 ) -> Result<Option<ComparedPoint>, ThroughputError> {
     let mut best: Option<ComparedPoint> = None;
     for _ in 0..MAX_RUNS {
-        let Some(point) = run_on_time(front, baseline.rate, parameters)? else { break };
+        let Some(point) = run_on_time(frontend, baseline.rate, parameters)? else { break };
         let compared = ComparedPoint {
             point,
             added_p50_ms: point.p50_ms - baseline.p50_ms,
@@ -179,14 +179,14 @@
 
 /// A curve while it is measured.
 struct CurveInProgress<'a> {
-    proxy: Front<'a>,
+    proxy: Frontend<'a>,
     curve: Curve,
     /// Whether a rate was too high, so that no higher ones are run.
     is_complete: bool,
 }
 
 impl<'a> CurveInProgress<'a> {
-    fn new(proxy: Front<'a>, name: &'static str) -> CurveInProgress<'a> {
+    fn new(proxy: Frontend<'a>, name: &'static str) -> CurveInProgress<'a> {
         CurveInProgress { proxy, curve: Curve { front: name, points: Vec::new() }, is_complete: false }
     }
 
@@ -207,11 +207,11 @@
 /// A run could not be done.
 pub fn curves(node: &Path, testbed: &Path, seconds: f64, seed: u64) -> Result<Curves, ThroughputError> {
     let parameters = RunParameters { seconds, seed };
-    let mut node_curve = CurveInProgress::new(Front::Nodes(node), "granitelb");
-    let mut relay_curve = CurveInProgress::new(Front::Relays(testbed), "bare relay");
+    let mut node_curve = CurveInProgress::new(Frontend::Nodes(node), "granitelb");
+    let mut relay_curve = CurveInProgress::new(Frontend::Relays(testbed), "bare relay");
     for rate in RATES {
         // At rates that the testbed itself can't send in time, only the testbed would be measured.
-        let Some(baseline) = run_on_time(Front::None, rate, parameters)? else { break };
+        let Some(baseline) = run_on_time(Frontend::None, rate, parameters)? else { break };
         node_curve.run_rate(&baseline, parameters)?;
         relay_curve.run_rate(&baseline, parameters)?;
     }
