--- a/crates/testbed/src/environment/addresses.rs
+++ b/crates/testbed/src/environment/addresses.rs
@@ -1,5 +1,5 @@
-//! Loopback addresses of a world. Each run has addresses of its own, from 127.64.0.0 to 127.191.255.255: several runs go
-//! side by side, also in several processes.
+//! Loopback addresses of a world. Each run has addresses of its own, from 127.64.0.0 to 127.191.255.255:
+//! several runs go side by side, also in several processes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -81,15 +81,17 @@
         self.ip(member, host)
     }
 
-    /// Where a member's process listens. The port is chosen without a socket: while a socket held it, even for a moment, a
-    /// child that another thread forks would keep it open until its exec, and the process would find its address in use.
+    /// Where a member's process listens. The port is chosen without a socket: while a socket held it, even
+    /// for a moment, a child that another thread forks would keep it open until its exec, and the process
+    /// would find its address in use.
     fn program(self, member: usize) -> SocketAddr {
         let port_group = (std::process::id() / PROCESSES % PORT_GROUPS) as u16;
         let port = FIRST_NODE_PORT + port_group * PORTS_PER_PROCESS + u16::from(self.run);
         SocketAddr::new(self.ip(member, NODE_HOST), port)
     }
 
-    /// Bits of the address below the network's: 5 for the process, 4 for the run, 6 for the member, 8 for the host.
+    /// Bits of the address below the network's: 5 for the process, 4 for the run, 6 for the member, 8 for the
+    /// host.
     fn ip(self, member: usize, host: usize) -> IpAddr {
         let process = (std::process::id() % PROCESSES) << 18;
         let run = u32::from(self.run % RUNS) << 14;
--- a/crates/testbed/src/environment/byzantine_planner.rs
+++ b/crates/testbed/src/environment/byzantine_planner.rs
@@ -1,4 +1,5 @@
-//! A Byzantine planner: it holds the secret and sends forged messages from a planner's address while that one is stopped.
+//! A Byzantine planner: it holds the secret and sends forged messages from a planner's address while that one
+//! is stopped.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/testbed/src/environment/cache.rs
+++ b/crates/testbed/src/environment/cache.rs
@@ -1,5 +1,5 @@
-//! Simulated cache servers. A slot is a place in the world with fixed addresses; a cache server occupies it until another
-//! one replaces it or it loses its memory.
+//! Simulated cache servers. A slot is a place in the world with fixed addresses; a cache server occupies it
+//! until another one replaces it or it loses its memory.
 
 use std::num::NonZeroUsize;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -210,8 +210,8 @@
         self.look_up(&server, &connection, &request, attempt).await
     }
 
-    /// Responds with the cached value, or with a cache miss. A write that is sent here by mistake counts as a miss and is
-    /// not executed: the origin executes writes.
+    /// Responds with the cached value, or with a cache miss. A write that is sent here by mistake counts as a
+    /// miss and is not executed: the origin executes writes.
     async fn look_up(
         self: &Arc<Self>,
         server: &CacheServer,
@@ -237,7 +237,8 @@
         let _ = self.is_hung.subscribe().wait_for(|is_hung| !is_hung).await;
     }
 
-    /// The time that a request occupies a core: the mean time, times 0.5 to 1.5 by a hash of the request's ID.
+    /// The time that a request occupies a core: the mean time, times 0.5 to 1.5 by a hash of the request's
+    /// ID.
     fn service_time(&self, server: &CacheServer, request: &ServerRequest) -> Duration {
         let slowdown = self.slowdown_permille.load(Ordering::Relaxed) as f64 / NORMAL_SPEED_PERMILLE;
         let random = 0.5 + wire::uniform_hash(&request.id, hash_stream::CACHE_SERVICE_TIME);
--- a/crates/testbed/src/environment/clients/mod.rs
+++ b/crates/testbed/src/environment/clients/mod.rs
@@ -1,5 +1,6 @@
-//! The clients of the nodes: an open loop that starts each scheduled request at its time, whether or not earlier ones have
-//! a response. Each client retries by itself as the schedule says, and records every attempt in the event log.
+//! The clients of the nodes: an open loop that starts each scheduled request at its time, whether or not
+//! earlier ones have a response. Each client retries by itself as the schedule says, and records every
+//! attempt in the event log.
 
 mod connection_pool;
 mod disconnect;
@@ -26,7 +27,8 @@
 
 pub use disconnect::MassDisconnect;
 
-/// Time past the client's timeout during which a response is still awaited, to tell a late response from none.
+/// Time past the client's timeout during which a response is still awaited, to tell a late response from
+/// none.
 const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(150);
 /// Time before a request is due at which its thread stops sleeping and spins.
 const SPIN_DURATION: Duration = Duration::from_micros(300);
@@ -72,7 +74,8 @@
     pub async fn run(self: &Arc<Self>) {
         let (due, mut arrivals) = mpsc::unbounded_channel();
         let clients = self.clone();
-        // The timers of the runtime have a resolution of a millisecond, so a separate thread waits for the due times.
+        // The timers of the runtime have a resolution of a millisecond, so a separate thread waits for the
+        // due times.
         let clock = std::thread::spawn(move || clients.announce_due_requests(&due));
         let mut requests = tokio::task::JoinSet::new();
         while let Some(id) = arrivals.recv().await {
@@ -166,8 +169,8 @@
             match sender.send_request(self.http_request(request)).await {
                 Ok(response) => return self.read_response(response, sender, scheduled).await,
                 Err(error) if error.is_canceled() || error.is_closed() => {}
-                // The node closed the connection before it read the request. The client sends it again on a new
-                // connection if that is harmless in case that the node has read it after all.
+                // The node closed the connection before it read the request. The client sends it again on a
+                // new connection if that is harmless in case that the node has read it after all.
                 Err(error)
                     if error.is_incomplete_message() && request.request_class.effect != NonIdempotent => {}
                 Err(_) => return ClientAttemptEnd::ConnectionLost { reused: true },
@@ -252,7 +255,8 @@
     }
 }
 
-/// Whether a client may retry after an attempt: nobody repeats what may have been executed unless that does no harm.
+/// Whether a client may retry after an attempt: nobody repeats what may have been executed unless that does
+/// no harm.
 fn may_retry(end: &ClientAttemptEnd, request_class: &RequestClass) -> bool {
     match end {
         ClientAttemptEnd::Fulfilled { .. } => false,
--- a/crates/testbed/src/environment/discovery.rs
+++ b/crates/testbed/src/environment/discovery.rs
@@ -1,5 +1,5 @@
-//! The simulated discovery service: serves the endpoint list and watches of it to each node, with the addresses at which
-//! that node reaches the servers. It records what each node was notified of.
+//! The simulated discovery service: serves the endpoint list and watches of it to each node, with the
+//! addresses at which that node reaches the servers. It records what each node was notified of.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -24,7 +24,8 @@
 
 /// Interval of the empty lines on a watch while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after which a node has to notice that its watch is silent: from then on it counts as notified of what it misses.
+/// Time after which a node has to notice that its watch is silent: from then on it counts as notified of what
+/// it misses.
 const SILENT_WATCH_TIMEOUT: Duration = Duration::from_secs(6);
 /// Lines that wait for a slow reader of a watch.
 const WATCH_BUFFER_LINES: usize = 16;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Binds a new listener for each node and returns their addresses. The former listeners refuse connections and reset
-    /// the watches that they have after `old_listeners_lifetime`.
+    /// Binds a new listener for each node and returns their addresses. The former listeners refuse
+    /// connections and reset the watches that they have after `old_listeners_lifetime`.
     ///
     /// # Errors
     /// The system's error if an address can't be bound.
@@ -203,8 +204,8 @@
         }
     }
 
-    /// Records what a silenced watch misses as if it had been written, once the node has had time to notice the silence,
-    /// and whatever changes while the node goes on waiting on the same watch.
+    /// Records what a silenced watch misses as if it had been written, once the node has had time to notice
+    /// the silence, and whatever changes while the node goes on waiting on the same watch.
     async fn count_as_notified(&self, node: NodeId, mut after: Option<u64>, watch: mpsc::Sender<Bytes>) {
         tokio::time::sleep(SILENT_WATCH_TIMEOUT).await;
         let mut changes = self.change_count.subscribe();
--- a/crates/testbed/src/environment/endpoint_list.rs
+++ b/crates/testbed/src/environment/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list of the simulated discovery service: its entries, its history of changes, and the updates that a watch
-//! receives. Pure state: [`super::discovery`] owns it and serves it.
+//! The endpoint list of the simulated discovery service: its entries, its history of changes, and the updates
+//! that a watch receives. Pure state: [`super::discovery`] owns it and serves it.
 //!
-//! Revisions grow by one with each change. A watch names the last revision that it knows and receives the later changes,
-//! or the complete list if the history doesn't reach back that far.
+//! Revisions grow by one with each change. A watch names the last revision that it knows and receives the
+//! later changes, or the complete list if the history doesn't reach back that far.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -108,8 +108,8 @@
         json!({"rev": self.revision, "all": true, "targets": self.all_targets(node)})
     }
 
-    /// The next update of a node's watch that knows the list up to the revision `after`, or none if the watch is up to
-    /// date. A watch that knows nothing receives the complete list.
+    /// The next update of a node's watch that knows the list up to the revision `after`, or none if the watch
+    /// is up to date. A watch that knows nothing receives the complete list.
     pub fn update_since(&self, node: NodeId, after: Option<u64>, at: Timestamp) -> Option<ListUpdate> {
         let notify = |server, state| EndpointNotification { node, server, state, at };
         let is_complete = after.is_none_or(|after| after < self.oldest_revision || after > self.revision);
--- a/crates/testbed/src/environment/error.rs
+++ b/crates/testbed/src/environment/error.rs
@@ -6,8 +6,8 @@
 
 use super::node::NodeStartError;
 
-/// Why an experiment could not be played. None of these is a judgement of the program under test, except where a process
-/// did not start: its log in the run's directory tells more.
+/// Why an experiment could not be played. None of these is a judgement of the program under test, except
+/// where a process did not start: its log in the run's directory tells more.
 #[derive(Debug)]
 pub enum EnvironmentError {
     /// The runtime of the simulated servers did not start: the system lacks threads or descriptors.
@@ -25,7 +25,8 @@
     NodeStart(NodeStartError),
     /// A planner did not start or did not accept the history of past days.
     PlannerStart(Box<dyn Error + Send + Sync>),
-    /// The nodes were not ready when the first request was due: the machine is too busy. Run it again with fewer jobs.
+    /// The nodes were not ready when the first request was due: the machine is too busy. Run it again with
+    /// fewer jobs.
     TooSlow,
 }
 
--- a/crates/testbed/src/environment/faults/caches.rs
+++ b/crates/testbed/src/environment/faults/caches.rs
@@ -11,10 +11,11 @@
 
 /// Time between two resets of a cache's connections.
 const RESET_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between listing a cache as draining and its first rejection, so that nodes have received the update.
+/// Time from listing a cache as draining until it rejects requests, so that nodes have received the update by
+/// then.
 const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
-/// Begins or ends a fault at the cache in a slot.
+/// Begins or ends a fault at the cache in the slot with this number.
 pub async fn apply(environment: &TestEnvironment, fault: &Fault, number: usize, phase: Phase) {
     let slot = &environment.slots[number];
     match (fault.kind, phase) {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Resets the connections of a slot again and again until a time of the run, at least once.
+/// Resets the connections of a slot every [`RESET_INTERVAL`] until the time `end`, at least once.
 async fn reset_until(environment: &TestEnvironment, slot: &CacheSlot, end: Timestamp) {
     loop {
         slot.reset_connections();
--- a/crates/testbed/src/environment/faults/links.rs
+++ b/crates/testbed/src/environment/faults/links.rs
@@ -11,7 +11,8 @@
 /// Begins or ends a fault of the links between the named caches and nodes. Faults of other kinds are ignored.
 pub fn apply(environment: &TestEnvironment, fault: &Fault, caches: &[usize], nodes: &[usize], phase: Phase) {
     let Some(state) = direction_state(fault, phase) else { return };
-    // A machine that receives nothing accepts no connections.
+    // A silent link also drops the packets of handshakes, so the listener leaves connection attempts
+    // unanswered.
     let is_unreachable = fault.kind == FaultKind::LinkSilent && phase == Phase::Begin;
     let listener_state = if is_unreachable { ListenerState::Unresponsive } else { ListenerState::Accepting };
     for cache in caches {
@@ -23,7 +24,7 @@
     }
 }
 
-/// The state of the affected directions, or none if the fault affects no link.
+/// State that the affected directions of a link take, or none if the fault is not one of links.
 fn direction_state(fault: &Fault, phase: Phase) -> Option<DirectionState> {
     let normal = DirectionState::default();
     let faulty = match fault.kind {
@@ -45,7 +46,8 @@
     }
 }
 
-/// Sets the directions that the fault affects. A reset after a number of bytes affects the direction toward the node only.
+/// Sets the state of the directions that a fault affects. [`FaultKind::LinkReset`] affects only the direction
+/// toward the node.
 fn set_directions(link: &mut LinkState, fault: &Fault, state: DirectionState) {
     if fault.direction != LinkDirection::Nodes && fault.kind != FaultKind::LinkReset {
         link.toward_server = state;
--- a/crates/testbed/src/environment/faults/mod.rs
+++ b/crates/testbed/src/environment/faults/mod.rs
@@ -1,7 +1,7 @@
 //! Injects the faults of an experiment's timeline.
 //!
-//! Each fault runs in a task of its own. One that names several caches, nodes or planners runs one task for each of them;
-//! the event log holds the beginning and the end of the complete fault.
+//! Each fault runs in its own task. A fault that names several caches, nodes or planners runs one task for
+//! each target; the event log holds only the beginning and the end of the whole fault.
 
 mod caches;
 mod links;
@@ -17,10 +17,10 @@
 use crate::event_log::{Event, Timestamp};
 use crate::experiment::{Fault, FaultKind, NodeAction};
 
-/// The most caches that the description of a fault names one by one.
+/// The most caches that the description of a fault lists by number; for more, it gives their count.
 const MAX_DESCRIBED_CACHES: usize = 4;
 
-/// Which part of a fault is to be carried out.
+/// Whether a fault is to be begun or ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Begin,
@@ -28,13 +28,13 @@
 }
 
 impl Phase {
-    /// Whether a state that lasts as long as the fault is to be set.
+    /// Whether a state that lasts as long as the fault is to be set: true at the beginning, false at the end.
     fn is_begin(self) -> bool {
         self == Phase::Begin
     }
 }
 
-/// What a fault affects, and so how it is split into tasks.
+/// What a fault affects, which determines how the fault is split into tasks.
 enum Scope {
     /// Each of the named caches, one after the other with a stagger.
     EachCache,
@@ -42,11 +42,11 @@
     EachNode,
     /// Each of the named planners, at once.
     EachPlanner,
-    /// The number of nodes that run.
+    /// The number of running nodes.
     NodeCount,
     /// The messages between members.
     Messages,
-    /// The world as a whole: origin, discovery, clients and links.
+    /// What all nodes share: origin, discovery, clients, the set of caches, and links.
     Shared,
 }
 
@@ -138,7 +138,7 @@
     let mut tasks = JoinSet::new();
     for (n, node) in nodes.into_iter().enumerate() {
         let environment = environment.clone();
-        // Each node has its own part of the timeline.
+        // Each node's copy of the fault begins and ends at that node's own, staggered time.
         let mut fault = fault.clone();
         fault.at_s += n as f64 * fault.stagger_s;
         fault.nodes = vec![node];
@@ -160,7 +160,7 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Starts or stops nodes until as many run as the fault says.
+/// Starts or stops nodes, at the times that the experiment sets, until the fault's `count` of nodes run.
 async fn resize(environment: &Arc<TestEnvironment>, fault: &Fault) {
     let mut tasks = JoinSet::new();
     for change in environment.experiment.node_changes(fault.at_s) {
@@ -176,11 +176,12 @@
     while tasks.join_next().await.is_some() {}
 }
 
+/// Indices of the named targets, or of all `count` targets if none is named.
 fn named_or_all(named: &[usize], count: usize) -> Vec<usize> {
     if named.is_empty() { (0..count).collect() } else { named.to_vec() }
 }
 
-/// The text of a fault in the event log.
+/// Description of a fault for the event log: its kind and the caches that it names.
 fn describe(fault: &Fault, caches: &[usize]) -> String {
     let kind = fault.kind.to_string();
     match caches.len() {
--- a/crates/testbed/src/environment/faults/nodes.rs
+++ b/crates/testbed/src/environment/faults/nodes.rs
@@ -1,4 +1,5 @@
-//! Faults of single nodes: kill, freeze, restart, new settings and malformed clients; and nodes that join or leave.
+//! Faults of single nodes (kill, freeze, restart, new settings, malformed clients), and the start and stop of
+//! nodes when their number changes.
 
 use rustix::process::Signal;
 use serde_json::Value;
@@ -9,7 +10,7 @@
 use crate::event_log::{Event, NodeId};
 use crate::experiment::{Fault, FaultKind};
 
-/// Carries out a fault at a node from its beginning to its end.
+/// Injects a fault at the node with this number and returns when the fault has ended.
 pub async fn apply(environment: &TestEnvironment, fault: &Fault, number: usize) {
     let node = &environment.nodes[number];
     match fault.kind {
@@ -26,7 +27,7 @@
     }
 }
 
-/// Starts a node that has not run yet, or has stopped.
+/// Starts a node that has not run yet or has been stopped.
 pub async fn start(environment: &TestEnvironment, number: usize) {
     let mut node = environment.nodes[number].lock().await;
     start_process(environment, &mut node, None).await;
@@ -39,7 +40,8 @@
     stop_process(environment, &mut node).await;
 }
 
-/// Kills a node and starts it at the end of the fault with the endpoint list that it had.
+/// Kills a node and starts it again at the end of the fault with the endpoint list as discovery had it at the
+/// kill.
 async fn kill(environment: &TestEnvironment, fault: &Fault, number: usize) {
     let known_endpoints = environment.discovery.snapshot_for(NodeId(number));
     let mut node = environment.nodes[number].lock().await;
@@ -58,8 +60,8 @@
     record_up(environment, node.id);
 }
 
-/// Restarts a node gracefully. While it shuts down it owes a response to each request that it has accepted: it does not
-/// count as down until it has ended.
+/// Restarts a node gracefully. The event log has no `NodeDown` for the shutdown, because a node that shuts
+/// down still has to respond to each request that it has accepted.
 async fn restart(environment: &TestEnvironment, node: &mut NodeProcess) {
     let known_endpoints = environment.discovery.snapshot_for(node.id);
     stop_process(environment, node).await;
@@ -72,11 +74,13 @@
     if fault.restart_nodes {
         restart(environment, node).await;
     } else {
-        // A node that is down reads the file when it starts.
+        // An error is ignored: a node that is down reads the new settings from its configuration file when it
+        // starts.
         let _ = node.reload();
     }
 }
 
+/// Starts a node's process; a failure is recorded as a crash of the node.
 async fn start_process(
     environment: &TestEnvironment,
     node: &mut NodeProcess,
--- a/crates/testbed/src/environment/faults/planners.rs
+++ b/crates/testbed/src/environment/faults/planners.rs
@@ -11,7 +11,7 @@
 use crate::event_log::Event;
 use crate::experiment::{FalseClaim, Fault, FaultKind, StoreCondition};
 
-/// Carries out a fault at a planner from its beginning to its end.
+/// Injects a fault at the planner with this number and returns when the fault has ended.
 pub async fn apply(environment: &TestEnvironment, fault: &Fault, number: usize) {
     let mut planner = environment.planners[number].lock().await;
     environment.event_log.event(Event::PlannerDown { planner: number });
@@ -52,7 +52,8 @@
 ) {
     let leases =
         environment.experiment.fleet.as_ref().and_then(|fleet| fleet.leases.clone()).unwrap_or_default();
-    // In the units of the lease messages: thousandths of a request a second, and microseconds.
+    // In the units of lease messages: thousandths of a request per second, microseconds of work and
+    // microseconds.
     let grants = ForgedGrants {
         origin: (leases.origin_per_s * 1e3) as u32,
         warming_cache: (leases.cold_cache_work * 1e6) as u32,
@@ -66,13 +67,15 @@
     }
 }
 
-/// Starts a planner with its state files as the fault leaves them, and records a failure to do so.
+/// Starts a planner again with its state files as the fault leaves them. A failure is recorded as a crash of
+/// the planner.
 fn start_again(environment: &TestEnvironment, fault: &Fault, planner: &mut Planner) {
     if let Err(error) = prepare_and_start(planner, fault.store) {
         environment.event_log.event(Event::PlannerCrashed { planner: planner.index, how: error.to_string() });
     }
 }
 
+/// Damages a planner's state files as the fault demands and starts its process.
 fn prepare_and_start(
     planner: &mut Planner,
     store: StoreCondition,
--- a/crates/testbed/src/environment/faults/shared.rs
+++ b/crates/testbed/src/environment/faults/shared.rs
@@ -1,4 +1,5 @@
-//! Faults of what all nodes share: the origin, discovery, the clients, and the set of caches.
+//! Faults of what all nodes share: the origin, discovery, the clients, and the set of caches. Faults of links
+//! are passed on to [`super::links`].
 
 use std::time::Duration;
 
@@ -10,12 +11,12 @@
 use crate::event_log::EndpointState;
 use crate::experiment::{Fault, FaultKind};
 
-/// Time for which discovery serves the watches at its former address after it has moved.
+/// Time for which discovery still serves watches at its former address after it has moved.
 const OLD_DISCOVERY_LIFETIME: Duration = Duration::from_millis(1500);
-/// Mean delay of bytes that follow a complete response, if the fault names none, in milliseconds.
+/// Mean delay of bytes that follow a complete response, in milliseconds, where the fault sets none.
 const DEFAULT_CORRUPTION_DELAY_MS: f64 = 5.0;
 
-/// Begins or ends a fault.
+/// Begins or ends a fault of shared services or of links.
 pub async fn apply(
     environment: &TestEnvironment,
     fault: &Fault,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Drops all values at the named caches, or at all caches if none is named.
+/// Clears the named caches, or all caches if none is named.
 fn clear_caches(environment: &TestEnvironment, caches: &[usize]) {
     if caches.is_empty() {
         environment.slots.iter().for_each(|slot| slot.clear());
@@ -64,7 +65,7 @@
     }
 }
 
-/// Adds cold caches in the slots that are free from the beginning.
+/// Starts up to `count` cold caches in the slots that are free when the run starts.
 fn add_caches(environment: &TestEnvironment, count: usize) {
     let first_free = environment.experiment.environment.caches;
     for slot in (first_free..environment.slots.len()).take(count) {
@@ -74,6 +75,7 @@
     }
 }
 
+/// Has the fault's share of the clients that wait for these nodes disconnect at once.
 fn disconnect_clients(environment: &TestEnvironment, fault: &Fault, nodes: &[usize]) {
     let share = fault.share.unwrap_or(1.0);
     environment.mass_disconnect.send_modify(|disconnect| {
@@ -88,12 +90,14 @@
         return;
     };
     for (node, address) in environment.nodes.iter().zip(addresses) {
-        // A node that is down reads the file when it starts.
+        // An error is ignored: a node that is down reads the new address from its configuration file when it
+        // starts.
         let _ = node.lock().await.set_discovery(address);
     }
 }
 
-/// The corruption of responses that a fault describes, if it names both the share and the kind.
+/// The corruption of responses that a fault describes, or none if the fault lacks a share or a kind of
+/// corruption.
 fn corruption(fault: &Fault) -> Option<ActiveCorruption> {
     let delay = Duration::from_secs_f64(fault.ms.unwrap_or(DEFAULT_CORRUPTION_DELAY_MS) / 1000.0);
     Some(ActiveCorruption { share: fault.share?, kind: fault.corruption?, delay })
--- a/crates/testbed/src/environment/growth.rs
+++ b/crates/testbed/src/environment/growth.rs
@@ -1,5 +1,5 @@
-//! What a world does for shards that grow: it fills caches with their first keys, gives planners the history of earlier
-//! days, and holds back faults until a split reaches a phase.
+//! What a world does for shards that grow: it fills caches with their first keys, gives planners the history
+//! of earlier days, and holds back faults until a split reaches a phase.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -101,8 +101,8 @@
     sizes
 }
 
-/// Starts the first planner and sends it the sizes of the days before the run, as another planner that knows them does:
-/// in the name of an earlier incarnation of the second one. The first planner passes them on.
+/// Starts the first planner and sends it the sizes of the days before the run, as another planner that knows
+/// them does: in the name of an earlier incarnation of the second one. The first planner passes them on.
 ///
 /// # Errors
 /// Says why the planner has not accepted them.
@@ -169,8 +169,9 @@
     })
 }
 
-/// Waits until a fault begins: at its own time or, if it names a phase, when some node is sent a shard map with a split in
-/// this phase after that. Returns the fault with the time at which it begins; `None` where it can't end within the run.
+/// Waits until a fault begins: at its own time or, if it names a phase, when some node is sent a shard map
+/// with a split in this phase after that. Returns the fault with the time at which it begins; `None` where it
+/// can't end within the run.
 pub async fn await_phase(environment: &TestEnvironment, mut fault: Fault) -> Option<Fault> {
     sleep_until(environment.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
     let Some(phase) = fault.at_step else { return Some(fault) };
--- a/crates/testbed/src/environment/link.rs
+++ b/crates/testbed/src/environment/link.rs
@@ -1,5 +1,5 @@
-//! The simulated network link between one node and one server: it copies bytes between the node's socket and the
-//! server's HTTP library, and applies delays, loss and resets.
+//! The simulated network link between one node and one server: it copies bytes between the node's socket and
+//! the server's HTTP library, and applies delays, loss and resets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,8 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, watch};
 
-/// Time between the last bytes and the reset of [`ConnectionFault::SendThenReset`]: the node has read them by then.
+/// Time between the last bytes and the reset of [`ConnectionFault::SendThenReset`]: the node has read them by
+/// then.
 const RESET_DELAY: Duration = Duration::from_millis(3);
 /// Time between two chunks of an endless body.
 const ENDLESS_CHUNK_INTERVAL: Duration = Duration::from_millis(3);
@@ -73,7 +74,8 @@
     Reset,
 }
 
-/// Copies one direction until its reader ends or the link breaks. Bytes from `injected` are written in between.
+/// Copies one direction until its reader ends or the link breaks. Bytes from `injected` are written in
+/// between.
 async fn copy_direction(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
@@ -112,8 +114,8 @@
     }
 }
 
-/// Waits until a silent direction passes bytes again. The bytes that it lost can't be delivered any more, so the
-/// connection ends with a reset.
+/// Waits until a silent direction passes bytes again. The bytes that it lost can't be delivered any more, so
+/// the connection ends with a reset.
 async fn wait_while_silent(
     link: &mut watch::Receiver<LinkState>,
     direction: fn(&LinkState) -> DirectionState,
@@ -136,8 +138,8 @@
     }
 }
 
-/// Connects a node's socket to a server's end of the connection until either side closes it, the link resets it, or the
-/// server injects a fault.
+/// Connects a node's socket to a server's end of the connection until either side closes it, the link resets
+/// it, or the server injects a fault.
 pub async fn join(
     stream: TcpStream,
     server: DuplexStream,
@@ -146,7 +148,8 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (from_node, to_node) = stream.into_split();
-    // The server's end stays open until the fault has been applied: the HTTP library sees no end of the stream before.
+    // The server's end stays open until the fault has been applied: the HTTP library sees no end of the
+    // stream before.
     let (from_server, to_server) = tokio::io::split(server);
     let mut ends = ConnectionEnds { from_node, to_node, from_server, to_server };
     let fault = copy_until_fault(&mut ends, link, faults).await;
@@ -209,8 +212,8 @@
     std::future::pending().await
 }
 
-/// Returns the first fault after which the connection is of no use; delayed bytes are injected on the way. Without a
-/// sender it never returns, so that the last response still passes.
+/// Returns the first fault after which the connection is of no use; delayed bytes are injected on the way.
+/// Without a sender it never returns, so that the last response still passes.
 async fn next_fatal_fault(
     mut faults: mpsc::UnboundedReceiver<ConnectionFault>,
     inject: mpsc::UnboundedSender<Vec<u8>>,
@@ -258,7 +261,8 @@
     }
 }
 
-/// Ends a connection by a reset alone: a write half that is dropped would close its direction in order before.
+/// Ends a connection by a reset alone: a write half that is dropped would close its direction in order
+/// before.
 fn reset(from_node: OwnedReadHalf, to_node: OwnedWriteHalf) {
     let _ = rustix::net::sockopt::set_socket_linger(from_node.as_ref(), Some(Duration::ZERO));
     to_node.forget();
--- a/crates/testbed/src/environment/listener.rs
+++ b/crates/testbed/src/environment/listener.rs
@@ -1,5 +1,5 @@
-//! The address at which one node reaches a simulated server: a listener that accepts connections, refuses them, or lets
-//! connection attempts time out.
+//! The address at which one node reaches a simulated server: a listener that accepts connections, refuses
+//! them, or lets connection attempts time out.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -213,8 +213,8 @@
     }
 }
 
-/// Fills the backlog of a listening socket, so that further connection attempts stay without an answer while the
-/// returned connections are open.
+/// Fills the backlog of a listening socket, so that further connection attempts stay without an answer while
+/// the returned connections are open.
 async fn fill_backlog(socket: &TcpListener, address: SocketAddr) -> Vec<TcpStream> {
     let _ = rustix::net::listen(socket, 0);
     let mut fillers = Vec::new();
@@ -243,7 +243,8 @@
     }
 }
 
-/// Serves the requests of a connection until it ends. When the link ends first, the handler's work is dropped.
+/// Serves the requests of a connection until it ends. When the link ends first, the handler's work is
+/// dropped.
 async fn serve_connection(
     stream: TcpStream,
     link: Link,
--- a/crates/testbed/src/environment/malformed_clients.rs
+++ b/crates/testbed/src/environment/malformed_clients.rs
@@ -1,5 +1,5 @@
-//! Malformed clients: each sends a node something that is no valid request, and has to receive an error response or a
-//! closed connection.
+//! Malformed clients: each sends a node something that is no valid request, and has to receive an error
+//! response or a closed connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -60,7 +60,8 @@
     ]
 }
 
-/// Connects as many malformed clients to a node as the fault says and records whether each got what it has to.
+/// Connects as many malformed clients to a node as the fault says and records whether each got what it has
+/// to.
 pub async fn run(node: SocketAddr, event_log: EventLogWriter, fault: &Fault, experiment: &Experiment) {
     let requests = malformed_requests(&experiment.request_classes[0].name);
     let mut clients = tokio::task::JoinSet::new();
--- a/crates/testbed/src/environment/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -1,9 +1,9 @@
-//! The world of an experiment: simulated cache servers, origin, discovery and clients around real nodes and planners, all
-//! on loopback.
+//! The test environment of an experiment: simulated cache servers, origin, discovery and clients around real
+//! nodes and planners, all on loopback.
 //!
-//! [`execute`] runs an experiment once and returns its event log. The simulated servers, the clients and the faults live in
-//! one process and write that log; nodes and planners are processes of their own. The world owns every listener, process
-//! and simulated server of its run.
+//! [`execute`] runs an experiment once and returns its event log. The simulated servers, the clients and the
+//! fault injection run in the testbed's process and write the event log; each node and planner is a separate
+//! process. [`TestEnvironment`] owns every listener, process and simulated server of its run.
 
 mod addresses;
 mod attempt_record;
@@ -52,37 +52,37 @@
 
 pub use error::EnvironmentError;
 
-/// Threads of the runtime on which a run's simulated servers live.
+/// Worker threads of the runtime that executes a run's simulated servers.
 const WORKER_THREADS: usize = 3;
-/// Time that tasks get to end after a run.
+/// Time that the runtime's remaining tasks get to end after a run.
 const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a run is made from.
+/// The inputs of one run.
 pub struct Run<'a> {
     /// The experiment.
     pub experiment: &'a Experiment,
-    /// The requests of the clients.
+    /// The requests that the clients send.
     pub schedule: &'a Schedule,
     /// Seed of the nodes, of the fleet's secret and of the message relay.
     pub seed: u64,
-    /// What stands between clients and caches.
+    /// What the clients connect to.
     pub frontend: Frontend<'a>,
-    /// Directory for configurations and logs.
+    /// Directory for the configuration files and logs of the processes.
     pub folder: &'a Path,
 }
 
-/// What stands between clients and caches.
+/// What the clients of a run connect to.
 #[derive(Clone, Copy, Debug)]
 pub enum Frontend<'a> {
-    /// The program under test at this path: one process for each node.
+    /// Nodes: one process of the program under test, at this path, for each.
     Nodes(&'a Path),
-    /// In place of each node, a relay of bytes to the first cache, run by the testbed's program at this path.
+    /// In place of each node, a TCP relay to the first cache, run by the testbed's program at this path.
     Relays(&'a Path),
-    /// Nothing: clients connect to the first cache.
+    /// The first cache, with nothing in between.
     None,
 }
 
-/// Everything that takes part in a run.
+/// The servers, processes and shared state of one run.
 pub struct TestEnvironment {
     experiment: Arc<Experiment>,
     event_log: EventLogWriter,
@@ -91,10 +91,10 @@
     origin_listeners: Vec<Listener>,
     slots: Vec<Arc<CacheSlot>>,
     discovery: Arc<Discovery>,
-    /// IP address of discovery for each node.
+    /// IP address at which each node reaches discovery.
     discovery_ips: Vec<IpAddr>,
     nodes: Vec<Mutex<NodeProcess>>,
-    /// Where clients reach each node.
+    /// Address at which clients reach each node.
     node_addresses: Vec<SocketAddr>,
     planners: Vec<Mutex<Planner>>,
     /// The relay of messages between members, if there are planners.
@@ -104,12 +104,13 @@
     mass_disconnect: watch::Sender<MassDisconnect>,
 }
 
-/// Plays an experiment once and returns its event log.
+/// Runs an experiment once and returns its event log.
 ///
 /// # Errors
-/// If the world could not be started, or not in time.
+/// If the environment could not be started, or not in time.
 pub fn execute(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
-    // A runtime of its own: the simulated servers have their threads however many runs go side by side.
+    // Each run has its own runtime, so that concurrent runs don't share the threads of their simulated
+    // servers.
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
         .enable_all()
@@ -120,14 +121,14 @@
     event_log
 }
 
-/// Directory for the files of a run, below the system's directory for temporary files.
+/// Path of the directory for a run's files, below the system's directory for temporary files.
 pub fn scratch_directory(name: &str, seed: u64) -> PathBuf {
     let process = format!("granitelb-testbed-{}", std::process::id());
     std::env::temp_dir().join(process).join(format!("{name}-{seed}"))
 }
 
 impl TestEnvironment {
-    /// The longest timeout that a client has for a request.
+    /// The longest client timeout of any request class.
     fn max_client_timeout(&self) -> Duration {
         let timeouts_ms =
             self.experiment.request_classes.iter().map(|request_class| request_class.timeout_ms);
--- a/crates/testbed/src/environment/node.rs
+++ b/crates/testbed/src/environment/node.rs
@@ -1,4 +1,5 @@
-//! A node of the world: the real program, or what takes its place, in a process of its own with its own configuration.
+//! A node of the world: the real program, or what takes its place, in a process of its own with its own
+//! configuration.
 
 use std::fmt;
 use std::fs::File;
@@ -140,8 +141,8 @@
 }
 
 impl NodeProcess {
-    /// Prepares a node; nothing runs yet. Its files go into `directory`, with the text of the fleet's configuration if
-    /// the node has a control plane.
+    /// Prepares a node; nothing runs yet. Its files go into `directory`, with the text of the fleet's
+    /// configuration if the node has a control plane.
     pub fn new(
         id: NodeId,
         address: SocketAddr,
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Starts the program and waits until it is ready. `known_endpoints` is the endpoint list that the node had cached
-    /// before, if any.
+    /// Starts the program and waits until it is ready. `known_endpoints` is the endpoint list that the node
+    /// had cached before, if any.
     ///
     /// # Errors
     /// If a file can't be written, the program can't be executed, or it does not become ready in time.
@@ -236,7 +237,8 @@
         }
     }
 
-    /// Asks the process to shut down gracefully, waits as long as that may take, and kills it if it still runs.
+    /// Asks the process to shut down gracefully, waits as long as that may take, and kills it if it still
+    /// runs.
     pub async fn stop(&mut self, max_client_timeout: Duration) {
         self.signal(Signal::TERM);
         if let Some(child) = &mut self.child {
--- a/crates/testbed/src/environment/origin.rs
+++ b/crates/testbed/src/environment/origin.rs
@@ -1,5 +1,5 @@
-//! The simulated origin: it owns the version of every value, records each executed write and read, and has far less
-//! capacity than all requests need.
+//! The simulated origin: it owns the version of every value, records each executed write and read, and has
+//! far less capacity than all requests need.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -106,8 +106,8 @@
         self.versions.lock().expect("no holder panics").get(&key).copied().unwrap_or(Version(0))
     }
 
-    /// Remembers that a cache missed the key of a request: it caches the value once the origin has returned it for that
-    /// request.
+    /// Remembers that a cache missed the key of a request: it caches the value once the origin has returned
+    /// it for that request.
     pub fn record_cache_miss(&self, id: &str, slot: &Arc<CacheSlot>) {
         let now = self.event_log.now();
         let mut misses = self.cache_misses.lock().expect("no holder panics");
@@ -118,7 +118,8 @@
         miss.slots.push(Arc::downgrade(slot));
     }
 
-    /// The time that a request occupies a core: the mean time, times 0.5 to 1.5 by a hash of the request's ID.
+    /// The time that a request occupies a core: the mean time, times 0.5 to 1.5 by a hash of the request's
+    /// ID.
     fn service_time(&self, mean_ms: f64, id: &str) -> Duration {
         let slowdown = self.slowdown_permille.load(Ordering::Relaxed) as f64 / NORMAL_SPEED_PERMILLE;
         let random = 0.5 + wire::uniform_hash(id, hash_stream::ORIGIN_SERVICE_TIME);
@@ -145,8 +146,8 @@
         Ok(self.version(request.key))
     }
 
-    /// Executes a write: it makes a new version and invalidates the key at all caches. A repeated idempotency key
-    /// returns the version that its first write made.
+    /// Executes a write: it makes a new version and invalidates the key at all caches. A repeated idempotency
+    /// key returns the version that its first write made.
     async fn write(&self, request: &ServerRequest) -> Result<Version, QueueFull> {
         self.wait_while_stopped().await;
         self.queue.run(|| self.service_time(self.config.write_ms, &request.id)).await?;
@@ -170,8 +171,8 @@
         Ok(version)
     }
 
-    /// Returns the version of the write that had the request's idempotency key before, or registers the key with the
-    /// version that the request is about to make.
+    /// Returns the version of the write that had the request's idempotency key before, or registers the key
+    /// with the version that the request is about to make.
     fn deduplicate(&self, request: &ServerRequest, at: Timestamp) -> Option<Version> {
         let key = request.idempotency_key.as_ref()?;
         let lifetime_us = (self.config.idempotency_window_s * 1e6) as i64;
--- a/crates/testbed/src/environment/planner.rs
+++ b/crates/testbed/src/environment/planner.rs
@@ -1,4 +1,5 @@
-//! The planners: the real program, each in a process of its own, and the fleet configuration that members read.
+//! The planners: the real program, each in a process of its own, and the fleet configuration that members
+//! read.
 
 use std::fmt;
 use std::fs::File;
--- a/crates/testbed/src/environment/process_usage.rs
+++ b/crates/testbed/src/environment/process_usage.rs
@@ -12,7 +12,8 @@
 const RESIDENT_PAGES_FIELD: usize = 1;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// Samples the memory, file descriptors and processor time of a node's process. None if the process has ended.
+/// Samples the memory, file descriptors and processor time of a node's process. None if the process has
+/// ended.
 pub fn sample(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<ResourceUsage> {
     let directory = format!("/proc/{}", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(format!("{directory}/stat")).ok()?;
--- a/crates/testbed/src/environment/relay/impairment.rs
+++ b/crates/testbed/src/environment/relay/impairment.rs
@@ -1,4 +1,4 @@
-//! What faults do to a message.
+//! Applies message faults to one message: loss, duplication, delay and corruption.
 
 use std::time::Duration;
 
@@ -11,15 +11,16 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// The outcome for one message.
+/// The outcome of all faults for one message.
 pub(super) struct Impairment {
-    /// The delay of each copy that is forwarded; none if the message is lost.
+    /// The delay of each copy that is forwarded; empty if the message is lost.
     pub copy_delays: Vec<Duration>,
-    /// Whether a bit was flipped.
+    /// Whether a bit of the message was flipped.
     pub is_corrupted: bool,
 }
 
-/// Applies all faults to a message. Each fault that applies to the route draws the same numbers, whether or not it hits.
+/// Applies all active faults to a message. Each fault that applies to the route draws the same count of
+/// random numbers whether or not it affects the message.
 pub(super) fn impair(
     faults: &[ActiveFault],
     route: Route,
@@ -31,9 +32,9 @@
         if !applies(fault, route) {
             continue;
         }
-        let is_hit = generator.random::<f64>() < fault.share.unwrap_or(1.0);
+        let is_affected = generator.random::<f64>() < fault.share.unwrap_or(1.0);
         let delay_ms = fault.ms.unwrap_or(0.0) * (0.5 + generator.random::<f64>());
-        if !is_hit {
+        if !is_affected {
             continue;
         }
         let delay = Duration::from_secs_f64(delay_ms / MILLIS_PER_SECOND);
--- a/crates/testbed/src/environment/relay/mod.rs
+++ b/crates/testbed/src/environment/relay/mod.rs
@@ -1,8 +1,9 @@
-//! The network between members of the fleet.
+//! The simulated network between members of the fleet: a relay of UDP messages.
 //!
-//! Each member sees the others at addresses of the relay, which forwards their messages, and loses, duplicates, delays,
-//! corrupts or cuts them off as faults say. All draws come from one seeded generator for each route. The relay records
-//! each message that it receives and when it forwards it.
+//! Each member sends to the others at addresses of the relay. The relay forwards each message, or loses,
+//! duplicates, delays, corrupts or blocks it as the active faults demand. The random numbers for a route come
+//! from that route's seeded generator. The relay records each message that it receives and the times at which
+//! it forwards the message.
 
 mod impairment;
 
@@ -21,12 +22,13 @@
 use crate::schedule::mix64;
 use impairment::impair;
 
-/// The greatest datagram.
+/// Size of the buffer for a received datagram, in bytes: no UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Delayed messages at a time; more are lost, as in any network.
+/// The most delayed messages that the relay holds at a time; further ones are lost, as in a network whose
+/// buffers are full.
 const MAX_DELAYED_MESSAGES: usize = 20_000;
 
-/// The way of messages from one member to another.
+/// The direction from one member to another in which messages are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     from: Member,
@@ -39,19 +41,20 @@
     }
 }
 
-/// A fault of messages that is in effect.
+/// A message fault that has begun and not ended.
 #[derive(Clone)]
 struct ActiveFault {
     id: usize,
     fault: Arc<Fault>,
 }
 
-/// The relay's sockets and what impairs its messages.
+/// The message relay: its sockets, the active faults and the random number generators.
 pub struct Relay {
-    /// By route: where `from` sends what is meant for `to`.
+    /// For each route, the socket to which `from` sends its messages for `to`.
     sockets: BTreeMap<Route, Arc<UdpSocket>>,
     addresses: BTreeMap<Route, SocketAddr>,
-    /// By route: where `from` was last heard from. Planners stay where they are.
+    /// For each route, the address from which `from` last sent a message. A planner's address is fixed and
+    /// known from the start.
     sources: Mutex<BTreeMap<Route, SocketAddr>>,
     faults: Mutex<Vec<ActiveFault>>,
     generators: Mutex<BTreeMap<Route, ChaCha8Rng>>,
@@ -59,21 +62,23 @@
     event_log: EventLogWriter,
 }
 
-/// Whoever panicked while holding the lock had made a whole change: each is one step.
+/// Locks a mutex, also a poisoned one: each change of the relay's state is a single step, so a panic leaves
+/// no partial change.
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Relay {
-    /// Binds a socket for each route. `planners` says where each planner listens, `place` at which address a member sees
-    /// another one.
+    /// Binds a socket for each route and starts to relay. `planners` holds the address at which each planner
+    /// listens; `relay_ip(receiver, represented)` returns the relay's IP address that stands for the member
+    /// `represented` toward the member `receiver`.
     ///
     /// # Errors
-    /// The system's, where an address can't be bound.
+    /// The system's error if an address can't be bound.
     pub async fn open(
         nodes: usize,
         planners: &[SocketAddr],
-        place: impl Fn(Member, Member) -> IpAddr,
+        relay_ip: impl Fn(Member, Member) -> IpAddr,
         seed: u64,
         event_log: EventLogWriter,
     ) -> std::io::Result<Arc<Relay>> {
@@ -82,7 +87,7 @@
         let mut sources = BTreeMap::new();
         let mut generators = BTreeMap::new();
         for (n, route) in routes(nodes, planners.len()).into_iter().enumerate() {
-            let socket = UdpSocket::bind((place(route.from, route.to), 0)).await?;
+            let socket = UdpSocket::bind((relay_ip(route.from, route.to), 0)).await?;
             addresses.insert(route, socket.local_addr()?);
             sockets.insert(route, Arc::new(socket));
             generators.insert(route, ChaCha8Rng::seed_from_u64(mix64(seed, n as u64)));
@@ -105,17 +110,18 @@
         Ok(relay)
     }
 
-    /// Where `member` sees `other`.
+    /// Address of the relay to which `member` sends its messages for `other`, or none if it sends none to
+    /// `other`.
     pub fn address(&self, member: Member, other: Member) -> Option<SocketAddr> {
         self.addresses.get(&Route { from: member, to: other }).copied()
     }
 
-    /// Begins a fault of messages; [`Relay::end_fault`] takes the same `id`.
+    /// Begins a message fault, to be ended by [`Relay::end_fault`] with the same `id`.
     pub fn begin_fault(&self, id: usize, fault: &Fault) {
         locked(&self.faults).push(ActiveFault { id, fault: Arc::new(fault.clone()) });
     }
 
-    /// Ends a fault of messages.
+    /// Ends the message fault with this `id`.
     pub fn end_fault(&self, id: usize) {
         locked(&self.faults).retain(|active| active.id != id);
     }
@@ -123,7 +129,7 @@
     async fn receive(self: Arc<Self>, route: Route, socket: Arc<UdpSocket>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error here is of a message that could not be delivered before.
+            // An error reports that a message sent earlier on this socket could not be delivered.
             let Ok((count, source)) = socket.recv_from(&mut buffer).await else { continue };
             if let Member::Node(_) = route.from {
                 locked(&self.sources).insert(route, source);
@@ -166,12 +172,13 @@
         }
     }
 
-    /// Sends a copy to the receiver, from the address at which the receiver sees the sender.
+    /// Sends a copy of a message to its receiver, from the relay's address that stands for the sender toward
+    /// the receiver. `index` is the message's position in the event log.
     fn forward(&self, route: Route, index: usize, bytes: &[u8]) {
-        let facing = route.reversed();
-        let Some(receiver) = locked(&self.sources).get(&facing).copied() else { return };
+        let reversed = route.reversed();
+        let Some(receiver) = locked(&self.sources).get(&reversed).copied() else { return };
         let now = self.event_log.now();
-        if self.sockets[&facing].try_send_to(bytes, receiver).is_ok() {
+        if self.sockets[&reversed].try_send_to(bytes, receiver).is_ok() {
             self.event_log.write(|log| {
                 if let Some(message) = log.messages.get_mut(index) {
                     message.forwarded_at.push(now);
@@ -181,7 +188,8 @@
     }
 }
 
-/// All routes, in the order that their generators are seeded in. Nodes send nothing to each other.
+/// All routes, in the order in which their generators are seeded. There are none between two nodes, because
+/// nodes send each other no messages.
 fn routes(nodes: usize, planners: usize) -> Vec<Route> {
     let mut routes = Vec::new();
     for planner in (0..planners).map(Member::Planner) {
--- a/crates/testbed/src/environment/response_corruption.rs
+++ b/crates/testbed/src/environment/response_corruption.rs
@@ -1,5 +1,5 @@
-//! Corrupted responses: what a server under a `spoil` fault sends in place of or after the response to a request that it
-//! has executed.
+//! Corrupted responses: what a server under a `spoil` fault sends in place of or after the response to a
+//! request that it has executed.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     pub delay: Duration,
 }
 
-/// Responds to a request that has executed, with a corrupted response if the request is in the corrupted share, and
-/// records how the attempt ended.
+/// Responds to a request that has executed, with a corrupted response if the request is in the corrupted
+/// share, and records how the attempt ended.
 ///
 /// # Errors
 /// [`ConnectionAborted`] if there is no response; the future is usually dropped before, with its connection.
--- a/crates/testbed/src/environment/run.rs
+++ b/crates/testbed/src/environment/run.rs
@@ -1,4 +1,5 @@
-//! One run of an experiment: starts the world, plays the requests and the faults, and stops everything in order.
+//! One run of an experiment: starts the world, plays the requests and the faults, and stops everything in
+//! order.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -42,8 +43,8 @@
     Ok(event_log.close())
 }
 
-/// Time that the start may take. The time of the first request is fixed before anything starts, so that servers can be
-/// as old as they have to be.
+/// Time that the start may take. The time of the first request is fixed before anything starts, so that
+/// servers can be as old as they have to be.
 fn start_duration(experiment: &Experiment) -> Duration {
     let nodes = experiment.environment.nodes as u32;
     BASE_START_TIME + START_TIME_PER_NODE * nodes + SETTLING_TIME + growth::lead_time(experiment)
--- a/crates/testbed/src/environment/service_queue.rs
+++ b/crates/testbed/src/environment/service_queue.rs
@@ -22,7 +22,8 @@
 
 impl std::error::Error for QueueFull {}
 
-/// A number of cores, each busy with one request at a time, and a bounded queue of requests that wait for one.
+/// A number of cores, each busy with one request at a time, and a bounded queue of requests that wait for
+/// one.
 pub struct ServiceQueue {
     cores: Semaphore,
     waiting: AtomicUsize,
@@ -44,8 +45,8 @@
         ServiceQueue { cores: Semaphore::new(cores), waiting: AtomicUsize::new(0), max_waiting }
     }
 
-    /// Waits for a core and occupies it for the time that `service_time` returns once the core is acquired. If the
-    /// future is dropped while it waits, nothing has executed.
+    /// Waits for a core and occupies it for the time that `service_time` returns once the core is acquired.
+    /// If the future is dropped while it waits, nothing has executed.
     ///
     /// # Errors
     /// [`QueueFull`] if all cores are busy and no place in the queue is free.
--- a/crates/testbed/src/environment/startup.rs
+++ b/crates/testbed/src/environment/startup.rs
@@ -1,5 +1,5 @@
-//! Builds a world: binds the listeners of all simulated servers and prepares the processes of nodes and planners. Later
-//! changes of the set of servers go through here too.
+//! Builds a world: binds the listeners of all simulated servers and prepares the processes of nodes and
+//! planners. Later changes of the set of servers go through here too.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,7 +39,8 @@
 }
 
 impl TestEnvironment {
-    /// Builds the world of a run. Simulated servers serve from now on; processes are prepared and not started.
+    /// Builds the world of a run. Simulated servers serve from now on; processes are prepared and not
+    /// started.
     ///
     /// # Errors
     /// The system's error if an address can't be bound or a planner's file can't be written.
@@ -92,8 +93,8 @@
         });
     }
 
-    /// The fleet's configuration as a member reads it, if there are planners. A planner finds itself at its own address
-    /// among `planner_addresses`, and all others at the relay's.
+    /// The fleet's configuration as a member reads it, if there are planners. A planner finds itself at its
+    /// own address among `planner_addresses`, and all others at the relay's.
     fn fleet_config(&self, member: Member, planner_addresses: &[SocketAddr]) -> Option<String> {
         let relay = self.relay.as_ref()?;
         let planners: Vec<SocketAddr> = (0..self.experiment.planners())
@@ -177,7 +178,8 @@
         Ok(slots)
     }
 
-    /// Fills a cache with as many values as it holds: the most popular ones last, so that they are evicted last.
+    /// Fills a cache with as many values as it holds: the most popular ones last, so that they are evicted
+    /// last.
     fn preload(&self, slot: &CacheSlot) {
         let keys = self.experiment.load.keys.min(self.experiment.environment.cache.capacity_values as u64);
         for key in (0..keys).rev() {
@@ -194,9 +196,9 @@
             return Ok(());
         }
         let nodes = self.experiment.environment.nodes;
-        let place = |receiver, represented| self.addresses.relay(receiver, represented);
+        let relay_ip = |receiver, represented| self.addresses.relay(receiver, represented);
         let event_log = self.event_log.clone();
-        let relay = Relay::open(nodes, &planner_addresses, place, self.run.seed, event_log).await?;
+        let relay = Relay::open(nodes, &planner_addresses, relay_ip, self.run.seed, event_log).await?;
         environment.relay = Some(relay);
         let is_volatile = self.experiment.fleet.as_ref().is_some_and(|fleet| fleet.volatile_planners);
         let persistence = if is_volatile { Persistence::InMemory } else { Persistence::Persistent };
--- a/crates/testbed/src/environment/wire.rs
+++ b/crates/testbed/src/environment/wire.rs
@@ -113,7 +113,8 @@
     serde_json::to_string(&body).expect("the body holds numbers and strings only")
 }
 
-/// The value that a request reads or has written. `cache_status` tells where it comes from (`X-Cache-Status`).
+/// The value that a request reads or has written. `cache_status` tells where it comes from
+/// (`X-Cache-Status`).
 pub fn value_response(request: &ServerRequest, version: Version, cache_status: &str) -> ServerResponse {
     let response = Response::builder().status(StatusCode::OK).header("X-Cache-Status", cache_status);
     response.body(text_body(value_text(request, version))).expect("the header values are constants")
