--- a/crates/testbed/src/environment/cache.rs
+++ b/crates/testbed/src/environment/cache.rs
@@ -1,5 +1,5 @@
-//! Simulated cache servers. A slot is a place in the world with fixed addresses; a cache server occupies it
-//! until another one replaces it or it loses its memory.
+//! Simulated cache servers. A slot is a fixed set of addresses, one for each node. A cache server occupies a
+//! slot until another server replaces it, or until it restarts with an empty memory.
 
 use std::num::NonZeroUsize;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -20,7 +20,7 @@
 use crate::event_log::{Event, EventLogWriter, ServerAttemptEnd, ServerId, Timestamp, Version};
 use crate::experiment::CacheConfig;
 
-/// Time for which a server that crashed under load stays down; it comes back cold.
+/// Time for which a server that crashed under load stays down before it restarts cold.
 const OVERLOAD_CRASH_DURATION: Duration = Duration::from_secs(3);
 /// Value of [`CacheSlot::slowdown_permille`] at normal speed.
 const NORMAL_SPEED_PERMILLE: f64 = 1000.0;
@@ -30,11 +30,11 @@
 /// The cache server that occupies a slot.
 struct CacheServer {
     id: ServerId,
-    /// When it started cold; none if it is as old as needed to be warm.
+    /// When the server started cold; none if it has been warm since before the run.
     started: Option<Timestamp>,
     values: Mutex<LruCache<u64, Version>>,
     queue: ServiceQueue,
-    /// Work that arrived within the window after which overload crashes a cold server, in core seconds.
+    /// Work that arrived within the overload window, in core seconds.
     arrived_work: SlidingWindow,
     is_draining: AtomicBool,
     has_crashed: AtomicBool,
@@ -54,14 +54,14 @@
         })
     }
 
-    /// The share of its full speed that the server has at a time, from `cold_from` to 1.
+    /// The server's speed at the time `now` as a share of its full speed, from `cold_speed` to 1.
     fn warmup_factor(&self, config: &CacheConfig, now: Timestamp) -> f64 {
         let age_s = self.started.map_or(f64::INFINITY, |s| now.ms_since(s) / 1e3);
         config.cold_speed
             + (1.0 - config.cold_speed) * (age_s / config.warm_after_s.max(1e-3)).clamp(0.0, 1.0)
     }
 
-    /// The work within the window that a server survives, in core seconds.
+    /// The most work within the overload window that does not crash the server, in core seconds.
     fn overload_limit(&self, config: &CacheConfig, warmup_factor: f64) -> f64 {
         let mut limit =
             config.overload_multiple * config.cores as f64 * warmup_factor * config.overload_window_s;
@@ -74,17 +74,17 @@
     }
 }
 
-/// A place for a cache server, with one listener for each node.
+/// A slot for a cache server, with one listener for each node.
 pub struct CacheSlot {
-    /// Number of the slot in the world, from 0.
+    /// Number of the slot, from 0.
     pub number: usize,
     config: CacheConfig,
     event_log: EventLogWriter,
     origin: Arc<Origin>,
     server: Mutex<Arc<CacheServer>>,
-    /// One listener for each node, set once while the world starts.
+    /// One listener for each node, set once while the environment starts.
     pub listeners: OnceLock<Vec<Listener>>,
-    /// Whether requests are accepted and not answered.
+    /// Whether the server accepts requests and sends no responses.
     pub is_hung: watch::Sender<bool>,
     /// Factor on all service times, in thousandths.
     slowdown_permille: AtomicU64,
@@ -93,7 +93,7 @@
 }
 
 impl CacheSlot {
-    /// Creates a slot that a server without listeners occupies.
+    /// Creates a slot with a server and without listeners.
     pub fn new(
         number: usize,
         config: CacheConfig,
@@ -117,7 +117,7 @@
     }
 
     fn server(&self) -> Arc<CacheServer> {
-        self.server.lock().expect("no holder panics").clone()
+        self.server.lock().expect("no thread panics while it holds the lock").clone()
     }
 
     /// ID of the server that occupies the slot.
@@ -125,17 +125,18 @@
         self.server().id
     }
 
-    /// When the server that occupies the slot started cold, if it did within the run.
+    /// When the server that occupies the slot started cold; none if it did not start within the run.
     pub fn started(&self) -> Option<Timestamp> {
         self.server().started
     }
 
-    /// Replaces the server by an empty one: a new server, or the same one after a crash.
+    /// Replaces the server by an empty one: a new server, or the same server after a crash.
     pub fn replace_server(&self, id: ServerId, started: Option<Timestamp>) {
         if started.is_some() {
             self.event_log.event(Event::ColdStart { server: id });
         }
-        *self.server.lock().expect("no holder panics") = CacheServer::new(&self.config, id, started);
+        *self.server.lock().expect("no thread panics while it holds the lock") =
+            CacheServer::new(&self.config, id, started);
     }
 
     /// Changes the state of all listeners.
@@ -157,25 +158,25 @@
         self.slowdown_permille.store((factor * NORMAL_SPEED_PERMILLE) as u64, Ordering::Relaxed);
     }
 
-    /// Has the server reject all requests from now on.
+    /// Makes the server reject all requests from now on.
     pub fn drain(&self) {
         self.server().is_draining.store(true, Ordering::Relaxed);
     }
 
-    /// Drops all cached values.
+    /// Evicts all cached values.
     pub fn clear(&self) {
-        self.server().values.lock().expect("no holder panics").clear();
+        self.server().values.lock().expect("no thread panics while it holds the lock").clear();
     }
 
-    /// Drops the cached value of a key.
+    /// Evicts the cached value of a key.
     pub fn invalidate(&self, key: u64) {
-        self.server().values.lock().expect("no holder panics").pop(&key);
+        self.server().values.lock().expect("no thread panics while it holds the lock").pop(&key);
     }
 
-    /// Caches a value, unless a write has replaced it meanwhile.
+    /// Caches a value of a key unless a write has replaced its version by the version `current`.
     pub fn store(&self, key: u64, version: Version, current: Version) {
         if version == current {
-            self.server().values.lock().expect("no holder panics").put(key, version);
+            self.server().values.lock().expect("no thread panics while it holds the lock").put(key, version);
         }
     }
 
@@ -205,13 +206,13 @@
             attempt.finish(ServerAttemptEnd::Rejected);
             return Ok(wire::rejection());
         }
-        // A server that hangs while it works on a request holds the response back too.
+        // A server that began to hang while it worked on the request also holds the response back.
         self.wait_while_hung().await;
         self.look_up(&server, &connection, &request, attempt).await
     }
 
-    /// Responds with the cached value, or with a cache miss. A write that is sent here by mistake counts as a
-    /// miss and is not executed: the origin executes writes.
+    /// Responds with the cached value, or with a cache miss. A write that a node sends to a cache by mistake
+    /// gets a cache miss and is not executed, because only the origin executes writes.
     async fn look_up(
         self: &Arc<Self>,
         server: &CacheServer,
@@ -219,8 +220,13 @@
         request: &ServerRequest,
         attempt: AttemptRecord<'_>,
     ) -> HandlerResult {
-        let corruption = *self.corruption.lock().expect("no holder panics");
-        let cached = server.values.lock().expect("no holder panics").get(&request.key).copied();
+        let corruption = *self.corruption.lock().expect("no thread panics while it holds the lock");
+        let cached = server
+            .values
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .get(&request.key)
+            .copied();
         if request.is_write {
             attempt.finish(ServerAttemptEnd::CacheMiss);
             return Ok(wire::empty_response(StatusCode::NOT_FOUND));
@@ -237,8 +243,8 @@
         let _ = self.is_hung.subscribe().wait_for(|is_hung| !is_hung).await;
     }
 
-    /// The time that a request occupies a core: the mean time, times 0.5 to 1.5 by a hash of the request's
-    /// ID.
+    /// Time for which a request occupies a core: the mean time, multiplied by 0.5 to 1.5 according to a hash
+    /// of the request's ID.
     fn service_time(&self, server: &CacheServer, request: &ServerRequest) -> Duration {
         let slowdown = self.slowdown_permille.load(Ordering::Relaxed) as f64 / NORMAL_SPEED_PERMILLE;
         let random = 0.5 + wire::uniform_hash(&request.id, hash_stream::CACHE_SERVICE_TIME);
@@ -246,7 +252,8 @@
         Duration::from_secs_f64(ms / 1000.0 / server.warmup_factor(&self.config, self.event_log.now()))
     }
 
-    /// Adds a request to the load of a server and crashes a cold server that receives too much.
+    /// Adds a request to the load of a server, and crashes the server if it is cold and exceeds its overload
+    /// limit.
     fn crash_if_overloaded(self: &Arc<Self>, server: &Arc<CacheServer>) {
         let now = self.event_log.now();
         let warmup_factor = server.warmup_factor(&self.config, now);
--- a/crates/testbed/src/environment/clients/connection_pool.rs
+++ b/crates/testbed/src/environment/clients/connection_pool.rs
@@ -10,7 +10,7 @@
 /// The most idle connections to a node.
 const MAX_IDLE: usize = 512;
 
-/// Sends the requests of one connection.
+/// The sending half of one client connection.
 pub type RequestSender = SendRequest<Full<Bytes>>;
 
 /// The idle connections to a node.
@@ -26,9 +26,10 @@
         ConnectionPool { address, idle: Mutex::default() }
     }
 
-    /// Takes the connection that was used last and is ready for a request.
+    /// Removes and returns the most recently used idle connection that is ready for a request, if there is
+    /// one.
     pub fn take(&self) -> Option<RequestSender> {
-        let mut idle = self.idle.lock().expect("no holder panics");
+        let mut idle = self.idle.lock().expect("no thread panics while it holds the lock");
         idle.retain(|sender| !sender.is_closed());
         let ready = idle.iter().rposition(RequestSender::is_ready)?;
         Some(idle.remove(ready))
@@ -36,7 +37,7 @@
 
     /// Returns a connection to the pool, or closes it if the pool is full.
     pub fn put_back(&self, sender: RequestSender) {
-        let mut idle = self.idle.lock().expect("no holder panics");
+        let mut idle = self.idle.lock().expect("no thread panics while it holds the lock");
         if idle.len() < MAX_IDLE {
             idle.push(sender);
         }
--- a/crates/testbed/src/environment/clients/disconnect.rs
+++ b/crates/testbed/src/environment/clients/disconnect.rs
@@ -1,4 +1,5 @@
-//! When clients disconnect before they have a response: each by its own chance, or many at once by a fault.
+//! Decides when clients disconnect before they have a response: single clients at random, or many at once by
+//! a fault.
 
 use std::time::Duration;
 
@@ -7,18 +8,18 @@
 use super::super::wire::{self, hash_stream};
 use crate::experiment;
 
-/// The last mass disconnect of clients.
+/// The most recent mass disconnect of clients.
 #[derive(Clone, Debug, Default)]
 pub struct MassDisconnect {
     /// Number of mass disconnects in the run so far.
     pub count: u64,
-    /// Share of the waiting clients that disconnect, from 0 to 1.
+    /// Share of the clients in wait for a response that disconnect, from 0 to 1.
     pub share: f64,
-    /// Nodes whose clients are affected.
+    /// Indices of the nodes whose clients are affected.
     pub nodes: Vec<usize>,
 }
 
-/// Returns when the client of an attempt disconnects; never, if it waits for the response.
+/// Returns when the client of an attempt disconnects; never returns if the client waits for the response.
 pub async fn wait_for_disconnect(
     attempt_id: &str,
     node: usize,
@@ -31,7 +32,8 @@
     }
 }
 
-/// Returns when the client gives up early by its own chance.
+/// Returns when the client disconnects early, for the share `abandon_share` of attempts; never returns for
+/// the others.
 async fn early_disconnect(attempt_id: &str, clients: &experiment::ClientBehavior) {
     if wire::uniform_hash(attempt_id, hash_stream::EARLY_DISCONNECT) < clients.abandon_share {
         let ms =
@@ -42,7 +44,7 @@
     }
 }
 
-/// Returns when a mass disconnect affects the client.
+/// Returns when a mass disconnect affects the client of an attempt.
 async fn mass_disconnects(attempt_id: &str, node: usize, mut receiver: watch::Receiver<MassDisconnect>) {
     receiver.borrow_and_update();
     while receiver.changed().await.is_ok() {
--- a/crates/testbed/src/environment/clients/mod.rs
+++ b/crates/testbed/src/environment/clients/mod.rs
@@ -1,6 +1,6 @@
-//! The clients of the nodes: an open loop that starts each scheduled request at its time, whether or not
-//! earlier ones have a response. Each client retries by itself as the schedule says, and records every
-//! attempt in the event log.
+//! The clients of the nodes: open-loop load that starts each scheduled request at its time, whether or not
+//! earlier requests have a response. Each client retries its own request as the schedule says and records
+//! every attempt in the event log.
 
 mod connection_pool;
 mod disconnect;
@@ -27,14 +27,14 @@
 
 pub use disconnect::MassDisconnect;
 
-/// Time past the client's timeout during which a response is still awaited, to tell a late response from
-/// none.
+/// Time after the client timeout during which a client still waits, so that the event log tells a late
+/// response from a missing one.
 const LATE_RESPONSE_GRACE: Duration = Duration::from_millis(150);
-/// Time before a request is due at which its thread stops sleeping and spins.
+/// Time before a request is due from which the timer thread spins in place of sleeping.
 const SPIN_DURATION: Duration = Duration::from_micros(300);
 /// The longest response body that a client reads, in bytes.
 const MAX_RESPONSE_BODY: usize = 1 << 20;
-/// `Retry-After` values from this on are ignored, in seconds.
+/// `Retry-After` values of this many seconds or more are ignored.
 const MAX_RETRY_AFTER_S: f64 = 1e4;
 
 /// The clients of a run.
@@ -46,19 +46,19 @@
     mass_disconnect: watch::Receiver<MassDisconnect>,
 }
 
-/// What an attempt of a client sends.
+/// The contents of the request that a client's attempt sends.
 struct AttemptRequest<'a> {
     /// ID of the attempt.
     id: &'a str,
     idempotency_key: Option<&'a str>,
     scheduled: &'a ScheduledRequest,
     request_class: &'a RequestClass,
-    /// Number of the attempt: later ones than 0 are the client's retries.
+    /// Number of the attempt: 0 is the first one, higher numbers are the client's retries.
     number: u8,
 }
 
 impl Clients {
-    /// Creates clients for the nodes at these addresses.
+    /// Creates the clients of a run. `nodes` holds the address of each node.
     pub fn new(
         experiment: Arc<Experiment>,
         schedule: Arc<Schedule>,
@@ -70,13 +70,13 @@
         Arc::new(Clients { experiment, schedule, event_log, pools, mass_disconnect })
     }
 
-    /// Starts each scheduled request at its time and returns when all have ended.
+    /// Starts each scheduled request at its time and returns when all requests have ended.
     pub async fn run(self: &Arc<Self>) {
         let (due, mut arrivals) = mpsc::unbounded_channel();
         let clients = self.clone();
-        // The timers of the runtime have a resolution of a millisecond, so a separate thread waits for the
-        // due times.
-        let clock = std::thread::spawn(move || clients.announce_due_requests(&due));
+        // The runtime's timers have a resolution of a millisecond, so a separate thread waits for the due
+        // times.
+        let timer = std::thread::spawn(move || clients.announce_due_requests(&due));
         let mut requests = tokio::task::JoinSet::new();
         while let Some(id) = arrivals.recv().await {
             let now = self.event_log.now();
@@ -86,7 +86,7 @@
             while requests.try_join_next().is_some() {}
         }
         while requests.join_next().await.is_some() {}
-        let _ = clock.join();
+        let _ = timer.join();
     }
 
     /// Sends the ID of each request when it is due.
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Runs a request with its client's retries.
+    /// Runs the attempts of a request: the first one and its client's retries.
     async fn run_request(self: Arc<Self>, id: RequestId) {
         let scheduled = self.schedule.request(id);
         let request_class = &self.experiment.request_classes[scheduled.class];
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Runs one attempt and records it.
+    /// Runs one attempt, records it in the event log and returns how it ended.
     async fn run_attempt(&self, id: RequestId, number: u8) -> ClientAttemptEnd {
         let scheduled = self.schedule.request(id);
         let request_class = &self.experiment.request_classes[scheduled.class];
@@ -160,7 +160,7 @@
         end
     }
 
-    /// Sends an attempt over an idle connection or a new one and reads its response.
+    /// Sends an attempt's request over an idle connection or a new one, and returns how the attempt ended.
     async fn send(&self, request: &AttemptRequest<'_>) -> ClientAttemptEnd {
         let scheduled = request.scheduled;
         let pool = &self.pools[scheduled.node];
@@ -169,8 +169,8 @@
             match sender.send_request(self.http_request(request)).await {
                 Ok(response) => return self.read_response(response, sender, scheduled).await,
                 Err(error) if error.is_canceled() || error.is_closed() => {}
-                // The node closed the connection before it read the request. The client sends it again on a
-                // new connection if that is harmless in case that the node has read it after all.
+                // The node closed the connection, probably before it read the request. The client sends the
+                // request again on a new connection unless a second execution would do harm.
                 Err(error)
                     if error.is_incomplete_message() && request.request_class.effect != NonIdempotent => {}
                 Err(_) => return ClientAttemptEnd::ConnectionLost { reused: true },
@@ -209,7 +209,8 @@
         builder.body(Full::new(body)).expect("names of the experiment are valid header values")
     }
 
-    /// Opens a connection to a node and records bytes on it that belong to no response.
+    /// Opens a connection to a node. Bytes on the connection that belong to no response are recorded in the
+    /// event log.
     async fn connect(&self, address: SocketAddr, node: NodeId) -> std::io::Result<RequestSender> {
         let stream = TcpStream::connect(address).await?;
         let _ = stream.set_nodelay(true);
@@ -226,6 +227,7 @@
         Ok(sender)
     }
 
+    /// Reads a response, returns its connection to the pool, and tells how the attempt ended.
     async fn read_response(
         &self,
         response: Response<Incoming>,
@@ -255,8 +257,8 @@
     }
 }
 
-/// Whether a client may retry after an attempt: nobody repeats what may have been executed unless that does
-/// no harm.
+/// Whether a client may retry after an attempt. Clients don't repeat a non-idempotent request that may have
+/// been executed.
 fn may_retry(end: &ClientAttemptEnd, request_class: &RequestClass) -> bool {
     match end {
         ClientAttemptEnd::Fulfilled { .. } => false,
@@ -265,14 +267,14 @@
     }
 }
 
-/// The time that a `Retry-After` header advises, if it is valid.
+/// The delay that a `Retry-After` header asks for, or none if the header is missing or invalid.
 fn retry_after(headers: &hyper::HeaderMap) -> Option<Duration> {
     let text = headers.get("retry-after")?.to_str().ok()?;
     let seconds = text.parse::<f64>().ok()?;
     if (0.0..MAX_RETRY_AFTER_S).contains(&seconds) { Some(Duration::from_secs_f64(seconds)) } else { None }
 }
 
-/// Sleeps until shortly before a time and spins for the rest.
+/// Blocks the thread until a time: sleeps until [`SPIN_DURATION`] before it, then spins.
 fn sleep_until(due: Instant) {
     let Some(wait) = due.checked_duration_since(Instant::now()) else { return };
     if wait > SPIN_DURATION {
--- a/crates/testbed/src/environment/discovery.rs
+++ b/crates/testbed/src/environment/discovery.rs
@@ -1,5 +1,6 @@
-//! The simulated discovery service: serves the endpoint list and watches of it to each node, with the
-//! addresses at which that node reaches the servers. It records what each node was notified of.
+//! The simulated discovery service. It serves each node the endpoint list and watches of the list, with the
+//! addresses at which that node reaches the servers, and records which endpoint states each node was notified
+//! of.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -22,29 +23,29 @@
 use super::wire;
 use crate::event_log::{EventLogWriter, NodeId};
 
-/// Interval of the empty lines on a watch while nothing changes.
+/// Interval at which a watch sends empty lines while the list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after which a node has to notice that its watch is silent: from then on it counts as notified of what
-/// it misses.
+/// Time within which a node has to notice that its watch is silent. After this time the node counts as
+/// notified of the changes that the silent watch withholds.
 const SILENT_WATCH_TIMEOUT: Duration = Duration::from_secs(6);
-/// Lines that wait for a slow reader of a watch.
+/// Number of lines that are buffered for a slow reader of a watch.
 const WATCH_BUFFER_LINES: usize = 16;
-/// Idle connections are closed after this time.
+/// Time after which an idle connection is closed.
 const KEEPALIVE: Duration = Duration::from_secs(3600);
 /// The most connections of each node.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// The discovery service.
+/// The simulated discovery service.
 pub struct Discovery {
     event_log: EventLogWriter,
     list: Mutex<EndpointList>,
-    /// The list that is served while the service is stale.
+    /// The frozen list, while a stale one is served in place of the current list.
     stale_list: Mutex<Option<EndpointList>>,
     /// Incremented with each change of the served list.
     change_count: watch::Sender<u64>,
-    /// Whether requests and watches stay without an answer.
+    /// Whether requests get no response and watches no updates.
     pub is_silent: watch::Sender<bool>,
-    /// Incremented to silence the open watches for good.
+    /// Incremented to silence the open watches permanently.
     silenced_count: watch::Sender<u64>,
     listeners: Mutex<Vec<Arc<Listener>>>,
 }
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Binds a new listener for each node and returns their addresses. The former listeners refuse
-    /// connections and reset the watches that they have after `old_listeners_lifetime`.
+    /// Binds a new listener for each node and returns the new addresses. After `old_listeners_lifetime` the
+    /// former listeners refuse connections and reset their open watches.
     ///
     /// # Errors
     /// The system's error if an address can't be bound.
@@ -79,7 +80,10 @@
             listeners.push(Arc::new(listener));
         }
         let bound = listeners.iter().map(|listener| listener.address).collect();
-        let old = std::mem::replace(&mut *self.listeners.lock().expect("no holder panics"), listeners);
+        let old = std::mem::replace(
+            &mut *self.listeners.lock().expect("no thread panics while it holds the lock"),
+            listeners,
+        );
         tokio::spawn(async move {
             tokio::time::sleep(old_listeners_lifetime).await;
             for listener in old {
@@ -91,52 +95,53 @@
 
     /// Changes the state of all listeners.
     pub fn set_listener_state(&self, state: ListenerState) {
-        for listener in self.listeners.lock().expect("no holder panics").iter() {
+        for listener in self.listeners.lock().expect("no thread panics while it holds the lock").iter() {
             listener.set_state(state);
         }
     }
 
-    /// Silences the open watches for good; new ones are served.
+    /// Silences the open watches permanently; new watches are served.
     pub fn silence_watches(&self) {
         self.silenced_count.send_modify(|count| *count += 1);
     }
 
-    /// Resets all connections.
+    /// Resets all connections and with them the open watches.
     pub fn reset_watches(&self) {
-        for listener in self.listeners.lock().expect("no holder panics").iter() {
+        for listener in self.listeners.lock().expect("no thread panics while it holds the lock").iter() {
             listener.reset_connections();
         }
     }
 
-    /// Lists an endpoint anew or in another state.
+    /// Adds an endpoint to the list or changes its state there.
     pub fn put(&self, endpoint: ListedEndpoint) {
-        self.list.lock().expect("no holder panics").put(endpoint);
+        self.list.lock().expect("no thread panics while it holds the lock").put(endpoint);
         self.change_count.send_modify(|count| *count += 1);
     }
 
-    /// Freezes the served list as it is now, or serves the current one again.
+    /// Freezes the served list as it is now, or serves the current list again if `is_stale` is false.
     pub fn set_stale(&self, is_stale: bool) {
-        let list = self.list.lock().expect("no holder panics").clone();
-        *self.stale_list.lock().expect("no holder panics") = is_stale.then_some(list);
+        let list = self.list.lock().expect("no thread panics while it holds the lock").clone();
+        *self.stale_list.lock().expect("no thread panics while it holds the lock") = is_stale.then_some(list);
         self.change_count.send_modify(|count| *count += 1);
     }
 
-    /// Starts counting revisions anew and forgets the history of changes.
+    /// Restarts the list's revisions and clears its history of changes.
     pub fn restart_revisions(&self) {
-        self.list.lock().expect("no holder panics").restart_revisions();
+        self.list.lock().expect("no thread panics while it holds the lock").restart_revisions();
     }
 
-    /// The complete current list in the form in which a node's configuration holds it.
+    /// The complete current list in the format in which a node's configuration holds it.
     pub fn snapshot_for(&self, node: NodeId) -> Value {
-        self.list.lock().expect("no holder panics").snapshot_for(node)
+        self.list.lock().expect("no thread panics while it holds the lock").snapshot_for(node)
     }
 
-    /// The next update of a node's watch that knows the list up to the revision `after`, if there is one.
+    /// Next update for a watch of a node that knows the list up to the revision `after`; none if the watch is
+    /// up to date.
     fn update_since(&self, node: NodeId, after: Option<u64>) -> Option<ListUpdate> {
-        let stale_list = self.stale_list.lock().expect("no holder panics").clone();
+        let stale_list = self.stale_list.lock().expect("no thread panics while it holds the lock").clone();
         let list = match stale_list {
             Some(list) => list,
-            None => self.list.lock().expect("no holder panics").clone(),
+            None => self.list.lock().expect("no thread panics while it holds the lock").clone(),
         };
         list.update_since(node, after, self.event_log.now())
     }
@@ -167,7 +172,8 @@
         let _ = is_silent.wait_for(|is_silent| !is_silent).await;
     }
 
-    /// Writes the updates and heartbeats of a watch until its reader is gone. The watch holds its connection.
+    /// Writes the updates and heartbeats of a watch until its reader is gone. The task holds the watch's
+    /// `_connection` until then.
     async fn run_watch(
         self: Arc<Self>,
         node: NodeId,
@@ -204,8 +210,9 @@
         }
     }
 
-    /// Records what a silenced watch misses as if it had been written, once the node has had time to notice
-    /// the silence, and whatever changes while the node goes on waiting on the same watch.
+    /// Records the updates that a silenced watch withholds as notifications of the node, once the node has
+    /// had [`SILENT_WATCH_TIMEOUT`] to notice the silence. Goes on with later changes while the node keeps
+    /// the same watch open.
     async fn count_as_notified(&self, node: NodeId, mut after: Option<u64>, watch: mpsc::Sender<Bytes>) {
         tokio::time::sleep(SILENT_WATCH_TIMEOUT).await;
         let mut changes = self.change_count.subscribe();
@@ -223,7 +230,7 @@
     }
 }
 
-/// The value of a parameter in a URL's query.
+/// Value of a parameter in a URL's query string, if the parameter is there.
 fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, value)| value)
 }
@@ -246,7 +253,7 @@
     }
 }
 
-/// A response body of lines that are written as they become available.
+/// A streaming response body: each line is sent when it becomes available.
 struct LineBody(mpsc::Receiver<Bytes>);
 
 impl Body for LineBody {
--- a/crates/testbed/src/environment/faults/shared.rs
+++ b/crates/testbed/src/environment/faults/shared.rs
@@ -106,9 +106,10 @@
 /// Sets the corruption of responses at the named caches, or at the origin if none is named.
 fn set_corruption(environment: &TestEnvironment, caches: &[usize], corruption: Option<ActiveCorruption>) {
     if caches.is_empty() {
-        *environment.origin.corruption.lock().expect("no holder panics") = corruption;
+        *environment.origin.corruption.lock().expect("no thread panics while it holds the lock") = corruption;
     }
     for cache in caches {
-        *environment.slots[*cache].corruption.lock().expect("no holder panics") = corruption;
+        *environment.slots[*cache].corruption.lock().expect("no thread panics while it holds the lock") =
+            corruption;
     }
 }
--- a/crates/testbed/src/environment/listener.rs
+++ b/crates/testbed/src/environment/listener.rs
@@ -1,5 +1,5 @@
-//! The address at which one node reaches a simulated server: a listener that accepts connections, refuses
-//! them, or lets connection attempts time out.
+//! The listener at which one node reaches a simulated server. It accepts connections, refuses them, or lets
+//! connection attempts time out.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -22,15 +22,15 @@
 use super::link::{self, ConnectionFault, Link, LinkState};
 use crate::event_log::NodeId;
 
-/// Backlog of a listener that accepts connections.
+/// Backlog of a listener that accepts connections, in connections.
 const BACKLOG: i32 = 1024;
 /// Pause before an address that is in use is bound again.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The most connections that fill a backlog of zero: the system holds one or two.
+/// The most connections opened to fill a backlog of zero; the system queues one or two despite the zero.
 const MAX_FILLERS: usize = 8;
-/// A connection attempt that takes longer shows that the backlog is full.
+/// Time after which a connection attempt without a response shows that the backlog is full.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(30);
-/// Bytes buffered between the link and the HTTP library, in each direction.
+/// Size of the buffer between the link and the HTTP library in each direction, in bytes.
 const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
 /// What a [`Handler`] returns for a request.
@@ -39,13 +39,13 @@
 /// The future of a [`HandlerResult`].
 pub type HandlerFuture = Pin<Box<dyn Future<Output = HandlerResult> + Send>>;
 
-/// The handler has no response, and the connection is of no further use.
+/// Error of a handler that gives no response; the connection has to be closed.
 #[derive(Debug)]
 pub struct ConnectionAborted;
 
 impl fmt::Display for ConnectionAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the server aborted the connection on purpose")
+        f.write_str("the simulated server aborted the connection on purpose")
     }
 }
 
@@ -61,9 +61,9 @@
 }
 
 impl ServerConnection {
-    /// Has the link apply a fault to the connection.
+    /// Asks the link to apply a fault to the connection.
     pub fn inject_fault(&self, fault: ConnectionFault) {
-        // A connection that has ended needs no fault.
+        // Sending fails only if the connection has ended.
         let _ = self.faults.send(fault);
     }
 }
@@ -87,25 +87,25 @@
 /// What a listener does with connection attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerState {
-    /// Accepts them.
+    /// Accepts connections.
     Accepting,
-    /// Refuses them; open connections are reset.
+    /// Refuses connections; open connections are reset.
     Refusing,
-    /// Leaves them without an answer.
+    /// Leaves connection attempts without a response.
     Unresponsive,
 }
 
-/// A server's address for one node.
+/// A simulated server's listener for one node.
 pub struct Listener {
     /// The bound address.
     pub address: SocketAddr,
-    /// The link that all connections of the listener pass.
+    /// The simulated link that all connections of the listener go through.
     pub link: Link,
     state: watch::Sender<ListenerState>,
 }
 
 impl Listener {
-    /// Binds any free port of an IP address and serves it in a task of its own.
+    /// Binds a free port of an IP address and serves its connections in a new task.
     ///
     /// # Errors
     /// The system's error if the address can't be bound.
@@ -130,7 +130,7 @@
         Ok(Listener { address, link, state })
     }
 
-    /// Changes the state; [`ListenerState::Refusing`] resets the open connections too.
+    /// Changes the listener's state. [`ListenerState::Refusing`] also resets the open connections.
     pub fn set_state(&self, state: ListenerState) {
         self.state.send_replace(state);
         if state == ListenerState::Refusing {
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Binds the address again. If another socket holds the port for a moment, waits before the next attempt.
+    /// Binds the address again. If another socket holds the port for a moment, returns none after
+    /// [`BIND_RETRY_INTERVAL`], and the caller tries again.
     async fn rebind(&self) -> Option<TcpListener> {
         match TcpListener::bind(self.address).await {
             Ok(socket) => Some(socket),
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Serves a connection in a task of its own, unless there are too many.
+    /// Serves a connection in a new task, or closes it if the handler's limit of connections is exceeded.
     fn serve(&self, stream: TcpStream) {
         let guard = ConnectionGuard::new(self.open_connections.clone());
         if self.open_connections.load(Ordering::Relaxed) > self.handler.max_connections() {
@@ -213,8 +214,8 @@
     }
 }
 
-/// Fills the backlog of a listening socket, so that further connection attempts stay without an answer while
-/// the returned connections are open.
+/// Fills the backlog of a listening socket and returns the connections that fill it. While they are open,
+/// further connection attempts get no response.
 async fn fill_backlog(socket: &TcpListener, address: SocketAddr) -> Vec<TcpStream> {
     let _ = rustix::net::listen(socket, 0);
     let mut fillers = Vec::new();
@@ -227,7 +228,7 @@
     fillers
 }
 
-/// Counts a connection while it is open.
+/// Holds a connection's place in the count of open connections until it is dropped.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionGuard {
@@ -243,8 +244,8 @@
     }
 }
 
-/// Serves the requests of a connection until it ends. When the link ends first, the handler's work is
-/// dropped.
+/// Serves the requests of a connection until the connection ends. If the link ends the connection first,
+/// requests that the handler still serves are dropped.
 async fn serve_connection(
     stream: TcpStream,
     link: Link,
--- a/crates/testbed/src/environment/malformed_clients.rs
+++ b/crates/testbed/src/environment/malformed_clients.rs
@@ -1,5 +1,5 @@
-//! Malformed clients: each sends a node something that is no valid request, and has to receive an error
-//! response or a closed connection.
+//! Malformed clients: each sends a node bytes that are no valid request. The node has to send an error
+//! response or close the connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 
 /// Time within which a node has to respond to a malformed client or to close its connection.
 const RESPONSE_DEADLINE: Duration = Duration::from_secs(3);
-/// Length of the header that is never terminated, in bytes.
+/// Length of the unterminated header, in bytes.
 const UNTERMINATED_HEADER_BYTES: usize = 200_000;
 
-/// Something that is no valid request.
+/// Bytes that are no valid request.
 #[derive(Clone)]
 struct MalformedRequest {
     /// Description for the event log.
@@ -30,7 +30,7 @@
     }
 }
 
-/// All kinds of malformed requests. `request_class` is a class that the node knows.
+/// All kinds of malformed requests. `request_class` names a class that the node knows.
 fn malformed_requests(request_class: &str) -> Vec<MalformedRequest> {
     let request =
         |headers: &str| format!("GET /{request_class}/00 HTTP/1.1\r\nHost: n\r\n{headers}\r\n").into_bytes();
@@ -60,8 +60,8 @@
     ]
 }
 
-/// Connects as many malformed clients to a node as the fault says and records whether each got what it has
-/// to.
+/// Connects `fault.count` malformed clients to a node and records for each whether the node rejected it in
+/// time.
 pub async fn run(node: SocketAddr, event_log: EventLogWriter, fault: &Fault, experiment: &Experiment) {
     let requests = malformed_requests(&experiment.request_classes[0].name);
     let mut clients = tokio::task::JoinSet::new();
@@ -77,7 +77,7 @@
     while clients.join_next().await.is_some() {}
 }
 
-/// Sends a malformed request. Returns whether the node responds with an error or closes the connection.
+/// Sends a malformed request and returns whether the node responds with an error or closes the connection.
 async fn is_rejected(node: SocketAddr, bytes: &[u8]) -> bool {
     let Ok(stream) = TcpStream::connect(node).await else { return true };
     let (from_node, to_node) = stream.into_split();
@@ -87,13 +87,13 @@
     }
 }
 
-/// Sends bytes and keeps the connection open: the node has to act without the client's closing it.
+/// Sends bytes and keeps the connection open, so that only the node can end it.
 async fn send_and_stay(mut to_node: OwnedWriteHalf, bytes: &[u8]) {
     let _ = to_node.write_all(bytes).await;
     std::future::pending::<()>().await;
 }
 
-/// Reads until an error status has arrived or the connection ends.
+/// Reads until an error status arrives or the connection ends, and returns true.
 async fn wait_for_rejection(mut from_node: OwnedReadHalf) -> bool {
     let mut response = Vec::new();
     let mut buffer = [0; 1024];
--- a/crates/testbed/src/environment/monitor.rs
+++ b/crates/testbed/src/environment/monitor.rs
@@ -1,4 +1,4 @@
-//! Watches a run: samples the processes, and measures for how long the testbed's own runtime stalls.
+//! Monitors a run: samples the processes, and measures for how long the testbed's own runtime stalls.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,10 +8,10 @@
 
 /// Interval between two samples of each process.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval of the timer whose lateness shows a stall.
+/// Interval of the timer whose lateness is measured as the length of a stall.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Samples all processes until the task is aborted. A process that a fault occupies is passed over.
+/// Samples all processes until the task is aborted. A process that a fault holds locked is skipped.
 pub async fn sample_processes(environment: Arc<TestEnvironment>) {
     loop {
         for node in &environment.nodes {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Records the longest stall of the runtime, and so of each simulated server, until the task is aborted.
+/// Records the longest stall of the runtime, which stalls each simulated server, until the task is aborted.
 pub async fn measure_stalls(event_log: EventLogWriter) {
     loop {
         let before = Instant::now();
--- a/crates/testbed/src/environment/node.rs
+++ b/crates/testbed/src/environment/node.rs
@@ -1,5 +1,5 @@
-//! A node of the world: the real program, or what takes its place, in a process of its own with its own
-//! configuration.
+//! A node of the test environment: a process of the real program, or of a program that takes its place, with
+//! its own configuration.
 
 use std::fmt;
 use std::fs::File;
@@ -17,9 +17,9 @@
 use super::{node_config, process_usage};
 use crate::event_log::{Event, EventLogWriter, NodeId};
 
-/// Time within which a node has to become ready.
+/// Time within which a started node has to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(8);
-/// Pause between two readiness checks.
+/// Delay between two readiness checks.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Time within which a readiness check has to succeed.
 const READY_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
@@ -33,7 +33,7 @@
         /// Path of the executable.
         path: PathBuf,
     },
-    /// The testbed's own relay of bytes to one address.
+    /// The testbed's own TCP relay to one address.
     TcpRelay {
         /// Path of the testbed's executable.
         path: PathBuf,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The command that starts the program at an address.
+    /// The command that starts the program to listen at an address.
     fn command(&self, listen: SocketAddr, config_file: &Path) -> Command {
         let mut command = Command::new(self.path());
         match self {
@@ -61,7 +61,7 @@
         command
     }
 
-    /// Whether the program at an address is ready for requests.
+    /// Whether the program that listens at an address is ready for requests.
     async fn is_ready(&self, address: SocketAddr) -> bool {
         let check = async {
             match self {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Asks a node for its readiness.
+/// Whether a node responds to `GET /health/ready` with status 200.
 async fn reports_ready(address: SocketAddr) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n").await?;
@@ -95,7 +95,7 @@
         /// The system's error.
         source: std::io::Error,
     },
-    /// The process runs and did not become ready in time.
+    /// The process was started and did not become ready within [`READY_TIMEOUT`].
     NotReady {
         /// Number of the node.
         node: NodeId,
@@ -107,10 +107,16 @@
 impl fmt::Display for NodeStartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NodeStartError::File { path, source } => write!(f, "{}: {source}", path.display()),
+            NodeStartError::File { path, source } => {
+                write!(f, "a node can't be started: {}: {source}", path.display())
+            }
             NodeStartError::NotReady { node, last_log_line } => {
-                let last = last_log_line.as_deref().unwrap_or("it logged nothing");
-                write!(f, "node {} was not ready in {READY_TIMEOUT:?}: {last}", node.0)
+                let number = node.0;
+                let last = last_log_line.as_deref().unwrap_or("none");
+                write!(
+                    f,
+                    "node {number} was not ready within {READY_TIMEOUT:?}; last line of its log: {last}"
+                )
             }
         }
     }
@@ -141,8 +147,8 @@
 }
 
 impl NodeProcess {
-    /// Prepares a node; nothing runs yet. Its files go into `directory`, with the text of the fleet's
-    /// configuration if the node has a control plane.
+    /// Prepares a node without starting its process. The node's files go into `directory`; `fleet_config` is
+    /// the text of the fleet's configuration, if the node has a control plane.
     pub fn new(
         id: NodeId,
         address: SocketAddr,
@@ -174,11 +180,11 @@
         }
     }
 
-    /// Starts the program and waits until it is ready. `known_endpoints` is the endpoint list that the node
-    /// had cached before, if any.
+    /// Starts the program and waits until the node is ready. `known_endpoints` is the endpoint list that the
+    /// node had before it was stopped, if any.
     ///
     /// # Errors
-    /// If a file can't be written, the program can't be executed, or it does not become ready in time.
+    /// If a file can't be written, the program can't be executed, or the node does not become ready in time.
     pub async fn start(&mut self, known_endpoints: Option<Value>) -> Result<(), NodeStartError> {
         if let Some(known) = known_endpoints {
             self.config["known"] = known;
@@ -237,8 +243,8 @@
         }
     }
 
-    /// Asks the process to shut down gracefully, waits as long as that may take, and kills it if it still
-    /// runs.
+    /// Asks the process to shut down gracefully, waits up to `max_client_timeout` plus [`SHUTDOWN_GRACE`],
+    /// and kills the process if it still runs.
     pub async fn stop(&mut self, max_client_timeout: Duration) {
         self.signal(Signal::TERM);
         if let Some(child) = &mut self.child {
@@ -247,7 +253,7 @@
         self.kill().await;
     }
 
-    /// Gives the node a new address of discovery and has it reload its configuration.
+    /// Sets discovery's address in the node's configuration and makes the process reload it.
     ///
     /// # Errors
     /// If the configuration file can't be written.
@@ -256,12 +262,12 @@
         self.reload()
     }
 
-    /// Merges settings into those of the node's configuration, without a reload.
+    /// Merges settings into the node's configuration without a reload.
     pub fn merge_settings(&mut self, settings: &toml::Table) {
         node_config::merge(&mut self.config["settings"], json!(settings));
     }
 
-    /// Writes the node's configuration and has the process reload it.
+    /// Writes the node's configuration file and makes the process reload it.
     ///
     /// # Errors
     /// If the configuration file can't be written.
@@ -271,7 +277,7 @@
         Ok(())
     }
 
-    /// Records what the process uses, and whether it has ended by itself.
+    /// Records the process's resource usage, or a crash if the process has ended by itself.
     pub fn sample(&mut self) {
         if let Some(child) = &mut self.child
             && let Ok(Some(status)) = child.try_wait()
--- a/crates/testbed/src/environment/origin.rs
+++ b/crates/testbed/src/environment/origin.rs
@@ -1,5 +1,5 @@
-//! The simulated origin: it owns the version of every value, records each executed write and read, and has
-//! far less capacity than all requests need.
+//! The simulated origin. It holds the current version of every value, records each executed write and read,
+//! and has far less capacity than all requests together need.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -21,21 +21,21 @@
 };
 use crate::experiment::OriginConfig;
 
-/// Time for which a cache miss is remembered for the fetch that follows it, in microseconds.
+/// Time for which a cache miss is remembered for the fetch that follows the miss, in microseconds.
 const CACHE_MISS_LIFETIME_US: i64 = 5_000_000;
-/// Remembered cache misses above which expired ones are removed.
+/// Number of remembered cache misses above which expired ones are removed.
 const MAX_CACHE_MISSES: usize = 10_000;
 /// Value of [`Origin::slowdown_permille`] at normal speed.
 const NORMAL_SPEED_PERMILLE: f64 = 1000.0;
-/// Window in which the rate of reads is measured.
+/// Sliding window over which the rate of reads is measured.
 const READ_RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Factor on the time of a read while the origin is degraded.
 const DEGRADED_SLOWDOWN: f64 = 2.0;
-/// Multiple of the load at which the origin degrades at which it stops.
+/// Load at which the origin stops, as a multiple of the load at which it degrades.
 const STOP_OVER_DEGRADE: f64 = 2.0;
 /// Time for which an overloaded origin stops.
 const OVERLOAD_STOP_DURATION: Duration = Duration::from_secs(1);
-/// Idle connections are closed after this time.
+/// Time after which an idle connection is closed.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 /// The most connections of each node.
 const MAX_CONNECTIONS: usize = 4096;
@@ -52,7 +52,7 @@
     version: Version,
 }
 
-/// The origin.
+/// The simulated origin.
 pub struct Origin {
     /// ID of the origin in the event log.
     pub id: ServerId,
@@ -62,16 +62,16 @@
     recent_reads: SlidingWindow,
     /// Factor on all service times, in thousandths.
     slowdown_permille: AtomicU64,
-    /// Whether requests are accepted and not executed.
+    /// Whether the origin accepts requests and does not execute them.
     pub is_stopped: watch::Sender<bool>,
-    /// Whether it stops because of overload.
+    /// Whether the origin is stopped by overload.
     is_overloaded: AtomicBool,
     versions: Mutex<HashMap<u64, Version>>,
     /// Executed writes by idempotency key.
     deduplicated_writes: Mutex<HashMap<String, DeduplicatedWrite>>,
     /// Cache misses by the ID of the request.
     cache_misses: Mutex<HashMap<String, CacheMiss>>,
-    /// All cache slots, set once while the world starts.
+    /// All cache slots, set once while the environment starts.
     pub cache_slots: OnceLock<Vec<Arc<CacheSlot>>>,
     /// The corruption of responses, if any.
     pub corruption: Mutex<Option<ActiveCorruption>>,
@@ -103,14 +103,19 @@
     }
 
     fn version(&self, key: u64) -> Version {
-        self.versions.lock().expect("no holder panics").get(&key).copied().unwrap_or(Version(0))
+        self.versions
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .get(&key)
+            .copied()
+            .unwrap_or(Version(0))
     }
 
-    /// Remembers that a cache missed the key of a request: it caches the value once the origin has returned
-    /// it for that request.
+    /// Remembers that a cache missed the key of the request `id`. Once the origin has read the value for this
+    /// request, the cache stores it.
     pub fn record_cache_miss(&self, id: &str, slot: &Arc<CacheSlot>) {
         let now = self.event_log.now();
-        let mut misses = self.cache_misses.lock().expect("no holder panics");
+        let mut misses = self.cache_misses.lock().expect("no thread panics while it holds the lock");
         if misses.len() > MAX_CACHE_MISSES {
             misses.retain(|_, miss| now.0 - miss.at.0 < CACHE_MISS_LIFETIME_US);
         }
@@ -118,15 +123,15 @@
         miss.slots.push(Arc::downgrade(slot));
     }
 
-    /// The time that a request occupies a core: the mean time, times 0.5 to 1.5 by a hash of the request's
-    /// ID.
+    /// Time for which a request occupies a core: the mean time, multiplied by 0.5 to 1.5 according to a hash
+    /// of the request's ID.
     fn service_time(&self, mean_ms: f64, id: &str) -> Duration {
         let slowdown = self.slowdown_permille.load(Ordering::Relaxed) as f64 / NORMAL_SPEED_PERMILLE;
         let random = 0.5 + wire::uniform_hash(id, hash_stream::ORIGIN_SERVICE_TIME);
         Duration::from_secs_f64(mean_ms / 1000.0 * slowdown * random)
     }
 
-    /// Executes a read.
+    /// Executes a read and returns the version that it read.
     async fn read(&self, request: &ServerRequest) -> Result<Version, QueueFull> {
         let now = self.event_log.now();
         let mut mean_ms = self.config.read_ms;
@@ -146,12 +151,12 @@
         Ok(self.version(request.key))
     }
 
-    /// Executes a write: it makes a new version and invalidates the key at all caches. A repeated idempotency
-    /// key returns the version that its first write made.
+    /// Executes a write: creates a new version of the key's value and invalidates the key at all caches. For
+    /// a repeated idempotency key, returns the version that the key's first write created.
     async fn write(&self, request: &ServerRequest) -> Result<Version, QueueFull> {
         self.wait_while_stopped().await;
         self.queue.run(|| self.service_time(self.config.write_ms, &request.id)).await?;
-        // From here on the write has been executed, whatever becomes of its response.
+        // The write counts as executed from here on, even if its response is lost.
         let at = self.event_log.now();
         if let Some(version) = self.deduplicate(request, at) {
             return Ok(version);
@@ -171,12 +176,12 @@
         Ok(version)
     }
 
-    /// Returns the version of the write that had the request's idempotency key before, or registers the key
-    /// with the version that the request is about to make.
+    /// Returns the version that an earlier write with the request's idempotency key created. If there is
+    /// none, registers the idempotency key with the version that this request is about to create.
     fn deduplicate(&self, request: &ServerRequest, at: Timestamp) -> Option<Version> {
         let key = request.idempotency_key.as_ref()?;
         let lifetime_us = (self.config.idempotency_window_s * 1e6) as i64;
-        let mut writes = self.deduplicated_writes.lock().expect("no holder panics");
+        let mut writes = self.deduplicated_writes.lock().expect("no thread panics while it holds the lock");
         writes.retain(|_, write| at.0 - write.at.0 < lifetime_us);
         if let Some(write) = writes.get(key) {
             return Some(write.version);
@@ -187,7 +192,7 @@
     }
 
     fn advance_version(&self, key: u64) -> Version {
-        let mut versions = self.versions.lock().expect("no holder panics");
+        let mut versions = self.versions.lock().expect("no thread panics while it holds the lock");
         let version = versions.entry(key).or_insert(Version(0));
         version.0 += 1;
         *version
@@ -219,13 +224,14 @@
             return Ok(wire::rejection());
         };
         self.fill_caches(&request, version);
-        let corruption = *self.corruption.lock().expect("no holder panics");
+        let corruption = *self.corruption.lock().expect("no thread panics while it holds the lock");
         respond(corruption, &connection, &request, version, "origin", attempt).await
     }
 
-    /// Stores a value that was read at the caches that missed it for the same request.
+    /// Stores a value that was read in the caches that missed it for the same request.
     fn fill_caches(&self, request: &ServerRequest, version: Version) {
-        let miss = self.cache_misses.lock().expect("no holder panics").remove(&request.id);
+        let miss =
+            self.cache_misses.lock().expect("no thread panics while it holds the lock").remove(&request.id);
         if request.is_write {
             return;
         }
--- a/crates/testbed/src/environment/process_usage.rs
+++ b/crates/testbed/src/environment/process_usage.rs
@@ -1,4 +1,4 @@
-//! What a process uses, as the system's `/proc` reports it.
+//! The resource usage of a process, read from `/proc`.
 
 use rustix::process::Pid;
 
@@ -6,18 +6,18 @@
 
 /// Index of the user time among the fields of `/proc/PID/stat` that follow the process's name.
 const USER_TICKS_FIELD: usize = 11;
-/// Index of the system time among the same fields.
+/// Index of the system time among the fields of `/proc/PID/stat` that follow the process's name.
 const SYSTEM_TICKS_FIELD: usize = 12;
 /// Index of the resident pages among the fields of `/proc/PID/statm`.
 const RESIDENT_PAGES_FIELD: usize = 1;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// Samples the memory, file descriptors and processor time of a node's process. None if the process has
+/// Samples the memory, file descriptors and CPU time of a node's process. Returns none if the process has
 /// ended.
 pub fn sample(pid: Pid, node: NodeId, event_log: &EventLogWriter) -> Option<ResourceUsage> {
     let directory = format!("/proc/{}", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(format!("{directory}/stat")).ok()?;
-    // The name is in parentheses and may hold anything, spaces and parentheses too.
+    // The process's name is in parentheses and may itself contain spaces and parentheses.
     let (_, after_name) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let user_ticks: u64 = fields.get(USER_TICKS_FIELD)?.parse().ok()?;
--- a/crates/testbed/src/environment/service_queue.rs
+++ b/crates/testbed/src/environment/service_queue.rs
@@ -7,16 +7,17 @@
 
 use tokio::sync::Semaphore;
 
-/// Buckets of a [`SlidingWindow`].
+/// Number of buckets of a [`SlidingWindow`].
 const WINDOW_BUCKETS: usize = 10;
 
-/// The queue has no free place: the server rejects the request without executing it.
+/// Error of a request that finds no free place in a server's queue: the server rejects it without executing
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
 impl fmt::Display for QueueFull {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the server's queue is full")
+        f.write_str("the simulated server's queue is full")
     }
 }
 
@@ -30,7 +31,7 @@
     max_waiting: usize,
 }
 
-/// Takes a request out of the count of waiting ones, also when its future is dropped.
+/// Removes a request from the count of waiting requests on drop, also if the request's future is dropped.
 struct WaitingGuard<'a>(&'a AtomicUsize);
 
 impl Drop for WaitingGuard<'_> {
@@ -45,8 +46,9 @@
         ServiceQueue { cores: Semaphore::new(cores), waiting: AtomicUsize::new(0), max_waiting }
     }
 
-    /// Waits for a core and occupies it for the time that `service_time` returns once the core is acquired.
-    /// If the future is dropped while it waits, nothing has executed.
+    /// Waits for a core and occupies it for the time that `service_time` returns; the function is called once
+    /// the core is acquired. If the future is dropped while it waits for a core, the request has not been
+    /// executed.
     ///
     /// # Errors
     /// [`QueueFull`] if all cores are busy and no place in the queue is free.
@@ -76,10 +78,10 @@
     }
 }
 
-/// A part of a sliding window.
+/// One interval of a sliding window with its sum.
 #[derive(Clone, Copy)]
 struct Bucket {
-    /// Number of the bucket since the start of the clock.
+    /// Number of the interval, counted from time 0.
     number: i64,
     sum: f64,
 }
@@ -100,11 +102,12 @@
         }
     }
 
-    /// Adds an amount at a time in microseconds and returns the sum of the window that ends at that time.
+    /// Adds an amount at the time `at_us`, in microseconds, and returns the sum of the window that ends at
+    /// this time.
     pub fn add(&self, at_us: i64, amount: f64) -> f64 {
         let bucket_count = WINDOW_BUCKETS as i64;
         let number = at_us.div_euclid(self.length_us / bucket_count);
-        let mut buckets = self.buckets.lock().expect("no holder panics");
+        let mut buckets = self.buckets.lock().expect("no thread panics while it holds the lock");
         let bucket = &mut buckets[number.rem_euclid(bucket_count) as usize];
         if bucket.number != number {
             *bucket = Bucket { number, sum: 0.0 };
--- a/crates/testbed/src/environment/wire.rs
+++ b/crates/testbed/src/environment/wire.rs
@@ -1,4 +1,4 @@
-//! Requests and responses between nodes and simulated servers, in the form of the published protocol.
+//! Requests and responses between nodes and simulated servers, in the format of the published protocol.
 
 use std::convert::Infallible;
 
@@ -16,7 +16,7 @@
 /// The longest request body that a server reads, in bytes.
 const MAX_REQUEST_BODY: usize = 64 * 1024;
 
-/// Independent streams of [`uniform_hash`]: one for each decision that is drawn from a request's ID.
+/// Independent streams of [`uniform_hash`], one for each random decision that depends on a request's ID.
 pub mod hash_stream {
     /// Service time at the origin.
     pub const ORIGIN_SERVICE_TIME: u64 = 3;
@@ -28,7 +28,7 @@
     pub const CORRUPTION_DELAY: u64 = 13;
     /// Whether a client disconnects early.
     pub const EARLY_DISCONNECT: u64 = 17;
-    /// When a client that disconnects early does so.
+    /// How long a client that disconnects early waits before it disconnects.
     pub const EARLY_DISCONNECT_DELAY: u64 = 19;
     /// First stream of the mass disconnects; the number of the disconnect is added to it.
     pub const MASS_DISCONNECT: u64 = 23;
@@ -43,9 +43,9 @@
     pub id: String,
     /// Key under which the origin deduplicates the write, if the client sent one.
     pub idempotency_key: Option<String>,
-    /// Key of the value.
+    /// Key that the request reads or writes.
     pub key: u64,
-    /// Whether the request writes the value.
+    /// Whether the request is a write.
     pub is_write: bool,
 }
 
@@ -67,7 +67,7 @@
     /// Reads a request to its last byte.
     ///
     /// # Errors
-    /// The status of the response to a request that is malformed.
+    /// The status with which to respond if the request is malformed.
     pub async fn read(request: Request<Incoming>) -> Result<ServerRequest, StatusCode> {
         let (head, body) = request.into_parts();
         let text = |name| head.headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
@@ -94,7 +94,7 @@
     (mix64(number, stream) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A body that consists of a text.
+/// Response body of one text.
 pub fn text_body(text: impl Into<Bytes>) -> BoxBody<Bytes, Infallible> {
     Full::new(text.into()).boxed()
 }
@@ -113,14 +113,14 @@
     serde_json::to_string(&body).expect("the body holds numbers and strings only")
 }
 
-/// The value that a request reads or has written. `cache_status` tells where it comes from
-/// (`X-Cache-Status`).
+/// Response with the value that a request read or wrote. `cache_status` is the `X-Cache-Status` header, which
+/// tells where the value comes from.
 pub fn value_response(request: &ServerRequest, version: Version, cache_status: &str) -> ServerResponse {
     let response = Response::builder().status(StatusCode::OK).header("X-Cache-Status", cache_status);
     response.body(text_body(value_text(request, version))).expect("the header values are constants")
 }
 
-/// Rejects a request and states that it was not executed.
+/// Response that rejects a request and states that the request was not executed.
 pub fn rejection() -> ServerResponse {
     let response = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).header("X-Not-Processed", "1");
     response.body(text_body("")).expect("the header values are constants")
