--- a/crates/testbed/src/environment/attempt_record.rs
+++ b/crates/testbed/src/environment/attempt_record.rs
@@ -4,7 +4,8 @@
 use super::wire::ServerRequest;
 use crate::event_log::{EventLogWriter, ServerAttemptEnd, ServerId};
 
-/// An attempt in the event log. If it is dropped before [`AttemptRecord::finish`], it is recorded as dropped.
+/// The event log's record of an attempt. If the value is dropped without [`AttemptRecord::finish`], the
+/// attempt is recorded as dropped.
 pub struct AttemptRecord<'a> {
     event_log: &'a EventLogWriter,
     number: usize,
@@ -12,7 +13,7 @@
 }
 
 impl<'a> AttemptRecord<'a> {
-    /// Records the arrival of a request. `work` is its cost in core seconds at a warm server.
+    /// Records the arrival of a request. `work` is the request's cost at a warm server, in core seconds.
     pub fn new(
         event_log: &'a EventLogWriter,
         server: ServerId,
--- a/crates/testbed/src/environment/byzantine_planner.rs
+++ b/crates/testbed/src/environment/byzantine_planner.rs
@@ -1,5 +1,5 @@
-//! A Byzantine planner: it holds the secret and sends forged messages from a planner's address while that one
-//! is stopped.
+//! A Byzantine planner: it holds the fleet's secret and sends forged messages from the address of a planner
+//! that is stopped meanwhile.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,25 +17,25 @@
 };
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// The most nodes and planners that it sends to: more than any experiment has.
+/// The most members that the Byzantine planner sends to: more than any experiment has.
 const MAX_MEMBERS: usize = 128;
-/// The most caches that it names in a message.
+/// The most caches that a forged message names.
 const MAX_CACHES: usize = 40;
-/// The number of nodes that its plans claim to rest on.
+/// The number of nodes on whose reports a forged plan claims to be based.
 const CLAIMED_NODES: u64 = 99;
 const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// What forged grants give: the whole of a resource to each node.
+/// The amounts of forged grants: each node is granted the whole limit of a resource.
 pub struct ForgedGrants {
-    /// The amount of the origin, in thousandths of a fetch.
+    /// The amount granted of the origin, in thousandths of a fetch.
     pub origin: u32,
-    /// The amount of each warming cache, in millionths of a second of work.
+    /// The amount granted of each warming cache, in millionths of a second of work.
     pub warming_cache: u32,
-    /// How long each grant lasts, in microseconds.
+    /// Duration of each grant, in microseconds.
     pub duration: u32,
 }
 
-/// Sends forged messages until it is dropped. It does nothing where the address can't be bound.
+/// Sends forged messages until the future is dropped. Returns at once if the address can't be bound.
 pub async fn run(
     planner: usize,
     address: SocketAddr,
@@ -45,7 +45,7 @@
 ) {
     let Ok(socket) = UdpSocket::bind(address).await else { return };
     let incarnation = UNIX_EPOCH.elapsed().unwrap_or_default().as_micros() as u64;
-    let mut forger = ByzantinePlanner {
+    let mut byzantine_planner = ByzantinePlanner {
         signer: Signer::Planner(planner_number(planner)),
         incarnation,
         sequence: 0,
@@ -61,11 +61,11 @@
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         tokio::select! {
-            _ = heartbeat.tick() => forger.on_heartbeat().await,
-            received = forger.socket.recv_from(&mut buffer) => {
-                // An error here is of a message that could not be delivered before.
+            _ = heartbeat.tick() => byzantine_planner.on_heartbeat().await,
+            received = byzantine_planner.socket.recv_from(&mut buffer) => {
+                // An error reports that a message sent earlier could not be delivered.
                 let Ok((count, from)) = received else { continue };
-                forger.on_message(&buffer[..count], from).await;
+                byzantine_planner.on_message(&buffer[..count], from).await;
             }
         }
     }
@@ -80,9 +80,9 @@
     secret: Vec<u8>,
     false_claim: FalseClaim,
     grants: ForgedGrants,
-    /// Whoever has sent a message.
+    /// Addresses from which messages were received, and to which forged messages are sent.
     members: BTreeSet<SocketAddr>,
-    /// The endpoint numbers of caches that nodes reported.
+    /// Endpoint numbers of the caches that nodes reported.
     caches: BTreeSet<u64>,
     plan_version: u64,
 }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// All caches are failing.
+    /// A forged plan in which all known caches are failing.
     fn forged_plan(&self) -> HealthMessage {
         let failing = |cache: &u64| (*cache, HealthStatus::Failing { ago: 0 });
         HealthMessage::Plan {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// All caches are worse than the others.
+    /// A forged report in which every known cache is slower than the others.
     fn forged_comparisons(&self) -> CounterfactualMessage {
         let worse = |cache: &u64| ComparisonReport {
             cache: *cache,
@@ -146,7 +146,7 @@
         CounterfactualMessage::LatencyRatios(self.caches.iter().map(worse).collect())
     }
 
-    /// All of each resource that is asked for.
+    /// A forged grant of the whole limit of each requested resource.
     fn forged_grant(&self, request: u64, demands: &[Demand]) -> LeaseMessage {
         let all = |demand: &Demand| match demand.resource {
             Resource::Origin => (demand.resource, self.grants.origin),
@@ -160,7 +160,7 @@
         self.sequence += 1;
         let sender = Sender { member: self.signer, incarnation: self.incarnation, sequence: self.sequence };
         if let Some(bytes) = encode(&self.secret, kind, sender, message) {
-            // Datagrams may be lost anyway.
+            // An error is ignored: a datagram may be lost as well.
             let _ = self.socket.send_to(&bytes, to).await;
         }
     }
--- a/crates/testbed/src/environment/endpoint_list.rs
+++ b/crates/testbed/src/environment/endpoint_list.rs
@@ -1,8 +1,9 @@
 //! The endpoint list of the simulated discovery service: its entries, its history of changes, and the updates
-//! that a watch receives. Pure state: [`super::discovery`] owns it and serves it.
+//! that a watch receives. The list is pure state, without input or output; [`super::discovery`] owns and
+//! serves it.
 //!
-//! Revisions grow by one with each change. A watch names the last revision that it knows and receives the
-//! later changes, or the complete list if the history doesn't reach back that far.
+//! The revision grows by one with each change. A watch names the last revision that it knows and receives the
+//! later changes, or the complete list if the history doesn't reach back to that revision.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,19 +12,19 @@
 
 use crate::event_log::{EndpointNotification, EndpointState, NodeId, ServerId, Timestamp};
 
-/// Changes in the history; a watch that asks for older ones receives the complete list.
+/// The most changes in the history. A watch that needs older changes receives the complete list.
 const MAX_CHANGES: usize = 4096;
 /// Revision of an empty list.
 const FIRST_REVISION: u64 = 1;
 
-/// A server as it is listed.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
     /// ID of the server in the event log.
     pub id: ServerId,
     /// Unique name of the server.
     pub uid: String,
-    /// Address of the server for each node.
+    /// Address at which each node reaches the server.
     pub addresses: Vec<SocketAddr>,
     /// Availability zone.
     pub zone: String,
@@ -35,20 +36,20 @@
     pub boot_ms: u64,
 }
 
-/// A change of the list and the revision that it made.
+/// A change of the list and the revision that the change created.
 #[derive(Clone)]
 struct Change {
     revision: u64,
     endpoint: ListedEndpoint,
 }
 
-/// What a watch receives next.
+/// The next update that a watch receives.
 pub struct ListUpdate {
     /// The revision that the watch knows after the update.
     pub revision: u64,
-    /// The update in the protocol's JSON form, on one line.
+    /// The update in the protocol's JSON format, on one line.
     pub text: String,
-    /// The update in the event log.
+    /// The update as notifications for the event log.
     pub notifications: Vec<EndpointNotification>,
 }
 
@@ -56,12 +57,12 @@
 #[derive(Clone)]
 pub struct EndpointList {
     revision: u64,
-    /// The endpoints that are not gone, in the order of their last change.
+    /// The endpoints that have not been removed, in the order of their last change.
     endpoints: Vec<ListedEndpoint>,
     changes: VecDeque<Change>,
     /// The oldest revision from which the history is complete.
     oldest_revision: u64,
-    /// All servers that were ever listed.
+    /// All servers that have ever been listed.
     known: Vec<ServerId>,
 }
 
@@ -96,20 +97,20 @@
         }
     }
 
-    /// Starts counting revisions anew and forgets the history.
+    /// Restarts the revisions and clears the history of changes.
     pub fn restart_revisions(&mut self) {
         self.revision = FIRST_REVISION;
         self.oldest_revision = FIRST_REVISION;
         self.changes.clear();
     }
 
-    /// The complete list in the form in which a node's configuration holds it.
+    /// The complete list in the format in which a node's configuration holds it.
     pub fn snapshot_for(&self, node: NodeId) -> Value {
         json!({"rev": self.revision, "all": true, "targets": self.all_targets(node)})
     }
 
-    /// The next update of a node's watch that knows the list up to the revision `after`, or none if the watch
-    /// is up to date. A watch that knows nothing receives the complete list.
+    /// Next update for a watch of a node that knows the list up to the revision `after`; none if the watch is
+    /// up to date. A watch without a revision receives the complete list.
     pub fn update_since(&self, node: NodeId, after: Option<u64>, at: Timestamp) -> Option<ListUpdate> {
         let notify = |server, state| EndpointNotification { node, server, state, at };
         let is_complete = after.is_none_or(|after| after < self.oldest_revision || after > self.revision);
@@ -121,7 +122,7 @@
         if is_complete {
             targets = self.all_targets(node);
             notifications = self.endpoints.iter().map(|e| notify(e.id, e.state)).collect();
-            notifications.extend(self.gone().map(|id| notify(id, EndpointState::Removed)));
+            notifications.extend(self.removed().map(|id| notify(id, EndpointState::Removed)));
         } else {
             let changes = self.changes.iter().filter(|change| Some(change.revision) > after);
             let endpoints: Vec<&ListedEndpoint> = changes.map(|change| &change.endpoint).collect();
@@ -136,14 +137,14 @@
         self.endpoints.iter().map(|endpoint| target(endpoint, node)).collect()
     }
 
-    /// The servers that were listed and are gone.
-    fn gone(&self) -> impl Iterator<Item = ServerId> {
-        let is_gone = |id: &ServerId| self.endpoints.iter().all(|endpoint| endpoint.id != *id);
-        self.known.iter().copied().filter(is_gone)
+    /// The servers that were listed and have been removed since.
+    fn removed(&self) -> impl Iterator<Item = ServerId> {
+        let is_removed = |id: &ServerId| self.endpoints.iter().all(|endpoint| endpoint.id != *id);
+        self.known.iter().copied().filter(is_removed)
     }
 }
 
-/// An endpoint in the protocol's JSON form.
+/// An endpoint in the protocol's JSON format, with its address for the node.
 fn target(endpoint: &ListedEndpoint, node: NodeId) -> Value {
     let state = match endpoint.state {
         EndpointState::Ready => "active",
@@ -155,7 +156,7 @@
         "boot_ms": endpoint.boot_ms})
 }
 
-/// The start of a server as the list states it: Unix time in milliseconds, 0 if unknown.
+/// Start of a server for its entry in the list: Unix time in milliseconds, 0 if unknown.
 pub fn boot_ms(started: Option<Timestamp>, unix_start_ms: u64) -> u64 {
     started.map_or(0, |started| (unix_start_ms as i64 + started.0 / 1000).max(1) as u64)
 }
--- a/crates/testbed/src/environment/error.rs
+++ b/crates/testbed/src/environment/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment could not be played.
+//! Errors that prevent the run of an experiment.
 
 use std::error::Error;
 use std::fmt;
@@ -6,13 +6,13 @@
 
 use super::node::NodeStartError;
 
-/// Why an experiment could not be played. None of these is a judgement of the program under test, except
-/// where a process did not start: its log in the run's directory tells more.
+/// Why an experiment could not be run. Only the errors of a process that did not start can be the fault of
+/// the program under test; the process's log in the run's directory tells more.
 #[derive(Debug)]
 pub enum EnvironmentError {
-    /// The runtime of the simulated servers did not start: the system lacks threads or descriptors.
+    /// The runtime of the simulated servers did not start: the system lacks threads or file descriptors.
     Runtime(std::io::Error),
-    /// The directory for configurations and logs can't be created.
+    /// The directory for configuration files and logs can't be created.
     CreateDirectory {
         /// Path of the directory.
         path: PathBuf,
@@ -23,23 +23,32 @@
     Build(std::io::Error),
     /// A node did not start.
     NodeStart(NodeStartError),
-    /// A planner did not start or did not accept the history of past days.
+    /// A planner did not start, or did not accept the shard sizes of the days before the run.
     PlannerStart(Box<dyn Error + Send + Sync>),
-    /// The nodes were not ready when the first request was due: the machine is too busy. Run it again with
-    /// fewer jobs.
+    /// The nodes were not ready when the first request was due: the machine is too busy. Fewer concurrent
+    /// jobs help.
     TooSlow,
 }
 
 impl fmt::Display for EnvironmentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EnvironmentError::Runtime(source) | EnvironmentError::Build(source) => source.fmt(f),
-            EnvironmentError::CreateDirectory { path, source } => write!(f, "{}: {source}", path.display()),
+            EnvironmentError::Runtime(source) => {
+                write!(f, "the runtime of the simulated servers can't be started: {source}")
+            }
+            EnvironmentError::Build(source) => write!(
+                f,
+                "the test environment can't be built (a loopback address or a planner's file): {source}"
+            ),
+            EnvironmentError::CreateDirectory { path, source } => {
+                write!(f, "the run's directory {} can't be created: {source}", path.display())
+            }
             EnvironmentError::NodeStart(source) => source.fmt(f),
             EnvironmentError::PlannerStart(source) => source.fmt(f),
-            EnvironmentError::TooSlow => {
-                f.write_str("the nodes took too long to start: this machine is too busy to judge them")
-            }
+            EnvironmentError::TooSlow => f.write_str(
+                "the nodes were not ready when the first request was due: this machine is too busy, \
+                    run fewer jobs at once",
+            ),
         }
     }
 }
--- a/crates/testbed/src/environment/growth.rs
+++ b/crates/testbed/src/environment/growth.rs
@@ -1,5 +1,5 @@
-//! What a world does for shards that grow: it fills caches with their first keys, gives planners the history
-//! of earlier days, and holds back faults until a split reaches a phase.
+//! Support for growing shards: fills caches with their initial keys, sends planners the shard sizes of
+//! earlier days, and delays faults until a split reaches a phase.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -19,30 +19,31 @@
 use crate::schedule::mix64;
 use crate::shard_map_reference::{DaySize, Placement, ShardGrowthMessage, SplitPhase, VALUE_BYTES, keys_of};
 
-/// A planner that has not accepted the history by then is not going to.
+/// Time within which the first planner has to accept the history.
 const HISTORY_TIMEOUT: Duration = Duration::from_secs(4);
 const HISTORY_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How much earlier than its requests a world with history begins.
+/// Additional time before the first request for an experiment with history.
 const HISTORY_LEAD: Duration = Duration::from_secs(3);
-/// How often the messages are searched for a phase.
+/// Interval at which the relayed messages are searched for a split phase.
 const PHASE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Days in one message: more do not fit into a datagram.
+/// The most days in one message: more do not fit into a datagram.
 const DAYS_PER_MESSAGE: usize = 75;
-/// The last days before today that planners may still be counting themselves.
+/// Number of days, up to today, that planners may still be counting themselves; the history ends before them.
 const OPEN_DAYS: u32 = 2;
-/// A day's size varies from this factor on, over a range of `SIZE_VARIATION`.
+/// Lowest factor of the random variation of a day's size.
 const MIN_SIZE_FACTOR: f64 = 0.995;
+/// Range of the random variation above [`MIN_SIZE_FACTOR`].
 const SIZE_VARIATION: f64 = 0.01;
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Keeps the length of a day finite where days don't pass.
+/// Lower limit of the rate of days, which keeps the length of a day finite if days don't pass.
 const MIN_DAYS_PER_SECOND: f64 = 1e-9;
 
-/// Why the history could not be given to a planner.
+/// Why the history could not be sent to the first planner.
 #[derive(Debug)]
 pub enum HistoryError {
     /// The planner's program can't be started.
     Start(StartError),
-    /// No socket can be opened.
+    /// The socket that sends the history can't be opened.
     Socket(std::io::Error),
     /// The planner did not accept the history in time.
     Timeout,
@@ -52,15 +53,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             HistoryError::Start(error) => write!(f, "{error}"),
-            HistoryError::Socket(error) => write!(f, "{error}"),
-            HistoryError::Timeout => f.write_str("the first planner took no history"),
+            HistoryError::Socket(error) => {
+                write!(f, "the socket that sends shard sizes to the first planner can't be opened: {error}")
+            }
+            HistoryError::Timeout => {
+                write!(
+                    f,
+                    "the first planner did not accept the shard sizes of past days in {HISTORY_TIMEOUT:?}"
+                )
+            }
         }
     }
 }
 
 impl std::error::Error for HistoryError {}
 
-/// How much earlier than its requests a world begins.
+/// Additional time before the first request that the history of growing shards needs.
 pub fn lead_time(experiment: &Experiment) -> Duration {
     match &experiment.growth {
         Some(growth) if growth.history_days > 0 => HISTORY_LEAD,
@@ -68,7 +76,8 @@
     }
 }
 
-/// Stores the first keys of growing shards, each at the cache that an unsplit shard map places it at.
+/// Stores the initial keys of growing shards, each in the cache to which an unsplit shard map assigns the
+/// key.
 pub fn preload(experiment: &Experiment, slots: &[Arc<CacheSlot>], event_log: &EventLogWriter) {
     let Some(growth) = &experiment.growth else { return };
     let slots = &slots[..experiment.environment.caches];
@@ -84,7 +93,7 @@
     }
 }
 
-/// A shard's sizes on the days before the run.
+/// Sizes of a shard on the days before the run, with a random variation.
 fn past_sizes(growth: &GrowthConfig, experiment: &Experiment, unix_start_ms: u64, shard: u8) -> Vec<DaySize> {
     let day_ms = MILLIS_PER_SECOND / experiment.accounting_days_at(1.0).max(MIN_DAYS_PER_SECOND);
     let start_day = unix_start_ms as f64 / day_ms;
@@ -101,11 +110,12 @@
     sizes
 }
 
-/// Starts the first planner and sends it the sizes of the days before the run, as another planner that knows
-/// them does: in the name of an earlier incarnation of the second one. The first planner passes them on.
+/// Starts the first planner and sends it the shard sizes of the days before the run, as another planner that
+/// knows the sizes would: in the name of an earlier incarnation of the second planner. The first planner
+/// passes the sizes on.
 ///
 /// # Errors
-/// Says why the planner has not accepted them.
+/// If the planner could not be started, the sizes not sent, or the planner did not accept them in time.
 pub async fn seed_history(environment: &TestEnvironment) -> Result<(), HistoryError> {
     let Some(growth) = environment.experiment.growth.as_ref().filter(|growth| growth.history_days > 0) else {
         return Ok(());
@@ -113,9 +123,9 @@
     let planner = environment.planners[0].lock().await.address;
     environment.planners[0].lock().await.start().map_err(HistoryError::Start)?;
     let socket = UdpSocket::bind(("127.0.0.1", 0)).await.map_err(HistoryError::Socket)?;
-    let began = Instant::now();
+    let started = Instant::now();
     let mut sequence = 0;
-    while began.elapsed() < HISTORY_TIMEOUT {
+    while started.elapsed() < HISTORY_TIMEOUT {
         for shard in &growth.shards {
             let sizes =
                 past_sizes(growth, &environment.experiment, environment.event_log.unix_start_ms, *shard);
@@ -144,17 +154,18 @@
     let sender = Sender { member: Signer::Planner(planner_number(1)), incarnation: 1, sequence };
     let message = ShardGrowthMessage::EndedDays { shard, days: days.to_vec() };
     if let Some(bytes) = encode(&environment.secret, MessageKind::ShardGrowth, sender, &message) {
-        // A lost datagram is sent again with the next round.
+        // An error is ignored: a lost datagram is sent again after `HISTORY_RETRY_INTERVAL`.
         let _ = socket.send_to(&bytes, planner).await;
     }
 }
 
+/// The shard growth message that a relayed message contains, if any.
 fn decode_growth(environment: &TestEnvironment, message: &RelayedMessage) -> Option<ShardGrowthMessage> {
     let (_, growth) = decode(&environment.secret, MessageKind::ShardGrowth, &message.bytes)?;
     Some(growth)
 }
 
-/// The shards whose history the first planner passes on to others, and has accepted therefore.
+/// The shards whose history the first planner has passed on to others, and therefore has accepted.
 fn shards_passed_on(environment: &TestEnvironment) -> BTreeSet<u8> {
     environment.event_log.write(|log| {
         let mut shards = BTreeSet::new();
@@ -169,9 +180,9 @@
     })
 }
 
-/// Waits until a fault begins: at its own time or, if it names a phase, when some node is sent a shard map
-/// with a split in this phase after that. Returns the fault with the time at which it begins; `None` where it
-/// can't end within the run.
+/// Waits until a fault begins: at its own time or, if the fault names a split phase, when a planner sends a
+/// node a shard map with a split in this phase after that time. Returns the fault with the time at which it
+/// begins, or `None` if the fault can't end within the run.
 pub async fn await_phase(environment: &TestEnvironment, mut fault: Fault) -> Option<Fault> {
     sleep_until(environment.event_log.instant(Timestamp::from_s(fault.at_s)).into()).await;
     let Some(phase) = fault.at_step else { return Some(fault) };
@@ -190,7 +201,7 @@
     }
 }
 
-/// The messages to nodes from index `seen` on, which moves to the end of the log.
+/// The messages to nodes from index `seen` of the log on. `seen` is advanced to the end of the log.
 fn messages_to_nodes_since(environment: &TestEnvironment, seen: &mut usize) -> Vec<RelayedMessage> {
     environment.event_log.write(|log| {
         let new = &log.messages[(*seen).min(log.messages.len())..];
@@ -199,6 +210,7 @@
     })
 }
 
+/// Whether a message carries a shard map with a split in this phase.
 fn has_split_in(environment: &TestEnvironment, message: &RelayedMessage, phase: SplitPhase) -> bool {
     let Some(ShardGrowthMessage::Map { map }) = decode_growth(environment, message) else { return false };
     map.shards.values().any(|state| state.phase == Some(phase))
--- a/crates/testbed/src/environment/link.rs
+++ b/crates/testbed/src/environment/link.rs
@@ -1,5 +1,5 @@
-//! The simulated network link between one node and one server: it copies bytes between the node's socket and
-//! the server's HTTP library, and applies delays, loss and resets.
+//! The simulated network link between one node and one server. The link copies bytes between the node's
+//! socket and the server's HTTP library, and applies delays, loss and resets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, watch};
 
-/// Time between the last bytes and the reset of [`ConnectionFault::SendThenReset`]: the node has read them by
-/// then.
+/// Time between the bytes and the reset of [`ConnectionFault::SendThenReset`], in which the node reads the
+/// bytes.
 const RESET_DELAY: Duration = Duration::from_millis(3);
 /// Time between two chunks of an endless body.
 const ENDLESS_CHUNK_INTERVAL: Duration = Duration::from_millis(3);
-/// The most bytes that are copied at a time.
+/// The most bytes copied at a time.
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
 /// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DirectionState {
-    /// Whether nothing passes. Bytes that are in flight meanwhile are lost, and so are their connections.
+    /// Whether the direction passes no bytes. Bytes sent meanwhile are lost, and their connections are reset.
     pub is_silent: bool,
-    /// Delay of each chunk.
+    /// Delay of each copied chunk.
     pub delay: Duration,
-    /// Bandwidth, if limited.
+    /// Bandwidth in bytes per second, if limited.
     pub bytes_per_s: Option<f64>,
-    /// A connection is reset once this many bytes have passed on it.
+    /// Number of bytes after which a connection is reset, if set.
     pub reset_after_bytes: Option<u64>,
 }
 
-/// State of a link.
+/// State of a link in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
     /// The direction from the node to the server.
@@ -44,23 +44,23 @@
 /// The sending half of a link's state: connections subscribe to it.
 pub type Link = Arc<watch::Sender<LinkState>>;
 
-/// What a server does to a connection past its HTTP library.
+/// A fault that a server injects into a connection, bypassing its HTTP library.
 pub enum ConnectionFault {
     /// Sends bytes and closes the connection.
     SendThenClose(Vec<u8>),
     /// Sends bytes and keeps the connection open until the node closes it.
     SendThenHold(Vec<u8>),
-    /// Sends bytes and resets the connection some milliseconds later.
+    /// Sends bytes and resets the connection [`RESET_DELAY`] later.
     SendThenReset(Vec<u8>),
     /// Resets the connection.
     Reset,
     /// Sends a chunked body that never ends.
     SendEndlessBody,
-    /// Sends bytes after a delay; the connection stays in use.
+    /// Sends bytes after a delay and leaves the connection in use.
     SendLater {
         /// The bytes.
         bytes: Vec<u8>,
-        /// Time until they are sent.
+        /// Time until the bytes are sent.
         delay: Duration,
     },
 }
@@ -68,14 +68,14 @@
 /// How copying in one direction ended.
 #[derive(Clone, Copy, PartialEq)]
 enum CopyEnd {
-    /// One side closed its half.
+    /// One side closed its end.
     Closed,
-    /// The link demands a reset.
+    /// The link's state requires a reset of the connection.
     Reset,
 }
 
-/// Copies one direction until its reader ends or the link breaks. Bytes from `injected` are written in
-/// between.
+/// Copies bytes in one direction until either side closes or the link resets the connection. Bytes from
+/// `injected` are written between copied chunks.
 async fn copy_direction(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
@@ -89,7 +89,7 @@
         let read = tokio::select! {
             read = from.read(&mut buffer) => read.unwrap_or(0),
             Some(bytes) = injected.recv() => {
-                // If the reader is gone, the next read shows it.
+                // An error is ignored: if the receiving side is gone, a later read or write shows that.
                 let _ = to.write_all(&bytes).await;
                 continue;
             }
@@ -114,8 +114,8 @@
     }
 }
 
-/// Waits until a silent direction passes bytes again. The bytes that it lost can't be delivered any more, so
-/// the connection ends with a reset.
+/// Waits until a silent direction passes bytes again. The lost bytes can't be delivered any more, so the
+/// connection ends with a reset.
 async fn wait_while_silent(
     link: &mut watch::Receiver<LinkState>,
     direction: fn(&LinkState) -> DirectionState,
@@ -138,8 +138,8 @@
     }
 }
 
-/// Connects a node's socket to a server's end of the connection until either side closes it, the link resets
-/// it, or the server injects a fault.
+/// Connects a node's socket to the server's end of the connection until either side closes the connection,
+/// the link resets it, or the server injects a fault.
 pub async fn join(
     stream: TcpStream,
     server: DuplexStream,
@@ -148,8 +148,8 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (from_node, to_node) = stream.into_split();
-    // The server's end stays open until the fault has been applied: the HTTP library sees no end of the
-    // stream before.
+    // The server's end stays open until the fault has been applied, so that the HTTP library sees no end of
+    // the stream before.
     let (from_server, to_server) = tokio::io::split(server);
     let mut ends = ConnectionEnds { from_node, to_node, from_server, to_server };
     let fault = copy_until_fault(&mut ends, link, faults).await;
@@ -158,7 +158,7 @@
     }
 }
 
-/// The four ends between which a connection is copied.
+/// The read and write halves of both ends of a connection.
 struct ConnectionEnds {
     from_node: OwnedReadHalf,
     to_node: OwnedWriteHalf,
@@ -166,7 +166,8 @@
     to_server: WriteHalf<DuplexStream>,
 }
 
-/// Copies both directions. Returns the fault that ends the connection, or none if it was closed.
+/// Copies bytes in both directions. Returns the fault that ends the connection, or none if the connection was
+/// closed.
 async fn copy_until_fault(
     ends: &mut ConnectionEnds,
     link: watch::Receiver<LinkState>,
@@ -177,18 +178,18 @@
     let initial_reset_count = observed.borrow_and_update().reset_count;
     let (_, no_injected) = mpsc::unbounded_channel();
     let (inject, injected) = mpsc::unbounded_channel();
-    let inward = copy_direction(from_node, to_server, link.clone(), |l| l.toward_server, no_injected);
-    let outward = copy_direction(from_server, to_node, link, |l| l.toward_node, injected);
+    let copy_to_server = copy_direction(from_node, to_server, link.clone(), |l| l.toward_server, no_injected);
+    let copy_to_node = copy_direction(from_server, to_node, link, |l| l.toward_node, injected);
     let both = async {
-        tokio::pin!(inward, outward);
-        let mut inward_closed = false;
+        tokio::pin!(copy_to_server, copy_to_node);
+        let mut to_server_closed = false;
         loop {
             tokio::select! {
-                end = &mut inward, if !inward_closed => match end {
+                end = &mut copy_to_server, if !to_server_closed => match end {
                     CopyEnd::Reset => return CopyEnd::Reset,
-                    CopyEnd::Closed => inward_closed = true,
+                    CopyEnd::Closed => to_server_closed = true,
                 },
-                end = &mut outward => return end,
+                end = &mut copy_to_node => return end,
             }
         }
     };
@@ -202,7 +203,7 @@
     }
 }
 
-/// Returns once the link's connections are to be reset.
+/// Returns when the connections of the link are to be reset.
 async fn wait_for_reset(mut link: watch::Receiver<LinkState>, initial_reset_count: u64) {
     while link.changed().await.is_ok() {
         if link.borrow_and_update().reset_count != initial_reset_count {
@@ -212,8 +213,9 @@
     std::future::pending().await
 }
 
-/// Returns the first fault after which the connection is of no use; delayed bytes are injected on the way.
-/// Without a sender it never returns, so that the last response still passes.
+/// Returns the first fault that ends the connection. Bytes of [`ConnectionFault::SendLater`] are injected
+/// meanwhile. If the sender of faults is gone, the function never returns, so that the last response is still
+/// copied.
 async fn next_fatal_fault(
     mut faults: mpsc::UnboundedReceiver<ConnectionFault>,
     inject: mpsc::UnboundedSender<Vec<u8>>,
@@ -233,7 +235,7 @@
     }
 }
 
-/// Ends a connection in the way that a fault demands.
+/// Ends a connection as a fault demands.
 async fn apply_fault(fault: ConnectionFault, mut from_node: OwnedReadHalf, mut to_node: OwnedWriteHalf) {
     match fault {
         ConnectionFault::Reset => reset(from_node, to_node),
@@ -261,8 +263,8 @@
     }
 }
 
-/// Ends a connection by a reset alone: a write half that is dropped would close its direction in order
-/// before.
+/// Resets a connection. The write half is forgotten, because its drop would first close that direction in
+/// order.
 fn reset(from_node: OwnedReadHalf, to_node: OwnedWriteHalf) {
     let _ = rustix::net::sockopt::set_socket_linger(from_node.as_ref(), Some(Duration::ZERO));
     to_node.forget();
--- a/crates/testbed/src/environment/node_config.rs
+++ b/crates/testbed/src/environment/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a node, in the form that the deployment documentation describes.
+//! The configuration file of a node, in the format that the deployment documentation describes.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 use crate::event_log::NodeId;
 use crate::experiment::{Experiment, RequestClass, RequestEffect};
 
-/// Time within which a node has to open a connection, in microseconds.
+/// Timeout of a node for opening a connection, in microseconds.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
-/// Time within which a node has to ask discovery, in microseconds.
+/// Time within which a node has to contact discovery, in microseconds.
 const DISCOVERY_DEADLINE_US: u64 = 10_000_000;
-/// Quota of each tenant in requests a second: never reached.
+/// Quota of each tenant in requests per second, higher than any load of an experiment.
 const TENANT_QUOTA_PER_S: f64 = 1e6;
 
-/// The configuration of a node of an experiment.
+/// The configuration of one node of an experiment, in JSON.
 pub fn node_config(
     experiment: &Experiment,
     node: NodeId,
@@ -51,6 +51,7 @@
     })
 }
 
+/// A request class in the format of a node's configuration.
 fn request_class(experiment: &Experiment, class: &RequestClass) -> Value {
     let effect = match class.effect {
         RequestEffect::Idempotent => "read_like",
@@ -66,7 +67,7 @@
     (seconds * 1e6) as u64
 }
 
-/// Merges a configuration into another one: tables key by key, other values are replaced.
+/// Merges the configuration `new` into `old`. Tables are merged key by key; other values are replaced.
 pub fn merge(old: &mut Value, new: Value) {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
--- a/crates/testbed/src/environment/planner.rs
+++ b/crates/testbed/src/environment/planner.rs
@@ -1,5 +1,4 @@
-//! The planners: the real program, each in a process of its own, and the fleet configuration that members
-//! read.
+//! The planners, each a process of the real program, and the fleet configuration that members read.
 
 use std::fmt;
 use std::fs::File;
@@ -15,49 +14,49 @@
 use crate::event_log::{Event, EventLogWriter};
 use crate::experiment::{Experiment, LeasesConfig, StoreCondition};
 
-/// A planner that is asked to stop exits within this time.
+/// Time within which a planner has to exit after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
-/// What is appended to a state file that is torn.
+/// Bytes that are appended to a truncated state file for [`StoreCondition::Torn`].
 const GARBAGE: &[u8] = b"torn here";
 
 /// Whether a planner has a directory for its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// It persists its state.
+    /// The planner persists its state in a directory.
     Persistent,
-    /// It has no directory, and starts each time without state.
+    /// The planner has no directory for its state and always starts without state.
     InMemory,
 }
 
 /// Why a planner's program can't be started.
 #[derive(Debug)]
 pub struct StartError {
-    /// The program, or the file that it logs to.
+    /// The program that can't be executed, or the log file that can't be opened.
     path: PathBuf,
     error: std::io::Error,
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path.display(), self.error)
+        write!(f, "a planner can't be started: {}: {}", self.path.display(), self.error)
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// What a planner is set up with.
+/// The parameters of [`Planner::new`].
 pub struct PlannerSetup<'a> {
     /// The planner's index, from 0.
     pub index: usize,
-    /// Where it listens for messages.
+    /// Address at which the planner listens for messages.
     pub address: SocketAddr,
-    /// The program to start.
+    /// Path of the program to start.
     pub program: &'a Path,
-    /// Where its files are written.
+    /// Directory for the planner's files.
     pub folder: &'a Path,
-    /// The text of its fleet configuration.
+    /// Text of the planner's fleet configuration.
     pub fleet_config: &'a str,
-    /// Whether it persists its state.
+    /// Whether the planner persists its state.
     pub persistence: Persistence,
 }
 
@@ -65,7 +64,7 @@
 pub struct Planner {
     /// The planner's index, from 0.
     pub index: usize,
-    /// Where it listens for messages.
+    /// Address at which the planner listens for messages.
     pub address: SocketAddr,
     program: PathBuf,
     config_file: PathBuf,
@@ -76,7 +75,8 @@
     event_log: EventLogWriter,
 }
 
-/// The text of the fleet configuration, with the planners at the addresses where one member sees them.
+/// Text of a member's fleet configuration. `planners` holds the addresses to which this member sends for each
+/// planner.
 pub fn fleet_config(experiment: &Experiment, secret: &[u8], planners: &[SocketAddr]) -> String {
     let fleet = experiment.fleet.clone().unwrap_or_default();
     let hex_secret: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -116,14 +116,14 @@
 }
 
 impl Planner {
-    /// Writes a planner's files; [`Planner::start`] starts it.
+    /// Writes a planner's files without starting its process; [`Planner::start`] does that.
     ///
     /// # Errors
-    /// The system's, where a file can't be written.
+    /// The system's error if a file can't be written.
     pub fn new(setup: PlannerSetup<'_>, event_log: EventLogWriter) -> std::io::Result<Planner> {
         let path = |ending: &str| setup.folder.join(format!("planner-{}{ending}", setup.index));
         let state_folder = path(".state");
-        // An earlier run may have left state, or none.
+        // Removes the state that an earlier run may have left; an error is ignored because there may be none.
         let _ = std::fs::remove_dir_all(&state_folder);
         std::fs::create_dir_all(&state_folder)?;
         let fleet_config_file = path(".operator.toml");
@@ -148,10 +148,10 @@
         })
     }
 
-    /// Starts the program unless it runs.
+    /// Starts the planner's process unless it runs.
     ///
     /// # Errors
-    /// Names the program or log file that is at fault.
+    /// If the program can't be executed or the log file can't be opened; the error names the file.
     pub fn start(&mut self) -> Result<(), StartError> {
         if self.child.is_some() {
             return Ok(());
@@ -178,7 +178,7 @@
     pub fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id);
         if let Some(pid) = id.and_then(|id| Pid::from_raw(id as i32)) {
-            // It fails only for a process that has ended.
+            // A signal fails only for a process that has ended.
             let _ = kill_process(pid, signal);
         }
     }
@@ -190,21 +190,22 @@
         }
     }
 
-    /// Asks the process to stop. One that does not exit in time is killed, and recorded as crashed.
+    /// Asks the process to stop by SIGTERM. A process that does not exit within [`SHUTDOWN_TIMEOUT`] is
+    /// killed and recorded as crashed.
     pub async fn stop(&mut self) {
         self.signal(Signal::TERM);
         let Some(mut child) = self.child.take() else { return };
         if timeout(SHUTDOWN_TIMEOUT, child.wait()).await.is_err() {
-            let how = format!("it went on for {SHUTDOWN_TIMEOUT:?} after it was told to stop");
+            let how = format!("the process still ran {SHUTDOWN_TIMEOUT:?} after SIGTERM and was killed");
             self.event_log.event(Event::PlannerCrashed { planner: self.index, how });
             let _ = child.kill().await;
         }
     }
 
-    /// Does to the persisted state what a fault says.
+    /// Leaves the persisted state as it is, deletes it or corrupts it, as a fault's `store` demands.
     ///
     /// # Errors
-    /// The system's, where a file can't be read or changed.
+    /// The system's error if a file can't be read or changed.
     pub fn damage_state(&self, store: StoreCondition) -> std::io::Result<()> {
         for entry in std::fs::read_dir(&self.state_folder)? {
             let file = entry?.path();
@@ -228,7 +229,7 @@
         let Ok(Some(status)) = child.try_wait() else { return };
         self.child = None;
         let log = std::fs::read_to_string(&self.log_file).unwrap_or_default();
-        let how = format!("{status}, {}", log.lines().last().unwrap_or("it logged nothing"));
+        let how = format!("{status}, {}", log.lines().last().unwrap_or("its log is empty"));
         self.event_log.event(Event::PlannerCrashed { planner: self.index, how });
     }
 }
--- a/crates/testbed/src/environment/response_corruption.rs
+++ b/crates/testbed/src/environment/response_corruption.rs
@@ -1,5 +1,5 @@
-//! Corrupted responses: what a server under a `spoil` fault sends in place of or after the response to a
-//! request that it has executed.
+//! Corrupted responses: the bytes that a server under a `spoil` fault sends after the response to an executed
+//! request, or in place of it.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::event_log::{ServerAttemptEnd, Version};
 use crate::experiment::ResponseCorruption;
 
-/// A server corrupts a share of its responses.
+/// The corruption of a share of a server's responses.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveCorruption {
     /// Share of the responses, from 0 to 1.
@@ -23,11 +23,12 @@
     pub delay: Duration,
 }
 
-/// Responds to a request that has executed, with a corrupted response if the request is in the corrupted
-/// share, and records how the attempt ended.
+/// Responds to an executed request, with a corrupted response if the request is in the corrupted share, and
+/// records how the attempt ended.
 ///
 /// # Errors
-/// [`ConnectionAborted`] if there is no response; the future is usually dropped before, with its connection.
+/// [`ConnectionAborted`] if there is no response. Usually the future is dropped with its connection before it
+/// returns this error.
 pub async fn respond(
     corruption: Option<ActiveCorruption>,
     connection: &ServerConnection,
@@ -54,12 +55,13 @@
     }
     connection.inject_fault(replacement(kind));
     attempt.finish(ServerAttemptEnd::Failed);
-    // From here on the link writes to the connection, past the HTTP library, until the node closes it.
+    // From here on the link writes to the connection, bypassing the HTTP library, until the node closes the
+    // connection.
     std::future::pending::<()>().await;
     Err(ConnectionAborted)
 }
 
-/// The bytes that follow a complete response.
+/// The bytes that a kind of corruption sends after a complete response, if any.
 fn trailing_bytes(
     kind: ResponseCorruption,
     request: &ServerRequest,
@@ -80,7 +82,7 @@
     }
 }
 
-/// What the server sends in place of a response.
+/// The connection fault that a kind of corruption applies in place of a response.
 fn replacement(kind: ResponseCorruption) -> ConnectionFault {
     match kind {
         ResponseCorruption::Noise => ConnectionFault::SendThenHold(
--- a/crates/testbed/src/environment/run.rs
+++ b/crates/testbed/src/environment/run.rs
@@ -1,5 +1,5 @@
-//! One run of an experiment: starts the world, plays the requests and the faults, and stops everything in
-//! order.
+//! One run of an experiment: starts the test environment, sends the requests and injects the faults, and
+//! stops all processes in order.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,19 +12,19 @@
 use crate::event_log::{Event, EventLog, EventLogWriter, Timestamp};
 use crate::experiment::Experiment;
 
-/// Time between the nodes' readiness and the first request: each node has opened its watch by then.
+/// Time between the nodes' readiness and the first request, in which each node opens its watch.
 const SETTLING_TIME: Duration = Duration::from_millis(400);
-/// Time for the start of a world without nodes.
+/// Time that the start of an environment without nodes may take.
 const BASE_START_TIME: Duration = Duration::from_millis(300);
-/// Time for the start of each node.
+/// Additional time that the start may take for each node.
 const START_TIME_PER_NODE: Duration = Duration::from_millis(60);
-/// Processes that are started or stopped at a time.
+/// The most processes that are started or stopped at a time.
 const MAX_CONCURRENT: usize = 8;
 
-/// Plays a run and returns its event log.
+/// Executes a run and returns its event log.
 ///
 /// # Errors
-/// If the world could not be started, or not in time.
+/// If the environment could not be started, or not in time.
 pub async fn execute(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     std::fs::create_dir_all(run.folder)
         .map_err(|source| EnvironmentError::CreateDirectory { path: run.folder.into(), source })?;
@@ -43,21 +43,22 @@
     Ok(event_log.close())
 }
 
-/// Time that the start may take. The time of the first request is fixed before anything starts, so that
-/// servers can be as old as they have to be.
+/// Time that the start of the environment may take. The time of the first request is fixed before anything
+/// starts, so that servers can have the ages that the experiment requires.
 fn start_duration(experiment: &Experiment) -> Duration {
     let nodes = experiment.environment.nodes as u32;
     BASE_START_TIME + START_TIME_PER_NODE * nodes + SETTLING_TIME + growth::lead_time(experiment)
 }
 
-/// Starts the planners, and then the nodes with which the run begins.
+/// Starts the planners and then the initial nodes of the run. Nodes that join later are recorded as stopping.
 async fn start_processes(environment: &TestEnvironment) -> Result<(), EnvironmentError> {
     growth::seed_history(environment).await.map_err(|error| EnvironmentError::PlannerStart(error.into()))?;
     for planner in &environment.planners {
         planner.lock().await.start().map_err(|error| EnvironmentError::PlannerStart(error.into()))?;
     }
     let initial = environment.experiment.initial_nodes();
-    // Several at a time: one after the other, forty nodes take longer than a run.
+    // Several nodes start at a time: if forty nodes started one after the other, that would take longer than
+    // a run.
     let starts =
         environment.nodes.iter().take(initial).map(|node| async move { node.lock().await.start(None).await });
     for result in run_concurrently(starts).await {
@@ -69,7 +70,7 @@
     Ok(())
 }
 
-/// Plays all requests and faults, and returns when both have ended.
+/// Sends all requests and injects all faults, and returns when both have ended.
 async fn run_timeline(environment: &Arc<TestEnvironment>, run: &Run<'_>) {
     let sampling = tokio::spawn(monitor::sample_processes(environment.clone()));
     let stalls = tokio::spawn(monitor::measure_stalls(environment.event_log.clone()));
@@ -87,7 +88,7 @@
     stalls.abort();
 }
 
-/// Samples each process a last time and stops it gracefully.
+/// Samples each process once more and stops it gracefully.
 async fn stop_processes(environment: &TestEnvironment) {
     let max_client_timeout = environment.max_client_timeout();
     let stops = environment.nodes.iter().map(|node| async move {
@@ -103,7 +104,7 @@
     }
 }
 
-/// Runs futures, a few at a time, and returns their results in order.
+/// Runs futures, at most [`MAX_CONCURRENT`] at a time, and returns their results in the order of the futures.
 async fn run_concurrently<T>(futures: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
     futures_util::stream::iter(futures).buffered(MAX_CONCURRENT).collect().await
 }
--- a/crates/testbed/src/environment/startup.rs
+++ b/crates/testbed/src/environment/startup.rs
@@ -1,5 +1,5 @@
-//! Builds a world: binds the listeners of all simulated servers and prepares the processes of nodes and
-//! planners. Later changes of the set of servers go through here too.
+//! Builds a test environment: binds the listeners of all simulated servers and prepares the processes of
+//! nodes and planners. Later changes of the set of servers are made here too.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,12 +25,12 @@
 use crate::experiment::Experiment;
 use crate::schedule::mix64;
 
-/// Words of 64 bits in the secret with which members sign messages.
+/// Length of the secret with which members sign messages, in words of 64 bits.
 const SECRET_WORDS: u64 = 4;
 /// Version of every value before its first write.
 const INITIAL_VERSION: Version = Version(0);
 
-/// Builds the parts of one world.
+/// Builds the parts of one test environment.
 struct EnvironmentBuilder<'a> {
     experiment: &'a Arc<Experiment>,
     run: &'a Run<'a>,
@@ -39,8 +39,8 @@
 }
 
 impl TestEnvironment {
-    /// Builds the world of a run. Simulated servers serve from now on; processes are prepared and not
-    /// started.
+    /// Builds the environment of a run. The simulated servers serve from now on; the processes are prepared
+    /// but not started.
     ///
     /// # Errors
     /// The system's error if an address can't be bound or a planner's file can't be written.
@@ -55,7 +55,7 @@
         builder.build().await
     }
 
-    /// Lists the server that occupies a slot, in a state.
+    /// Puts the server that occupies a slot on the endpoint list, in the given state.
     pub fn list_slot(&self, slot: usize, state: EndpointState) {
         let slot = &self.slots[slot];
         let id = slot.id();
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Has a new, cold server with a new name occupy a slot.
+    /// Replaces the server in a slot by a cold server with a new name.
     pub fn replace_server(&self, slot: usize) {
         let now = self.event_log.now();
         let generation =
@@ -81,6 +81,7 @@
         self.slots[slot].replace_server(id, Some(now));
     }
 
+    /// Puts the origin on the endpoint list.
     fn list_origin(&self) {
         self.discovery.put(ListedEndpoint {
             id: self.origin.id,
@@ -93,8 +94,8 @@
         });
     }
 
-    /// The fleet's configuration as a member reads it, if there are planners. A planner finds itself at its
-    /// own address among `planner_addresses`, and all others at the relay's.
+    /// Text of the fleet configuration for a member, if there are planners. The configuration gives a planner
+    /// its own address from `planner_addresses`, and the relay's addresses for all other planners.
     fn fleet_config(&self, member: Member, planner_addresses: &[SocketAddr]) -> Option<String> {
         let relay = self.relay.as_ref()?;
         let planners: Vec<SocketAddr> = (0..self.experiment.planners())
@@ -154,7 +155,8 @@
         Ok(listeners)
     }
 
-    /// Builds all slots. Those beyond the first servers refuse connections until a fault adds servers there.
+    /// Builds all slots. Slots without an initial server refuse connections until a fault adds a server
+    /// there.
     async fn build_slots(&self, origin: &Arc<Origin>) -> std::io::Result<Vec<Arc<CacheSlot>>> {
         let mut slots = Vec::new();
         for number in 0..self.experiment.max_caches() {
@@ -178,8 +180,8 @@
         Ok(slots)
     }
 
-    /// Fills a cache with as many values as it holds: the most popular ones last, so that they are evicted
-    /// last.
+    /// Fills a cache with as many values as fit. The most popular values are stored last, so that they are
+    /// evicted last.
     fn preload(&self, slot: &CacheSlot) {
         let keys = self.experiment.load.keys.min(self.experiment.environment.cache.capacity_values as u64);
         for key in (0..keys).rev() {
@@ -219,7 +221,7 @@
         Ok(())
     }
 
-    /// Prepares the nodes. Without a front, clients connect to the first cache in place of each node.
+    /// Prepares the nodes. With [`Frontend::None`], clients connect to the first cache in place of each node.
     fn add_nodes(&self, environment: &mut TestEnvironment, discovery_addresses: &[SocketAddr]) {
         for (node, discovery) in discovery_addresses.iter().enumerate() {
             let first_cache = environment.slots[0].listeners.get().map(|listeners| listeners[node].address);
@@ -249,12 +251,12 @@
     }
 }
 
-/// Name of a server. Names are input of the placement of shards: their form must not change.
+/// Name of a server. The placement of shards hashes the names, so their format must not change.
 fn server_name(slot: usize, generation: usize) -> String {
     format!("box-{slot}.{generation}")
 }
 
-/// Adds a server to the event log.
+/// Adds a server to the event log and returns its ID.
 fn record_server(
     event_log: &EventLogWriter,
     name: String,
