--- a/crates/testbed/src/environment/error.rs
+++ b/crates/testbed/src/environment/error.rs
@@ -34,12 +34,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             EnvironmentError::Runtime(source) => {
-                write!(f, "the runtime of the simulated servers can't be started: {source}")
+                let hint = "check the limits of threads and file descriptors";
+                write!(f, "the runtime of the simulated servers can't be started: {source}; {hint}")
+            }
+            EnvironmentError::Build(source) => {
+                write!(f, "a loopback address can't be bound or a planner's file can't be written: {source}")
             }
-            EnvironmentError::Build(source) => write!(
-                f,
-                "the test environment can't be built (a loopback address or a planner's file): {source}"
-            ),
             EnvironmentError::CreateDirectory { path, source } => {
                 write!(f, "the run's directory {} can't be created: {source}", path.display())
             }
--- a/crates/testbed/src/faulty_node/config.rs
+++ b/crates/testbed/src/faulty_node/config.rs
@@ -1,4 +1,4 @@
-//! The faulty node's configuration, of which it reads the same file as the real program.
+//! The faulty node's configuration, read from the same file as the real program's.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,30 +12,30 @@
 pub enum ServeError {
     /// The configuration file can't be read.
     ReadConfig {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The cause.
+        /// The system's error.
         error: std::io::Error,
     },
     /// The configuration file is not JSON.
     ParseConfig {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The cause.
+        /// The error of the JSON parser.
         error: serde_json::Error,
     },
-    /// The configuration lacks an address, or it is malformed.
+    /// The configuration lacks an address, or the address is malformed.
     NoAddress {
-        /// The key of the address.
+        /// Key of the address in the configuration.
         key: &'static str,
     },
     /// The runtime can't be started.
     StartRuntime(std::io::Error),
-    /// The address of the configuration can't be listened on.
+    /// The faulty node can't listen at the configured address.
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The cause.
+        /// The system's error.
         error: std::io::Error,
     },
 }
@@ -43,23 +43,33 @@
 impl fmt::Display for ServeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ServeError::ReadConfig { file, error } => write!(f, "{}: {error}", file.display()),
-            ServeError::ParseConfig { file, error } => write!(f, "{}: {error}", file.display()),
-            ServeError::NoAddress { key } => write!(f, "no address {key}"),
-            ServeError::StartRuntime(error) => write!(f, "the runtime can't be started: {error}"),
-            ServeError::Listen { address, error } => write!(f, "{address} can't be listened on: {error}"),
+            ServeError::ReadConfig { file, error } => {
+                write!(f, "the configuration file {} can't be read: {error}", file.display())
+            }
+            ServeError::ParseConfig { file, error } => {
+                write!(f, "the configuration file {} is not JSON: {error}", file.display())
+            }
+            ServeError::NoAddress { key } => {
+                write!(f, "the configuration has no valid address under the key {key}")
+            }
+            ServeError::StartRuntime(error) => {
+                write!(f, "the runtime of the faulty node can't be started: {error}")
+            }
+            ServeError::Listen { address, error } => {
+                write!(f, "the faulty node can't listen at {address}: {error}")
+            }
         }
     }
 }
 
 impl std::error::Error for ServeError {}
 
-/// What the faulty node reads of its configuration.
+/// The part of the configuration that the faulty node uses.
 pub(super) struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The effect of each request class by its name.
+    /// The effect of each request class, by the name of the class.
     pub effects: BTreeMap<String, String>,
 }
 
--- a/crates/testbed/src/faulty_node/endpoints.rs
+++ b/crates/testbed/src/faulty_node/endpoints.rs
@@ -7,18 +7,19 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
+/// The request that opens a watch on discovery.
 const WATCH_REQUEST: &[u8] = b"GET /registry/instances?watch=1 HTTP/1.1\r\nHost: d\r\n\r\n";
 
-/// What becomes of a cache that discovery lists as draining or gone.
+/// How the faulty node treats a cache that discovery lists as draining or gone.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum DrainHandling {
-    /// It leaves the list.
+    /// Removes the cache from the list.
     Remove,
-    /// It stays in the list, which is a violation.
+    /// Keeps the cache in the list, which is a violation.
     Ignore,
 }
 
-/// The endpoints that the node forwards to.
+/// The endpoints to which the faulty node forwards.
 #[derive(Default)]
 pub(super) struct Endpoints {
     caches: Mutex<Vec<Cache>>,
@@ -30,7 +31,8 @@
     address: SocketAddr,
 }
 
-/// A panic elsewhere leaves the list as whole as before: each change is one step.
+/// Locks a mutex, also a poisoned one: each change of the list is a single step, so a panic leaves no partial
+/// change.
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -46,7 +48,7 @@
         locked(&self.caches).last().map(|cache| cache.address)
     }
 
-    /// The cache for a key.
+    /// The cache for a key, chosen by a hash of the key among all listed caches.
     pub fn cache_for(&self, key: &str) -> Option<SocketAddr> {
         let caches = locked(&self.caches);
         if caches.is_empty() {
@@ -59,13 +61,13 @@
         Some(caches[hash % caches.len()].address)
     }
 
-    /// Follows discovery's list until the connection ends or fails.
+    /// Updates the list from a watch on discovery until the watch's connection ends or fails.
     pub async fn watch(&self, discovery: SocketAddr, draining: DrainHandling) -> std::io::Result<()> {
         let mut stream = TcpStream::connect(discovery).await?;
         stream.write_all(WATCH_REQUEST).await?;
         let mut lines = BufReader::new(stream).lines();
         while let Some(line) = lines.next_line().await? {
-            // Lines of the response's head and of chunk sizes are no JSON objects.
+            // Lines that are no JSON objects belong to the response's head or hold chunk sizes.
             let Ok(Value::Object(list)) = serde_json::from_str(&line) else { continue };
             for target in list["targets"].as_array().into_iter().flatten() {
                 self.update(target, draining);
--- a/crates/testbed/src/faulty_node/http.rs
+++ b/crates/testbed/src/faulty_node/http.rs
@@ -1,4 +1,4 @@
-//! The little of HTTP/1.1 that the faulty node speaks: messages with a `Content-Length`, read whole.
+//! The subset of HTTP/1.1 that the faulty node supports: messages with a `Content-Length`, read whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,21 +6,21 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The greatest body that is read; the rest of a longer one is left on the connection.
+/// The longest body that is read, in bytes; the rest of a longer body is left on the connection.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A request or response.
+/// An HTTP request or response.
 #[derive(Clone)]
 pub(super) struct HttpMessage {
     /// The request line or the status line.
     pub start_line: String,
-    /// The headers by their lower-case names.
+    /// The header values by lower-case header name.
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// Reads a message; `None` where the connection ends first or what it brings is malformed.
+    /// Reads a message. Returns `None` if the connection ends first or the message is malformed.
     pub async fn read(from: &mut (impl AsyncBufReadExt + Unpin)) -> Option<HttpMessage> {
         let start_line = read_line(from).await?;
         let mut headers = HashMap::new();
@@ -33,7 +33,7 @@
         Some(HttpMessage { start_line: start_line.trim().into(), headers, body })
     }
 
-    /// The same message without its body.
+    /// A copy of the message without its body.
     pub fn without_body(&self) -> HttpMessage {
         HttpMessage { body: Vec::new(), ..self.clone() }
     }
@@ -63,7 +63,8 @@
     format!("HTTP/1.1 {status} Told\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Forwards a request unchanged, on a connection of its own; `None` where no response comes back.
+/// Forwards a request on a new connection and returns the response, or `None` if none arrives. Only the
+/// request's `Connection` header is changed.
 pub(super) async fn forward(to: SocketAddr, request: &HttpMessage) -> Option<UpstreamResponse> {
     let mut stream = TcpStream::connect(to).await.ok()?;
     let mut head = format!("{}\r\nConnection: close\r\n", request.start_line);
--- a/crates/testbed/src/faulty_node/mod.rs
+++ b/crates/testbed/src/faulty_node/mod.rs
@@ -1,6 +1,7 @@
-//! A stand-in node that breaks one rule on purpose: the auditor is tested against it.
+//! A faulty node that breaks one rule on purpose. The tests of the auditor run this node.
 //!
-//! It takes the place of the real program, with the same configuration, and is no example of how to write one.
+//! The faulty node takes the place of the real program, with the same configuration. It is no example of how
+//! to write a node.
 
 mod config;
 mod endpoints;
@@ -24,22 +25,23 @@
 pub use config::ServeError;
 pub use violation::InjectedViolation;
 
-/// The violation applies to one request in this many, unless it says otherwise.
+/// A violation applies to one request in this many, unless its description in [`InjectedViolation`] says
+/// otherwise.
 const VIOLATION_INTERVAL: usize = 9;
-/// Later than an auditor allows after a client has disconnected.
+/// Delay before a request is forwarded, longer than the auditor allows after a client has disconnected.
 const DELAY_PAST_DISCONNECT: Duration = Duration::from_millis(550);
-/// Later than the client timeout of a test's request classes.
+/// Delay of a response, longer than the client timeout of the tests' request classes.
 const DELAY_PAST_TIMEOUT: Duration = Duration::from_millis(1070);
-/// From a response to the attempt that must no longer be sent.
+/// Delay from a response to the forbidden attempt of [`InjectedViolation::AttemptAfterResponse`].
 const DELAY_PAST_RESPONSE: Duration = Duration::from_millis(200);
-/// The only node that [`InjectedViolation::UnfairNodes`] serves.
+/// Name of the only node that serves requests with [`InjectedViolation::UnfairNodes`].
 const FAVOURED_NODE: &str = "node-0";
 const READY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Serves by a configuration until the process is killed.
+/// Serves with the configuration file `config` until the process is killed.
 ///
 /// # Errors
-/// Says why the node can't serve.
+/// If the configuration is invalid, or the runtime or the listener can't be started.
 pub fn serve(violation: InjectedViolation, config: &Path) -> Result<(), ServeError> {
     let config = NodeConfig::read(config)?;
     let listen = config.listen;
@@ -67,6 +69,7 @@
     })
 }
 
+/// A node that commits one violation.
 struct FaultyNode {
     violation: InjectedViolation,
     config: NodeConfig,
@@ -82,13 +85,13 @@
     body: String,
 }
 
-/// What a violation depends on in a request.
+/// The properties of a request on which violations depend.
 struct RequestInfo {
     key: String,
     id: String,
     is_write: bool,
     is_non_idempotent: bool,
-    /// Whether this is the one request in [`VIOLATION_INTERVAL`].
+    /// Whether the violation applies to this request, as it does to one in [`VIOLATION_INTERVAL`].
     is_selected: bool,
 }
 
@@ -98,7 +101,7 @@
             InjectedViolation::IgnoredDrain => DrainHandling::Ignore,
             _ => DrainHandling::Remove,
         };
-        // A test ends the watch by ending the world: the list then stays as it is.
+        // An error is ignored: the watch ends with the test's environment, and the list stays as it is.
         let _ = self.endpoints.watch(self.config.discovery, draining).await;
     }
 
@@ -116,7 +119,7 @@
         Some(())
     }
 
-    /// The bytes for the client; `None` where the connection is to be closed.
+    /// The response to write to the client, or `None` if the connection is to be closed.
     async fn respond(&self, request: &HttpMessage) -> Option<String> {
         let info = self.inspect(request)?;
         let origin = self.endpoints.origin()?;
@@ -146,6 +149,7 @@
         self.after_fetch(request, info, cache.unwrap_or(origin), origin, response).await
     }
 
+    /// Reads the properties of a request on which violations depend, or `None` if the request is malformed.
     fn inspect(&self, request: &HttpMessage) -> Option<RequestInfo> {
         let path = request.start_line.split(' ').nth(1)?;
         let mut segments = path.trim_start_matches('/').split('/');
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Reads from the cache, then from the origin; writes go to the origin.
+    /// Forwards a read to the cache and, if it has no value, to the origin; forwards a write to the origin.
     async fn fetch(
         &self,
         request: &HttpMessage,
@@ -189,7 +193,8 @@
         response.unwrap_or(UpstreamResponse { status: 502, body: String::new() })
     }
 
-    /// Applies the violations that need an upstream's response first.
+    /// Applies the violations that need an upstream's response first, and returns the response for the
+    /// client.
     async fn after_fetch(
         &self,
         request: &HttpMessage,
@@ -199,13 +204,13 @@
         response: UpstreamResponse,
     ) -> Option<String> {
         let encoded = response.encode();
-        // Writes are few: a violation of theirs that needs no selection applies to each.
-        let is_unrepeatable = info.is_write && info.is_non_idempotent;
+        // Writes are few, so `RepeatedWrite` applies to each non-idempotent write.
+        let is_non_idempotent_write = info.is_write && info.is_non_idempotent;
         match self.violation {
-            InjectedViolation::RepeatedWrite if is_unrepeatable => {
+            InjectedViolation::RepeatedWrite if is_non_idempotent_write => {
                 forward(origin, request).await;
             }
-            InjectedViolation::RateLimitedAfterExecution if is_unrepeatable && info.is_selected => {
+            InjectedViolation::RateLimitedAfterExecution if is_non_idempotent_write && info.is_selected => {
                 return Some(encode_response(429, ""));
             }
             InjectedViolation::DuplicateResponse if info.is_selected => {
@@ -230,7 +235,8 @@
         Some(encoded)
     }
 
-    /// The first value that was read for the key; `body`, where this request is the first.
+    /// The first value that was read for the request's key. If this request is the first for the key, `body`
+    /// is stored as the first value.
     fn first_value(&self, info: &RequestInfo, body: String) -> FirstValue {
         let mut values = self.first_values.lock().unwrap_or_else(PoisonError::into_inner);
         let request_id = info.id.clone();
--- a/crates/testbed/src/faulty_node/violation.rs
+++ b/crates/testbed/src/faulty_node/violation.rs
@@ -1,4 +1,4 @@
-//! The violations that a faulty node can be told to commit.
+//! The violations that a faulty node can be started with.
 
 use std::str::FromStr;
 
@@ -6,46 +6,46 @@
 use serde::de::IntoDeserializer;
 use serde::de::value::Error;
 
-/// The rule that the node breaks. The command line keeps the former names.
+/// How the faulty node breaks a rule. The command line accepts the former names and the present ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum InjectedViolation {
-    /// None: the control of a test.
+    /// Breaks no rule, as a control for tests.
     #[serde(rename = "none")]
     None,
     /// Leaves requests without a response.
     #[serde(rename = "mute", alias = "no-response")]
     NoResponse,
-    /// Closes connections in place of a response.
+    /// Closes connections in place of sending a response.
     #[serde(rename = "close", alias = "connection-closed")]
     ConnectionClosed,
     /// Responds after the client timeout.
     #[serde(rename = "late", alias = "late-response")]
     LateResponse,
-    /// Responds twice.
+    /// Sends a response twice.
     #[serde(rename = "second-answer", alias = "duplicate-response")]
     DuplicateResponse,
-    /// Sends an attempt for a request that has its response.
+    /// Sends an attempt for a request after the response to its client.
     #[serde(rename = "shot-after", alias = "attempt-after-response")]
     AttemptAfterResponse,
-    /// Sends a write again that has been executed; applies to each such write.
+    /// Sends a non-idempotent write again that has been executed; applies to each such write.
     #[serde(rename = "resend", alias = "repeated-write")]
     RepeatedWrite,
-    /// Reports a write as rate-limited that has been executed.
+    /// Responds to an executed write that the write was rate-limited.
     #[serde(rename = "rate-limit-ran", alias = "rate-limited-after-execution")]
     RateLimitedAfterExecution,
     /// Sends a read to two caches at once.
     #[serde(rename = "second-copy", alias = "unwanted-hedge")]
     UnwantedHedge,
-    /// Goes on sending to each cache that was ever listed.
+    /// Goes on sending to every cache that was ever listed, also if it is draining or gone.
     #[serde(rename = "undrained", alias = "ignored-drain")]
     IgnoredDrain,
     /// Sends all reads to the cache that was listed last.
     #[serde(rename = "cold-rush", alias = "newest-cache-only")]
     NewestCacheOnly,
-    /// Responds with an earlier value, as if it were made for the request.
+    /// Responds with an earlier value of the key, changed to look as if made for the request.
     #[serde(rename = "stale", alias = "stale-value")]
     StaleValue,
-    /// Responds with what was made for another request.
+    /// Responds with a response that was made for another request.
     #[serde(rename = "another", alias = "wrong-response")]
     WrongResponse,
     /// Sends all reads to the origin.
@@ -54,7 +54,7 @@
     /// Forwards each request half a second late, whether or not its client has disconnected.
     #[serde(rename = "unheeding", alias = "ignored-disconnect")]
     IgnoredDisconnect,
-    /// Rate-limits all requests, unless it is the first node.
+    /// Rate-limits all requests at all nodes but the first one.
     #[serde(rename = "favour", alias = "unfair-nodes")]
     UnfairNodes,
 }
