--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! The audit of nodes that each violate one rule: it has to detect and name the violation, and to find nothing where nothing is
-//! wrong.
+//! Tests of the auditor with faulty nodes that each violate one rule. The auditor has to detect and name the
+//! violation, and must report no violation for a node that breaks no rule.
 
 mod support;
 
@@ -11,8 +11,9 @@
 use support::run_experiment;
 use test_case::test_case;
 
-/// A short run in which a violation can occur. Faults and other properties are appended where a violation needs them.
-const WORLD: &str = r#"
+/// Experiment of a short run in which violations can occur. Tests append the faults and properties that a
+/// violation needs.
+const EXPERIMENT: &str = r#"
 name = "NAME"
 about = "a world for a node that breaks a rule"
 seconds = 4
@@ -57,14 +58,15 @@
 at_s = 2
 "#;
 
-/// Slow enough that two attempts of one request are in flight together, with capacity for all.
+/// Caches so slow that two attempts of one request are in flight at the same time, with capacity for all
+/// requests.
 const SLOW: &str = r#"
 [world.cache]
 hit_ms = 80
 cores = 40
 "#;
 
-/// The origin's capacity is a third of the requested rate.
+/// An origin whose capacity is a third of the requested rate.
 const WEAK_ORIGIN: &str = r#"
 [world.origin]
 cores = 1
@@ -83,31 +85,35 @@
 cold_from = 0.02
 "#;
 
-/// A program that runs the faulty node with this violation, for an experiment of this name.
+/// Writes a script that runs the faulty node with this violation, and returns the script's path. `name` is
+/// the experiment's name.
 fn faulty_node(violation: &str, name: &str) -> PathBuf {
-    let file = format!("stand-in-{name}-{}.sh", std::process::id());
+    let file = format!("faulty-node-{name}-{}.sh", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
     let testbed = env!("CARGO_BIN_EXE_granitelb-testbed");
-    // It is started as the real program is: `serve --config FILE`.
+    // The testbed starts the script like the real program, with `serve --config FILE`; `shift` removes
+    // `serve`.
     let text = format!("#!/bin/sh\nshift\nexec '{testbed}' stand-in-node --vice {violation} \"$@\"\n");
-    // Written by another process: a process that another test starts at this moment would inherit this process's descriptor of
-    // the file, and the file could not be executed until that is closed.
+    // Another process writes the script. If this process wrote it, a process that another test starts at this
+    // moment could inherit the open file descriptor, and the script could not be executed until that
+    // descriptor is closed.
     let status = std::process::Command::new("/bin/sh")
         .args(["-c", "printf '%s' \"$2\" > \"$1\" && chmod 755 \"$1\"", "sh"])
         .arg(&path)
         .arg(text)
         .status();
-    assert!(status.expect("a shell").success());
+    assert!(status.expect("a shell can be run").success(), "the script {} was not written", path.display());
     path
 }
 
 fn run_and_audit(violation: &str, faults: &str) -> AuditResult {
-    // Each experiment has its own name: some violations are tested twice, and with the same name the node of one test read the
-    // other's configuration and found its address in use, or its program while that was written.
+    // Each experiment has its own name, because some violations are tested twice. With one name for both
+    // tests, a node reads the other test's configuration and finds its address in use, or runs its script
+    // while the script is written.
     static EXPERIMENTS: AtomicU8 = AtomicU8::new(0);
     let name = format!("auditor-{violation}-{}", EXPERIMENTS.fetch_add(1, Ordering::Relaxed));
     let nodes = if violation == "favour" { "nodes = 3" } else { "nodes = 1" };
-    let text = WORLD.replace("NAME", &name).replace("nodes = 1", nodes) + faults;
+    let text = EXPERIMENT.replace("NAME", &name).replace("nodes = 1", nodes) + faults;
     let experiment = Experiment::read(Path::new("world.toml"), &text).expect("a valid experiment");
     let program = faulty_node(violation, &name);
     let audit_result = run_experiment(&experiment, 7, &program).audit_result;
@@ -131,24 +137,26 @@
 #[test_case("stampede", WEAK_ORIGIN, "the origin overrun"; "the origin overloaded")]
 fn violation_is_detected_and_named(violation: &str, faults: &str, kind: &str) {
     let audit_result = run_and_audit(violation, faults);
-    let kinds: Vec<_> = audit_result.violations.iter().map(|b| b.kind).collect();
+    let kinds: Vec<_> = audit_result.violations.iter().map(|found| found.kind).collect();
     assert!(kinds.contains(&kind), "{violation}: found {kinds:?}");
 }
 
-/// The faulty node stops at once when it is told to shut down, with requests in flight. A request that found no connection until
-/// the node was back was not accepted; an accepted one has to be answered.
+/// The faulty node exits at once when it is told to shut down, and leaves requests in flight without a
+/// response. The auditor must report these, since a node has to respond to each accepted request. It must not
+/// report requests that found no connection until the node was up again: they were not accepted.
 #[test]
 fn stopped_node_has_to_answer_only_accepted_requests() {
     let restart = "[[fault]]\nkind = \"node_restart\"\nat_s = 2\n";
     let audit_result = run_and_audit("none", &(SLOW.to_string() + restart));
-    let kinds: Vec<_> = audit_result.violations.iter().map(|b| b.kind).collect();
+    let kinds: Vec<_> = audit_result.violations.iter().map(|found| found.kind).collect();
     assert_eq!(kinds, ["connection ended without an answer"], "{:#?}", audit_result.violations);
 }
 
 const SHARED_LIMITS: &str = "[fleet.leases]\norigin_per_s = 20\ncold_work = 0.002\n[expect]\n";
 const HANG: &str = "[[fault]]\nkind = \"hang\"\ncaches = [1]\nat_s = 0\nfor_s = 4\n";
 
-/// The nodes together exceed a limit, because there is no planner in these experiments.
+/// Without the planners that would divide a limit among nodes, the nodes together exceed the limit. Each
+/// other case breaks one expectation by its violation or fault.
 #[test_case("stampede", SHARED_LIMITS, "origin_over_whole = 1.5"; "the origin's shared limit is exceeded")]
 #[test_case("cold-rush", &(ADD_CACHE.to_string() + SHARED_LIMITS), "cold_over_whole = 1.5"; "a cold cache's shared limit is exceeded")]
 #[test_case("none", &(HANG.to_string() + "[expect]\n"), "sick_trials = 5"; "all nodes go on using a hung cache")]
--- a/crates/testbed/tests/control_plane.rs
+++ b/crates/testbed/tests/control_plane.rs
@@ -1,5 +1,5 @@
-//! Fleets of real nodes and real planners: the rules hold, leases keep to their limits, and service recovers. Limits that depend
-//! on the machine's speed are left to `granitelb-testbed run`.
+//! Tests of fleets of real nodes and planners under faults: no rule is violated, leases keep to their limits,
+//! and service recovers. `granitelb-testbed run` checks the limits that depend on the machine's speed.
 
 mod support;
 
@@ -28,7 +28,7 @@
     println!("{name}: service {:.4}, {fleet:?}", figures.service);
     println!("testbed late {:.1} ms, stalled {:.1} ms", figures.harness_late_ms, figures.harness_stall_ms);
     assert!(audit_result.violations.is_empty(), "{:#?}", audit_result.violations);
-    // Planners have sent messages: a fleet of nodes without a control plane would pass all other checks.
+    // Planners must have sent messages: nodes without a working control plane would pass all other checks.
     let is_from_planner = |message: &&RelayedMessage| {
         matches!(message.from, Member::Planner(_)) && !message.forwarded_at.is_empty()
     };
--- a/crates/testbed/tests/counterfactual.rs
+++ b/crates/testbed/tests/counterfactual.rs
@@ -1,6 +1,7 @@
-//! Counterfactual comparison of caches with real nodes and planners, in short runs: planners report a slow cache and no other, though
-//! messages are lost and duplicated and a planner and a node are killed and return; without a slow cache they report none. Nothing
-//! is checked that depends on the machine's speed.
+//! Tests of the counterfactual comparison of caches by real nodes and planners, in short runs. Planners have
+//! to report a slow cache and no other cache, although messages are lost and duplicated and a planner and a
+//! node are killed and restarted. Without a slow cache, planners must report none. No check depends on the
+//! machine's speed.
 
 mod support;
 
@@ -12,7 +13,7 @@
 use support::run_experiment;
 use test_case::test_case;
 
-const WORLD: &str = r#"
+const EXPERIMENT: &str = r#"
 name = "NAME"
 about = "hindsight behind real nodes, short"
 seconds = 24
@@ -69,7 +70,7 @@
     run_experiment(experiment, 1, &node).audit_result
 }
 
-/// A test of the audit itself: a planner that claims that every cache is slow.
+/// Experiment that tests the auditor: a Byzantine planner reports that every cache is slow, although none is.
 const FALSE_REPORTS: &str = r#"
 name = "hindsight-lies"
 about = "a planner that holds the secret names all caches"
@@ -115,7 +116,7 @@
 #[test_case("slow", SLOW, 1; "one cache takes six times as long")]
 #[test_case("calm", "", 0; "none does")]
 fn planners_report_only_the_slow_cache(name: &str, faults: &str, reported: usize) {
-    let text = WORLD.replace("NAME", &format!("hindsight-short-{name}")) + faults;
+    let text = EXPERIMENT.replace("NAME", &format!("hindsight-short-{name}")) + faults;
     let experiment = Experiment::read(Path::new("short.toml"), &text).expect("a valid experiment");
     let audit_result = run_and_audit(&experiment);
     let figures = &audit_result.figures;
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -1,5 +1,6 @@
-//! The experiments of the repository, each run once with the real program: the four rules, counts and recovery; and files of
-//! experiments, schedules and recordings. Limits that depend on the machine's speed are left to `granitelb-testbed run`.
+//! Tests that run experiments of the repository once with the real program and check the four rules, counts
+//! and recovery; and tests of experiment files, schedules and recordings. `granitelb-testbed run` checks the
+//! limits that depend on the machine's speed.
 
 mod support;
 
@@ -45,22 +46,22 @@
     assert!(figures.fulfilled * 2 > figures.requests, "{} of {}", figures.fulfilled, figures.requests);
 }
 
-/// What happened within some seconds of a run.
+/// Counts of reads and attempts within a period of a run.
 #[derive(Debug)]
 struct PeriodCounts {
-    /// The origin's reads.
+    /// Reads that the origin executed.
     origin_reads: usize,
-    /// Attempts to the cache that hangs.
+    /// Attempts at the cache that hangs.
     hung_cache_attempts: usize,
-    /// Attempts to the caches that are cold.
+    /// Attempts at the cold caches.
     cold_cache_attempts: usize,
 }
 
 impl PeriodCounts {
     fn of(event_log: &EventLog, period_s: Range<f64>) -> PeriodCounts {
         let in_period = |at: Timestamp| period_s.contains(&at.seconds());
-        let attempts_to = |seats: &[usize]| {
-            let servers = latest_servers(event_log, seats);
+        let attempts_to = |slots: &[usize]| {
+            let servers = latest_servers(event_log, slots);
             let counted =
                 |attempt: &&ServerAttempt| in_period(attempt.arrived) && servers.contains(&attempt.server.0);
             event_log.server_attempts.iter().filter(counted).count()
@@ -73,26 +74,28 @@
     }
 }
 
-/// The last server at each of these positions of the endpoint list.
-fn latest_servers(event_log: &EventLog, seats: &[usize]) -> Vec<usize> {
-    let latest = |seat: &usize| event_log.servers.iter().rposition(|server| server.slot == Some(*seat));
-    seats.iter().filter_map(latest).collect()
+/// Index of the last server in each of these cache slots.
+fn latest_servers(event_log: &EventLog, slots: &[usize]) -> Vec<usize> {
+    let latest = |slot: &usize| event_log.servers.iter().rposition(|server| server.slot == Some(*slot));
+    slots.iter().filter_map(latest).collect()
 }
 
-/// The cache that hangs in `settings-in-service`.
+/// Slot of the cache that hangs in the experiment `settings-in-service`.
 const HUNG_CACHE: usize = 3;
-/// The caches that are added in `settings-in-service`.
+/// Slots of the caches that are added in the experiment `settings-in-service`.
 const COLD_CACHES: [usize; 2] = [6, 7];
-/// When `settings-in-service` applies other settings, and how long before and after is compared, in seconds.
+/// Time at which the experiment `settings-in-service` applies new settings, in seconds.
 const SETTINGS_AT_S: f64 = 6.0;
+/// Length of the compared periods before and after the new settings, in seconds.
 const COMPARED_S: f64 = 2.0;
 
-/// Runs `settings-in-service` and counts before and after the settings are applied.
+/// Runs the experiment `settings-in-service`, or a variant of it, and returns the counts before and after the
+/// settings are applied. Violations are allowed only if `may_reset_connections`.
 fn count_around_settings(experiment: &Experiment, may_reset_connections: bool) -> [PeriodCounts; 2] {
     let node = program::find_node(None).expect("the program is built");
     let result = run_result::run_experiment(experiment, 1, &node).expect("the experiment can be run");
-    let breaches = &result.audit_result.violations;
-    assert!(may_reset_connections || breaches.is_empty(), "{breaches:#?}");
+    let violations = &result.audit_result.violations;
+    assert!(may_reset_connections || violations.is_empty(), "{violations:#?}");
     let before = SETTINGS_AT_S - COMPARED_S..SETTINGS_AT_S;
     let after = SETTINGS_AT_S..SETTINGS_AT_S + COMPARED_S;
     [before, after].map(|period_s| PeriodCounts::of(&result.event_log, period_s))
@@ -101,7 +104,7 @@
 #[test]
 fn settings_reload_costs_no_burst_and_less_than_a_restart() {
     let path = experiment_file("settings-in-service");
-    let text = std::fs::read_to_string(&path).expect("the file");
+    let text = std::fs::read_to_string(&path).expect("the experiment file can be read");
     let restart_text = text
         .replace("kind = \"node_settings\"", "kind = \"node_settings\"\nfresh = true")
         .replace("name = \"", "name = \"fresh-");
@@ -109,7 +112,8 @@
     let restart_experiment = Experiment::read(&path, &restart_text).expect("a valid experiment");
     let _permit = RunPermit::acquire();
     let reload = count_around_settings(&reload_experiment, false);
-    // A node that stops may reset a connection that it has not accepted yet; this is not what is checked here.
+    // A node that shuts down may reset a connection that it has not accepted yet. This test does not check
+    // that.
     let restart = count_around_settings(&restart_experiment, true);
     println!("before and after, by a reload {reload:?}, by a restart {restart:?}");
     let [before_reload, after_reload] = &reload;
@@ -159,7 +163,8 @@
     assert!(error.to_string().starts_with("x.toml:"), "{error}");
 }
 
-/// Clients retry often in this experiment, and a replay must not send their recorded retries as well.
+/// Experiment in which clients retry often. A replay must not send the recorded retries as additional
+/// requests.
 const MANY_RETRIES: &str = r#"
 name = "restless"
 about = "clients that repeat"
@@ -224,7 +229,8 @@
 
 #[test]
 fn interval_contains_the_true_difference() {
-    // Blocks that differ only randomly, and the same with a tenth more on the second side.
+    // Pairs of blocks that differ only randomly, with `more` added to the candidate's value; 10 is about a
+    // tenth of it.
     let blocks = |more: f64| -> Vec<PairedBlock> {
         let wave = |n: usize| 80.0 + ((n * 37) % 11) as f64;
         let ratio = |numerator| Ratio { numerator, denominator: 100.0 };
--- a/crates/testbed/tests/hunt.rs
+++ b/crates/testbed/tests/hunt.rs
@@ -1,4 +1,5 @@
-//! Two short timelines of overlapping faults, run with the real program. `granitelb-testbed hunt` runs more.
+//! Tests that run two short timelines of overlapping faults with the real program and expect no violation.
+//! `granitelb-testbed hunt` runs more timelines.
 
 use granitelb_testbed::{hunt, program};
 use test_case::test_case;
@@ -10,7 +11,8 @@
 fn timeline_breaks_no_rule(seed: u64) {
     let node = program::find_node(None).expect("the program is built");
     let timeline = hunt::Timeline::draw(seed, SECONDS);
-    // If the machine was too busy in each run, nothing is judged, as in a search.
+    // If the machine was too busy in every run of the timeline, the timeline is not judged, as in
+    // `granitelb-testbed hunt`.
     match hunt::run_timeline(&timeline, &node) {
         Ok(audit_result) => {
             assert_eq!(hunt::violations(&audit_result), Vec::<String>::new(), "{}", timeline.text());
--- a/crates/testbed/tests/known_red.rs
+++ b/crates/testbed/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! The judge of a test run, `.ci/verdict`, on recorded outputs of `cargo test --no-fail-fast`: a small package's, with
-//! three plain tests and some others.
+//! The judge of a test run, `.ci/verdict`, on recorded outputs of `cargo test --no-fail-fast`: a small
+//! package's, with three plain tests and some others.
 
 use std::path::Path;
 use std::process::Command;
--- a/crates/testbed/tests/report_format.rs
+++ b/crates/testbed/tests/report_format.rs
@@ -1,4 +1,5 @@
-//! The keys of JSON reports and event logs: programs that read them rely on the names that the first versions used.
+//! Tests of the keys of JSON reports and event logs. Programs that read these files rely on the keys of the
+//! first versions.
 
 use granitelb_testbed::audit::{AuditResult, Figures, PhaseChange, ShardGrowthFigures, UnmetExpectation};
 use granitelb_testbed::event_log::{
@@ -16,6 +17,7 @@
     keys
 }
 
+/// The names of a list that is separated by spaces, sorted.
 fn sorted(names: &str) -> Vec<&str> {
     let mut names: Vec<&str> = names.split_whitespace().collect();
     names.sort_unstable();
--- a/crates/testbed/tests/shard_growth.rs
+++ b/crates/testbed/tests/shard_growth.rs
@@ -1,5 +1,5 @@
-//! Splits of growing shards with real nodes and real planners, judged by the testbed's own records. Limits that depend on the
-//! machine's speed are left to `granitelb-testbed run`.
+//! Tests of the splits of growing shards with real nodes and planners, judged by the testbed's own records.
+//! `granitelb-testbed run` checks the limits that depend on the machine's speed.
 
 mod support;
 
@@ -9,7 +9,8 @@
 use support::{experiment_file, run_experiment_strictly};
 use test_case::test_case;
 
-/// Emulated servers that stall for longer than the audit's tolerance of clocks record cancelled attempts late.
+/// Longest stall of the emulated servers, in milliseconds, for which a run is judged. Servers that stall for
+/// longer than the auditor's tolerance of clocks record cancelled attempts too late.
 const MAX_STALL_MS: f64 = 50.0;
 
 #[test]
@@ -22,7 +23,7 @@
 #[test_case("leader-lost")]
 #[test_case("origin-slow")]
 #[test_case("deaf-nodes")]
-#[ignore = "most of a minute each: by hand"]
+#[ignore = "each takes most of a minute; run by hand"]
 fn splits_meet_expectations(name: &str) {
     run_and_check(name);
 }
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! Runs experiments for tests: a limited number at once, and again where the testbed itself was late.
-#![allow(dead_code, reason = "each test of this folder uses a part")]
+//! Runs experiments for tests: limits the number of concurrent runs, and repeats a run if the testbed itself
+//! was late.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
@@ -8,25 +9,26 @@
 use granitelb_testbed::experiment::Experiment;
 use granitelb_testbed::run_result::{self, RunResult};
 
-/// The most runs at once, so that each has enough cores. With three on six cores one answer came 4 ms after its deadline; it is
-/// not shown that the number was the cause.
+/// The most concurrent runs, so that each run has enough cores. With three runs on six cores, one response
+/// came 4 ms after its deadline; whether the number of runs was the cause is not shown.
 const MAX_CONCURRENT_RUNS: usize = 2;
-/// A run for which the testbed was later than this, in milliseconds, is not judged.
+/// Lateness of the testbed, in milliseconds, above which a run is not judged.
 const MAX_LATENESS_MS: f64 = 40.0;
-/// A run whose emulated servers stalled for longer than this, in milliseconds, is not judged. Seen on a busy
-/// machine: all of them stall for 0.4 s, and what is due then is late whoever answers.
+/// Stall of the emulated servers, in milliseconds, above which a run is not judged. On a busy machine, all
+/// servers have stalled together for 0.4 s; responses that are due during a stall are late whichever server
+/// sends them.
 const MAX_STALL_MS: f64 = 100.0;
-/// How often a run that is not judged is repeated.
+/// The most repetitions of a run that is not judged.
 const MAX_RERUNS: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static RUN_ENDED: Condvar = Condvar::new();
 
-/// Permits one run, until it is dropped.
+/// Permit for one run, returned on drop.
 pub struct RunPermit;
 
 impl RunPermit {
-    /// Waits until another run may start.
+    /// Waits until fewer than [`MAX_CONCURRENT_RUNS`] are going on, and takes a permit.
     pub fn acquire() -> RunPermit {
         let running = RUNNING.lock().expect("no holder of the lock panics");
         let is_full = |running: &mut usize| *running >= MAX_CONCURRENT_RUNS;
@@ -43,18 +45,19 @@
     }
 }
 
-/// The file of an experiment of the repository.
+/// Path of the file of an experiment of the repository.
 pub fn experiment_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/experiments").join(name).with_extension("toml")
 }
 
-/// Runs an experiment until the testbed was on time.
+/// Runs an experiment and returns the first result for which the testbed was on time, or the result after
+/// [`MAX_RERUNS`] repetitions.
 pub fn run_experiment(experiment: &Experiment, seed: u64, program: &Path) -> RunResult {
     run_experiment_strictly(experiment, seed, program, MAX_STALL_MS)
 }
 
-/// As [`run_experiment`], where emulated servers may stall for at most `max_stall_ms`. A run that could not be done is repeated as well: a
-/// busy machine may be too slow to start a fleet in time.
+/// Like [`run_experiment`], with `max_stall_ms` in place of [`MAX_STALL_MS`]. A run that could not be started
+/// is repeated as well, because a busy machine may be too slow to start a fleet in time.
 pub fn run_experiment_strictly(
     experiment: &Experiment,
     seed: u64,
