--- a/crates/testbed/src/environment/cache.rs
+++ b/crates/testbed/src/environment/cache.rs
@@ -34,7 +34,7 @@
     started: Option<Timestamp>,
     values: Mutex<LruCache<u64, Version>>,
     queue: ServiceQueue,
-    /// Work that arrived within the overload window, in core seconds.
+    /// Work that arrived within the overload window, in core seconds. Too much of it crashes a cold server.
     arrived_work: SlidingWindow,
     is_draining: AtomicBool,
     has_crashed: AtomicBool,
--- a/crates/testbed/src/environment/clients/disconnect.rs
+++ b/crates/testbed/src/environment/clients/disconnect.rs
@@ -13,7 +13,7 @@
 pub struct MassDisconnect {
     /// Number of mass disconnects in the run so far.
     pub count: u64,
-    /// Share of the clients in wait for a response that disconnect, from 0 to 1.
+    /// Share of the clients that disconnect among those that wait for a response, from 0 to 1.
     pub share: f64,
     /// Indices of the nodes whose clients are affected.
     pub nodes: Vec<usize>,
--- a/crates/testbed/src/environment/discovery.rs
+++ b/crates/testbed/src/environment/discovery.rs
@@ -68,7 +68,7 @@
     /// former listeners refuse connections and reset their open watches.
     ///
     /// # Errors
-    /// The system's error if an address can't be bound.
+    /// Returns the system's error if an address can't be bound.
     pub async fn bind(
         self: &Arc<Self>,
         addresses: &[IpAddr],
--- a/crates/testbed/src/environment/faults/nodes.rs
+++ b/crates/testbed/src/environment/faults/nodes.rs
@@ -60,8 +60,8 @@
     record_up(environment, node.id);
 }
 
-/// Restarts a node gracefully. The event log has no `NodeDown` for the shutdown, because a node that shuts
-/// down still has to respond to each request that it has accepted.
+/// Restarts a node gracefully. A node that shuts down still has to respond to each request that it has
+/// accepted, so it does not count as down until its process has ended.
 async fn restart(environment: &TestEnvironment, node: &mut NodeProcess) {
     let known_endpoints = environment.discovery.snapshot_for(node.id);
     stop_process(environment, node).await;
--- a/crates/testbed/src/environment/faults/planners.rs
+++ b/crates/testbed/src/environment/faults/planners.rs
@@ -43,7 +43,7 @@
     environment.event_log.event(Event::PlannerUp { planner: number });
 }
 
-/// Runs a byzantine planner at a planner's address until the end of the fault.
+/// Runs a Byzantine planner at a planner's address until the end of the fault.
 async fn impersonate(
     environment: &TestEnvironment,
     fault: &Fault,
--- a/crates/testbed/src/environment/growth.rs
+++ b/crates/testbed/src/environment/growth.rs
@@ -112,10 +112,11 @@
 
 /// Starts the first planner and sends it the shard sizes of the days before the run, as another planner that
 /// knows the sizes would: in the name of an earlier incarnation of the second planner. The first planner
-/// passes the sizes on.
+/// passes the sizes on to the others.
 ///
 /// # Errors
-/// If the planner could not be started, the sizes not sent, or the planner did not accept them in time.
+/// Returns an error if the planner could not be started, the sizes not sent, or the planner did not accept
+/// them in time.
 pub async fn seed_history(environment: &TestEnvironment) -> Result<(), HistoryError> {
     let Some(growth) = environment.experiment.growth.as_ref().filter(|growth| growth.history_days > 0) else {
         return Ok(());
--- a/crates/testbed/src/environment/link.rs
+++ b/crates/testbed/src/environment/link.rs
@@ -58,7 +58,7 @@
     SendEndlessBody,
     /// Sends bytes after a delay and leaves the connection in use.
     SendLater {
-        /// The bytes.
+        /// The bytes to send.
         bytes: Vec<u8>,
         /// Time until the bytes are sent.
         delay: Duration,
--- a/crates/testbed/src/environment/listener.rs
+++ b/crates/testbed/src/environment/listener.rs
@@ -108,7 +108,7 @@
     /// Binds a free port of an IP address and serves its connections in a new task.
     ///
     /// # Errors
-    /// The system's error if the address can't be bound.
+    /// Returns the system's error if the address can't be bound.
     pub async fn bind(
         ip: IpAddr,
         node: NodeId,
--- a/crates/testbed/src/environment/mod.rs
+++ b/crates/testbed/src/environment/mod.rs
@@ -107,7 +107,7 @@
 /// Runs an experiment once and returns its event log.
 ///
 /// # Errors
-/// If the environment could not be started, or not in time.
+/// Returns an error if the environment could not be started, or not in time.
 pub fn execute(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     // Each run has its own runtime, so that concurrent runs don't share the threads of their simulated
     // servers.
--- a/crates/testbed/src/environment/monitor.rs
+++ b/crates/testbed/src/environment/monitor.rs
@@ -28,7 +28,8 @@
     }
 }
 
-/// Records the longest stall of the runtime, which stalls each simulated server, until the task is aborted.
+/// Records the longest stall of the runtime until the task is aborted. The simulated servers stall with the
+/// runtime.
 pub async fn measure_stalls(event_log: EventLogWriter) {
     loop {
         let before = Instant::now();
--- a/crates/testbed/src/environment/node.rs
+++ b/crates/testbed/src/environment/node.rs
@@ -184,7 +184,8 @@
     /// node had before it was stopped, if any.
     ///
     /// # Errors
-    /// If a file can't be written, the program can't be executed, or the node does not become ready in time.
+    /// Returns an error if a file can't be written, the program can't be executed, or the node does not
+    /// become ready in time.
     pub async fn start(&mut self, known_endpoints: Option<Value>) -> Result<(), NodeStartError> {
         if let Some(known) = known_endpoints {
             self.config["known"] = known;
@@ -256,7 +257,7 @@
     /// Sets discovery's address in the node's configuration and makes the process reload it.
     ///
     /// # Errors
-    /// If the configuration file can't be written.
+    /// Returns an error if the configuration file can't be written.
     pub fn set_discovery(&mut self, address: SocketAddr) -> std::io::Result<()> {
         self.config["discovery"] = address.to_string().into();
         self.reload()
@@ -270,7 +271,7 @@
     /// Writes the node's configuration file and makes the process reload it.
     ///
     /// # Errors
-    /// If the configuration file can't be written.
+    /// Returns an error if the configuration file can't be written.
     pub fn reload(&self) -> std::io::Result<()> {
         self.write_config()?;
         self.signal(Signal::HUP);
--- a/crates/testbed/src/environment/planner.rs
+++ b/crates/testbed/src/environment/planner.rs
@@ -119,7 +119,7 @@
     /// Writes a planner's files without starting its process; [`Planner::start`] does that.
     ///
     /// # Errors
-    /// The system's error if a file can't be written.
+    /// Returns the system's error if a file can't be written.
     pub fn new(setup: PlannerSetup<'_>, event_log: EventLogWriter) -> std::io::Result<Planner> {
         let path = |ending: &str| setup.folder.join(format!("planner-{}{ending}", setup.index));
         let state_folder = path(".state");
@@ -151,7 +151,8 @@
     /// Starts the planner's process unless it runs.
     ///
     /// # Errors
-    /// If the program can't be executed or the log file can't be opened; the error names the file.
+    /// Returns an error if the program can't be executed or the log file can't be opened; the error names the
+    /// file.
     pub fn start(&mut self) -> Result<(), StartError> {
         if self.child.is_some() {
             return Ok(());
@@ -205,7 +206,7 @@
     /// Leaves the persisted state as it is, deletes it or corrupts it, as a fault's `store` demands.
     ///
     /// # Errors
-    /// The system's error if a file can't be read or changed.
+    /// Returns the system's error if a file can't be read or changed.
     pub fn damage_state(&self, store: StoreCondition) -> std::io::Result<()> {
         for entry in std::fs::read_dir(&self.state_folder)? {
             let file = entry?.path();
--- a/crates/testbed/src/environment/relay/mod.rs
+++ b/crates/testbed/src/environment/relay/mod.rs
@@ -74,7 +74,7 @@
     /// `represented` toward the member `receiver`.
     ///
     /// # Errors
-    /// The system's error if an address can't be bound.
+    /// Returns the system's error if an address can't be bound.
     pub async fn open(
         nodes: usize,
         planners: &[SocketAddr],
--- a/crates/testbed/src/environment/response_corruption.rs
+++ b/crates/testbed/src/environment/response_corruption.rs
@@ -27,8 +27,8 @@
 /// records how the attempt ended.
 ///
 /// # Errors
-/// [`ConnectionAborted`] if there is no response. Usually the future is dropped with its connection before it
-/// returns this error.
+/// Returns [`ConnectionAborted`] if there is no response. Usually the future is dropped with its connection
+/// before it returns this error.
 pub async fn respond(
     corruption: Option<ActiveCorruption>,
     connection: &ServerConnection,
--- a/crates/testbed/src/environment/run.rs
+++ b/crates/testbed/src/environment/run.rs
@@ -24,7 +24,7 @@
 /// Executes a run and returns its event log.
 ///
 /// # Errors
-/// If the environment could not be started, or not in time.
+/// Returns an error if the environment could not be started, or not in time.
 pub async fn execute(run: &Run<'_>) -> Result<EventLog, EnvironmentError> {
     std::fs::create_dir_all(run.folder)
         .map_err(|source| EnvironmentError::CreateDirectory { path: run.folder.into(), source })?;
--- a/crates/testbed/src/environment/service_queue.rs
+++ b/crates/testbed/src/environment/service_queue.rs
@@ -51,7 +51,7 @@
     /// executed.
     ///
     /// # Errors
-    /// [`QueueFull`] if all cores are busy and no place in the queue is free.
+    /// Returns [`QueueFull`] if all cores are busy and no place in the queue is free.
     pub async fn run(&self, service_time: impl FnOnce() -> Duration) -> Result<(), QueueFull> {
         let core = match self.cores.try_acquire() {
             Ok(core) => core,
--- a/crates/testbed/src/environment/startup.rs
+++ b/crates/testbed/src/environment/startup.rs
@@ -43,7 +43,7 @@
     /// but not started.
     ///
     /// # Errors
-    /// The system's error if an address can't be bound or a planner's file can't be written.
+    /// Returns the system's error if an address can't be bound or a planner's file can't be written.
     pub async fn build(
         experiment: &Arc<Experiment>,
         run: &Run<'_>,
--- a/crates/testbed/src/environment/wire.rs
+++ b/crates/testbed/src/environment/wire.rs
@@ -67,7 +67,7 @@
     /// Reads a request to its last byte.
     ///
     /// # Errors
-    /// The status with which to respond if the request is malformed.
+    /// Returns the status with which to respond if the request is malformed.
     pub async fn read(request: Request<Incoming>) -> Result<ServerRequest, StatusCode> {
         let (head, body) = request.into_parts();
         let text = |name| head.headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
--- a/crates/testbed/src/faulty_node/mod.rs
+++ b/crates/testbed/src/faulty_node/mod.rs
@@ -41,7 +41,7 @@
 /// Serves with the configuration file `config` until the process is killed.
 ///
 /// # Errors
-/// If the configuration is invalid, or the runtime or the listener can't be started.
+/// Returns an error if the configuration is invalid, or the runtime or the listener can't be started.
 pub fn serve(violation: InjectedViolation, config: &Path) -> Result<(), ServeError> {
     let config = NodeConfig::read(config)?;
     let listen = config.listen;
--- a/crates/testbed/src/faulty_node/violation.rs
+++ b/crates/testbed/src/faulty_node/violation.rs
@@ -27,7 +27,7 @@
     /// Sends an attempt for a request after the response to its client.
     #[serde(rename = "shot-after", alias = "attempt-after-response")]
     AttemptAfterResponse,
-    /// Sends a non-idempotent write again that has been executed; applies to each such write.
+    /// Sends each non-idempotent write again after it has been executed.
     #[serde(rename = "resend", alias = "repeated-write")]
     RepeatedWrite,
     /// Responds to an executed write that the write was rate-limited.
--- a/crates/testbed/tests/auditor.rs
+++ b/crates/testbed/tests/auditor.rs
@@ -15,7 +15,7 @@
 /// violation needs.
 const EXPERIMENT: &str = r#"
 name = "NAME"
-about = "a world for a node that breaks a rule"
+about = "a node that breaks a rule"
 seconds = 4
 
 [world]
@@ -114,25 +114,25 @@
     let name = format!("auditor-{violation}-{}", EXPERIMENTS.fetch_add(1, Ordering::Relaxed));
     let nodes = if violation == "favour" { "nodes = 3" } else { "nodes = 1" };
     let text = EXPERIMENT.replace("NAME", &name).replace("nodes = 1", nodes) + faults;
-    let experiment = Experiment::read(Path::new("world.toml"), &text).expect("a valid experiment");
+    let experiment = Experiment::read(Path::new("auditor.toml"), &text).expect("a valid experiment");
     let program = faulty_node(violation, &name);
     let audit_result = run_experiment(&experiment, 7, &program).audit_result;
     let _ = std::fs::remove_file(&program);
     audit_result
 }
 
-#[test_case("mute", "", "no final answer"; "a request without an answer")]
-#[test_case("late", "", "final answer after the client timeout"; "an answer after the timeout")]
-#[test_case("close", "", "connection ended without an answer"; "a connection ended")]
-#[test_case("second-answer", "", "a second answer"; "a second answer")]
-#[test_case("another", "", "answer not made for the call"; "an answer for another request")]
-#[test_case("shot-after", "", "sent after the final answer"; "an attempt after the answer")]
+#[test_case("mute", "", "no final answer"; "a request without a response")]
+#[test_case("late", "", "final answer after the client timeout"; "a response after the client timeout")]
+#[test_case("close", "", "connection ended without an answer"; "a connection closed without a response")]
+#[test_case("second-answer", "", "a second answer"; "a second response")]
+#[test_case("another", "", "answer not made for the call"; "a response made for another request")]
+#[test_case("shot-after", "", "sent after the final answer"; "an attempt after the response")]
 #[test_case("resend", "", "sent again, though it may have run"; "a write sent again")]
-#[test_case("resend", "", "a non-idempotent effect twice"; "an effect twice")]
-#[test_case("rate-limit-ran", "", "rate-limited, though it ran"; "rate-limited though it ran")]
-#[test_case("unheeding", CLIENTS_LEAVE, "sent on for clients that had left"; "requests of clients that left")]
+#[test_case("resend", "", "a non-idempotent effect twice"; "a non-idempotent effect executed twice")]
+#[test_case("rate-limit-ran", "", "rate-limited, though it ran"; "a rate-limited response to an executed write")]
+#[test_case("unheeding", CLIENTS_LEAVE, "sent on for clients that had left"; "attempts for clients that have disconnected")]
 #[test_case("second-copy", SLOW, "a second copy while one was out"; "a hedged request")]
-#[test_case("undrained", DRAIN, "a new shot to a draining or gone cache"; "an attempt to a drained cache")]
+#[test_case("undrained", DRAIN, "a new shot to a draining or gone cache"; "an attempt at a drained cache")]
 #[test_case("cold-rush", ADD_CACHE, "a cold cache pushed over"; "a cold cache overloaded")]
 #[test_case("stampede", WEAK_ORIGIN, "the origin overrun"; "the origin overloaded")]
 fn violation_is_detected_and_named(violation: &str, faults: &str, kind: &str) {
