--- a/crates/testbed/src/world/monitor.rs
+++ b/crates/testbed/src/environment/monitor.rs
@@ -1,25 +1,25 @@
-//! Watches a run: samples the processes, and measures for how long the testbed's own runtime stalls.
+//! Monitors a run: samples the processes, and measures for how long the testbed's own runtime stalls.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::World;
+use super::TestEnvironment;
 use crate::event_log::{EventLogWriter, Timestamp};
 
 /// Interval between two samples of each process.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval of the timer whose lateness shows a stall.
+/// Interval of the timer whose lateness is measured as the length of a stall.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Samples all processes until the task is aborted. A process that a fault occupies is passed over.
-pub async fn sample_processes(world: Arc<World>) {
+/// Samples all processes until the task is aborted. A process that a fault holds locked is skipped.
+pub async fn sample_processes(environment: Arc<TestEnvironment>) {
     loop {
-        for node in &world.nodes {
+        for node in &environment.nodes {
             if let Ok(mut node) = node.try_lock() {
                 node.sample();
             }
         }
-        for planner in &world.planners {
+        for planner in &environment.planners {
             if let Ok(mut planner) = planner.try_lock() {
                 planner.check_exit();
             }
@@ -28,7 +28,8 @@
     }
 }
 
-/// Records the longest stall of the runtime, and so of each simulated server, until the task is aborted.
+/// Records the longest stall of the runtime until the task is aborted. The simulated servers stall with the
+/// runtime.
 pub async fn measure_stalls(event_log: EventLogWriter) {
     loop {
         let before = Instant::now();
--- a/crates/testbed/src/world/node_config.rs
+++ b/crates/testbed/src/environment/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a node, in the form that the deployment documentation describes.
+//! The configuration file of a node, in the format that the deployment documentation describes.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 use crate::event_log::NodeId;
 use crate::experiment::{Experiment, RequestClass, RequestEffect};
 
-/// Time within which a node has to open a connection, in microseconds.
+/// Timeout of a node for opening a connection, in microseconds.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
-/// Time within which a node has to ask discovery, in microseconds.
+/// Time within which a node has to contact discovery, in microseconds.
 const DISCOVERY_DEADLINE_US: u64 = 10_000_000;
-/// Quota of each tenant in requests a second: never reached.
+/// Quota of each tenant in requests per second, higher than any load of an experiment.
 const TENANT_QUOTA_PER_S: f64 = 1e6;
 
-/// The configuration of a node of an experiment.
+/// The configuration of one node of an experiment, in JSON.
 pub fn node_config(
     experiment: &Experiment,
     node: NodeId,
@@ -22,7 +22,7 @@
     discovery: SocketAddr,
     seed: u64,
 ) -> Value {
-    let world = &experiment.world;
+    let environment = &experiment.environment;
     let classes: Vec<Value> =
         experiment.request_classes.iter().map(|class| request_class(experiment, class)).collect();
     let tenants: Vec<Value> = experiment
@@ -34,23 +34,24 @@
     json!({
         "name": format!("node-{}", node.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{:x}", seed ^ (node.0 as u64 + 1)),
-        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.max_sockets},
+        "limits": {"cores": 1.0, "memory_mb": environment.memory_mb, "sockets": environment.max_sockets},
         "settings": {
-            "Discovery": "ask", "Siblings": world.nodes, "Zones": world.zones, "Shapes": ["plain", "origin"],
+            "Discovery": "ask", "Siblings": environment.nodes, "Zones": environment.zones, "Shapes": ["plain", "origin"],
             "Specifics": {"Mode": "aside", "OriginKind": 1},
             "Products": classes,
             "Tenants": tenants,
-            "Bounds": {"MostShots": world.max_attempts, "MayCancel": world.may_cancel,
-                "SecondCopies": world.hedging, "RetryAfter": world.max_retry_after_ms > 0,
-                "MaxRetryAfterUs": world.max_retry_after_ms * 1000, "ConnectTimeoutUs": CONNECT_TIMEOUT_US,
-                "KeepaliveUs": microseconds(world.cache.keepalive_s)},
-            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": world.cache.cold_speed,
-                "WarmAfterUs": microseconds(world.cache.warm_after_s),
-                "FallMultiple": world.cache.overload_multiple, "FallUs": microseconds(world.cache.overload_window_s)},
+            "Bounds": {"MostShots": environment.max_attempts, "MayCancel": environment.may_cancel,
+                "SecondCopies": environment.hedging, "RetryAfter": environment.max_retry_after_ms > 0,
+                "MaxRetryAfterUs": environment.max_retry_after_ms * 1000, "ConnectTimeoutUs": CONNECT_TIMEOUT_US,
+                "KeepaliveUs": microseconds(environment.cache.keepalive_s)},
+            "Rules": {"MustAskInUs": DISCOVERY_DEADLINE_US, "ColdFrom": environment.cache.cold_speed,
+                "WarmAfterUs": microseconds(environment.cache.warm_after_s),
+                "FallMultiple": environment.cache.overload_multiple, "FallUs": microseconds(environment.cache.overload_window_s)},
         },
     })
 }
 
+/// A request class in the format of a node's configuration.
 fn request_class(experiment: &Experiment, class: &RequestClass) -> Value {
     let effect = match class.effect {
         RequestEffect::Idempotent => "read_like",
@@ -58,7 +59,7 @@
         RequestEffect::NonIdempotent => "non_idempotent",
     };
     json!({"Name": class.name, "Effect": effect, "DedupScope": "all",
-        "WindowUs": microseconds(experiment.world.origin.idempotency_window_s), "LatencySloUs": class.slo_ms * 1000,
+        "WindowUs": microseconds(experiment.environment.origin.idempotency_window_s), "LatencySloUs": class.slo_ms * 1000,
         "ClientTimeoutUs": class.timeout_ms * 1000, "BilledValue": class.value})
 }
 
@@ -66,7 +67,7 @@
     (seconds * 1e6) as u64
 }
 
-/// Merges a configuration into another one: tables key by key, other values are replaced.
+/// Merges the configuration `new` into `old`. Tables are merged key by key; other values are replaced.
 pub fn merge(old: &mut Value, new: Value) {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
