--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -141,7 +141,8 @@
             let settings = context.fleet_config.growth_settings().ok_or_else(disabled)?;
             // The process's clock is Unix time, so all planners are on the same accounting day, or soon will be.
             let day = shard_growth::accounting_day::AccountingDay((now.0 / settings.day_length.0) as u32);
-            let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day_length.0) };
+            let calendar =
+                shard_growth::Calendar { at: now, day, elapsed_in_day: Span(now.0 % settings.day_length.0) };
             let component = shard_growth::PlannerComponent::new(
                 settings,
                 me,
--- a/crates/control-plane/tests/storage_format.rs
+++ b/crates/control-plane/tests/storage_format.rs
@@ -90,7 +90,7 @@
 fn growth_from(incarnation: Incarnation, snapshot: Option<&[u8]>) -> shard_growth::PlannerComponent {
     let planners = [1, 2, 3].map(PlannerId).into();
     let settings = shard_growth::PlannerSettings { planners, ..shard_growth::PlannerSettings::default() };
-    let calendar = Calendar { at: NOW, day: AccountingDay(20_000), into: Span::ZERO };
+    let calendar = Calendar { at: NOW, day: AccountingDay(20_000), elapsed_in_day: Span::ZERO };
     shard_growth::PlannerComponent::new(settings, PLANNER, incarnation, NOW, calendar, snapshot)
         .expect("the snapshot can be read")
 }
--- a/crates/coordination/examples/growth_traffic.rs
+++ b/crates/coordination/examples/growth_traffic.rs
@@ -61,7 +61,7 @@
 }
 
 fn start_planner(forwarders: u64) -> PlannerComponent {
-    let calendar = Calendar { at: START, day: TODAY, into: Span::ZERO };
+    let calendar = Calendar { at: START, day: TODAY, elapsed_in_day: Span::ZERO };
     let settings = PlannerSettings::default();
     let mut planner = PlannerComponent::new(settings, PLANNER, Incarnation(1), START, calendar, None)
         .expect("there is no snapshot");
--- a/crates/coordination/src/shard_growth/accounting_day.rs
+++ b/crates/coordination/src/shard_growth/accounting_day.rs
@@ -59,13 +59,13 @@
     /// The day at that moment.
     pub day: AccountingDay,
     /// How much of the day had elapsed at that moment.
-    pub into: Span,
+    pub elapsed_in_day: Span,
 }
 
 impl Calendar {
     /// The calendar's moment at `now`, where a day lasts `day_length`.
     pub fn moment(&self, day_length: Span, now: Time) -> CalendarMoment {
-        let since_day_began = self.into + (now - self.at);
+        let since_day_began = self.elapsed_in_day + (now - self.at);
         let length = day_length.0.max(1);
         let days_passed = (since_day_began.0 / length).min(u64::from(u32::MAX / 2)) as u32;
         CalendarMoment {
--- a/crates/coordination/tests/growth_simulation.rs
+++ b/crates/coordination/tests/growth_simulation.rs
@@ -195,7 +195,7 @@
         Calendar {
             at: self.now,
             day: AccountingDay(FIRST_DAY + KNOWN_DAYS + days),
-            into: Span(since_start % DAY.0),
+            elapsed_in_day: Span(since_start % DAY.0),
         }
     }
 
