--- a/crates/control-plane/src/fleet_config/settings.rs
+++ b/crates/control-plane/src/fleet_config/settings.rs
@@ -125,14 +125,14 @@
             planned_duration: self.scale_to_day(defaults.planned_duration),
             dual_read_duration: self.scale_to_day(defaults.dual_read_duration),
             switched_duration: self.scale_to_day(defaults.switched_duration),
-            fault_patience: self.scale_to_day(defaults.fault_patience),
+            max_pause_duration: self.scale_to_day(defaults.max_pause_duration),
             withdrawn_duration: self.scale_to_day(defaults.withdrawn_duration),
             ..defaults
         };
         let Some(step) = self.step_ms.map(Span::from_millis) else { return schedule };
         shard_growth::split_schedule::Settings {
             copy_step_duration: step.scaled(COPY_PART_SCALE),
-            fault_patience: step.scaled(FAULT_PATIENCE_SCALE),
+            max_pause_duration: step.scaled(FAULT_PATIENCE_SCALE),
             planned_duration: step,
             dual_read_duration: step,
             switched_duration: step,
--- a/crates/coordination/src/shard_growth/split_schedule/mod.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/mod.rs
@@ -171,7 +171,7 @@
 
     /// The step back of a split that was paused for too long.
     fn step_of_paused(&self, split: &SplitContext<'_>, pause: Pause) -> Option<SplitStep> {
-        if split.now - pause.since < self.settings.fault_patience {
+        if split.now - pause.since < self.settings.max_pause_duration {
             return None;
         }
         if split.phase == SplitPhase::Planned {
--- a/crates/coordination/src/shard_growth/split_schedule/settings.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/settings.rs
@@ -19,7 +19,7 @@
     /// The least duration of [`Switched`](crate::shard_growth::shard_map::SplitPhase::Switched).
     pub switched_duration: Span,
     /// A fault pauses a split for this long; then the split is withdrawn.
-    pub fault_patience: Span,
+    pub max_pause_duration: Span,
     /// How long a withdrawn split waits before it may be planned again.
     pub withdrawn_duration: Span,
     /// A split starts at most this many times its own duration before the shard's earliest forecast day.
@@ -38,7 +38,7 @@
             planned_duration: minutes(10),
             dual_read_duration: minutes(60),
             switched_duration: hours(24),
-            fault_patience: minutes(30),
+            max_pause_duration: minutes(30),
             withdrawn_duration: hours(24),
             lead_factor: 2.0,
             spare_fetch_fraction: 0.5,
--- a/crates/coordination/tests/growth_simulation.rs
+++ b/crates/coordination/tests/growth_simulation.rs
@@ -92,7 +92,7 @@
         planned_duration: seconds(400),
         dual_read_duration: seconds(400),
         switched_duration: seconds(600),
-        fault_patience: seconds(600),
+        max_pause_duration: seconds(600),
         ..split_schedule::Settings::default()
     };
     PlannerSettings {
