--- a/crates/coordination/src/shard_growth/forwarder.rs
+++ b/crates/coordination/src/shard_growth/forwarder.rs
@@ -1,9 +1,9 @@
-//! The forwarder's side: counts what its attempts tell of each shard, reports this to planners round by round, and holds
-//! the shard map.
+//! The forwarder's side of shard growth: counts the finished attempts of each shard, reports the counts to
+//! planners in rounds, and holds the shard map.
 //!
-//! Each round passes over all shards and reports a shard's whole day so far, so that no message has to arrive for a later
-//! one to make sense. The previous day is reported for two rounds more. What is held is bounded by the number of shards,
-//! not by the number of keys or requests.
+//! Each round covers all shards. A report holds all counts of a shard since the day began, so a later report
+//! replaces one that was lost. The previous day is reported for two more rounds. Memory is bounded by the
+//! number of shards and does not grow with the number of keys or requests.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -24,15 +24,16 @@
 /// The intervals at which a forwarder reports.
 #[derive(Clone, Debug)]
 pub struct ForwarderSettings {
-    /// In this time all shards are reported once.
+    /// The time in which each shard is reported once.
     pub report_round: Span,
-    /// How often the applied version of the shard map is reported.
+    /// The interval at which the applied version of the shard map is reported.
     pub heartbeat_interval: Span,
-    /// A miss of a key that was seen stored within this time is an eviction, unless the key was written since.
+    /// A cache miss counts as an eviction if the key was read successfully within this time and not written
+    /// since.
     pub eviction_window: Span,
-    /// How often all known endpoints are reported.
+    /// The interval at which all known endpoints are reported.
     pub endpoint_report_interval: Span,
-    /// The time constant with which a fetch from the origin loses its weight.
+    /// The time constant of the exponential decay of a fetch's weight in the origin's latency statistics.
     pub fetch_time_constant: Span,
 }
 
@@ -48,19 +49,20 @@
     }
 }
 
-/// The number of messages that wait to be sent. While half as many wait, no further shard is reported.
-const MAX_OUTBOUND: usize = 128;
+/// The maximum number of messages queued for sending. While more than half as many are queued, no further
+/// shard is reported.
+const MAX_OUTBOUND_MESSAGES: usize = 128;
 
-/// The number of events that wait to be logged.
+/// The maximum number of events queued for the log.
 const MAX_EVENTS: usize = 16;
 
-/// How often endpoints are checked for a change, such as the end of a warm-up.
+/// The interval at which endpoints are checked for a change, such as the end of a warm-up.
 const ENDPOINT_CHECK_INTERVAL: Span = Span::from_millis(1000);
 
-/// The previous day is reported for this many rounds after its end.
+/// The number of rounds for which a day is still reported after its end.
 const PREVIOUS_DAY_ROUNDS: usize = 2;
 
-/// The day before the present one, and until when it is reported.
+/// The counts of the day before the present one, and the time until which they are reported.
 #[derive(Debug)]
 struct PreviousDay {
     day: AccountingDay,
@@ -68,13 +70,14 @@
     reported_until: Time,
 }
 
-/// A forwarder's part in shard growth.
+/// The shard growth component of a forwarder.
 #[derive(Debug)]
 pub struct ForwarderComponent {
     settings: ForwarderSettings,
     /// The live planners.
     planners: BTreeSet<PlannerId>,
-    /// The present day by the live planner of the lowest number.
+    /// The present day by the calendar of the live planner with the lowest number; none before it was
+    /// received.
     day: Option<AccountingDay>,
     shards_today: BTreeMap<ShardId, ShardActivity>,
     previous_day: Option<PreviousDay>,
@@ -91,7 +94,7 @@
 }
 
 impl ForwarderComponent {
-    /// Starts forwarder `me` with nothing known.
+    /// Creates the component of forwarder `me` with no counts, endpoints or shard map.
     pub fn new(
         settings: ForwarderSettings,
         me: ForwarderId,
@@ -109,7 +112,8 @@
             shard_map: VersionedShardMap::default(),
             endpoints: EndpointReporter::default(),
             endpoint_check_due: now,
-            // Forwarders that start together begin their rounds at different shards.
+            // Forwarders that start together begin their rounds at different shards, which spreads their
+            // reports.
             next_shard: ShardId((me.0 ^ incarnation.0) as u8),
             next_shard_due: now,
             heartbeat_due: now,
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Takes what the node's event loop observed.
+    /// Records an observation of the node's event loop.
     pub fn on_observation(&mut self, now: Time, observation: &Observation) {
         match observation {
             Observation::AttemptFinished(attempt) => self.on_attempt_finished(now, attempt),
@@ -130,7 +134,7 @@
         }
     }
 
-    /// The shard map for the node's balancer; none before the first was received.
+    /// The shard map for the node's balancer; none before a planner has sent one.
     pub fn shard_map(&self) -> Option<ShardMap> {
         if self.shard_map.version == ShardMapVersion(0) {
             return None;
@@ -158,8 +162,9 @@
             self.endpoint_check_due = now + ENDPOINT_CHECK_INTERVAL;
             self.report_endpoints(now);
         }
-        // A host that polls seldom has several shards due by then: each day has to be reported fully before it ends.
-        while now >= self.next_shard_due && self.outbound.len() <= MAX_OUTBOUND / 2 {
+        // With a long poll interval several shards are due at once. All of them are reported, since a day has
+        // to be reported in full before planners close it.
+        while now >= self.next_shard_due && self.outbound.len() <= MAX_OUTBOUND_MESSAGES / 2 {
             self.schedule_next_shard(now);
             self.report_next_shard(now);
         }
@@ -180,7 +185,8 @@
         }
     }
 
-    /// Sets when the shard after this one is due. A host that polled nothing for a round begins anew.
+    /// Schedules the report of the shard that follows the one due now. After a pause in polling, the overdue
+    /// reports of one round at most are made up for.
     fn schedule_next_shard(&mut self, now: Time) {
         let round = self.settings.report_round.0;
         let round_ago = now.0.saturating_sub(round);
@@ -188,7 +194,7 @@
         self.next_shard_due = due + Span((round / SHARD_COUNT as u64).max(1));
     }
 
-    /// Reports the present and the previous day of the next shard.
+    /// Queues the reports of the present and the previous day of the next shard.
     fn report_next_shard(&mut self, now: Time) {
         let shard = self.next_shard;
         self.next_shard = ShardId(shard.0.wrapping_add(1));
@@ -209,14 +215,15 @@
 
     fn send_to_planners(&mut self, message: &GrowthMessage) {
         for planner in &self.planners {
-            if self.outbound.len() < MAX_OUTBOUND {
+            if self.outbound.len() < MAX_OUTBOUND_MESSAGES {
                 self.outbound.push_back((Member::Planner(*planner), message.clone()));
             }
         }
     }
 
     fn on_current_day(&mut self, now: Time, planner: PlannerId, day: AccountingDay) {
-        // One planner's calendar counts: if any did, a wrong one would begin days at will.
+        // Only the calendar of the planner with the lowest number is used: if all were, any planner with a
+        // wrong clock could begin a day too early.
         let is_first_planner = self.planners.first().is_none_or(|first| *first == planner);
         if !is_first_planner || self.day.is_some_and(|known| day <= known) {
             return;
@@ -237,7 +244,7 @@
             return Err(GrowthError::InvalidValue);
         }
         if shard_map.version > self.shard_map.version {
-            let message = format!("shard map version {} is applied", shard_map.version.0);
+            let message = format!("this forwarder now applies shard map version {}", shard_map.version.0);
             self.events.truncate(MAX_EVENTS - 1);
             self.events.push_back(Event { name: "shard_map_applied", message, is_warning: false });
             self.shard_map = shard_map;
@@ -272,7 +279,7 @@
             })
             .collect();
         if !planners.is_subset(&self.planners) {
-            // A planner that has joined may know of no endpoint.
+            // A planner that has joined may have no reports of endpoints yet.
             self.endpoints.request_full_report();
             self.endpoint_check_due = now;
         }
--- a/crates/coordination/src/shard_growth/mod.rs
+++ b/crates/coordination/src/shard_growth/mod.rs
@@ -1,13 +1,14 @@
 //! Forecasts the growth of shards and splits a shard before it outgrows its endpoints.
 //!
-//! Forwarders count what they see of each shard ([`shard_day`], [`sketch`]). Planners merge these counts into a history
-//! of closed days ([`history`]) and forecast when a shard outgrows its capacity ([`forecast`]). The planner that leads
-//! decides which shard is split and how far a split may advance ([`split_schedule`]). All planners agree on each version
-//! of the shard map ([`consensus`]), which forwarders then apply ([`shard_map`]).
+//! Forwarders count the reads, writes and distinct keys of each shard ([`shard_day`], [`sketch`]). Planners
+//! merge the counts into a history of closed days ([`history`]) and forecast when a shard outgrows its
+//! capacity ([`forecast`]). The leading planner decides which shard is split and how far a split may advance
+//! ([`split_schedule`]). All planners agree on each version of the shard map ([`consensus`]), which
+//! forwarders then apply ([`shard_map`]).
 //!
-//! Two shard maps occur in this workspace. [`shard_map::VersionedShardMap`] is the one that planners agree on; it also
-//! has splits that have not moved a key yet. `granitelb_balancer::ShardMap` is what a node's balancer routes by,
-//! and is derived from it.
+//! This workspace has two types of shard map. Planners agree on a [`shard_map::VersionedShardMap`], which
+//! also lists splits that have not moved a key yet. A node's balancer routes by a
+//! `granitelb_balancer::ShardMap`, which is derived from the `VersionedShardMap`.
 
 pub mod accounting_day;
 pub mod capacity_forecast;
