--- a/crates/coordination/src/shard_growth/message.rs
+++ b/crates/coordination/src/shard_growth/message.rs
@@ -1,7 +1,7 @@
-//! The messages by which planners and forwarders share what they know of growing shards.
+//! The messages that planners and forwarders exchange for shard growth.
 //!
-//! Each message takes less than 1,100 bytes, so that it fits into one datagram with its envelope. The order of variants
-//! and fields is the wire format.
+//! An encoded message is shorter than 1,100 bytes, so that it fits into one datagram with its envelope. The
+//! order of variants and fields is the wire format.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,34 +13,34 @@
 use super::shard_map::{ShardId, ShardMapVersion, VersionedShardMap};
 use crate::component::Remediation;
 
-/// The number of sketch registers in one message.
+/// The maximum number of sketch registers in one message.
 pub const MAX_REGISTERS_PER_MESSAGE: usize = 300;
 
-/// The number of closed days in one message.
+/// The maximum number of closed days in one message.
 pub const MAX_DAYS_PER_MESSAGE: usize = 75;
 
 /// A message of the shard growth component.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GrowthMessage {
-    /// From a forwarder: registers of one of a shard's sketches.
+    /// From a forwarder to a planner: registers of one of a shard's sketches.
     Sketch {
-        /// The day that the sketch counts.
+        /// The day on which the sketch's keys were read or written.
         day: AccountingDay,
         /// The shard.
         shard: ShardId,
-        /// Which of the shard's sketches.
+        /// Whether it is the sketch of keys that were read or of those that were written.
         kind: SketchKind,
         /// Pairs of a register's index and its value.
         registers: Vec<(u16, u8)>,
     },
-    /// From a forwarder: what its present incarnation has counted of some shards.
+    /// From a forwarder to a planner: the counters of its present incarnation for some shards.
     Counters {
-        /// The day of the counters.
+        /// The day on which the counted attempts finished.
         day: AccountingDay,
         /// The counters of each shard.
         counters: Vec<(ShardId, ShardCounters)>,
     },
-    /// From a forwarder: the version of the shard map that it applies.
+    /// From a forwarder to a planner: the version of the shard map that the forwarder applies.
     AppliedVersion {
         /// The version.
         version: ShardMapVersion,
@@ -55,38 +55,41 @@
         /// The map.
         shard_map: VersionedShardMap,
     },
-    /// Between planners: agreement on the next shard map.
+    /// Between planners: a message of the consensus on the next shard map.
     Consensus(ConsensusMessage),
-    /// From a forwarder: endpoints of its endpoint list.
+    /// From a forwarder to a planner: endpoints of the forwarder's endpoint list.
     Endpoints {
         /// The endpoints.
         endpoints: Vec<ReportedEndpoint>,
     },
-    /// Between planners: closed days of a shard, which a planner lacks that was away or lost its disk.
+    /// Between planners: closed days of a shard, for planners that were down on those days or lost their
+    /// disk.
     ClosedDays {
         /// The shard.
         shard: ShardId,
         /// The days in ascending order.
         days: Vec<ClosedDay>,
     },
-    /// From a forwarder, repeated while it holds: most of its recent fetches from the origin were late.
+    /// From a forwarder to a planner: at least half of the forwarder's recent fetches from the origin were
+    /// late. The message is repeated with each heartbeat while this is so.
     OriginSlow,
 }
 
-/// Why a message was rejected. Nothing of a rejected message counts, unless stated otherwise.
+/// Why a message was rejected. A rejected message has no effect, unless the rejecting function states
+/// otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrowthError {
-    /// A member of the sender's role does not send this message.
-    #[error("the sender does not send such shard growth messages")]
+    /// A member with the sender's role does not send this message, or the sender is not a configured planner.
+    #[error("a shard growth message came from a member that may not send messages of its kind")]
     UnexpectedSender,
     /// The message has values that no correct member sends.
-    #[error("a shard growth message has values out of range")]
+    #[error("a shard growth message holds a value outside its valid range, or too many entries")]
     InvalidValue,
-    /// The message counts a day that is closed, or that has not begun.
-    #[error("a shard growth message counts a day that is not open")]
+    /// The message reports a day that is closed, or that has not begun.
+    #[error("a shard growth message reports a day that the planner has closed, or that has not begun")]
     DayClosed,
-    /// A bound on the number of forwarders or endpoints is reached.
-    #[error("the limit of forwarders or endpoints for shard growth is reached")]
+    /// The planner already stores the maximum number of forwarders, incarnations of forwarders, or endpoints.
+    #[error("a shard growth report was rejected: the planner stores its maximum of forwarders or endpoints")]
     CapacityExceeded,
 }
 
@@ -97,13 +100,13 @@
                 "Check that all planners have the same fleet configuration, with the same planner numbers."
             }
             GrowthError::InvalidValue => {
-                "Check that all members run the same version; if they do, look at the sender."
+                "Check that all members run the same version; if they do, look for a fault in the sender."
             }
             GrowthError::DayClosed => {
-                "Some of these are usual at midnight; if they go on, check the planners' calendars."
+                "A few of these errors are usual at midnight; if they continue, check the clocks of all planners."
             }
             GrowthError::CapacityExceeded => {
-                "More forwarders started today than are counted; look for ones that restart all the time."
+                "More forwarders started today than can be counted; look for forwarders that restart repeatedly."
             }
         }
     }
