--- a/crates/coordination/src/shard_growth/history.rs
+++ b/crates/coordination/src/shard_growth/history.rs
@@ -1,6 +1,7 @@
-//! What a planner knows of each shard: days that are still counted, days that are closed, and the forecast that follows.
+//! A planner's history of each shard: open days, whose counts may still rise, and closed days, from which the
+//! shard's size is forecast.
 //!
-//! Invariant: the closed days of a shard are in ascending order, each at most once, and at most [`MAX_DAYS`].
+//! Invariant: a shard has at most [`MAX_DAYS`] closed days, in ascending order and without duplicates.
 
 use std::collections::BTreeMap;
 
@@ -14,33 +15,33 @@
 use super::shard_map::ShardId;
 use crate::member::{ForwarderId, Incarnation};
 
-/// The number of closed days that are kept of each shard.
+/// The maximum number of closed days that are kept for each shard.
 pub const MAX_DAYS: usize = 400;
 
-/// What is kept of a shard's day once it is closed. The order of fields is the wire format and the stored format.
+/// The totals of one shard on one closed day. The order of fields is the wire format and the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClosedDay {
     /// The day.
     pub day: AccountingDay,
-    /// The bytes that the day's keys take in a cache.
+    /// The size of the day's keys in a cache, in bytes.
     pub bytes: f32,
-    /// The number of distinct keys.
+    /// The number of distinct keys that were read or written.
     pub keys: f32,
 }
 
-/// How far the closed days were sent to other planners.
+/// The position of a part of the closed days that was sent to other planners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryCursor {
-    /// The shard whose days were sent last.
+    /// The shard whose days the part holds.
     pub shard: ShardId,
-    /// How many of its newest days were sent before the last part.
+    /// The number of the shard's newest days that precede the part, since the newest days are sent first.
     pub skipped_days: usize,
 }
 
 /// Some closed days of one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HistoryPart {
-    /// Where the part lies.
+    /// The position of the part.
     pub cursor: HistoryCursor,
     /// The days in ascending order.
     pub days: Vec<ClosedDay>,
@@ -54,22 +55,24 @@
 }
 
 impl GrowthHistory {
-    /// Starts with the closed days of a snapshot. Only the newest [`MAX_DAYS`] of each shard are kept.
+    /// Creates a history from the closed days of a snapshot. Only the newest [`MAX_DAYS`] of each shard are
+    /// kept.
     pub fn from_closed_days(closed_days: Vec<(ShardId, Vec<ClosedDay>)>) -> GrowthHistory {
         let newest = |mut days: Vec<ClosedDay>| days.split_off(days.len().saturating_sub(MAX_DAYS));
         let closed_days = closed_days.into_iter().map(|(shard, days)| (shard, newest(days))).collect();
         GrowthHistory { open_days: BTreeMap::new(), closed_days }
     }
 
-    /// The closed days of all shards, as they are persisted.
+    /// The closed days of all shards, in the form in which they are persisted.
     pub fn closed_days(&self) -> Vec<(ShardId, Vec<ClosedDay>)> {
         self.closed_days.iter().map(|(shard, days)| (*shard, days.clone())).collect()
     }
 
-    /// A shard's open day: yesterday's, today's, or one that has begun already by another planner's clock.
+    /// The open day `day` of a shard: yesterday, today, or tomorrow, which may have begun by another
+    /// planner's clock.
     ///
     /// # Errors
-    /// [`GrowthError::DayClosed`] for any other day, and for one that is closed.
+    /// [`GrowthError::DayClosed`] if `day` is any other day, or is closed.
     pub fn open_day_mut(
         &mut self,
         today: AccountingDay,
@@ -84,10 +87,11 @@
         Ok(self.open_days.entry(day).or_default().entry(shard).or_default())
     }
 
-    /// Raises the counters that one incarnation of a forwarder has of a shard.
+    /// Raises the counters of one incarnation of a forwarder for a shard to those of a report.
     ///
     /// # Errors
-    /// As for [`GrowthHistory::open_day_mut`]; [`GrowthError::CapacityExceeded`] if there are too many incarnations.
+    /// As for [`GrowthHistory::open_day_mut`]; [`GrowthError::CapacityExceeded`] if too many incarnations
+    /// have reported the shard's day.
     pub fn raise_counters(
         &mut self,
         today: AccountingDay,
@@ -100,14 +104,14 @@
         open_day.raise(forwarder, incarnation, counters)
     }
 
-    /// Closes all open days up to `last`, and returns whether there was any.
+    /// Closes all open days up to `last`, and returns whether any day was open.
     pub fn close_days(&mut self, last: AccountingDay) -> bool {
         let still_open = self.open_days.split_off(&AccountingDay(last.0 + 1));
         let closing = std::mem::replace(&mut self.open_days, still_open);
         let any_closed = !closing.is_empty();
         for (day, shards) in closing {
             for (shard, counted) in shards {
-                // A day on which no value was seen tells nothing of the shard's size.
+                // Without a value of known size, the shard's size on that day is unknown.
                 if let Some(bytes) = counted.cached_bytes() {
                     let keys = counted.distinct_keys() as f32;
                     self.append(shard, ClosedDay { day, bytes: bytes as f32, keys });
@@ -125,8 +129,8 @@
         }
     }
 
-    /// Takes closed days that another planner has, up to `last_closed`, and returns whether any was new. A day that this
-    /// planner has closed itself stays as it is.
+    /// Adds closed days of another planner up to `last_closed`, and returns whether any was new. A day that
+    /// is in the history already is not replaced.
     pub fn merge_closed_days(
         &mut self,
         shard: ShardId,
@@ -143,8 +147,9 @@
         any_new
     }
 
-    /// The next part of the closed days, of at most `max_days`: shard by shard, the newest days of each first. None if
-    /// `after` was the last part.
+    /// The part of the closed days that follows `after`, or the first part: at most `max_days` of one shard.
+    /// Shards are in ascending order, and the newest days of a shard come first. None if `after` was the last
+    /// part.
     pub fn part_after(&self, after: Option<HistoryCursor>, max_days: usize) -> Option<HistoryPart> {
         let Some(HistoryCursor { shard, skipped_days }) = after else {
             return self.closed_days.keys().find_map(|shard| self.part(*shard, 0, max_days));
@@ -174,7 +179,7 @@
         self.closed_days.keys().copied()
     }
 
-    /// Forecasts when a shard outgrows a capacity in bytes.
+    /// Forecasts when a shard outgrows a capacity, given in bytes.
     pub fn capacity_forecast(&self, shard: ShardId, capacity_bytes: f64) -> CapacityForecast {
         let days = self.closed_days.get(&shard).into_iter().flatten();
         let points: Vec<Point> =
@@ -182,7 +187,7 @@
         forecast_capacity(&points, capacity_bytes)
     }
 
-    /// The number of entries held; a sketch counts for its registers.
+    /// The number of entries held, where each register of a sketch is one entry.
     pub fn entries(&self) -> usize {
         let open_days = self.open_days.values().flat_map(|shards| shards.values());
         open_days.map(ShardDay::entries).sum::<usize>()
@@ -190,7 +195,8 @@
     }
 }
 
-/// Inserts a day that is not known yet, in place of the oldest one if all are kept, and returns whether it did.
+/// Inserts a day at `position`, and returns whether it was inserted. If [`MAX_DAYS`] days are kept already,
+/// the oldest day is removed; a day older than all of these is not inserted.
 fn insert_bounded(known: &mut Vec<ClosedDay>, position: usize, closed: ClosedDay) -> bool {
     let is_full = known.len() >= MAX_DAYS;
     if is_full && position == 0 {
--- a/crates/coordination/src/shard_growth/origin_latency.rs
+++ b/crates/coordination/src/shard_growth/origin_latency.rs
@@ -1,9 +1,10 @@
-//! Detects a slow origin by how long forwarders' own fetches take.
+//! Detects a slow origin from the latency of the forwarders' own fetches.
 //!
-//! Leases limit what is asked of the origin, and a slow origin is not asked for more: a split would go on adding fetches,
-//! each of which misses its latency objective. A forwarder repeats its report while the origin is slow for it, and a
-//! report expires unless it is repeated. Two forwarders have to report it, or the only live one: a forwarder with a slow
-//! link holds nothing up.
+//! Leases limit the rate of fetches, but do not measure latency: without this detection, a split would
+//! continue to add fetches to a slow origin, each of which misses its latency objective. A forwarder repeats
+//! its report while its fetches are late, and a report expires unless it is repeated. The origin counts as
+//! slow once two forwarders report it, or the only live forwarder does, so that one forwarder with a slow
+//! link delays no split.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,13 +14,13 @@
 use crate::member::ForwarderId;
 use crate::observation::FinishedAttempt;
 
-/// Fewer recent fetches than this tell nothing.
+/// The minimum decayed number of recent fetches from which a forwarder judges the origin.
 const MIN_FETCHES: f64 = 3.0;
 
-/// The number of forwarders that have to report a slow origin, where as many are live.
+/// The number of forwarders that have to report a slow origin; all live ones if fewer are live.
 const MIN_REPORTERS: usize = 2;
 
-/// A forwarder's recent fetches from the origin. A fetch's weight decays exponentially with its age.
+/// Counts a forwarder's recent fetches from the origin. A fetch's weight decays exponentially with its age.
 #[derive(Debug, Default)]
 pub struct FetchLatencyTracker {
     late_fetches: f64,
@@ -28,7 +29,8 @@
 }
 
 impl FetchLatencyTracker {
-    /// Counts an attempt at the origin. It is late if it failed, or took more than half of its latency objective.
+    /// Counts a read attempt at the origin. The attempt is late if it failed or took more than half of its
+    /// latency objective.
     pub fn on_attempt_finished(&mut self, now: Time, attempt: &FinishedAttempt, time_constant: Span) {
         let is_late = match attempt.outcome {
             AttemptOutcome::Fulfilled | AttemptOutcome::CacheMiss | AttemptOutcome::Cancelled => {
@@ -37,7 +39,7 @@
             AttemptOutcome::NotSent => return,
             _ => true,
         };
-        // An attempt that was cancelled in time does not tell how long it would have taken.
+        // How long a cancelled attempt would have taken is unknown unless it was late already.
         let is_inconclusive = attempt.outcome == AttemptOutcome::Cancelled && !is_late;
         if attempt.write || is_inconclusive {
             return;
@@ -47,7 +49,8 @@
         self.late_fetches += f64::from(u8::from(is_late));
     }
 
-    /// Whether at least half of the recent fetches were late.
+    /// Whether at least half of the recent fetches were late; false with fewer than `MIN_FETCHES` recent
+    /// fetches.
     pub fn is_origin_slow(&mut self, now: Time, time_constant: Span) -> bool {
         self.decay(now, time_constant);
         self.all_fetches >= MIN_FETCHES && self.late_fetches >= self.all_fetches / 2.0
@@ -69,7 +72,8 @@
 }
 
 impl SlowOriginReports {
-    /// Records a report. Only live forwarders are kept, which bounds the record by their number.
+    /// Records a report. Reports of forwarders that are not live are dropped, which bounds the number of
+    /// reports.
     pub fn on_report(&mut self, now: Time, from: ForwarderId, live: &BTreeSet<ForwarderId>) {
         self.last_report.retain(|forwarder, _| live.contains(forwarder));
         if live.contains(&from) {
