--- a/crates/coordination/src/shard_growth/accounting_day.rs
+++ b/crates/coordination/src/shard_growth/accounting_day.rs
@@ -1,6 +1,7 @@
-//! The days by which traffic is counted, and their place in the month.
+//! The accounting days by which traffic is counted, and their position in the month.
 //!
-//! A planner's host derives the day from its own clock and sends it to forwarders, so that no two clocks are compared.
+//! A planner derives the day from its own clock and sends the day to forwarders, so that forwarders' clocks
+//! are never compared with a planner's.
 
 use std::collections::BTreeSet;
 
@@ -14,10 +15,11 @@
 /// The number of seasons into which [`AccountingDay::season`] divides a month.
 pub const SEASON_COUNT: usize = 6;
 
-/// How many days [`next_frozen_period`] looks ahead for the beginning, and from there for the end, of a frozen period.
+/// The number of days that [`next_frozen_period`] searches for the first frozen day, and from that day for
+/// the period's end.
 const FROZEN_SEARCH_DAYS: u32 = 62;
 
-/// Where a day lies in its month.
+/// The position of a day in its month.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DayOfMonth {
     /// The day's number in the month, from 1.
@@ -26,10 +28,10 @@
     pub month_length: u32,
 }
 
-/// A period in which no split may advance, relative to the present.
+/// A period in which no split may advance, by its distance from the present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FrozenPeriod {
-    /// The time until the period begins; zero if it has begun.
+    /// The time until the period begins; zero once the period has begun.
     pub begins_in: Span,
     /// The time until the period ends.
     pub ends_in: Span,
@@ -45,7 +47,7 @@
 }
 
 impl CalendarMoment {
-    /// The moment as a number of days since 1 January 1970.
+    /// The moment as a number of days since 1 January 1970, with the elapsed fraction of the day.
     pub fn as_days(self) -> f64 {
         f64::from(self.day.0) + self.elapsed_fraction
     }
@@ -54,16 +56,16 @@
 /// Relates a planner's clock to the accounting calendar.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Calendar {
-    /// A moment of the planner's clock.
+    /// A time of the planner's clock.
     pub at: Time,
-    /// The day at that moment.
+    /// The accounting day at the time `at`.
     pub day: AccountingDay,
-    /// How much of the day had elapsed at that moment.
+    /// The time since the beginning of `day` at the time `at`.
     pub elapsed_in_day: Span,
 }
 
 impl Calendar {
-    /// The calendar's moment at `now`, where a day lasts `day_length`.
+    /// The day, and the fraction of it that has elapsed, at the time `now`, where a day lasts `day_length`.
     pub fn moment(&self, day_length: Span, now: Time) -> CalendarMoment {
         let since_day_began = self.elapsed_in_day + (now - self.at);
         let length = day_length.0.max(1);
@@ -76,7 +78,7 @@
 }
 
 impl AccountingDay {
-    /// The day's place in its month, by Howard Hinnant's `civil_from_days`.
+    /// The day's position in its month, by Howard Hinnant's `civil_from_days`.
     pub fn in_month(self) -> DayOfMonth {
         let shifted_days = u64::from(self.0) + 719_468;
         let day_of_era = shifted_days % 146_097;
@@ -89,9 +91,9 @@
         DayOfMonth { day: day as u32, month_length: month_length(year, month) }
     }
 
-    /// The part of the month's seasonal pattern that the day belongs to, below [`SEASON_COUNT`].
+    /// The index of the month's season that the day belongs to, below [`SEASON_COUNT`].
     ///
-    /// The last days of a month are counted from its end, since months differ in length.
+    /// The seasons of a month's last days are counted from the month's end, since months differ in length.
     pub fn season(self) -> usize {
         let DayOfMonth { day, month_length } = self.in_month();
         match day {
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Whether the day is one of `frozen_days`: days of the month, from 1, or from -1 backwards from its end.
+    /// Whether the day is one of `frozen_days`: days of the month from 1, or from -1 backwards from the
+    /// month's end.
     fn is_frozen(self, frozen_days: &BTreeSet<i8>) -> bool {
         let DayOfMonth { day, month_length } = self.in_month();
         let from_start = day as i32;
@@ -122,9 +125,10 @@
     }
 }
 
-/// The frozen period that is in force or comes next, or none if no day is frozen.
+/// The frozen period that has begun, or else the next one; none if no day is frozen.
 ///
-/// `frozen_days` are days of the month, from 1, or from -1 backwards from its end; a day lasts `day_length`.
+/// `frozen_days` are days of the month from 1, or from -1 backwards from the month's end; a day lasts
+/// `day_length`.
 pub fn next_frozen_period(
     frozen_days: &BTreeSet<i8>,
     now: CalendarMoment,
--- a/crates/coordination/src/shard_growth/shard_map.rs
+++ b/crates/coordination/src/shard_growth/shard_map.rs
@@ -1,14 +1,15 @@
-//! The shard map that planners agree on: which shards are split into how many parts, and which splits are in progress.
+//! The shard map that planners agree on: the number of parts of each split shard, and the splits in progress.
 //!
-//! The map is small and is always sent in full, so a member that holds the highest version needs none of the earlier
-//! ones. A balancer is given a [`granitelb_balancer::ShardMap`], which [`VersionedShardMap::to_balancer_shard_map`] derives.
+//! The map is small and always sent in full, so a member that has the highest version needs no earlier
+//! version. A balancer routes by a [`granitelb_balancer::ShardMap`], which
+//! [`VersionedShardMap::to_balancer_shard_map`] derives.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A shard: a fixed range of the slots of the shared slot table.
+/// The number of a shard: a fixed range of the slots of the shared slot table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId(pub u8);
 
@@ -19,29 +20,35 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardMapVersion(pub u64);
 
-/// Versions from here on are invalid: a made-up one near the end of the range would leave none to follow it.
+/// The lowest invalid version. A forged version near the end of the range would leave no higher version for
+/// later maps.
 const VERSION_LIMIT: u64 = 1 << 48;
 
-/// The number of steps in which the keys of a split are migrated.
+/// The number of copying steps in which the keys of a split are migrated.
 pub const COPY_STEPS: u8 = 16;
 
-/// A shard is split at most this many times, into two to this power of parts.
+/// The maximum number of splits of a shard. Each split doubles the number of parts, so a shard has up to 8
+/// parts.
 pub const MAX_SPLIT_BITS: u8 = 3;
 
 /// How far a split has advanced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SplitPhase {
-    /// The shard is forecast to need the split; nothing has been done.
+    /// The shard is forecast to outgrow its endpoints; no endpoint is reserved and no key has moved.
     Foreseen,
     /// The split has reserved its endpoints; no key has moved.
     Planned,
-    /// This many sixteenths of the migrating keys are read from their new endpoints, which fill from the origin.
+    /// This many sixteenths of the migrating keys are read from their new endpoints, which fetch missing
+    /// values from the origin.
     Copying(u8),
-    /// All migrating keys are read from their new endpoints; a miss there asks the old endpoint before the origin.
+    /// All migrating keys are read from their new endpoints. On a cache miss, the old endpoint is read before
+    /// the origin.
     DualRead,
-    /// The old endpoints are no longer read. The split is observed and may still be withdrawn.
+    /// The old endpoints are no longer read. The split may still be withdrawn until this phase has lasted
+    /// long enough.
     Switched,
-    /// The split was withdrawn and keys are back at their old endpoints. It waits before it may be planned again.
+    /// The split was withdrawn, and keys are read from their old endpoints again. The split may be planned
+    /// again after a waiting time.
     Withdrawn,
 }
 
@@ -51,27 +58,27 @@
         !matches!(self, SplitPhase::Foreseen | SplitPhase::Withdrawn)
     }
 
-    /// Whether any key is read from another endpoint than before the split.
+    /// Whether any key is read from a different endpoint than before the split.
     pub fn moves_keys(self) -> bool {
         matches!(self, SplitPhase::Copying(_) | SplitPhase::DualRead | SplitPhase::Switched)
     }
 }
 
-/// How one shard is divided.
+/// The division of one shard into parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLayout {
-    /// How many further bits of the hash divide the shard's keys, by splits that are complete.
+    /// The number of additional hash bits that divide the shard's keys: one for each complete split.
     pub bits: u8,
-    /// The phase of the split in progress, which adds one bit.
+    /// The phase of the split in progress, which adds one bit once complete; none if no split is in progress.
     pub phase: Option<SplitPhase>,
 }
 
-/// By which bits of the hash the keys of a shard are routed.
+/// The hash bits by which the keys of a shard are routed.
 #[derive(PartialEq)]
 struct KeyRouting {
-    /// The bits by which all keys are routed.
+    /// The number of bits by which all keys are routed.
     bits: u8,
-    /// Whether some keys are routed by one bit more.
+    /// Whether some keys are routed by one additional bit.
     is_partly_migrated: bool,
 }
 
@@ -87,14 +94,16 @@
         }
     }
 
-    /// Whether, since `from`, keys have begun to migrate, have all migrated, or have returned to their old endpoints.
+    /// Whether, since the layout `from`, keys have begun to migrate, have all migrated, or have returned to
+    /// their old endpoints.
     ///
-    /// A further copying step does not count: it moves so few keys that earlier observations still hold for the rest.
+    /// A later copying step does not count: a step moves so few keys that earlier observations of the shard
+    /// stay valid for the other keys.
     pub fn moves_keys_since(self, from: ShardLayout) -> bool {
         self.key_routing() != from.key_routing()
     }
 
-    /// The number of parts into which completed splits divide the shard.
+    /// The number of parts into which complete splits divide the shard.
     pub fn part_count(self) -> u32 {
         1 << self.bits.min(MAX_SPLIT_BITS)
     }
@@ -114,22 +123,22 @@
     }
 }
 
-/// A version of the shard map, as planners agree on it.
+/// One version of the shard map that planners agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedShardMap {
-    /// The version, one above that of the map it was made from.
+    /// The version, which is one above that of the previous map.
     pub version: ShardMapVersion,
     /// Shards that are split or have a split in progress; all others have the default layout and no entry.
     pub shards: BTreeMap<ShardId, ShardLayout>,
 }
 
 impl VersionedShardMap {
-    /// Whether the split schedule can have made this map. Maps arrive in messages, which may contain anything.
+    /// Whether the split schedule can have created this map. A map from a message may hold any values.
     pub fn is_valid(&self) -> bool {
         self.version.0 < VERSION_LIMIT && self.shards.values().all(|layout| is_valid_layout(*layout))
     }
 
-    /// The layout of a shard.
+    /// The layout of a shard; the default layout if the map has no entry for the shard.
     pub fn layout(&self, shard: ShardId) -> ShardLayout {
         self.shards.get(&shard).copied().unwrap_or_default()
     }
