--- a/crates/coordination/src/shard_growth/snapshot.rs
+++ b/crates/coordination/src/shard_growth/snapshot.rs
@@ -1,7 +1,7 @@
-//! What a planner persists of shard growth.
+//! The state of shard growth that a planner persists.
 //!
-//! The format is a version byte, the state as postcard encodes it, and an XXH3 checksum over both. The order of fields is
-//! the stored format.
+//! A snapshot file holds a version byte, the state encoded by postcard, and an XXH3 checksum over the version
+//! and the state. The order of fields is the stored format.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,23 +15,23 @@
 
 const CHECKSUM_LENGTH: usize = size_of::<u64>();
 
-/// The state that outlasts a restart of a planner.
+/// The state of shard growth that a planner keeps across restarts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The acceptor's state; none while the planner recovers the one that it lost.
+    /// The state of the consensus acceptor; none while the planner recovers a lost state from other planners.
     pub consensus: Option<AcceptorState>,
     /// The closed days of each shard, in ascending order.
     pub history: Vec<(ShardId, Vec<ClosedDay>)>,
 }
 
-/// Why a snapshot cannot be read. The file has to be preserved, since it may be another version's.
+/// Why a snapshot cannot be read. The file has to be preserved, since another version may have written it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The snapshot has another format version.
-    #[error("the shard growth snapshot is of version {0}, and this program reads version {FORMAT_VERSION}")]
+    #[error("the shard growth snapshot has format version {0}; this program reads version {FORMAT_VERSION}")]
     OtherVersion(u8),
-    /// The snapshot is truncated or damaged, or is no snapshot of this component.
-    #[error("the shard growth snapshot is damaged")]
+    /// The snapshot is truncated or corrupt, or the file is not a shard growth snapshot.
+    #[error("the shard growth snapshot is truncated or corrupt, or the file is not a shard growth snapshot")]
     Corrupt,
 }
 
@@ -39,28 +39,30 @@
     fn remediation(&self) -> &'static str {
         match self {
             SnapshotError::OtherVersion(_) => {
-                "Run the program that wrote it; or move the file aside and start with none while all other planners are up."
+                "Run the version that wrote the snapshot, or move the file aside and start without it while all \
+                 other planners are up."
             }
             SnapshotError::Corrupt => {
-                "Move the file aside and start with none while all other planners are up: it asks them for what it lost."
+                "Move the file aside and start without it while all other planners are up: the planner recovers \
+                 its state from them."
             }
         }
     }
 }
 
 impl Snapshot {
-    /// Encodes the snapshot.
+    /// The snapshot in its stored format.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT_VERSION];
-        bytes.extend(postcard::to_stdvec(self).expect("a snapshot has only types that postcard can write"));
+        bytes.extend(postcard::to_stdvec(self).expect("postcard can encode all types of a snapshot"));
         bytes.extend(checksum(&bytes));
         bytes
     }
 
-    /// Decodes a snapshot.
+    /// Decodes a snapshot from its stored format.
     ///
     /// # Errors
-    /// The bytes are damaged or of another version. No part of them is used then.
+    /// The bytes are corrupt or have another format version. No part of them is used.
     pub fn from_bytes(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         let (checked, stored_checksum) =
             bytes.split_last_chunk::<CHECKSUM_LENGTH>().ok_or(SnapshotError::Corrupt)?;
