--- a/crates/coordination/src/shard_growth/endpoints.rs
+++ b/crates/coordination/src/shard_growth/endpoints.rs
@@ -1,9 +1,9 @@
-//! The endpoints that serve, by what forwarders report of them: the split schedule needs to know which endpoints a shard
-//! occupies and which of them are warming up.
+//! Forwarders' reports of the fleet's endpoints. From them the split schedule derives which endpoints a shard
+//! occupies and which endpoints are warming up.
 //!
-//! A fact about an endpoint counts once two forwarders currently report it, or the only live one: a single forwarder that
-//! reports falsely changes nothing. Each message makes sense on its own, and a report expires unless it is repeated, so
-//! messages may be lost, duplicated or late.
+//! A property of an endpoint counts while two forwarders report it, or the only live forwarder does, so that
+//! false reports of a single forwarder have no effect. Each message is complete on its own, and a report
+//! expires unless it is repeated, so messages may be lost, duplicated or late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,33 +15,33 @@
 use crate::member::ForwarderId;
 use crate::observation::ObservedEndpoint;
 
-/// The number of endpoints in one message, at 20 bytes each at most.
+/// The maximum number of endpoints in one message. An encoded endpoint takes at most 20 bytes.
 pub const MAX_ENDPOINTS_PER_MESSAGE: usize = 50;
 
-/// The number of endpoints that one forwarder reports.
+/// The maximum number of endpoints that one forwarder reports.
 const MAX_ENDPOINTS_PER_FORWARDER: usize = 512;
 
-/// The number of endpoints that a planner keeps reports of.
+/// The maximum number of endpoints of which a planner keeps reports.
 const MAX_ENDPOINTS: usize = 2048;
 
-/// Sizes above this are invalid.
+/// The greatest valid size of an endpoint.
 const MAX_SIZE: f64 = 1e9;
 
-/// The number of forwarders that have to report the same, where as many are live.
+/// The number of forwarders that have to report the same property; all live ones if fewer are live.
 const MIN_REPORTERS: usize = 2;
 
-/// An endpoint as a forwarder sees it.
+/// The properties of an endpoint that a forwarder reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedEndpoint {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its size relative to other endpoints.
+    /// The endpoint's size relative to other endpoints.
     pub size: f64,
-    /// Whether it is warming up after a start.
+    /// Whether the endpoint is warming up after a start.
     pub is_warming_up: bool,
 }
 
-/// A forwarder's endpoints, and what of them it has reported.
+/// The endpoints in a forwarder's endpoint list, and their properties when last reported.
 #[derive(Debug, Default)]
 pub struct EndpointReporter {
     endpoints: Vec<ObservedEndpoint>,
@@ -50,18 +50,21 @@
 }
 
 impl EndpointReporter {
-    /// Takes a new endpoint list. The origin and endpoints beyond the limit are left out.
+    /// Replaces the endpoint list. The origin and endpoints beyond [`MAX_ENDPOINTS_PER_FORWARDER`] are left
+    /// out.
     pub fn set_endpoints(&mut self, endpoints: &[ObservedEndpoint]) {
         let caches = endpoints.iter().filter(|endpoint| !endpoint.is_origin);
         self.endpoints = caches.take(MAX_ENDPOINTS_PER_FORWARDER).copied().collect();
     }
 
-    /// Makes the next report a full one: a planner has joined that may know nothing.
+    /// Makes the next report include all endpoints, for a planner that has joined and may have no reports
+    /// yet.
     pub fn request_full_report(&mut self) {
         self.full_report_due = Time(0);
     }
 
-    /// What to report now: all endpoints once in `full_report_interval`, else those that have changed.
+    /// The endpoints to report now: all of them once per `full_report_interval`, otherwise only those that
+    /// have changed.
     pub fn poll_report(&mut self, now: Time, full_report_interval: Span) -> Vec<ReportedEndpoint> {
         let current: Vec<_> = self.endpoints.iter().map(|endpoint| as_reported(endpoint, now)).collect();
         let is_full_report = now >= self.full_report_due;
@@ -90,24 +93,24 @@
     }
 }
 
-/// A report and when it arrived.
+/// A report and the time of its arrival.
 #[derive(Clone, Copy, Debug)]
 struct DatedReport {
     endpoint: ReportedEndpoint,
     received_at: Time,
 }
 
-/// A planner's record of what each forwarder reports of each endpoint.
+/// A planner's latest report of each endpoint from each forwarder.
 #[derive(Debug, Default)]
 pub struct EndpointReports {
     reports: BTreeMap<EndpointId, BTreeMap<ForwarderId, DatedReport>>,
     endpoints_per_forwarder: BTreeMap<ForwarderId, usize>,
 }
 
-/// The endpoints as enough forwarders report them.
+/// The endpoints and properties that enough forwarders report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointView {
-    /// Each endpoint with its size, ordered by endpoint.
+    /// The size of each endpoint, ordered by endpoint.
     pub sizes: Vec<(EndpointId, f64)>,
     /// Endpoints that are warming up.
     pub warming_up: BTreeSet<EndpointId>,
@@ -117,8 +120,9 @@
     /// Records a forwarder's report.
     ///
     /// # Errors
-    /// [`GrowthError::InvalidValue`] if no endpoint list has such values; nothing is recorded then.
-    /// [`GrowthError::CapacityExceeded`] if there are more endpoints than are kept; those before them are recorded.
+    /// [`GrowthError::InvalidValue`] if a value or the number of endpoints is out of range; nothing is
+    /// recorded then. [`GrowthError::CapacityExceeded`] if an endpoint exceeds the number that is kept; only
+    /// the endpoints before this one are recorded.
     pub fn on_report(
         &mut self,
         now: Time,
@@ -167,14 +171,14 @@
         }
     }
 
-    /// What enough forwarders report, where `live_forwarders` are live. Where they differ on a size, the one that most
-    /// of them report is taken.
+    /// The endpoints that enough forwarders report, if `live_forwarders` forwarders are live. If forwarders
+    /// report different sizes, the size that most of them report counts.
     pub fn view(&self, live_forwarders: usize) -> EndpointView {
         let min_reporters = MIN_REPORTERS.min(live_forwarders).max(1);
         let mut view = EndpointView::default();
         for (endpoint, reports) in &self.reports {
             let Some(most_reported) = most_reported_size(reports) else { continue };
-            if most_reported.reporters >= min_reporters {
+            if most_reported.reporter_count >= min_reporters {
                 view.sizes.push((*endpoint, most_reported.size));
             }
             let warming_up = reports.values().filter(|report| report.endpoint.is_warming_up).count();
@@ -191,18 +195,19 @@
     }
 }
 
+/// A size, and the number of forwarders that report it.
 struct SizeReporters {
     size: f64,
-    reporters: usize,
+    reporter_count: usize,
 }
 
 fn most_reported_size(reports: &BTreeMap<ForwarderId, DatedReport>) -> Option<SizeReporters> {
-    let mut reporters_by_size: BTreeMap<u64, usize> = BTreeMap::new();
+    let mut reporter_counts: BTreeMap<u64, usize> = BTreeMap::new();
     for report in reports.values() {
-        *reporters_by_size.entry(report.endpoint.size.to_bits()).or_default() += 1;
+        *reporter_counts.entry(report.endpoint.size.to_bits()).or_default() += 1;
     }
-    let (size, reporters) = reporters_by_size.into_iter().max_by_key(|(_, reporters)| *reporters)?;
-    Some(SizeReporters { size: f64::from_bits(size), reporters })
+    let (size, reporter_count) = reporter_counts.into_iter().max_by_key(|(_, count)| *count)?;
+    Some(SizeReporters { size: f64::from_bits(size), reporter_count })
 }
 
 fn is_valid(endpoint: &ReportedEndpoint) -> bool {
--- a/crates/coordination/src/shard_growth/sketch.rs
+++ b/crates/coordination/src/shard_growth/sketch.rs
@@ -1,19 +1,21 @@
-//! An estimate of the number of distinct keys: a HyperLogLog, after Flajolet, Fusy, Gandouet and Meunier (2007), with
-//! linear counting while few registers are set.
+//! Estimates the number of distinct keys with a HyperLogLog sketch (Flajolet, Fusy, Gandouet and Meunier,
+//! 2007), and with linear counting while few registers are set.
 //!
-//! Invariant: a register only rises, and merging takes the greater value of each register. So merging is idempotent and
-//! commutative, and messages may be lost, duplicated or reordered.
+//! Invariant: the value of a register only rises, and merging takes the greater value of each register.
+//! Merging is therefore idempotent and commutative, and messages may be lost, duplicated or reordered.
 
-/// How many bits of a key's hash select its register.
+/// The number of bits of a key's hash that select a register.
 const REGISTER_INDEX_BITS: u32 = 10;
 
-/// The number of registers. The standard error is 1.04 divided by its square root: 3.25%.
+/// The number of registers. The standard error of the estimate is 1.04 divided by the square root of this
+/// number: 3.25%.
 pub const REGISTER_COUNT: usize = 1 << REGISTER_INDEX_BITS;
 
-/// The highest value of a register: one more than the leading zeros of what the index leaves of a hash.
+/// The highest value of a register: one more than the number of hash bits that do not select the register.
 const MAX_REGISTER_VALUE: u8 = (64 - REGISTER_INDEX_BITS + 1) as u8;
 
-/// Below this many keys for each register linear counting is more accurate, if any register is empty.
+/// The number of keys per register up to which linear counting is the more accurate estimate, if a register
+/// is empty.
 const LINEAR_COUNTING_LIMIT: f64 = 2.5;
 
 /// A HyperLogLog sketch of distinct keys.
@@ -29,9 +31,9 @@
 }
 
 impl DistinctCounter {
-    /// Counts a key by its hash, and returns the register that rose, if one did.
+    /// Counts a key by its hash, and returns the register whose value rose, if any.
     pub fn add(&mut self, hash: u64) -> Option<u16> {
-        // Keys of one shard share the low bits of the hash by which slots are chosen, so it is mixed again.
+        // Keys of one shard share the low hash bits, which select the slots, so the hash is mixed again.
         let hash = murmur3_finalizer(hash);
         let register = (hash >> (64 - REGISTER_INDEX_BITS)) as u16;
         let leading_zeros = (hash << REGISTER_INDEX_BITS).leading_zeros().min(64 - REGISTER_INDEX_BITS);
@@ -39,7 +41,8 @@
         self.raise(register, value).then_some(register)
     }
 
-    /// Raises a register to `value` if that is higher, and returns whether it rose. Impossible values are ignored.
+    /// Raises a register to `value` if `value` is higher, and returns whether the register rose. Ignores a
+    /// register or value out of range.
     pub fn raise(&mut self, register: u16, value: u8) -> bool {
         let Some(current) = self.registers.get_mut(usize::from(register)) else { return false };
         let rises = *current < value && value <= MAX_REGISTER_VALUE;
@@ -49,14 +52,14 @@
         rises
     }
 
-    /// Adds all keys that `other` has counted.
+    /// Adds all keys that `other` counted.
     pub fn merge(&mut self, other: &DistinctCounter) {
         for (own, others) in self.registers.iter_mut().zip(other.registers.iter()) {
             *own = (*own).max(*others);
         }
     }
 
-    /// The value of a register; 0 where there is no such register.
+    /// The value of a register; 0 if no register has this index.
     pub fn register(&self, register: u16) -> u8 {
         self.registers.get(usize::from(register)).copied().unwrap_or(0)
     }
