--- a/crates/coordination/src/shard_growth/capacity_forecast.rs
+++ b/crates/coordination/src/shard_growth/capacity_forecast.rs
@@ -1,30 +1,36 @@
-//! When a shard outgrows the capacity of its endpoints.
+//! Forecasts when a shard outgrows the capacity of its endpoints.
 
 use super::forecast::{ForecastUnavailable, Point, forecast};
 
-/// How many days ahead a shard's size is forecast; straight lines connect these horizons.
+/// The horizons in days at which a shard's size is forecast. Between two horizons, the size is interpolated
+/// linearly.
 pub const HORIZONS: [u32; 4] = [7, 14, 30, 60];
 
-/// A shard has outgrown its capacity if it exceeded it on [`MIN_DAYS_OVER_CAPACITY`] of this many recent days.
+/// The number of recent closed days by which a shard is judged to have outgrown its capacity.
 const RECENT_DAYS: usize = 3;
+
+/// The number of days, of the last [`RECENT_DAYS`], on which a shard that has outgrown its capacity reached
+/// it.
 const MIN_DAYS_OVER_CAPACITY: usize = 2;
 
-/// When a shard outgrows its capacity, in days since 1 January 1970.
+/// The forecast of when a shard outgrows its capacity, in days since 1 January 1970.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CapacityForecast {
-    /// The earliest day, by the upper bound of the forecast's interval. None if it lies beyond all horizons.
+    /// The earliest day, by the upper bound of the forecast's interval. None if the day lies beyond all
+    /// horizons.
     pub earliest: Option<f64>,
-    /// The most likely day, by the forecast itself. None if it lies beyond all horizons.
+    /// The most likely day, by the expected value of the forecast. None if the day lies beyond all horizons.
     pub likely: Option<f64>,
-    /// Why there is no forecast yet.
+    /// Why no forecast is available yet; none if there is a forecast.
     pub unavailable: Option<ForecastUnavailable>,
 }
 
-/// Forecasts when a shard outgrows a capacity in bytes, from the bytes of its closed days in ascending order.
+/// Forecasts when a shard outgrows a capacity in bytes. `points` are the shard's sizes in bytes on its closed
+/// days, in ascending order of days.
 pub fn forecast_capacity(points: &[Point], capacity_bytes: f64) -> CapacityForecast {
     let Some(last) = points.last() else { return CapacityForecast::default() };
     if has_outgrown(points, capacity_bytes) {
-        // It is too late already, whatever a forecast says.
+        // The capacity is exceeded already, so no forecast is needed.
         let today = Some(f64::from(last.day.0));
         return CapacityForecast { earliest: today, likely: today, unavailable: None };
     }
@@ -36,14 +42,14 @@
     recent.filter(|point| point.value >= capacity_bytes).count() >= MIN_DAYS_OVER_CAPACITY
 }
 
-/// A point of a line that is forecast: days from the last closed day, and bytes.
+/// A point of the interpolated forecast: a number of days after the last closed day, and the size in bytes.
 #[derive(Clone, Copy)]
 struct LinePoint {
     days_ahead: f64,
     bytes: f64,
 }
 
-/// When the straight lines between the horizons cross the capacity.
+/// The days on which the interpolated forecast and its upper bound reach the capacity.
 fn forecast_crossings(points: &[Point], last: &Point, capacity_bytes: f64) -> CapacityForecast {
     let today = f64::from(last.day.0);
     let start = LinePoint { days_ahead: 0.0, bytes: last.value };
@@ -54,7 +60,7 @@
         let forecast = match forecast(points, horizon) {
             Ok(forecast) => forecast,
             Err(unavailable) => {
-                // Longer horizons need more days; the shorter ones stand.
+                // Longer horizons need a longer history; the forecasts of shorter horizons stay valid.
                 if horizon == HORIZONS[0] {
                     crossings.unavailable = Some(unavailable);
                 }
@@ -76,7 +82,8 @@
     crossings
 }
 
-/// How many days ahead the line between two points reaches the capacity, if it does.
+/// The number of days after the last closed day at which the line between two points reaches the capacity, if
+/// any.
 fn crossing(from: LinePoint, to: LinePoint, capacity_bytes: f64) -> Option<f64> {
     if from.bytes >= capacity_bytes {
         return Some(from.days_ahead);
--- a/crates/coordination/src/shard_growth/shard_map.rs
+++ b/crates/coordination/src/shard_growth/shard_map.rs
@@ -44,8 +44,8 @@
     /// All migrating keys are read from their new endpoints. On a cache miss, the old endpoint is read before
     /// the origin.
     DualRead,
-    /// The old endpoints are no longer read. The split may still be withdrawn until this phase has lasted
-    /// long enough.
+    /// The old endpoints are no longer read. A lasting fault or an operator can still cause the split to be
+    /// withdrawn.
     Switched,
     /// The split was withdrawn, and keys are read from their old endpoints again. The split may be planned
     /// again after a waiting time.
