--- a/crates/coordination/src/shard_growth/shard_activity.rs
+++ b/crates/coordination/src/shard_growth/shard_activity.rs
@@ -1,4 +1,4 @@
-//! What one forwarder sees of a shard on one day, and which keys it has recently seen stored.
+//! A forwarder's counts of one shard on one day, and the keys that the forwarder recently read successfully.
 
 use granitelb_balancer::AttemptOutcome;
 use granitelb_balancer::time::{Span, Time};
@@ -10,13 +10,13 @@
 use super::sketch::{DistinctCounter, REGISTER_COUNT};
 use crate::observation::FinishedAttempt;
 
-/// The number of recently stored keys that are remembered.
+/// The number of slots for recently stored keys, each of which holds one key.
 const STORED_KEY_SLOTS: usize = 4096;
 
-/// The slot of a key is chosen by the bits of its hash above this one: the lower ones choose its shard.
+/// The lowest bit of a key's hash that selects the key's slot. Lower bits select the shard.
 const SLOT_HASH_SHIFT: u32 = 40;
 
-/// What a forwarder counted of one shard on one day.
+/// A forwarder's counts of one shard on one day.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ShardActivity {
     read: DistinctCounter,
@@ -25,7 +25,7 @@
 }
 
 impl ShardActivity {
-    /// Counts an attempt. `was_stored` tells whether the key was recently seen stored.
+    /// Counts an attempt. `was_stored` is whether the key was in [`RecentlyStoredKeys`] before the attempt.
     pub(super) fn on_attempt_finished(&mut self, attempt: &FinishedAttempt, key_hash: u64, was_stored: bool) {
         match attempt.outcome {
             AttemptOutcome::Fulfilled => self.on_fulfilled(attempt, key_hash),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The messages that report all of it.
+    /// The messages that report all counts of the shard's day.
     pub(super) fn messages(&self, day: AccountingDay, shard: ShardId) -> Vec<GrowthMessage> {
         let mut messages = vec![GrowthMessage::Counters { day, counters: vec![(shard, self.counters)] }];
         for (kind, sketch) in [(SketchKind::Read, &self.read), (SketchKind::Written, &self.written)] {
@@ -61,13 +61,13 @@
     }
 }
 
-/// The registers that are not zero, with their values.
+/// The indices and values of the registers that are not zero.
 fn set_registers(sketch: &DistinctCounter) -> Vec<(u16, u8)> {
     let registers = (0..REGISTER_COUNT as u16).map(|register| (register, sketch.register(register)));
     registers.filter(|(_, value)| *value > 0).collect()
 }
 
-/// A key that was seen stored.
+/// A key that was read successfully, and is therefore stored in a cache.
 #[derive(Clone, Copy, Debug)]
 struct StoredKey {
     key_hash: u64,
@@ -76,7 +76,8 @@
 
 const NO_KEY: StoredKey = StoredKey { key_hash: 0, seen_at: Time(0) };
 
-/// Keys that were recently seen stored in a cache. A newer key replaces the one that shares its slot.
+/// Keys that were recently read successfully, so that a cache stores them. A newer key replaces an older key
+/// in the same slot.
 #[derive(Debug)]
 pub(super) struct RecentlyStoredKeys {
     slots: Vec<StoredKey>,
@@ -89,14 +90,14 @@
 }
 
 impl RecentlyStoredKeys {
-    /// Whether the key was seen stored within `window`.
+    /// Whether the key was read successfully within `window` and not written since.
     pub(super) fn contains(&self, key_hash: u64, now: Time, window: Span) -> bool {
         let stored = self.slots[slot_of(key_hash)];
         stored.key_hash == key_hash && now - stored.seen_at <= window
     }
 
-    /// Remembers a key that was read, and forgets one that was written: no cache has a copy after a write, so the next
-    /// miss tells nothing.
+    /// Adds a key that was read, and removes a key that was written: a write removes the key from the caches,
+    /// so the next cache miss is no eviction.
     pub(super) fn on_attempt_finished(&mut self, now: Time, attempt: &FinishedAttempt, key_hash: u64) {
         if attempt.outcome != AttemptOutcome::Fulfilled {
             return;
--- a/crates/coordination/src/shard_growth/shard_day.rs
+++ b/crates/coordination/src/shard_growth/shard_day.rs
@@ -1,9 +1,10 @@
-//! What forwarders saw of one shard on one day, in a representation that may be merged any number of times.
+//! The counts of one shard on one day, merged from the reports of all forwarders.
 //!
-//! Messages are duplicated and each planner hears all forwarders, so merging has to be idempotent and independent of
-//! order. It is a join by the greatest value throughout: distinct keys are a HyperLogLog whose registers only rise, and
-//! counters are kept for each incarnation of a forwarder, which alone raises them. The sum over incarnations is then the
-//! true sum of what was received.
+//! Reports are repeated, messages are duplicated, and each planner receives the reports of all forwarders.
+//! Merging therefore has to be idempotent and independent of order. Each value is merged by taking the
+//! greater one: distinct keys are counted by a HyperLogLog whose registers only rise, and counters are kept
+//! separately for each incarnation of a forwarder, which is the only one to raise them. The sum of the
+//! counters over all incarnations is then exact for the received reports.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +14,22 @@
 use super::sketch::{DistinctCounter, REGISTER_COUNT};
 use crate::member::{ForwarderId, Incarnation};
 
-/// Counters are kept of this many incarnations for one shard and day: 1,000 forwarders that each start four times.
+/// The maximum number of forwarder incarnations whose counters are kept for one shard and day: enough for
+/// 1,000 forwarders that each start four times.
 pub const MAX_INCARNATIONS: usize = 4096;
 
-/// What one incarnation of a forwarder counted of a shard on one day. Each counter only rises.
+/// The counters of one incarnation of a forwarder for one shard and day. Each counter only rises.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardCounters {
-    /// Reads that were answered.
+    /// The number of reads that were fulfilled.
     pub reads: u64,
-    /// Writes that were answered.
+    /// The number of writes that were fulfilled.
     pub writes: u64,
-    /// Bytes of values that were read or written.
+    /// The total size of the values that were read or written, in bytes.
     pub bytes: u64,
-    /// The number of values to which `bytes` adds up.
+    /// The number of values whose sizes are summed in `bytes`.
     pub sized_responses: u64,
-    /// Cache misses of keys that the forwarder had recently seen stored.
+    /// The number of cache misses for keys that the forwarder had recently read successfully.
     pub evictions: u64,
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Names one of a shard's two sketches.
+/// The kind of a shard's sketch: of the keys that were read, or of those that were written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SketchKind {
     /// The keys that were read.
@@ -60,7 +62,7 @@
     Written,
 }
 
-/// What all forwarders saw of one shard on one day, as far as their messages arrived.
+/// The merged reports of all forwarders for one shard and day, as far as the messages arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardDay {
     /// The keys that were read.
@@ -71,7 +73,7 @@
 }
 
 impl ShardDay {
-    /// One of the two sketches.
+    /// The sketch of the given kind.
     pub fn sketch_mut(&mut self, kind: SketchKind) -> &mut DistinctCounter {
         match kind {
             SketchKind::Read => &mut self.read,
@@ -79,11 +81,11 @@
         }
     }
 
-    /// Raises the counters of one incarnation of a forwarder.
+    /// Raises each counter of one incarnation of a forwarder to the reported value.
     ///
     /// # Errors
-    /// [`GrowthError::CapacityExceeded`] if the incarnation is new and counters of [`MAX_INCARNATIONS`] are kept already;
-    /// nothing is changed.
+    /// [`GrowthError::CapacityExceeded`] if the incarnation is new and the counters of [`MAX_INCARNATIONS`]
+    /// incarnations are kept already; no counter changes then.
     pub fn raise(
         &mut self,
         forwarder: ForwarderId,
@@ -98,7 +100,7 @@
         Ok(())
     }
 
-    /// Merges what `other` has. Incarnations beyond [`MAX_INCARNATIONS`] are left out.
+    /// Merges the sketches and counters of `other`. Incarnations beyond [`MAX_INCARNATIONS`] are left out.
     pub fn merge(&mut self, other: &ShardDay) {
         self.read.merge(&other.read);
         self.written.merge(&other.written);
@@ -119,8 +121,8 @@
         keys.count()
     }
 
-    /// The bytes that the day's keys take in a cache: distinct keys times the mean size of a value. None if no value
-    /// was seen.
+    /// The size of the day's keys in a cache, in bytes: distinct keys times the mean size of a value. None if
+    /// no value was read or written.
     pub fn cached_bytes(&self) -> Option<f64> {
         let total = self.total();
         if total.sized_responses == 0 {
