--- a/crates/coordination/src/shard_growth/consensus/acceptor.rs
+++ b/crates/coordination/src/shard_growth/consensus/acceptor.rs
@@ -1,24 +1,26 @@
-//! The acceptor: what a planner has promised and accepted, and the last decision that it has learned.
+//! The Paxos acceptor of a planner: its last promise, its last accepted proposal, and the last decision it
+//! has learned.
 
 use serde::{Deserialize, Serialize};
 
 use super::message::{AcceptedProposal, Ballot, ConsensusMessage};
 use crate::shard_growth::shard_map::{ShardMapVersion, VersionedShardMap};
 
-/// The state that outlasts a restart. The order of fields is the stored format.
+/// The acceptor's state, which is kept across restarts. The order of fields is the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AcceptorState {
     /// The shard map that was decided last.
     pub decided: VersionedShardMap,
-    /// The highest ballot that was promised for the version after that.
+    /// The highest ballot that was promised for the version after `decided`.
     pub promised: Ballot,
-    /// What was accepted last for the version after that.
+    /// The last accepted proposal for the version after `decided`.
     pub accepted: Option<AcceptedProposal>,
 }
 
-/// The acceptor's state, and whether it has changed since it was persisted last.
+/// The acceptor's state, and whether the state has changed since it was last persisted.
 ///
-/// Invariant: whatever changes `promised` or `accepted` sets `needs_snapshot`, and no message leaves while it is set.
+/// Invariant: each change of `promised` or `accepted` sets `needs_snapshot`, and no message is sent while
+/// `needs_snapshot` is set.
 #[derive(Clone, Debug)]
 pub(super) struct Acceptor {
     pub(super) state: AcceptorState,
@@ -34,12 +36,12 @@
         self.state.decided.version
     }
 
-    /// Whether `version` is the one that is voted on: the one after the last decision.
+    /// Whether the acceptor votes on `version`: only on the version after the last decision.
     pub(super) fn is_next_version(&self, version: ShardMapVersion) -> bool {
         version.0 == self.decided_version().0 + 1
     }
 
-    /// Promises `ballot` unless a higher one was promised, and returns the answer to the proposer.
+    /// Promises `ballot` unless a higher ballot was promised, and returns the reply to the proposer.
     pub(super) fn prepare(&mut self, version: ShardMapVersion, ballot: Ballot) -> ConsensusMessage {
         if ballot < self.state.promised {
             return ConsensusMessage::Rejected { version, promised: self.state.promised };
@@ -49,7 +51,7 @@
         ConsensusMessage::Promise { version, ballot, accepted: self.state.accepted.clone() }
     }
 
-    /// Accepts a shard map unless a higher ballot was promised, and returns the answer to the proposer.
+    /// Accepts a shard map unless a higher ballot was promised, and returns the reply to the proposer.
     pub(super) fn accept(&mut self, ballot: Ballot, shard_map: VersionedShardMap) -> ConsensusMessage {
         let version = shard_map.version;
         if ballot < self.state.promised {
@@ -61,12 +63,12 @@
         ConsensusMessage::Accepted { version, ballot }
     }
 
-    /// Takes a decision. Votes on its version or an earlier one are dropped.
+    /// Records a decision. Votes on the decided version and on earlier versions are dropped.
     pub(super) fn learn(&mut self, decided: VersionedShardMap) {
         self.state = AcceptorState { decided, ..AcceptorState::default() };
     }
 
-    /// Takes over the votes of others in place of its own, which it has lost.
+    /// Replaces the planner's own votes, which were lost, by votes recovered from other planners.
     pub(super) fn restore(&mut self, promised: Ballot, accepted: Option<AcceptedProposal>) {
         self.state.promised = promised;
         self.state.accepted = accepted;
--- a/crates/coordination/src/shard_growth/consensus/mod.rs
+++ b/crates/coordination/src/shard_growth/consensus/mod.rs
@@ -1,26 +1,30 @@
-//! How planners agree on the shard map: single-decree Paxos for each version, by ballots, with a majority of the
-//! *configured* planners.
+//! Consensus of the planners on the shard map: single-decree Paxos for each version, by ballots, with a
+//! majority of the *configured* planners.
 //!
-//! Each planner is proposer, acceptor and learner. The planner that takes itself for the leader proposes; that two do
-//! costs time alone. A proposer asks all acceptors for a promise (`Prepare`, `Promise`), then asks them to accept a shard
-//! map (`Accept`, `Accepted`), and tells all learners once a majority has accepted it (`Decided`).
+//! Each planner is proposer, acceptor and learner. The planner that considers itself the leader makes
+//! proposals; two planners that both do so delay a decision, but cannot cause conflicting ones. A proposer
+//! asks all acceptors for a promise (`Prepare`, `Promise`), then asks them to accept a shard map (`Accept`,
+//! `Accepted`), and sends the map to all learners once a majority has accepted it (`Decided`).
 //!
-//! Invariant: no two shard maps of one version are ever decided. A map is decided once a majority has persisted its
-//! acceptance under one ballot. A proposer first hears from a majority, each of which has persisted a promise to accept
-//! no lower ballot, and continues with the map of the highest ballot that any of them had accepted. Any two majorities
-//! share a planner.
+//! Invariant: at most one shard map is decided for each version. A map is decided once a majority has
+//! persisted its acceptance under one ballot. Before a proposer asks for acceptance, a majority has persisted
+//! promises to accept no lower ballot. The proposer then continues with the map of the highest ballot that
+//! any acceptor of this majority had accepted. Any two majorities have a planner in common, so a decided map
+//! is always found.
 //!
-//! This rests on promises that outlast a restart: no message leaves before the state that it speaks of is persisted
-//! ([`Consensus::poll_message`] returns none until [`Consensus::poll_snapshot`] was called). A planner that starts without
-//! persisted state has forgotten its promises. It votes on nothing until all others have told it their state. Each that
-//! is asked abandons the proposal that it has, so that no forgotten vote counts any more, and names the ballot that it
-//! promised, below which the recovering planner then accepts nothing: its own forgotten promise was to one of them. It
-//! takes over what they accepted, in place of what it forgot. The loss of two disks at once is beyond this, and so is
-//! the loss of the disk of the only planner.
+//! The invariant requires that promises survive a restart, so no message is sent before the state that it
+//! reports is persisted ([`Consensus::poll_message`] returns none until [`Consensus::poll_snapshot`] was
+//! called). A planner that starts without persisted state has lost its promises, and votes on nothing until
+//! all other planners have sent it their state. Each planner that receives such a request abandons its own
+//! proposal in progress, so that lost votes no longer count, and responds with the ballot that it promised.
+//! The recovering planner accepts nothing below the highest of these ballots, since its own lost promise was
+//! made to one of these planners. It replaces its lost accepted proposal by the one with the highest ballot
+//! among the responses. Recovery is impossible if the disks of two planners are lost at once, or the disk of
+//! the only planner.
 //!
-//! Versions form one chain: a planner votes on the version after the last one that it knows to be decided, and on no
-//! other. A proposer sends the map that its proposal is based on before it asks for promises, so that a majority also
-//! persists that one.
+//! Versions form one chain: a planner votes only on the version after the last one that it knows to be
+//! decided. Before a proposer asks for promises, it sends the decided map that its proposal is based on, so
+//! that a majority persists this map too.
 
 mod acceptor;
 mod message;
@@ -40,10 +44,11 @@
 use super::shard_map::{ShardMapVersion, VersionedShardMap};
 use crate::member::{Incarnation, PlannerId};
 
-/// The number of messages that wait to be sent; further ones are dropped, as the network might.
-const MAX_OUTBOUND: usize = 256;
+/// The maximum number of messages queued for sending. Further messages are dropped; the protocol tolerates
+/// the loss of messages.
+const MAX_OUTBOUND_MESSAGES: usize = 256;
 
-/// One planner's part in the consensus.
+/// The proposer, acceptor and learner of one planner.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     me: PlannerId,
@@ -51,7 +56,7 @@
     planners: BTreeSet<PlannerId>,
     majority: usize,
     acceptor: Acceptor,
-    /// Set while the planner has lost its acceptor state.
+    /// The recovery in progress; none unless the planner has lost its acceptor state.
     recovery: Option<Recovery>,
     proposal: Option<Proposal>,
     outbound: VecDeque<(PlannerId, ConsensusMessage)>,
@@ -59,8 +64,9 @@
 }
 
 impl Consensus {
-    /// Starts the consensus at planner `me`, where `planners` are all that are configured, and `persisted` is the state
-    /// that it found on its disk.
+    /// Starts the consensus at planner `me`. `planners` are all configured planners, and `persisted` is the
+    /// acceptor state from the planner's disk; without one, the planner first recovers its state from the
+    /// others.
     pub fn new(
         me: PlannerId,
         incarnation: Incarnation,
@@ -85,30 +91,32 @@
         consensus
     }
 
-    /// Replaces the size of a majority, for tests that show why it has to be one.
+    /// Replaces the number of votes that decide, for tests which show that fewer votes than a majority are
+    /// unsafe.
     pub fn with_majority(self, majority: usize) -> Consensus {
         Consensus { majority, ..self }
     }
 
-    /// The shard map that was decided last.
+    /// The last decided shard map that this planner has learned.
     pub fn decided(&self) -> &VersionedShardMap {
         &self.acceptor.state.decided
     }
 
-    /// Whether the planner takes part in votes. It does not while it recovers its acceptor state.
+    /// Whether the planner votes; false while it recovers its acceptor state.
     pub fn is_voting(&self) -> bool {
         self.recovery.is_none()
     }
 
-    /// The acceptor's state, which has to be persisted.
+    /// The acceptor's state, which the caller has to persist.
     pub fn acceptor_state(&self) -> &AcceptorState {
         &self.acceptor.state
     }
 
-    /// Proposes the version after the decided one; also again, after messages may have been lost. If another map of this
-    /// version was accepted before, that one may be decided instead.
+    /// Proposes a shard map of the version after the last decided one. A call with the same map repeats the
+    /// proposal, in case messages were lost. If an acceptor accepted another map of this version before, the
+    /// other map may be decided.
     ///
-    /// Nothing happens while the planner recovers, or if the map has another version.
+    /// Does nothing while the planner recovers its state, or if the map has another version.
     pub fn propose(&mut self, shard_map: VersionedShardMap) {
         if !self.is_voting() || !self.acceptor.is_next_version(shard_map.version) {
             return;
@@ -122,7 +130,7 @@
         self.send_to_all(&ConsensusMessage::Prepare { version, ballot });
     }
 
-    /// Sends a planner the last decision, or, while this one recovers, a request for its state.
+    /// Sends another planner the last decision or, while this planner recovers its state, a recovery request.
     pub fn synchronize(&mut self, planner: PlannerId) {
         if planner == self.me {
             return;
@@ -135,11 +143,11 @@
         }
     }
 
-    /// Takes a message from another planner.
+    /// Handles a message from another planner.
     ///
     /// # Errors
-    /// [`GrowthError::UnexpectedSender`] if the sender is not a configured planner; [`GrowthError::InvalidValue`] if no
-    /// correct planner sends the message. Nothing of it counts then.
+    /// [`GrowthError::UnexpectedSender`] if the sender is not a configured planner;
+    /// [`GrowthError::InvalidValue`] if no correct planner sends the message. The message has no effect then.
     pub fn on_message(&mut self, from: PlannerId, message: ConsensusMessage) -> Result<(), GrowthError> {
         if !self.planners.contains(&from) {
             return Err(GrowthError::UnexpectedSender);
@@ -149,20 +157,21 @@
         Ok(())
     }
 
-    /// The next message to send, and to whom; none while the state it rests on is not persisted.
+    /// The next message to send and its receiver; none while the state that the message reports is not
+    /// persisted.
     pub fn poll_message(&mut self) -> Option<(PlannerId, ConsensusMessage)> {
         if self.needs_snapshot() { None } else { self.outbound.pop_front() }
     }
 
-    /// Whether messages wait for the state to be persisted.
+    /// Whether the state has to be persisted before messages are sent.
     pub fn needs_snapshot(&self) -> bool {
         self.acceptor.needs_snapshot
     }
 
-    /// The state to persist, if it has changed since the last call.
+    /// The acceptor's state to persist, if the state has changed since the last call.
     ///
-    /// There is none before a recovery is complete: after a restart, the planner would pass for one that remembers its
-    /// votes.
+    /// None before a recovery is complete: if an incomplete state was persisted, the planner would vote after
+    /// a restart as if it had not lost its votes.
     pub fn poll_snapshot(&mut self) -> Option<&AcceptorState> {
         let needs_snapshot = std::mem::take(&mut self.acceptor.needs_snapshot);
         needs_snapshot.then_some(&self.acceptor.state)
@@ -200,8 +209,8 @@
     fn on_prepare(&mut self, from: PlannerId, version: ShardMapVersion, ballot: Ballot) {
         self.observe_round(ballot);
         if self.may_vote_on(from, version) {
-            let answer = self.acceptor.prepare(version, ballot);
-            self.send(from, answer);
+            let reply = self.acceptor.prepare(version, ballot);
+            self.send(from, reply);
         }
     }
 
@@ -222,8 +231,8 @@
     fn on_accept(&mut self, from: PlannerId, ballot: Ballot, shard_map: VersionedShardMap) {
         self.observe_round(ballot);
         if self.may_vote_on(from, shard_map.version) {
-            let answer = self.acceptor.accept(ballot, shard_map);
-            self.send(from, answer);
+            let reply = self.acceptor.accept(ballot, shard_map);
+            self.send(from, reply);
         }
     }
 
@@ -239,7 +248,8 @@
     }
 
     fn on_rejected(&mut self, version: ShardMapVersion, promised: Ballot) {
-        // The next proposal is above the promised ballot; the leader decides when to make it.
+        // The next proposal of this planner gets a ballot above the promised one. The leader decides when to
+        // propose.
         self.observe_round(promised);
         let is_superseded =
             |proposal: &mut Proposal| proposal.version() == version && proposal.ballot() < promised;
@@ -247,7 +257,7 @@
     }
 
     fn on_recovery_request(&mut self, from: PlannerId, incarnation: u64) {
-        // The sender has forgotten its votes, so those that this proposal has do not count any more.
+        // The sender has lost its votes, so the votes that the proposal in progress received no longer count.
         self.proposal = None;
         self.send_decided(from);
         let AcceptorState { decided, promised, accepted } = self.acceptor.state.clone();
@@ -277,7 +287,8 @@
         self.observe_round(promised);
     }
 
-    /// Whether the acceptor may vote on this version. If it knows the version to be decided, it tells the sender.
+    /// Whether the acceptor may vote on this version. If the version is decided already, the last decision is
+    /// sent to the sender.
     fn may_vote_on(&mut self, from: PlannerId, version: ShardMapVersion) -> bool {
         if self.recovery.is_some() {
             return false;
@@ -318,12 +329,13 @@
         }
     }
 
-    /// Handles a message to this planner at once; one to another planner waits until the state is persisted.
+    /// Handles a message to this planner itself at once. Queues a message to another planner until the state
+    /// is persisted.
     fn send(&mut self, to: PlannerId, message: ConsensusMessage) {
         if to == self.me {
-            // An invalid message of its own is ignored, as any other planner ignores it.
+            // If this planner's own message is invalid, it is ignored, as the other planners ignore it.
             let _ = self.on_message(to, message);
-        } else if self.outbound.len() < MAX_OUTBOUND {
+        } else if self.outbound.len() < MAX_OUTBOUND_MESSAGES {
             self.outbound.push_back((to, message));
         }
     }
