--- a/crates/coordination/src/shard_growth/consensus/message.rs
+++ b/crates/coordination/src/shard_growth/consensus/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the consensus, and what makes one valid. The order of variants and fields is the wire format.
+//! The messages of the consensus and their validation. The order of variants and fields is the wire format.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,16 +6,17 @@
 use crate::shard_growth::message::GrowthError;
 use crate::shard_growth::shard_map::{ShardMapVersion, VersionedShardMap};
 
-/// Rounds and versions from here on are invalid: a made-up one near the end of the range would leave none above it.
-const NUMBER_LIMIT: u64 = 1 << 48;
+/// The lowest invalid round and version. A forged number near the end of the range would leave no higher
+/// number for later proposals.
+const ROUND_AND_VERSION_LIMIT: u64 = 1 << 48;
 
 /// The number of an attempt to decide a version: a higher ballot supersedes lower ones.
 ///
-/// No two planners have the same ballot, nor two incarnations of one planner, which may have lost what it persisted of
-/// its earlier attempts.
+/// Ballots of different planners differ, and so do ballots of different incarnations of one planner, since a
+/// later incarnation may have lost the persisted ballots of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The proposer's round; compared first.
+    /// The proposer's round. Ballots are compared by round first.
     pub round: u64,
     /// The proposer.
     pub planner: u8,
@@ -23,7 +24,7 @@
     pub incarnation: u64,
 }
 
-/// A shard map that an acceptor has accepted, and under which ballot.
+/// A shard map that an acceptor has accepted, and the ballot of that proposal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedProposal {
     /// The ballot.
@@ -35,41 +36,41 @@
 /// A message between planners about the next version of the shard map.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConsensusMessage {
-    /// Phase 1, from a proposer: promise to accept no lower ballot for this version.
+    /// Phase 1, from a proposer: asks for a promise to accept no lower ballot for this version.
     Prepare {
         /// The version to decide.
         version: ShardMapVersion,
         /// The proposer's ballot.
         ballot: Ballot,
     },
-    /// Phase 1, from an acceptor: the promise, with what it accepted before.
+    /// Phase 1, from an acceptor: the promise, with the proposal that the acceptor accepted before.
     Promise {
         /// The version to decide.
         version: ShardMapVersion,
         /// The ballot that was promised.
         ballot: Ballot,
-        /// What the acceptor accepted last for this version.
+        /// The last proposal that the acceptor accepted for this version; none if there is none.
         accepted: Option<AcceptedProposal>,
     },
-    /// Phase 2, from a proposer: accept this shard map, whose version it is.
+    /// Phase 2, from a proposer: asks to accept a shard map. The version to decide is that of the shard map.
     Accept {
         /// The proposer's ballot.
         ballot: Ballot,
         /// The proposed shard map.
         shard_map: VersionedShardMap,
     },
-    /// Phase 2, from an acceptor: the shard map was accepted under this ballot.
+    /// Phase 2, from an acceptor: the proposal with this ballot was accepted.
     Accepted {
         /// The version to decide.
         version: ShardMapVersion,
-        /// The ballot.
+        /// The ballot of the accepted proposal.
         ballot: Ballot,
     },
-    /// From an acceptor: a higher ballot was promised.
+    /// From an acceptor: the proposal was rejected, since a higher ballot was promised.
     Rejected {
         /// The version to decide.
         version: ShardMapVersion,
-        /// The ballot that was promised.
+        /// The higher ballot that was promised.
         promised: Ballot,
     },
     /// To a learner: a majority has accepted this shard map.
@@ -77,26 +78,26 @@
         /// The decided shard map.
         shard_map: VersionedShardMap,
     },
-    /// From a planner that has lost its acceptor state: asks for the state of the others.
+    /// From a planner that has lost its acceptor state: asks another planner for its acceptor state.
     RecoveryRequest {
-        /// The incarnation of the sender. Responses to an earlier incarnation are void.
+        /// The incarnation of the sender. Responses to an earlier incarnation are ignored.
         incarnation: u64,
     },
-    /// The response to a recovery request. The decided shard map itself is sent in a message of its own.
+    /// The response to a recovery request. The decided shard map is sent in a separate `Decided` message.
     RecoveryResponse {
-        /// The incarnation that asked.
+        /// The incarnation that sent the request.
         to_incarnation: u64,
         /// The version that the sender knows to be decided.
         decided: ShardMapVersion,
-        /// The ballot that the sender promised for the version after that.
+        /// The highest ballot that the sender promised for the version after `decided`.
         promised: Ballot,
-        /// What the sender accepted for the version after that.
+        /// The last proposal that the sender accepted for the version after `decided`.
         accepted: Option<AcceptedProposal>,
     },
 }
 
 impl ConsensusMessage {
-    /// Checks values that no correct planner sends.
+    /// Returns [`GrowthError::InvalidValue`] if the message has values that no correct planner sends.
     pub(super) fn check(&self, from: PlannerId) -> Result<(), GrowthError> {
         if self.is_valid(from) { Ok(()) } else { Err(GrowthError::InvalidValue) }
     }
@@ -132,18 +133,18 @@
 }
 
 fn is_valid_ballot(ballot: &Ballot) -> bool {
-    ballot.round < NUMBER_LIMIT
+    ballot.round < ROUND_AND_VERSION_LIMIT
 }
 
 fn is_valid_version(version: ShardMapVersion) -> bool {
-    version.0 < NUMBER_LIMIT
+    version.0 < ROUND_AND_VERSION_LIMIT
 }
 
 fn is_valid_map(shard_map: &VersionedShardMap) -> bool {
     is_valid_version(shard_map.version) && shard_map.is_valid()
 }
 
-/// Whether what was accepted, if anything, can have been accepted for this version.
+/// Whether the accepted proposal, if any, is a valid one for this version.
 fn is_valid_accepted(accepted: &Option<AcceptedProposal>, version: u64) -> bool {
     let Some(accepted) = accepted else { return true };
     is_valid_ballot(&accepted.ballot)
