--- a/crates/coordination/src/shard_growth/consensus/proposer.rs
+++ b/crates/coordination/src/shard_growth/consensus/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: one attempt of a planner to have the next shard map decided.
+//! The Paxos proposer of a planner: one proposal for the next version of the shard map.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +6,10 @@
 use crate::member::PlannerId;
 use crate::shard_growth::shard_map::{ShardMapVersion, VersionedShardMap};
 
-/// An attempt in progress.
+/// A proposal in progress.
 ///
-/// Invariant: what it asks acceptors to accept is the map of the highest ballot that any of the promising majority had
-/// accepted; only if there is none is it the proposer's own.
+/// Invariant: acceptors are asked to accept the map with the highest ballot that any acceptor of the
+/// promising majority had accepted. The proposer's own map is used only if none of them had accepted a map.
 #[derive(Clone, Debug)]
 pub(super) struct Proposal {
     ballot: Ballot,
@@ -39,12 +39,12 @@
         self.own_map.version
     }
 
-    /// Whether an answer for this version and ballot is an answer to this attempt.
+    /// Whether a reply with this version and ballot is a reply to this proposal.
     pub(super) fn matches(&self, version: ShardMapVersion, ballot: Ballot) -> bool {
         self.version() == version && self.ballot == ballot
     }
 
-    /// Takes a promise. Returns the map to be accepted if this promise completes the majority.
+    /// Records a promise. Returns the map to be accepted if this promise completes a majority.
     pub(super) fn on_promise(
         &mut self,
         from: PlannerId,
@@ -64,7 +64,8 @@
         Some(requested)
     }
 
-    /// Takes an acceptance. Returns the map once a majority has accepted it.
+    /// Records that an acceptor accepted the proposal. Returns the accepted map once a majority has accepted
+    /// it.
     pub(super) fn on_accepted(&mut self, from: PlannerId, majority: usize) -> Option<VersionedShardMap> {
         let requested = self.requested_map.clone()?;
         self.accepted_by.insert(from);
--- a/crates/coordination/src/shard_growth/consensus/recovery.rs
+++ b/crates/coordination/src/shard_growth/consensus/recovery.rs
@@ -1,4 +1,5 @@
-//! How a planner that has lost its acceptor state finds out what it may have promised and accepted.
+//! Recovers the votes of a planner that has lost its acceptor state, from the acceptor states of all other
+//! planners.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +7,25 @@
 use crate::member::PlannerId;
 use crate::shard_growth::shard_map::ShardMapVersion;
 
-/// The state of another planner's acceptor.
+/// The acceptor state of another planner.
 #[derive(Clone, Debug)]
 pub(super) struct PeerState {
-    /// The version that the peer knows to be decided.
+    /// The last version that the peer knows to be decided.
     pub(super) decided: ShardMapVersion,
-    /// What it promised for the version after that.
+    /// The highest ballot that the peer promised for the version after `decided`.
     pub(super) promised: Ballot,
-    /// What it accepted for the version after that.
+    /// The last proposal that the peer accepted for the version after `decided`.
     pub(super) accepted: Option<AcceptedProposal>,
 }
 
-/// The votes that a recovering planner takes over.
+/// The votes that a recovering planner takes over from its peers.
 #[derive(Debug)]
 pub(super) struct RecoveredVotes {
     pub(super) promised: Ballot,
     pub(super) accepted: Option<AcceptedProposal>,
 }
 
-/// The responses that a recovering planner has received.
+/// The recovery responses that a recovering planner has received.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Recovery {
     peers: BTreeMap<PlannerId, PeerState>,
@@ -35,11 +36,12 @@
         self.peers.insert(from, peer);
     }
 
-    /// The votes to take over, once all `peer_count` other planners have responded and the last decision that any of
-    /// them knows was learned.
+    /// The votes to take over; none before all `peer_count` other planners have responded and the planner has
+    /// learned the last decision that any of them knows.
     ///
-    /// The planner stands in for its earlier incarnation as far as another planner knows what that accepted. Without
-    /// this, the loss of a second disk could lose a decision that was known to these two planners alone.
+    /// The planner also takes over the proposal that its peers accepted last, which its earlier incarnation
+    /// may have accepted. Without this, the later loss of another planner's disk could lose a decision that
+    /// only these two planners had accepted.
     pub(super) fn votes(&self, peer_count: usize, decided: ShardMapVersion) -> Option<RecoveredVotes> {
         if self.peers.len() < peer_count || self.peers.values().any(|peer| peer.decided > decided) {
             return None;
