--- a/crates/coordination/src/shard_growth/planner/mod.rs
+++ b/crates/coordination/src/shard_growth/planner/mod.rs
@@ -1,11 +1,13 @@
-//! The planner's side: merges what forwarders saw, closes days, forecasts one shard at a time, and, while it leads,
-//! proposes the next change of the split schedule. It sends forwarders the shard map that was decided.
+//! The planner's side of shard growth: merges the reports of forwarders, closes days, and forecasts one shard
+//! at a time. The leader proposes the next change of the split schedule. Each planner sends the decided shard
+//! map to forwarders.
 //!
-//! The leader is the live planner of the lowest number. That two planners take themselves for the leader for a while
-//! costs time, and never leads to two maps of one version.
+//! The leader is the live planner with the lowest number. If two planners consider themselves the leader for
+//! a while, decisions are delayed, but a version never has two shard maps.
 //!
-//! Invariant: no message leaves before the state that it rests on is persisted, as [`consensus`](super::consensus)
-//! requires: [`Component::poll_message`] returns none until [`Component::poll_snapshot`] was called.
+//! Invariant: no message is sent before the state that it reports is persisted, as
+//! [`consensus`](super::consensus) requires: [`Component::poll_message`] returns none until
+//! [`Component::poll_snapshot`] was called.
 
 mod distribution;
 mod events;
@@ -39,10 +41,10 @@
 use crate::component::{Component, Event};
 use crate::member::{ForwarderId, Incarnation, Member, PlannerId, Sender};
 
-/// A planner that starts takes all days for closed that lie at least this many days before the present one.
+/// A planner that starts treats each day as closed that lies at least this many days before the present day.
 const OPEN_DAYS_AT_START: u32 = 2;
 
-/// A planner's part in shard growth.
+/// The shard growth component of a planner.
 #[derive(Debug)]
 pub struct PlannerComponent {
     settings: PlannerSettings,
@@ -55,26 +57,28 @@
     forwarders: BTreeMap<ForwarderId, ForwarderProgress>,
     forecasts: CapacityForecasts,
     last_closed_day: AccountingDay,
-    /// How far closed days were sent to other planners.
+    /// The part of the closed days that was last sent to other planners; none before the first part.
     history_cursor: Option<HistoryCursor>,
     heartbeat_due: Time,
     proposal_due: Time,
-    /// Since when the planner has led without being able to decide, or when that was logged last.
+    /// When the leader became unable to decide on splits, or when this was last logged; none while it can
+    /// decide.
     blocked_since: Option<Time>,
     last_proposed: Option<VersionedShardMap>,
     history_needs_snapshot: bool,
-    /// The last decision that `on_decided` has handled.
-    last_seen_decision: VersionedShardMap,
+    /// The last decided shard map that `on_decided` has handled.
+    last_handled_decision: VersionedShardMap,
     last_migration_version: ShardMapVersion,
     outbox: Outbox,
     events: EventLog,
 }
 
 impl PlannerComponent {
-    /// Starts planner `me` from the snapshot that it persisted last, if there is one.
+    /// Creates the component of planner `me` from the snapshot that the planner persisted last, if there is
+    /// one.
     ///
     /// # Errors
-    /// The snapshot cannot be read. It has to be preserved and never overwritten.
+    /// The snapshot cannot be read. The caller has to preserve the snapshot and must not overwrite it.
     pub fn new(
         settings: PlannerSettings,
         me: PlannerId,
@@ -91,7 +95,7 @@
         let today = calendar.moment(settings.day_length, now).day;
         Ok(PlannerComponent {
             schedule: SplitSchedule::new(settings.schedule.clone()),
-            last_seen_decision: consensus.decided().clone(),
+            last_handled_decision: consensus.decided().clone(),
             settings,
             me,
             calendar,
@@ -113,33 +117,37 @@
         })
     }
 
-    /// Takes what the host knows of the fleet now. While it knows nothing, no split advances or is withdrawn.
+    /// Sets the present fleet status. While the status is unknown (`None`), no split advances or is
+    /// withdrawn.
     pub fn set_fleet_status(&mut self, status: Option<FleetStatus>) {
         self.fleet.status = status;
     }
 
-    /// Has a shard's split withdrawn at an operator's request. This takes effect at the planner that leads.
+    /// Requests, for an operator, that a shard's split is withdrawn. Only the request at the leading planner
+    /// takes effect.
     pub fn request_withdrawal(&mut self, shard: ShardId) {
         self.schedule.request_withdrawal(shard);
     }
 
-    /// The shard map that was decided last.
+    /// The last decided shard map that this planner has learned.
     pub fn shard_map(&self) -> &VersionedShardMap {
         self.consensus.decided()
     }
 
-    /// The last version that moved keys, of those that this incarnation has seen decided: a split began or ended to
-    /// migrate keys, or took them back. The steps between move so few keys that earlier observations hold for the rest.
+    /// The last version that moved keys, of the versions that this incarnation has learned: a split began or
+    /// finished migrating keys, or was withdrawn. Copying steps in between do not count: each moves so few
+    /// keys that earlier observations stay valid for the other keys.
     pub fn last_migration_version(&self) -> ShardMapVersion {
         self.last_migration_version
     }
 
-    /// Whether this planner takes itself for the leader.
+    /// Whether this planner considers itself the leader.
     pub fn is_leader(&self) -> bool {
         self.fleet.live_planners.first() == Some(&self.me)
     }
 
-    /// When a shard outgrows its capacity, as far as is known.
+    /// The forecast of when a shard outgrows its capacity; the default forecast, with no days, if there is
+    /// none.
     pub fn capacity_forecast(&self, shard: ShardId) -> CapacityForecast {
         self.forecasts.get(shard)
     }
@@ -217,7 +225,7 @@
         if !consensus_changed && !history_changed {
             return None;
         }
-        // A planner that still recovers its acceptor state persists its history alone.
+        // A planner that is still recovering its acceptor state persists only its history.
         let is_voting = self.consensus.is_voting();
         let consensus = is_voting.then(|| self.consensus.acceptor_state().clone());
         Some(Snapshot { consensus, history: self.history.closed_days() }.to_bytes())
--- a/crates/coordination/src/shard_growth/planner/proposals.rs
+++ b/crates/coordination/src/shard_growth/planner/proposals.rs
@@ -1,4 +1,4 @@
-//! What the planner that leads proposes, and why it cannot decide.
+//! The proposals of the leading planner, and the log event for what prevents it from deciding.
 
 use granitelb_balancer::time::{Span, Time};
 
@@ -8,10 +8,11 @@
 use crate::shard_growth::shard_map::{MAX_SPLIT_BITS, ShardId, SplitPhase};
 use crate::shard_growth::split_schedule::{ProposedChange, ShardOutlook, ShardOutlooks};
 
-/// How often the leader logs what it lacks to decide on splits.
+/// The interval at which the leader logs what prevents it from deciding on splits.
 const BLOCKED_EVENT_INTERVAL: Span = Span::from_millis(600_000);
 
-/// By which factor of the retry interval planners of neighbouring numbers retry apart.
+/// The difference between the retry intervals of planners with consecutive numbers, as a fraction of the
+/// configured interval.
 const RETRY_SPREAD: f64 = 0.3;
 
 impl PlannerComponent {
@@ -40,18 +41,18 @@
     }
 
     fn propose(&mut self, now: Time, change: ProposedChange) {
-        // The same change is proposed until it is decided, and logged once.
+        // A change is proposed again until it is decided, but logged only once.
         if self.last_proposed.as_ref() != Some(&change.shard_map) {
             self.last_proposed = Some(change.shard_map.clone());
             self.log_proposal(&change);
         }
-        // Two planners that both take themselves for the leader retry at different times.
+        // The spread makes two planners that both consider themselves the leader retry at different times.
         let spread = 1.0 + RETRY_SPREAD * f64::from(self.me.0);
         self.proposal_due = now + self.settings.proposal_retry_interval.scaled(spread);
         self.consensus.propose(change.shard_map);
     }
 
-    /// The outlook of each shard that is foreseen to be split or has a split to decide on.
+    /// The outlook of each shard that is forecast to need a split, or whose split may advance.
     fn outlooks(&mut self, moment: CalendarMoment) -> ShardOutlooks {
         let relevant: Vec<(ShardId, CapacityForecast)> = self
             .forecasts
@@ -72,7 +73,7 @@
         forecast: CapacityForecast,
         moment: CalendarMoment,
     ) -> ShardOutlook {
-        // A forecast day is that day's end.
+        // The deadline is the end of the forecast day, so one day is added.
         let day_length = self.settings.day_length;
         let time_until = |day: f64| day_length.scaled((day + 1.0 - moment.as_days()).max(0.0));
         let bits = (self.shard_map().layout(shard).bits + 1).min(MAX_SPLIT_BITS);
@@ -84,15 +85,16 @@
         }
     }
 
-    /// Whether enough is known of a shard to decide on its split. A split that was foreseen is not given up for a missing
-    /// forecast: the history may have been lost.
+    /// Whether enough is known of a shard to decide on its split. A foreseen or planned split waits while
+    /// there is no forecast, and is not cancelled, since the history may have been lost.
     fn may_advance(&self, shard: ShardId, forecast: &CapacityForecast) -> bool {
         let Some(layout) = self.shard_map().shards.get(&shard) else { return false };
         let needs_forecast = matches!(layout.phase, Some(SplitPhase::Foreseen | SplitPhase::Planned));
         !needs_forecast || forecast.unavailable.is_none()
     }
 
-    /// Logs from time to time what the leader lacks to decide. Otherwise it would look like a split that nobody advances.
+    /// Logs at intervals what prevents the leader from deciding. Without the log event, an operator would
+    /// only notice that a split does not advance.
     fn on_blocked(&mut self, now: Time) {
         let blocked_since = *self.blocked_since.get_or_insert(now);
         let has_splits = !self.shard_map().shards.is_empty();
@@ -101,20 +103,29 @@
             return;
         }
         self.blocked_since = Some(now);
-        if let Some(missing) = self.missing_knowledge() {
-            self.log_blocked(missing);
+        if let Some(cause) = self.blocking_cause() {
+            self.log_blocked(cause);
         }
     }
 
-    fn missing_knowledge(&self) -> Option<&'static str> {
+    fn blocking_cause(&self) -> Option<&'static str> {
         if !self.consensus.is_voting() {
-            return Some("the consensus state of a planner that does not respond");
+            return Some(
+                "this planner has lost its consensus state, and another configured planner has not sent its \
+                 own state yet; check that all configured planners are up",
+            );
         }
         if self.fleet.status.is_none() {
-            return Some("which endpoints fail, or how many fetches the origin has to spare");
+            return Some(
+                "the failing endpoints or the spare fetches of the origin are unknown; check that forwarders \
+                 reach this planner, and that leases or growth.spare_per_s are configured",
+            );
         }
         if !self.fleet.knows_endpoints() {
-            return Some("the list of endpoints");
+            return Some(
+                "no endpoint is reported by enough forwarders; check that forwarders reach this planner and \
+                 have endpoint lists",
+            );
         }
         None
     }
