--- a/crates/coordination/src/shard_growth/planner/reports.rs
+++ b/crates/coordination/src/shard_growth/planner/reports.rs
@@ -1,4 +1,4 @@
-//! Takes what forwarders and other planners report.
+//! Handles messages of forwarders and other planners.
 
 use granitelb_balancer::time::Time;
 
@@ -16,13 +16,13 @@
 use crate::shard_growth::shard_map::{ShardId, ShardMapVersion};
 use crate::shard_growth::sketch::REGISTER_COUNT;
 
-/// Register values above this are invalid.
+/// The greatest valid value of a sketch register.
 const MAX_REGISTER_VALUE: u8 = 64;
 
-/// Counters at or above this are invalid.
-const COUNTER_LIMIT: u64 = 1 << 40;
+/// The lowest invalid number of values in a shard's counters.
+const SIZED_RESPONSES_LIMIT: u64 = 1 << 40;
 
-/// The greatest mean size of a value in bytes.
+/// The greatest valid mean size of a value, in bytes.
 const MAX_MEAN_BYTES: u64 = 1 << 32;
 
 impl PlannerComponent {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes closed days of another planner.
+    /// Adds closed days of another planner to the history.
     pub(super) fn on_closed_days(
         &mut self,
         from: PlannerId,
@@ -109,7 +109,8 @@
         Ok(())
     }
 
-    /// Takes counters of several shards. Those before one that is rejected count.
+    /// Raises the counters of several shards. If one shard's counters are rejected for a closed day or a
+    /// reached limit, the counters before it still count.
     fn on_counters(
         &mut self,
         today: AccountingDay,
@@ -145,7 +146,9 @@
         report: &[ReportedEndpoint],
     ) -> Result<(), GrowthError> {
         let result = self.fleet.on_endpoint_report(now, forwarder, report);
-        // At once only where a split may be about to advance on an endpoint that has begun to warm up.
+        // The endpoints are updated at once only while a split is in progress, since it must not advance on
+        // an endpoint that has just begun to warm up, or while no endpoints are known. Otherwise the next
+        // heartbeat updates them.
         let is_any_splitting = self.shard_map().shards.values().any(|layout| layout.phase.is_some());
         if is_any_splitting || !self.fleet.knows_endpoints() {
             self.fleet.update_endpoints();
@@ -160,7 +163,7 @@
 
 fn are_valid_counters(counters: &ShardCounters) -> bool {
     counters.bytes <= counters.sized_responses.saturating_mul(MAX_MEAN_BYTES)
-        && counters.sized_responses < COUNTER_LIMIT
+        && counters.sized_responses < SIZED_RESPONSES_LIMIT
 }
 
 fn is_valid_day(closed: &ClosedDay) -> bool {
--- a/crates/coordination/src/shard_growth/planner/settings.rs
+++ b/crates/coordination/src/shard_growth/planner/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a planner's part in shard growth.
+//! The settings of a planner's shard growth component.
 
 use std::collections::BTreeSet;
 
@@ -9,29 +9,31 @@
 
 const MILLIS_PER_DAY: u64 = 86_400_000;
 
-/// How a planner counts days, forecasts and proposes.
+/// The settings by which a planner closes days, forecasts growth and proposes splits.
 #[derive(Clone, Debug)]
 pub struct PlannerSettings {
-    /// All configured planners, this one included.
+    /// All configured planners, including this one.
     pub planners: BTreeSet<PlannerId>,
-    /// How splits are scheduled.
+    /// The settings of the split schedule.
     pub schedule: split_schedule::Settings,
-    /// The length of an accounting day; other than a calendar day only in tests.
+    /// The length of an accounting day: a calendar day, except in tests.
     pub day_length: Span,
-    /// A day is closed once this fraction of the next one has elapsed: forwarders report it to its end.
+    /// The fraction of the next day that elapses before a day is closed, since forwarders report a day's last
+    /// counts only after its end.
     pub day_close_fraction: f64,
-    /// The bytes that the endpoints of an unsplit shard hold; each split doubles them. None disables splits.
+    /// The capacity of an unsplit shard's endpoints in bytes, which each split doubles. None disables splits.
     pub shard_capacity_bytes: Option<f64>,
-    /// Days of the month on which no split advances, from 1, or from -1 backwards from the month's end.
+    /// The days of the month on which no split advances: from 1, or from -1 backwards from the month's end.
     pub frozen_days: BTreeSet<i8>,
-    /// How often other planners and forwarders are sent the present state.
+    /// The interval at which the present state is sent to other planners and to forwarders.
     pub heartbeat_interval: Span,
-    /// A proposal that is not decided is repeated after this time, which has to exceed two network round trips.
+    /// The time after which a proposal that is not decided is repeated. It has to exceed two network round
+    /// trips.
     pub proposal_retry_interval: Span,
-    /// A forwarder's report of an endpoint expires after this time.
+    /// The time after which a forwarder's report of an endpoint expires.
     pub endpoint_report_ttl: Span,
-    /// A forwarder's report of a slow origin expires after this time: four of the heartbeats by which forwarders repeat
-    /// it, since messages are lost.
+    /// The time after which a forwarder's report of a slow origin expires: more than four of the heartbeats
+    /// with which forwarders repeat the report, since messages may be lost.
     pub slow_origin_report_ttl: Span,
 }
 
