--- a/crates/coordination/src/shard_growth/planner/distribution.rs
+++ b/crates/coordination/src/shard_growth/planner/distribution.rs
@@ -1,4 +1,4 @@
-//! Sends forwarders the day and the shard map, and other planners closed days and decisions.
+//! Sends the accounting day and the shard map to forwarders, and closed days and decisions to other planners.
 
 use granitelb_balancer::time::Time;
 
@@ -8,12 +8,12 @@
 use crate::shard_growth::message::{GrowthMessage, MAX_DAYS_PER_MESSAGE};
 use crate::shard_growth::shard_map::ShardMapVersion;
 
-/// How far a forwarder is with the shard map.
+/// The shard map version that a forwarder applies, and whether the forwarder was sent a newer one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ForwarderProgress {
-    /// The version that it reported last.
+    /// The applied version that the forwarder reported last.
     pub(super) applied: ShardMapVersion,
-    /// Whether it was sent the latest map since that report.
+    /// Whether the forwarder was sent the latest shard map since its last report.
     pub(super) was_sent_latest: bool,
 }
 
@@ -31,7 +31,8 @@
         self.fleet.update_endpoints();
     }
 
-    /// Sends the latest shard map to each forwarder that has reported an older one since it was sent last.
+    /// Sends the latest shard map to each forwarder that has reported an older version since the map was last
+    /// sent to it.
     pub(super) fn send_shard_maps(&mut self) {
         let shard_map = self.consensus.decided();
         for (forwarder, progress) in &mut self.forwarders {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Sends the next part of the closed days to the other planners, which may lack them.
+    /// Sends the next part of the closed days to the other live planners, in case they lack some of these
+    /// days.
     fn send_closed_days(&mut self) {
         let Some(part) = self.history.part_after(self.history_cursor, MAX_DAYS_PER_MESSAGE) else {
             self.history_cursor = None;
--- a/crates/coordination/src/shard_growth/planner/fleet_view.rs
+++ b/crates/coordination/src/shard_growth/planner/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What a planner knows of the fleet's members, endpoints and origin. Nothing of it is persisted.
+//! A planner's view of the fleet's members, endpoints and origin. The view is not persisted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,28 +15,29 @@
 use crate::shard_growth::shard_map::ShardId;
 use crate::shard_growth::split_schedule::FleetConditions;
 
-/// What the host knows of the fleet from endpoint health and leases.
+/// The fleet's state according to the endpoint health and lease components.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetStatus {
-    /// Endpoints that fail.
+    /// The endpoints that are failing.
     pub failing: BTreeSet<EndpointId>,
     /// Whether the origin is slow.
     pub is_origin_slow: bool,
-    /// Fetches in a second that the origin can serve beyond what requests need.
+    /// The fetches per second that the origin can serve in addition to those that requests need.
     pub spare_fetches_per_second: f64,
 }
 
-/// Live members, and what they and the host report.
+/// The live members, the forwarders' reports, and the fleet status.
 #[derive(Debug)]
 pub(super) struct FleetView {
     pub(super) status: Option<FleetStatus>,
     pub(super) live_forwarders: BTreeSet<ForwarderId>,
-    /// The live planners of those that are configured, this one included.
+    /// The configured planners that are live, including this one.
     pub(super) live_planners: BTreeSet<PlannerId>,
     pub(super) slow_origin: SlowOriginReports,
     endpoint_reports: EndpointReports,
     endpoints: EndpointView,
-    /// The endpoints of a shard by its number of bits, for as long as the endpoint list stays.
+    /// A cache of the endpoints of each shard, by shard and number of hash bits. Cleared when the endpoints
+    /// change.
     shard_endpoints: BTreeMap<(ShardId, u8), BTreeSet<EndpointId>>,
 }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Records a report of endpoints; [`FleetView::update_endpoints`] makes it count.
+    /// Records a report of endpoints, which takes effect at the next call of [`FleetView::update_endpoints`].
     pub(super) fn on_endpoint_report(
         &mut self,
         now: Time,
@@ -88,7 +89,7 @@
         self.endpoint_reports.expire(now, settings.endpoint_report_ttl, &self.live_forwarders);
     }
 
-    /// Takes what enough forwarders report now.
+    /// Updates the endpoints to those that enough forwarders report now.
     pub(super) fn update_endpoints(&mut self) {
         let endpoints = self.endpoint_reports.view(self.live_forwarders.len());
         if endpoints.sizes != self.endpoints.sizes {
@@ -101,14 +102,15 @@
         !self.endpoints.sizes.is_empty()
     }
 
-    /// The endpoints that hold a shard's keys if they are divided by `bits` bits.
+    /// The endpoints that store a shard's keys if `bits` hash bits divide the keys.
     pub(super) fn endpoints_of(&mut self, shard: ShardId, bits: u8) -> BTreeSet<EndpointId> {
         let sizes = &self.endpoints.sizes;
         self.shard_endpoints.entry((shard, bits)).or_insert_with(|| caches_of(shard.0, bits, sizes)).clone()
     }
 
-    /// What splits depend on; none while it is not known which endpoints there are, which of them fail, or what the
-    /// origin has to spare. Without endpoints, none could be seen to be in use.
+    /// The conditions that splits depend on. None while the endpoint list, the failing endpoints or the
+    /// origin's spare fetches are unknown: without the endpoint list, two splits could use the same endpoint
+    /// unnoticed.
     pub(super) fn conditions(
         &self,
         now: Time,
--- a/crates/coordination/src/shard_growth/planner/forecasts.rs
+++ b/crates/coordination/src/shard_growth/planner/forecasts.rs
@@ -1,4 +1,4 @@
-//! The capacity forecasts of all shards. One shard is forecast at a time, so that no poll takes long.
+//! The capacity forecasts of all shards. Each poll forecasts at most one shard, which keeps polls short.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,7 +6,7 @@
 use crate::shard_growth::history::GrowthHistory;
 use crate::shard_growth::shard_map::{ShardId, VersionedShardMap};
 
-/// Forecasts, and the shards that are to be forecast anew.
+/// The forecasts by shard, and the queue of shards to forecast again.
 #[derive(Debug, Default)]
 pub(super) struct CapacityForecasts {
     by_shard: BTreeMap<ShardId, CapacityForecast>,
@@ -14,26 +14,26 @@
 }
 
 impl CapacityForecasts {
-    /// Has all shards of the history forecast anew.
+    /// Queues all shards of the history, in place of those queued before.
     pub(super) fn refresh_all(&mut self, history: &GrowthHistory) {
         self.pending = history.shards().collect();
     }
 
-    /// Has a shard forecast anew, if it does not wait for that already.
+    /// Queues a shard unless it is queued already.
     pub(super) fn refresh(&mut self, shard: ShardId) {
         if !self.pending.contains(&shard) {
             self.pending.push_back(shard);
         }
     }
 
-    /// Drops a shard's forecast and has it forecast anew: its capacity has changed.
+    /// Drops a shard's forecast and queues the shard, since its capacity has changed.
     pub(super) fn invalidate(&mut self, shard: ShardId) {
         self.by_shard.remove(&shard);
         self.pending.push_back(shard);
     }
 
-    /// Forecasts the next pending shard. An unsplit shard holds `capacity_bytes`, and each split doubles that. Without a
-    /// capacity, the shard is taken off the queue only.
+    /// Forecasts the first queued shard. The capacity of an unsplit shard is `capacity_bytes`, and each split
+    /// doubles it. Without a capacity, the shard is removed from the queue and not forecast.
     pub(super) fn advance(
         &mut self,
         history: &GrowthHistory,
@@ -50,7 +50,7 @@
         !self.pending.is_empty()
     }
 
-    /// The forecast of a shard; the default one if there is none.
+    /// The forecast of a shard, or the default forecast, with no days, if the shard has none.
     pub(super) fn get(&self, shard: ShardId) -> CapacityForecast {
         self.by_shard.get(&shard).copied().unwrap_or_default()
     }
--- a/crates/coordination/src/shard_growth/planner/outbox.rs
+++ b/crates/coordination/src/shard_growth/planner/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that wait to be sent, and events that wait to be logged.
+//! The queues of messages to be sent and of events to be logged.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,8 @@
 const MAX_MESSAGES: usize = 1024;
 const MAX_EVENTS: usize = 64;
 
-/// Messages beside those of the consensus. Further ones are dropped while it is full, as the network might.
+/// The queue of messages other than those of the consensus. A message to a full queue is dropped; receivers
+/// tolerate the loss of messages.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     messages: VecDeque<(Member, GrowthMessage)>,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Events for the log. Further ones are dropped while it is full.
+/// The queue of events for the log. An event to a full queue is dropped.
 #[derive(Debug, Default)]
 pub(super) struct EventLog {
     events: VecDeque<Event>,
