--- a/crates/coordination/src/shard_growth/forecast/fit.rs
+++ b/crates/coordination/src/shard_growth/forecast/fit.rs
@@ -1,59 +1,62 @@
-//! The level, trend and seasonal pattern of a history, by robust statistics.
+//! Fits the level, trend and seasonal pattern of a history with robust statistics.
 
-use super::jumps::without_jumps;
+use super::jumps::without_level_shifts;
 use super::statistics::median;
 use super::{MIN_DAYS, Model, Point};
 use crate::shard_growth::accounting_day::{AccountingDay, SEASON_COUNT};
 
-/// The trend is fitted over this many days.
+/// The number of days over which the trend is fitted.
 const TREND_DAYS: u32 = 56;
 
-/// The seasonal pattern is fitted over this many days.
+/// The number of days over which the seasonal pattern is fitted.
 const SEASON_DAYS: u32 = 3 * TREND_DAYS;
 
-/// The present level is the median over this many days: a burst of a few days moves it little.
+/// The number of days whose median is the present level. A burst of a few days changes this median little.
 const LEVEL_DAYS: u32 = 14;
 
-/// Of the last this many days, at least [`MIN_RECENT_DAYS`] have to be known.
+/// The number of recent days of which at least [`MIN_RECENT_DAYS`] have to be known.
 const RECENT_DAYS: u32 = 7;
+
+/// The minimum number of known days among the last [`RECENT_DAYS`].
 const MIN_RECENT_DAYS: usize = 4;
 
-/// Slopes are taken between days that lie at least this far apart.
+/// The minimum number of days between the two days of a slope.
 const MIN_SLOPE_DAYS: f64 = 7.0;
 
-/// A day's seasonal factor is its value relative to the median of this many days on each side: over a whole month the
-/// seasonal pattern evens out.
+/// The number of days on each side of a day whose median is the trend at that day. The seasonal pattern
+/// cancels out over a whole month.
 const HALF_MONTH_DAYS: u32 = 15;
 
-/// Seasons that are known by fewer days have no factor: a factor needs two months at least.
+/// The minimum number of days for the factor of a season, which takes at least two months. With fewer days,
+/// the factor is 1.
 const MIN_SEASON_DAYS: f64 = 4.0;
 
-/// A season's factor is drawn to 1 as by this many further days with the factor 1.
+/// The weight, in days, of the prior factor 1 with which a season's factor is averaged.
 const SEASON_PRIOR_DAYS: f64 = 2.0;
 
 const MIN_SEASON_FACTOR: f64 = 0.2;
 const MAX_SEASON_FACTOR: f64 = 5.0;
 
-/// Values below this are taken for it before their logarithm is formed.
+/// The lower bound of values before their logarithm is taken.
 const MIN_VALUE: f64 = 1e-9;
 
-/// The bound of the exponent by which a compound trend grows or shrinks.
+/// The greatest absolute value of the exponent of a compound trend.
 const MAX_EXPONENT: f64 = 20.0;
 
-/// What was known of a shard on one day.
+/// The level, trend and seasonal pattern fitted to the history up to one day.
 pub(super) struct Fit {
     day: AccountingDay,
-    /// The value without its seasonal factor.
+    /// The value on that day without the seasonal factor.
     pub(super) level: f64,
-    /// The growth in a day.
+    /// The growth per day.
     linear_slope: f64,
-    /// The growth of the logarithm in a day.
+    /// The growth of the logarithm per day.
     log_slope: f64,
     seasonal_factors: [f64; SEASON_COUNT],
 }
 
 impl Fit {
-    /// Fits the days of `history` up to its last one; none if too many of the recent days are missing.
+    /// Fits a history up to its last day; none if too many of the recent days are missing.
     pub(super) fn of(history: &[Point]) -> Option<Fit> {
         let day = history.last()?.day;
         if since(history, day, TREND_DAYS).len() < MIN_DAYS
@@ -61,7 +64,7 @@
         {
             return None;
         }
-        let leveled = without_jumps(since(history, day, SEASON_DAYS));
+        let leveled = without_level_shifts(since(history, day, SEASON_DAYS));
         let seasonal_factors = seasonal_factors(&leveled);
         let deseasoned: Vec<Point> = leveled
             .iter()
@@ -78,7 +81,7 @@
         Some(Fit { day, level, linear_slope, log_slope, seasonal_factors })
     }
 
-    /// The value on a later day by a model.
+    /// The value on a later day, predicted by a model.
     pub(super) fn predict(&self, model: Model, day: AccountingDay) -> f64 {
         let days = f64::from(day.0.saturating_sub(self.day.0));
         let trend = match model {
@@ -95,7 +98,7 @@
     &history[history.partition_point(|point| point.day.0 + days <= day.0)..]
 }
 
-/// The factor of each season relative to the trend; 1 where too little is known of a season.
+/// The factor of each season relative to the trend; 1 for a season with too few known days.
 fn seasonal_factors(points: &[Point]) -> [f64; SEASON_COUNT] {
     let mut factors_by_season: [Vec<f64>; SEASON_COUNT] = Default::default();
     for (index, point) in points.iter().enumerate() {
@@ -115,7 +118,8 @@
     })
 }
 
-/// The median of the month around a day; none if the month is not within the history, or the median is not positive.
+/// The median value of the month around a day; none if the history does not cover the whole month, or the
+/// median is not positive.
 fn centered_median(points: &[Point], index: usize) -> Option<f64> {
     let day = points[index].day.0;
     let first = points[0].day.0;
@@ -130,7 +134,8 @@
     median(&mut values).filter(|median| *median > 0.0)
 }
 
-/// The Theil–Sen estimator: the median of the slopes between all pairs of days that are far enough apart.
+/// The slope per day by the Theil–Sen estimator: the median of the slopes between all pairs of days that are
+/// at least [`MIN_SLOPE_DAYS`] apart.
 fn median_slope(points: &[Point], transform: impl Fn(f64) -> f64) -> Option<f64> {
     let values: Vec<(f64, f64)> =
         points.iter().map(|point| (f64::from(point.day.0), transform(point.value))).collect();
