--- a/crates/coordination/src/shard_growth/forecast/backtest.rs
+++ b/crates/coordination/src/shard_growth/forecast/backtest.rs
@@ -1,24 +1,26 @@
-//! Replays the forecast on days of the past, each by what was known by then.
+//! Backtests of the forecast: forecasts from past days, each based only on the history up to that day.
 
 use super::fit::Fit;
 use super::{MODELS, Model, Point};
 
-/// The number of past forecasts that are compared with what followed, at most.
+/// The maximum number of past forecasts that are compared with actual values.
 const MAX_BACKTESTS: usize = 40;
 
-/// Past forecasts lie at least this many days apart: neighbours have similar errors.
+/// The minimum number of days between past forecasts, since forecasts of adjacent days have similar errors.
 pub(super) const BACKTEST_INTERVAL_DAYS: u32 = 4;
 
-/// A past forecast is left out if the last day known then was older than this.
+/// The greatest gap in days between a past forecast's first day and the last known day before. A past
+/// forecast with a greater gap is left out.
 const MAX_GAP_DAYS: u32 = 2;
 
-/// The bound of a relative error.
+/// The greatest absolute value of a relative error.
 const MAX_ERROR: f64 = 1e6;
 
-/// A more complex model has to be better by this factor: by chance it follows the last backtests a little closer.
+/// The factor by which the mean error of a model with a trend is increased, since such a model fits the last
+/// backtests slightly better by chance.
 const COMPLEX_MODEL_PENALTY: f64 = 1.05;
 
-/// A past forecast and what followed.
+/// The predictions of all models for a past day, and the actual value of that day.
 pub(super) struct Backtest {
     level: f64,
     actual: f64,
@@ -26,21 +28,22 @@
 }
 
 impl Backtest {
-    /// The error of a model relative to the level then: errors grow with the level.
+    /// The error of a model relative to the level at the time of the forecast, since errors grow with the
+    /// level.
     pub(super) fn error(&self, model: Model) -> f64 {
         let error = (self.actual - self.predictions[model as usize]) / self.level.max(f64::MIN_POSITIVE);
         error.clamp(-MAX_ERROR, MAX_ERROR)
     }
 }
 
-/// The mean absolute error of a model, with a penalty for complexity.
+/// The mean absolute error of a model relative to the level, increased by a penalty for models with a trend.
 pub(super) fn mean_error(backtests: &[Backtest], model: Model) -> f64 {
     let sum: f64 = backtests.iter().map(|backtest| backtest.error(model).abs()).sum();
     let penalty = if model == Model::Constant { 1.0 } else { COMPLEX_MODEL_PENALTY };
     sum / backtests.len() as f64 * penalty
 }
 
-/// Forecasts from days of the past, the latest first.
+/// The backtests of a history at a horizon in days, the latest first.
 pub(super) fn backtests(history: &[Point], horizon: u32) -> Vec<Backtest> {
     let mut backtests = Vec::new();
     let mut latest_origin = u32::MAX;
--- a/crates/coordination/src/shard_growth/forecast/mod.rs
+++ b/crates/coordination/src/shard_growth/forecast/mod.rs
@@ -1,11 +1,12 @@
-//! A forecast of a shard's size, as a pure function of its history.
+//! Forecasts a shard's size, as a pure function of its history.
 //!
-//! Three simple models are replayed on the history itself. The forecast is that of the model that would have had the
-//! smallest errors, and the same replay gives the interval.
+//! Three simple models are backtested on the shard's own history. The forecast is made by the model with the
+//! smallest errors in these backtests, and the interval is derived from the same errors.
 //!
-//! Invariant: the interval is made of errors that the chosen model made on this very shard at this horizon, on days that
-//! it had not seen; none is given before there are enough of them. So a shape that no model follows has a wide interval
-//! rather than a wrong one, as long as future errors are like past ones.
+//! Invariant: the interval is based on errors that the chosen model made for this shard at this horizon, on
+//! days that were not used to fit it. There is no forecast before there are enough such errors. A history
+//! that no model fits therefore gets a wide interval, not a wrong one, as long as future errors are like past
+//! errors.
 
 mod backtest;
 mod fit;
@@ -18,7 +19,7 @@
 
 use super::accounting_day::AccountingDay;
 
-/// The value of one day. Days are in ascending order and may be missing.
+/// The value of one day of a history. The days of a history are in ascending order; some may be missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// The day.
@@ -32,18 +33,19 @@
 pub struct Forecast {
     /// The expected value.
     pub value: f64,
-    /// The lower bound of the interval, which holds the actual value nine times of ten.
+    /// The lower bound of the interval, which contains the actual value with a probability of 90%.
     pub low: f64,
     /// The upper bound of the interval.
     pub high: f64,
-    /// The model that had the smallest errors.
+    /// The model with the smallest errors in the backtests.
     pub model: Model,
 }
 
-/// A model of growth. All models have the same level and seasonal pattern. The order of variants is that of `MODELS`.
+/// A model of growth. All models share the level and the seasonal pattern. The variants are in the order of
+/// `MODELS`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Model {
-    /// The level stays.
+    /// The level stays constant.
     Constant,
     /// The level grows by the same amount each day.
     Linear,
@@ -53,46 +55,47 @@
 
 const MODELS: [Model; 3] = [Model::Constant, Model::Linear, Model::Compound];
 
-/// Why there is no forecast.
+/// The reason why no forecast is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
     /// Too few days are known.
     ShortHistory,
     /// Too many of the recent days are missing.
     Gaps,
-    /// Too few past forecasts can be compared with what followed.
+    /// Too few past forecasts can be compared with actual values.
     TooFewBacktests,
 }
 
-/// There is no forecast yet.
+/// The reason why no forecast is available yet, and the day from which one will be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForecastUnavailable {
-    /// Why there is none.
+    /// Why no forecast is available.
     pub reason: UnavailableReason,
-    /// From when on there is one, if no further day is missing.
+    /// The first day with a forecast, if no further day is missing.
     pub available_from: AccountingDay,
 }
 
-/// The number of days that have to be known of those over which a trend is fitted.
+/// The minimum number of known days among those over which the trend is fitted.
 const MIN_DAYS: usize = 28;
 
-/// The number of past forecasts that have to be compared with what followed.
+/// The minimum number of past forecasts that are compared with actual values.
 const MIN_BACKTESTS: usize = 12;
 
-/// The fraction of past errors that lies within the interval before it is widened.
+/// The fraction of past errors that lie within the interval before the interval is widened.
 const COVERAGE: f64 = 0.9;
 
-/// By how much of its width the interval is widened on each side if no two backtests share a day. Set on simulated
-/// histories of seeds 1 to 40 and 1001 to 1100.
+/// The fraction of the interval's width by which each side is widened, before the division by the square root
+/// of the number of independent backtests. The value is based on simulated histories of seeds 1 to 40 and
+/// 1001 to 1100, so its coverage has to be checked with other seeds.
 const WIDENING: f64 = 0.23;
 
-/// Days older than this are not used.
+/// The greatest age in days of the history that is used.
 const MAX_HISTORY_DAYS: u32 = 400;
 
-/// Forecasts the value `horizon` days after the last day of the history.
+/// Forecasts the value `horizon` days after the last day of a history.
 ///
 /// # Errors
-/// The history is too short or has too many gaps; the error says from when on there is a forecast.
+/// The history is too short or has too many gaps; the error states the first day with a forecast.
 pub fn forecast(history: &[Point], horizon: u32) -> Result<Forecast, ForecastUnavailable> {
     let Some(last) = history.last().map(|point| point.day) else {
         let reason = UnavailableReason::ShortHistory;
@@ -122,13 +125,14 @@
     Ok(with_interval(model, value, fit.level, error_interval(&errors, horizon)))
 }
 
-/// The first day with a forecast if no day is missing: the first fit, its horizon, and the backtests after that.
+/// The first day with a forecast if no day is missing: after the days of the first fit, the horizon, and the
+/// days of the remaining backtests.
 fn first_forecast_day(first: AccountingDay, horizon: u32) -> AccountingDay {
     let backtest_days = BACKTEST_INTERVAL_DAYS * (MIN_BACKTESTS as u32 - 1);
     AccountingDay(first.0 + MIN_DAYS as u32 + horizon + backtest_days)
 }
 
-/// Bounds of the relative error of a forecast.
+/// The bounds of a forecast's error relative to the level.
 struct ErrorInterval {
     low: f64,
     high: f64,
@@ -146,11 +150,11 @@
     if value.is_finite() { value.max(0.0) } else { f64::MAX }
 }
 
-/// Quantiles of past errors, widened: backtests overlap, so that they tell of fewer cases than there are, and the next
-/// error may exceed all of them.
+/// The quantiles of past errors, widened. Backtests overlap, so they hold less information than their number
+/// suggests, and the next error may exceed all past errors.
 fn error_interval(sorted_errors: &[f64], horizon: u32) -> ErrorInterval {
     let count = sorted_errors.len() as f64;
-    // The number of backtests that share no day with one another.
+    // The number of backtests whose horizons do not overlap.
     let independent = (count * f64::from(BACKTEST_INTERVAL_DAYS)
         / f64::from(horizon.max(BACKTEST_INTERVAL_DAYS)))
     .max(1.0)
--- a/crates/coordination/src/shard_growth/forecast/statistics.rs
+++ b/crates/coordination/src/shard_growth/forecast/statistics.rs
@@ -1,8 +1,8 @@
-//! Order statistics.
+//! Quantiles and medians.
 
-/// The value at a fraction of a sorted sample, interpolated linearly between neighbours.
+/// The quantile of a sorted sample, interpolated linearly between adjacent values.
 ///
-/// The sample is not empty, and `fraction` lies from 0 to 1.
+/// The sample must not be empty, and `fraction` must lie between 0 and 1.
 pub(super) fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     let position = fraction * (sorted.len() - 1) as f64;
     let below = sorted[position.floor() as usize];
