--- a/crates/coordination/src/shard_growth/split_schedule/settings.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/settings.rs
@@ -5,24 +5,25 @@
 const MILLIS_PER_MINUTE: u64 = 60_000;
 const MINUTES_PER_HOUR: u64 = 60;
 
-/// How fast splits advance, and when they start.
+/// The settings by which splits start, advance and are withdrawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of splits that are active in the fleet at once.
+    /// The maximum number of splits that are active in the fleet at the same time.
     pub max_active_splits: usize,
-    /// The least duration of one copying step.
+    /// The minimum duration of one copying step.
     pub copy_step_duration: Span,
-    /// The least duration of [`Planned`](crate::shard_growth::shard_map::SplitPhase::Planned).
+    /// The minimum duration of [`Planned`](crate::shard_growth::shard_map::SplitPhase::Planned).
     pub planned_duration: Span,
-    /// The least duration of [`DualRead`](crate::shard_growth::shard_map::SplitPhase::DualRead).
+    /// The minimum duration of [`DualRead`](crate::shard_growth::shard_map::SplitPhase::DualRead).
     pub dual_read_duration: Span,
-    /// The least duration of [`Switched`](crate::shard_growth::shard_map::SplitPhase::Switched).
+    /// The minimum duration of [`Switched`](crate::shard_growth::shard_map::SplitPhase::Switched).
     pub switched_duration: Span,
-    /// A fault pauses a split for this long; then the split is withdrawn.
+    /// The time for which a fault may pause a split before the split is withdrawn.
     pub max_pause_duration: Span,
-    /// How long a withdrawn split waits before it may be planned again.
+    /// The time that a withdrawn split waits before it may be planned again.
     pub withdrawn_duration: Span,
-    /// A split starts at most this many times its own duration before the shard's earliest forecast day.
+    /// The earliest start of a split before the shard's earliest forecast day, as a multiple of the split's
+    /// duration.
     pub lead_factor: f64,
     /// The fraction of the origin's spare fetches that splits may use, from 0 to 1.
     pub spare_fetch_fraction: f64,
