--- a/crates/coordination/src/shard_growth/split_schedule/context.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/context.rs
@@ -1,4 +1,4 @@
-//! One split with all that its next step depends on, what keeps it from advancing, and the steps that it may take.
+//! The inputs for the next step of one split, the possible steps, and the obstacles to a step forward.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use super::conditions::{FleetConditions, Reason, ShardOutlook, ShardOutlooks};
 use crate::shard_growth::shard_map::{ShardId, ShardLayout, SplitPhase, VersionedShardMap};
 
-/// A step of one split.
+/// A change of a shard's layout by one step of its split, with the reason for the step.
 pub(super) struct SplitStep {
     pub(super) to: ShardLayout,
     pub(super) reason: Reason,
 }
 
-/// One split, and all that its next step depends on.
+/// One split, and everything that its next step depends on.
 pub(super) struct SplitContext<'a> {
     pub(super) now: Time,
     pub(super) shard: ShardId,
@@ -24,7 +24,7 @@
     pub(super) conditions: &'a FleetConditions,
     pub(super) outlooks: &'a ShardOutlooks,
     pub(super) outlook: &'a ShardOutlook,
-    /// Whether enough is known of the shard. If not, the split does not advance.
+    /// Whether the shard has an outlook. Without one, the split does not advance.
     pub(super) is_known: bool,
 }
 
@@ -34,18 +34,18 @@
         SplitStep { to: ShardLayout { phase: Some(phase), ..self.layout }, reason }
     }
 
-    /// The step by which the split ends without effect.
+    /// The step that ends the split and leaves the shard with as many parts as before.
     pub(super) fn to_unsplit(&self, reason: Reason) -> SplitStep {
         SplitStep { to: ShardLayout { phase: None, ..self.layout }, reason }
     }
 
-    /// The step by which the split is complete.
+    /// The step that completes the split.
     pub(super) fn to_complete(&self) -> SplitStep {
         SplitStep { to: ShardLayout { bits: self.layout.bits + 1, phase: None }, reason: Reason::Due }
     }
 }
 
-/// What keeps a split from advancing now.
+/// The first obstacle that now prevents a split from advancing; none if there is no obstacle.
 pub(super) fn obstacle(conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Reason> {
     let first_of =
         |endpoints: &BTreeSet<EndpointId>| outlook.endpoints.intersection(endpoints).next().copied();
--- a/crates/coordination/src/shard_growth/split_schedule/mod.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/mod.rs
@@ -1,16 +1,17 @@
-//! Decides when a shard is split and how far a split may advance now. Each decision changes the layout of one shard in
-//! the shard map; the planners then agree on that map ([`consensus`](super::consensus)).
+//! Decides when a shard is split and whether a split may advance now. Each decision changes the layout of one
+//! shard in the shard map. The planners then agree on the changed map ([`consensus`](super::consensus)).
 //!
-//! Invariants, whatever the fleet does:
+//! Invariants, under any fleet conditions:
 //! - Two active splits have no endpoint in common.
 //! - No more splits are active than the settings allow.
-//! - No split advances while one of its endpoints fails or is warming up, while the origin is slow, while fewer than a
-//!   majority of planners are live, or in a frozen period.
+//! - No split advances while one of its endpoints fails or is warming up, while the origin is slow, while
+//!   fewer than a majority of planners are live, or in a frozen period.
 //! - No split leaves a phase before that phase's duration has passed.
 //!
-//! They hold since each step forward passes `obstacle`, each split that becomes active passes `activation_obstacle`, and
-//! [`SplitSchedule::next_change`] changes one shard at a time from the map that was decided last. Steps back pass no
-//! check: a split can be withdrawn whenever a majority of planners is live.
+//! The invariants hold since each step forward is checked by `obstacle`, each split that becomes active is
+//! also checked by `activation_obstacle`, and [`SplitSchedule::next_change`] changes one shard at a time,
+//! starting from the last decided map. Steps back are not checked: a split can be withdrawn whenever a
+//! majority of planners is live.
 
 mod conditions;
 mod context;
@@ -29,21 +30,22 @@
 
 use super::shard_map::{COPY_STEPS, ShardId, ShardLayout, SplitPhase, VersionedShardMap};
 
-/// A split that would need longer than this for one copying step, in seconds, does not start.
+/// The duration of a copying step, in seconds, from which the origin counts as having no spare fetches, so
+/// that a split does not start.
 const MAX_COPY_STEP_SECONDS: f64 = 1e9;
 
 /// The fraction of a shard's keys that a split migrates.
 const MIGRATING_FRACTION: f64 = 0.5;
 
-/// A fault that pauses a split.
+/// The fault that pauses a split, and when the pause began.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     since: Time,
     reason: Reason,
 }
 
-/// What the leader remembers of a split beside the shard map, by its own clock. A new leader starts anew, which only
-/// delays the split.
+/// The leader's timer of a split, by the leader's own clock. A timer is not part of the shard map, so a new
+/// leader starts all timers again, which only delays the splits.
 #[derive(Clone, Copy, Debug)]
 struct SplitTimer {
     layout: ShardLayout,
@@ -51,7 +53,7 @@
     pause: Option<Pause>,
 }
 
-/// The schedule of all splits, at the planner that leads.
+/// The schedule of all splits, used by the leading planner.
 #[derive(Clone, Debug)]
 pub struct SplitSchedule {
     settings: Settings,
@@ -60,18 +62,18 @@
 }
 
 impl SplitSchedule {
-    /// Starts with no knowledge of any split.
+    /// Creates a schedule without timers or requested withdrawals.
     pub fn new(settings: Settings) -> SplitSchedule {
         SplitSchedule { settings, timers: BTreeMap::new(), requested_withdrawals: BTreeSet::new() }
     }
 
-    /// Has a shard's split withdrawn at an operator's request.
+    /// Requests, for an operator, that a shard's split is withdrawn.
     pub fn request_withdrawal(&mut self, shard: ShardId) {
         self.requested_withdrawals.insert(shard);
     }
 
-    /// How long a split takes from `Planned` to `Switched` with nothing in its way. None if the origin has no spare
-    /// fetches.
+    /// The duration of a split from `Planned` to `Switched` if it is never paused. None if the origin has no
+    /// spare fetches.
     pub fn split_duration(&self, conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Span> {
         let step = self.copy_step_duration(conditions, outlook)?;
         let copying = Span(step.0.saturating_mul(u64::from(COPY_STEPS)));
@@ -83,8 +85,8 @@
         self.timers.len() + self.requested_withdrawals.len()
     }
 
-    /// The next change of the shard map that was decided last, if one is due. A change that was not decided is returned
-    /// again.
+    /// The next change of `shard_map`, the last decided map, if a change is due. A change that was not
+    /// decided is returned again.
     pub fn next_change(
         &mut self,
         now: Time,
@@ -118,7 +120,8 @@
         Some(proposed_change(shard_map, shard, SplitStep { to, reason: Reason::OutgrowsSoon }))
     }
 
-    /// Takes the shard map that was decided last. The timer of each shard whose layout changed starts anew.
+    /// Updates the timers to the last decided shard map: the timer of each shard whose layout changed starts
+    /// again.
     fn on_decided(&mut self, now: Time, shard_map: &VersionedShardMap) {
         self.timers.retain(|shard, _| shard_map.shards.contains_key(shard));
         self.requested_withdrawals.retain(|shard| shard_map.layout(*shard).phase.is_some());
@@ -147,7 +150,8 @@
         self.step_forward(split, time_in_phase)
     }
 
-    /// Records since when a fault pauses an active split, and which fault was first.
+    /// Updates and returns the pause of a split: while any fault lasts, an active split keeps the pause of
+    /// the first fault.
     fn update_pause(&mut self, split: &SplitContext<'_>) -> Option<Pause> {
         let obstacle = if split.phase.is_active() { self.active_obstacle(split) } else { None };
         let timer = self.timers.get_mut(&split.shard)?;
@@ -169,24 +173,25 @@
         if is_copying && !has_spare_fetches { Some(Reason::NoSpareFetches) } else { None }
     }
 
-    /// The step back of a split that was paused for too long.
+    /// The step back of a paused split; none before the pause has lasted for `max_pause_duration`.
     fn step_of_paused(&self, split: &SplitContext<'_>, pause: Pause) -> Option<SplitStep> {
         if split.now - pause.since < self.settings.max_pause_duration {
             return None;
         }
         if split.phase == SplitPhase::Planned {
-            // No key has moved: the split is merely foreseen again, and its endpoints are free for another one.
+            // No key has moved, so the split returns to `Foreseen`, which frees its endpoints for other
+            // splits.
             return Some(split.to_phase(SplitPhase::Foreseen, pause.reason));
         }
         if pause.reason == Reason::Frozen {
-            // A frozen period is no reason to move keys back.
+            // A frozen period pauses the split, but is no reason to move keys back.
             return None;
         }
         Some(split.to_phase(SplitPhase::Withdrawn, pause.reason))
     }
 
     fn step_forward(&self, split: &SplitContext<'_>, time_in_phase: Span) -> Option<SplitStep> {
-        // A shard of which nothing is known is migrated no further.
+        // Without an outlook of the shard, its split does not advance.
         if !split.is_known {
             return None;
         }
@@ -218,7 +223,7 @@
         }
     }
 
-    /// Whether a planned split would end before the next frozen period.
+    /// Whether a planned split would end before the next frozen period if it started copying now.
     fn ends_in_time(&self, split: &SplitContext<'_>) -> bool {
         let duration = self.split_duration(split.conditions, split.outlook);
         duration.is_some_and(|duration| split.conditions.ends_before_frozen_period(duration))
@@ -232,11 +237,12 @@
             && self.activation_obstacle(split, duration).is_none()
     }
 
-    /// Whether the time to start has come.
+    /// Whether a foreseen split has to start now.
     ///
-    /// It is late enough once the forecast itself, and not only its upper bound, says that the split is needed, unless
-    /// no more time is left than a split takes. It is early enough while the split ends before the earliest forecast
-    /// day, or before a frozen period that it would otherwise run into.
+    /// The deadline is the earliest forecast day, or the beginning of a frozen period that the split would
+    /// otherwise run into. A split starts once the time until the deadline is at most the lead time and the
+    /// expected value of the forecast, not only its upper bound, reaches the capacity. A split starts in any
+    /// case once the time until the deadline is no longer than the split takes.
     fn is_time_to_start(&self, conditions: &FleetConditions, outlook: &ShardOutlook, duration: Span) -> bool {
         let Some(earliest) = outlook.earliest else { return false };
         let lead_time = duration.scaled(self.settings.lead_factor);
@@ -247,7 +253,7 @@
         deadline <= duration || deadline <= lead_time && outlook.likely.is_some()
     }
 
-    /// What keeps a foreseen split from becoming active.
+    /// The first obstacle that prevents a foreseen split from becoming active; none if there is no obstacle.
     fn activation_obstacle(&self, split: &SplitContext<'_>, duration: Span) -> Option<Reason> {
         let mut active_splits = 0;
         for (other, layout) in &split.shard_map.shards {
@@ -255,7 +261,7 @@
                 continue;
             }
             active_splits += 1;
-            // A shard whose endpoints are not known may have any.
+            // An active split of a shard with unknown endpoints may use any endpoint.
             let Some(other_outlook) = split.outlooks.get(other) else {
                 return Some(Reason::TooManyActiveSplits);
             };
@@ -274,8 +280,8 @@
         }
     }
 
-    /// How long one copying step lasts: the migrating keys are fetched anew, at the rate that the origin has to spare,
-    /// shared by all splits that may be active. None if it has none to spare.
+    /// The duration of one copying step. The migrating keys are fetched again at the rate of the origin's
+    /// spare fetches, which all splits that may be active share. None if the origin has no spare fetches.
     fn copy_step_duration(&self, conditions: &FleetConditions, outlook: &ShardOutlook) -> Option<Span> {
         let settings = &self.settings;
         let fetches_per_second = conditions.spare_fetches_per_second * settings.spare_fetch_fraction
--- a/crates/coordination/src/shard_growth/split_schedule/queue.rs
+++ b/crates/coordination/src/shard_growth/split_schedule/queue.rs
@@ -12,7 +12,7 @@
     pub(super) phase: SplitPhase,
 }
 
-/// Splits in progress: active ones first, then those whose earliest forecast day is nearest.
+/// The splits in progress, ordered by urgency: active splits first, then by the earliest forecast day.
 pub(super) fn by_urgency(shard_map: &VersionedShardMap, outlooks: &ShardOutlooks) -> Vec<SplitInProgress> {
     let mut splits = Vec::new();
     for (shard, layout) in &shard_map.shards {
@@ -24,7 +24,7 @@
     splits
 }
 
-/// The unsplit shard that may outgrow its endpoints soonest.
+/// The shard with the earliest forecast day among those without a split in progress that can be split again.
 pub(super) fn next_foreseen(shard_map: &VersionedShardMap, outlooks: &ShardOutlooks) -> Option<ShardId> {
     let may_split = |shard: ShardId| {
         let layout = shard_map.layout(shard);
