--- a/crates/coordination/tests/growth_components.rs
+++ b/crates/coordination/tests/growth_components.rs
@@ -1,5 +1,6 @@
-//! Planners and forwarders of shard growth together: a growing shard is split before it outgrows its capacity, by one
-//! chain of shard maps, whichever planner leads; and invalid messages are rejected.
+//! Tests of the planner and forwarder components of shard growth together: a growing shard is split before it
+//! outgrows its capacity, the shard maps form one chain whichever planner leads, and invalid messages are
+//! rejected.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,7 +45,8 @@
     let mut simulation = Simulation::new(2);
     simulation.run_with_killed_leaders(10);
     simulation.assert_split_complete();
-    // In each phase but the first, which has no leader to lose yet, and the last.
+    // A leader is killed in all phases except the last, and the first, in which there is no leader yet: 18
+    // restarts.
     assert!(simulation.last_incarnation >= 3 + 18, "{} incarnations", simulation.last_incarnation);
 }
 
@@ -55,12 +57,12 @@
     simulation.announce_members();
     simulation.run(9);
     assert_eq!(simulation.shard_maps.len(), 1);
-    // It leads, and does not vote before all others have told it their state.
+    // Planner 1 leads, but does not vote, since it has not received the state of all other planners.
     let planner = simulation.planner(1);
     assert!(planner.is_leader());
     let is_logged =
         std::iter::from_fn(|| planner.poll_event()).any(|event| event.name == "shard_split_blocked");
-    assert!(is_logged, "nobody would know what it waits for");
+    assert!(is_logged, "the planner logs what prevents it from deciding");
 }
 
 #[test]
@@ -74,7 +76,7 @@
     simulation.run(7);
     simulation.assert_split_complete();
     let forecast = |id| simulation.planners[&PlannerId(id)].capacity_forecast(GROWING_SHARD);
-    assert_eq!(forecast(1), forecast(2), "it has the history that the others have");
+    assert_eq!(forecast(1), forecast(2), "the restarted planner has the same history as the others");
 }
 
 #[test]
@@ -104,7 +106,7 @@
 fn a_snapshot_is_read_completely_or_rejected() {
     let days = vec![ClosedDay { day: AccountingDay(1), bytes: 2.0, keys: 3.0 }];
     let bytes = Snapshot { consensus: None, history: vec![(GROWING_SHARD, days)] }.to_bytes();
-    assert_eq!(Snapshot::from_bytes(&bytes).expect("its own bytes").to_bytes(), bytes);
+    assert_eq!(Snapshot::from_bytes(&bytes).expect("the snapshot is valid").to_bytes(), bytes);
     for position in 0..bytes.len() {
         assert!(Snapshot::from_bytes(&bytes[..position]).is_err());
         let mut changed = bytes.clone();
@@ -199,7 +201,8 @@
     assert!(length < MAX_MESSAGE_BYTES, "{length}");
 }
 
-/// A forwarder once reported one shard a poll: with 40 polls a round, days were closed without five of six shards.
+/// Guards against a forwarder that reports only one shard per poll: with 40 polls per round, five of six
+/// shards were not reported before planners closed the day.
 #[test]
 fn a_forwarder_that_is_polled_seldom_reports_all_shards_in_a_round() {
     let report_round = Span::from_millis(1000);
@@ -225,8 +228,8 @@
     assert_eq!(reported.len(), SHARD_COUNT);
 }
 
-/// Runs a simulation up to the second copying step; `slow_forwarders` of the forwarders then see slow fetches for 600
-/// ticks. Returns whether the split advances by more than two further steps.
+/// Whether a split advances by more than two further steps after the second copying step, while
+/// `slow_forwarders` of the forwarders observe slow fetches for 600 ticks.
 fn advances_with_slow_fetches(slow_forwarders: u64) -> bool {
     let mut simulation = Simulation::new(9);
     for tick in 0.. {
@@ -248,13 +251,13 @@
         }
         simulation.tick();
     }
-    let is_further =
+    let is_advanced =
         |decided: &DecidedLayout| matches!(decided.layout.phase, Some(SplitPhase::Copying(step)) if step > 4);
-    simulation.layouts[layouts_before..].iter().any(is_further)
+    simulation.layouts[layouts_before..].iter().any(is_advanced)
 }
 
-/// Leases see what is asked of the origin, and not how long it takes: a split once went on at a twentieth of the origin's
-/// speed.
+/// Guards against a split that advances while the origin is slow. Leases measure the rate of fetches but not
+/// their latency, so a split advanced while the origin ran at a twentieth of its speed.
 #[test]
 fn a_split_pauses_while_two_forwarders_see_slow_fetches_and_not_for_one() {
     assert!(advances_with_slow_fetches(1));
--- a/crates/coordination/tests/growth_simulation.rs
+++ b/crates/coordination/tests/growth_simulation.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet of planners and forwarders of shard growth, over a network that loses, duplicates and reorders
-//! messages.
+//! A simulated fleet of planner and forwarder components of shard growth, on a network that loses, duplicates
+//! and reorders messages.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -29,13 +29,15 @@
 pub const PLANNERS: u8 = 3;
 pub const FORWARDERS: u64 = 4;
 pub const GROWING_SHARD: ShardId = ShardId(17);
-/// The keys on the first day, of 1,000 bytes each, and how many more there are each day.
+/// The number of keys of the growing shard on the first day.
 pub const INITIAL_KEYS: f64 = 1000.0;
+/// The number of keys that are added each day.
 pub const KEYS_PER_DAY: f64 = 40.0;
+/// The size of each value in bytes.
 pub const VALUE_BYTES: f64 = 1000.0;
-/// A planner that was killed is back after this many ticks.
+/// The number of ticks after which a killed planner is restarted.
 pub const RESTART_TICKS: u64 = 30;
-/// A message has to leave room for its envelope in a datagram.
+/// The maximum length of a message in bytes, which leaves room for its envelope in a datagram.
 pub const MAX_MESSAGE_BYTES: usize = 1100;
 
 pub fn keys_on_day(day: u32) -> f64 {
@@ -72,7 +74,7 @@
     Observation::AttemptFinished(Box::new(fetch))
 }
 
-/// An endpoint list, some of whose endpoints have just started.
+/// The observation of an endpoint list whose endpoints `warming_up` have just started.
 pub fn observed_endpoints(endpoints: Range<u64>, warming_up: Range<u64>, now: Time) -> Observation {
     let endpoint = |id| ObservedEndpoint {
         cache: EndpointId(id),
@@ -99,15 +101,15 @@
         planners: (1..=PLANNERS).map(PlannerId).collect(),
         schedule,
         day_length: DAY,
-        // Reached about eight days after those that are known.
+        // The growing shard reaches this capacity about eight days after the known days.
         shard_capacity_bytes: Some(VALUE_BYTES * keys_on_day(KNOWN_DAYS + 8)),
-        // A message takes up to a tick here.
+        // A message takes up to one tick in the simulation.
         proposal_retry_interval: Span(TICK.0 * 6),
         ..PlannerSettings::default()
     }
 }
 
-/// The history that all planners have at the start, with noise.
+/// The history, with noise, that all planners have at the start.
 pub fn known_history(seed: u64) -> Vec<ClosedDay> {
     let closed_day = |day: u32| {
         let drawn = xxh3_64_with_seed(&day.to_le_bytes(), seed) % 1000;
@@ -121,7 +123,7 @@
     (0..KNOWN_DAYS).map(closed_day).collect()
 }
 
-/// A layout of the growing shard, and the day on which it was decided.
+/// A layout of the growing shard, and the simulated day on which the layout was decided.
 #[derive(Clone, Copy, Debug)]
 pub struct DecidedLayout {
     pub day: u32,
@@ -143,7 +145,7 @@
     pub disks: BTreeMap<PlannerId, Vec<u8>>,
     pub forwarders: BTreeMap<ForwarderId, ForwarderComponent>,
     pub in_flight: Vec<Envelope>,
-    /// Keys of the growing shard.
+    /// The keys of the growing shard.
     pub keys: Vec<u64>,
     pub shard_maps: BTreeMap<u64, VersionedShardMap>,
     pub layouts: Vec<DecidedLayout>,
@@ -206,7 +208,7 @@
         let calendar = self.calendar();
         let mut planner =
             PlannerComponent::new(planner_settings(), id, incarnation, self.now, calendar, disk)
-                .expect("it reads its own disk");
+                .expect("the planner's disk holds a valid snapshot");
         let status = FleetStatus { spare_fetches_per_second: 100.0, ..FleetStatus::default() };
         planner.set_fleet_status(Some(status));
         self.planners.insert(id, planner);
@@ -238,7 +240,7 @@
         self.forwarders.get_mut(&ForwarderId(id)).expect("the forwarder is live")
     }
 
-    /// Reads all keys of a day, each at one forwarder.
+    /// Reads all keys of a day, each through one random forwarder.
     pub fn read_keys(&mut self, day: u32) {
         let count = keys_on_day(KNOWN_DAYS + day) as usize;
         let now = self.now;
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Delivers all messages in random order; one of ten is lost and one duplicated.
+    /// Delivers all messages in random order. One in ten messages is lost, and one in ten is duplicated.
     pub fn deliver_messages(&mut self) {
         let mut messages = std::mem::take(&mut self.in_flight);
         while !messages.is_empty() {
@@ -328,7 +330,7 @@
         }
     }
 
-    /// Reads the day's keys at its middle.
+    /// Runs one tick, and reads the day's keys in the middle of the day.
     pub fn run_tick(&mut self, tick: u64) {
         if tick % TICKS_PER_DAY == TICKS_PER_DAY / 2 {
             self.read_keys((tick / TICKS_PER_DAY) as u32);
@@ -336,7 +338,8 @@
         self.tick();
     }
 
-    /// Kills the leader after each decision on the growing shard, and restarts it half an hour later.
+    /// Runs the simulation, and kills the leader after each decision on the growing shard. A killed leader is
+    /// restarted after [`RESTART_TICKS`].
     pub fn run_with_killed_leaders(&mut self, days: u32) {
         let mut killed: Option<(u64, PlannerId)> = None;
         let mut layouts_seen = 0;
@@ -354,7 +357,7 @@
         }
     }
 
-    /// Whether the first split passed through all phases, one by one.
+    /// Whether the first split passed through all phases in order.
     pub fn is_split_complete(&self) -> bool {
         let mut phases = vec![Some(SplitPhase::Foreseen), Some(SplitPhase::Planned)];
         phases.extend((1..=16).map(|step| Some(SplitPhase::Copying(step))));
@@ -369,7 +372,8 @@
     }
 }
 
-/// Takes a planner's messages, and persists its state whenever they wait for that.
+/// Collects a planner's messages, and persists its state whenever messages wait for the state to be
+/// persisted.
 pub fn poll_planner(
     now: Time,
     id: PlannerId,
