--- a/crates/coordination/tests/growth_consensus.rs
+++ b/crates/coordination/tests/growth_consensus.rs
@@ -1,6 +1,6 @@
-//! A randomized simulation of the consensus: planners decide one shard map for each version, whatever messages are lost,
-//! duplicated, delayed, reordered or cut off by a partition, and whichever planners restart. The checker also has to
-//! catch protocols that are broken on purpose.
+//! A randomized simulation of the consensus: planners decide one shard map for each version, although
+//! messages are lost, duplicated, delayed, reordered or blocked by a partition, and planners restart. The
+//! simulation also has to detect conflicting decisions of protocols with a deliberate fault.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Protocol {
     Correct,
-    /// One vote less than a majority decides.
+    /// One vote fewer than a majority is enough to decide.
     MinorityDecides,
-    /// Promises are persisted after the messages have left, and some planners restart in between.
+    /// Promises are persisted after the messages are sent, and some planners restart in between.
     PersistsTooLate,
-    /// A planner that lost its disk votes at once.
+    /// A planner that lost its disk votes without recovering its state first.
     VotesWithoutRecovery,
 }
 
@@ -48,10 +48,10 @@
     last_incarnation: u64,
     /// The present incarnation of each planner.
     incarnations: Vec<u64>,
-    /// The latest incarnation of a sender that a receiver has heard from.
-    latest_heard: BTreeMap<(PlannerId, PlannerId), u64>,
+    /// The latest incarnation from which a receiver has received a message, by sender and receiver.
+    latest_received: BTreeMap<(PlannerId, PlannerId), u64>,
     in_flight: Vec<InFlight>,
-    /// All shard maps that were decided of each version.
+    /// All shard maps that were decided for each version.
     decided: BTreeMap<u64, BTreeSet<String>>,
     /// A bit for each planner: messages between planners with different bits are lost.
     partition: Option<u64>,
@@ -68,7 +68,7 @@
             disks: vec![None; planner_count.into()],
             last_incarnation: 0,
             incarnations: vec![0; planner_count.into()],
-            latest_heard: BTreeMap::new(),
+            latest_received: BTreeMap::new(),
             in_flight: Vec::new(),
             decided: BTreeMap::new(),
             partition: None,
@@ -92,8 +92,8 @@
     fn start(&mut self, index: usize) -> Consensus {
         self.last_incarnation += 1;
         self.incarnations[index] = self.last_incarnation;
-        let forgets = self.protocol == Protocol::VotesWithoutRecovery;
-        let persisted = self.disks[index].clone().or(forgets.then(AcceptorState::default));
+        let skips_recovery = self.protocol == Protocol::VotesWithoutRecovery;
+        let persisted = self.disks[index].clone().or(skips_recovery.then(AcceptorState::default));
         let incarnation = Incarnation(self.last_incarnation);
         let planner = Consensus::new(planner_id(index), incarnation, self.ids.clone(), persisted);
         let majority = self.ids.len() / 2 + usize::from(self.protocol != Protocol::MinorityDecides);
@@ -104,7 +104,8 @@
         self.planners[index] = self.start(index);
     }
 
-    /// Persists a planner's state and takes its messages. A planner that persists too late may restart in between.
+    /// Persists a planner's state and collects its messages. A planner that persists its state too late may
+    /// restart before the state is persisted.
     fn poll(&mut self, index: usize) {
         let snapshot = self.planners[index].poll_snapshot().cloned();
         let is_late = self.protocol == Protocol::PersistsTooLate && self.draw(3) == 0;
@@ -137,7 +138,7 @@
             }
             6 if has_faults => self.restart(index),
             7 if has_faults => self.partition = (self.draw(2) == 0).then_some(self.draws),
-            // One disk is lost, while all others keep theirs.
+            // At most one planner has lost its disk at a time.
             8 if has_faults
                 && self.ids.len() > 1
                 && self.draw(3) == 0
@@ -170,8 +171,9 @@
         };
         let InFlight { from, incarnation, to, message } = delivered;
         let is_lost = has_faults && self.draw(20) == 0 || self.are_partitioned(from, to);
-        // Membership drops what an earlier incarnation sent, once a later one was heard.
-        let latest = self.latest_heard.entry((from, to)).or_default();
+        // Membership drops messages of an earlier incarnation once a message of a later incarnation was
+        // received.
+        let latest = self.latest_received.entry((from, to)).or_default();
         *latest = incarnation.max(*latest);
         if !is_lost && incarnation == *latest {
             let receiver = usize::from(to.0) - 1;
@@ -200,9 +202,9 @@
 }
 
 struct Outcome {
-    /// Simulations that decided two shard maps of one version.
+    /// The number of simulations that decided two shard maps for one version.
     conflicts: usize,
-    /// Versions that were decided in all simulations.
+    /// The total number of versions decided in all simulations.
     versions: u64,
 }
 
@@ -225,7 +227,7 @@
     outcome
 }
 
-/// Once the network is well again, the planners decide anew.
+/// Asserts that planners decide further versions once the network delivers all messages again.
 fn assert_recovers(simulation: &mut Simulation, planner_count: u8) {
     let seed = simulation.seed;
     let before = simulation.latest_version();
@@ -233,7 +235,7 @@
     for _ in 0..1500 * u32::from(planner_count) {
         simulation.step(Faults::None);
     }
-    assert!(simulation.latest_version() > before, "seed {seed}: stuck at {before:?}");
+    assert!(simulation.latest_version() > before, "seed {seed}: no version was decided after {before:?}");
     assert!(!simulation.has_conflicting_decisions(), "seed {seed}: {:?}", simulation.decided);
 }
 
@@ -244,7 +246,11 @@
 fn each_version_has_one_decided_shard_map(planner_count: u8) {
     let outcome = simulate(Protocol::Correct, planner_count, 0..25);
     assert_eq!(outcome.conflicts, 0);
-    assert!(outcome.versions > 25, "{} versions: too little was decided to tell", outcome.versions);
+    assert!(
+        outcome.versions > 25,
+        "only {} versions were decided, too few for a meaningful test",
+        outcome.versions
+    );
 }
 
 #[test_case(Protocol::MinorityDecides)]
