--- a/crates/coordination/tests/growth_forecast.rs
+++ b/crates/coordination/tests/growth_forecast.rs
@@ -1,4 +1,4 @@
-//! Counters and sketches that merge, and forecasts compared with simulated histories.
+//! Tests of merging counters and sketches, and of forecasts on simulated histories.
 
 #[path = "../examples/growth_histories/mod.rs"]
 mod growth_histories;
@@ -29,7 +29,7 @@
     }
 }
 
-/// What one incarnation of a forwarder reports: `keys` reads, each of another key.
+/// A report of one incarnation of a forwarder: `keys` reads, each of a different key.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     forwarder: u64,
@@ -105,7 +105,8 @@
             }
         }
     }
-    // It is announced from the first days on, up to days that go missing later.
+    // The first forecast day is announced after a few days already. It may move, since later days may be
+    // missing.
     let announced = forecast(&history[..5], 30).expect_err("five days").available_from;
     let first_forecast = first_forecast.expect("120 days are enough");
     assert!(first_forecast.0.abs_diff(announced.0) < 14, "{first_forecast:?} {announced:?}");
@@ -123,7 +124,9 @@
     assert_eq!(in_month(20_513), DayOfMonth { day: 1, month_length: 31 }); // 1 March 2026
 }
 
-/// Half of the bytes go on one day, as when half of the forwarders are cut off: more than all there was two months ago.
+/// Guards against forecasts of unbounded growth after a purge. Half of the bytes disappear on one day, as
+/// when half of the forwarders are partitioned off; the purged bytes are more than the whole size two months
+/// before.
 #[test]
 fn after_a_purge_no_growth_without_bound_is_forecast() {
     let without_purge =
@@ -137,7 +140,7 @@
         let actual = value(109 + days_since + 14);
         assert!(
             forecast.value < 1.5 * actual && forecast.high < 4.0 * actual,
-            "{days_since}: {forecast:?}, actually {actual}"
+            "{days_since}: {forecast:?}, actual value {actual}"
         );
     }
 }
--- a/crates/coordination/tests/growth_split_schedule.rs
+++ b/crates/coordination/tests/growth_split_schedule.rs
@@ -1,5 +1,5 @@
-//! Splits under random conditions: the invariants of the split schedule hold at every step, and under calm conditions
-//! splits are completed.
+//! Tests of the split schedule: its invariants hold at every step under random conditions, and splits are
+//! completed under stable conditions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The conditions at one call of the schedule.
+/// The conditions and shard outlooks at one call of the schedule.
 #[derive(Clone, Debug)]
 struct Moment {
     minutes_since_last: u64,
@@ -39,9 +39,9 @@
     spare_fetches_per_second: f64,
     /// When a frozen period begins and ends, in minutes from now.
     frozen: Option<(u64, u64)>,
-    /// For each shard, in how many minutes it may outgrow its endpoints.
+    /// For each shard, the minutes until the shard may outgrow its endpoints.
     earliest_minutes: Vec<Option<u64>>,
-    /// Whether another planner leads now, which knows nothing of what the former leader remembered.
+    /// Whether another planner leads from now on, which lacks the timers of the former leader.
     has_new_leader: bool,
     /// Whether an operator requests the withdrawal of all splits.
     is_withdrawal_requested: bool,
@@ -101,7 +101,7 @@
     }
 }
 
-/// How far a split has advanced; phases from which it may start anew are 0.
+/// The progress of a split as a number; 0 for phases from which the split may start again.
 fn rank(phase: Option<SplitPhase>) -> u32 {
     match phase {
         None | Some(SplitPhase::Withdrawn) => 0,
@@ -113,7 +113,7 @@
     }
 }
 
-/// A step forward is allowed by the conditions, skips no phase, and leaves none too early.
+/// Checks that a step forward is allowed by the conditions, skips no phase, and leaves no phase too early.
 fn check_step(
     change: &ProposedChange,
     before: ShardLayout,
@@ -140,7 +140,8 @@
     Ok(())
 }
 
-/// No more splits are active than are allowed, and no two of them share an endpoint.
+/// Checks that no more splits are active than the settings allow, and that no two active splits share an
+/// endpoint.
 fn check_active_splits(
     shard_map: &VersionedShardMap,
     outlooks: &ShardOutlooks,
@@ -205,7 +206,8 @@
     reason: Reason,
 }
 
-/// Calls the schedule each minute for a shard that may outgrow its endpoints in `earliest_minute`.
+/// Calls the schedule each minute for a shard that may outgrow its endpoints at `earliest_minute`, and
+/// returns all steps.
 fn run(
     earliest_minute: u64,
     conditions: impl Fn(u64) -> FleetConditions,
@@ -228,7 +230,7 @@
     steps
 }
 
-fn calm(spare_fetches_per_second: f64) -> FleetConditions {
+fn stable(spare_fetches_per_second: f64) -> FleetConditions {
     FleetConditions { spare_fetches_per_second, ..FleetConditions::default() }
 }
 
@@ -241,9 +243,9 @@
 }
 
 #[test]
-fn a_calm_split_ends_before_the_earliest_day_and_starts_no_sooner_than_needed() {
-    // 48,000 keys at 10 a second take 80 minutes; with the other phases 150.
-    let steps = run(2000, |_| calm(40.0), 4000);
+fn an_undisturbed_split_ends_before_the_earliest_day_and_starts_no_sooner_than_needed() {
+    // Copying 48,000 keys at 10 keys per second takes 80 minutes; the whole split takes 150 minutes.
+    let steps = run(2000, |_| stable(40.0), 4000);
     let planned = minute_of(&steps, SplitPhase::Planned).unwrap();
     let switched = minute_of(&steps, SplitPhase::Switched).unwrap();
     assert!((2000 - 2 * 160..2000 - 150).contains(&planned), "{planned}");
@@ -255,7 +257,7 @@
 fn a_split_that_is_needed_in_a_frozen_period_ends_before_it() {
     let frozen = |minute: u64| FleetConditions {
         frozen_period: (minute < 3000).then(|| frozen_period(1500u64.saturating_sub(minute), 3000 - minute)),
-        ..calm(40.0)
+        ..stable(40.0)
     };
     let steps = run(2000, frozen, 2000);
     assert!(minute_of(&steps, SplitPhase::Switched).is_some_and(|minute| minute <= 1500), "{steps:?}");
@@ -264,7 +266,7 @@
 #[test]
 fn a_slow_origin_pauses_a_split_and_then_withdraws_it() {
     let slow = |from: u64, to: u64| {
-        move |minute: u64| FleetConditions { is_origin_slow: (from..to).contains(&minute), ..calm(40.0) }
+        move |minute: u64| FleetConditions { is_origin_slow: (from..to).contains(&minute), ..stable(40.0) }
     };
     let paused = run(2000, slow(1800, 1820), 2100);
     assert!(minute_of(&paused, SplitPhase::Switched).is_some());
@@ -275,7 +277,7 @@
 
 #[test]
 fn no_split_starts_while_the_origin_has_no_spare_fetches() {
-    let steps = run(2000, |_| calm(0.0), 2100);
+    let steps = run(2000, |_| stable(0.0), 2100);
     assert!(steps.iter().all(|step| step.phase == Some(SplitPhase::Foreseen)));
 }
 
