--- a/crates/coordination/examples/growth_forecast.rs
+++ b/crates/coordination/examples/growth_forecast.rs
@@ -1,5 +1,6 @@
-//! Backtests of the forecast on simulated histories of several shapes: how often the interval covers the actual value,
-//! and the error beside those of the last value and of a straight line. `growth_forecast [first seed] [seeds]`.
+//! Backtests the forecast on simulated histories of several shapes, and prints how often the interval covers
+//! the actual value, and the errors of the forecast, of the last value and of a straight line. Usage:
+//! `growth_forecast [first seed] [seeds]`.
 
 mod growth_histories;
 
--- a/crates/coordination/examples/growth_histories/mod.rs
+++ b/crates/coordination/examples/growth_histories/mod.rs
@@ -1,10 +1,12 @@
-//! Simulated histories of a shard's size, by seed: several shapes with a monthly pattern, bursts, drops and gaps.
+//! Simulated histories of a shard's size by seed, in several shapes, with a monthly pattern, bursts, drops
+//! and gaps.
 
 use granitelb_coordination::shard_growth::accounting_day::{AccountingDay, DayOfMonth};
 use granitelb_coordination::shard_growth::forecast::{Point, forecast};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The shape of a history. Its name is part of what the seeded draws hash.
+/// The shape of a history. The names of variants are hashed by the seeded draws, so renaming one changes its
+/// histories.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Shape {
     Steady,
@@ -21,26 +23,26 @@
 const INITIAL_BYTES: f64 = 1e9;
 const GAP_BLOCK_DAYS: u32 = 6;
 
-/// A burst or a drop that lasts for some days.
+/// A burst or a drop of the size that lasts for some days.
 struct Burst {
     remaining_days: u32,
     factor: f64,
 }
 
-/// The draws of one history.
+/// The random draws of one history. Each draw is a hash of shape, purpose, index and seed.
 struct Draws {
     shape: Shape,
     seed: u64,
 }
 
 impl Draws {
-    /// From 0 to 1.
+    /// A uniformly distributed draw from 0 to 1.
     fn uniform(&self, purpose: &str, index: u32) -> f64 {
         let hash = xxh3_64_with_seed(format!("{:?} {purpose} {index}", self.shape).as_bytes(), self.seed);
         (hash >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Of the standard normal distribution, by Box and Muller.
+    /// A draw from the standard normal distribution, by the Box–Muller transform.
     fn normal(&self, purpose: &str, index: u32) -> f64 {
         let radius: f64 = (-2.0_f64 * self.uniform(purpose, 2 * index).max(1e-12).ln()).sqrt();
         radius * (std::f64::consts::TAU * self.uniform(purpose, 2 * index + 1)).cos()
@@ -79,7 +81,7 @@
     day <= 2 || day + 2 > month_length
 }
 
-/// A history over `days` days, without those of gaps.
+/// A simulated history over `days` days, in which the days of gaps are missing.
 pub fn simulated_history(shape: Shape, seed: u64, days: u32) -> Vec<Point> {
     let draws = Draws { shape, seed };
     let start = AccountingDay(20_000 + (draws.uniform("start", 0) * 300.0) as u32);
@@ -93,7 +95,7 @@
     let mut burst = Burst { remaining_days: 0, factor: 1.0 };
     let mut points = Vec::new();
     for n in 0..days {
-        // Each day's own growth differs, and stays.
+        // Each day adds a random change of the level, which stays.
         random_walk += 0.002 * draws.normal("wander", n);
         if burst.remaining_days == 0 && draws.starts_burst(n) {
             burst = draws.burst(n);
@@ -113,21 +115,26 @@
     points
 }
 
-/// How forecasts compare with what followed. Errors are sums of fractions of the actual value.
+/// The comparison of forecasts with actual values. Errors and widths are fractions of the actual value,
+/// summed over all forecasts.
 #[derive(Default)]
 pub struct Backtest {
     pub forecasts: usize,
+    /// The number of days for which no forecast was available.
     pub unavailable: usize,
-    /// How often the interval held the actual value.
+    /// The number of forecasts whose interval contains the actual value.
     pub covered: usize,
+    /// The error of the forecast.
     pub error: f64,
-    /// The error of taking the last value.
+    /// The error of using the last value as the forecast.
     pub constant_error: f64,
-    /// The error of a straight line through the last 56 days.
+    /// The error of a straight line fitted to the last 56 known days.
     pub line_error: f64,
+    /// Half of the interval's width.
     pub half_width: f64,
 }
 
+/// Backtests the forecast at a horizon in days on the histories of the given seeds.
 pub fn backtest(shape: Shape, seeds: std::ops::Range<u64>, horizon: u32) -> Backtest {
     let mut result = Backtest::default();
     for seed in seeds {
@@ -155,7 +162,7 @@
     result
 }
 
-/// The value on a day by a straight line of least squares.
+/// The value on a day, predicted by a least-squares line.
 fn least_squares(points: &[Point], on: AccountingDay) -> f64 {
     let count = points.len() as f64;
     let day = |point: &Point| f64::from(point.day.0);
--- a/crates/coordination/examples/growth_months.rs
+++ b/crates/coordination/examples/growth_months.rs
@@ -1,7 +1,7 @@
-//! A simulation over months: reads of keys of shards, one of which grows, from caches that each hold a number of values.
-//! Compares no splits, splits once a shard has outgrown its caches, and splits ahead of time, by hit ratio, fetches from
-//! the origin, and fetches that were late since the origin had more to do than it can. `growth_months [first seed]
-//! [seeds]`.
+//! Simulates reads over several months from caches of limited capacity, where one shard grows. Compares three
+//! policies: no splits, splits once the shard has outgrown its caches, and splits ahead of time. Prints the
+//! hit ratio, the fetches from the origin, and the fetches that were late since they exceeded the origin's
+//! capacity. Usage: `growth_months [first seed] [seeds]`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,16 +19,17 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const CACHE_COUNT: u64 = 120;
-/// The number of values that a cache holds.
+/// The number of values that a cache can store.
 const CACHE_CAPACITY: usize = 330;
 const SHARD_COUNT: usize = 256;
 const GROWING_SHARD: ShardId = ShardId(40);
 /// The number of keys of a shard that does not grow.
 const STABLE_SHARD_KEYS: u64 = 90;
-/// The number of keys that crowd the caches of an unsplit shard.
+/// The number of keys that the caches of an unsplit shard can store, beyond which the shard needs a split.
 const SHARD_CAPACITY: f64 = 32.0 * 85.0;
-/// The number of days that are simulated, and of those that are known before.
+/// The number of simulated days.
 const DAYS: u32 = 120;
+/// The number of closed days in the history at the start of the simulation.
 const KNOWN_DAYS: u32 = 100;
 const FIRST_DAY: u32 = 20_000;
 const TICKS_PER_DAY: u32 = 96;
@@ -36,9 +37,9 @@
 const TICK_SECONDS: f64 = 900.0;
 const DAY_SECONDS: f64 = 86_400.0;
 const READS_PER_DAY: u64 = 40_000;
-/// The fetches that the origin can serve in a tick; further ones are late.
+/// The number of fetches that the origin can serve per tick. Fetches beyond this number are late.
 const FETCHES_PER_TICK: u64 = 20;
-/// Days in which the caches fill, before figures are counted.
+/// The number of days in which the caches fill. Reads and fetches of these days are not counted.
 const WARM_UP_DAYS: u32 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,7 +49,7 @@
     Ahead,
 }
 
-/// A cache that evicts the value that was read least recently.
+/// A cache that evicts the least recently used value.
 #[derive(Default)]
 struct LruCache {
     last_read: HashMap<u64, u64>,
@@ -56,7 +57,7 @@
 }
 
 impl LruCache {
-    /// Reads a key at a moment, and returns whether it was there.
+    /// Reads a key at the time `at`, and returns whether the cache had the key.
     fn read(&mut self, key: u64, at: u64) -> bool {
         let Some(last) = self.last_read.get(&key).copied() else { return false };
         self.keys_by_last_read.remove(&last);
@@ -82,11 +83,11 @@
     late_fetches: u64,
     late_fetches_on_worst_day: u64,
     late_fetches_today: u64,
-    /// The days on which a split was complete.
+    /// The days on which a split was completed.
     split_days: Vec<u32>,
 }
 
-/// Where a key is read: its place, and its former one during a migration.
+/// The caches from which a key is read: its present cache and, during a migration, its former cache.
 #[derive(Clone, Copy)]
 struct KeyPlace {
     present: EndpointId,
@@ -98,7 +99,7 @@
     policy: Policy,
     caches: Vec<LruCache>,
     cache_sizes: Vec<(EndpointId, f64)>,
-    /// The keys of each shard, as many as there will be.
+    /// The keys of each shard, including those that are added in the course of the simulation.
     keys: Vec<Vec<u64>>,
     closed_days: Vec<ClosedDay>,
     schedule: SplitSchedule,
@@ -164,7 +165,7 @@
             self.forecast = CapacityForecast::default();
         }
         self.shard_map = change.shard_map;
-        // Only the shard's own keys move.
+        // A split moves only keys of the shard itself.
         for key in &self.keys[usize::from(GROWING_SHARD.0)] {
             self.key_places.remove(key);
         }
@@ -217,7 +218,7 @@
         self.figures.late_fetches_today += late;
     }
 
-    /// The next key to be read, each with the same probability.
+    /// The next key to be read. All present keys have the same probability.
     fn next_key(&self, growing_keys: u64) -> u64 {
         let growing_shard = usize::from(GROWING_SHARD.0);
         let stable_shards = SHARD_COUNT as u64 - 1;
@@ -232,7 +233,8 @@
         self.keys[shard][(stable_index % STABLE_SHARD_KEYS) as usize]
     }
 
-    /// Reads a key at its place, and at its former one while both are read. Stores it if it was at neither.
+    /// Reads a key from its present cache and, during dual reads, from its former cache. Returns whether one
+    /// of them had the key; otherwise the present cache stores the key.
     fn read_from_cache(&mut self, key: u64, shard_map: &ShardMap) -> bool {
         let at = self.reads_so_far;
         let cache_sizes = &self.cache_sizes;
@@ -275,7 +277,7 @@
     300.0 * (rate * f64::from(day)).exp()
 }
 
-/// What a planner measures of the growing shard on a day.
+/// The closed day of the growing shard that a planner would record, with measurement noise.
 fn closed_day(seed: u64, day: u32) -> ClosedDay {
     let noise = 0.985 + (draw(seed, u64::from(day) + 7_000_000) % 3000) as f64 / 1e5;
     let keys = (grown_keys(seed, day) * noise) as f32;
@@ -300,7 +302,8 @@
     keys
 }
 
-/// The last four days of a month and the first two.
+/// The frozen period that has begun, or else the next one. The last four days and the first two days of a
+/// month are frozen.
 fn frozen_period(day: u32, tick_of_day: u32) -> Option<FrozenPeriod> {
     let is_frozen = |day: u32| {
         let DayOfMonth { day, month_length } = AccountingDay(FIRST_DAY + day).in_month();
@@ -315,7 +318,7 @@
     Some(FrozenPeriod { begins_in: time_until(begins), ends_in: time_until(ends) })
 }
 
-/// The last two days of a month have twice the reads.
+/// The factor of a day's reads: 2 on the last two days of a month, otherwise 1.
 fn load_factor(day: u32) -> u64 {
     let DayOfMonth { day, month_length } = AccountingDay(FIRST_DAY + day).in_month();
     if day + 2 > month_length { 2 } else { 1 }
--- a/crates/coordination/examples/growth_traffic.rs
+++ b/crates/coordination/examples/growth_traffic.rs
@@ -1,5 +1,6 @@
-//! What the reports of shard growth cost at 300 forwarders and 256 shards: bytes and messages a second to one planner,
-//! the time it spends on them, and the entries it holds.
+//! Measures the cost of shard growth reports for up to 300 forwarders and 256 shards: the bytes and messages
+//! per second to one planner, the fraction of a core that the planner uses for them, and the entries that the
+//! planner holds.
 
 use std::time::Instant;
 
@@ -23,10 +24,10 @@
 const TICKS_PER_HOUR: u64 = 360;
 const TICK_SECONDS: f64 = 10.0;
 const KEYS: f64 = 1e6;
-/// An envelope takes about as many bytes.
+/// The approximate length of an envelope in bytes.
 const ENVELOPE_BYTES: u64 = 48;
 
-/// What one planner received.
+/// The reports that one planner received, and the time in seconds that the planner used for them.
 #[derive(Default)]
 struct Received {
     bytes: u64,
@@ -107,7 +108,7 @@
     }
 }
 
-/// An attempt for one of a million keys, of which the first ones are read more often.
+/// A finished attempt for one of a million keys. Keys with low numbers occur more often.
 fn finished_attempt(forwarder: u64, tick: u64, request: u64) -> FinishedAttempt {
     let index = forwarder << 40 | tick << 10 | request;
     let drawn = xxh3_64_with_seed(&index.to_le_bytes(), 1) as f64 / u64::MAX as f64;
