--- a/crates/control-plane/src/planner/components.rs
+++ b/crates/control-plane/src/planner/components.rs
@@ -145,7 +145,8 @@
             // The clock of each process is set to Unix time, so that all planners are on the same accounting
             // day, except for a short time around the change of days.
             let day = shard_growth::accounting_day::AccountingDay((now.0 / settings.day_length.0) as u32);
-            let calendar = shard_growth::Calendar { at: now, day, into: Span(now.0 % settings.day_length.0) };
+            let calendar =
+                shard_growth::Calendar { at: now, day, elapsed_in_day: Span(now.0 % settings.day_length.0) };
             let component = shard_growth::PlannerComponent::new(
                 settings,
                 me,
