--- a/crates/coordination/src/shard_growth/consensus/message.rs
+++ b/crates/coordination/src/shard_growth/consensus/message.rs
@@ -10,7 +10,7 @@
 /// number for later proposals.
 const ROUND_AND_VERSION_LIMIT: u64 = 1 << 48;
 
-/// The number of an attempt to decide a version: a higher ballot supersedes lower ones.
+/// The number of a proposal. A proposal with a higher ballot supersedes proposals with lower ballots.
 ///
 /// Ballots of different planners differ, and so do ballots of different incarnations of one planner, since a
 /// later incarnation may have lost the persisted ballots of an earlier one.
@@ -18,7 +18,7 @@
 pub struct Ballot {
     /// The proposer's round. Ballots are compared by round first.
     pub round: u64,
-    /// The proposer.
+    /// The number of the proposing planner.
     pub planner: u8,
     /// The proposer's incarnation.
     pub incarnation: u64,
--- a/crates/coordination/src/shard_growth/consensus/mod.rs
+++ b/crates/coordination/src/shard_growth/consensus/mod.rs
@@ -14,13 +14,13 @@
 //!
 //! The invariant requires that promises survive a restart, so no message is sent before the state that it
 //! reports is persisted ([`Consensus::poll_message`] returns none until [`Consensus::poll_snapshot`] was
-//! called). A planner that starts without persisted state has lost its promises, and votes on nothing until
-//! all other planners have sent it their state. Each planner that receives such a request abandons its own
-//! proposal in progress, so that lost votes no longer count, and responds with the ballot that it promised.
-//! The recovering planner accepts nothing below the highest of these ballots, since its own lost promise was
-//! made to one of these planners. It replaces its lost accepted proposal by the one with the highest ballot
-//! among the responses. Recovery is impossible if the disks of two planners are lost at once, or the disk of
-//! the only planner.
+//! called). A planner that starts without persisted state has lost its promises. It sends all other planners
+//! a recovery request and does not vote until all of them have responded. A planner that receives a recovery
+//! request abandons its own proposal in progress, so that lost votes no longer count, and responds with the
+//! ballot that it promised and the proposal that it accepted. The recovering planner accepts no ballot below
+//! the highest of these ballots, since its own lost promise was made to one of these planners. It replaces
+//! its lost accepted proposal by the one with the highest ballot among the responses. Recovery is impossible
+//! if the disks of two planners are lost at once, or the disk of the only planner.
 //!
 //! Versions form one chain: a planner votes only on the version after the last one that it knows to be
 //! decided. Before a proposer asks for promises, it sends the decided map that its proposal is based on, so
