--- a/crates/coordination/src/shard_growth/accounting_day.rs
+++ b/crates/coordination/src/shard_growth/accounting_day.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Relates a planner's clock to the accounting calendar.
+/// The relation between a planner's clock and the accounting calendar.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Calendar {
     /// A time of the planner's clock.
--- a/crates/coordination/src/shard_growth/endpoints.rs
+++ b/crates/coordination/src/shard_growth/endpoints.rs
@@ -50,7 +50,7 @@
 }
 
 impl EndpointReporter {
-    /// Replaces the endpoint list. The origin and endpoints beyond [`MAX_ENDPOINTS_PER_FORWARDER`] are left
+    /// Replaces the endpoint list. The origin and endpoints beyond `MAX_ENDPOINTS_PER_FORWARDER` are left
     /// out.
     pub fn set_endpoints(&mut self, endpoints: &[ObservedEndpoint]) {
         let caches = endpoints.iter().filter(|endpoint| !endpoint.is_origin);
--- a/crates/coordination/src/shard_growth/shard_day.rs
+++ b/crates/coordination/src/shard_growth/shard_day.rs
@@ -29,7 +29,7 @@
     pub bytes: u64,
     /// The number of values whose sizes are summed in `bytes`.
     pub sized_responses: u64,
-    /// The number of cache misses for keys that the forwarder had recently read successfully.
+    /// The number of cache misses for keys that the forwarder had recently read, and not written since.
     pub evictions: u64,
 }
 
--- a/crates/coordination/src/shard_growth/shard_map.rs
+++ b/crates/coordination/src/shard_growth/shard_map.rs
@@ -31,7 +31,7 @@
 /// parts.
 pub const MAX_SPLIT_BITS: u8 = 3;
 
-/// How far a split has advanced.
+/// The phase of a split. A split passes through the phases up to `Switched` in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SplitPhase {
     /// The shard is forecast to outgrow its endpoints; no endpoint is reserved and no key has moved.
