--- a/crates/coordination/src/shard_growth/shard_activity.rs
+++ b/crates/coordination/src/shard_growth/shard_activity.rs
@@ -71,10 +71,10 @@
 #[derive(Clone, Copy, Debug)]
 struct StoredKey {
     key_hash: u64,
-    seen_at: Time,
+    read_at: Time,
 }
 
-const NO_KEY: StoredKey = StoredKey { key_hash: 0, seen_at: Time(0) };
+const NO_KEY: StoredKey = StoredKey { key_hash: 0, read_at: Time(0) };
 
 /// Keys that were recently read successfully, so that a cache stores them. A newer key replaces an older key
 /// in the same slot.
@@ -93,7 +93,7 @@
     /// Whether the key was read successfully within `window` and not written since.
     pub(super) fn contains(&self, key_hash: u64, now: Time, window: Span) -> bool {
         let stored = self.slots[slot_of(key_hash)];
-        stored.key_hash == key_hash && now - stored.seen_at <= window
+        stored.key_hash == key_hash && now - stored.read_at <= window
     }
 
     /// Adds a key that was read, and removes a key that was written: a write removes the key from the caches,
@@ -104,7 +104,7 @@
         }
         let slot = &mut self.slots[slot_of(key_hash)];
         if !attempt.write {
-            *slot = StoredKey { key_hash, seen_at: now };
+            *slot = StoredKey { key_hash, read_at: now };
         } else if slot.key_hash == key_hash {
             *slot = NO_KEY;
         }
