--- a/crates/coordination/src/counterfactual/kaplan_meier.rs
+++ b/crates/coordination/src/counterfactual/kaplan_meier.rs
@@ -130,8 +130,8 @@
             if group[*index].is_event(horizon)
                 && let Some(step) = steps.next()
             {
-                // After the last request at risk the survival is 0: its own part and that of the sum cancel
-                // out.
+                // The last request at risk lowers the survival to 0: its own part of the influence and its
+                // part of the cumulative hazard cancel out.
                 let is_last = step.at_risk <= 1.0;
                 let increment = if is_last { 0.0 } else { size / (step.at_risk * (step.at_risk - 1.0)) };
                 hazard += increment;
