--- a/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/disturbance.rs
@@ -1,4 +1,5 @@
-//! What happens to the fleet: starts and stops of caches, restarts of nodes, and the change in the middle of the warm-up.
+//! The scenario's disturbance: starts and stops of caches, restarts of nodes, and the change in the middle of
+//! the warm-up.
 
 use granitelb_balancer::EndpointUpdate;
 use granitelb_balancer::ids::{CellId, EndpointId, Key, KindId, ZoneId};
@@ -7,23 +8,23 @@
 
 use super::{DelayRange, Disturbance, EventKind, Simulation, WARMUP_BEGIN};
 
-/// The longest time over which cold caches start, in seconds.
+/// The longest time over which the starts of the cold caches are spread, in seconds.
 const MAX_START_SPREAD: f64 = 3.0;
-/// The time that a restart takes, in seconds.
+/// The time for which a restarting cache is stopped, in seconds.
 const RESTART_TIME: f64 = 0.3;
-/// The time that a zone is gone, in seconds.
+/// The time for which the caches of a failed zone are stopped, in seconds.
 const ZONE_OUTAGE: f64 = 4.0;
-/// The time over which nodes restart, in seconds.
+/// The time over which the restarts of nodes are spread, in seconds.
 const NODE_RESTART_SPREAD: f64 = 0.5;
-/// Request rate after a burst begins, as a multiple.
+/// The request rate during a burst, as a multiple of the usual rate.
 const BURST_RATE: f64 = 2.0;
-/// The divisor of the overload multiple when settings change.
+/// The divisor that a change of settings applies to the overload multiple.
 const OVERLOAD_MULTIPLE_DIVISOR: f64 = 1.5;
-/// Notification delays when the whole fleet restarts.
+/// The delays with which nodes are notified when all caches restart, in seconds.
 const FLEET_RESTART_DELAY: DelayRange = DelayRange { min: 0.2, max: 0.3 };
 
 impl Simulation<'_> {
-    /// Schedules the starts of caches and all that the scenario's disturbance brings.
+    /// Schedules the starts of the cold caches and the events of the scenario's disturbance.
     pub(super) fn schedule_disturbance(&mut self) {
         let scenario = self.scenario;
         let start_spread = self.uniform(0.0, MAX_START_SPREAD);
@@ -51,7 +52,7 @@
 
     fn schedule_start(&mut self, cache: usize, start_spread: f64) {
         let disturbance = self.scenario.disturbance;
-        let (outage, start) = if disturbance.takes_zone_away() {
+        let (outage, start) = if disturbance.has_zone_outage() {
             (ZONE_OUTAGE, WARMUP_BEGIN)
         } else {
             (RESTART_TIME, WARMUP_BEGIN + self.uniform(0.0, start_spread))
@@ -68,15 +69,16 @@
         self.notify_nodes(cache);
     }
 
-    /// Only the outage of a zone is long enough for nodes to be notified of it.
+    /// Stops a cache. Nodes are notified of a zone outage only; a restart is too short
+    /// for nodes to be notified of it.
     pub(super) fn stop_server(&mut self, cache: usize) {
         self.servers[cache].ready = false;
-        if self.scenario.disturbance.takes_zone_away() {
+        if self.scenario.disturbance.has_zone_outage() {
             self.notify_nodes(cache);
         }
     }
 
-    /// Notifies each node separately of the state of a cache.
+    /// Schedules, for each node with a delay of its own, the notification of the cache's present state.
     fn notify_nodes(&mut self, cache: usize) {
         let endpoint = self.endpoint_update(cache);
         let delay = match self.scenario.disturbance {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// A cache as the endpoint list describes it now.
+    /// Returns the cache's present entry in the endpoint list.
     pub(super) fn endpoint_update(&self, cache: usize) -> EndpointUpdate {
         EndpointUpdate {
             id: EndpointId(cache as u64),
@@ -116,7 +118,8 @@
         }
     }
 
-    /// The last key whose best candidate is a cold cache, as the busiest node ranks them.
+    /// Returns the highest key whose first candidate at the node with the highest request rate is a cold
+    /// cache.
     fn choose_hot_key(&self) -> Option<u64> {
         let busiest = self.nodes.iter().max_by(|a, b| a.rate.total_cmp(&b.rate))?;
         let is_at_cold_cache = |key: &u64| {
--- a/crates/fleet-simulator/src/warmup_simulation/mod.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/mod.rs
@@ -1,8 +1,9 @@
-//! Simulation of the load on caches that warm up. Many nodes with the real balancer each send to caches that start in
-//! different ways, and the work that arrives at each cold cache is added up over every window of the configured length.
+//! Simulation of the load on caches that warm up. Many nodes, each with the real balancer, send attempts to
+//! caches that start in different ways. The work that arrives at each cold cache is added up over every
+//! window of the configured length.
 //!
-//! A run and its scenario are drawn from a seed; two runs of one seed are the same. An overloaded cache is counted and
-//! continues to serve, so that one fault can't hide the next.
+//! A run and its scenario are drawn from a seed; two runs with the same seed are identical. An overloaded
+//! cache is counted and continues to serve, so that one fault can't hide the next.
 
 mod disturbance;
 mod node;
@@ -26,11 +27,12 @@
 use node::Node;
 use server::Server;
 
-/// The second at which caches start. Until then, all balancers learn a warm fleet.
+/// The time from which cold caches start, in seconds from the beginning of the run. Until then, all
+/// balancers learn the rates of a warm fleet.
 const WARMUP_BEGIN: f64 = 12.0;
-/// The time that a run goes on after the start, beside the warm-up, in seconds.
-const TAIL: f64 = 3.0;
-/// The simulated part of the time after the start, in warm-up times.
+/// The fixed part of the simulated time after [`WARMUP_BEGIN`], in seconds.
+const FIXED_TIME_AFTER_START: f64 = 3.0;
+/// The variable part of the simulated time after [`WARMUP_BEGIN`], in multiples of the warm-up time.
 const SIMULATED_WARMUPS: f64 = 1.3;
 /// The delay of a message in one direction.
 const NETWORK_DELAY: Span = Span::from_millis(1);
@@ -39,13 +41,14 @@
 enum EventKind {
     /// A client's request reaches a node.
     Request { node: usize },
-    /// An attempt arrives at its server; `notified` says whether the node knew of the server's last start.
+    /// An attempt arrives at its server. `notified` is whether the node had been notified of the server's
+    /// last start when it sent the attempt.
     AttemptArrived { attempt: AttemptId, notified: bool },
-    /// A server has done a request.
+    /// A server has finished the work of an attempt.
     ServiceFinished { attempt: AttemptId, cache: usize, incarnation: u32 },
     /// The node learns how an attempt ended.
     AttemptFinished { attempt: AttemptId, outcome: AttemptOutcome },
-    /// A balancer's timeout.
+    /// A balancer's timeout is reached.
     Wake { node: usize, incarnation: u32 },
     /// A server starts with a cold cache.
     ServerStarted { cache: usize },
@@ -53,9 +56,9 @@
     ServerStopped { cache: usize },
     /// A node is notified of a change of the endpoint list.
     EndpointNotified { node: usize, endpoint: EndpointUpdate },
-    /// A node restarts and loses what its balancer had learned.
+    /// A node restarts; its balancer loses all learned state.
     NodeRestarted { node: usize },
-    /// The middle of the warm-up.
+    /// The change in the middle of the warm-up begins.
     Midpoint,
 }
 
@@ -67,7 +70,7 @@
     number: u8,
 }
 
-/// An attempt whose end the node has not learned yet.
+/// An attempt whose result its node has not received yet.
 struct InFlightAttempt {
     cache: usize,
     sent: Time,
@@ -86,14 +89,14 @@
     in_flight: HashMap<AttemptId, InFlightAttempt>,
     /// The overload multiple of the settings in force.
     overload_multiple: f64,
-    /// The request rate as a multiple of the scenario's.
+    /// The present request rate as a multiple of the scenario's rate.
     rate_multiple: f64,
     /// The key that takes a third of the requests, if any.
     hot_key: Option<u64>,
     result: SimulationResult,
 }
 
-/// Runs a scenario.
+/// Runs a scenario and returns the counts of the run.
 pub fn simulate(scenario: &Scenario) -> SimulationResult {
     let mut simulation = Simulation::new(scenario);
     simulation.add_nodes();
@@ -133,7 +136,7 @@
     }
 
     fn run(&mut self) {
-        let seconds = WARMUP_BEGIN + TAIL + self.scenario.warmup_time * SIMULATED_WARMUPS;
+        let seconds = WARMUP_BEGIN + FIXED_TIME_AFTER_START + self.scenario.warmup_time * SIMULATED_WARMUPS;
         let end = SIMULATION_START + Span::from_secs_f64(seconds);
         while let Some(event) = self.events.pop() {
             if event.at > end {
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -1,4 +1,5 @@
-//! Nodes: each has a real balancer, takes clients' requests and sends what its balancer decides.
+//! Simulated nodes: each has a real balancer, receives clients' requests and sends the attempts that its
+//! balancer decides on.
 
 use std::collections::HashMap;
 
@@ -13,14 +14,14 @@
 
 /// The position of a node's number within its balancer's seed.
 const NODE_SEED_SHIFT: u32 = 20;
-/// The budget of a request in multiples of the latency objective.
-const BUDGET_SLOS: f64 = 2.0;
-/// The part of the requests that the hot key takes.
+/// A request's client timeout in multiples of the latency objective.
+const CLIENT_TIMEOUT_SLOS: f64 = 2.0;
+/// The share of the requests that have the hot key.
 const HOT_KEY_SHARE: f64 = 0.33;
-/// The shortest time to a wake-up, so that time always advances.
+/// The shortest delay of a scheduled event; it is above zero so that simulated time always advances.
 const CLOCK_TICK: Span = Span(1);
 
-/// A request without a final response.
+/// A request that has no final response yet.
 struct PendingRequest {
     work: f64,
     attempts: u8,
@@ -29,17 +30,17 @@
 /// A node of the fleet.
 pub(super) struct Node {
     pub(super) balancer: Balancer,
-    /// Requests in a second.
+    /// The mean rate of clients' requests, per second.
     pub(super) rate: f64,
     incarnation: u32,
     wake: Option<Time>,
     requests: HashMap<u64, PendingRequest>,
-    /// The start of each cache that the node was last notified of.
+    /// The last start time of each cache that the node has been notified of.
     known_starts: HashMap<usize, Time>,
 }
 
 impl Simulation<'_> {
-    /// Adds all nodes, each with its own share of the requests.
+    /// Adds all nodes, each with a randomly drawn share of the requests.
     pub(super) fn add_nodes(&mut self) {
         let scenario = self.scenario;
         let spread = LogNormal::new(0.0, scenario.node_spread).expect("the spread is finite");
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A balancer that knows nothing but the endpoint list as it is now.
+    /// Returns a new balancer that has received the present endpoint list and nothing else.
     fn new_balancer(&self, seed: u64) -> Balancer {
         let mut settings = self.scenario.settings();
         settings.overload_multiple = self.overload_multiple;
@@ -72,7 +73,8 @@
         balancer
     }
 
-    /// Replaces a node's balancer by a new one that is notified of all caches at once. Pending requests are lost.
+    /// Replaces a node's balancer by a new one that is notified of all caches at once. The node's pending
+    /// requests are lost.
     pub(super) fn restart_node(&mut self, node: usize) {
         let balancer = self.new_balancer(self.events.scheduled());
         let servers = self.servers.iter().enumerate();
@@ -110,7 +112,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key: Key(key),
-            client_timeout: Span::from_secs_f64(self.scenario.slo * BUDGET_SLOS),
+            client_timeout: Span::from_secs_f64(self.scenario.slo * CLIENT_TIMEOUT_SLOS),
             work: self.scenario.declares_work.then_some(Span::from_secs_f64(work)),
             write: false,
         };
@@ -120,7 +122,7 @@
         self.poll_balancer(node);
     }
 
-    /// Draws a key; the draw is squared so that low keys are requested more often.
+    /// Draws a key from the square of a uniform number, so that low keys are requested more often.
     fn draw_key(&mut self) -> u64 {
         let uniform = self.rng.random::<f64>();
         let usual = (uniform * uniform * self.scenario.keys as f64) as u64;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Carries out what a balancer decides until nothing is left, and schedules its timeout.
+    /// Carries out all pending decisions of a node's balancer, then schedules the balancer's next timeout.
     pub(super) fn poll_balancer(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation;
         loop {
@@ -186,7 +188,7 @@
         self.schedule(attempt.timeout, EventKind::AttemptFinished { attempt: id, outcome });
     }
 
-    /// Reports an attempt's result to its balancer. The first result of an attempt counts, later ones are dropped.
+    /// Reports an attempt's result to its node's balancer. Only the first result of each attempt is reported.
     pub(super) fn on_attempt_finished(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.in_flight.remove(&attempt) else { return };
         let node = &mut self.nodes[attempt.node];
--- a/crates/fleet-simulator/src/warmup_simulation/result.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/result.rs
@@ -1,21 +1,22 @@
-//! What a run of the simulation measures.
+//! The counts that a warm-up simulation returns.
 
 /// The counts of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationResult {
-    /// Starts of cache servers.
+    /// Starts of caches.
     pub starts: usize,
-    /// Servers that received more than the bound in some window. Each start counts once.
+    /// Starts after which a cache received more work than the bound in some window.
     pub overloads: usize,
-    /// Overloads whose window came mostly from nodes that had been notified of the start.
+    /// Overloads in whose window more than two thirds of the work came from nodes that had been notified of
+    /// the start.
     pub violations: usize,
-    /// The largest load of a window as a share of its bound (N + 2 root N + 2), among windows of which two thirds came
-    /// from notified nodes.
+    /// The largest work of a window as a share of its bound (N + 2 root N + 2, in mean requests), among
+    /// windows of which more than two thirds came from notified nodes.
     pub max_window_load: f64,
-    /// Requests of clients.
+    /// Requests that clients sent.
     pub requests: usize,
-    /// Requests that were fulfilled within the latency objective of their last attempt.
+    /// Requests whose fulfilled attempt took no longer than the latency objective.
     pub fulfilled_in_time: usize,
-    /// Work that arrived at servers that were warming up, in seconds of a standard core.
+    /// Work that arrived at caches that were warming up, in seconds of a standard core.
     pub warmup_work: f64,
 }
--- a/crates/fleet-simulator/src/warmup_simulation/scenario.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/scenario.rs
@@ -15,18 +15,19 @@
 /// The position of the disturbance within the seed.
 const DISTURBANCE_SEED_SHIFT: u32 = 32;
 
-/// How servers come to be cold, and what else happens while they warm up. The order of variants is part of each seed.
+/// Why caches are cold, and what else happens while they warm up. The position of a
+/// variant in this enum is part of each run's seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// New caches join, one or many; old ones stay.
+    /// One or more new caches join; the other caches stay.
     Join,
-    /// Caches restart under their ids; each node is notified separately, some seconds late.
+    /// Caches restart and keep their ids; each node is notified some seconds late, with a delay of its own.
     RestartNotifiedLate,
-    /// All caches restart; each node is notified within a moment.
+    /// All caches restart; each node is notified within 0.2 s to 0.3 s.
     FleetCold,
     /// Caches restart, and most nodes restart in the middle of the warm-up.
     NodesRestart,
-    /// Caches restart, and once more in the middle of the warm-up.
+    /// Caches restart, and restart once more in the middle of the warm-up.
     RestartTwice,
     /// The request rate doubles from the middle of the warm-up on.
     Burst,
@@ -34,7 +35,7 @@
     HotKey,
     /// The configured overload multiple falls to two thirds in the middle of the warm-up.
     SettingsChanged,
-    /// A part of the caches is gone for some seconds and returns cold, all at once.
+    /// Some caches are stopped for some seconds and return cold, all at once.
     ZoneBack,
     /// As [`Disturbance::NodesRestart`], and the request rate doubles at the same time.
     NodesRestartInBurst,
@@ -44,7 +45,7 @@
     ZoneBackInBurst,
     /// As [`Disturbance::HotKey`], and the request rate doubles at the same time.
     HotKeyInBurst,
-    /// Caches restart, and most nodes restart before they are notified of it.
+    /// Caches restart, and most nodes restart before they are notified of the caches' restarts.
     NodesRestartUnnotified,
 }
 
@@ -71,8 +72,8 @@
         matches!(self, Disturbance::SettingsChanged | Disturbance::SettingsChangedInBurst)
     }
 
-    /// Whether the caches are gone for some seconds before they start.
-    pub(super) fn takes_zone_away(self) -> bool {
+    /// Whether the cold caches are stopped for some seconds before they start.
+    pub(super) fn has_zone_outage(self) -> bool {
         matches!(self, Disturbance::ZoneBack | Disturbance::ZoneBackInBurst)
     }
 
@@ -117,7 +118,7 @@
 /// The parameters of a run. Times are in seconds, work is in seconds of a standard core.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// What happens to the fleet.
+    /// Why caches are cold, and what else happens during the warm-up.
     pub disturbance: Disturbance,
     /// The number of nodes.
     pub nodes: usize,
@@ -125,7 +126,7 @@
     pub capacities: Vec<f64>,
     /// The number of caches that start cold; these are the first ones.
     pub cold_caches: usize,
-    /// Offered work as a share of the capacity of all warm caches.
+    /// The work that clients request, as a share of the capacity of all caches when warm.
     pub load: f64,
     /// The mean work of a request.
     pub mean_work: f64,
@@ -139,11 +140,11 @@
     pub lists_capacities: bool,
     /// The multiple of its capacity at which a cache is overloaded.
     pub overload_multiple: f64,
-    /// The length of the window in which work is added up.
+    /// The length of the window over which a cache's work is added up.
     pub overload_window: f64,
-    /// The share of its capacity that a cache has at its start.
+    /// The share of its full capacity that a cache has at its start.
     pub initial_warmth: f64,
-    /// The time from a start to the full capacity.
+    /// The time from a cache's start until it has its full capacity.
     pub warmup_time: f64,
     /// The latency objective.
     pub slo: f64,
@@ -151,14 +152,14 @@
     pub queue: usize,
     /// The number of keys.
     pub keys: u64,
-    /// How late nodes are notified of a change.
+    /// The delays with which nodes are notified of a change of the endpoint list.
     pub notification_delay: DelayRange,
     /// The seed of the run.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// Draws a scenario. The same disturbance and seed give the same scenario.
+    /// Returns a scenario drawn at random. The same disturbance and seed give the same scenario.
     pub fn random(disturbance: Disturbance, seed: u64) -> Scenario {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (disturbance as u64) << DISTURBANCE_SEED_SHIFT);
         let mut uniform = |from: f64, to: f64| from + (to - from) * rng.random::<f64>();
@@ -172,7 +173,7 @@
             _ => uniform(0.05, 0.6),
         };
         let mean_work: f64 = (uniform(0.01_f64.ln(), 0.3_f64.ln())).exp();
-        // Fields are drawn in the order in which they stand here.
+        // The field expressions below draw random numbers in the order of the source text.
         Scenario {
             disturbance,
             nodes,
--- a/crates/fleet-simulator/src/warmup_simulation/server.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/server.rs
@@ -1,4 +1,5 @@
-//! Cache servers: a single service queue, capacity that grows after a start, and the audit of work in each window.
+//! Simulated cache servers: each has one service queue, a capacity that grows after its start, and a check of
+//! the work that arrives in each window.
 
 use std::collections::VecDeque;
 
@@ -12,20 +13,20 @@
     at: Time,
     /// Work in multiples of the mean work of a request.
     work: f64,
-    /// Whether the node had been notified of the server's last start when it sent this.
+    /// Whether the sending node had been notified of the server's last start when it sent the attempt.
     notified: bool,
 }
 
 /// A cache server.
 pub(super) struct Server {
-    /// The last start; none for a server that has been up all the time.
+    /// The time of the last start, or `None` if the server has run since the beginning.
     pub(super) started: Option<Time>,
     pub(super) ready: bool,
     incarnation: u32,
-    /// When all admitted work is done.
+    /// When the server finishes all admitted work.
     free_at: Time,
     in_service: usize,
-    /// Arrivals of the window that ends now.
+    /// Arrivals within the window that ends now, oldest first.
     window: VecDeque<Arrival>,
     overloaded: bool,
 }
@@ -54,7 +55,8 @@
         self.window.clear();
     }
 
-    /// Takes a request out of service, unless the server has restarted since.
+    /// Removes a finished attempt from the server's queue, unless the server has restarted since the attempt
+    /// arrived.
     pub(super) fn finish(&mut self, incarnation: u32) {
         if self.incarnation == incarnation {
             self.in_service -= 1;
@@ -63,14 +65,15 @@
 }
 
 impl Simulation<'_> {
-    /// The share of its capacity that a server has now.
+    /// Returns the share of its full capacity that a server with this start time has now.
     fn warmth(&self, started: Option<Time>) -> f64 {
         let Some(started) = started else { return 1.0 };
         let age = (self.now - started).as_secs_f64() / self.scenario.warmup_time;
         self.scenario.initial_warmth + (1.0 - self.scenario.initial_warmth) * age.min(1.0)
     }
 
-    /// An attempt arrives at its server. One that has ended at the node before is dropped.
+    /// Handles an attempt that arrives at its server. An attempt that has already ended at its node is
+    /// ignored.
     pub(super) fn on_arrival(&mut self, attempt: AttemptId, notified: bool) {
         let Some(in_flight) = self.in_flight.get(&attempt) else { return };
         let cache = in_flight.cache;
@@ -82,7 +85,7 @@
         }
         let warmth = self.warmth(self.servers[cache].started);
         if warmth < 1.0 {
-            self.audit_arrival(cache, work, notified, warmth);
+            self.check_window(cache, work, notified, warmth);
         }
         let speed = self.scenario.capacities[cache] * warmth;
         let server = &mut self.servers[cache];
@@ -98,9 +101,9 @@
         self.schedule(wait, EventKind::ServiceFinished { attempt, cache, incarnation });
     }
 
-    /// Adds an arrival to the window of a server that is warming up, and compares the window with its bound. An
-    /// overloaded server is counted and continues to serve, so that one fault can't hide the next.
-    fn audit_arrival(&mut self, cache: usize, work: f64, notified: bool, warmth: f64) {
+    /// Adds an arrival to the window of a server that is warming up, and compares the window's work with its
+    /// bound. An overloaded server is counted and continues to serve, so that one fault can't hide the next.
+    fn check_window(&mut self, cache: usize, work: f64, notified: bool, warmth: f64) {
         let scenario = self.scenario;
         let now = self.now;
         let window_length = Span::from_secs_f64(scenario.overload_window);
@@ -115,8 +118,9 @@
             server.window.pop_front();
         }
         let total: f64 = server.window.iter().map(|arrival| arrival.work).sum();
-        let from_notified: f64 = server.window.iter().filter(|a| a.notified).map(|a| a.work).sum();
-        // The bound holds if two thirds come from notified nodes.
+        let from_notified: f64 =
+            server.window.iter().filter(|arrival| arrival.notified).map(|arrival| arrival.work).sum();
+        // The bound must hold if more than two thirds of the work come from notified nodes.
         let is_bound_in_force = from_notified > total * 2.0 / 3.0;
 
         self.result.warmup_work += work;
