--- a/crates/fleet-simulator/src/control_plane/faults.rs
+++ b/crates/fleet-simulator/src/control_plane/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of a run: hung caches, suspended planners and killed forwarders, and how the fleet recovers from them.
+//! Faults of a run (hung caches, suspended planners and killed forwarders), and counts of the fleet's
+//! recovery.
 
 use granitelb_balancer::time::Time;
 
@@ -8,11 +9,12 @@
 const LATE_AFTER: f64 = 3.0;
 /// The time after the beginning of a hang from which gaps between probes are measured, in seconds.
 const PROBE_GAPS_AFTER: f64 = 4.0;
-/// Responses of a recovered cache, as a share of another's, from which it counts as recovered.
+/// A cache that hung counts as recovered from this share of the mean number of responses of the other caches
+/// on.
 const RECOVERED_SHARE: f64 = 0.5;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Responses in one second after the end of the hang.
+/// Numbers of responses in one second after the end of the hang.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RecoveryCounts {
     /// Responses of caches that hung.
@@ -28,7 +30,7 @@
         is_affected && self.now >= time_at(hang.from) && self.now < time_at(hang.to)
     }
 
-    /// The end of a member's suspension, if it is suspended now.
+    /// Returns the end of a member's suspension, or `None` if the member is not suspended now.
     pub(super) fn suspended_until(&self, member: MemberIndex) -> Option<Time> {
         let MemberIndex::Planner(planner) = member else { return None };
         if planner >= self.scenario.suspended_planners {
@@ -59,7 +61,7 @@
         self.probers_killed_at = Some(self.now);
     }
 
-    /// Counts an attempt at a hung cache, and the time since the last one.
+    /// Counts an attempt at a hung cache, and measures the time since the last such attempt.
     pub(super) fn record_wasted_attempt(&mut self) {
         let hang_begin = self.scenario.hang.from;
         self.result.wasted_attempts += 1;
@@ -94,7 +96,8 @@
         }
     }
 
-    /// The first second after the hang in which caches that hung respond half as often as others.
+    /// Returns the first second after the hang in which the caches that hung respond at least half as often
+    /// as the others, in seconds from the end of the hang.
     pub(super) fn recovery_time(&self) -> Option<f64> {
         let hung_caches = self.scenario.hung_caches as f64;
         let other_caches = self.scenario.caches as f64 - hung_caches;
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -1,4 +1,4 @@
-//! Forwarders: each has a real balancer and reports its attempts to its endpoint health component.
+//! Simulated forwarders: each has a real balancer and reports its attempts to its endpoint health component.
 
 use std::collections::BTreeMap;
 
@@ -17,16 +17,16 @@
 use super::member::MemberState;
 use super::{CLOCK_TICK, EventKind, SIMULATION_START, Scenario, Simulation};
 
-/// The time in which a cache or the origin responds.
+/// The time from an attempt's sending to its response, for caches that don't hang and for the origin.
 const RESPONSE_TIME: Span = Span::from_millis(20);
 const SLO: Span = Span::from_millis(600);
-const REQUEST_BUDGET: Span = Span::from_millis(1200);
+const CLIENT_TIMEOUT: Span = Span::from_millis(1200);
 const MAX_POLL_INTERVAL: Span = Span::from_millis(10_000);
 const WARMUP_TIME: Span = Span::from_millis(20_000);
 const OVERLOAD_WINDOW: Span = Span::from_millis(2000);
 const MAX_RETRY_AFTER: Span = Span::from_millis(1500);
 const ORIGIN_KIND: KindId = KindId(1);
-/// The exponent of the distribution of keys.
+/// The exponent of the Zipf distribution of keys.
 const KEY_EXPONENT: f64 = 0.8;
 /// The position of a forwarder's number within its balancer's seed.
 const FORWARDER_SEED_SHIFT: u32 = 20;
@@ -50,10 +50,10 @@
     pub(super) balancer: Balancer,
     pub(super) member: MemberState<ForwarderComponent>,
     pub(super) is_alive: bool,
-    /// The number of attempts of each request.
+    /// The number of attempts sent for each request.
     attempts: BTreeMap<u64, u8>,
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Requests without a final response, and when each arrived.
+    /// The arrival time of each request that has no final response yet.
     pub(super) pending: BTreeMap<u64, Time>,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Records an attempt as in flight, under the request's next attempt number.
+    /// Records an attempt as in flight, under the request's next attempt number, and returns the record.
     fn start_attempt(&mut self, attempt: &Attempt, now: Time) -> InFlightAttempt {
         let request = attempt.request.0;
         let next_number = self.attempts.entry(request).or_insert(0);
@@ -117,7 +117,7 @@
     }
 }
 
-/// The endpoint list: all caches, and the origin after them.
+/// Returns the endpoint list: all caches, followed by the origin.
 fn endpoints(scenario: &Scenario) -> Vec<EndpointUpdate> {
     let endpoint = |number: usize| EndpointUpdate {
         id: EndpointId(number as u64),
@@ -152,7 +152,7 @@
         let request = Request {
             request_class: RequestClassId(0),
             key,
-            client_timeout: REQUEST_BUDGET,
+            client_timeout: CLIENT_TIMEOUT,
             work: None,
             write: false,
         };
@@ -167,7 +167,8 @@
         self.poll_balancer(forwarder);
     }
 
-    /// Reports the end of an attempt, unless it was cancelled and reported before.
+    /// Handles the end of an attempt. An attempt whose end has been reported before is ignored; a cancelled
+    /// attempt, for example, ends at its cancellation.
     pub(super) fn on_attempt_finished(
         &mut self,
         forwarder: usize,
@@ -212,7 +213,8 @@
         state.balancer.on_attempt_finished(self.now, RequestId(attempt.id.request), &result);
     }
 
-    /// Carries out what a balancer decides until nothing is left, and schedules its timeout.
+    /// Carries out all pending decisions of a forwarder's balancer, then schedules the balancer's next
+    /// timeout.
     pub(super) fn poll_balancer(&mut self, forwarder: usize) {
         if !self.forwarders[forwarder].is_alive {
             return;
@@ -277,7 +279,7 @@
     }
 }
 
-/// The observation that a forwarder's event loop makes of a finished attempt.
+/// Returns the observation that a forwarder passes to its health component when an attempt finishes.
 fn finished_attempt(
     attempt: InFlightAttempt,
     outcome: AttemptOutcome,
--- a/crates/fleet-simulator/src/control_plane/member.rs
+++ b/crates/fleet-simulator/src/control_plane/member.rs
@@ -1,4 +1,5 @@
-//! A member of the control plane: its membership state, its endpoint health component, and its messages.
+//! A simulated member of the control plane: its membership state, its endpoint health component and its
+//! messages.
 
 use granitelb_balancer::time::Time;
 use granitelb_coordination::component::Component;
@@ -9,16 +10,16 @@
 
 const FIRST_INCARNATION: Incarnation = Incarnation(1);
 
-/// A message to send.
+/// A message that a member sends.
 pub(super) struct OutgoingMessage {
     pub(super) to: Member,
     pub(super) sender: Sender,
     pub(super) message: Message,
 }
 
-/// A member with a component `C`.
+/// A member whose endpoint health component is a `C`.
 pub(super) struct MemberState<C> {
-    me: Member,
+    own_id: Member,
     membership: Membership,
     pub(super) health: C,
     new_component: Box<dyn Fn(Incarnation, Time) -> C>,
@@ -29,15 +30,15 @@
 
 impl<C: Component<Message = HealthMessage>> MemberState<C> {
     pub(super) fn new(
-        me: Member,
+        own_id: Member,
         planners: usize,
         now: Time,
         new_component: impl Fn(Incarnation, Time) -> C + 'static,
     ) -> MemberState<C> {
-        let mut membership = Membership::new(me, FIRST_INCARNATION, now);
+        let mut membership = Membership::new(own_id, FIRST_INCARNATION, now);
         membership.set_planners(now, (0..planners).map(|n| PlannerId(n as u8)));
         MemberState {
-            me,
+            own_id,
             membership,
             health: new_component(FIRST_INCARNATION, now),
             new_component: Box::new(new_component),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Handles a message; returns whether it was accepted.
+    /// Handles a received message and returns whether it was accepted.
     pub(super) fn on_message(&mut self, now: Time, sender: Sender, message: Message) -> bool {
         if self.membership.accept(now, sender).is_err() {
             return false;
@@ -59,7 +60,8 @@
         }
     }
 
-    /// The next message to send. Those of the component come first.
+    /// Returns the next message to send, if any. The health component's messages come before those of the
+    /// membership.
     pub(super) fn poll_message(&mut self, now: Time) -> Option<OutgoingMessage> {
         self.update_membership(now);
         let (to, message) = if let Some((to, message)) = self.health.poll_message(now) {
@@ -71,11 +73,12 @@
         self.membership.on_message_sent(now, to);
         self.last_sequence += 1;
         let incarnation = self.membership.incarnation();
-        let sender = Sender { member: self.me, incarnation, sequence: self.last_sequence };
+        let sender = Sender { member: self.own_id, incarnation, sequence: self.last_sequence };
         Some(OutgoingMessage { to, sender, message })
     }
 
-    /// The time for which a poll must be scheduled now, if the scheduled one is too late.
+    /// Returns the time for which another poll must be scheduled, or `None` if the scheduled poll comes early
+    /// enough.
     pub(super) fn reschedule(&mut self, now: Time) -> Option<Time> {
         let membership_timeout = self.membership.poll_timeout(now);
         let timeout = membership_timeout.into_iter().chain(self.health.poll_timeout(now)).min()?;
@@ -87,8 +90,8 @@
         Some(timeout)
     }
 
-    /// Passes changes of the membership on to the component. A member that was declared dead starts a new incarnation
-    /// with a new component.
+    /// Passes changes of the membership to the health component. A member that was declared dead starts a new
+    /// incarnation with a new component.
     fn update_membership(&mut self, now: Time) {
         let changed = self.membership.poll_change(now);
         if self.membership.needs_new_incarnation() {
--- a/crates/fleet-simulator/src/control_plane/messaging.rs
+++ b/crates/fleet-simulator/src/control_plane/messaging.rs
@@ -12,14 +12,14 @@
 
 /// The shortest delay of a message, in milliseconds.
 const MIN_DELAY_MS: u64 = 1;
-/// The bound of the delays, exclusive, in milliseconds.
+/// The exclusive upper bound of a message's delay, in milliseconds.
 const MAX_DELAY_MS: u64 = 20;
-/// Failed attempts that a byzantine forwarder reports of each cache.
+/// The number of failed attempts that a byzantine forwarder reports for each cache.
 const BYZANTINE_FAILURES: f64 = 1000.0;
 const BITS_PER_BYTE: usize = 8;
 
 impl Simulation<'_> {
-    /// A message arrives at a member. Suspended and killed members receive nothing.
+    /// Handles a message that arrives at a member. Suspended and killed members receive nothing.
     pub(super) fn on_message_arrived(&mut self, to: MemberIndex, sealed: &[u8]) {
         let Ok((sender, message)) = message::open(sealed, &self.secrets) else {
             self.result.rejected_messages += 1;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sends a message, which arrives after a delay or never. Each message draws its loss and its delay.
+    /// Sends a message, which arrives after a delay or is lost. Loss and delay are drawn for each message.
     fn send(&mut self, outgoing: &OutgoingMessage) {
         let is_lost = self.network_rng.random::<f64>() < self.scenario.loss;
         let delay = Span::from_millis(self.network_rng.random_range(MIN_DELAY_MS..MAX_DELAY_MS));
@@ -105,7 +105,7 @@
         self.scenario.has_byzantine_members && is_first
     }
 
-    /// Makes a message state that all caches fail.
+    /// Changes a health report or update so that it states that all caches fail.
     fn falsify(&self, message: &mut Message) {
         match message {
             Message::EndpointHealth(HealthMessage::Report(report)) => {
--- a/crates/fleet-simulator/src/control_plane/mod.rs
+++ b/crates/fleet-simulator/src/control_plane/mod.rs
@@ -1,8 +1,8 @@
-//! Simulation of the endpoint health component of the control plane: many forwarders with a balancer each, some
-//! planners, caches of which some hang, and a lossy network.
+//! Simulation of the endpoint health component of the control plane: many forwarders with a balancer each,
+//! some planners, caches of which some hang, and a lossy network.
 //!
-//! A run is drawn from its seed; two runs of one seed are the same. Messages draw from a generator of their own, so that
-//! the requests of a fleet are the same with planners and without.
+//! A run is drawn from its seed; two runs with the same seed are identical. Messages draw from a random
+//! generator of their own, so that a fleet's requests are the same with planners and without.
 
 mod faults;
 mod forwarder;
@@ -31,23 +31,24 @@
 use member::MemberState;
 
 const SIMULATION_START: Time = Time(1_000_000_000);
-/// The shortest time between two events that follow from each other, so that time always advances.
+/// The shortest delay between an event and an event that it causes; above zero so that simulated time always
+/// advances.
 const CLOCK_TICK: Span = Span(1);
-/// The time over which forwarders start, in microseconds.
+/// The time over which the forwarders' first polls are spread, in microseconds.
 const START_SPREAD_MICROS: f64 = 500_000.0;
-/// The secret that authenticates all messages; its length counts towards the measured bytes.
+/// The secret that authenticates all messages. Its length counts towards `message_bytes`.
 const SHARED_SECRET: &[u8] = b"of all that are played";
 
 enum EventKind {
     /// A client's request reaches a forwarder.
     Request { forwarder: usize },
-    /// An attempt ends.
+    /// An attempt ends at its forwarder.
     AttemptFinished { forwarder: usize, attempt: InFlightAttempt, outcome: AttemptOutcome },
-    /// A balancer's timeout.
+    /// A balancer's timeout is reached.
     Wake { forwarder: usize },
-    /// A member is polled for messages.
+    /// A member is polled for messages to send.
     MemberPoll { member: MemberIndex },
-    /// A message arrives.
+    /// A sealed message arrives at a member.
     MessageArrived { to: MemberIndex, sealed: Vec<u8> },
     /// All forwarders with a probe assignment are killed.
     KillProbers,
@@ -63,23 +64,24 @@
     scenario: &'a Scenario,
     now: Time,
     rng: ChaCha8Rng,
-    /// Draws for messages alone.
+    /// The generator for the loss, delay and corruption of messages.
     network_rng: ChaCha8Rng,
     forwarders: Vec<Forwarder>,
     planners: Vec<MemberState<PlannerComponent>>,
     events: EventQueue<EventKind>,
     last_request: u64,
     secrets: Secrets,
-    /// Responses after the end of the hang, by second.
+    /// Numbers of responses in each second after the end of the hang.
     recovery: BTreeMap<u64, RecoveryCounts>,
-    /// The last attempt at a cache that hung.
+    /// When the last attempt was sent to a hung cache.
     last_wasted_attempt: Time,
-    /// When probers were killed, until another forwarder takes over.
+    /// When the forwarders with a probe assignment were killed; `None` again after the next attempt at a hung
+    /// cache.
     probers_killed_at: Option<Time>,
     result: SimulationResult,
 }
 
-/// Runs a scenario.
+/// Runs a scenario and returns the counts of the run.
 pub fn simulate(scenario: &Scenario) -> SimulationResult {
     let mut simulation = Simulation::new(scenario);
     simulation.schedule_start();
@@ -88,7 +90,7 @@
     simulation.result
 }
 
-/// A time by its seconds from the start.
+/// Converts seconds from the start of the run to a time.
 fn time_at(seconds: f64) -> Time {
     SIMULATION_START + Span::from_secs_f64(seconds)
 }
@@ -122,7 +124,8 @@
         }
     }
 
-    /// Schedules the first request and the first poll of each member. Forwarders start one after the other.
+    /// Schedules each forwarder's first request and each member's first poll. The first polls of forwarders
+    /// are spread over [`START_SPREAD_MICROS`].
     fn schedule_start(&mut self) {
         for forwarder in 0..self.scenario.forwarders {
             self.schedule_next_request(forwarder);
@@ -143,12 +146,12 @@
         self.events.schedule(self.now + after, kind);
     }
 
-    /// The time from which clients and members send nothing more.
+    /// Returns the time from which clients and members send nothing more.
     fn end(&self) -> Time {
         time_at(self.scenario.seconds)
     }
 
-    /// Handles events until none is left; what is in flight at the end is completed.
+    /// Handles events until none is left, so that attempts and messages in flight at the end are completed.
     fn run(&mut self) {
         while let Some(event) = self.events.pop() {
             self.now = event.at;
--- a/crates/fleet-simulator/src/control_plane/scenario.rs
+++ b/crates/fleet-simulator/src/control_plane/scenario.rs
@@ -1,11 +1,11 @@
-//! The scenario of a run.
+//! The parameters of a control plane simulation.
 
 /// A part of a run, in seconds from its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Period {
-    /// The first second.
+    /// The second at which the period begins.
     pub from: f64,
-    /// The second at which the period is over.
+    /// The second at which the period ends.
     pub to: f64,
 }
 
@@ -16,29 +16,29 @@
     pub forwarders: usize,
     /// The number of caches, without the origin.
     pub caches: usize,
-    /// The number of planners. Without any, each forwarder learns alone.
+    /// The number of planners. With 0 planners, each forwarder learns only from its own attempts.
     pub planners: usize,
-    /// Requests in a second at one forwarder.
+    /// The mean request rate of each forwarder, per second.
     pub rate: f64,
     /// The number of keys.
     pub keys: f64,
-    /// How long clients send requests.
+    /// How long clients and members send, in seconds.
     pub seconds: f64,
     /// The number of caches that hang; these are the first ones.
     pub hung_caches: usize,
-    /// When they hang.
+    /// When the hung caches hang.
     pub hang: Period,
-    /// When planners are suspended, if ever: they neither send nor receive.
+    /// When planners are suspended, if at all. Suspended planners neither send nor receive.
     pub planner_outage: Option<Period>,
     /// The number of planners that are suspended; these are the first ones.
     pub suspended_planners: usize,
-    /// When every forwarder that holds a probe assignment just then is killed, if ever.
+    /// The time at which every forwarder that holds a probe assignment is killed, if any.
     pub probers_killed_at: Option<f64>,
     /// The share of messages that never arrive.
     pub loss: f64,
-    /// The share of arriving messages that have one bit changed.
+    /// The share of the messages not lost in which one bit is flipped.
     pub corruption: f64,
-    /// Whether the first planner states that every cache fails and the first forwarder reports the same.
+    /// Whether the first planner and the first forwarder falsely report that every cache fails.
     pub has_byzantine_members: bool,
     /// The seed of the run.
     pub seed: u64,
