--- a/crates/fleet-simulator/src/lease_simulation/audit.rs
+++ b/crates/fleet-simulator/src/lease_simulation/audit.rs
@@ -1,14 +1,15 @@
-//! The auditor, and the figures of the whole simulation.
+//! The audit of the permitted fetch rates after every event, and the measurements over a whole simulation.
 
 use granitelb_coordination::leases::Resource;
 
 use super::Simulation;
 
-/// By how much sums may exceed the capacity through rounding.
+/// The share of the capacity by which a sum may exceed it through rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Simulation<'_> {
-    /// Adds up all that balancers may use now, and the guaranteed shares of forwarders that are not up.
+    /// Adds up the rates that all balancers may use now and the guaranteed shares of forwarders that are
+    /// down, and counts a violation if the sum exceeds the origin's capacity.
     pub(super) fn audit(&mut self) {
         let settings = &self.scenario.settings;
         let amounts_per_fetch = Resource::Origin.amounts_per_unit();
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Computes the figures over all forwarders that had a fair share.
+    /// Computes the used part of the fair shares and Jain's index over all forwarders that had a fair share.
     pub(super) fn summarize(&mut self) {
         let mut used = 0.0;
         let mut fair = 0.0;
--- a/crates/fleet-simulator/src/lease_simulation/lifecycle.rs
+++ b/crates/fleet-simulator/src/lease_simulation/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts of members, and faults.
+//! Starts of members, and injection of faults.
 
 use granitelb_balancer::time::Span;
 use granitelb_coordination::component::Component;
@@ -7,23 +7,25 @@
 use granitelb_coordination::{ForwarderId, Incarnation, Member, PlannerId};
 use rand::RngExt;
 
-use super::process::{Process, Side};
+use super::process::{Process, ProcessComponent};
 use super::{EventKind, ORIGIN, Simulation};
 
-/// The rates of clocks differ by up to twice this, which is within the margin of the settings.
+/// The largest deviation of a clock's rate from 1. Two clocks differ by up to twice this, which is within the
+/// clock margin of the lease settings.
 const MAX_CLOCK_DRIFT: f64 = 0.004;
-/// Clocks begin anywhere below this, in microseconds.
+/// The exclusive upper bound of a clock's first reading, in microseconds.
 const MAX_CLOCK_BASE: u64 = 1_000_000_000_000;
-/// The part of the faults that concern a planner.
+/// The share of the faults that affect a planner.
 const PLANNER_FAULTS: f64 = 0.4;
-/// The shortest fault, and by how much the longest exceeds it, in seconds.
+/// The shortest duration of a fault, in seconds.
 const MIN_FAULT_SECONDS: f64 = 0.2;
+/// The difference between the longest and the shortest duration of a fault, in seconds.
 const FAULT_SECONDS_RANGE: f64 = 6.0;
-/// The number of kinds of faults.
+/// The number of fault kinds: kill, suspend and disconnect.
 const FAULT_KINDS: i32 = 3;
 
 impl Simulation<'_> {
-    /// Creates all processes and starts the planners.
+    /// Creates the processes of all members, starts the planners and schedules the first events.
     pub(super) fn begin(&mut self) {
         let planners = (0..self.scenario.planners).map(|id| Member::Planner(PlannerId(id)));
         let forwarders = 0..self.scenario.max_forwarders() as u64;
@@ -55,29 +57,29 @@
         process.suspended_until = now;
         let incarnation = Incarnation(process.incarnation);
         let clock = process.clock(now);
-        let side = match member {
+        let component = match member {
             Member::Planner(id) => {
                 if skips_startup_wait {
                     settings.max_duration = Span::ZERO;
                 }
                 let mut component = PlannerComponent::new(settings, id, incarnation, clock);
                 component.on_membership_change(clock, &alive);
-                Side::Planner(Box::new(component))
+                ProcessComponent::Planner(Box::new(component))
             }
             Member::Forwarder(id) => {
                 let mut component = ForwarderComponent::new(settings, id, incarnation, clock);
                 component.on_membership_change(clock, &alive);
                 component.on_observation(clock, &Observation::EndpointsChanged(vec![origin()]));
                 process.lease = component.current_leases(clock).first().map(|(_, lease)| *lease);
-                Side::Forwarder(Box::new(component))
+                ProcessComponent::Forwarder(Box::new(component))
             }
         };
-        process.side = Some(side);
+        process.component = Some(component);
         self.result.starts += 1;
         self.poll(member);
     }
 
-    /// Kills, suspends or disconnects a member.
+    /// Kills, suspends or disconnects a member chosen at random, and schedules the next fault.
     pub(super) fn inject_fault(&mut self) {
         self.schedule_fault();
         let forwarders = self.target_size().max(1);
--- a/crates/fleet-simulator/src/lease_simulation/mod.rs
+++ b/crates/fleet-simulator/src/lease_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Simulation of leases among many forwarders and some planners, over an unreliable network and with drifting clocks.
-//! Members are killed, suspended, disconnected and restarted; everything is derived from a seed. An independent auditor
-//! adds up, at every event, what all balancers were permitted to send.
+//! Simulation of leases among many forwarders and some planners, over an unreliable network and with drifting
+//! clocks. Members are killed, suspended, disconnected and restarted; all random draws derive from one seed.
+//! An independent audit adds up, after every event, the fetch rates that all balancers are permitted.
 
 mod audit;
 mod lifecycle;
@@ -27,16 +27,16 @@
 
 const ORIGIN: EndpointId = EndpointId(1);
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The part of the simulation after which usage is measured.
+/// Usage is measured after this share of the simulated time.
 const MEASURED_FROM: f64 = 0.75;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
-    /// Demands change, balancers send and fleets grow or shrink.
+    /// Forwarders start and stop, demands change and balancers send fetches.
     Tick,
-    /// A member's timeout.
+    /// A member's timeout is reached.
     Wake { member: Member, incarnation: u64 },
-    /// A message arrives.
+    /// A message arrives at its receiver.
     Deliver { message: usize },
     /// A fault begins.
     Fault,
@@ -44,7 +44,8 @@
     Start { member: Member },
 }
 
-/// An event, in the order of time and of scheduling.
+/// A scheduled event. Events are ordered by time, and events of the same time by the order of their
+/// scheduling.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Time,
@@ -57,14 +58,14 @@
     now: Time,
     rng: ChaCha8Rng,
     members: BTreeMap<Member, Process>,
-    /// All messages that were sent; those that arrived are taken out.
+    /// All messages by number; `None` for a message that has arrived.
     messages: Vec<Option<InFlightMessage>>,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     last_sequence: u64,
     result: SimulationResult,
 }
 
-/// Plays a scenario.
+/// Runs a scenario and returns its measurements.
 pub fn simulate(scenario: &Scenario) -> SimulationResult {
     let mut simulation = Simulation::new(scenario);
     simulation.begin();
@@ -107,7 +108,7 @@
             EventKind::Deliver { message } => self.deliver(message),
             EventKind::Fault => self.inject_fault(),
             EventKind::Start { member } => {
-                if self.process(member).side.is_none() {
+                if self.process(member).component.is_none() {
                     self.start(member);
                 }
             }
@@ -131,17 +132,17 @@
         self.members.get_mut(&member).expect("each member has a process from the beginning")
     }
 
-    /// The second of the simulation.
+    /// Returns the simulated time in seconds.
     fn second(&self) -> f64 {
         self.now.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// The number of forwarders that are to be up now.
+    /// Returns the number of forwarders that the scenario wants to be up now.
     fn target_size(&self) -> usize {
         self.scenario.forwarders_at(self.second())
     }
 
-    /// Whether usage is measured now.
+    /// Returns whether usage is measured now.
     fn is_measured(&self) -> bool {
         self.now.0 as f64 > self.scenario.seconds * (MEASURED_FROM * MICROS_PER_SECOND)
     }
--- a/crates/fleet-simulator/src/lease_simulation/network.rs
+++ b/crates/fleet-simulator/src/lease_simulation/network.rs
@@ -1,18 +1,18 @@
-//! Polls members, and carries their messages: with loss, duplication, delay and reordering.
+//! Polling of members, and a network that loses, duplicates, delays and reorders their messages.
 
 use granitelb_balancer::time::Span;
 use granitelb_coordination::leases::LeaseMessage;
 use granitelb_coordination::{Incarnation, Member, Sender};
 use rand::RngExt;
 
-use super::process::Side;
+use super::process::ProcessComponent;
 use super::{EventKind, Simulation};
 
 /// The shortest delay of a message, in microseconds.
 const MIN_DELAY: u64 = 200;
-/// The longest delay of most messages, in microseconds.
+/// The exclusive upper bound of the delay of most messages, in microseconds.
 const MAX_DELAY: u64 = 5_000;
-/// The longest delay of a message that is late, in microseconds.
+/// The exclusive upper bound of the delay of a late message, in microseconds.
 const MAX_LATE_DELAY: u64 = 3_000_000;
 
 pub(super) struct InFlightMessage {
@@ -29,16 +29,16 @@
         let clock = process.clock(now);
         let clock_rate = process.clock_rate;
         let incarnation = process.incarnation;
-        let Some(side) = &mut process.side else { return };
-        if let Side::Forwarder(component) = side {
-            process.lease = component.current_leases(clock).first().map(|(_, lease)| *lease);
+        let Some(component) = &mut process.component else { return };
+        if let ProcessComponent::Forwarder(forwarder) = component {
+            process.lease = forwarder.current_leases(clock).first().map(|(_, lease)| *lease);
         }
         let mut outgoing = Vec::new();
-        while let Some(message) = side.poll_message(clock) {
+        while let Some(message) = component.poll_message(clock) {
             outgoing.push(message);
         }
-        let timeout = side.poll_timeout(clock);
-        let entries = side.entries();
+        let timeout = component.poll_timeout(clock);
+        let entries = component.entries();
         self.result.max_entries = self.result.max_entries.max(entries);
         if let Some(at) = timeout {
             let after = Span(((at - clock).0 as f64 / clock_rate) as u64 + 1);
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Schedules a member's timeout, unless an earlier one is scheduled.
+    /// Schedules a member's timeout, unless an earlier timeout of the member is scheduled.
     fn schedule_wake(&mut self, member: Member, after: Span) {
         let now = self.now;
         let process = self.process(member);
         let incarnation = process.incarnation;
-        if process.wake_at.is_none_or(|known| known <= now || now + after < known) {
+        if process.wake_at.is_none_or(|scheduled| scheduled <= now || now + after < scheduled) {
             process.wake_at = Some(now + after);
             self.schedule(after, EventKind::Wake { member, incarnation });
         }
@@ -92,15 +92,15 @@
         let to = in_flight.to;
         let process = self.process(to);
         if process.suspended_until > now {
-            // It waits in the socket until the process resumes.
+            // The message waits in the socket until the suspended process resumes.
             let after = process.suspended_until - now;
             self.messages[index] = Some(in_flight);
             self.schedule(after, EventKind::Deliver { message: index });
             return;
         }
         let clock = process.clock(now);
-        let Some(side) = &mut process.side else { return };
-        side.on_message(clock, in_flight.from, in_flight.message);
+        let Some(component) = &mut process.component else { return };
+        component.on_message(clock, in_flight.from, in_flight.message);
         self.poll(to);
     }
 
--- a/crates/fleet-simulator/src/lease_simulation/process.rs
+++ b/crates/fleet-simulator/src/lease_simulation/process.rs
@@ -1,4 +1,4 @@
-//! One simulated process: a planner or a forwarder with a clock of its own.
+//! A simulated process: a planner or a forwarder with its own clock.
 
 use granitelb_balancer::Lease;
 use granitelb_balancer::time::Time;
@@ -7,72 +7,72 @@
 use granitelb_coordination::{Member, Sender};
 
 /// The component that a process runs.
-pub enum Side {
+pub enum ProcessComponent {
     /// A planner's component.
     Planner(Box<PlannerComponent>),
     /// A forwarder's component.
     Forwarder(Box<ForwarderComponent>),
 }
 
-impl Side {
-    /// Handles a message. Whether it is ignored is the component's own decision.
+impl ProcessComponent {
+    /// Passes a message to the component, which may ignore the message.
     pub fn on_message(&mut self, clock: Time, from: Sender, message: LeaseMessage) {
         let _ = match self {
-            Side::Planner(component) => component.on_message(clock, from, message),
-            Side::Forwarder(component) => component.on_message(clock, from, message),
+            ProcessComponent::Planner(component) => component.on_message(clock, from, message),
+            ProcessComponent::Forwarder(component) => component.on_message(clock, from, message),
         };
     }
 
-    /// The next message to send.
+    /// Returns the next message to send and its receiver, if any.
     pub fn poll_message(&mut self, clock: Time) -> Option<(Member, LeaseMessage)> {
         match self {
-            Side::Planner(component) => component.poll_message(clock),
-            Side::Forwarder(component) => component.poll_message(clock),
+            ProcessComponent::Planner(component) => component.poll_message(clock),
+            ProcessComponent::Forwarder(component) => component.poll_message(clock),
         }
     }
 
-    /// When to poll again.
+    /// Returns when the component must be polled again, by the process's clock.
     pub fn poll_timeout(&self, clock: Time) -> Option<Time> {
         match self {
-            Side::Planner(component) => component.poll_timeout(clock),
-            Side::Forwarder(component) => component.poll_timeout(clock),
+            ProcessComponent::Planner(component) => component.poll_timeout(clock),
+            ProcessComponent::Forwarder(component) => component.poll_timeout(clock),
         }
     }
 
-    /// The number of entries in the component's memory.
+    /// Returns the number of entries that the component holds in memory.
     pub fn entries(&self) -> usize {
         match self {
-            Side::Planner(component) => component.entries(),
-            Side::Forwarder(component) => component.entries(),
+            ProcessComponent::Planner(component) => component.entries(),
+            ProcessComponent::Forwarder(component) => component.entries(),
         }
     }
 }
 
 /// A member's process, over all its incarnations.
 pub struct Process {
-    /// What it runs; nothing while it is down.
-    pub side: Option<Side>,
-    /// The number of times that it was started.
+    /// The component that the process runs; `None` while the process is down.
+    pub component: Option<ProcessComponent>,
+    /// The number of times that the process was started.
     pub incarnation: u64,
-    /// The rate of its clock.
+    /// The rate of the process's clock relative to simulated time.
     pub clock_rate: f64,
-    /// What its clock showed when the simulation began.
+    /// The reading of the process's clock at the beginning of the simulation, in microseconds.
     pub clock_base: u64,
-    /// The time for which its next poll is scheduled.
+    /// The time for which the member's next poll is scheduled.
     pub wake_at: Option<Time>,
-    /// Until when it is suspended.
+    /// The time until which the process is suspended.
     pub suspended_until: Time,
-    /// Until when it is disconnected from the network.
+    /// The time until which the process is disconnected from the network.
     pub disconnected_until: Time,
-    /// The last lease that the balancer was notified of, by the process's clock.
+    /// The last lease that the balancer was notified of; its times are those of the process's clock.
     pub lease: Option<Lease>,
-    /// The fetches a second that its clients demand.
+    /// The rate of fetches that the forwarder's clients demand, per second.
     pub demand: f64,
-    /// Since when it may use far less than its fair share.
-    pub short_since: Option<Time>,
-    /// The sum of the rates that were used, over the ticks that are measured.
+    /// The time since which the forwarder may use less than half of its fair share, if so now.
+    pub shortage_since: Option<Time>,
+    /// The sum over the measured ticks of the rate that the forwarder used, in fetches per second.
     pub used: f64,
-    /// The sum of the rates that were fair, over the same ticks.
+    /// The sum over the measured ticks of the forwarder's fair share, in fetches per second.
     pub fair: f64,
 }
 
@@ -80,7 +80,7 @@
     /// Creates a process that is down.
     pub fn new(clock_rate: f64, clock_base: u64) -> Process {
         Process {
-            side: None,
+            component: None,
             incarnation: 0,
             clock_rate,
             clock_base,
@@ -89,18 +89,19 @@
             disconnected_until: Time(0),
             lease: None,
             demand: 0.0,
-            short_since: None,
+            shortage_since: None,
             used: 0.0,
             fair: 0.0,
         }
     }
 
-    /// What its clock shows.
+    /// Returns the reading of the process's clock.
     pub fn clock(&self, now: Time) -> Time {
         Time(self.clock_base + (now.0 as f64 * self.clock_rate) as u64)
     }
 
-    /// The fetches a second that its balancer may send at most now, without the ramp at the end of a lease.
+    /// Returns the rate of fetches that the balancer may send now, per second. The ramp at the end of a lease
+    /// is left out.
     pub fn permitted(&self, now: Time) -> f64 {
         match self.lease {
             None => 0.0,
@@ -109,15 +110,15 @@
         }
     }
 
-    /// Whether this is a forwarder that is up.
+    /// Returns whether the process is a forwarder that is up.
     pub fn is_live_forwarder(&self) -> bool {
-        matches!(self.side, Some(Side::Forwarder(_)))
+        matches!(self.component, Some(ProcessComponent::Forwarder(_)))
     }
 
-    /// Stops it at once.
+    /// Stops the process at once; its component and its lease are lost.
     pub fn kill(&mut self) {
-        self.side = None;
+        self.component = None;
         self.lease = None;
-        self.short_since = None;
+        self.shortage_since = None;
     }
 }
--- a/crates/fleet-simulator/src/lease_simulation/scenario.rs
+++ b/crates/fleet-simulator/src/lease_simulation/scenario.rs
@@ -1,22 +1,22 @@
-//! What a simulation of leases plays.
+//! The parameters of a simulation of leases.
 
 use granitelb_coordination::leases::Settings;
 
-/// From when on a number of forwarders is up.
+/// A number of forwarders, and the time from which so many are up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSize {
-    /// The second of the simulation from which this holds.
+    /// The second of the simulation from which this many forwarders are up.
     pub from_second: f64,
     /// The number of forwarders that are up.
     pub forwarders: usize,
 }
 
-/// A time in which all planners are down.
+/// A period in which all planners are down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
-    /// The second in which they stop.
+    /// The second of the simulation at which the planners stop.
     pub from_second: f64,
-    /// The second in which they start again.
+    /// The second of the simulation at which the planners start again.
     pub to_second: f64,
 }
 
@@ -25,42 +25,45 @@
 pub struct Scenario {
     /// The number of planners.
     pub planners: u8,
-    /// The number of forwarders over time, in the order of time.
+    /// The numbers of forwarders over time, in order of time.
     pub fleet_sizes: Vec<FleetSize>,
-    /// How long the simulation lasts.
+    /// The simulated time in seconds.
     pub seconds: f64,
     /// The sum of all demands, as a multiple of the origin's capacity.
     pub demand: f64,
-    /// How unevenly the demand is distributed over forwarders: the standard deviation of its logarithm.
+    /// The standard deviation of the logarithm of a forwarder's demand.
     pub demand_spread: f64,
-    /// The mean time between changes of one forwarder's demand, in seconds. Without it demands stay as they are.
+    /// The mean time between changes of one forwarder's demand, in seconds. With `None`, demands stay
+    /// constant.
     pub demand_change_interval: Option<f64>,
-    /// The probability that a message is lost; likewise that it is duplicated, and that it is delayed for long.
+    /// The probability that a message is lost. A message is duplicated and is late with the same probability
+    /// each.
     pub message_loss: f64,
-    /// Faults a second. In each of them a member is killed, suspended or disconnected.
+    /// The mean rate of faults, per second. Each fault kills, suspends or disconnects one member.
     pub faults_per_second: f64,
-    /// When all planners are down, if ever.
+    /// The period in which all planners are down, if any.
     pub planner_outage: Option<Outage>,
-    /// Plays a broken variant of the protocol, to test the auditor: planners that start do not wait.
+    /// Whether planners skip the wait after their start. This breaks the protocol and serves to test the
+    /// audit.
     pub skips_startup_wait: bool,
-    /// The settings of leases. The planners are filled in.
+    /// The lease settings. The simulation fills in their planners.
     pub settings: Settings,
-    /// The seed from which all randomness is derived.
+    /// The seed from which all random draws derive.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// A constant number of forwarders.
+    /// Returns the fleet sizes of a fleet with a constant number of forwarders.
     pub fn constant_size(forwarders: usize) -> Vec<FleetSize> {
         vec![FleetSize { from_second: 0.0, forwarders }]
     }
 
-    /// The greatest number of forwarders that are ever up.
+    /// Returns the greatest number of forwarders that are up at the same time.
     pub fn max_forwarders(&self) -> usize {
         self.fleet_sizes.iter().map(|size| size.forwarders).max().unwrap_or(0)
     }
 
-    /// The number of forwarders that are up in a second.
+    /// Returns the number of forwarders that are up at a second of the simulation.
     pub fn forwarders_at(&self, second: f64) -> usize {
         let current = self.fleet_sizes.iter().rev().find(|size| size.from_second <= second);
         current.map_or(0, |size| size.forwarders)
--- a/crates/fleet-simulator/src/lease_simulation/workload.rs
+++ b/crates/fleet-simulator/src/lease_simulation/workload.rs
@@ -1,4 +1,4 @@
-//! What forwarders demand and use, and how long they are short of their fair shares.
+//! The demand and the use of fetches by forwarders, and how long forwarders are short of their fair shares.
 
 use granitelb_balancer::time::{Span, Time};
 use granitelb_coordination::leases::Resource;
@@ -7,25 +7,26 @@
 use rand::RngExt;
 use rand_distr::{Distribution, LogNormal};
 
-use super::process::{Process, Side};
+use super::process::{Process, ProcessComponent};
 use super::{ORIGIN, Simulation};
 
-/// The interval at which demands change and balancers send.
+/// The interval at which demands can change and balancers send.
 const TICK: Span = Span::from_millis(50);
-/// A forwarder that may use less than this part of its fair share is short.
+/// A forwarder that may use less than this part of its fair share has a shortage.
 const SHORTAGE_THRESHOLD: f64 = 0.5;
-/// Shortages count from this time on: planners wait after their own start.
+/// Shortages count only after this time, since planners wait after their start before they grant.
 const SHORTAGES_FROM: Time = Time(8_000_000);
-/// How long after an outage's end planners are started, in seconds.
+/// The time after the end of an outage in which planners that are down are started, in seconds.
 const OUTAGE_RECOVERY_SECONDS: f64 = 1.0;
 
 impl Simulation<'_> {
-    /// Forwarders start and stop, their demands change, and they send.
+    /// Starts and stops forwarders, changes demands, sends fetches and measures fairness, once every
+    /// [`TICK`].
     pub(super) fn tick(&mut self) {
         self.schedule(TICK, super::EventKind::Tick);
         let size = self.target_size();
         self.apply_planner_outage();
-        let forwarders: Vec<_> = self.members.keys().copied().filter_map(forwarder_number).collect();
+        let forwarders: Vec<_> = self.members.keys().copied().filter_map(as_forwarder).collect();
         for Forwarder { member, number } in forwarders {
             self.apply_fleet_size(member, number < size);
             if let Some(interval) = self.scenario.demand_change_interval
@@ -38,7 +39,7 @@
         self.measure_fairness();
     }
 
-    /// Draws a member's demand anew.
+    /// Draws a new demand of a member.
     pub(super) fn draw_demand(&mut self, member: Member) {
         let size = self.target_size().max(1) as f64;
         let capacity = f64::from(self.scenario.settings.origin_capacity);
@@ -58,7 +59,7 @@
         let is_recovery = second >= outage.to_second && second < outage.to_second + OUTAGE_RECOVERY_SECONDS;
         for id in 0..self.scenario.planners {
             let planner = Member::Planner(PlannerId(id));
-            let is_up = self.process(planner).side.is_some();
+            let is_up = self.process(planner).component.is_some();
             if is_up && is_outage {
                 self.process(planner).kill();
             } else if !is_up && is_recovery {
@@ -69,7 +70,7 @@
 
     fn apply_fleet_size(&mut self, member: Member, is_wanted: bool) {
         let process = self.process(member);
-        let is_up = process.side.is_some();
+        let is_up = process.component.is_some();
         let was_never_up = process.incarnation == 0;
         if !is_wanted {
             if is_up {
@@ -77,7 +78,7 @@
             }
             return;
         }
-        // Where there are faults, one that was killed is started by the end of its fault.
+        // With faults, a killed forwarder is started by the event at the end of its fault.
         let has_faults = self.scenario.faults_per_second != 0.0;
         if was_never_up || !is_up && !has_faults {
             self.start(member);
@@ -95,8 +96,8 @@
         let clock = process.clock(now);
         let rate = process.demand.min(process.permitted(now));
         let excess = (process.demand - rate).max(0.0);
-        let Some(Side::Forwarder(component)) = &mut process.side else { return };
-        // Rounded to whole fetches at random.
+        let Some(ProcessComponent::Forwarder(component)) = &mut process.component else { return };
+        // The number of fetches is rounded up or down at random, so that its mean is exact.
         let fetches = (rate * TICK.as_secs_f64() + rounding).floor() as usize;
         for _ in 0..fetches {
             let sent = Observation::AttemptSent { cache: ORIGIN, is_origin: true, write: false };
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Compares what each forwarder may use with its fair share: max-min over what is demanded now.
+    /// Compares the rate that each forwarder may use with its fair share, which is the max-min share of the
+    /// present demands.
     fn measure_fairness(&mut self) {
         let now = self.now;
         let is_measured = self.is_measured();
@@ -129,12 +131,12 @@
         }
     }
 
-    /// The max-min fair level of the demands, in fetches a second.
+    /// Returns the max-min fair level of the demands, in fetches per second.
     fn fair_level(&self) -> f64 {
         let settings = &self.scenario.settings;
         let capacity = settings.capacity(Resource::Origin);
         let guaranteed = settings.guaranteed_share(Resource::Origin);
-        // The guaranteed shares of forwarders that are not up are nobody's.
+        // The guaranteed shares of forwarders that are down stay unused.
         let absent = settings.forwarder_count.saturating_sub(self.target_size() as u32);
         let unused = f64::from(guaranteed) * f64::from(absent);
         let available = (f64::from(capacity) - unused) / Resource::Origin.amounts_per_unit();
@@ -153,13 +155,13 @@
     }
 }
 
-/// For how long a forwarder has been short of its fair share.
+/// Returns for how long a forwarder has had a shortage, in seconds, and records when the shortage began.
 fn seconds_of_shortage(process: &mut Process, now: Time, fair: f64) -> f64 {
     if process.permitted(now) >= SHORTAGE_THRESHOLD * fair {
-        process.short_since = None;
+        process.shortage_since = None;
         return 0.0;
     }
-    let since = *process.short_since.get_or_insert(now);
+    let since = *process.shortage_since.get_or_insert(now);
     (now - since).as_secs_f64()
 }
 
@@ -168,7 +170,7 @@
     number: usize,
 }
 
-fn forwarder_number(member: Member) -> Option<Forwarder> {
+fn as_forwarder(member: Member) -> Option<Forwarder> {
     match member {
         Member::Forwarder(id) => Some(Forwarder { member, number: id.0 as usize }),
         Member::Planner(_) => None,
