--- a/crates/fleet-simulator/src/world/attempts.rs
+++ b/crates/fleet-simulator/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Nodes: carry out the policy's actions, send attempts and process their results.
+//! Attempts of nodes: carrying out the policy's actions, sending attempts and processing their results.
 
 use granitelb_balancer::ids::{AttemptNumber, EndpointId, RequestId};
 use granitelb_balancer::time::Span;
@@ -12,22 +12,22 @@
 use crate::scenario::SLO;
 use crate::server::ServerJob;
 
-/// A hang is known after this many seconds: attempts at the hung caches are probes from then on.
+/// The time after the beginning of a hang from which attempts at hung caches count as probes, in seconds.
 const HANG_DETECTION_S: f64 = 3.0;
-/// Connections that are idle for longer than this share of the servers' limit are not reused.
+/// Connections that have been idle for longer than this share of the servers' idle timeout are not reused.
 const IDLE_REUSE_SHARE: f64 = 0.7;
-/// A value from the origin is stored in at most this many of the caches that missed it.
+/// The largest number of caches, of those that reported a miss, in which a value from the origin is stored.
 const MAX_FILLED_CACHES: usize = 2;
-/// Delay of events that are to follow at once.
+/// The shortest delay of an event, for events that follow at once.
 const MIN_DELAY: Span = Span(1);
 
-/// Whether the connection can be reused after an attempt with this outcome.
+/// Returns whether the connection can be reused after an attempt with this outcome.
 fn is_connection_reusable(outcome: AttemptOutcome) -> bool {
     !matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::Cancelled)
 }
 
 impl World<'_> {
-    /// Carries out what a node's policy decides, and schedules its timeout.
+    /// Carries out the actions that a node's policy decides on, and schedules the policy's timeout.
     pub(super) fn run_policy(&mut self, n: usize) {
         let servers = &self.servers;
         let network = &self.network;
@@ -74,7 +74,7 @@
         self.schedule(MIN_DELAY, EventKind::AttemptFinished { attempt, outcome, fills_caches: false });
     }
 
-    /// An attempt in flight; `None` if it has finished or its node has restarted.
+    /// Returns an attempt in flight, or `None` if the attempt has finished or its node has restarted.
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
         let node = &self.nodes[id.node];
         if node.incarnation != id.incarnation {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Takes an idle connection from the node's pool and returns whether there was one.
+    /// Takes an idle connection to the server from the node's pool, and returns whether there was one.
     fn take_idle_connection(&mut self, n: usize, server: usize) -> bool {
         let now = self.now;
         let max_idle = self.scenario.idle_timeout.scaled(IDLE_REUSE_SHARE);
@@ -169,7 +169,7 @@
         self.network.draw_latency(&mut self.rng, self.nodes[node].zone, self.servers[server].zone)
     }
 
-    /// The connection is established: the attempt is on its way to the server.
+    /// Sends an attempt to its server over a connection that is established.
     pub(super) fn transmit_attempt(&mut self, id: AttemptId) {
         if self.attempt(id).is_none() {
             return;
@@ -182,7 +182,7 @@
         self.schedule(latency, EventKind::AttemptArrives { attempt: id, server, job });
     }
 
-    /// The node learns the outcome of an attempt. Attempts that have finished before are ignored.
+    /// Handles the end of an attempt at its node. An attempt that has already finished is ignored.
     pub(super) fn on_attempt_finished(&mut self, id: AttemptId, outcome: AttemptOutcome, fills_caches: bool) {
         if self.attempt(id).is_none() {
             return;
@@ -208,7 +208,8 @@
         self.run_policy(id.node);
     }
 
-    /// Notes the outcome at the attempt's request. Returns whether the request has its final answer.
+    /// Records the outcome of an attempt in its request, and returns whether the request has its final
+    /// response.
     fn update_request(
         &mut self,
         id: AttemptId,
--- a/crates/fleet-simulator/src/world/events.rs
+++ b/crates/fleet-simulator/src/world/events.rs
@@ -11,7 +11,8 @@
 use super::requests::ClientRequest;
 use crate::server::ServerJob;
 
-/// Identifies an attempt. The node's incarnation makes events of a killed node void.
+/// Identifies an attempt. Events of an earlier incarnation of a node are ignored once the node has been
+/// killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     pub node: usize,
@@ -20,12 +21,12 @@
     pub number: u8,
 }
 
-/// What happens.
+/// The kind of an event, with the event's parameters.
 #[derive(Debug)]
 pub enum EventKind {
-    /// A client submits a new request to a node.
+    /// A client sends a new request to a node.
     RequestArrives { node: usize },
-    /// A client submits a request for the second time.
+    /// A client sends a request to the node for the second time.
     RequestRetried { node: usize, request: ClientRequest },
     /// The connection for an attempt is established.
     ConnectionEstablished { attempt: AttemptId },
@@ -33,27 +34,28 @@
     AttemptArrives { attempt: AttemptId, server: usize, job: ServerJob },
     /// A server has finished a job.
     JobCompleted { server: usize, incarnation: u32, job: ServerJob },
-    /// The node learns how an attempt ended. `fills_caches`: the response carries a value that caches may store.
+    /// The node receives the outcome of an attempt. `fills_caches` is whether the response has a value that
+    /// caches may store.
     AttemptFinished { attempt: AttemptId, outcome: AttemptOutcome, fills_caches: bool },
     /// The timeout of an attempt expires.
     AttemptTimeout { attempt: AttemptId },
     /// The timeout of a node's policy expires.
     PolicyTimeout { node: usize, incarnation: u32 },
-    /// Service discovery reports an endpoint to a node.
+    /// Service discovery reports a new or changed endpoint to a node.
     EndpointReported { node: usize, incarnation: u32, endpoint: EndpointUpdate },
     /// All caches of a zone fail.
     ZoneFails { zone: usize },
-    /// The failed caches of a zone return.
+    /// The failed caches of a zone start again, cold.
     ZoneReturns { zone: usize },
     /// A cache starts to drain and a new one is added.
     CacheReplaced { old: usize },
-    /// A drained cache stops.
+    /// A cache that has drained stops.
     CacheStops { server: usize },
     /// A node is killed and restarts.
     NodeKilled { node: usize },
-    /// A control-plane message arrives.
+    /// A control plane message arrives at a member.
     MessageArrives { to: MemberIndex, incarnation: u32, sender: Sender, message: Box<Message> },
-    /// The timeout of a control-plane member expires.
+    /// The timeout of a control plane member expires.
     MemberTimeout { member: MemberIndex, incarnation: u32 },
     /// All planners fail.
     PlannersFail,
@@ -61,7 +63,7 @@
     PlannersReturn,
 }
 
-/// An event and its time. Events of the same time happen in the order in which they were scheduled.
+/// An event and its time. Events of the same time are processed in the order in which they were scheduled.
 pub struct ScheduledEvent {
     pub at: Time,
     pub sequence: u64,
--- a/crates/fleet-simulator/src/world/faults.rs
+++ b/crates/fleet-simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the scenario's faults, and reports changed endpoints through service discovery.
+//! Injection of the scenario's faults, and reports of changed endpoints through service discovery.
 
 use granitelb_balancer::time::{Span, Time};
 use rand::RngExt;
@@ -13,13 +13,14 @@
 
 /// The zone that [`FaultKind::ZoneLost`] affects.
 const LOST_ZONE: usize = 0;
-/// Nodes learn of an endpoint within this many seconds of each other.
+/// The spread over nodes of the time at which service discovery reports an endpoint, in seconds.
 const DISCOVERY_SPREAD_S: f64 = 0.1;
-/// A replaced cache stops after this time.
+/// The time from the replacement of a cache until the replaced cache stops.
 const DRAIN_TIME: Span = Span::from_millis(8000);
 
 impl World<'_> {
-    /// Schedules the events of all faults. Other faults act while they are active and need no event.
+    /// Schedules the events of lost zones, replaced caches and killed nodes. Other faults need no event: the
+    /// simulation checks which faults are active.
     pub(super) fn schedule_faults(&mut self) {
         for fault in &self.scenario.faults {
             match fault.kind {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Service discovery reports a server to every node, to each after its own delay.
+    /// Schedules the report of a server by service discovery to every node, with a delay of its own for each
+    /// node.
     fn report_endpoint(&mut self, server: usize) {
         let endpoint = self.endpoint_of(server);
         if server < self.endpoints.len() {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// All caches of a zone crash. Connections to them are lost.
+    /// Crashes all caches of a zone. Connections to these caches are lost.
     pub(super) fn fail_zone(&mut self, zone: usize) {
         for cache in &mut self.servers[..self.origin] {
             if cache.zone == zone && !cache.is_removed {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The crashed caches of a zone return, cold and empty.
+    /// Starts the crashed caches of a zone again, cold and empty.
     pub(super) fn restore_zone(&mut self, zone: usize) {
         for n in 0..self.origin {
             let cache = &mut self.servers[n];
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A cache drains, and a new one that is cold and empty is added in its place.
+    /// Starts to drain a cache, and adds a new cache, cold and empty, in its place.
     pub(super) fn replace_cache(&mut self, old: usize) {
         let replaced = &self.servers[old];
         let mut new = Server::new(ServerSpec {
@@ -109,7 +111,7 @@
         self.schedule(DRAIN_TIME, EventKind::CacheStops { server: old });
     }
 
-    /// A node is killed with all of its state and restarts under its name.
+    /// Kills a node, which loses all of its state, and restarts it under the same name.
     pub(super) fn restart_node(&mut self, n: usize) {
         let seed = self.rng.random();
         let settings = balancer_settings(self.scenario);
@@ -126,14 +128,14 @@
     }
 }
 
-/// Whether a server hangs now.
+/// Returns whether a server hangs now.
 pub fn is_hung(network: &Network<'_>, now: Time, server: usize) -> bool {
     network
         .active_faults(now)
         .any(|kind| matches!(kind, FaultKind::Hang(share) if is_affected(network, server, share)))
 }
 
-/// Whether a hang is active now and began at least this many seconds ago.
+/// Returns whether a hang is active now that began at least this many seconds ago.
 pub fn has_hung_for(network: &Network<'_>, now: Time, seconds: f64) -> bool {
     let at = (now - network.day_start).as_secs_f64();
     network.scenario.faults.iter().any(|fault| {
@@ -141,7 +143,7 @@
     })
 }
 
-/// Factor by which a server's service time is longer now.
+/// Returns the factor by which a server's service time is longer now; 1 if no fault slows the server.
 pub fn slowdown(network: &Network<'_>, now: Time, server: usize) -> f64 {
     let factor_of = |kind| match kind {
         FaultKind::Slow { share, factor } if is_affected(network, server, share) => Some(factor),
@@ -150,7 +152,8 @@
     network.active_faults(now).find_map(factor_of).unwrap_or(1.0)
 }
 
-/// A fault affects the last caches, which are spread over all zones.
+/// Returns whether a fault that affects this share of the caches affects the server. Faults affect the caches
+/// with the highest indexes, which are spread over all zones.
 fn is_affected(network: &Network<'_>, server: usize, share: f64) -> bool {
     let caches = network.scenario.caches;
     server < caches && server >= caches - (share * caches as f64) as usize
--- a/crates/fleet-simulator/src/world/members.rs
+++ b/crates/fleet-simulator/src/world/members.rs
@@ -1,6 +1,8 @@
-//! Nodes and planners as members of the control plane: each runs the enabled components and its view of the membership.
+//! Nodes and planners as members of the control plane: each runs the enabled components and its own
+//! membership state.
 //!
-//! `crates/control-plane` runs the same components; here messages are delivered unsealed.
+//! `crates/control-plane` runs the same components with sealed messages; the simulator delivers messages
+//! unsealed.
 
 use std::collections::BTreeSet;
 
@@ -15,8 +17,9 @@
 use super::COLD_START_CAPACITY;
 use crate::scenario::Scenario;
 
-/// Capacity of a warming cache in thousandths of its work per second: it has one slot.
-const CACHE_CAPACITY_PER_MILLE: u32 = 1_000_000;
+/// The leased capacity of a cache that warms up, in thousandths of a millisecond of work per second. A cache
+/// has one slot, so it does one second of work per second.
+const CACHE_CAPACITY: u32 = 1_000_000;
 
 /// The components of a member. A component that the scenario disables is `None`.
 struct Components<H, L> {
@@ -24,24 +27,24 @@
     leases: Option<L>,
 }
 
-/// A message and where it goes.
+/// A message with its sender and its receiver.
 pub struct OutgoingMessage {
     pub to: Member,
     pub sender: Sender,
     pub message: Message,
 }
 
-/// A node or planner in the control plane. It owns its components and replaces them when its incarnation changes.
+/// A node or planner in the control plane. A member replaces its components when its incarnation changes.
 pub struct SimulatedMember<H, L> {
     id: Member,
     membership: Membership,
     components: Components<H, L>,
     new_components: Box<dyn Fn(Incarnation, Time) -> Components<H, L>>,
     last_sequence: u64,
-    /// The endpoints that were observed last; replaced components have to learn them.
+    /// The last observed endpoints, which new components must receive.
     last_endpoints: Option<Observation>,
     has_new_components: bool,
-    /// When the member is to be polled next.
+    /// The time for which the member's next poll is scheduled.
     scheduled_wake: Option<Time>,
 }
 
@@ -50,13 +53,14 @@
 /// A planner in the control plane.
 pub type Planner = SimulatedMember<endpoint_health::PlannerComponent, leases::PlannerComponent>;
 
-/// Leased capacities: the origin's slots over its service time, less what writes use; of a cache its one slot.
+/// Returns the lease settings. The origin's capacity is its slots divided by its service time, less the work
+/// of writes; the capacity of a cache that warms up is its one slot.
 pub fn lease_settings(scenario: &Scenario, origin_slots: usize) -> leases::Settings {
     let origin_rate = origin_slots as f64 / scenario.origin_service_time.as_secs_f64();
     let reads = origin_rate - super::WRITE_WEIGHT * scenario.write_ratio * scenario.request_rate();
     leases::Settings {
         origin_capacity: (reads.max(0.0) * scenario.leased_capacity_factor * 1000.0) as u32,
-        warming_cache_capacity: CACHE_CAPACITY_PER_MILLE,
+        warming_cache_capacity: CACHE_CAPACITY,
         guaranteed_per_mille: scenario.guaranteed_per_mille,
         long_term_per_mille: scenario.long_term_per_mille,
         forwarder_count: scenario.nodes as u32,
@@ -70,28 +74,39 @@
     (0..scenario.planners).map(|n| PlannerId(n as u8)).collect()
 }
 
-/// Starts a node's member.
-pub fn forwarder(scenario: &Scenario, leased: &leases::Settings, id: ForwarderId, now: Time) -> Forwarder {
-    let scope = scenario.control_plane;
+/// Returns the member of a node that starts now.
+pub fn start_forwarder(
+    scenario: &Scenario,
+    leased: &leases::Settings,
+    id: ForwarderId,
+    now: Time,
+) -> Forwarder {
+    let enabled = scenario.control_plane;
     let leased = leased.clone();
     let new_components = move |incarnation, now| {
         let settings = endpoint_health::Settings::default();
         let health = endpoint_health::ForwarderComponent::new(settings, id, incarnation, now);
         let leases = leases::ForwarderComponent::new(leased.clone(), id, incarnation, now);
-        Components { health: scope.endpoint_health.then_some(health), leases: scope.leases.then_some(leases) }
+        Components {
+            health: enabled.endpoint_health.then_some(health),
+            leases: enabled.leases.then_some(leases),
+        }
     };
     SimulatedMember::new(scenario, Member::Forwarder(id), now, new_components)
 }
 
-/// Starts a planner.
-pub fn planner(scenario: &Scenario, leased: &leases::Settings, id: PlannerId, now: Time) -> Planner {
-    let scope = scenario.control_plane;
+/// Returns a planner that starts now.
+pub fn start_planner(scenario: &Scenario, leased: &leases::Settings, id: PlannerId, now: Time) -> Planner {
+    let enabled = scenario.control_plane;
     let leased = leased.clone();
     let new_components = move |incarnation, now| {
         let settings = endpoint_health::Settings::default();
         let health = endpoint_health::PlannerComponent::new(settings, id, incarnation, now);
         let leases = leases::PlannerComponent::new(leased.clone(), id, incarnation, now);
-        Components { health: scope.endpoint_health.then_some(health), leases: scope.leases.then_some(leases) }
+        Components {
+            health: enabled.endpoint_health.then_some(health),
+            leases: enabled.leases.then_some(leases),
+        }
     };
     SimulatedMember::new(scenario, Member::Planner(id), now, new_components)
 }
@@ -101,7 +116,8 @@
     H: Component<Message = endpoint_health::HealthMessage>,
     L: Component<Message = leases::LeaseMessage>,
 {
-    /// A process that starts now. Its incarnation is later than that of any process before it.
+    /// Returns a member that starts now. Its incarnation is the time, so it is later than the incarnations of
+    /// earlier starts.
     fn new(
         scenario: &Scenario,
         id: Member,
@@ -143,7 +159,8 @@
         }
     }
 
-    /// The next message to send. Heartbeats come last: any other message to a member serves as one.
+    /// Returns the next message to send. Heartbeats come last, since any other message to a member serves as
+    /// a heartbeat.
     pub fn poll_message(&mut self, now: Time) -> Option<OutgoingMessage> {
         self.update_membership(now);
         let (to, message) = self.poll_any_message(now)?;
@@ -172,14 +189,15 @@
         Some((to, Message::Membership(message)))
     }
 
-    /// When the member has to be polled without any input.
+    /// Returns when the member must be polled if it has received no input until then.
     pub fn poll_timeout(&self, now: Time) -> Option<Time> {
         let health = self.components.health.as_ref().and_then(|health| health.poll_timeout(now));
         let leases = self.components.leases.as_ref().and_then(|leases| leases.poll_timeout(now));
         self.membership.poll_timeout(now).into_iter().chain(health).chain(leases).min()
     }
 
-    /// Notes that the member is due at this time. Returns the time if a new timeout event is needed for it.
+    /// Records that the member must be polled at `due`. Returns the time if a new timeout event must be
+    /// scheduled for it.
     pub fn schedule_wake(&mut self, now: Time, due: Option<Time>) -> Option<Time> {
         let due = due?;
         if let Some(scheduled) = self.scheduled_wake
@@ -192,7 +210,8 @@
         Some(due)
     }
 
-    /// Notifies the components of membership changes, and replaces them if the member needs a new incarnation.
+    /// Notifies the components of membership changes, and replaces them if the member needs a new
+    /// incarnation.
     fn update_membership(&mut self, now: Time) {
         let mut changed = self.membership.poll_change(now);
         if self.membership.needs_new_incarnation() {
@@ -213,7 +232,7 @@
 }
 
 impl Forwarder {
-    /// The node observes its traffic or its endpoints.
+    /// Passes an observation of the node's traffic or endpoints to the components.
     pub fn on_observation(&mut self, now: Time, observation: Observation) {
         if let Some(health) = &mut self.components.health {
             health.on_observation(now, &observation);
@@ -226,7 +245,7 @@
         }
     }
 
-    /// The update that the node's balancer is to receive now.
+    /// Returns the update that the node's balancer must receive now.
     pub fn control_plane_update(&mut self, now: Time) -> ControlPlaneUpdate {
         if self.has_new_components {
             self.has_new_components = false;
--- a/crates/fleet-simulator/src/world/messaging.rs
+++ b/crates/fleet-simulator/src/world/messaging.rs
@@ -1,6 +1,7 @@
-//! Control-plane messages between nodes and planners, and the members' timeouts.
+//! Control plane messages between nodes and planners, and the members' timeouts.
 //!
-//! Draws come from a generator of their own, so that a day without planners does not depend on this module.
+//! This module draws from a random generator of its own, so that a day without planners does not
+//! depend on this module.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
@@ -15,31 +16,32 @@
 
 use super::World;
 use super::events::EventKind;
-use super::members::{Forwarder, OutgoingMessage, Planner, forwarder, lease_settings, planner};
+use super::members::{Forwarder, OutgoingMessage, Planner, lease_settings, start_forwarder, start_planner};
 
-/// A node's policy receives an update at least this often, and after each message.
+/// The longest time between control plane updates of a node's policy, which also follow each accepted
+/// message.
 const UPDATE_INTERVAL: Span = Span::from_millis(200);
-/// One-way latency of a message in milliseconds.
+/// The one-way latency of a message, in milliseconds.
 const MESSAGE_LATENCY_MS: Range<u64> = 1..20;
-/// Members stop this many seconds after the day, in which its last requests end.
+/// The time from the end of the day until members stop, in seconds. The day's last requests end in this time.
 const SHUTDOWN_DELAY_S: f64 = 2.0;
-/// Nodes' members start within this time, in microseconds.
+/// The times of the first polls of nodes' members, in microseconds from the start.
 const NODE_START_US: Range<u64> = 1..500_000;
-/// Separates this module's draws from all others of the seed.
+/// Combined with the scenario's seed, so that this module's draws differ from all others.
 const MESSAGING_SEED: u64 = 0x7a1c;
-/// Delay of events that are to follow at once.
+/// The shortest delay of an event, for events that follow at once.
 const MIN_DELAY: Span = Span(1);
-/// Planners have no incarnation in the simulation's events.
+/// The incarnation of planners in events, which do not distinguish a planner's incarnations.
 const PLANNER_INCARNATION: u32 = 0;
 
-/// A member of the control plane by its index.
+/// Identifies a member of the control plane by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberIndex {
     Planner(usize),
     Node(usize),
 }
 
-/// State of the control plane; it exists only if there are planners.
+/// The state of the control plane, which exists only if there are planners.
 pub struct ControlPlane {
     rng: ChaCha8Rng,
     lease_settings: leases::Settings,
@@ -47,7 +49,7 @@
     node_by_id: HashMap<ForwarderId, usize>,
     /// The endpoints that each node knows.
     pub known_endpoints: Vec<BTreeMap<EndpointId, EndpointUpdate>>,
-    /// `None` while a planner is down.
+    /// All planners; `None` for a planner that is down.
     planners: Vec<Option<Planner>>,
 }
 
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Returns when a new timeout event of the member is due, if it needs one.
+    /// Returns when a new timeout event of the member is due, or `None` if the scheduled event comes early
+    /// enough.
     fn schedule_wake(&mut self, member: MemberIndex, now: Time) -> Option<Time> {
         match member {
             MemberIndex::Planner(n) => {
@@ -88,14 +91,14 @@
             return;
         }
         let lease_settings = lease_settings(scenario, self.origin_slots);
-        let start_node = |n| forwarder(scenario, &lease_settings, forwarder_id(n), self.now);
-        let start_planner = |n| Some(planner(scenario, &lease_settings, PlannerId(n as u8), self.now));
+        let new_node = |n| start_forwarder(scenario, &lease_settings, forwarder_id(n), self.now);
+        let new_planner = |n| Some(start_planner(scenario, &lease_settings, PlannerId(n as u8), self.now));
         self.control_plane = Some(ControlPlane {
             rng: ChaCha8Rng::seed_from_u64(scenario.seed ^ MESSAGING_SEED),
-            nodes: (0..scenario.nodes).map(start_node).collect(),
+            nodes: (0..scenario.nodes).map(new_node).collect(),
             node_by_id: (0..scenario.nodes).map(|n| (forwarder_id(n), n)).collect(),
             known_endpoints: vec![self.endpoints_by_id(); scenario.nodes],
-            planners: (0..scenario.planners).map(start_planner).collect(),
+            planners: (0..scenario.planners).map(new_planner).collect(),
             lease_settings,
         });
         for n in 0..scenario.nodes {
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Nodes start one after the other.
+    /// Schedules the first polls of nodes' members, spread over [`NODE_START_US`].
     fn schedule_nodes(&mut self) {
         for n in 0..self.scenario.nodes {
             let Some(control_plane) = &mut self.control_plane else { return };
@@ -140,12 +143,12 @@
         }
     }
 
-    /// A node restarts, and its member with it.
+    /// Restarts the member of a node that restarts.
     pub(super) fn restart_member(&mut self, n: usize) {
         let endpoints = self.endpoints_by_id();
         let Some(control_plane) = &mut self.control_plane else { return };
         let leased = &control_plane.lease_settings;
-        control_plane.nodes[n] = forwarder(self.scenario, leased, forwarder_id(n), self.now);
+        control_plane.nodes[n] = start_forwarder(self.scenario, leased, forwarder_id(n), self.now);
         control_plane.known_endpoints[n] = endpoints;
         self.observe_endpoints(n);
         self.schedule_member(MIN_DELAY, MemberIndex::Node(n));
@@ -157,18 +160,19 @@
         }
     }
 
-    /// Planners restart without knowledge of what their earlier incarnations granted.
+    /// Restarts all planners without the state of their earlier incarnations, so that they don't know the
+    /// granted leases.
     pub(super) fn restart_planners(&mut self) {
         let Some(control_plane) = &mut self.control_plane else { return };
         for n in 0..control_plane.planners.len() {
             let leased = &control_plane.lease_settings;
-            let restarted = planner(self.scenario, leased, PlannerId(n as u8), self.now);
+            let restarted = start_planner(self.scenario, leased, PlannerId(n as u8), self.now);
             control_plane.planners[n] = Some(restarted);
         }
         self.schedule_planners();
     }
 
-    /// A message arrives, unless its receiver has stopped or restarted since it was sent.
+    /// Delivers a message, unless its receiver has stopped or restarted since the message was sent.
     pub(super) fn on_message(&mut self, to: MemberIndex, incarnation: u32, sender: Sender, message: Message) {
         if self.incarnation_of(to) != incarnation {
             return;
@@ -206,8 +210,8 @@
         }
     }
 
-    /// Sends all messages that a member has, and schedules its next timeout. After the end of the day the control plane
-    /// stops.
+    /// Sends all pending messages of a member and schedules the member's next timeout. [`SHUTDOWN_DELAY_S`]
+    /// after the end of the day, the control plane stops instead.
     fn send_messages(&mut self, from: MemberIndex) {
         let now = self.now;
         if self.day_seconds(now) >= self.scenario.duration_s + SHUTDOWN_DELAY_S {
--- a/crates/fleet-simulator/src/world/mod.rs
+++ b/crates/fleet-simulator/src/world/mod.rs
@@ -1,7 +1,8 @@
-//! The running fleet: a queue of events, nodes, servers and the network between them.
+//! Simulation of a fleet: a queue of events, nodes, servers and the network between nodes and servers.
 //!
-//! [`World`] owns all state. It takes the earliest event, changes the state and schedules further events. All random
-//! draws of the data path come from one generator, so the order of draws is part of the behaviour.
+//! [`World`] owns all state. The event loop takes the earliest event, which changes the state and schedules
+//! further events. All random draws of the data path come from one generator, so the results depend on the
+//! order of draws.
 
 mod attempts;
 mod events;
@@ -31,20 +32,20 @@
 use messaging::ControlPlane;
 use requests::TrackedRequest;
 
-/// Simulated time at which the warm-up begins.
+/// The simulated time at which the warm-up begins.
 const START: Time = Time(1_000_000_000);
-/// Share of its capacity that a cache has right after a cold start.
+/// The share of its full capacity that a cache has right after a cold start.
 const COLD_START_CAPACITY: f64 = 0.25;
-/// After this time a cache that started cold has its full capacity.
+/// The time from a cold start until the cache has its full capacity.
 const WARM_UP_TIME: Span = Span::from_millis(20_000);
-/// Work of a write at the origin relative to a read.
+/// The work of a write at the origin, relative to the work of a read.
 const WRITE_WEIGHT: f64 = 2.0;
 
 /// An attempt that a node has in flight.
 struct InFlightAttempt {
     server: usize,
     sent_at: Time,
-    /// Whether its connection is established, and so can be reused afterwards.
+    /// Whether the attempt's connection is established, so that the connection can be reused afterwards.
     is_connected: bool,
     job: ServerJob,
 }
@@ -52,16 +53,16 @@
 struct Node {
     policy: NodePolicy,
     zone: usize,
-    /// Requests per second that arrive here.
+    /// The mean rate of requests that arrive at the node, per second.
     request_rate: f64,
-    /// Counts restarts; events of an earlier incarnation are void.
+    /// The number of restarts; events of an earlier incarnation are ignored.
     incarnation: u32,
     requests: HashMap<u64, TrackedRequest>,
-    /// By request and number of the attempt.
+    /// Attempts in flight, by request and number of the attempt.
     attempts: HashMap<(u64, u8), InFlightAttempt>,
-    /// Idle connections by server, with the times since which they are idle.
+    /// The times since which connections are idle, by server.
     idle_connections: HashMap<usize, Vec<Time>>,
-    /// When the policy's timeout event is due.
+    /// The time of the scheduled timeout event of the policy, if any.
     scheduled_wake: Option<Time>,
 }
 
@@ -71,23 +72,23 @@
     now: Time,
     rng: ChaCha8Rng,
     nodes: Vec<Node>,
-    /// Caches and the origin; caches that are added later come after it.
+    /// Caches, followed by the origin; caches that are added later come after the origin.
     servers: Vec<Server>,
-    /// The endpoints as service discovery knows them, by index of the server.
+    /// The endpoints as service discovery last reported them, by index of the server.
     endpoints: Vec<EndpointUpdate>,
-    /// Index of the origin.
+    /// The index of the origin in `servers`.
     origin: usize,
     origin_slots: usize,
     popularity: Popularity,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     last_event_sequence: u64,
     last_request: u64,
-    /// `None` without planners and after the end of the day.
+    /// The state of the control plane; `None` without planners and after the end of the day.
     control_plane: Option<ControlPlane>,
     result: RunResult,
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario to its end and returns the measured results.
 pub fn run(scenario: &Scenario) -> RunResult {
     let mut world = World::new(scenario);
     world.process_events();
@@ -101,18 +102,18 @@
         self.events.push(Reverse(event));
     }
 
-    /// Seconds since the day began; negative during the warm-up.
+    /// Returns the seconds from the beginning of the day to a time; negative during the warm-up.
     fn day_seconds(&self, at: Time) -> f64 {
         at.0 as f64 / MICROS_PER_SECOND - START.0 as f64 / MICROS_PER_SECOND - self.scenario.warm_up_s
     }
 
-    /// The second of the day, or `None` during the warm-up.
+    /// Returns the second of the day at a time, or `None` during the warm-up.
     fn second_of_day(&self, at: Time) -> Option<usize> {
         let seconds = self.day_seconds(at);
         if seconds >= 0.0 { Some(seconds as usize) } else { None }
     }
 
-    /// The time from the start of the warm-up to this second of the day.
+    /// Returns the time from the start of the warm-up to this second of the day.
     fn since_start(&self, seconds: f64) -> Span {
         Span::from_secs_f64(self.scenario.warm_up_s + seconds)
     }
--- a/crates/fleet-simulator/src/world/observations.rs
+++ b/crates/fleet-simulator/src/world/observations.rs
@@ -1,4 +1,5 @@
-//! What nodes report to the control plane, and the updates that they receive from it.
+//! Observations that nodes pass to the control plane, and the updates that nodes receive from the control
+//! plane.
 
 use granitelb_balancer::ids::{EndpointId, RequestClassId};
 use granitelb_balancer::{AttemptOutcome, ControlPlaneUpdate, EndpointUpdate};
@@ -20,14 +21,15 @@
         }
     }
 
-    /// A node learns of an endpoint.
+    /// Records an endpoint that service discovery reported to a node, and passes the node's endpoints to its
+    /// member.
     pub(super) fn observe_endpoint(&mut self, node: usize, endpoint: EndpointUpdate) {
         let Some(control_plane) = &mut self.control_plane else { return };
         control_plane.known_endpoints[node].insert(endpoint.id, endpoint);
         self.observe_endpoints(node);
     }
 
-    /// Passes all endpoints that a node knows to its member.
+    /// Passes all ready endpoints that a node knows to the node's member.
     pub(super) fn observe_endpoints(&mut self, node: usize) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let mut endpoints = Vec::new();
@@ -46,7 +48,7 @@
         control_plane.nodes[node].on_observation(self.now, Observation::EndpointsChanged(endpoints));
     }
 
-    /// Passes the result of an attempt to its node's member.
+    /// Passes the result of an attempt to the member of the attempt's node.
     pub(super) fn observe_result(&mut self, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let job = attempt.job;
         let latency = self.now - attempt.sent_at;
@@ -74,7 +76,7 @@
     pub(super) fn update_policy(&mut self, n: usize) {
         let Some(control_plane) = &mut self.control_plane else { return };
         let mut update = control_plane.nodes[n].control_plane_update(self.now);
-        // The origin accepts everything during the warm-up.
+        // Leases don't apply during the warm-up, when the origin accepts all requests.
         if self.now < self.network.day_start {
             update.leases.clear();
         }
--- a/crates/fleet-simulator/src/world/requests.rs
+++ b/crates/fleet-simulator/src/world/requests.rs
@@ -1,4 +1,4 @@
-//! Clients: arrival of requests, the nodes' final answers, and retries.
+//! Clients: arrival of requests, final responses and retries.
 
 use granitelb_balancer::ids::{Key, RequestClassId, RequestId};
 use granitelb_balancer::time::{Span, Time};
@@ -12,39 +12,40 @@
 use crate::faults::FaultKind;
 use crate::scenario::{READ_TIMEOUT, SLO, WRITE_TIMEOUT};
 
-/// Delay of a retry by a client that ignores Retry-After or received none.
+/// The delay of a retry by a client that ignores Retry-After or received none.
 const RETRY_BACKOFF: Span = Span::from_millis(60);
-/// A node's own answer may come this much after the client's deadline, since it depends on a timer.
+/// The largest permitted delay of a node's own response after the client's deadline. The response depends on
+/// a timer, so it can come late.
 const DEADLINE_TOLERANCE: Span = Span::from_millis(1);
-/// The key of [`FaultKind::HotKey`]; it is outside of the popularity law.
+/// The key of [`FaultKind::HotKey`], which the popularity distribution does not contain.
 const HOT_KEY: Key = Key(u64::MAX);
 
-/// A request as its client knows it.
+/// A request as its client submitted it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// When the client submitted it for the first time; the SLO counts from here.
+    /// When the client submitted the request for the first time. The SLO's time begins here.
     pub first_submitted: Time,
-    /// When the client gives up.
+    /// When the client stops waiting for a response.
     pub deadline: Time,
     pub key: Key,
     pub write: bool,
-    /// Whether this is the second submission. There is no third one.
+    /// Whether this is the second submission, which is the last.
     pub is_retry: bool,
 }
 
-/// A request at a node, until its final answer.
+/// A request at a node that has no final response yet.
 pub struct TrackedRequest {
     pub client: ClientRequest,
-    /// Attempts that the node has sent.
+    /// The number of attempts that the node has sent.
     pub attempts: u8,
-    /// Attempts that have not finished.
+    /// The number of attempts that have not finished.
     pub in_flight: usize,
-    /// Caches that answered with a miss.
+    /// The indexes of caches that responded with a cache miss.
     pub missed: Vec<usize>,
 }
 
 impl World<'_> {
-    /// Draws the time to the next request of a node.
+    /// Returns a randomly drawn time to the next request at a node.
     pub(super) fn draw_interarrival_time(&mut self, node: usize) -> Span {
         let drawn: f64 = Exp1.sample(&mut self.rng);
         let burst = self.network.active_faults(self.now).find_map(|kind| match kind {
@@ -73,7 +74,8 @@
         self.submit_request(node, request);
     }
 
-    /// Draws a key. The draw from the popularity law takes place also where the hot key replaces it.
+    /// Returns a randomly drawn key. The quantile for the popularity distribution is drawn even if the hot
+    /// key replaces the key.
     fn draw_key(&mut self) -> Key {
         let hot_key_share = self.network.active_faults(self.now).find_map(|kind| match kind {
             FaultKind::HotKey(share) => Some(share),
@@ -105,7 +107,7 @@
         self.run_policy(node);
     }
 
-    /// A client receives the response of an endpoint.
+    /// Counts a response of an endpoint that a client receives.
     pub(super) fn on_request_fulfilled(&mut self, client: &ClientRequest) {
         if self.now > client.deadline {
             self.result.invariant_violations += 1;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// A client receives an answer that the node gives itself.
+    /// Counts a response that the node itself gives a client, and may schedule the client's retry.
     pub(super) fn on_local_reply(&mut self, node: usize, id: u64, reply: LocalReply) {
         let Some(request) = self.nodes[node].requests.remove(&id) else {
             self.result.invariant_violations += 1;
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Some clients retry once, unless their deadline is over by then.
+    /// Schedules a retry for some clients, unless the client's deadline would have passed by then.
     fn maybe_retry(&mut self, node: usize, client: ClientRequest, retry_after: Span) {
         if self.rng.random::<f64>() >= self.scenario.retry_probability {
             return;
--- a/crates/fleet-simulator/src/world/servers.rs
+++ b/crates/fleet-simulator/src/world/servers.rs
@@ -12,22 +12,22 @@
 use crate::scenario::Scenario;
 use crate::server::ServerJob;
 
-/// Service time of a miss or a misdirected write at a cache.
+/// The work of a cache for a cache miss, or for a write that was sent to a cache.
 const MISS_WORK: Span = Span::from_millis(1);
-/// Mean of the logarithm of the origin's service time, relative to its nominal one; with the deviation below the mean
-/// of the service time is the nominal one.
+/// The mean of the logarithm of the origin's service time relative to the nominal service time. With
+/// [`ORIGIN_WORK_LOG_DEVIATION`], the mean service time is the nominal one.
 const ORIGIN_WORK_LOG_MEAN: f64 = -0.125;
-/// Standard deviation of that logarithm.
+/// The standard deviation of the logarithm of the origin's service time.
 const ORIGIN_WORK_LOG_DEVIATION: f64 = 0.5;
 
 impl World<'_> {
-    /// Whether a node and a server can exchange packets now.
+    /// Returns whether a node and a server can exchange packets now.
     pub(super) fn is_reachable(&self, node: usize, server: usize) -> bool {
         let server = &self.servers[server];
         !server.is_down && !self.network.is_partitioned(self.now, self.nodes[node].zone, server.zone)
     }
 
-    /// Whether the server would respond to a node now.
+    /// Returns whether a server would respond to a node now.
     fn is_responsive(&self, node: usize, server: usize) -> bool {
         self.is_reachable(node, server) && !is_hung(&self.network, self.now, server)
     }
@@ -45,7 +45,7 @@
             self.respond(attempt, n, AttemptOutcome::Rejected);
             return;
         }
-        // The work at a cache is drawn for the origin too.
+        // The work at a cache is drawn even if the server is the origin.
         let cache_work = self.draw_cache_work(&job);
         if is_origin {
             job.work = self.draw_origin_work(&job);
@@ -71,7 +71,7 @@
         Span::from_secs_f64(self.scenario.origin_service_time.as_secs_f64() * weight * spread)
     }
 
-    /// Starts queued jobs while there is a free slot.
+    /// Starts queued jobs while the server has a free slot.
     fn start_jobs(&mut self, n: usize) {
         let slowdown = slowdown(&self.network, self.now, n);
         while self.servers[n].busy < self.servers[n].slots {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A job is done, unless the server has crashed since it started.
+    /// Handles the completion of a job, unless the server has crashed since the job started.
     pub(super) fn on_job_completed(&mut self, n: usize, incarnation: u32, job: ServerJob) {
         if self.servers[n].incarnation != incarnation {
             return;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Draws the work of a read relative to its mean.
+/// Returns the randomly drawn work of a read, relative to the mean work.
 fn draw_read_work(scenario: &Scenario, rng: &mut ChaCha8Rng) -> f64 {
     let shape = 1.0 / (scenario.work_variation * scenario.work_variation);
     Gamma::new(shape, 1.0 / shape).expect("the variation is positive").sample(rng)
--- a/crates/fleet-simulator/src/world/setup.rs
+++ b/crates/fleet-simulator/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! Builds the fleet of a scenario.
+//! Construction of a scenario's fleet.
 
 use std::collections::{BinaryHeap, HashMap};
 
@@ -19,26 +19,27 @@
 use crate::scenario::{MAX_ATTEMPTS, SLO, Scenario};
 use crate::server::{Server, ServerSpec};
 
-/// The endpoint kind of the origin; caches have kind 0.
+/// The endpoint kind of the origin. Caches have kind 0.
 pub const ORIGIN_KIND: KindId = KindId(1);
-/// Slots of the origin while caches are filled: it accepts everything.
+/// The number of the origin's slots during the warm-up, so that the origin accepts all requests while caches
+/// fill.
 pub const WARM_UP_ORIGIN_SLOTS: usize = 1_000_000;
-/// Jobs that wait at the origin for each slot.
+/// The number of jobs that may wait at the origin for each slot.
 const ORIGIN_QUEUE_PER_SLOT: usize = 4;
-/// A repeated write is deduplicated by the origin within this time.
+/// The time within which the origin deduplicates a repeated write.
 const DEDUPLICATION_WINDOW: Span = Span::from_millis(3000);
-/// Nodes poll service discovery at least this often.
+/// The longest time between two polls of service discovery by a node.
 const MAX_POLL_INTERVAL: Span = Span::from_millis(10_000);
-/// Longest Retry-After that nodes answer with.
+/// The longest Retry-After in a node's response.
 const MAX_RETRY_AFTER: Span = Span::from_millis(1500);
-/// Lowest relative speed of a cache.
+/// The lowest relative speed of a cache.
 const MIN_CACHE_SPEED: f64 = 0.9;
-/// Width of the interval from which a cache's relative speed is drawn.
+/// The width of the interval from which a cache's relative speed is drawn.
 const CACHE_SPEED_RANGE: f64 = 0.2;
-/// Separates the seeds of the nodes' policies.
+/// The position of a node's number within the seed of the node's policy, so that the seeds differ.
 const NODE_SEED_SHIFT: u32 = 20;
 
-/// The settings that every node has.
+/// Returns the balancer settings of every node.
 pub fn balancer_settings(scenario: &Scenario) -> Settings {
     let request_class = |billed_value, effect| RequestClass {
         slo: SLO,
@@ -68,14 +69,15 @@
     }
 }
 
-/// Slots that the origin needs for the usual misses and writes, with the scenario's headroom.
+/// Returns the number of slots that the origin needs for the usual cache misses and writes, times the
+/// scenario's headroom.
 fn origin_slots(scenario: &Scenario) -> usize {
     let miss_ratio = (1.0 - scenario.write_ratio) * (1.0 - scenario.pooled_hit_ratio);
     let usual_rate = scenario.request_rate() * (miss_ratio + scenario.write_ratio * WRITE_WEIGHT);
     (usual_rate * scenario.origin_headroom * scenario.origin_service_time.as_secs_f64()).ceil() as usize
 }
 
-/// Draws the caches.
+/// Returns the caches, with randomly drawn queues and speeds.
 fn draw_caches(scenario: &Scenario, popularity: &Popularity, rng: &mut ChaCha8Rng) -> Vec<Server> {
     let retained_keys = popularity.pooled_cache(scenario).keys;
     let key_capacity = (retained_keys / scenario.caches as f64).ceil() as usize;
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A server as service discovery reports it.
+    /// Returns a server's entry in the endpoint list, as service discovery reports it.
     pub(super) fn endpoint_of(&self, index: usize) -> EndpointUpdate {
         let server = &self.servers[index];
         EndpointUpdate {
