--- a/crates/fleet-simulator/src/policy/baseline.rs
+++ b/crates/fleet-simulator/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Baseline policies: no learning, no limits, no health checks.
+//! Baseline policies, which have no learning, no limits and no health checks.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
@@ -12,9 +12,9 @@
 
 use super::{Action, Occupancy, Policy};
 
-/// While a request waits for a free cache, it is looked at again after this time.
+/// The interval at which a request that waits for a free cache is decided on again.
 const RECHECK_INTERVAL: Span = Span::from_millis(20);
-/// A request without a candidate is rejected after this share of its SLO.
+/// The share of its SLO after which a request without an available cache is rejected.
 const MAX_WAIT_SLO_SHARE: f64 = 0.4;
 /// The endpoint kind of the origin.
 const ORIGIN_KIND: KindId = KindId(1);
@@ -22,17 +22,17 @@
 struct PendingRequest {
     request: Request,
     deadline: Time,
-    /// From this time on the request is rejected if no cache is available.
+    /// The time from which the request is rejected if no cache is available.
     wait_until: Time,
     attempts: u8,
     is_in_flight: bool,
     missed_in_cache: bool,
     may_have_executed: bool,
-    /// Endpoints that were tried.
+    /// The endpoints to which an attempt was sent before.
     excluded_endpoints: Vec<EndpointId>,
 }
 
-/// One node's state of a baseline policy.
+/// The state of a baseline policy at one node.
 pub struct BaselinePolicy {
     policy: Policy,
     settings: Settings,
@@ -40,12 +40,12 @@
     ready_caches: Vec<EndpointId>,
     origin: Option<EndpointId>,
     endpoints: BTreeMap<EndpointId, EndpointUpdate>,
-    /// The highest-ranked caches of each key, until the endpoints change.
+    /// The highest-ranked caches of each key. Cleared when the endpoints change.
     ranked_caches: HashMap<Key, Vec<EndpointId>>,
     pending: BTreeMap<RequestId, PendingRequest>,
 }
 
-/// What to do with a request that is not in flight.
+/// The next step for a request that has no attempt in flight.
 enum Decision {
     Send(EndpointId),
     Reply(LocalReply),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The key's highest-ranked caches by rendezvous hashing, best first.
+    /// Returns the key's highest-ranked caches by rendezvous hashing, best first.
     fn rank_caches(&mut self, key: Key, count: usize) -> Vec<EndpointId> {
         let ready_caches = &self.ready_caches;
         let rank = || {
@@ -159,11 +159,11 @@
     fn decide(&mut self, now: Time, id: RequestId, occupancy: Occupancy<'_>) -> Decision {
         let pending = &self.pending[&id];
         let is_exhausted = pending.attempts >= self.settings.max_attempts || now >= pending.deadline;
-        // A baseline policy does not repeat a write that may have been executed.
+        // Baseline policies do not send a write again that may have been executed.
         let is_unsafe_to_retry = pending.may_have_executed && pending.request.write;
         let needs_origin = pending.request.write || pending.missed_in_cache;
         let has_waited = now >= pending.wait_until;
-        // The selection draws from the random generator, also for a request that is rejected below.
+        // Selecting a cache draws a random number, even if the request is rejected below.
         let endpoint = if needs_origin { self.origin } else { self.select_cache(id, occupancy) };
         if is_unsafe_to_retry {
             return Decision::Reply(LocalReply::Errored);
@@ -192,7 +192,7 @@
     }
 }
 
-/// The first of the least occupied candidates, unless all of them are full.
+/// Returns the first of the least occupied candidates, or `None` if all candidates are full.
 fn least_occupied(candidates: Vec<EndpointId>, occupancy: Occupancy<'_>) -> Option<EndpointId> {
     let by_occupancy = candidates.into_iter().map(|cache| (occupancy(cache), cache));
     let (lowest, cache) = by_occupancy.min_by(|a, b| a.0.total_cmp(&b.0))?;
--- a/crates/fleet-simulator/src/policy/mod.rs
+++ b/crates/fleet-simulator/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! What selects endpoints at a node: the real balancer, or a baseline policy to compare it with.
+//! The policy that selects endpoints at a node: the real balancer, or a baseline policy for comparison.
 
 mod baseline;
 
@@ -17,16 +17,18 @@
 pub enum Policy {
     /// The real balancer.
     Balancer,
-    /// A random cache, and another one after a rejection.
+    /// A random cache; after a rejection, another random cache.
     Random,
-    /// A random one of a key's highest-ranked caches (this many), and another one after a rejection.
+    /// A random cache of this many highest-ranked caches of the key; after a rejection, another of these
+    /// caches.
     RandomOf(usize),
-    /// The least occupied of a key's highest-ranked caches (this many), by their true current state. Waits while all of
-    /// them are full.
+    /// The least occupied of this many highest-ranked caches of the key, by the caches' true current state.
+    /// Requests wait while all of these caches are full.
     LeastOccupied(usize),
 }
 
-/// The names are those of the result rows, which later versions must be able to compare with earlier ones.
+/// Writes the policy's name in result rows. The names stay, so that results of different versions can be
+/// compared.
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -38,33 +40,33 @@
     }
 }
 
-/// The true occupancy of a cache, from 0 to 1, for [`Policy::LeastOccupied`]. A cache that would not respond counts as
-/// full.
+/// Returns the true occupancy of a cache, from 0 to 1, for [`Policy::LeastOccupied`]. A cache that would not
+/// respond counts as full.
 pub type Occupancy<'a> = &'a dyn Fn(EndpointId) -> f64;
 
-/// What the node has to carry out.
+/// An action that a policy decides on and that its node carries out.
 pub enum Action {
     /// Sends an attempt.
     SendAttempt {
-        /// Request that the attempt belongs to.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Where the attempt goes.
+        /// The endpoint to which the attempt is sent.
         endpoint: EndpointId,
-        /// After this time the attempt fails.
+        /// The time after which the attempt fails without a response.
         timeout: Span,
     },
-    /// Answers the client without an endpoint.
+    /// Responds to the client without an endpoint.
     Reply {
-        /// The request that ends.
+        /// The request that ends with the response.
         request: RequestId,
-        /// The answer.
+        /// The response.
         reply: LocalReply,
     },
     /// Cancels an attempt in flight.
     CancelAttempt {
-        /// Request that the attempt belongs to.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt within the request.
+        /// The number of the attempt within the request.
         number: AttemptNumber,
     },
 }
@@ -73,12 +75,12 @@
 pub enum NodePolicy {
     /// The real balancer.
     Balancer(Box<Balancer>),
-    /// One of the others.
+    /// A baseline policy.
     Baseline(Box<BaselinePolicy>),
 }
 
 impl NodePolicy {
-    /// A policy without state. `seed` determines all of its random draws.
+    /// Returns a policy without learned state. `seed` determines all random draws of the policy.
     pub fn new(policy: Policy, settings: Settings, seed: u64, now: Time) -> NodePolicy {
         match policy {
             Policy::Balancer => NodePolicy::Balancer(Box::new(Balancer::new(settings, seed, now))),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Service discovery reports endpoints; `complete` means all that there are.
+    /// Handles endpoints that service discovery reports. `complete` is whether `endpoints` is the whole list.
     pub fn on_endpoints_update(&mut self, now: Time, endpoints: &[EndpointUpdate], complete: bool) {
         match self {
             NodePolicy::Balancer(balancer) => balancer.on_endpoints_update(now, endpoints, complete),
@@ -94,7 +96,7 @@
         }
     }
 
-    /// A client submits a request.
+    /// Handles a client's new request.
     pub fn on_request(&mut self, now: Time, id: RequestId, request: Request) {
         match self {
             NodePolicy::Balancer(balancer) => balancer.on_request(now, id, request),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// An attempt has finished.
+    /// Handles the result of an attempt.
     pub fn on_attempt_finished(&mut self, now: Time, id: RequestId, result: &AttemptResult) {
         match self {
             NodePolicy::Balancer(balancer) => balancer.on_attempt_finished(now, id, result),
@@ -110,14 +112,14 @@
         }
     }
 
-    /// The control plane sends an update. Baseline policies ignore it.
+    /// Handles an update of the control plane. Baseline policies ignore updates.
     pub fn on_control_plane_update(&mut self, now: Time, update: &ControlPlaneUpdate) {
         if let NodePolicy::Balancer(balancer) = self {
             balancer.on_control_plane_update(now, update);
         }
     }
 
-    /// All actions that are due now, in the order in which they must be carried out.
+    /// Returns all actions that are due now, in the order in which the node must carry them out.
     pub fn poll_actions(&mut self, now: Time, occupancy: Occupancy<'_>) -> Vec<Action> {
         match self {
             NodePolicy::Balancer(balancer) => poll_balancer(balancer, now),
@@ -125,7 +127,7 @@
         }
     }
 
-    /// When the policy must be polled again without any input.
+    /// Returns when the policy must be polled again if no input comes before.
     pub fn poll_timeout(&self, now: Time) -> Option<Time> {
         match self {
             NodePolicy::Balancer(balancer) => balancer.poll_timeout(now),
@@ -134,7 +136,8 @@
     }
 }
 
-/// Cancellations come first: they free what the next attempt of the same request may need.
+/// Returns the balancer's pending actions. Cancellations come first, since they free capacity that the next
+/// attempt of the same request may need.
 fn poll_balancer(balancer: &mut Balancer, now: Time) -> Vec<Action> {
     let mut actions = Vec::new();
     loop {
--- a/crates/fleet-simulator/src/server/key_cache.rs
+++ b/crates/fleet-simulator/src/server/key_cache.rs
@@ -1,4 +1,4 @@
-//! The keys that a cache server stores, with eviction of the least recently used.
+//! The keys that a cache server stores. The least recently used keys are evicted first.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,22 +9,22 @@
     capacity: usize,
     last_used: HashMap<Key, u64>,
     by_last_use: BTreeMap<u64, Key>,
-    /// Counts uses; it gives each use a unique, increasing number.
+    /// The number of uses so far, which is the unique, increasing number of the last use.
     use_count: u64,
 }
 
 impl KeyCache {
-    /// An empty cache for this many keys.
+    /// Returns an empty cache for at most this many keys.
     pub fn new(capacity: usize) -> KeyCache {
         KeyCache { capacity, last_used: HashMap::new(), by_last_use: BTreeMap::new(), use_count: 0 }
     }
 
-    /// Number of keys that the cache can store.
+    /// Returns the number of keys that the cache can store.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Whether the key is stored. A lookup counts as a use.
+    /// Returns whether the key is stored. A lookup counts as a use.
     pub fn lookup(&mut self, key: Key) -> bool {
         let is_stored = self.last_used.contains_key(&key);
         if is_stored {
@@ -33,7 +33,8 @@
         is_stored
     }
 
-    /// Stores the key as the most recently used one and evicts others while there are too many.
+    /// Stores the key as the most recently used one, and evicts the least recently used keys beyond the
+    /// capacity.
     pub fn store(&mut self, key: Key) {
         self.use_count += 1;
         if let Some(previous_use) = self.last_used.insert(key, self.use_count) {
--- a/crates/fleet-simulator/src/server/mod.rs
+++ b/crates/fleet-simulator/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! A cache server or the origin: slots at work, a short queue, and stored keys.
+//! A simulated cache server or origin: slots that process jobs, a short queue, and stored keys.
 
 mod key_cache;
 
@@ -9,72 +9,73 @@
 
 pub use key_cache::KeyCache;
 
-/// An attempt as the server processes it.
+/// An attempt as a server processes it.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerJob {
-    /// Index of the node that sent it.
+    /// The index of the node that sent the attempt.
     pub node: usize,
-    /// Incarnation of that node.
+    /// The incarnation of the node that sent the attempt.
     pub incarnation: u32,
-    /// Request that the attempt belongs to.
+    /// The request that the attempt belongs to.
     pub request: u64,
-    /// Number of the attempt within its request.
+    /// The number of the attempt within its request.
     pub number: u8,
-    /// Requested key.
+    /// The requested key.
     pub key: Key,
     /// Whether the request is a write.
     pub write: bool,
-    /// Service time at full speed.
+    /// The service time at speed 1 of a server with full capacity.
     pub work: Span,
     /// Whether the key was not stored when the attempt arrived.
     pub is_miss: bool,
 }
 
-/// What distinguishes servers when they are created.
+/// The parameters of a new server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSpec {
-    /// Zone of the server.
+    /// The zone of the server.
     pub zone: usize,
-    /// Jobs that it processes at once.
+    /// The number of jobs that the server processes at once.
     pub slots: usize,
-    /// Jobs that may wait.
+    /// The number of jobs that may wait.
     pub queue_capacity: usize,
-    /// Speed relative to the nominal one.
+    /// The speed of the server relative to the nominal speed.
     pub speed: f64,
-    /// Keys that it can store.
+    /// The number of keys that the server can store.
     pub key_capacity: usize,
 }
 
-/// A server's state.
+/// The state of a server.
 pub struct Server {
-    /// Zone of the server.
+    /// The zone of the server.
     pub zone: usize,
-    /// Jobs that it processes at once.
+    /// The number of jobs that the server processes at once.
     pub slots: usize,
-    /// Jobs that may wait.
+    /// The number of jobs that may wait.
     pub queue_capacity: usize,
-    /// Speed relative to the nominal one.
+    /// The speed of the server relative to the nominal speed.
     pub speed: f64,
-    /// When it started cold; `None` for a server that was warm from the beginning.
+    /// When the server last started cold; `None` for a server that was warm from the beginning.
     pub started: Option<Time>,
-    /// It does not accept connections and does not respond.
+    /// Whether the server is down: it neither accepts connections nor responds.
     pub is_down: bool,
-    /// It was removed from service discovery for good and finishes the jobs that it has.
+    /// Whether the server has been removed from service discovery for good. Such a server finishes its
+    /// remaining jobs.
     pub is_removed: bool,
-    /// Slots that are in use.
+    /// The number of slots in use.
     pub busy: usize,
-    /// Jobs that wait.
+    /// The jobs that wait for a slot.
     pub queue: VecDeque<ServerJob>,
-    /// Counts crashes. Completions of jobs from an earlier incarnation are void.
+    /// The number of crashes. Completions of jobs of an earlier incarnation are ignored.
     pub incarnation: u32,
-    /// Work of handshakes that is not done yet, in seconds.
+    /// The work of handshakes that the server has not done yet, in seconds.
     pub handshake_backlog_s: f64,
-    /// Keys that it stores.
+    /// The stored keys.
     pub keys: KeyCache,
 }
 
 impl Server {
-    /// A warm, idle server without keys.
+    /// Returns a warm, idle server without keys.
     pub fn new(spec: ServerSpec) -> Server {
         Server {
             zone: spec.zone,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Loses all jobs and keys, as after a power failure, and stays down.
+    /// Stops the server, which loses all jobs and keys, as in a power failure, and stays down.
     pub fn crash(&mut self) {
         self.incarnation += 1;
         self.busy = 0;
@@ -102,17 +103,18 @@
         self.is_down = true;
     }
 
-    /// Whether the server rejects a further job.
+    /// Returns whether the server rejects a further job.
     pub fn is_full(&self) -> bool {
         self.busy + self.queue.len() >= self.slots + self.queue_capacity
     }
 
-    /// Share of its slots and queue that is in use.
+    /// Returns the share of the server's slots and queue that is in use.
     pub fn occupancy(&self) -> f64 {
         (self.busy + self.queue.len()) as f64 / (self.slots + self.queue_capacity) as f64
     }
 
-    /// Share of its capacity that it has now: it rises evenly from `initial` to 1 during `warm_up` after a cold start.
+    /// Returns the share of its full capacity that the server has now. The share rises linearly from
+    /// `initial` to 1 during `warm_up` after a cold start.
     pub fn warmup_factor(&self, now: Time, initial: f64, warm_up: Span) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         initial + (1.0 - initial) * ((now - started).as_secs_f64() / warm_up.as_secs_f64()).min(1.0)
