--- a/crates/fleet-simulator/src/counterfactual/config.rs
+++ b/crates/fleet-simulator/src/counterfactual/config.rs
@@ -1,26 +1,28 @@
-//! What a trace is like.
+//! The parameters of a synthetic trace.
 
-/// How caches, keys and clients differ in a trace. The example's command line takes these names.
+/// How caches, keys and clients of a trace differ from the ordinary. The example's command line takes these
+/// names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// All caches are alike.
+    /// All caches have the same properties.
     Calm,
     /// One cache takes three times as long for all work.
     Slow,
     /// A third of all requests are for three keys.
     Hot,
-    /// A quarter of the caches hold a third of what others hold.
+    /// A quarter of the caches have a third of the others' hit rate.
     Cold,
-    /// A third of the caches are quicker, and four in five heavy requests, of which there are many, go to the quickest of
-    /// their candidates: work confounds choice and time.
+    /// A third of the caches are quicker, and four in five heavy requests, of which there are many, go to the
+    /// quickest of their candidates. The work confounds the choice of the cache and the time.
     Confounded,
-    /// Six in ten requests are cancelled early, heavy ones sooner; one cache is slow.
+    /// Six in ten requests are cancelled early, heavy requests sooner than others. One cache is slow.
     CutShort,
-    /// A quarter of the requests go to a random candidate of the three, as where nodes' views differ much.
+    /// A quarter of the requests go to a random candidate of the three, as if nodes' information about caches
+    /// differed much.
     Scattered,
 }
 
-/// All scenarios, in the order of reports.
+/// All scenarios, in the order in which the example prints them.
 pub const SCENARIOS: [Scenario; 7] = [
     Scenario::Calm,
     Scenario::Scattered,
@@ -42,9 +44,9 @@
     pub nodes: usize,
     /// The number of caches.
     pub caches: u64,
-    /// The length of the trace.
+    /// The length of the trace in seconds.
     pub seconds: f64,
-    /// The number of sampled requests; the estimators don't learn of others.
+    /// The number of sampled requests. The estimators receive no other requests.
     pub requests: usize,
     /// The share of messages that are lost.
     pub loss: f64,
--- a/crates/fleet-simulator/src/counterfactual/generator.rs
+++ b/crates/fleet-simulator/src/counterfactual/generator.rs
@@ -1,5 +1,5 @@
-//! Draws requests. The number and the order of the draws do not depend on what caches are like, so that traces of different
-//! caches share their random numbers.
+//! Random generation of requests. The number and the order of the draws do not depend on the caches'
+//! properties, so that traces with different caches share their random numbers.
 
 use granitelb_balancer::ids::Key;
 use granitelb_balancer::time::Span;
@@ -11,62 +11,74 @@
 use super::config::{Scenario, TraceConfig};
 use super::trace::{PotentialOutcome, SLO, SimulatedRequest, TRACE_START};
 
-/// The number of keys, and the exponent of their popularity.
+/// The number of keys.
 const KEYS: f64 = 3000.0;
+/// The exponent of the Zipf distribution of the keys' popularity.
 const ZIPF_EXPONENT: f64 = 0.8;
-/// Hot keys, and their share of the requests.
+/// The number of hot keys.
 const HOT_KEYS: u64 = 3;
+/// The share of the requests for hot keys.
 const HOT_SHARE: f64 = 0.33;
-/// Salts of the hashes that make keys and their weights.
+/// Salts of the hashes that give keys, the keys' weights and the causes of hits.
 const HOT_KEY_SALT: u64 = 7;
 const KEY_SALT: u64 = 1;
 const KEY_WEIGHT_SALT: u64 = 0xc1a5;
 const HIT_CAUSE_SALT: u64 = 3;
-/// How much of a request's weight is its key's own, and how much is drawn for each request.
+/// The share of a request's weight that depends on its key alone.
 const KEY_SHARE_OF_WEIGHT: f64 = 0.7;
+/// The share of a request's weight that is drawn for each request.
 const REQUEST_SHARE_OF_WEIGHT: f64 = 0.3;
-/// The weights from which on requests are of the second and the third work class.
+/// The least weights of requests of the second and the third work class.
 const CLASS_BOUNDS: [f64; 2] = [0.55, 0.82];
+/// The least weights of requests of the second and the third work class, in traces with many heavy requests.
 const CLASS_BOUNDS_MANY_HEAVY: [f64; 2] = [0.4, 0.6];
 const HEAVIEST_CLASS: u8 = 2;
 /// The client's estimate of the work, by work class.
 const WORK_ESTIMATES: [Span; 3] = [Span::from_millis(1), Span::from_millis(5), Span::from_millis(20)];
-/// The deviation of the logarithm of the work from its estimate.
+/// The standard deviation of the logarithm of the ratio of work to its estimate.
 const WORK_DEVIATION: f64 = 0.4;
-/// Load goes up and down by this share, with this period divided by 2π, in seconds.
-const LOAD_SWING: f64 = 0.6;
-const LOAD_PERIOD_SECONDS: f64 = 37.0;
-/// Means, in seconds: the time in a cache's queue, and the origin's time beyond its least.
+/// The amplitude of the load's sine wave, as a share of the mean load.
+const LOAD_AMPLITUDE: f64 = 0.6;
+/// The period of the load's sine wave divided by 2π, in seconds.
+const LOAD_PERIOD_PER_RADIAN_SECONDS: f64 = 37.0;
+/// The mean time in a cache's queue at mean load, in seconds.
 const MEAN_QUEUEING: f64 = 0.002;
+/// The mean time of the origin beyond [`MIN_ORIGIN_TIME`], in seconds.
 const MEAN_ORIGIN_DELAY: f64 = 0.008;
-/// The least times of a cache's response and of the origin, in seconds.
+/// The shortest time of a cache's response, in seconds.
 const MIN_CACHE_TIME: f64 = 0.001;
+/// The shortest time of the origin's response, in seconds.
 const MIN_ORIGIN_TIME: f64 = 0.012;
-/// The mean of a node's attempts in flight at a candidate.
+/// The mean number of a node's attempts in flight at a candidate, at mean load.
 const MEAN_IN_FLIGHT: f64 = 0.6;
-/// The hit rates of ordinary caches, by position.
+/// The hit rates of ordinary caches, by the cache's position among the key's candidates.
 const HIT_RATES: [f64; MAX_CANDIDATES] = [0.93, 0.45, 0.30];
-/// For how long a cache holds a key or not, in seconds.
+/// The time after which it is drawn anew whether a cache holds a key, in seconds.
 const HOLDING_PERIOD_SECONDS: f64 = 60.0;
 /// The share of requests that caches reject at mean load.
 const REJECTION_RATE: f64 = 0.02;
-/// The work varies between caches from this factor on, by this range.
+/// The smallest factor by which the work of a request varies between caches.
 const MIN_WORK_FACTOR: f64 = 0.9;
+/// The width of the range of the work factor.
 const WORK_FACTOR_RANGE: f64 = 0.2;
-/// The share of heavy requests that go to the quickest candidate, where work confounds choice and time.
+/// The share of heavy requests that go to the quickest candidate in [`Scenario::Confounded`].
 const CONFOUNDED_SHARE: f64 = 0.8;
-/// The share of requests that go to a random candidate, where choices are scattered.
+/// The share of requests that go to a random candidate in [`Scenario::Scattered`].
 const SCATTERED_SHARE: f64 = 0.25;
-/// The shares of requests that are cancelled early, and from when on, in SLOs.
+/// The share of requests that are cancelled early in [`Scenario::CutShort`].
 const CUT_SHORT_SHARE: f64 = 0.6;
+/// The earliest cancellation in [`Scenario::CutShort`], in SLOs.
 const CUT_SHORT_FROM: f64 = 0.15;
+/// The factor by which heavy requests are cancelled sooner in [`Scenario::CutShort`].
 const CUT_SHORT_HEAVY_FACTOR: f64 = 0.7;
+/// The share of the other requests that are cancelled early.
 const CANCELLED_SHARE: f64 = 0.1;
+/// The earliest of these cancellations, in SLOs.
 const CANCELLED_FROM: f64 = 0.3;
-/// When all others are cancelled, in SLOs.
-const PATIENCE: f64 = 2.0;
+/// The time after which requests that are not cancelled early are cancelled, in SLOs.
+const LATEST_CANCELLATION: f64 = 2.0;
 
-/// How a cache differs from an ordinary one, by factors.
+/// The factors by which a cache differs from an ordinary one.
 #[derive(Clone, Copy)]
 struct CacheProfile {
     speed: f64,
@@ -76,7 +88,7 @@
 
 const ORDINARY: CacheProfile = CacheProfile { speed: 1.0, hit_rate: 1.0, in_flight: 1.0 };
 
-/// What is drawn once for a request, for all its candidates.
+/// The values that are drawn once for a request and apply to all of its candidates. Times are in seconds.
 struct SharedDraws {
     at_seconds: f64,
     request_hash: u64,
@@ -89,7 +101,7 @@
     rejection: f64,
 }
 
-/// What is drawn for a request at one candidate.
+/// The values that are drawn for a request at one candidate.
 struct CandidateDraws {
     in_flight: u16,
     outcome: PotentialOutcome,
@@ -101,17 +113,17 @@
     work: LogNormal<f64>,
 }
 
-/// Spreads numbers.
-fn mix(a: u64, b: u64) -> u64 {
+/// Returns a hash of two numbers.
+fn hash_pair(a: u64, b: u64) -> u64 {
     let mut x = a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.rotate_left(32);
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     x ^ (x >> 33)
 }
 
-/// A number from 0 to 1 of its own for each pair.
+/// Returns a hash of two numbers as a number from 0 to 1.
 fn unit_hash(a: u64, b: u64) -> f64 {
-    mix(a, b) as f64 / u64::MAX as f64
+    hash_pair(a, b) as f64 / u64::MAX as f64
 }
 
 fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
@@ -127,7 +139,7 @@
         }
     }
 
-    /// Draws a request, and its ordinary outcome with the same random numbers.
+    /// Returns a randomly drawn request. Its ordinary outcome is drawn with the same random numbers.
     pub fn request(&self, rng: &mut ChaCha8Rng, at_seconds: f64) -> SimulatedRequest {
         let ordinary_first = self.draw(&mut rng.clone(), at_seconds, |cache, position| {
             if position == 0 { ORDINARY } else { self.profile(cache) }
@@ -188,19 +200,19 @@
 
     fn draw_key(&self, rng: &mut ChaCha8Rng) -> Key {
         if self.config.scenario == Scenario::Hot && rng.random_bool(HOT_SHARE) {
-            return Key(mix(HOT_KEY_SALT, rng.random_range(0..HOT_KEYS)));
+            return Key(hash_pair(HOT_KEY_SALT, rng.random_range(0..HOT_KEYS)));
         }
-        Key(mix(KEY_SALT, self.popularity.sample(rng) as u64))
+        Key(hash_pair(KEY_SALT, self.popularity.sample(rng) as u64))
     }
 
-    /// The caches of the lowest hashes for the key.
+    /// Returns the key's candidates: the caches with the lowest hashes for the key.
     fn candidates(&self, key: Key) -> [u64; MAX_CANDIDATES] {
         let mut ranked: Vec<u64> = (0..self.config.caches).collect();
-        ranked.sort_by_key(|cache| mix(key.0, *cache + 1));
+        ranked.sort_by_key(|cache| hash_pair(key.0, *cache + 1));
         std::array::from_fn(|position| ranked[position])
     }
 
-    /// Keys of heavy requests are mostly asked for by such.
+    /// Draws the work class of a request. Most requests for a key are of the same class.
     fn draw_work_class(&self, rng: &mut ChaCha8Rng, key: Key) -> u8 {
         let key_weight = unit_hash(key.0, KEY_WEIGHT_SALT);
         let weight = KEY_SHARE_OF_WEIGHT * key_weight + REQUEST_SHARE_OF_WEIGHT * rng.random::<f64>();
@@ -219,8 +231,8 @@
         key: Key,
         work_estimate: Span,
     ) -> SharedDraws {
-        // What waits in queues, and what nodes have in flight, both go with the load.
-        let load = 1.0 + LOAD_SWING * (at_seconds / LOAD_PERIOD_SECONDS).sin();
+        // The time in queues and the nodes' attempts in flight both depend on the load.
+        let load = 1.0 + LOAD_AMPLITUDE * (at_seconds / LOAD_PERIOD_PER_RADIAN_SECONDS).sin();
         let work = work_estimate.as_secs_f64() * self.work.sample(rng);
         let queueing = exponential(rng, MEAN_QUEUEING * load);
         let origin = MIN_ORIGIN_TIME + exponential(rng, MEAN_ORIGIN_DELAY);
@@ -229,7 +241,8 @@
         SharedDraws { at_seconds, request_hash, key, load, work, queueing, origin, hit, rejection }
     }
 
-    /// Nodes take the first candidate at which they have little in flight; half of them are more patient.
+    /// Draws the position of the candidate to which a node sends a request: the first candidate at which the
+    /// node has few attempts in flight. Half of the nodes tolerate one more attempt in flight.
     fn draw_position(
         &self,
         rng: &mut ChaCha8Rng,
@@ -260,7 +273,7 @@
         if rng.random_bool(CANCELLED_SHARE) {
             return SLO.scaled(CANCELLED_FROM + early);
         }
-        SLO.scaled(PATIENCE)
+        SLO.scaled(LATEST_CANCELLATION)
     }
 }
 
@@ -281,12 +294,13 @@
     profile: CacheProfile,
 ) -> CandidateDraws {
     let in_flight = exponential(rng, MEAN_IN_FLIGHT * shared.load * profile.in_flight) as u16;
-    // Half of what decides a hit is the key's own at that cache for a while, half the request's.
+    // For half of the requests, a hit depends on the key and the cache for a period, for the other half on
+    // the request.
     let period = (shared.at_seconds / HOLDING_PERIOD_SECONDS) as u64;
     let key_draw = unit_hash(shared.key.0 ^ period, cache);
     let hit_rate = HIT_RATES[position] * profile.hit_rate;
-    let is_by_key = mix(shared.request_hash, HIT_CAUSE_SALT).is_multiple_of(2);
-    let is_hit = if is_by_key { key_draw < hit_rate } else { shared.hit < hit_rate };
+    let depends_on_key = hash_pair(shared.request_hash, HIT_CAUSE_SALT).is_multiple_of(2);
+    let is_hit = if depends_on_key { key_draw < hit_rate } else { shared.hit < hit_rate };
     let work_factor = MIN_WORK_FACTOR + WORK_FACTOR_RANGE * rng.random::<f64>();
     let miss_after = MIN_CACHE_TIME + shared.queueing / profile.speed;
     let response_after = if is_hit {
@@ -303,7 +317,7 @@
     CandidateDraws { in_flight, outcome }
 }
 
-/// The first of the quickest candidates.
+/// Returns the position of the first of the quickest candidates.
 fn quickest(speeds: &[f64; MAX_CANDIDATES]) -> usize {
     (0..MAX_CANDIDATES).rev().max_by(|a, b| speeds[*a].total_cmp(&speeds[*b])).unwrap_or(0)
 }
--- a/crates/fleet-simulator/src/counterfactual/replay.rs
+++ b/crates/fleet-simulator/src/counterfactual/replay.rs
@@ -1,4 +1,5 @@
-//! Replays a trace to both sides of the component, over a network that loses, duplicates and delays messages.
+//! Replay of a trace to the forwarders' and the planner's components, over a network that loses, duplicates
+//! and delays messages.
 
 use std::collections::BTreeMap;
 
@@ -20,37 +21,38 @@
 const ORIGIN: EndpointId = EndpointId(u64::MAX);
 const PLANNER: PlannerId = PlannerId(1);
 const INCARNATION: Incarnation = Incarnation(1);
-/// Distinguishes the network's random numbers from those of the trace.
+/// Combined with the trace's seed, so that the network's random numbers differ from those of the trace.
 const NETWORK_SEED: u64 = 0x70_1d;
-/// How often the components are polled.
-const STEP: Span = Span::from_millis(250);
-/// How long a replay goes on after the trace, in seconds.
-const TAIL_SECONDS: f64 = 18.0;
-/// Messages are delayed by less than this, in milliseconds.
+/// The interval at which the components are polled.
+const POLL_INTERVAL: Span = Span::from_millis(250);
+/// The time that a replay continues after the end of the trace, in seconds.
+const SECONDS_AFTER_TRACE: f64 = 18.0;
+/// The exclusive upper bound of a message's delay, in milliseconds.
 const MAX_DELAY_MS: u64 = 2000;
-/// When a rejected request gets its answer.
+/// The time from a request's sending to its rejection by a cache.
 const REJECTED_AFTER: Span = Span(500);
+/// The size of each response in bytes.
 const RESPONSE_BYTES: u32 = 1000;
-/// The most copies of a message that arrive.
+/// The largest number of copies of a message that arrive.
 const MAX_COPIES: usize = 2;
 
 /// The result of a replay.
 pub struct Replay {
-    /// The planner's component at the end.
+    /// The planner's component at the end of the replay.
     pub planner: PlannerComponent,
-    /// The planner's log.
+    /// The events that the planner logged.
     pub planner_events: Vec<Event>,
-    /// The log of the first forwarder, by the planner's messages.
+    /// The events that the first forwarder logged because of the planner's messages.
     pub forwarder_events: Vec<Event>,
-    /// How many messages forwarders sent.
+    /// The number of messages that forwarders sent.
     pub messages: usize,
-    /// The bytes of their bodies.
+    /// The total size of the bodies of the forwarders' messages, in bytes.
     pub bytes: usize,
-    /// The bytes of the largest body.
+    /// The size of the largest body of a forwarder's message, in bytes.
     pub largest_message: usize,
 }
 
-/// Replays a trace until all its messages have arrived.
+/// Replays a trace until all of its messages have arrived, and returns the planner and the counts.
 pub fn replay(trace: &Trace, settings: &Settings) -> Replay {
     let mut attempts = finished_attempts(trace);
     let mut forwarders = Forwarders::new(trace.config.nodes, settings);
@@ -64,10 +66,10 @@
         largest_message: 0,
     };
     replay.planner.on_membership_change(TRACE_START, &forwarders.members);
-    let end = TRACE_START + Span::from_secs_f64(trace.config.seconds + TAIL_SECONDS);
+    let end = TRACE_START + Span::from_secs_f64(trace.config.seconds + SECONDS_AFTER_TRACE);
     let mut now = TRACE_START;
     while now < end {
-        now = now + STEP;
+        now = now + POLL_INTERVAL;
         let later = attempts.split_off(&now);
         for finished in std::mem::replace(&mut attempts, later).into_values() {
             for NodeAttempt { node, ended_at, attempt } in finished {
@@ -76,7 +78,7 @@
             }
         }
         replay.send_reports(now, &mut forwarders, &mut network);
-        for Delivery { from, message } in network.arrived(now) {
+        for Delivery { from, message } in network.take_arrived(now) {
             replay.planner.on_message(now, from, message).expect("a valid message");
         }
         replay.deliver_comparisons(now, &mut forwarders);
@@ -88,7 +90,7 @@
 }
 
 impl Replay {
-    /// Sends what forwarders have to report.
+    /// Sends the pending messages of all forwarders.
     fn send_reports(&mut self, now: Time, forwarders: &mut Forwarders, network: &mut Network) {
         for (node, forwarder) in forwarders.components.iter_mut().enumerate() {
             while let Some((_, message)) = forwarder.poll_message(now) {
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Delivers the planner's messages to the first forwarder, whose log is looked at.
+    /// Delivers the planner's messages to the first forwarder, whose events the replay returns. Messages to
+    /// other forwarders are discarded.
     fn deliver_comparisons(&mut self, now: Time, forwarders: &mut Forwarders) {
         let from = Sender { member: Member::Planner(PLANNER), incarnation: INCARNATION, sequence: 1 };
         while let Some((to, message)) = self.planner.poll_message(now) {
@@ -114,7 +117,7 @@
     }
 }
 
-/// The forwarders of a replay, each with its name.
+/// The forwarders of a replay: their components, and their member ids in the same order.
 struct Forwarders {
     components: Vec<ForwarderComponent>,
     members: Vec<Member>,
@@ -134,14 +137,14 @@
     }
 }
 
-/// When a copy of a message arrives. Copies of one moment are ordered by their numbers.
+/// When a copy of a message arrives. Copies that arrive at the same time are ordered by their numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Time,
     copy: usize,
 }
 
-/// A message on its way.
+/// A message that the network delivers.
 struct Delivery {
     from: Sender,
     message: CounterfactualMessage,
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Sends a message, of which no copy, one or two arrive.
+    /// Sends a message, of which zero, one or two copies arrive.
     fn send(&mut self, now: Time, number: usize, from: Sender, message: CounterfactualMessage) {
         let arrives = !self.rng.random_bool(self.loss);
         let is_duplicated = self.rng.random_bool(self.duplication);
@@ -177,21 +180,21 @@
         }
     }
 
-    /// The messages that have arrived by now, in their order.
-    fn arrived(&mut self, now: Time) -> impl Iterator<Item = Delivery> + use<> {
+    /// Takes the messages that have arrived by now, in order of arrival.
+    fn take_arrived(&mut self, now: Time) -> impl Iterator<Item = Delivery> + use<> {
         let later = self.in_flight.split_off(&Arrival { at: now, copy: usize::MAX });
         std::mem::replace(&mut self.in_flight, later).into_values()
     }
 }
 
-/// An attempt that a node sees end.
+/// A finished attempt with its node and the time of its end.
 struct NodeAttempt {
     node: usize,
     ended_at: Time,
     attempt: FinishedAttempt,
 }
 
-/// All attempts of a trace, by when they end.
+/// Returns all attempts of a trace by the time of their end.
 fn finished_attempts(trace: &Trace) -> BTreeMap<Time, Vec<NodeAttempt>> {
     let mut by_end: BTreeMap<Time, Vec<NodeAttempt>> = BTreeMap::new();
     for request in &trace.requests {
@@ -202,20 +205,20 @@
     by_end
 }
 
-/// The attempts of a request, in their order.
+/// Returns the attempts of a request, in the order of sending.
 fn attempts_of(request: &SimulatedRequest) -> Vec<NodeAttempt> {
-    let ends =
+    let ends_after_sending =
         |after: Span, attempt| NodeAttempt { node: request.node, ended_at: request.at + after, attempt };
     let outcome = request.chosen_outcome();
     if outcome.is_rejected {
         let attempt = first_attempt(request, AttemptOutcome::Rejected, REJECTED_AFTER);
-        return vec![ends(REJECTED_AFTER, attempt)];
+        return vec![ends_after_sending(REJECTED_AFTER, attempt)];
     }
     let is_cancelled = outcome.response_after > request.cancelled_after;
     let ends_after = if is_cancelled { request.cancelled_after } else { outcome.response_after };
     let last_outcome = if is_cancelled { AttemptOutcome::Cancelled } else { AttemptOutcome::Fulfilled };
     if outcome.is_hit || outcome.miss_after > request.cancelled_after {
-        return vec![ends(ends_after, first_attempt(request, last_outcome, ends_after))];
+        return vec![ends_after_sending(ends_after, first_attempt(request, last_outcome, ends_after))];
     }
     let first = first_attempt(request, AttemptOutcome::CacheMiss, outcome.miss_after);
     let at_origin = FinishedAttempt {
@@ -226,7 +229,7 @@
         latency: Span(ends_after.0 - outcome.miss_after.0),
         ..first.clone()
     };
-    vec![ends(outcome.miss_after, first), ends(ends_after, at_origin)]
+    vec![ends_after_sending(outcome.miss_after, first), ends_after_sending(ends_after, at_origin)]
 }
 
 fn first_attempt(request: &SimulatedRequest, outcome: AttemptOutcome, latency: Span) -> FinishedAttempt {
--- a/crates/fleet-simulator/src/counterfactual/trace.rs
+++ b/crates/fleet-simulator/src/counterfactual/trace.rs
@@ -1,4 +1,4 @@
-//! The requests of a trace with their potential outcomes.
+//! A synthetic trace: requests with their potential outcomes.
 
 use granitelb_balancer::ids::Key;
 use granitelb_balancer::time::{Span, Time};
@@ -11,58 +11,59 @@
 
 /// The latency objective of all requests.
 pub const SLO: Span = Span::from_millis(60);
-/// When a trace begins: late enough for ages to reach back to something.
+/// The time at which a trace begins, which is late enough that ages subtracted from it stay positive.
 pub const TRACE_START: Time = Time(1_000_000_000);
 
-/// How a request fares at one candidate.
+/// The outcome that a request has if it is sent to one candidate.
 #[derive(Clone, Copy, Debug)]
 pub struct PotentialOutcome {
     /// Whether the cache rejects the request.
     pub is_rejected: bool,
-    /// Whether the cache has the value.
+    /// Whether the cache holds the value.
     pub is_hit: bool,
-    /// How long after it is sent the cache answers that it doesn't have the value.
+    /// The time from sending the request until the cache reports a cache miss, if it does.
     pub miss_after: Span,
-    /// How long after it is sent the last byte has arrived.
+    /// The time from sending the request until the last byte of the response has arrived.
     pub response_after: Span,
 }
 
 /// A request with its potential outcomes.
 #[derive(Clone, Debug)]
 pub struct SimulatedRequest {
-    /// When it is sent.
+    /// When the request is sent.
     pub at: Time,
-    /// The node that serves it.
+    /// The node that serves the request.
     pub node: usize,
-    /// The hash by which it is sampled.
+    /// The hash by which the request is sampled.
     pub request_hash: u64,
-    /// Its key.
+    /// The requested key.
     pub key: Key,
-    /// The class of its work.
+    /// The class of the request's work.
     pub work_class: u8,
-    /// The client's estimate of its work.
+    /// The client's estimate of the request's work.
     pub work_estimate: Span,
     /// The key's candidates.
     pub candidates: [u64; MAX_CANDIDATES],
     /// The node's attempts in flight at each candidate.
     pub in_flight: [u16; MAX_CANDIDATES],
-    /// How it fares at each candidate.
+    /// The outcome that the request has at each candidate.
     pub outcomes: [PotentialOutcome; MAX_CANDIDATES],
-    /// The position of the candidate to which it is sent.
+    /// The position of the candidate to which the request is sent.
     pub position: usize,
-    /// How it would have fared, with the same random numbers, were its first candidate like most caches.
+    /// The outcome that the request would have, with the same random numbers, if its first candidate were an
+    /// ordinary cache.
     pub ordinary_outcome: PotentialOutcome,
-    /// How long after it is sent it is cancelled, if no response has arrived.
+    /// The time from sending the request until it is cancelled, if no response has arrived by then.
     pub cancelled_after: Span,
 }
 
 impl SimulatedRequest {
-    /// The cache to which it is sent.
+    /// Returns the cache to which the request is sent.
     pub fn chosen_cache(&self) -> u64 {
         self.candidates[self.position]
     }
 
-    /// How it fares where it is sent.
+    /// Returns the outcome at the cache to which the request is sent.
     pub fn chosen_outcome(&self) -> &PotentialOutcome {
         &self.outcomes[self.position]
     }
@@ -70,14 +71,14 @@
 
 /// A synthetic trace.
 pub struct Trace {
-    /// What it was made of.
+    /// The parameters of the trace.
     pub config: TraceConfig,
-    /// Its requests, in order of time.
+    /// The requests, in order of time.
     pub requests: Vec<SimulatedRequest>,
 }
 
 impl Trace {
-    /// Draws a trace; equal configurations give equal traces.
+    /// Returns a randomly drawn trace. Equal configurations give equal traces.
     pub fn new(config: TraceConfig) -> Trace {
         let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
         let generator = Generator::new(config);
--- a/crates/fleet-simulator/src/counterfactual/truth.rs
+++ b/crates/fleet-simulator/src/counterfactual/truth.rs
@@ -1,4 +1,5 @@
-//! The true values of what the estimators estimate, from the potential outcomes, and a naive estimate beside them.
+//! The true values of the estimated quantities, computed from the potential outcomes, and a naive estimate
+//! for comparison.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +8,24 @@
 
 use super::trace::{PotentialOutcome, SLO, SimulatedRequest, Trace};
 
-/// The ends of a normal 95% interval, in standard errors.
+/// Half the width of a normal 95% interval, in standard errors.
 const NORMAL_95: f64 = 1.96;
-/// The intra-key correlation by which the randomized assignment weighs keys.
+/// The intra-key correlation with which the randomized assignment weights keys.
 const INTRA_KEY_CORRELATION: f64 = 0.1;
-/// Shorter times make no difference to anybody, in milliseconds.
-const SHORTEST_MILLISECONDS: f64 = 1.0;
+/// Shorter times count as this time, in milliseconds, since the difference matters to no client.
+const MIN_COUNTED_MILLISECONDS: f64 = 1.0;
 
 /// A difference of plain means, with half the width of its 95% interval.
 #[derive(Clone, Copy, Debug)]
 pub struct NaiveDifference {
     /// The difference.
     pub mean: f64,
-    /// Half the width of its interval.
+    /// Half the width of the 95% interval.
     pub half_width: f64,
 }
 
 impl Trace {
-    /// What a request would have got at one of its candidates.
+    /// Returns the outcome of a request at the candidate in this position, by this measure.
     pub fn true_outcome(request: &SimulatedRequest, position: usize, measure: OutcomeMeasure) -> f64 {
         let outcome = &request.outcomes[position];
         let is_late = outcome.is_rejected || outcome.response_after > SLO;
@@ -35,8 +36,8 @@
         }
     }
 
-    /// How much more requests would truly have got at a cache than at their other candidates, over the strata of an
-    /// estimate.
+    /// Returns the true mean difference between the outcomes of requests at a cache and at their other
+    /// candidates, over the strata of an estimate.
     pub fn true_effect(&self, cache: u64, strata: &[Stratum], measure: OutcomeMeasure) -> f64 {
         let count = |stratum: &Stratum| self.requests_with_candidate(cache, stratum.work_class).count();
         let total: usize = strata.iter().map(count).sum();
@@ -61,26 +62,27 @@
             .filter(move |request| request.work_class == work_class && request.candidates.contains(&cache))
     }
 
-    /// How much longer requests whose first candidate a cache is truly took, by the logarithm, than had it been like most
-    /// caches; each key weighed as the randomized assignment does.
+    /// Returns the true mean logarithm of the ratio of two times, for requests whose first candidate is this
+    /// cache: the time taken, and the time if the cache were an ordinary one. Keys are weighted as in the
+    /// randomized assignment.
     pub fn true_log_time_ratio(&self, cache: u64) -> f64 {
-        let mut keys: BTreeMap<Key, Vec<f64>> = BTreeMap::new();
+        let mut differences_by_key: BTreeMap<Key, Vec<f64>> = BTreeMap::new();
         for request in self.requests.iter().filter(|request| request.candidates[0] == cache) {
-            let excess = log_time(request.chosen_outcome()) - log_time(&request.ordinary_outcome);
-            keys.entry(request.key).or_default().push(excess);
+            let difference = log_time(request.chosen_outcome()) - log_time(&request.ordinary_outcome);
+            differences_by_key.entry(request.key).or_default().push(difference);
         }
         let mut sum = 0.0;
         let mut total_weight = 0.0;
-        for excesses in keys.values() {
-            let count = excesses.len() as f64;
+        for differences in differences_by_key.values() {
+            let count = differences.len() as f64;
             let weight = count / (1.0 + (count - 1.0) * INTRA_KEY_CORRELATION);
-            sum += weight * excesses.iter().sum::<f64>() / count;
+            sum += weight * differences.iter().sum::<f64>() / count;
             total_weight += weight;
         }
         sum / total_weight.max(1.0)
     }
 
-    /// The mean had every request been sent to each position with the probabilities that the policy gives.
+    /// Returns the mean outcome if each request were sent to each position with the policy's probabilities.
     pub fn true_policy_value(
         &self,
         measure: OutcomeMeasure,
@@ -95,7 +97,8 @@
         self.requests.iter().map(value).sum::<f64>() / self.requests.len() as f64
     }
 
-    /// How much more of the SLO requests at a cache take than those at all others, by plain means of answered requests.
+    /// Returns the difference between the mean share of the SLO that answered requests take at a cache and at
+    /// all other caches, without any adjustment.
     pub fn naive_difference(&self, cache: u64) -> NaiveDifference {
         let own = self.naive_mean(|request| request.chosen_cache() == cache);
         let others = self.naive_mean(|request| request.chosen_cache() != cache);
@@ -127,7 +130,8 @@
     variance: f64,
 }
 
-/// The true difference of a request between one position and the others that are compared.
+/// Returns the difference between a request's true outcome in one position and the mean over the other
+/// compared positions.
 fn true_difference(
     request: &SimulatedRequest,
     position: usize,
@@ -139,8 +143,9 @@
     Trace::true_outcome(request, position, measure) - sum / (positions.len() - 1) as f64
 }
 
-/// A request's time by its logarithm, in milliseconds; what is not answered within the SLO takes all of it.
+/// Returns the logarithm of a request's time in milliseconds. A request that is rejected or not answered
+/// within the SLO counts as taking the whole SLO.
 fn log_time(outcome: &PotentialOutcome) -> f64 {
     let waited = if outcome.is_rejected { SLO } else { outcome.response_after.min(SLO) };
-    (waited.as_secs_f64() * 1000.0).max(SHORTEST_MILLISECONDS).ln()
+    (waited.as_secs_f64() * 1000.0).max(MIN_COUNTED_MILLISECONDS).ln()
 }
