--- a/crates/fleet-simulator/src/cli.rs
+++ b/crates/fleet-simulator/src/cli.rs
@@ -1,21 +1,21 @@
-//! Command line of the simulator.
+//! The command line of the simulator.
 
 use std::fmt;
 
 use bpaf::{OptionParser, Parser};
 use granitelb_fleet_simulator::{ControlPlaneScope, Outage, Policy, Scenario, days};
 
-/// A fleet's configuration permits no more planners.
+/// The largest number of planners that a fleet's configuration permits.
 const MAX_PLANNERS: usize = 5;
-/// Fewest caches of a fleet.
+/// The smallest number of caches of a fleet.
 const MIN_CACHES: usize = 3;
-/// The sizes that run if none is named.
+/// The fleet sizes that run if the command line names no size.
 const DEFAULT_SIZES: [FleetSize; 2] =
     [FleetSize { nodes: 300, caches: 200 }, FleetSize { nodes: 20, caches: 20 }];
-/// Exclusive upper limit of the load.
+/// The exclusive upper limit of the load.
 const MAX_LOAD: f64 = 5.0;
 
-/// Size of a fleet.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     pub nodes: usize,
@@ -28,11 +28,11 @@
     }
 }
 
-/// What to run: each combination of day, policy, size and seed.
+/// The options of a run. Each combination of day, policy, size and seed is simulated.
 pub struct Options {
     pub policies: Vec<Policy>,
     pub sizes: Vec<FleetSize>,
-    /// Seeds from 1 to this number.
+    /// The last seed; seeds run from 1 to this number.
     pub seeds: u64,
     pub load: f64,
     pub planners: usize,
@@ -41,7 +41,7 @@
     pub days: Vec<String>,
 }
 
-/// An argument that has no valid value.
+/// An argument whose value is invalid.
 enum ArgumentError {
     Policy(String),
     CandidateCount(String),
@@ -54,15 +54,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ArgumentError::Policy(text) => {
-                write!(f, "{text}: expected module, random, random:N or seeing:N")
+                write!(f, "unknown policy `{text}`: expected module, random, random:N or seeing:N")
             }
             ArgumentError::CandidateCount(text) => {
-                write!(f, "{text}: expected a number of candidates after the colon")
+                write!(
+                    f,
+                    "policy `{text}` has no valid number of candidates: expected a whole number after the colon"
+                )
+            }
+            ArgumentError::Size(text) => write!(
+                f,
+                "invalid fleet size `{text}`: expected at least 1 node and {MIN_CACHES} caches, such as 300x200"
+            ),
+            ArgumentError::ControlPlane(text) => {
+                write!(f, "unknown control plane scope `{text}`: expected verdicts, leases or all")
             }
-            ArgumentError::Size(text) => write!(f, "{text}: expected nodes and caches, such as 300x200"),
-            ArgumentError::ControlPlane(text) => write!(f, "{text}: expected verdicts, leases or all"),
             ArgumentError::Interval(text) => {
-                write!(f, "{text}: expected two times in seconds, such as 5-15")
+                write!(
+                    f,
+                    "invalid outage `{text}`: expected its start and its later end in seconds, such as 5-15"
+                )
             }
         }
     }
@@ -119,7 +130,10 @@
 
 fn policies() -> impl Parser<Vec<Policy>> {
     bpaf::long("policy")
-        .help("module, random, random:N (of a key's N highest), seeing:N; may be repeated")
+        .help(
+            "policy of the nodes: module (the real balancer), random, random:N (a random one of a key's N \
+             highest-ranked caches) or seeing:N (the least occupied one of them); may be repeated",
+        )
         .argument::<String>("POLICY")
         .parse(parse_policy)
         .many()
@@ -128,7 +142,7 @@
 
 fn sizes() -> impl Parser<Vec<FleetSize>> {
     bpaf::long("size")
-        .help("nodes and caches, such as 300x200; may be repeated")
+        .help("numbers of nodes and caches, such as 300x200; may be repeated")
         .argument::<String>("NxC")
         .parse(parse_size)
         .many()
@@ -145,13 +159,13 @@
 
 fn planner_outage() -> impl Parser<Option<Outage>> {
     bpaf::long("dead")
-        .help("when all planners are down, in seconds of the day, such as 5-15")
+        .help("time in which all planners are down, in seconds of the day, such as 5-15")
         .argument::<String>("FROM-TO")
         .parse(parse_outage)
         .optional()
 }
 
-/// The parser of the command line.
+/// Returns the parser of the command line.
 pub fn options() -> OptionParser<Options> {
     let policies = policies();
     let sizes = sizes();
@@ -159,17 +173,19 @@
     let load = bpaf::long("load")
         .help("offered work as a share of the caches' capacity")
         .argument::<f64>("SHARE")
-        .guard(|load| *load > 0.0 && *load < MAX_LOAD, "a share over 0 and under 5")
+        .guard(|load| *load > 0.0 && *load < MAX_LOAD, "the load must be over 0 and under 5")
         .fallback(Scenario::default().load);
     let planners = bpaf::long("planners")
-        .help("number of planners; without planners each node learns alone")
+        .help("number of planners; with 0 planners each node learns only from its own attempts")
         .argument::<usize>("N")
-        .guard(|planners| *planners <= MAX_PLANNERS, "up to 5")
+        .guard(|planners| *planners <= MAX_PLANNERS, "there can be at most 5 planners")
         .fallback(0);
     let control_plane = control_plane();
     let planner_outage = planner_outage();
     let is_known = |day: &String| days::faults_of_day(day).is_some();
-    let days = bpaf::positional::<String>("DAY").guard(is_known, "no such day").some("name a day");
+    let days = bpaf::positional::<String>("DAY")
+        .guard(is_known, "unknown day; --help lists the days")
+        .some("expected at least one day; --help lists the days");
     bpaf::construct!(Options { policies, sizes, seeds, load, planners, control_plane, planner_outage, days })
         .to_options()
         .descr("Runs days of a simulated fleet of nodes with the real balancer")
--- a/crates/fleet-simulator/src/counterfactual.rs
+++ b/crates/fleet-simulator/src/counterfactual.rs
@@ -1,9 +1,10 @@
 //! Synthetic traces with known counterfactuals, against which the estimates of
 //! [`granitelb_coordination::counterfactual`] are checked.
 //!
-//! Of each request it is drawn how it fares at each of its candidates (its potential outcomes), with the same random
-//! numbers for all of them, and a selection rule of the nodes picks one. The estimators learn of that one alone; the
-//! others give the truth. One request does not move load here, as the estimators have to assume.
+//! For each request, the outcomes at all of its candidates (its potential outcomes) are drawn with the same
+//! random numbers, and the nodes' selection rule chooses one candidate. The estimators receive the outcome at
+//! the chosen candidate only; the other outcomes give the true values. As the estimators must assume, a
+//! request does not change the load of its cache.
 
 mod config;
 mod generator;
--- a/crates/fleet-simulator/src/days.rs
+++ b/crates/fleet-simulator/src/days.rs
@@ -1,15 +1,15 @@
-//! Named days: fixed lists of faults that the binary and the examples run by name.
+//! Named days. A day is a fixed list of faults, which the binary and the examples run by name.
 
 use crate::faults::{Fault, FaultKind};
 
-/// The names that [`faults_of_day`] accepts.
+/// The names of all days that [`faults_of_day`] accepts.
 pub const DAY_NAMES: &[&str] =
     &["calm", "burst", "hot", "hang", "slow", "split", "zone", "join", "herd", "restart"];
 
-/// A slowdown that affects every eighth cache.
+/// A slowdown of an eighth of the caches to a quarter of their speed.
 const SLOW_CACHES: FaultKind = FaultKind::Slow { share: 0.125, factor: 4.0 };
 
-/// The faults of a named day, or `None` if no day has this name.
+/// Returns the faults of a named day, or `None` if no day has this name.
 pub fn faults_of_day(name: &str) -> Option<Vec<Fault>> {
     let faults = match name {
         "calm" => Vec::new(),
--- a/crates/fleet-simulator/src/event_queue.rs
+++ b/crates/fleet-simulator/src/event_queue.rs
@@ -1,12 +1,12 @@
-//! A queue of timed events. Events of the same time come in the order in which they were scheduled, so that a run depends
-//! on its seed alone.
+//! A queue of timed events. Events of the same time are returned in the order in which they were scheduled,
+//! so that a run depends only on its seed.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use granitelb_balancer::time::Time;
 
-/// An event and when it happens.
+/// An event and the time for which it is scheduled.
 pub(crate) struct ScheduledEvent<K> {
     pub(crate) at: Time,
     sequence: u64,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Events that are still to happen.
+/// The events that have not been returned yet, ordered by time and then by scheduling.
 pub(crate) struct EventQueue<K> {
     events: BinaryHeap<Reverse<ScheduledEvent<K>>>,
     last_sequence: u64,
@@ -49,13 +49,13 @@
         self.events.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, kind }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event, or `None` if the queue is empty.
     pub(crate) fn pop(&mut self) -> Option<ScheduledEvent<K>> {
         self.events.pop().map(|Reverse(event)| event)
     }
 
-    /// The number of events that were ever scheduled.
-    pub(crate) fn scheduled(&self) -> u64 {
+    /// Returns the number of events that have been scheduled since the start, including returned events.
+    pub(crate) fn scheduled_count(&self) -> u64 {
         self.last_sequence
     }
 }
--- a/crates/fleet-simulator/src/faults.rs
+++ b/crates/fleet-simulator/src/faults.rs
@@ -1,17 +1,17 @@
-//! Faults that a scenario injects into the fleet.
+//! Faults that a simulation of the fleet injects.
 
 /// A fault and the interval in which it is active, in seconds from the start of the day.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What fails.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Start of the fault, inclusive, in seconds.
+    /// The start of the fault, inclusive, in seconds from the start of the day.
     pub from: f64,
-    /// End of the fault, exclusive, in seconds.
+    /// The end of the fault, exclusive, in seconds from the start of the day.
     pub to: f64,
 }
 
-/// What fails, and how much of the fleet is affected.
+/// The kind of a fault, with the affected part of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// The request rate is multiplied by this factor.
@@ -22,29 +22,30 @@
     Hang(f64),
     /// Some caches work slower.
     Slow {
-        /// Share of the caches that are affected.
+        /// The share of the caches that are affected.
         share: f64,
-        /// Factor by which their service time grows.
+        /// The factor by which the service time of the affected caches grows.
         factor: f64,
     },
     /// The network between the first zone and all others is partitioned. Service discovery does not change.
     ZoneCut,
-    /// The caches of the first zone fail without notice and return cold and empty. Service discovery reports it late.
+    /// The caches of the first zone fail without notice and return cold and empty. Service discovery reports
+    /// their return late.
     ZoneLost,
-    /// This share of the caches is replaced, evenly over the interval: each old one drains while a new, cold one is
-    /// added.
+    /// This share of the caches is replaced, spread evenly over the interval: each old cache drains while a
+    /// new, cold cache is added.
     Replace(f64),
-    /// This share of the nodes is killed at the start of the fault. They restart without state.
+    /// This share of the nodes is killed at the start of the fault. Killed nodes restart without state.
     NodesKilled(f64),
 }
 
 impl Fault {
-    /// A fault of this kind, active from `from` to `to` (seconds from the start of the day).
+    /// Returns a fault of this kind, active from `from` to `to` (seconds from the start of the day).
     pub fn new(kind: FaultKind, from: f64, to: f64) -> Fault {
         Fault { kind, from, to }
     }
 
-    /// Whether the fault is active at this time, in seconds from the start of the day.
+    /// Returns whether the fault is active at this time, in seconds from the start of the day.
     pub fn is_active(&self, at: f64) -> bool {
         at >= self.from && at < self.to
     }
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -1,11 +1,11 @@
 //! Seeded discrete-event simulation of a whole fleet in one process.
 //!
-//! The crowded fleet ([`run`]) has hundreds of nodes that each run the real balancer, cache servers with one slot and a
-//! short queue, an origin, clients that retry, and injected faults. The other modules hold smaller models of single
-//! parts of the system.
+//! The fleet simulation ([`run`]) has hundreds of nodes that each run the real balancer, cache servers with
+//! one slot and a short queue, an origin, clients that retry, and injected faults. The other modules hold
+//! smaller simulations of single parts of the system.
 //!
-//! All random draws come from a seed: two runs of one [`Scenario`] give equal results. Figures from this crate are
-//! simulated and must be called so wherever they are quoted.
+//! All random draws come from a seed: two runs of one [`Scenario`] give equal results. Figures from this
+//! crate are simulated, and must be called simulated wherever they are quoted.
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -7,9 +7,9 @@
 use cli::Options;
 use granitelb_fleet_simulator::{RunResult, Scenario, days, run};
 
-/// Length of the interval whose service level is the worst, in seconds.
+/// The length of the intervals over which the worst service level is searched, in seconds.
 const WORST_INTERVAL_S: usize = 10;
-/// Columns of the table.
+/// The columns of the table.
 const COLUMNS: [&str; 13] = [
     "day",
     "policy",
@@ -35,7 +35,7 @@
     }
 }
 
-/// Runs all combinations of a day and prints a row for each.
+/// Runs all combinations of policy, size and seed for a day, and prints a row for each.
 fn run_day(options: &Options, day: &str) {
     // The parser accepts only known days.
     let Some(faults) = days::faults_of_day(day) else { return };
@@ -60,7 +60,8 @@
     }
 }
 
-/// Counts are shares of the requests; rejections are a share of the attempts at caches.
+/// Returns the result columns of a row. Counts are divided by the number of requests, rejections by the
+/// number of attempts at caches.
 fn format_row(result: &RunResult) -> String {
     let counts = [
         result.handshakes,
--- a/crates/fleet-simulator/src/popularity.rs
+++ b/crates/fleet-simulator/src/popularity.rs
@@ -1,4 +1,4 @@
-//! Popularity and work of keys, and how many of them the caches retain.
+//! The popularity and the work of keys, and the number of keys that caches retain.
 
 use granitelb_balancer::ids::Key;
 use rand::SeedableRng;
@@ -7,34 +7,35 @@
 
 use crate::scenario::Scenario;
 
-/// Fewest keys that the search for the number of keys considers.
+/// The smallest number of keys that the search for the number of keys considers.
 const MIN_KEYS: usize = 10;
-/// Most keys that the search considers.
+/// The largest number of keys that the search for the number of keys considers.
 const MAX_KEYS: usize = 4_000_000;
-/// The search stops at a precision of one part in this many.
+/// The search for the number of keys stops at a precision of one part in this many.
 const KEY_SEARCH_PRECISION: usize = 50;
-/// Separates the draws of keys' work from all other draws of the seed.
+/// Combined with the scenario's seed, so that the draws of keys' work differ from all others.
 const KEY_WORK_SEED: u64 = 0x512e;
 
-/// The keys of a scenario, in order of falling popularity.
+/// The keys of a scenario, most popular key first.
 pub struct Popularity {
-    /// Work of each key as a multiple of the mean.
+    /// The work of each key as a multiple of the mean work.
     key_work: Vec<f64>,
-    /// Cumulative shares of the requests, most popular key first.
+    /// The cumulative shares of the requests, most popular key first.
     cumulative_shares: Vec<f64>,
 }
 
-/// What one cache as large as all caches together would hold.
+/// The expected contents of one cache that is as large as all caches together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PooledCache {
-    /// Share of the reads that it answers.
+    /// The share of the reads that the pooled cache answers.
     pub hit_ratio: f64,
-    /// Mean number of keys that it retains.
+    /// The mean number of keys that the pooled cache retains.
     pub keys: f64,
 }
 
 impl Popularity {
-    /// Draws the keys of a scenario. Their number is such that the pooled cache has the scenario's hit ratio.
+    /// Returns the keys of a scenario, with randomly drawn work. The number of keys is such that the pooled
+    /// cache has the scenario's hit ratio.
     pub fn new(scenario: &Scenario) -> Popularity {
         let mut low = MIN_KEYS;
         let mut high = MAX_KEYS;
@@ -64,8 +65,8 @@
         Popularity { key_work: Vec::new(), cumulative_shares }
     }
 
-    /// Draws the work of each key. The mean is weighted by requests and not by keys: a popular key with much work must
-    /// not add load to the day.
+    /// Draws the work of each key. The mean is weighted by requests, not by keys, so that a popular key with
+    /// much work does not add load to the day.
     fn draw_key_work(&mut self, scenario: &Scenario) {
         let spread = LogNormal::new(0.0, scenario.key_work_spread).expect("the spread is finite");
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ KEY_WORK_SEED);
@@ -74,7 +75,7 @@
         self.key_work = drawn.into_iter().map(|work| work / mean).collect();
     }
 
-    /// Each key's share of the requests.
+    /// Returns each key's share of the requests.
     fn shares(&self) -> impl Iterator<Item = f64> {
         self.cumulative_shares.iter().scan(0.0, |previous, sum| {
             let share = sum - *previous;
@@ -83,7 +84,7 @@
         })
     }
 
-    /// The pooled cache that retains a key for `retention_s` after each read.
+    /// Returns the expected contents of a pooled cache that retains a key for `retention_s` after each read.
     pub fn pooled_cache(&self, scenario: &Scenario) -> PooledCache {
         let reads = scenario.request_rate() * (1.0 - scenario.write_ratio) * scenario.retention_s;
         let mut pooled = PooledCache { hit_ratio: 0.0, keys: 0.0 };
@@ -95,12 +96,13 @@
         pooled
     }
 
-    /// Work of a key as a multiple of the mean. Keys outside of the popularity law have the mean work.
+    /// Returns the work of a key as a multiple of the mean work. Keys outside the popularity distribution
+    /// have the mean work.
     pub fn work_factor(&self, key: Key) -> f64 {
         self.key_work.get(key.0 as usize).copied().unwrap_or(1.0)
     }
 
-    /// The key for an even draw from 0 to 1.
+    /// Returns the key at a quantile, from 0 to 1, of the popularity distribution.
     pub fn key_at(&self, quantile: f64) -> Key {
         Key(self.cumulative_shares.partition_point(|sum| *sum < quantile) as u64)
     }
--- a/crates/fleet-simulator/src/scenario.rs
+++ b/crates/fleet-simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The input of a run: size of the fleet, load, servers, faults and control plane.
+//! The parameters of a fleet simulation: size of the fleet, load, servers, faults and control plane.
 
 use std::ops::{Range, RangeInclusive};
 
@@ -7,10 +7,10 @@
 use crate::faults::Fault;
 use crate::policy::Policy;
 
-/// One fleet and one day of it. Times in seconds count from the start of the day.
+/// The parameters of one simulated day of one fleet. Times in seconds count from the start of the day.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// What selects an endpoint at each node.
+    /// The policy that selects endpoints at each node.
     pub policy: Policy,
     /// Number of nodes.
     pub nodes: usize,
@@ -22,55 +22,60 @@
     pub load: f64,
     /// Standard deviation of the logarithm of a node's share of the requests.
     pub node_spread: f64,
-    /// Queue slots of a cache, beside the one at work; drawn for each cache from this range.
+    /// The number of requests that may wait at a cache, besides the request in service. Drawn for each cache
+    /// from this range.
     pub queue_slots: RangeInclusive<usize>,
-    /// Mean work of a read that a cache can answer.
+    /// Mean work of a read that hits a cache.
     pub mean_work: Span,
     /// Coefficient of variation of the work of a read.
     pub work_variation: f64,
     /// Standard deviation of the logarithm of a key's work. Requests carry the work of their key.
     pub key_work_spread: f64,
-    /// Exponent of the popularity law: popularity is (rank + offset) to the power of minus this.
+    /// Exponent of the popularity distribution: a key's popularity is (rank + offset) to the power of minus
+    /// this.
     pub zipf_exponent: f64,
-    /// Offset of the rank in the popularity law.
+    /// Offset of the rank in the popularity distribution.
     pub zipf_offset: f64,
     /// Hit ratio of one cache as large as all caches together.
     pub pooled_hit_ratio: f64,
-    /// How long that pooled cache retains a key after a request, in seconds.
+    /// How long the pooled cache (one cache as large as all caches together) retains a key after a read, in
+    /// seconds.
     pub retention_s: f64,
-    /// Capacity of the origin as a multiple of the usual misses and writes.
+    /// Capacity of the origin as a multiple of the usual cache misses and writes.
     pub origin_headroom: f64,
-    /// Service time of the origin.
+    /// Mean service time of a read at the origin.
     pub origin_service_time: Span,
     /// Share of the requests that are writes.
     pub write_ratio: f64,
-    /// Work that a new connection costs a cache.
+    /// Work of a cache for a new connection.
     pub handshake_work: Span,
     /// Network round trips of a new connection.
     pub handshake_round_trips: f64,
-    /// After this time a server closes an idle connection.
+    /// The time after which a server closes an idle connection.
     pub idle_timeout: Span,
-    /// After this time an attempt without a connection fails.
+    /// The time after which an attempt without a connection fails.
     pub connect_timeout: Span,
     /// Mean one-way latency within a zone.
     pub intra_zone_latency: Span,
     /// Mean one-way latency between zones.
     pub inter_zone_latency: Span,
-    /// Service discovery reports a change after a delay drawn from this range, in seconds.
+    /// The range from which the delay of a report by service discovery is drawn, in seconds.
     pub discovery_delay_s: Range<f64>,
     /// Probability that a client retries once after a rate limit or an error.
     pub retry_probability: f64,
-    /// Probability that a retrying client respects Retry-After. Others retry after a fixed short delay.
+    /// Probability that a retrying client respects Retry-After. Other clients retry after a fixed short
+    /// delay.
     pub retry_after_compliance: f64,
-    /// Seconds before the day in which caches are filled while the origin accepts everything.
+    /// Length of the warm-up before the day, in seconds. Caches fill during the warm-up, while the origin
+    /// accepts all requests.
     pub warm_up_s: f64,
     /// Length of the day in seconds.
     pub duration_s: f64,
     /// Faults of the day.
     pub faults: Vec<Fault>,
-    /// Number of planners. Without planners each node learns alone.
+    /// Number of planners. With 0 planners, each node learns only from its own attempts.
     pub planners: usize,
-    /// What nodes and planners coordinate.
+    /// The components that nodes and planners run.
     pub control_plane: ControlPlaneScope,
     /// Leased fetches of the origin as a multiple of its capacity.
     pub leased_capacity_factor: f64,
@@ -78,15 +83,15 @@
     pub guaranteed_per_mille: u32,
     /// Thousandths of the leased fetches that are granted as long-term allocations.
     pub long_term_per_mille: u32,
-    /// Share of control-plane messages that are lost.
+    /// Share of control plane messages that are lost.
     pub message_loss: f64,
-    /// When all planners are down, if ever. They return without state.
+    /// The interval in which all planners are down, if any. The planners return without state.
     pub planner_outage: Option<Outage>,
     /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// An interval in seconds from the start of the day.
+/// An interval in which all planners are down, in seconds from the start of the day.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
     /// Start in seconds.
@@ -95,12 +100,12 @@
     pub to_s: f64,
 }
 
-/// What nodes and planners coordinate.
+/// The components of the control plane that nodes and planners run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlPlaneScope {
     /// Shared endpoint health and the assignment of probes.
     pub endpoint_health: bool,
-    /// Leases of the origin's fetches and of warming caches' capacity.
+    /// Leases of the origin's fetches and of the capacity of caches that warm up.
     pub leases: bool,
 }
 
@@ -159,15 +164,15 @@
 
 /// The SLO of both request classes, counted from the first submission.
 pub const SLO: Span = Span::from_millis(600);
-/// A client gives up a read after this time.
+/// The time after which a client stops waiting for the response to a read.
 pub const READ_TIMEOUT: Span = Span::from_millis(1200);
-/// A client gives up a write after this time.
+/// The time after which a client stops waiting for the response to a write.
 pub const WRITE_TIMEOUT: Span = Span::from_millis(1500);
-/// Attempts that a node may make for one request.
+/// The largest number of attempts that a node may send for one request.
 pub const MAX_ATTEMPTS: u8 = 4;
 
 impl Scenario {
-    /// Requests per second over the whole fleet that offer the stated load to the caches.
+    /// Returns the request rate of the whole fleet, per second, that gives the caches the scenario's load.
     pub fn request_rate(&self) -> f64 {
         self.load * self.caches as f64 / self.mean_work.as_secs_f64() / (1.0 - self.write_ratio)
     }
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -76,7 +76,7 @@
     /// Replaces a node's balancer by a new one that is notified of all caches at once. The node's pending
     /// requests are lost.
     pub(super) fn restart_node(&mut self, node: usize) {
-        let balancer = self.new_balancer(self.events.scheduled());
+        let balancer = self.new_balancer(self.events.scheduled_count());
         let servers = self.servers.iter().enumerate();
         let known_starts = servers.filter_map(|(cache, server)| Some((cache, server.started?))).collect();
         let node = &mut self.nodes[node];
