--- a/crates/fleet-simulator/src/counterfactual/generator.rs
+++ b/crates/fleet-simulator/src/counterfactual/generator.rs
@@ -53,7 +53,7 @@
 const MEAN_IN_FLIGHT: f64 = 0.6;
 /// The hit rates of ordinary caches, by the cache's position among the key's candidates.
 const HIT_RATES: [f64; MAX_CANDIDATES] = [0.93, 0.45, 0.30];
-/// The time after which it is drawn anew whether a cache holds a key, in seconds.
+/// The period for which a cache either holds a key or does not, in seconds.
 const HOLDING_PERIOD_SECONDS: f64 = 60.0;
 /// The share of requests that caches reject at mean load.
 const REJECTION_RATE: f64 = 0.02;
@@ -71,11 +71,11 @@
 const CUT_SHORT_FROM: f64 = 0.15;
 /// The factor by which heavy requests are cancelled sooner in [`Scenario::CutShort`].
 const CUT_SHORT_HEAVY_FACTOR: f64 = 0.7;
-/// The share of the other requests that are cancelled early.
+/// The share of the other requests, in every scenario, that are cancelled early.
 const CANCELLED_SHARE: f64 = 0.1;
-/// The earliest of these cancellations, in SLOs.
+/// The earliest of the early cancellations outside [`Scenario::CutShort`], in SLOs.
 const CANCELLED_FROM: f64 = 0.3;
-/// The time after which requests that are not cancelled early are cancelled, in SLOs.
+/// The time after which the remaining requests are cancelled, in SLOs.
 const LATEST_CANCELLATION: f64 = 2.0;
 
 /// The factors by which a cache differs from an ordinary one.
