--- a/crates/fleet-simulator/examples/probe_assignment.rs
+++ b/crates/fleet-simulator/examples/probe_assignment.rs
@@ -60,7 +60,8 @@
     println!(
         "| {name} | {} | {} | {} | {} | {} |",
         spread_of(|scenario, result| Some(
-            result.late_wasted_attempts as f64 / (scenario.hang.to - scenario.hang.from - HANG_DETECTION_S)
+            result.late_attempts_at_hung_caches as f64
+                / (scenario.hang.to - scenario.hang.from - HANG_DETECTION_S)
         )),
         spread_of(|_, result| result.longest_probe_gap),
         spread_of(|_, result| result.recovery_time),
--- a/crates/fleet-simulator/examples/two_levels.rs
+++ b/crates/fleet-simulator/examples/two_levels.rs
@@ -15,8 +15,8 @@
         "| {label} | {:.2}% | {:.2}% | {} | {} | {recovery} | {} | {:.0} |",
         percent(result.fulfilled_in_time),
         percent(result.errored),
-        result.wasted_attempts,
-        result.late_wasted_attempts,
+        result.attempts_at_hung_caches,
+        result.late_attempts_at_hung_caches,
         result.messages,
         result.message_bytes as f64 / result.messages.max(1) as f64
     );
--- a/crates/fleet-simulator/src/control_plane/faults.rs
+++ b/crates/fleet-simulator/src/control_plane/faults.rs
@@ -62,19 +62,19 @@
     }
 
     /// Counts an attempt at a hung cache, and measures the time since the last such attempt.
-    pub(super) fn record_wasted_attempt(&mut self) {
+    pub(super) fn record_attempt_at_hung_cache(&mut self) {
         let hang_begin = self.scenario.hang.from;
-        self.result.wasted_attempts += 1;
+        self.result.attempts_at_hung_caches += 1;
         if self.now >= time_at(hang_begin + LATE_AFTER) {
-            self.result.late_wasted_attempts += 1;
+            self.result.late_attempts_at_hung_caches += 1;
         }
-        let gap_begin = self.last_wasted_attempt.max(time_at(hang_begin + PROBE_GAPS_AFTER));
+        let gap_begin = self.last_attempt_at_hung_cache.max(time_at(hang_begin + PROBE_GAPS_AFTER));
         if self.now > gap_begin {
             let gap = (self.now - gap_begin).as_secs_f64();
             let longest = self.result.longest_probe_gap.map_or(gap, |longest| longest.max(gap));
             self.result.longest_probe_gap = Some(longest);
         }
-        self.last_wasted_attempt = self.now;
+        self.last_attempt_at_hung_cache = self.now;
         if let Some(killed_at) = self.probers_killed_at.take() {
             self.result.takeover_time = Some((self.now - killed_at).as_secs_f64());
         }
--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -238,7 +238,7 @@
     fn send_attempt(&mut self, forwarder: usize, attempt: &Attempt) {
         let is_hung = self.is_hung(attempt.endpoint.0);
         if is_hung {
-            self.record_wasted_attempt();
+            self.record_attempt_at_hung_cache();
         }
         let is_origin = self.is_origin(attempt.endpoint.0);
         let state = &mut self.forwarders[forwarder];
--- a/crates/fleet-simulator/src/control_plane/mod.rs
+++ b/crates/fleet-simulator/src/control_plane/mod.rs
@@ -74,7 +74,7 @@
     /// Numbers of responses in each second after the end of the hang.
     recovery: BTreeMap<u64, RecoveryCounts>,
     /// When the last attempt was sent to a hung cache.
-    last_wasted_attempt: Time,
+    last_attempt_at_hung_cache: Time,
     /// When the forwarders with a probe assignment were killed; `None` again after the next attempt at a hung
     /// cache.
     probers_killed_at: Option<Time>,
@@ -118,7 +118,7 @@
             last_request: 0,
             secrets: Secrets::single(secret),
             recovery: BTreeMap::new(),
-            last_wasted_attempt: SIMULATION_START,
+            last_attempt_at_hung_cache: SIMULATION_START,
             probers_killed_at: None,
             result: SimulationResult::default(),
         }
--- a/crates/fleet-simulator/src/control_plane/result.rs
+++ b/crates/fleet-simulator/src/control_plane/result.rs
@@ -14,9 +14,9 @@
     /// Requests that ended with an error.
     pub errored: usize,
     /// Attempts sent to a cache while it hung.
-    pub wasted_attempts: usize,
+    pub attempts_at_hung_caches: usize,
     /// Attempts sent to a cache while it hung, 3 s or more after the hang began.
-    pub late_wasted_attempts: usize,
+    pub late_attempts_at_hung_caches: usize,
     /// The longest time without an attempt at a hung cache, in seconds, measured from 4 s after the beginning
     /// of the hang to its end. `None` if no attempt was sent in that time, for example because the hang is
     /// shorter.
--- a/crates/fleet-simulator/tests/two_levels.rs
+++ b/crates/fleet-simulator/tests/two_levels.rs
@@ -24,7 +24,7 @@
         let alone = simulate(&small_fleet(0, seed));
         let planned = simulate(&small_fleet(2, seed));
         assert_eq!((alone.invalid_requests, planned.invalid_requests), (0, 0));
-        let wasted = (planned.late_wasted_attempts, alone.late_wasted_attempts);
+        let wasted = (planned.late_attempts_at_hung_caches, alone.late_attempts_at_hung_caches);
         assert!(wasted.0 * 2 < wasted.1, "{} of {}", wasted.0, wasted.1);
         let in_time = (planned.fulfilled_in_time, alone.fulfilled_in_time);
         assert!(in_time.0 > in_time.1, "{} and {}", in_time.1, in_time.0);
@@ -37,14 +37,14 @@
     let outage = Some(Period { from: 0.0, to: 60.0 });
     let suspended = simulate(&Scenario { planner_outage: outage, ..small_fleet(2, 4) });
     assert_eq!(
-        (suspended.fulfilled_in_time, suspended.wasted_attempts),
-        (alone.fulfilled_in_time, alone.wasted_attempts)
+        (suspended.fulfilled_in_time, suspended.attempts_at_hung_caches),
+        (alone.fulfilled_in_time, alone.attempts_at_hung_caches)
     );
     // Messages that are all corrupted cost nothing either: none is accepted.
     let corrupted = simulate(&Scenario { corruption: 1.0, ..small_fleet(2, 4) });
     assert_eq!(
-        (corrupted.fulfilled_in_time, corrupted.wasted_attempts),
-        (alone.fulfilled_in_time, alone.wasted_attempts)
+        (corrupted.fulfilled_in_time, corrupted.attempts_at_hung_caches),
+        (alone.fulfilled_in_time, alone.attempts_at_hung_caches)
     );
     assert_eq!(corrupted.rejected_messages, corrupted.messages);
     // With a planner that states that every cache fails, and a forwarder that reports the same, requests still succeed.
@@ -68,7 +68,7 @@
     let rate = 160.0 / forwarders as f64;
     let scenario = Scenario { forwarders, rate, hang: LONG_HANG, seconds: 27.0, ..small_fleet(2, 7) };
     let result = simulate(&scenario);
-    let probe_rate = result.late_wasted_attempts as f64 / 17.0;
+    let probe_rate = result.late_attempts_at_hung_caches as f64 / 17.0;
     assert!((0.4..1.2).contains(&probe_rate), "{probe_rate} probes a second");
     assert!(result.longest_probe_gap.is_some_and(|s| s < 10.0), "{:?}", result.longest_probe_gap);
 }
