--- a/crates/fleet-simulator/examples/cold.rs
+++ b/crates/fleet-simulator/examples/cold.rs
@@ -1,5 +1,7 @@
-//! Simulates caches that warm up, by default 40 seeds of each disturbance, and prints a table; figures are simulated.
-//! A second argument also prints each run in which a cache received too much.
+//! Simulates caches that warm up, by default 40 seeds of each disturbance, and prints a table of simulated
+//! figures. With any second argument, also prints each run in which a cache received more work than its
+//! bound.
+//!
 //! `cargo run --release -p granitelb-fleet-simulator --example cold -- 100`
 
 use std::num::NonZero;
@@ -12,7 +14,7 @@
 
 const DEFAULT_SEEDS: u64 = 40;
 
-/// The sums over all runs of one disturbance.
+/// The sums over all runs of one disturbance, and the maximum of the window loads.
 #[derive(Default)]
 struct Totals {
     starts: usize,
@@ -24,13 +26,13 @@
     warmup_work: f64,
 }
 
-/// One run and its result.
+/// The scenario of a run, and its result.
 struct Run {
     scenario: Scenario,
     result: SimulationResult,
 }
 
-/// Simulates all seeds, several at once, and returns the runs in the order of their seeds.
+/// Simulates all seeds on several threads and returns the runs in the order of their seeds.
 fn simulate_all(disturbance: Disturbance, seeds: u64) -> Vec<Run> {
     let next_seed = AtomicU64::new(1);
     let runs = Mutex::new(Vec::new());
--- a/crates/fleet-simulator/examples/counterfactual.rs
+++ b/crates/fleet-simulator/examples/counterfactual.rs
@@ -1,6 +1,6 @@
-//! Checks counterfactual estimates against synthetic traces in which the truth is known. Simulated.
+//! Compares counterfactual estimates with the true values of synthetic traces, and prints simulated figures.
 //!
-//!     cargo run --release -p granitelb-fleet-simulator --example counterfactual -- FIRST_SEED TRACES [SCENARIO]
+//! cargo run --release -p granitelb-fleet-simulator --example counterfactual -- FIRST_SEED TRACES [SCENARIO]
 
 use granitelb_coordination::component::Event;
 use granitelb_coordination::counterfactual::{
@@ -10,7 +10,7 @@
     Replay, SCENARIOS, Scenario, SimulatedRequest, Trace, TraceConfig, replay,
 };
 
-/// Smaller true effects count as none when signs are compared.
+/// True effects smaller than this count as zero when signs are compared.
 const MIN_CLEAR_EFFECT: f64 = 0.005;
 
 const POLICIES: [SelectionPolicy; 5] = [
@@ -21,7 +21,8 @@
     SelectionPolicy::SecondWhenBusy(2),
 ];
 
-/// How many intervals there were, how many of them held the truth, and how wide and how far off they were.
+/// The number of estimated intervals, how many of them contain the true value, and the sums of their widths
+/// and of the distances of their middles from the true value.
 #[derive(Default)]
 struct Coverage {
     estimated: usize,
@@ -55,13 +56,13 @@
     }
 }
 
-/// Caches that were named worse or better.
+/// Counts of caches that the planner named worse or better.
 #[derive(Default)]
 struct Named {
     traces_with_any: usize,
     rightly: usize,
     with_wrong_sign: usize,
-    /// How often cache 0, which is the slow one if any is, was worse.
+    /// The number of traces in which cache 0 was named worse. If a cache is slow, it is cache 0.
     first_worse: usize,
 }
 
@@ -140,7 +141,8 @@
     }
 
     fn add_naive(&mut self, trace: &Trace, cache: u64, truth: f64) {
-        // With the confounder plain means are wrong of the quick caches.
+        // In the confounded scenario, plain means are wrong for the quick caches, which are every third
+        // cache.
         if trace.config.scenario == Scenario::Confounded && !cache.is_multiple_of(3) {
             return;
         }
@@ -189,12 +191,12 @@
     }
 }
 
-/// The true effect over what an estimate speaks of; 0 without one.
+/// Returns the true effect over the strata of an estimate; 0 without an estimate.
 fn true_effect(trace: &Trace, cache: u64, estimate: Option<&Estimate>, measure: OutcomeMeasure) -> f64 {
     estimate.map_or(0.0, |estimate| trace.true_effect(cache, &estimate.strata, measure))
 }
 
-/// The probabilities with which a policy sends a request to each position.
+/// Returns the probabilities with which a policy sends a request to each position.
 fn probabilities(policy: SelectionPolicy, request: &SimulatedRequest) -> [f64; MAX_CANDIDATES] {
     let only = |position: usize| std::array::from_fn(|other| f64::from(u8::from(other == position)));
     match policy {
@@ -232,12 +234,12 @@
     };
     let first_seed = number(0, 1);
     let traces = number(1, 10);
-    let is_asked = |scenario: &Scenario| args.get(2).is_none_or(|arg| *arg == format!("{scenario:?}"));
+    let is_requested = |scenario: &Scenario| args.get(2).is_none_or(|arg| *arg == format!("{scenario:?}"));
     let settings = Settings::default();
     let mut policies: Vec<Coverage> = POLICIES.iter().map(|_| Coverage::default()).collect();
     let mut reports = Vec::new();
     print_header();
-    for scenario in SCENARIOS.into_iter().filter(is_asked) {
+    for scenario in SCENARIOS.into_iter().filter(is_requested) {
         let mut report = ScenarioReport::default();
         for seed in first_seed..first_seed + traces {
             let trace = Trace::new(TraceConfig { scenario, seed, ..TraceConfig::default() });
--- a/crates/fleet-simulator/examples/gain.rs
+++ b/crates/fleet-simulator/examples/gain.rs
@@ -1,10 +1,11 @@
-//! What coordination gains for 300 nodes and 200 crowded caches: means over seeds, beside nodes without planners.
+//! Prints the effect of coordination for 300 nodes and 200 caches: means over seeds, with planners and
+//! without.
 //!
-//! Arguments are seeds and names of days, in any order, and options of the form `name=value`:
+//! The arguments are seeds and names of days, in any order, and options of the form `name=value`:
 //! - `origin=2`: capacity of the origin as a multiple of the usual load,
-//! - `whole=4`: leased fetches of the origin as a multiple of its capacity,
-//! - `reserve=0.05`, `standing=0.85`: shares of these that are guaranteed permanently, and granted as long-term
-//!   allocations,
+//! - `whole=4`: leased fetches of the origin as a multiple of the origin's capacity,
+//! - `reserve=0.05`: the share of the leased fetches that is guaranteed to nodes permanently,
+//! - `standing=0.85`: the share of the leased fetches that is granted as long-term allocations,
 //! - `warm=30`: length of the warm-up in seconds.
 
 use std::sync::Mutex;
@@ -12,15 +13,19 @@
 
 use granitelb_fleet_simulator::{ControlPlaneScope, Outage, RunResult, Scenario, days, run};
 
-/// Scenarios that run at the same time.
+/// The number of scenarios that run at the same time.
 const WORKER_THREADS: usize = 6;
-/// Length of the interval whose service level is the worst, in seconds.
+/// The length of the intervals over which the worst service level is searched, in seconds.
 const WORST_INTERVAL_S: usize = 10;
-/// The default day with warm-up and shutdown, in seconds: messages per second are a mean over it.
+/// The length of the default day with warm-up and shutdown, in seconds, over which messages per second are
+/// averaged.
 const MESSAGING_TIME_S: f64 = 28.0;
+/// The panic message for an argument that is none of a seed, an option and the name of a day.
+const UNKNOWN_DAY: &str =
+    "an argument without `=` must be a seed or a day; `granitelb-fleet-simulator --help` lists the days";
 const OUTAGE: Outage = Outage { from_s: 5.0, to_s: 15.0 };
 
-/// A fleet to compare.
+/// A configuration of the control plane to compare.
 struct Variant {
     name: &'static str,
     planners: usize,
@@ -51,11 +56,11 @@
     Variant::with_planners("both, planners down 5 to 15 s", ControlPlaneScope::ALL, Some(OUTAGE)),
 ];
 
-/// What the command line asks for.
+/// The arguments of the command line.
 struct Arguments {
     seeds: Vec<u64>,
     days: Vec<String>,
-    /// Scenario with the options applied.
+    /// The default scenario with the options applied.
     base: Scenario,
 }
 
@@ -69,7 +74,7 @@
         if let Ok(seed) = argument.parse() {
             parsed.seeds.push(seed);
         } else if let Some((name, value)) = argument.split_once('=') {
-            let value: f64 = value.parse().expect("an option's value is a number");
+            let value: f64 = value.parse().expect("the value of an option `name=value` must be a number");
             match name {
                 "origin" => parsed.base.origin_headroom = value,
                 "whole" => parsed.base.leased_capacity_factor = value,
@@ -85,11 +90,11 @@
     parsed
 }
 
-/// All scenarios, by day, variant and seed.
+/// Returns all scenarios, in the order of days, variants and seeds.
 fn scenarios(arguments: &Arguments) -> Vec<Scenario> {
     let mut scenarios = Vec::new();
     for day in &arguments.days {
-        let faults = days::faults_of_day(day).expect("a day of `granitelb-fleet-simulator`");
+        let faults = days::faults_of_day(day).expect(UNKNOWN_DAY);
         for variant in &VARIANTS {
             for &seed in &arguments.seeds {
                 scenarios.push(Scenario {
@@ -106,7 +111,7 @@
     scenarios
 }
 
-/// Runs the scenarios on several threads. The results are in the scenarios' order.
+/// Runs the scenarios on several threads and returns the results in the scenarios' order.
 fn run_all(scenarios: &[Scenario]) -> Vec<RunResult> {
     let results: Vec<Mutex<RunResult>> = scenarios.iter().map(|_| Mutex::new(RunResult::default())).collect();
     let next = AtomicUsize::new(0);
--- a/crates/fleet-simulator/examples/leases.rs
+++ b/crates/fleet-simulator/examples/leases.rs
@@ -1,8 +1,8 @@
-//! Simulates leases over an unreliable network and prints one line for each scenario:
+//! Simulates leases over an unreliable network and prints one row of simulated figures for each scenario:
 //! `cargo run --release -p granitelb-fleet-simulator --example leases [SEED...] [long-term]`.
 //!
-//! With `long-term` (formerly `standing`), long-term allocations take 0.7 of the capacity and guaranteed shares 0.05;
-//! without it, guaranteed shares take a quarter.
+//! With `long-term` (or its old name `standing`), long-term allocations are 0.7 of the capacity and
+//! guaranteed shares 0.05. Without `long-term`, guaranteed shares are a quarter of the capacity.
 
 use granitelb_coordination::leases::Settings;
 use granitelb_fleet_simulator::lease_simulation::{FleetSize, Outage, Scenario, SimulationResult, simulate};
--- a/crates/fleet-simulator/examples/probe_assignment.rs
+++ b/crates/fleet-simulator/examples/probe_assignment.rs
@@ -1,5 +1,5 @@
-//! Prints how fleets of 3 to 300 forwarders probe a hung cache, how evenly probe tasks are assigned, and how many of them
-//! move when a forwarder leaves. The first table is simulated, the second one calculated.
+//! Prints how fleets of 3 to 300 forwarders probe a hung cache, how evenly probe tasks are assigned, and how
+//! many tasks move when a forwarder leaves. The first table is simulated, the second table is calculated.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,27 @@
 use granitelb_coordination::probe_scheduling::{Task, Window, assignees};
 use granitelb_fleet_simulator::control_plane::{Period, Scenario, SimulationResult, simulate};
 
-/// Seeds over which each figure is spread.
+/// The seeds over which the minimum, mean and maximum of each figure are taken.
 const SEEDS: std::ops::Range<u64> = 301..306;
-/// Probe windows in a minute.
+/// The number of probe windows in a minute.
 const WINDOWS_PER_MINUTE: u64 = 30;
-/// Distance of the windows of different seeds.
+/// The distance between the first windows of successive seeds.
 const WINDOWS_PER_SEED: u64 = 1000;
-/// Attempts at the hung cache count as probes from this many seconds after its failure.
+/// The time after the beginning of the hang from which attempts at the hung cache count as probes, in
+/// seconds.
 const HANG_DETECTION_S: f64 = 3.0;
-/// Requests per second of the whole fleet.
+/// The request rate of the whole fleet, per second.
 const FLEET_REQUEST_RATE: f64 = 600.0;
-/// Start and end of the hang, in seconds.
+/// The start and end of the hang, in seconds.
 const HANG: Period = Period { from: 8.0, to: 40.0 };
-/// Start and end of a planner's stall, in seconds.
-const PLANNER_STALL: Period = Period { from: 15.0, to: 25.0 };
+/// The start and end of the first planner's suspension, in seconds.
+const PLANNER_SUSPENSION: Period = Period { from: 15.0, to: 25.0 };
 
 /// A fleet whose assignment of probe tasks is calculated.
 struct AssignmentCase {
     forwarders: usize,
     tasks: u64,
-    /// Forwarders that hold each task.
+    /// The number of forwarders to which each task is assigned.
     holders: usize,
 }
 
@@ -39,7 +40,7 @@
     AssignmentCase { forwarders: 300, tasks: 40, holders: 8 },
 ];
 
-/// Minimum, mean and maximum.
+/// Formats the minimum, mean and maximum of the values.
 fn format_spread(values: impl Iterator<Item = f64>) -> String {
     let mut values: Vec<_> = values.collect();
     values.sort_by(f64::total_cmp);
@@ -50,7 +51,7 @@
     }
 }
 
-/// Runs a scenario with all seeds and prints a row.
+/// Runs a scenario with all seeds and prints a row of the results' spreads.
 fn print_probe_row(name: &str, scenario: impl Fn(u64) -> Scenario) {
     let runs: Vec<(Scenario, SimulationResult)> =
         SEEDS.map(|seed| (scenario(seed), simulate(&scenario(seed)))).collect();
@@ -78,12 +79,13 @@
     (0..count).map(|n| Task::Probe(EndpointId(n))).collect()
 }
 
-/// The windows of one minute.
+/// Returns the probe windows of one minute, which differ for each seed.
 fn windows(seed: u64) -> impl Iterator<Item = Window> {
     (0..WINDOWS_PER_MINUTE).map(move |n| Window(seed * WINDOWS_PER_SEED + n))
 }
 
-/// Jain's fairness index of the tasks that forwarders hold in a minute: 1 is an even assignment.
+/// Returns Jain's fairness index of the numbers of tasks that forwarders hold in a minute; 1 is an even
+/// assignment.
 fn fairness_index(case: &AssignmentCase, seed: u64) -> f64 {
     let forwarders = forwarder_ids(case.forwarders, seed);
     let mut held = BTreeMap::<ForwarderId, f64>::new();
@@ -103,8 +105,8 @@
     sum * sum / (case.forwarders as f64 * squares)
 }
 
-/// For each forwarder that leaves: the share of a minute's tasks that move, times the number of forwarders. 1 means that
-/// only its own tasks move.
+/// Returns, for each forwarder that could leave, the share of a minute's tasks that would move, times the
+/// number of forwarders. 1 means that only the leaving forwarder's own tasks move.
 fn moved_tasks(case: &AssignmentCase, seed: u64) -> Vec<f64> {
     let forwarders = forwarder_ids(case.forwarders, seed);
     let mut assignments = Vec::new();
@@ -144,7 +146,7 @@
         let probers_die = |seed| Scenario { probers_killed_at: Some(20.0), ..scenario(2, seed) };
         print_probe_row(&format!("{forwarders}, all assignees die at 20 s"), probers_die);
         let planner_stalls = |seed| Scenario {
-            planner_outage: Some(PLANNER_STALL),
+            planner_outage: Some(PLANNER_SUSPENSION),
             suspended_planners: 1,
             ..scenario(2, seed)
         };
--- a/crates/fleet-simulator/examples/two_levels.rs
+++ b/crates/fleet-simulator/examples/two_levels.rs
@@ -1,8 +1,8 @@
-//! Prints what planners bring a fleet with a hung cache, beside the same fleet without: simulated figures.
+//! Prints simulated figures of a fleet with a hung cache, with planners and without.
 
 use granitelb_fleet_simulator::control_plane::{Period, Scenario, SimulationResult, simulate};
 
-/// Requests in a second of a whole fleet, where fleets of different sizes are compared.
+/// The request rate of a whole fleet, per second, where fleets of different sizes are compared.
 const FLEET_RATE: f64 = 600.0;
 
 fn print_row(label: &str, result: &SimulationResult) {
