--- a/crates/fleet-simulator/src/control_plane/forwarder.rs
+++ b/crates/fleet-simulator/src/control_plane/forwarder.rs
@@ -144,7 +144,8 @@
             return;
         }
         self.schedule_next_request(forwarder);
-        let keys = Zipf::new(self.scenario.keys, KEY_EXPONENT).expect("there is at least one key");
+        let keys =
+            Zipf::new(self.scenario.keys, KEY_EXPONENT).expect("the scenario must have at least one key");
         let key = Key(keys.sample(&mut self.rng) as u64);
         self.last_request += 1;
         self.result.requests += 1;
--- a/crates/fleet-simulator/src/control_plane/mod.rs
+++ b/crates/fleet-simulator/src/control_plane/mod.rs
@@ -106,7 +106,7 @@
     fn new(scenario: &Scenario) -> Simulation<'_> {
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
         let network_rng = ChaCha8Rng::seed_from_u64(rng.random());
-        let secret = Secret::new(SHARED_SECRET).expect("the constant is long enough");
+        let secret = Secret::new(SHARED_SECRET).expect("SHARED_SECRET must be long enough for a secret");
         Simulation {
             scenario,
             now: SIMULATION_START,
--- a/crates/fleet-simulator/src/control_plane/scenario.rs
+++ b/crates/fleet-simulator/src/control_plane/scenario.rs
@@ -24,19 +24,19 @@
     pub keys: f64,
     /// How long clients and members send, in seconds.
     pub seconds: f64,
-    /// The number of caches that hang; these are the first ones.
+    /// The number of caches that hang. The caches with the lowest numbers hang.
     pub hung_caches: usize,
     /// When the hung caches hang.
     pub hang: Period,
     /// When planners are suspended, if at all. Suspended planners neither send nor receive.
     pub planner_outage: Option<Period>,
-    /// The number of planners that are suspended; these are the first ones.
+    /// The number of planners that are suspended. The planners with the lowest numbers are suspended.
     pub suspended_planners: usize,
     /// The time at which every forwarder that holds a probe assignment is killed, if any.
     pub probers_killed_at: Option<f64>,
     /// The share of messages that never arrive.
     pub loss: f64,
-    /// The share of the messages not lost in which one bit is flipped.
+    /// The share of the arriving messages in which one bit is flipped.
     pub corruption: f64,
     /// Whether the first planner and the first forwarder falsely report that every cache fails.
     pub has_byzantine_members: bool,
--- a/crates/fleet-simulator/src/counterfactual/generator.rs
+++ b/crates/fleet-simulator/src/counterfactual/generator.rs
@@ -127,15 +127,15 @@
 }
 
 fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
-    Exp::new(1.0 / mean).expect("a positive rate").sample(rng)
+    Exp::new(1.0 / mean).expect("the mean of an exponential distribution must be positive").sample(rng)
 }
 
 impl Generator {
     pub fn new(config: TraceConfig) -> Generator {
         Generator {
             config,
-            popularity: Zipf::new(KEYS, ZIPF_EXPONENT).expect("valid parameters"),
-            work: LogNormal::new(0.0, WORK_DEVIATION).expect("valid parameters"),
+            popularity: Zipf::new(KEYS, ZIPF_EXPONENT).expect("KEYS and ZIPF_EXPONENT must be positive"),
+            work: LogNormal::new(0.0, WORK_DEVIATION).expect("WORK_DEVIATION must be finite"),
         }
     }
 
--- a/crates/fleet-simulator/src/counterfactual/replay.rs
+++ b/crates/fleet-simulator/src/counterfactual/replay.rs
@@ -21,7 +21,8 @@
 const ORIGIN: EndpointId = EndpointId(u64::MAX);
 const PLANNER: PlannerId = PlannerId(1);
 const INCARNATION: Incarnation = Incarnation(1);
-/// Combined with the trace's seed, so that the network's random numbers differ from those of the trace.
+/// A number that is combined with the trace's seed, so that the network's random numbers differ from those of
+/// the trace.
 const NETWORK_SEED: u64 = 0x70_1d;
 /// The interval at which the components are polled.
 const POLL_INTERVAL: Span = Span::from_millis(250);
@@ -79,7 +80,10 @@
         }
         replay.send_reports(now, &mut forwarders, &mut network);
         for Delivery { from, message } in network.take_arrived(now) {
-            replay.planner.on_message(now, from, message).expect("a valid message");
+            replay
+                .planner
+                .on_message(now, from, message)
+                .expect("the planner must accept a forwarder's message");
         }
         replay.deliver_comparisons(now, &mut forwarders);
         replay.planner_events.extend(std::iter::from_fn(|| replay.planner.poll_event()));
@@ -111,7 +115,9 @@
         let from = Sender { member: Member::Planner(PLANNER), incarnation: INCARNATION, sequence: 1 };
         while let Some((to, message)) = self.planner.poll_message(now) {
             if to == forwarders.members[0] {
-                forwarders.components[0].on_message(now, from, message).expect("a valid message");
+                forwarders.components[0]
+                    .on_message(now, from, message)
+                    .expect("a forwarder must accept the planner's message");
             }
         }
     }
--- a/crates/fleet-simulator/src/counterfactual/truth.rs
+++ b/crates/fleet-simulator/src/counterfactual/truth.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns the true mean logarithm of the ratio of two times, for requests whose first candidate is this
-    /// cache: the time taken, and the time if the cache were an ordinary one. Keys are weighted as in the
+    /// cache: the time taken, and the time if the cache were ordinary. Keys are weighted as in the
     /// randomized assignment.
     pub fn true_log_time_ratio(&self, cache: u64) -> f64 {
         let mut differences_by_key: BTreeMap<Key, Vec<f64>> = BTreeMap::new();
--- a/crates/fleet-simulator/src/lease_simulation/mod.rs
+++ b/crates/fleet-simulator/src/lease_simulation/mod.rs
@@ -129,7 +129,9 @@
     }
 
     fn process(&mut self, member: Member) -> &mut Process {
-        self.members.get_mut(&member).expect("each member has a process from the beginning")
+        self.members
+            .get_mut(&member)
+            .expect("each member must have a process from the beginning of the simulation")
     }
 
     /// Returns the simulated time in seconds.
--- a/crates/fleet-simulator/src/lease_simulation/workload.rs
+++ b/crates/fleet-simulator/src/lease_simulation/workload.rs
@@ -46,8 +46,8 @@
         let amounts_per_fetch = Resource::Origin.amounts_per_unit();
         let mean = self.scenario.demand * capacity / amounts_per_fetch / size;
         let spread = self.scenario.demand_spread;
-        let distribution =
-            LogNormal::new(-spread.powi(2) / 2.0, spread).expect("the scenario's spread is finite");
+        let distribution = LogNormal::new(-spread.powi(2) / 2.0, spread)
+            .expect("the scenario's demand_spread must be finite");
         let demand = mean * distribution.sample(&mut self.rng);
         self.process(member).demand = demand;
     }
--- a/crates/fleet-simulator/src/policy/mod.rs
+++ b/crates/fleet-simulator/src/policy/mod.rs
@@ -19,11 +19,11 @@
     Balancer,
     /// A random cache; after a rejection, another random cache.
     Random,
-    /// A random cache of this many highest-ranked caches of the key; after a rejection, another of these
-    /// caches.
+    /// A random cache among this number of highest-ranked caches of the key; after a rejection, another of
+    /// these caches.
     RandomOf(usize),
-    /// The least occupied of this many highest-ranked caches of the key, by the caches' true current state.
-    /// Requests wait while all of these caches are full.
+    /// The least occupied cache among this number of highest-ranked caches of the key, by the true current
+    /// state. Requests wait while all of these caches are full.
     LeastOccupied(usize),
 }
 
--- a/crates/fleet-simulator/src/popularity.rs
+++ b/crates/fleet-simulator/src/popularity.rs
@@ -13,7 +13,8 @@
 const MAX_KEYS: usize = 4_000_000;
 /// The search for the number of keys stops at a precision of one part in this many.
 const KEY_SEARCH_PRECISION: usize = 50;
-/// Combined with the scenario's seed, so that the draws of keys' work differ from all others.
+/// A number that is combined with the scenario's seed, so that the draws of keys' work differ from all
+/// others.
 const KEY_WORK_SEED: u64 = 0x512e;
 
 /// The keys of a scenario, most popular key first.
@@ -68,7 +69,8 @@
     /// Draws the work of each key. The mean is weighted by requests, not by keys, so that a popular key with
     /// much work does not add load to the day.
     fn draw_key_work(&mut self, scenario: &Scenario) {
-        let spread = LogNormal::new(0.0, scenario.key_work_spread).expect("the spread is finite");
+        let spread = LogNormal::new(0.0, scenario.key_work_spread)
+            .expect("the scenario's key_work_spread must be finite");
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ KEY_WORK_SEED);
         let drawn: Vec<f64> = self.cumulative_shares.iter().map(|_| spread.sample(&mut rng)).collect();
         let mean: f64 = self.shares().zip(&drawn).map(|(share, work)| share * work).sum();
--- a/crates/fleet-simulator/src/server/key_cache.rs
+++ b/crates/fleet-simulator/src/server/key_cache.rs
@@ -33,7 +33,7 @@
         is_stored
     }
 
-    /// Stores the key as the most recently used one, and evicts the least recently used keys beyond the
+    /// Stores the key as the most recently used key, and evicts the least recently used keys beyond the
     /// capacity.
     pub fn store(&mut self, key: Key) {
         self.use_count += 1;
--- a/crates/fleet-simulator/src/warmup_simulation/mod.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/mod.rs
@@ -114,7 +114,8 @@
             scenario,
             now: SIMULATION_START,
             rng: ChaCha8Rng::seed_from_u64(scenario.seed),
-            work: LogNormal::new(log_mean_work, scenario.work_spread).expect("the spread is finite"),
+            work: LogNormal::new(log_mean_work, scenario.work_spread)
+                .expect("the scenario's work_spread must be finite"),
             nodes: Vec::new(),
             servers: (0..scenario.capacities.len()).map(server).collect(),
             events: EventQueue::new(),
--- a/crates/fleet-simulator/src/warmup_simulation/node.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/node.rs
@@ -43,7 +43,8 @@
     /// Adds all nodes, each with a randomly drawn share of the requests.
     pub(super) fn add_nodes(&mut self) {
         let scenario = self.scenario;
-        let spread = LogNormal::new(0.0, scenario.node_spread).expect("the spread is finite");
+        let spread =
+            LogNormal::new(0.0, scenario.node_spread).expect("the scenario's node_spread must be finite");
         let shares: Vec<f64> = (0..scenario.nodes).map(|_| spread.sample(&mut self.rng)).collect();
         let sum: f64 = shares.iter().sum();
         let total_rate = scenario.load * scenario.capacities.iter().sum::<f64>() / scenario.mean_work;
--- a/crates/fleet-simulator/src/warmup_simulation/scenario.rs
+++ b/crates/fleet-simulator/src/warmup_simulation/scenario.rs
@@ -124,7 +124,7 @@
     pub nodes: usize,
     /// The work that each cache does in a second when warm.
     pub capacities: Vec<f64>,
-    /// The number of caches that start cold; these are the first ones.
+    /// The number of caches that start cold. The caches with the lowest indexes start cold.
     pub cold_caches: usize,
     /// The work that clients request, as a share of the capacity of all caches when warm.
     pub load: f64,
--- a/crates/fleet-simulator/src/world/messaging.rs
+++ b/crates/fleet-simulator/src/world/messaging.rs
@@ -27,7 +27,7 @@
 const SHUTDOWN_DELAY_S: f64 = 2.0;
 /// The times of the first polls of nodes' members, in microseconds from the start.
 const NODE_START_US: Range<u64> = 1..500_000;
-/// Combined with the scenario's seed, so that this module's draws differ from all others.
+/// A number that is combined with the scenario's seed, so that this module's draws differ from all others.
 const MESSAGING_SEED: u64 = 0x7a1c;
 /// The shortest delay of an event, for events that follow at once.
 const MIN_DELAY: Span = Span(1);
--- a/crates/fleet-simulator/src/world/servers.rs
+++ b/crates/fleet-simulator/src/world/servers.rs
@@ -66,7 +66,7 @@
     fn draw_origin_work(&mut self, job: &ServerJob) -> Span {
         let weight = if job.write { WRITE_WEIGHT } else { 1.0 };
         let spread = LogNormal::new(ORIGIN_WORK_LOG_MEAN, ORIGIN_WORK_LOG_DEVIATION)
-            .expect("the deviation is finite")
+            .expect("ORIGIN_WORK_LOG_DEVIATION must be finite")
             .sample(&mut self.rng);
         Span::from_secs_f64(self.scenario.origin_service_time.as_secs_f64() * weight * spread)
     }
@@ -122,5 +122,5 @@
 /// Returns the randomly drawn work of a read, relative to the mean work.
 fn draw_read_work(scenario: &Scenario, rng: &mut ChaCha8Rng) -> f64 {
     let shape = 1.0 / (scenario.work_variation * scenario.work_variation);
-    Gamma::new(shape, 1.0 / shape).expect("the variation is positive").sample(rng)
+    Gamma::new(shape, 1.0 / shape).expect("the scenario's work_variation must be positive").sample(rng)
 }
--- a/crates/fleet-simulator/src/world/setup.rs
+++ b/crates/fleet-simulator/src/world/setup.rs
@@ -109,7 +109,8 @@
         let origin = servers.len();
         let origin_slots = origin_slots(scenario);
         servers.push(origin_server(scenario, origin_slots));
-        let spread = LogNormal::new(0.0, scenario.node_spread).expect("the spread is finite");
+        let spread =
+            LogNormal::new(0.0, scenario.node_spread).expect("the scenario's node_spread must be finite");
         let node_weights: Vec<f64> = (0..scenario.nodes).map(|_| spread.sample(&mut rng)).collect();
         let day_start = START + Span::from_secs_f64(scenario.warm_up_s);
         let mut world = World {
