--- a/crates/fleet-simulator/examples/two_levels.rs
+++ b/crates/fleet-simulator/examples/two_levels.rs
@@ -1,8 +1,8 @@
-//! Prints what planners bring a fleet with a hung cache, beside the same fleet without: simulated figures.
+//! Prints simulated figures of a fleet with a hung cache, with planners and without.
 
 use granitelb_fleet_simulator::control_plane::{Period, Scenario, SimulationResult, simulate};
 
-/// Requests in a second of a whole fleet, where fleets of different sizes are compared.
+/// The request rate of a whole fleet, per second, where fleets of different sizes are compared.
 const FLEET_RATE: f64 = 600.0;
 
 fn print_row(label: &str, result: &SimulationResult) {
@@ -15,8 +15,8 @@
         "| {label} | {:.2}% | {:.2}% | {} | {} | {recovery} | {} | {:.0} |",
         percent(result.fulfilled_in_time),
         percent(result.errored),
-        result.wasted_attempts,
-        result.late_wasted_attempts,
+        result.attempts_at_hung_caches,
+        result.late_attempts_at_hung_caches,
         result.messages,
         result.message_bytes as f64 / result.messages.max(1) as f64
     );
