--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,9 +1,9 @@
-//! Definition of an experiment: a TOML file that describes the world, the load, the timeline of faults and the
-//! expectations.
+//! Definition of an experiment: a TOML file that describes the environment, the load, the timeline of faults
+//! and the expectations.
 //!
-//! A file is read and checked here, before anything is started. An error names the file, the line and the key. The types
-//! in the submodules are plain data: they are read once and never change while the experiment runs. TOML keys are mapped
-//! to field names by `#[serde(rename = "…")]`.
+//! This module reads and checks a file before any process or server is started. An error names the file, the
+//! line and the key. The types in the submodules are plain data: they are read once and never change while
+//! the experiment runs. `#[serde(rename = "…")]` maps TOML keys to field names.
 mod environment;
 mod error;
 mod expectations;
@@ -44,21 +44,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Names the experiment in results, reports and scratch folders.
+    /// The experiment's name in results, reports and scratch folders.
     pub name: String,
     /// One sentence that says what the experiment examines.
     pub about: String,
-    /// For how long clients send requests, in seconds.
+    /// How long clients send requests, in seconds.
     pub seconds: f64,
-    /// Seeds to run with, unless the command line sets one.
+    /// Seeds to run the experiment with, unless the command line sets one.
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
-    /// The processes and servers that exist, and their capacities.
+    /// The environment: its processes and servers, and their capacities.
     #[serde(rename = "world", default)]
     pub environment: EnvironmentConfig,
-    /// The control plane. Without it, each node works on its own.
+    /// The control plane; `None` if nodes run without planners.
     pub fleet: Option<FleetConfig>,
-    /// Shards whose number of keys grows during the run.
+    /// Shards whose number of keys grows during the run; `None` if no shard grows.
     pub growth: Option<GrowthConfig>,
     /// The classes that requests belong to.
     #[serde(rename = "product", default = "request_class::default_request_classes")]
@@ -68,7 +68,7 @@
     pub load: Load,
     #[serde(rename = "fault", default)]
     faults: Vec<Spanned<Fault>>,
-    /// Limits that measured figures have to keep, beside the rules that always hold.
+    /// Limits on measured figures, in addition to the audit's rules, which apply to every run.
     #[serde(rename = "expect", default)]
     pub expectations: Expectations,
 }
@@ -78,10 +78,11 @@
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and checks an experiment file.
     ///
     /// # Errors
-    /// The file can't be read, is not valid TOML, or holds an invalid value; with the line and the key.
+    /// An [`ExperimentError`] with the line and the key, if the file can't be read, is not valid TOML or
+    /// holds an invalid value.
     pub fn load(path: &Path) -> Result<Experiment, ExperimentError> {
         let text = std::fs::read_to_string(path).map_err(|error| ExperimentError {
             file: path.into(),
@@ -91,10 +92,10 @@
         Experiment::read(path, &text)
     }
 
-    /// Reads and checks a file's text; `path` only serves to name the file in errors.
+    /// Reads and checks the text of an experiment file. `path` is only used to name the file in errors.
     ///
     /// # Errors
-    /// As [`Experiment::load`].
+    /// As for [`Experiment::load`], except that no file is read.
     pub fn read(path: &Path, text: &str) -> Result<Experiment, ExperimentError> {
         let source = SourceText::new(text);
         let error = |line, kind| ExperimentError { file: path.into(), line, kind };
@@ -117,7 +118,7 @@
         Ok(experiment)
     }
 
-    /// The timeline of faults, ordered by start time.
+    /// All faults, ordered by start time.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults: Vec<Fault> = self.faults.iter().map(|fault| fault.get_ref().clone()).collect();
         faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
@@ -129,15 +130,15 @@
         self.fleet.as_ref().map_or(0, |fleet| fleet.planners)
     }
 
-    /// The most cache servers that exist at once: those at the start and those that faults add.
+    /// The largest number of cache servers at once: the initial ones and those that faults add.
     pub fn max_caches(&self) -> usize {
         let faults = self.faults.iter().map(Spanned::get_ref);
         let added = faults.filter(|fault| fault.kind == FaultKind::AddCaches).map(|fault| fault.count);
         self.environment.caches + added.sum::<usize>()
     }
 
-    /// The same experiment without faults of planners and of control-plane messages: the baseline that the loss of
-    /// service is measured against.
+    /// The baseline that the loss of service is measured against: the same experiment without faults of
+    /// planners and of control-plane messages.
     pub fn without_control_plane_faults(&self) -> Experiment {
         let mut baseline = self.clone();
         baseline.name += "-undisturbed";
@@ -145,13 +146,13 @@
         baseline
     }
 
-    /// Checks all but the faults.
+    /// Checks all parts of the experiment except the faults.
     fn check(&self) -> Result<(), InvalidValue> {
         if self.seconds.is_nan() || !(MIN_RUN_S..=MAX_RUN_S).contains(&self.seconds) {
-            return Err(InvalidValue::rule("seconds", "from 1 to 600"));
+            return Err(InvalidValue::rule("seconds", "must be from 1 to 600"));
         }
         if self.seeds.is_empty() {
-            return Err(InvalidValue::rule("seeds", "at least one"));
+            return Err(InvalidValue::rule("seeds", "must hold at least one seed"));
         }
         request_class::check(&self.request_classes)?;
         if let Some(fleet) = &self.fleet {
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -1,4 +1,4 @@
-//! Errors of experiment files, and the check of numeric ranges.
+//! Errors in experiment files, and the check of numeric ranges.
 
 use std::fmt;
 use std::io;
@@ -6,12 +6,12 @@
 
 use super::FaultKind;
 
-/// What is wrong with an experiment file, and where.
+/// An error in an experiment file, with its place.
 #[derive(Debug)]
 pub struct ExperimentError {
     /// The file as named by the caller.
     pub file: PathBuf,
-    /// The line, counted from 1; none where the error concerns the whole file.
+    /// The line, counted from 1; `None` if the error concerns the whole file.
     pub line: Option<usize>,
     /// What is wrong.
     pub kind: ExperimentErrorKind,
@@ -27,14 +27,14 @@
         /// The decoder's explanation.
         message: String,
     },
-    /// A value contradicts the rest of the file or lies out of range.
+    /// A value contradicts the rest of the file or is out of range.
     Invalid(InvalidValue),
 }
 
 /// An invalid value and its key.
 #[derive(Debug)]
 pub struct InvalidValue {
-    /// The key with its tables, separated by dots.
+    /// The key with the names of its tables, separated by dots.
     pub key: String,
     /// Why the value is invalid.
     pub reason: InvalidReason,
@@ -43,7 +43,7 @@
 /// Why a value is invalid.
 #[derive(Debug)]
 pub enum InvalidReason {
-    /// A number lies outside its range.
+    /// A number is outside its range.
     OutOfRange {
         /// The number as written.
         value: f64,
@@ -52,7 +52,7 @@
         /// The largest valid number.
         max: f64,
     },
-    /// A fixed requirement is not met; the text states it.
+    /// The value does not meet a fixed requirement; the text states the requirement.
     Rule(&'static str),
     /// A fault names a cache, node or planner that does not exist.
     NoSuchMember {
@@ -61,20 +61,20 @@
         /// The index as written.
         index: usize,
     },
-    /// A fault names a zone that no cache is in.
+    /// A fault names a zone that `world.zones` does not list.
     NoSuchZone(String),
-    /// A fault ends after the run.
+    /// A fault ends after the end of the run.
     EndsAfterRun {
         /// The fault's end, in seconds from the start.
         end_s: f64,
         /// The run's end, in seconds from the start.
         run_s: f64,
     },
-    /// A fault of this kind lacks the key, or the key has an unusable value.
+    /// A fault of this kind requires the key, which is absent or has an invalid value.
     Required(FaultKind),
-    /// A fault sets a number of nodes that the world does not have.
+    /// A fault sets a number of nodes that is 0 or more than the experiment has.
     NodeCount {
-        /// The number of nodes in the world.
+        /// The number of nodes in the experiment.
         max: usize,
     },
 }
@@ -88,7 +88,7 @@
         InvalidValue::new(key, InvalidReason::Rule(requirement))
     }
 
-    /// The key without its tables.
+    /// The key without the names of its tables.
     pub(super) fn last_key_part(&self) -> &str {
         self.key.rsplit('.').next().unwrap_or(&self.key)
     }
@@ -100,14 +100,18 @@
             InvalidReason::OutOfRange { value, min, max } => write!(f, "{value} is not from {min} to {max}"),
             InvalidReason::Rule(requirement) => f.write_str(requirement),
             InvalidReason::NoSuchMember { member, index } => {
-                write!(f, "there is no {member} {index}, they are counted from 0")
+                write!(f, "there is no {member} {index}; indices count from 0")
             }
-            InvalidReason::NoSuchZone(zone) => write!(f, "there is no zone {zone}"),
+            InvalidReason::NoSuchZone(zone) => write!(f, "world.zones has no zone {zone}"),
             InvalidReason::EndsAfterRun { end_s, run_s } => {
-                write!(f, "it ends at {end_s} s, the run at {run_s} s")
+                write!(f, "the fault ends at {end_s} s, after the run's end at {run_s} s")
+            }
+            InvalidReason::Required(kind) => {
+                write!(f, "a fault of kind {kind} requires a valid value of this key")
+            }
+            InvalidReason::NodeCount { max } => {
+                write!(f, "must be from 1 to {max}, the number in world.nodes")
             }
-            InvalidReason::Required(kind) => write!(f, "{kind} needs it"),
-            InvalidReason::NodeCount { max } => write!(f, "from 1 to the world's {max} nodes"),
         }
     }
 }
@@ -115,7 +119,7 @@
 impl fmt::Display for ExperimentErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ExperimentErrorKind::Unreadable(error) => write!(f, "{error}"),
+            ExperimentErrorKind::Unreadable(error) => write!(f, "the experiment file can't be read: {error}"),
             ExperimentErrorKind::Syntax { message } => f.write_str(message),
             ExperimentErrorKind::Invalid(InvalidValue { key, reason }) => write!(f, "{key}: {reason}"),
         }
@@ -134,7 +138,7 @@
 
 impl std::error::Error for ExperimentError {}
 
-/// A number and the range that it has to lie in, ends included.
+/// A number and its valid range, ends included.
 pub(super) struct Range {
     pub(super) key: &'static str,
     pub(super) value: f64,
@@ -147,14 +151,14 @@
         Range { key, value, min, max }
     }
 
-    fn holds(&self) -> bool {
+    fn contains_value(&self) -> bool {
         (self.min..=self.max).contains(&self.value)
     }
 }
 
-/// Checks that each number lies in its range; the first that does not is the error. A NaN lies in no range.
+/// Checks that each number is in its range. The error names the first number that is not. NaN is in no range.
 pub(super) fn check_ranges(ranges: &[Range]) -> Result<(), InvalidValue> {
-    match ranges.iter().find(|range| !range.holds()) {
+    match ranges.iter().find(|range| !range.contains_value()) {
         Some(Range { key, value, min, max }) => {
             let reason = InvalidReason::OutOfRange { value: *value, min: *min, max: *max };
             Err(InvalidValue::new(key, reason))
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -140,19 +140,21 @@
 }
 
 #[test_case("seconds = 8\nsurprise = 1", 4, "surprise"; "an unknown key")]
-#[test_case("seconds = 0.5", 3, "seconds: from 1 to 600"; "a figure out of range")]
+#[test_case("seconds = 0.5", 3, "seconds: must be from 1 to 600"; "a figure out of range")]
 #[test_case("seconds = 8\n[world]\nnodes = 99", 5, "world.nodes: 99 is not from 1 to 40"; "a nested figure")]
 #[test_case("seconds = 8\n[[fault]]\nkind = \"explode\"\nat_s = 1", 5, "explode"; "an unknown fault")]
 #[test_case(
     "seconds = 8\n[[fault]]\nkind = \"hang\"\nat_s = 1\ncaches = [0, 77]", 7,
-    "fault[0].caches: there is no cache 77, they are counted from 0"; "a cache that is not there"
+    "fault[0].caches: there is no cache 77; indices count from 0"; "a cache that is not there"
 )]
 #[test_case(
-    "seconds = 8\n[[fault]]\nkind = \"slow\"\nat_s = 1\ncaches = [0]", 4, "fault[0].factor: Slow needs it";
+    "seconds = 8\n[[fault]]\nkind = \"slow\"\nat_s = 1\ncaches = [0]", 4,
+    "fault[0].factor: a fault of kind Slow requires a valid value of this key";
     "a fault without its figure"
 )]
 #[test_case(
-    "seconds = 8\n[[fault]]\nkind = \"void\"\nat_s = 9", 6, "fault[0].at_s: it ends at 9 s, the run at 8 s";
+    "seconds = 8\n[[fault]]\nkind = \"void\"\nat_s = 9", 6,
+    "fault[0].at_s: the fault ends at 9 s, after the run's end at 8 s";
     "a fault after the end"
 )]
 fn invalid_file_is_reported_with_line_and_key(rest: &str, line: usize, message: &str) {
