--- a/crates/testbed/src/experiment/environment.rs
+++ b/crates/testbed/src/experiment/environment.rs
@@ -1,10 +1,10 @@
-//! The world of an experiment: its nodes, cache servers and origin, and their capacities.
+//! The environment of an experiment: its nodes, cache servers and origin, and their capacities.
 
 use serde::Deserialize;
 
 use super::{InvalidValue, Range, check_ranges};
 
-/// The processes and servers that exist.
+/// The processes and servers of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EnvironmentConfig {
@@ -12,18 +12,18 @@
     pub nodes: usize,
     /// The number of cache servers at the start.
     pub caches: usize,
-    /// Zones; cache servers are assigned to them round-robin.
+    /// The names of the zones. Cache servers are assigned to zones round-robin.
     pub zones: Vec<String>,
     /// The properties of each cache server.
     pub cache: CacheConfig,
     /// The properties of the origin.
     pub origin: OriginConfig,
-    /// The most sockets that a node may use.
+    /// The largest number of sockets that a node may use.
     #[serde(rename = "sockets")]
     pub max_sockets: u64,
     /// The memory that a node may use, in MiB.
     pub memory_mb: u64,
-    /// The most attempts that a node may make for a request.
+    /// The largest number of attempts that a node may make for a request.
     #[serde(rename = "most_shots")]
     pub max_attempts: u8,
     /// Whether nodes may cancel attempts in flight.
@@ -31,7 +31,7 @@
     /// Whether nodes may send hedged requests.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// The longest `Retry-After` that clients honor, in milliseconds; 0 where nodes can't send one.
+    /// The longest `Retry-After` that clients honor, in milliseconds; 0 if nodes can't send `Retry-After`.
     pub max_retry_after_ms: u64,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A cache server.
+/// The properties of a cache server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CacheConfig {
@@ -62,31 +62,32 @@
     /// Requests that may wait for a core; further ones are rejected.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
-    /// The time that a cache hit takes on a core of a warm server, in milliseconds.
+    /// The service time of a cache hit on a core of a warm server, in milliseconds.
     pub hit_ms: f64,
-    /// The number of values that fit; the least recently used one is evicted.
+    /// The number of values that a server can hold. A full server evicts the least recently used value.
     #[serde(rename = "values")]
     pub capacity_values: usize,
     /// The extra time of the first request on a connection, in milliseconds.
     pub connect_ms: f64,
-    /// Idle connections are closed after this many seconds.
+    /// The time after which an idle connection is closed, in seconds.
     pub keepalive_s: f64,
-    /// The most connections; further ones are reset.
+    /// The largest number of connections; further ones are reset.
     #[serde(rename = "connections")]
     pub max_connections: usize,
     /// The fraction of its full speed that a server starts with.
     #[serde(rename = "cold_from")]
     pub cold_speed: f64,
-    /// Seconds from its start until a server has its full speed.
+    /// The time from a server's start until it has its full speed, in seconds.
     pub warm_after_s: f64,
-    /// A cold server fails if it receives this many times the work that it can do within the overload window.
+    /// The multiple of the work that a cold server can do within the overload window. A cold server that
+    /// receives more work within the window fails.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// The overload window, in seconds.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
-    /// Whether a server tolerates as much random variation on top: three times the square root of the limit, and three
-    /// requests.
+    /// Whether the overload limit has a margin for random variation: three times the square root of the
+    /// limit, plus three requests.
     #[serde(rename = "fall_by_chance")]
     pub random_overload_limit: bool,
 }
@@ -110,7 +111,7 @@
     }
 }
 
-/// The origin behind the cache servers.
+/// The properties of the origin behind the cache servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OriginConfig {
@@ -119,12 +120,12 @@
     /// Requests that may wait for a core; further ones are rejected.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
-    /// The time that a read takes on a core, in milliseconds.
+    /// The service time of a read on a core, in milliseconds.
     pub read_ms: f64,
-    /// The time that a write takes on a core, in milliseconds.
+    /// The service time of a write on a core, in milliseconds.
     pub write_ms: f64,
-    /// If reads within a second exceed this multiple of the capacity, every request takes twice as long; if they exceed
-    /// twice that, the origin stops for a second.
+    /// The multiple of the capacity that reads within a second must not exceed. Above this multiple, every
+    /// request takes twice as long; above twice this multiple, the origin stops for a second.
     pub degrade_multiple: f64,
     /// How long the origin remembers idempotency keys, in seconds.
     #[serde(rename = "repeats_s")]
@@ -145,7 +146,7 @@
 }
 
 impl OriginConfig {
-    /// Reads per second at full speed.
+    /// The number of reads per second that the origin can serve at full speed.
     pub fn capacity(&self) -> f64 {
         self.cores as f64 * 1000.0 / self.read_ms
     }
--- a/crates/testbed/src/experiment/fault.rs
+++ b/crates/testbed/src/experiment/fault.rs
@@ -1,4 +1,4 @@
-//! One fault of an experiment's timeline, its parameters and their checks.
+//! A fault of an experiment's timeline, its parameters and their checks.
 
 use serde::Deserialize;
 
@@ -9,21 +9,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreCondition {
-    /// All that was stored.
+    /// The complete state that the planner stored.
     #[default]
     #[serde(rename = "kept")]
     Intact,
-    /// None.
+    /// No stored state.
     Empty,
-    /// Truncated in the middle, followed by random bytes.
+    /// The stored state truncated in the middle and followed by random bytes.
     Torn,
 }
 
-/// What a Byzantine planner claims.
+/// The false claim of a Byzantine planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FalseClaim {
-    /// Grants each member the whole limit of everything that it requests.
+    /// Grants each member the whole of every limit that the member requests a lease of.
     #[serde(rename = "grants")]
     GrantEverything,
     /// Claims that every cache fails.
@@ -34,31 +34,31 @@
     CachesSlow,
 }
 
-/// The direction in which a link is affected.
+/// The direction of a link that a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkDirection {
     /// Both directions.
     #[default]
     Both,
-    /// Toward the caches.
+    /// From the nodes to the caches.
     Caches,
-    /// Toward the nodes.
+    /// To the nodes.
     Nodes,
-    /// Toward the planners.
+    /// To the planners.
     Planners,
 }
 
-/// How a response is corrupted. The request has been executed.
+/// How a response is corrupted. The server has executed the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseCorruption {
     /// Bytes that are not HTTP.
     Noise,
-    /// Half of the body, then the connection is closed.
+    /// Half of the body, after which the connection is closed.
     #[serde(rename = "cut")]
     TruncatedBody,
-    /// A `Content-Length` that is larger than what is sent.
+    /// A `Content-Length` that is larger than the body sent.
     #[serde(rename = "length")]
     ExcessiveLength,
     /// A reset instead of the response.
@@ -66,56 +66,58 @@
     /// An error status.
     #[serde(rename = "error")]
     ErrorStatus,
-    /// The response, and the same again `ms` later.
+    /// The response, and the same response again `ms` later.
     #[serde(rename = "second")]
     Duplicate,
-    /// The response, and half a status line `ms` later, on the idle connection.
+    /// The response, and `ms` later half a status line on the connection, which is then idle.
     #[serde(rename = "half_line")]
     PartialStatusLine,
-    /// No `Content-Length`, half of the body and a reset.
+    /// A response without `Content-Length`: half of the body, then a reset.
     #[serde(rename = "no_length")]
     MissingLength,
     /// A body that never ends.
     Endless,
 }
 
-/// One fault of the timeline. Which parameters a fault uses depends on its [`FaultKind`]; times are in seconds from the start
-/// of the run.
+/// One fault of the timeline. The fault's [`FaultKind`] determines which parameters are used. Start times are
+/// in seconds from the start of the run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What the fault does.
     pub kind: FaultKind,
-    /// When it starts.
+    /// When the fault starts, in seconds from the start of the run.
     pub at_s: f64,
-    /// If set, it does not start before a node is notified of a split at this step.
+    /// The earliest phase of a split to start in: the fault starts once a node is notified of a split in this
+    /// phase.
     #[serde(default)]
     pub at_step: Option<SplitPhase>,
-    /// How long it lasts, in seconds.
+    /// How long the fault lasts, in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// Caches by their initial position in the endpoint list, from 0.
+    /// Affected caches by their initial position in the endpoint list, from 0.
     #[serde(default)]
     pub caches: Vec<usize>,
-    /// A zone whose caches are affected as well.
+    /// A zone whose caches are affected in addition to `caches`.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Nodes by index, from 0; empty for all.
+    /// Affected nodes by index, from 0; empty for all nodes.
     #[serde(default)]
     pub nodes: Vec<usize>,
-    /// Planners by index, from 0; empty for all.
+    /// Affected planners by index, from 0; empty for all planners.
     #[serde(default)]
     pub planners: Vec<usize>,
     /// The stored state that a planner finds when it starts again.
     #[serde(default)]
     pub store: StoreCondition,
-    /// What a Byzantine planner claims.
+    /// The false claim that a Byzantine planner makes.
     #[serde(rename = "lie", default)]
     pub false_claim: Option<FalseClaim>,
-    /// Between the start at one cache or node and at the next, in seconds, where several are named.
+    /// The delay, in seconds, from the fault's start at one of the named caches or nodes to its start at the
+    /// next.
     #[serde(default)]
     pub stagger_s: f64,
-    /// The multiple of a duration.
+    /// The factor by which service times are multiplied.
     #[serde(default)]
     pub factor: Option<f64>,
     /// A number of caches, nodes or clients.
@@ -127,25 +129,25 @@
     /// A delay in milliseconds.
     #[serde(default)]
     pub ms: Option<f64>,
-    /// Throughput of a link, in kilobytes per second.
+    /// The throughput of a link, in kilobytes per second.
     #[serde(default)]
     pub kbytes_per_s: Option<f64>,
-    /// Bytes after which a connection is reset.
+    /// The number of bytes after which a connection is reset.
     #[serde(default)]
     pub bytes: Option<u64>,
-    /// The fraction of messages, responses or clients that is affected.
+    /// The affected fraction of messages, responses or clients.
     #[serde(default)]
     pub share: Option<f64>,
     /// How responses are corrupted.
     #[serde(rename = "how", default)]
     pub corruption: Option<ResponseCorruption>,
-    /// Whether discovery's revisions restart when it returns.
+    /// Whether discovery numbers its revisions from the start again when it returns.
     #[serde(rename = "renumber", default)]
     pub restart_revisions: bool,
-    /// Settings in the keys of the nodes' configuration; tables are merged key by key.
+    /// New node settings, in the keys of the nodes' configuration; tables are merged key by key.
     #[serde(default)]
     pub settings: toml::Table,
-    /// Whether nodes are restarted to apply settings.
+    /// Whether nodes are restarted to apply the settings.
     #[serde(rename = "fresh", default)]
     pub restart_nodes: bool,
 }
@@ -157,7 +159,7 @@
         self.at_s + self.for_s + self.stagger_s * targets.saturating_sub(1) as f64
     }
 
-    /// The caches that the fault names, first by position and then by zone.
+    /// The affected caches: first those named by position, then those in the zone.
     pub fn target_caches(&self, experiment: &Experiment) -> Vec<usize> {
         let mut targets = self.caches.clone();
         if let Some(zone) = &self.zone {
@@ -168,7 +170,8 @@
         targets
     }
 
-    /// Checks the fault against the rest of its experiment. Keys in the error are relative to the fault's table.
+    /// Checks the fault against the rest of its experiment. The key in an error is relative to the fault's
+    /// table.
     pub(super) fn check(&self, experiment: &Experiment) -> Result<(), InvalidValue> {
         self.check_times(experiment)?;
         self.check_targets(experiment)?;
@@ -179,9 +182,9 @@
     }
 
     fn check_times(&self, experiment: &Experiment) -> Result<(), InvalidValue> {
-        // Written so that a NaN is invalid, too.
+        // The negated comparisons also reject NaN.
         if !(self.at_s >= 0.0 && self.for_s >= 0.0 && self.stagger_s >= 0.0) {
-            return Err(InvalidValue::rule("at_s", "no time may be negative"));
+            return Err(InvalidValue::rule("at_s", "at_s, for_s and stagger_s must be 0 or more"));
         }
         if self.end_s() > experiment.seconds {
             let reason = InvalidReason::EndsAfterRun { end_s: self.end_s(), run_s: experiment.seconds };
@@ -195,7 +198,10 @@
         check_indices("nodes", "node", &self.nodes, experiment.environment.nodes)?;
         check_indices("planners", "planner", &self.planners, experiment.planners())?;
         if self.kind.affects_planners() && experiment.planners() == 0 {
-            return Err(InvalidValue::rule("kind", "there is no planner: set fleet.planners"));
+            return Err(InvalidValue::rule(
+                "kind",
+                "a fault of this kind requires planners; set fleet.planners",
+            ));
         }
         let max = experiment.environment.nodes;
         if self.kind == FaultKind::Resize && !(1..=max).contains(&self.count) {
@@ -212,23 +218,28 @@
         Ok(())
     }
 
-    /// The key of a parameter that this kind of fault requires, if it is absent or unusable.
+    /// The key of a parameter that this kind of fault requires and that is absent or invalid; `None` if there
+    /// is no such parameter.
     fn missing_parameter(&self) -> Option<&'static str> {
         use FaultKind::*;
         match self.kind {
-            Slow | OriginSlow if self.factor.is_none_or(|f| f.is_nan() || f < 1.0) => Some("factor"),
+            Slow | OriginSlow if self.factor.is_none_or(|factor| factor.is_nan() || factor < 1.0) => {
+                Some("factor")
+            }
             AddCaches | MalformedClients if self.count == 0 => Some("count"),
             MessagesLost | MessagesCorrupted if self.share.is_none() => Some("share"),
             MessagesDuplicated | MessagesDelayed if self.ms.is_none() => Some("ms"),
             MessagesBlocked if self.planners.is_empty() && self.nodes.is_empty() => Some("planners"),
             PlannerByzantine if self.false_claim.is_none() => Some("lie"),
             LinkDelay if self.ms.is_none() => Some("ms"),
-            LinkThrottle if self.kbytes_per_s.is_none_or(|k| k.is_nan() || k <= 0.0) => Some("kbytes_per_s"),
+            LinkThrottle if self.kbytes_per_s.is_none_or(|rate| rate.is_nan() || rate <= 0.0) => {
+                Some("kbytes_per_s")
+            }
             LinkReset if self.bytes.is_none() => Some("bytes"),
             NodeSettings if self.settings.is_empty() => Some("settings"),
             ClientsLeave if self.share.is_none() => Some("share"),
             CorruptResponses if self.corruption.is_none() => Some("how"),
-            CorruptResponses if self.share.is_none_or(|s| !(0.0..=1.0).contains(&s)) => Some("share"),
+            CorruptResponses if self.share.is_none_or(|share| !(0.0..=1.0).contains(&share)) => Some("share"),
             _ => None,
         }
     }
--- a/crates/testbed/src/experiment/fleet.rs
+++ b/crates/testbed/src/experiment/fleet.rs
@@ -4,24 +4,24 @@
 
 use super::{InvalidValue, Range, check_ranges};
 
-/// The most planners that a world may have.
+/// The largest number of planners in an experiment.
 pub const MAX_PLANNERS: usize = 5;
 
-/// The control plane: its planners and what they coordinate.
+/// The control plane: its planners, and the limits that they coordinate.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetConfig {
     /// The number of planner processes.
     pub planners: usize,
-    /// The number of nodes that run at the start; all of them if absent.
+    /// The number of nodes that run at the start; all nodes if absent.
     #[serde(rename = "begin")]
     pub initial_nodes: Option<usize>,
-    /// Limits that are shared by leases; if absent, none are.
+    /// Limits that nodes share by leases; if absent, no limit is shared.
     pub leases: Option<LeasesConfig>,
-    /// Further contents of the planners' fleet configuration file, in that file's own keys.
+    /// Further contents of the planners' fleet configuration file, in the keys of that file.
     #[serde(rename = "operator")]
     pub fleet_config: toml::Table,
-    /// Whether planners run without a place to store their state, and so lose it when they restart.
+    /// Whether planners run without a state store, so that they lose their state when they restart.
     #[serde(rename = "forgetful")]
     pub volatile_planners: bool,
 }
@@ -30,14 +30,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeasesConfig {
-    /// Reads of the origin per second.
+    /// The limit on reads of the origin, per second.
     pub origin_per_s: f64,
-    /// Work at each cold cache, in seconds of a warm cache's work per second.
+    /// The limit on work at each cold cache: core-seconds of work, as measured at a warm cache, per second.
     #[serde(rename = "cold_work")]
     pub cold_cache_work: f64,
     /// The fraction of each limit that is divided evenly among the nodes and never leased.
     pub reserve: f64,
-    /// The fraction of the origin's limit that is granted as long-term allocations, by usual demand.
+    /// The fraction of the origin's limit that is granted as long-term allocations, in proportion to usual
+    /// demand.
     #[serde(rename = "standing")]
     pub long_term_share: f64,
     /// How long a lease is valid, in milliseconds.
@@ -72,7 +73,8 @@
         ])
     }
 
-    /// The length of an accounting day in milliseconds, as the fleet configuration sets it; none if it does not.
+    /// The length of an accounting day, in milliseconds; `None` if the fleet configuration does not set the
+    /// length.
     pub fn accounting_day_ms(&self) -> Option<f64> {
         let day_ms = self.fleet_config.get("growth")?.get("day_ms")?.as_integer()?;
         if day_ms > 0 { Some(day_ms as f64) } else { None }
--- a/crates/testbed/src/experiment/load.rs
+++ b/crates/testbed/src/experiment/load.rs
@@ -4,33 +4,34 @@
 
 use super::{InvalidValue, Range, check_ranges};
 
-/// Rate and distribution of requests.
+/// The rate and distribution of requests, and the behavior of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests per second over all nodes, before [`LoadPhase`] factors.
+    /// Requests per second to all nodes together, before multiplication by [`LoadPhase::factor`].
     pub rate: f64,
     /// The number of different keys.
     pub keys: u64,
     /// The exponent of the Zipf distribution of key popularity.
     pub zipf: f64,
-    /// The fraction of keys that writes go to. A written key's popularity among reads does not matter.
+    /// The fraction of keys that are written. Written keys are chosen regardless of their popularity among
+    /// reads.
     #[serde(rename = "written")]
     pub written_key_share: f64,
-    /// Whether the caches hold the keys when the run starts.
+    /// Whether the caches hold the values of the keys when the run starts.
     pub preloaded: bool,
     /// The mean number of requests that arrive together.
     pub burst: f64,
-    /// How unevenly requests are spread over nodes: the n-th node's weight is n to the power of minus this. At 0 all nodes
-    /// get the same.
+    /// The skew of the distribution of requests over nodes: the n-th node's weight is n to the power of minus
+    /// the skew. At 0 all nodes have the same weight.
     #[serde(rename = "uneven")]
     pub node_skew: f64,
-    /// Tenants to draw from for each request; without any, requests name no tenant.
+    /// Tenants, of which each request names a randomly drawn one; if empty, requests name no tenant.
     pub tenants: Vec<String>,
     /// Changes of the rate over time, in order of time.
     #[serde(rename = "phase")]
     pub phases: Vec<LoadPhase>,
-    /// How clients behave.
+    /// The behavior of clients.
     pub clients: ClientBehavior,
 }
 
@@ -61,15 +62,15 @@
     pub factor: f64,
 }
 
-/// What clients do on their own: retries, new connections, abandoned requests.
+/// The behavior of clients: retries, new connections and abandoned requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientBehavior {
-    /// The most retries of a request that was not fulfilled. A non-idempotent request is only retried if it was
-    /// rate-limited.
+    /// The most retries of a request that was not fulfilled. A non-idempotent request is only retried if it
+    /// was rate-limited.
     #[serde(rename = "retries")]
     pub max_retries: u8,
-    /// Whether a retry is marked as one.
+    /// Whether clients mark retries as such.
     #[serde(rename = "marks")]
     pub mark_retries: bool,
     /// The mean delay before a retry, in milliseconds.
@@ -77,13 +78,13 @@
     /// The fraction of clients that honor `Retry-After`.
     #[serde(rename = "honour")]
     pub honor_retry_after_share: f64,
-    /// The fraction of requests that are sent on a new connection, which is closed after the answer.
+    /// The fraction of requests that are sent on a new connection, which is closed after the response.
     #[serde(rename = "once")]
     pub single_use_share: f64,
-    /// The fraction of attempts that the client abandons before the answer.
+    /// The fraction of attempts that the client abandons before the response.
     #[serde(rename = "leave")]
     pub abandon_share: f64,
-    /// An abandoning client leaves at a random time within this many milliseconds.
+    /// The longest time, in milliseconds, until a client abandons an attempt; the actual time is random.
     #[serde(rename = "leave_ms")]
     pub abandon_within_ms: f64,
 }
@@ -117,21 +118,21 @@
             Range::new("load.clients.leave", self.clients.abandon_share, 0.0, 1.0),
             Range::new("load.clients.leave_ms", self.clients.abandon_within_ms, 1.0, 60_000.0),
         ])?;
-        // Written so that a NaN is invalid, too.
+        // Comparisons with NaN are false, so that NaN is invalid.
         let is_valid = |phase: &LoadPhase| phase.factor >= 0.0 && phase.at_s >= 0.0;
         if !self.phases.iter().all(is_valid) {
-            return Err(InvalidValue::rule("load.phase", "neither time nor factor may be negative"));
+            return Err(InvalidValue::rule("load.phase", "at_s and factor must be 0 or more"));
         }
         Ok(())
     }
 
-    /// The factor of the phase that is current at a time, in seconds from the start; 1 before the first phase.
+    /// The factor of the phase at a time, in seconds from the start of the run; 1 before the first phase.
     pub fn factor_at(&self, at_s: f64) -> f64 {
         let current = self.phases.iter().rev().find(|phase| phase.at_s <= at_s);
         current.map_or(1.0, |phase| phase.factor)
     }
 
-    /// The largest factor of any phase, at least 1.
+    /// The largest factor of all phases; at least 1.
     pub fn max_factor(&self) -> f64 {
         self.phases.iter().map(|phase| phase.factor).fold(1.0, f64::max)
     }
--- a/crates/testbed/src/experiment/node_changes.rs
+++ b/crates/testbed/src/experiment/node_changes.rs
@@ -1,15 +1,16 @@
-//! How many nodes run over time.
+//! The number of running nodes over time.
 //!
-//! A `resize` fault starts or stops nodes one after the other, spread evenly over the fault's duration. Clients have a
-//! view of their own: they use a new node somewhat after it starts, and avoid a node somewhat before it stops.
+//! A `resize` fault starts or stops nodes one after the other, spread evenly over the fault's duration.
+//! Clients use a new node from [`CLIENT_USE_DELAY_S`] after its start, and avoid a node from
+//! [`CLIENT_AVOID_LEAD_S`] before its stop.
 
 use super::{Experiment, FaultKind};
 
-/// How long after its start clients use a node, in seconds.
+/// The delay from a node's start until clients use the node, in seconds.
 const CLIENT_USE_DELAY_S: f64 = 2.0;
-/// How long before its stop clients avoid a node, in seconds.
+/// The time before a node's stop from which on clients avoid the node, in seconds.
 const CLIENT_AVOID_LEAD_S: f64 = 0.3;
-/// Two start times that differ by less than this, in seconds, are the same.
+/// The difference, in seconds, below which two start times count as the same.
 const SAME_TIME_S: f64 = 1e-9;
 
 /// Whether a node starts or stops.
@@ -26,9 +27,9 @@
 pub struct NodeChange {
     /// The node's index.
     pub node: usize,
-    /// When it starts or is told to stop, in seconds from the start of the run.
+    /// When the node starts or is told to stop, in seconds from the start of the run.
     pub at_s: f64,
-    /// Which of both.
+    /// Whether the node starts or stops.
     pub action: NodeAction,
 }
 
@@ -45,7 +46,8 @@
         self.to > self.from
     }
 
-    /// When a node starts or is told to stop. The last node to start is the first to stop.
+    /// When a node starts or is told to stop, in seconds from the start of the run. Nodes stop from the
+    /// highest index down.
     fn change_time_s(&self, node: usize) -> f64 {
         let changes = self.from.abs_diff(self.to).max(1) as f64;
         let earlier_changes = if self.grows() { node - self.from } else { self.from - 1 - node };
@@ -61,7 +63,7 @@
 }
 
 impl Experiment {
-    /// The number of nodes that run at the start.
+    /// The number of nodes that run at the start of the run.
     pub fn initial_nodes(&self) -> usize {
         let configured = self.fleet.as_ref().and_then(|fleet| fleet.initial_nodes);
         configured.unwrap_or(self.environment.nodes)
@@ -79,15 +81,17 @@
         resizes
     }
 
-    /// The nodes that start or stop by the `resize` fault that starts at a time, in seconds from the start; empty if none
-    /// does.
+    /// The starts and stops of nodes by the `resize` fault that starts at a time, in seconds from the start
+    /// of the run; empty if no `resize` fault starts then.
     pub fn node_changes(&self, fault_at_s: f64) -> Vec<NodeChange> {
         let mut resizes = self.resizes().into_iter();
         let found = resizes.find(|resize| (resize.at_s - fault_at_s).abs() < SAME_TIME_S);
         found.map_or_else(Vec::new, |resize| resize.node_changes())
     }
 
-    /// How many nodes, from the first one on, clients send requests to at a time, in seconds from the start; at least one.
+    /// The number of nodes that clients send requests to at a time, in seconds from the start of the run; at
+    /// least
+    /// 1. Clients use the nodes with the lowest indices.
     pub fn active_nodes_at(&self, at_s: f64) -> usize {
         let mut active = self.initial_nodes();
         for resize in self.resizes() {
--- a/crates/testbed/src/experiment/request_class.rs
+++ b/crates/testbed/src/experiment/request_class.rs
@@ -1,37 +1,38 @@
-//! Classes of requests (the settings call them products).
+//! Request classes, which experiment files call products.
 
 use serde::Deserialize;
 
 use super::InvalidValue;
 
-/// What executing a request twice does at the origin.
+/// The effect of executing a request twice at the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestEffect {
-    /// Nothing: a read.
+    /// No second effect: a read.
     Idempotent,
-    /// Nothing while the origin remembers the request's idempotency key: a write that may be retried.
+    /// No second effect while the origin remembers the request's idempotency key: a write that may be
+    /// retried.
     Deduplicated,
     /// A second effect: a write that must not be retried once it may have executed.
     NonIdempotent,
 }
 
-/// One class of requests. Every request that is not idempotent is a write.
+/// A request class. All requests that are not idempotent are writes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
     /// The class's name, the first part of request paths.
     pub name: String,
-    /// What executing a request twice does.
+    /// The effect of executing a request twice.
     pub effect: RequestEffect,
     /// The latency objective, in milliseconds.
     pub slo_ms: u64,
-    /// How long clients wait for a final answer, in milliseconds.
+    /// How long clients wait for a final response, in milliseconds.
     pub timeout_ms: u64,
-    /// What a fulfilled request is worth, relative to other classes.
+    /// The value of a fulfilled request, relative to other classes.
     #[serde(default = "one")]
     pub value: f64,
-    /// The weight of this class in the mix of requests.
+    /// The weight of this class when a request's class is drawn.
     #[serde(default = "one")]
     pub share: f64,
 }
@@ -47,7 +48,7 @@
     1.0
 }
 
-/// One class of each effect, mostly reads.
+/// The default classes: one of each [`RequestEffect`], with 90% reads.
 pub(super) fn default_request_classes() -> Vec<RequestClass> {
     let class = |name: &str, effect, value, share| RequestClass {
         name: name.into(),
@@ -64,14 +65,21 @@
     ]
 }
 
-/// Checks that there is a class, that each has a name, and that the shares can be drawn from.
+/// Checks that there is at least one class, that each class has a name, and that classes can be drawn by
+/// share.
 pub(super) fn check(classes: &[RequestClass]) -> Result<(), InvalidValue> {
     if classes.is_empty() || classes.iter().any(|class| class.name.is_empty()) {
-        return Err(InvalidValue::rule("product", "at least one, and each with a name"));
+        return Err(InvalidValue::rule(
+            "product",
+            "there must be at least one class, and each must have a name",
+        ));
     }
     let total_share: f64 = classes.iter().map(|class| class.share).sum();
     if total_share.is_nan() || total_share <= 0.0 || classes.iter().any(|class| class.share < 0.0) {
-        return Err(InvalidValue::rule("product.share", "shares are not negative, and one is over 0"));
+        return Err(InvalidValue::rule(
+            "product.share",
+            "no share may be negative, and at least one must be over 0",
+        ));
     }
     Ok(())
 }
--- a/crates/testbed/src/experiment/shard_growth.rs
+++ b/crates/testbed/src/experiment/shard_growth.rs
@@ -1,33 +1,34 @@
-//! Shards whose number of keys grows while an experiment runs, and what is expected of their splits.
+//! Shards whose number of keys grows during a run, and the expectations of their splits.
 
 use serde::Deserialize;
 
 use super::{Experiment, FleetConfig, InvalidValue, Range, check_ranges};
 
-/// Planners that shard growth needs: the growth of a shard map is agreed upon by two.
+/// The smallest number of planners for growing shards: two planners have to agree on a change of the shard
+/// map.
 const MIN_PLANNERS: usize = 2;
 
-/// Growing shards. All of them grow alike.
+/// Growing shards. All of them have the same number of keys and the same growth.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrowthConfig {
     /// The shards that grow.
     pub shards: Vec<u8>,
-    /// Keys of each shard when the run starts.
+    /// The number of keys of each shard when the run starts.
     pub keys: f64,
     /// The fraction by which the number of keys grows per accounting day.
     #[serde(rename = "grows")]
     pub daily_growth: f64,
-    /// How often each key is requested per accounting day.
+    /// The number of requests of each key per accounting day.
     #[serde(rename = "asked", default = "default_requests_per_key_per_day")]
     pub requests_per_key_per_day: f64,
-    /// The fraction of these requests that are writes.
+    /// The fraction of requests of growing shards that are writes.
     #[serde(rename = "written", default)]
     pub write_share: f64,
-    /// Accounting days before the run that planners are given the history of.
+    /// The number of accounting days before the run whose shard sizes are given to planners.
     #[serde(rename = "known_days", default)]
     pub history_days: u32,
-    /// What the splits have to achieve.
+    /// Expectations of the shards' splits.
     #[serde(rename = "expect", default)]
     pub expectations: GrowthExpectations,
 }
@@ -45,17 +46,20 @@
     /// The fewest splits that are withdrawn.
     #[serde(rename = "given_up")]
     pub min_withdrawn: Option<usize>,
-    /// The most steps that advance a split while the origin is slow, counted from 3.5 s after it became slow.
+    /// The most steps that advance a split while the origin is slow, counted from 3.5 s after the origin
+    /// became slow.
     #[serde(rename = "steps_while_slow")]
     pub max_steps_while_origin_slow: Option<usize>,
-    /// The fewest kills of planners after which another planner takes the next step before the killed one is back.
+    /// The fewest kills of a planner after which another planner takes a split's next step before the killed
+    /// planner is back.
     #[serde(rename = "gone_on")]
     pub min_takeovers: Option<usize>,
-    /// Of the reads that missed at the new owner during the step "both read" and went to the origin, the smallest fraction
-    /// that asked the old owner first.
+    /// The smallest fraction of reads that asked the old owner before the origin, among the reads that missed
+    /// at the new owner during the phase `both_read` and went to the origin.
     #[serde(rename = "old_first")]
     pub min_old_owner_first: Option<f64>,
-    /// The fewest reads at nodes with an older shard map, of keys that the newest shard map places elsewhere.
+    /// The fewest reads by nodes with an outdated shard map, of keys that the newest shard map places at
+    /// another cache.
     #[serde(rename = "behind")]
     pub min_outdated_map_reads: Option<usize>,
 }
@@ -71,7 +75,7 @@
         if !fleet.is_some_and(is_sufficient) {
             return Err(InvalidValue::rule(
                 "growth",
-                "it takes two planners and fleet.operator.growth.day_ms",
+                "growing shards require fleet.planners of at least 2 and fleet.operator.growth.day_ms",
             ));
         }
         check_ranges(&[
@@ -84,14 +88,15 @@
         ])
     }
 
-    /// The number of keys of a shard this many accounting days after the start of the run.
+    /// The number of keys of each shard this many accounting days after the start of the run.
     pub fn keys_after(&self, days: f64) -> f64 {
         self.keys * (1.0 + self.daily_growth).powf(days)
     }
 }
 
 impl Experiment {
-    /// Accounting days from the start of the run to a time, in seconds from the start; 0 if no day length is configured.
+    /// The number of accounting days from the start of the run to a time, in seconds from the start; 0 if no
+    /// day length is configured.
     pub fn accounting_days_at(&self, at_s: f64) -> f64 {
         let day_ms = self.fleet.as_ref().and_then(FleetConfig::accounting_day_ms);
         day_ms.map_or(0.0, |day_ms| at_s * 1000.0 / day_ms)
--- a/crates/testbed/src/experiment/source_text.rs
+++ b/crates/testbed/src/experiment/source_text.rs
@@ -1,6 +1,6 @@
-//! Finds lines in an experiment file's text, for error messages.
+//! Line numbers in an experiment file's text, for error messages.
 
-/// The text of a file. Lines are counted from 1.
+/// The text of an experiment file. Lines are counted from 1.
 pub(super) struct SourceText<'a> {
     text: &'a str,
 }
@@ -14,15 +14,15 @@
         1
     }
 
-    /// The line that a byte offset lies in.
+    /// The line that contains a byte offset.
     pub(super) fn line_of_offset(&self, offset: usize) -> usize {
         let before = &self.text[..offset.min(self.text.len())];
         before.matches('\n').count() + 1
     }
 
-    /// The first line from `from_line` on that assigns a key; `from_line` itself where none does.
+    /// The first line from `from_line` on that assigns a key; `from_line` itself if no line does.
     ///
-    /// Assumes that a table's keys are written one to a line.
+    /// Assumes at most one assignment per line.
     pub(super) fn line_of_key(&self, from_line: usize, key: &str) -> usize {
         let assigns_key = |line: &str| line.split_once('=').is_some_and(|(name, _)| name.trim() == key);
         let mut numbered = self.text.lines().zip(1..).skip(from_line - 1);
