--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,4 +1,4 @@
-//! Plays the same schedules on two builds and measures the difference.
+//! Runs the same schedules with two builds of the program under test and measures the difference.
 
 use std::fmt;
 use std::path::Path;
@@ -10,21 +10,22 @@
 use crate::run_result::{ON_TIME_MS, RunError, RunResult, run_experiment};
 use crate::stats::{Interval, PairedBlock, Ratio, difference_of_ratios};
 
-/// Seconds that are resampled together: a fault's effect spans more than one.
+/// The length of a block in seconds, which is resampled as a whole: a fault's effect spans more than one
+/// second.
 const BLOCK_SECONDS: usize = 2;
-/// How often a run is played before the testbed counts as too slow.
-const MAX_PLAYS: usize = 3;
-/// Seconds after the last fault that still count as affected by faults.
-const AFTERMATH_S: f64 = 5.0;
+/// The number of late runs after which the testbed counts as too slow.
+const MAX_RUNS: usize = 3;
+/// The time after a fault's end that still counts as affected by the fault, in seconds.
+const AFTER_EFFECT_S: f64 = 5.0;
 /// The seed of the bootstrap.
 const BOOTSTRAP_SEED: u64 = 1;
 
-/// Why builds could not be compared.
+/// The reason why builds could not be compared.
 #[derive(Debug)]
 pub enum CompareError {
     /// A run failed to execute.
     Run(RunError),
-    /// The testbed began requests too late, each time that a run was played.
+    /// The testbed sent requests too late in each of the repeated runs.
     TestbedLate {
         /// The experiment's name.
         experiment: String,
@@ -39,7 +40,7 @@
             CompareError::Run(error) => write!(f, "{error}"),
             CompareError::TestbedLate { experiment, seed } => write!(
                 f,
-                "{experiment} seed {seed}: the testbed was late {MAX_PLAYS} times: this machine is too busy"
+                "{experiment} seed {seed}: the testbed sent requests late in {MAX_RUNS} runs; the machine is too busy"
             ),
         }
     }
@@ -47,42 +48,45 @@
 
 impl std::error::Error for CompareError {}
 
-/// The result of a comparison: pairs are the baseline's and the candidate's figures, in this order.
+/// The result of a comparison. Arrays hold the baseline's figure and the candidate's figure, in this order.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
     /// The experiment's name.
     pub experiment: String,
-    /// How many pairs of runs were played.
+    /// The number of pairs of runs.
     pub pairs: usize,
     /// The mean service of each build.
     pub service: [f64; 2],
-    /// The candidate's service less the baseline's.
+    /// The candidate's service minus the baseline's; `None` without blocks.
     pub difference: Option<Interval>,
-    /// The same from the beginning of the first fault until shortly after the last one's end.
+    /// The candidate's service minus the baseline's, from the start of the first fault until shortly after
+    /// the end of the last fault; `None` without faults.
     #[serde(rename = "in_trouble")]
     pub difference_during_faults: Option<Interval>,
-    /// The share of errored and lost attempts of each.
+    /// Each build's share of errored and lost attempts.
     pub failed: [f64; 2],
-    /// The longest recovery of each; `None` where one did not come about.
+    /// Each build's longest recovery, in seconds; `None` if the service did not recover from some fault.
     pub recovery_s: [Option<f64>; 2],
-    /// Violations of rules by each, over all pairs.
+    /// Each build's number of rule violations, over all pairs.
     #[serde(rename = "breaches")]
     pub violations: [usize; 2],
-    /// Microseconds of a core for each client attempt.
+    /// Each build's processor time per client attempt, in microseconds.
     #[serde(rename = "cpu_us_a_call")]
     pub cpu_us_per_attempt: [f64; 2],
 }
 
-/// The results of one seed on both builds.
+/// The results of one seed with both builds.
 struct Pair {
     baseline: AuditResult,
     candidate: AuditResult,
 }
 
-/// Plays each seed of an experiment `repeat` times on both builds, the baseline's first.
+/// Runs each seed of an experiment `repeat` times with both builds and compares them. `builds` are the
+/// baseline and the candidate.
 ///
 /// # Errors
-/// Where a run can't be played, or the testbed is late time and again.
+/// [`CompareError::Run`] if a run can't be executed; [`CompareError::TestbedLate`] if the testbed is late in
+/// all repeated runs.
 pub fn compare(
     experiment: &Experiment,
     seeds: &[u64],
@@ -93,14 +97,14 @@
     let mut pairs = Vec::new();
     for seed in seeds {
         for _ in 0..repeat.max(1) {
-            // The order alternates, so that a drift of the machine favours neither build.
+            // The order alternates, so that a drift of the machine's speed favors neither build.
             let pair = if pairs.len() % 2 == 0 {
-                let baseline = play_on_time(experiment, *seed, baseline)?.audit_result;
-                let candidate = play_on_time(experiment, *seed, candidate)?.audit_result;
+                let baseline = run_until_on_time(experiment, *seed, baseline)?.audit_result;
+                let candidate = run_until_on_time(experiment, *seed, candidate)?.audit_result;
                 Pair { baseline, candidate }
             } else {
-                let candidate = play_on_time(experiment, *seed, candidate)?.audit_result;
-                let baseline = play_on_time(experiment, *seed, baseline)?.audit_result;
+                let candidate = run_until_on_time(experiment, *seed, candidate)?.audit_result;
+                let baseline = run_until_on_time(experiment, *seed, baseline)?.audit_result;
                 Pair { baseline, candidate }
             };
             pairs.push(pair);
@@ -109,8 +113,8 @@
     Ok(summarize(experiment, &pairs))
 }
 
-fn play_on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, CompareError> {
-    for _ in 0..MAX_PLAYS {
+fn run_until_on_time(experiment: &Experiment, seed: u64, node: &Path) -> Result<RunResult, CompareError> {
+    for _ in 0..MAX_RUNS {
         let result = run_experiment(experiment, seed, node).map_err(CompareError::Run)?;
         if result.audit_result.figures.harness_late_ms <= ON_TIME_MS {
             return Ok(result);
@@ -122,7 +126,7 @@
 fn summarize(experiment: &Experiment, pairs: &[Pair]) -> Comparison {
     let faults = experiment.faults();
     let from_s = faults.iter().map(|fault| fault.at_s).fold(f64::INFINITY, f64::min).floor();
-    let to_s = faults.iter().map(|fault| fault.end_s() + AFTERMATH_S).fold(0.0, f64::max);
+    let to_s = faults.iter().map(|fault| fault.end_s() + AFTER_EFFECT_S).fold(0.0, f64::max);
     let all_blocks = paired_blocks(pairs, |_| true);
     let fault_blocks = paired_blocks(pairs, |second| second >= from_s && second < to_s);
     Comparison {
@@ -144,7 +148,7 @@
     }
 }
 
-/// The blocks of all pairs whose first second is selected.
+/// The blocks of all pairs for whose first second `is_selected` is true.
 fn paired_blocks(pairs: &[Pair], is_selected: impl Fn(f64) -> bool) -> Vec<PairedBlock> {
     let mut blocks = Vec::new();
     for pair in pairs {
@@ -208,19 +212,19 @@
 
 impl fmt::Display for Comparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [service_a, service_b] = self.service;
-        let [failed_a, failed_b] = self.failed;
-        let [recovery_a, recovery_b] = self.recovery_s.map(format_recovery);
-        let [violations_a, violations_b] = self.violations;
-        let [cpu_a, cpu_b] = self.cpu_us_per_attempt;
+        let [baseline_service, candidate_service] = self.service;
+        let [baseline_failed, candidate_failed] = self.failed;
+        let [baseline_recovery, candidate_recovery] = self.recovery_s.map(format_recovery);
+        let [baseline_violations, candidate_violations] = self.violations;
+        let [baseline_cpu, candidate_cpu] = self.cpu_us_per_attempt;
         let difference = format_interval(self.difference);
         let during_faults = format_interval(self.difference_during_faults);
-        writeln!(f, "{}, {} pairs: A, B, and B less A with its 95% interval", self.experiment, self.pairs)?;
-        writeln!(f, "    service        {service_a:.4}  {service_b:.4}  {difference}")?;
+        writeln!(f, "{}, {} pairs: A, B, and B minus A with its 95% interval", self.experiment, self.pairs)?;
+        writeln!(f, "    service        {baseline_service:.4}  {candidate_service:.4}  {difference}")?;
         writeln!(f, "    during faults                  {during_faults}")?;
-        writeln!(f, "    errored, lost  {failed_a:.4}  {failed_b:.4}")?;
-        writeln!(f, "    recovery       {recovery_a}  {recovery_b}")?;
-        writeln!(f, "    violations     {violations_a}  {violations_b}")?;
-        write!(f, "    CPU an attempt {cpu_a:.0} us  {cpu_b:.0} us")
+        writeln!(f, "    errored, lost  {baseline_failed:.4}  {candidate_failed:.4}")?;
+        writeln!(f, "    recovery       {baseline_recovery}  {candidate_recovery}")?;
+        writeln!(f, "    violations     {baseline_violations}  {candidate_violations}")?;
+        write!(f, "    CPU/attempt    {baseline_cpu:.0} us  {candidate_cpu:.0} us")
     }
 }
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -1,15 +1,15 @@
-//! What a run did to the fleet and what befell it.
+//! Events of a run: injected faults, and starts, stops and failures of processes and servers.
 
 use serde::{Serialize, Serializer};
 
 use super::{NodeId, ServerId, Timestamp};
 
-/// An event with its time. It is serialized as a pair.
+/// An event with its time, serialized as the pair of both.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedEvent {
-    /// When it happened.
+    /// The time of the event.
     pub at: Timestamp,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Something that the run did or that befell it.
+/// An event that the testbed caused or observed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Event {
     /// An injected fault began.
@@ -32,19 +32,19 @@
         /// The fault's kind and targets.
         what: String,
     },
-    /// A node shuts down gracefully: it owes a response to each request that it has accepted, and accepts no new one
-    /// until it is up.
+    /// A node shuts down gracefully: the node has to respond to each request that it has accepted, and
+    /// accepts no new request until [`Event::NodeUp`].
     #[serde(rename = "NodeStops")]
     NodeStopping {
         /// The node.
         node: NodeId,
     },
-    /// A node cannot be expected to respond from now on.
+    /// A node is down: no response can be expected from the node.
     NodeDown {
         /// The node.
         node: NodeId,
     },
-    /// A node can be expected to respond again.
+    /// A node is up again: responses can be expected from the node.
     NodeUp {
         /// The node.
         node: NodeId,
@@ -59,47 +59,47 @@
         /// The planner.
         planner: usize,
     },
-    /// A planner's process ended by itself.
+    /// A planner's process ended without being stopped by the testbed.
     PlannerCrashed {
         /// The planner.
         planner: usize,
         /// How the process ended.
         how: String,
     },
-    /// A node's process ended by itself.
+    /// A node's process ended without being stopped by the testbed.
     NodeCrashed {
         /// The node.
         node: NodeId,
         /// How the process ended.
         how: String,
     },
-    /// A cache returned empty, under its former name.
+    /// A cache returned with no values, under its former name.
     ColdStart {
         /// The cache.
         server: ServerId,
     },
-    /// A cache that was warming up was overloaded and fell over.
+    /// A cache that was warming up received more work than its overload limit and crashed.
     #[serde(rename = "FellOver")]
     CacheOverloaded {
         /// The cache.
         server: ServerId,
     },
-    /// The origin was asked for too much and stopped.
+    /// The origin received more reads than its overload limit and stopped.
     #[serde(rename = "OriginOverrun")]
     OriginOverloaded,
-    /// Bytes that belong to no response came on a client's connection.
+    /// Bytes that belong to no response arrived on a client's connection.
     #[serde(rename = "Stray")]
     UnexpectedBytes {
-        /// The node that sent them.
+        /// The node that sent the bytes.
         node: NodeId,
     },
-    /// A malformed client was rejected or disconnected in time, or not.
+    /// A malformed client connected to a node.
     #[serde(rename = "BadClient")]
     MalformedClient {
-        /// Whether it was.
+        /// Whether the node rejected or disconnected the client in time.
         #[serde(rename = "met")]
         handled: bool,
-        /// What the client did.
+        /// The client's misbehavior.
         what: String,
     },
 }
--- a/crates/testbed/src/event_log/mod.rs
+++ b/crates/testbed/src/event_log/mod.rs
@@ -1,7 +1,8 @@
-//! What the emulated servers, the relay, discovery and the clients saw of a run.
+//! The event log of a run: the records of the emulated servers, the relay, discovery and the clients.
 //!
-//! Plain records, written down as things happen and judged afterwards by [`crate::audit`]. Nothing here comes from the
-//! program under test. Reports and logs on disk keep the former names of fields and variants.
+//! The records are written during the run and evaluated after the run by [`crate::audit`]. No record comes
+//! from the program under test. Names in reports and in event logs on disk are fixed by `#[serde(rename =
+//! "…")]`.
 
 mod event;
 mod identity;
@@ -23,33 +24,33 @@
 pub struct EventLog {
     /// All servers of the run; a [`ServerId`] is an index into them.
     pub servers: Vec<ServerInfo>,
-    /// The clients' attempts, in the order in which they ended.
+    /// The clients' attempts, ordered by their end.
     #[serde(rename = "tries")]
     pub client_attempts: Vec<ClientAttempt>,
-    /// The nodes' attempts, in the order in which they arrived at servers.
+    /// The nodes' attempts, ordered by their arrival at servers.
     #[serde(rename = "shots")]
     pub server_attempts: Vec<ServerAttempt>,
     /// The writes that the origin executed.
     pub effects: Vec<Effect>,
     /// The reads that the origin executed.
     pub fetches: Vec<Fetch>,
-    /// What discovery sent to nodes.
+    /// The endpoint updates that discovery sent to nodes.
     #[serde(rename = "told")]
     pub endpoint_notifications: Vec<EndpointNotification>,
-    /// Samples of what nodes used.
+    /// Samples of the nodes' resource usage.
     pub usage: Vec<ResourceUsage>,
-    /// What the run did and what befell it.
+    /// Injected faults, and starts, stops and failures of processes and servers.
     pub events: Vec<TimedEvent>,
-    /// The messages between members that the relay took.
+    /// The messages between members that the relay received.
     #[serde(rename = "letters")]
     pub messages: Vec<RelayedMessage>,
     /// The secret that messages are signed with.
     #[serde(skip)]
     pub secret: Vec<u8>,
-    /// The longest stall of the testbed itself, in microseconds.
+    /// The longest stall of the testbed's own process, in microseconds.
     #[serde(rename = "stalled")]
     pub max_stall_us: u64,
-    /// How late the testbed began each request, in microseconds.
+    /// The delay of each request's start after its due time, in microseconds.
     #[serde(rename = "lateness")]
     pub lateness_us: Vec<u64>,
 }
--- a/crates/testbed/src/event_log/records.rs
+++ b/crates/testbed/src/event_log/records.rs
@@ -6,23 +6,23 @@
 
 use super::{Member, NodeId, RequestId, ServerId, Timestamp, Version};
 
-/// A message between members that the relay took.
+/// A message between members that the relay received.
 #[derive(Clone, Debug, Serialize)]
 pub struct RelayedMessage {
     /// The sender.
     pub from: Member,
     /// The receiver.
     pub to: Member,
-    /// When the relay received it.
+    /// When the relay received the message.
     #[serde(rename = "taken")]
     pub received_at: Timestamp,
-    /// When the relay forwarded each copy of it; empty for a lost message.
+    /// When the relay forwarded each copy of the message; empty for a lost message.
     #[serde(rename = "passed")]
     pub forwarded_at: Vec<Timestamp>,
-    /// Whether the relay corrupted it.
+    /// Whether the relay corrupted the message.
     #[serde(rename = "changed")]
     pub corrupted: bool,
-    /// Its bytes as they were forwarded.
+    /// The message's bytes as forwarded.
     #[serde(skip)]
     pub bytes: Vec<u8>,
 }
@@ -30,11 +30,11 @@
 /// How a client's attempt ended.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum ClientAttemptEnd {
-    /// A value came back.
+    /// The client received a value, or the confirmation of a write.
     Fulfilled {
-        /// The attempt that the server made the response for, by the server's own statement.
+        /// The ID of the attempt that the server made the response for, as stated by the server.
         made_for: String,
-        /// The value's version.
+        /// The version of the value.
         version: Option<Version>,
     },
     /// The request was rejected by a rate limit.
@@ -43,7 +43,7 @@
         #[serde(rename = "come_back")]
         retry_after: Option<Duration>,
     },
-    /// Another status came back.
+    /// The client received another status.
     Errored {
         /// The HTTP status.
         status: u16,
@@ -54,8 +54,8 @@
     /// The connection ended without a complete response.
     #[serde(rename = "Torn")]
     ConnectionLost {
-        /// Whether the connection had carried a request before: the node may have closed it as idle while this one
-        /// was on its way, unread.
+        /// Whether the connection had carried an earlier request: the node may then have closed the
+        /// connection as idle, without reading this request, which was on its way.
         #[serde(rename = "used_before")]
         reused: bool,
     },
@@ -73,19 +73,19 @@
     /// The request.
     #[serde(rename = "call")]
     pub request: RequestId,
-    /// 0 for the first attempt; later ones are the client's own retries.
+    /// The attempt's number: 0 for the first attempt, from 1 for the client's own retries.
     #[serde(rename = "nth")]
     pub number: u8,
-    /// The name that the attempt goes by at nodes and servers.
+    /// The attempt's ID, which nodes and servers receive.
     pub id: String,
-    /// Given with deduplicated writes.
+    /// The idempotency key, which deduplicated writes have.
     pub idempotency_key: Option<String>,
-    /// The node that is asked.
+    /// The node that the attempt is sent to.
     pub node: NodeId,
     /// The index of the request class in the experiment.
     #[serde(rename = "product")]
     pub request_class: usize,
-    /// The key that is read or written.
+    /// The key that the attempt reads or writes.
     pub key: u64,
     /// When the request was due.
     pub due: Timestamp,
@@ -93,43 +93,43 @@
     pub sent: Timestamp,
     /// When the attempt ended.
     pub ended: Timestamp,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: ClientAttemptEnd,
 }
 
 /// How a server ended a node's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ServerAttemptEnd {
-    /// A value was returned, or the write was executed.
+    /// The server returned a value or executed the write.
     Answered,
-    /// The cache does not have the value.
+    /// The cache did not have the value.
     #[serde(rename = "Lacked")]
     CacheMiss,
-    /// The attempt was rejected before it was looked at.
+    /// The server rejected the attempt before processing it.
     #[serde(rename = "TurnedAway")]
     Rejected,
-    /// An error was returned.
+    /// The server returned an error.
     Failed,
-    /// The node closed the connection first, or nothing was returned.
+    /// The server returned nothing, or the node closed the connection before the response.
     Dropped,
 }
 
-/// A node's attempt as the server saw it.
+/// A node's attempt as recorded by the server.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerAttempt {
     /// The server.
     pub server: ServerId,
-    /// The node that sent it.
+    /// The node that sent the attempt.
     pub node: NodeId,
-    /// The name of the client's attempt that it serves.
+    /// The ID of the client's attempt that this attempt serves.
     pub id: String,
-    /// When its last byte had arrived.
+    /// When the last byte of the attempt arrived.
     pub arrived: Timestamp,
-    /// When the server was done with it.
+    /// When the server had finished processing the attempt.
     pub ended: Option<Timestamp>,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: ServerAttemptEnd,
-    /// Its cost at a warm server, in seconds of a core.
+    /// The attempt's cost at a warm server, in core-seconds.
     #[serde(rename = "work")]
     pub work_s: f64,
 }
@@ -137,22 +137,22 @@
 /// A write that the origin executed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Effect {
-    /// The name of the client's attempt.
+    /// The ID of the client's attempt.
     pub id: String,
-    /// Given with deduplicated writes.
+    /// The idempotency key, which deduplicated writes have.
     pub idempotency_key: Option<String>,
     /// The key that was written.
     pub key: u64,
-    /// When it was executed.
+    /// When the write was executed.
     pub at: Timestamp,
-    /// The version that it made.
+    /// The version that the write created.
     pub version: Version,
 }
 
 /// A read that the origin executed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fetch {
-    /// When it was executed.
+    /// When the read was executed.
     pub at: Timestamp,
 }
 
@@ -161,50 +161,50 @@
 pub enum EndpointState {
     /// Listed for new requests.
     Ready,
-    /// Listed, and to get no new requests.
+    /// Listed, but not for new requests.
     Draining,
     /// No longer listed.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// An endpoint update that discovery wrote to a node.
+/// An endpoint update that discovery sent to a node.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointNotification {
     /// The node.
     pub node: NodeId,
-    /// The server that the update is about.
+    /// The server whose state the update sets.
     pub server: ServerId,
-    /// Its new state.
+    /// The server's new state.
     #[serde(rename = "listed")]
     pub state: EndpointState,
-    /// When it was written.
+    /// When discovery wrote the update to its connection.
     pub at: Timestamp,
 }
 
 /// A server of the run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerInfo {
-    /// Its name in the endpoint list.
+    /// The server's name in the endpoint list.
     pub name: String,
-    /// The cache slot that it occupies; `None` for the origin.
+    /// The cache slot that the server occupies; `None` for the origin.
     #[serde(rename = "seat")]
     pub slot: Option<usize>,
-    /// When it started with an empty cache, if that was during the run.
+    /// When the server started with an empty cache; `None` if it did not start during the run.
     pub started: Option<Timestamp>,
 }
 
-/// What a node's process used, by the operating system's account.
+/// A sample of the resource usage of a node's process, as reported by the operating system.
 #[derive(Clone, Debug, Serialize)]
 pub struct ResourceUsage {
     /// The node.
     pub node: NodeId,
     /// When the sample was taken.
     pub at: Timestamp,
-    /// Resident memory in megabytes.
+    /// The resident memory, in megabytes.
     pub memory_mb: f64,
-    /// Open file descriptors.
+    /// The number of open file descriptors.
     pub descriptors: usize,
-    /// Processor time since the process started, in seconds.
+    /// The processor time since the start of the process, in seconds.
     pub cpu_s: f64,
 }
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -1,21 +1,21 @@
-//! The event log while it is written.
+//! The shared writer of an event log during a run.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 use super::{Event, EventLog, NodeId, ServerAttempt, ServerAttemptEnd, ServerId, TimedEvent, Timestamp};
 
-/// A shared handle to the event log, with the clock that all of its writers go by.
+/// A shared handle to the event log of a run, with the clock of all records.
 #[derive(Clone)]
 pub struct EventLogWriter {
     start: Instant,
-    /// Unix time at the start, in milliseconds.
+    /// The Unix time at the start of the run, in milliseconds.
     pub unix_start_ms: u64,
     event_log: Arc<Mutex<EventLog>>,
 }
 
 impl EventLogWriter {
-    /// An empty log. The first request is due at `start`, which may lie ahead.
+    /// A writer of an empty log. The first request is due at `start`, which may be in the future.
     pub fn new(start: Instant) -> EventLogWriter {
         let unix_now = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
         let ahead = start.saturating_duration_since(Instant::now());
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The current time.
+    /// The current time of the run.
     pub fn now(&self) -> Timestamp {
         let now = Instant::now();
         match now.checked_duration_since(self.start) {
@@ -35,13 +35,14 @@
         }
     }
 
-    /// The instant of a time of the run.
+    /// The instant that a time of the run corresponds to.
     pub fn instant(&self, at: Timestamp) -> Instant {
         let distance = Duration::from_micros(at.0.unsigned_abs());
         if at.0 >= 0 { self.start + distance } else { self.start - distance }
     }
 
-    /// Gives exclusive access to the log. Records are added whole, so that one left by a panicking writer is sound.
+    /// Gives `change` exclusive access to the log. A poisoned lock is ignored: writers add complete records
+    /// only, so that the log is valid after a writer panicked.
     pub fn write<T>(&self, change: impl FnOnce(&mut EventLog) -> T) -> T {
         let mut event_log = self.event_log.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut event_log)
@@ -53,7 +54,8 @@
         self.write(|log| log.events.push(TimedEvent { at, event }));
     }
 
-    /// Records that an attempt arrived at a server. [`EventLogWriter::attempt_ended`] takes the returned index.
+    /// Records the arrival of an attempt at a server. Returns the index for
+    /// [`EventLogWriter::attempt_ended`].
     pub fn attempt_arrived(&self, server: ServerId, node: NodeId, id: &str, work_s: f64) -> usize {
         let arrived = self.now();
         let attempt = ServerAttempt {
@@ -71,7 +73,7 @@
         })
     }
 
-    /// Records how an attempt at a server ended.
+    /// Records the end of an attempt at a server.
     pub fn attempt_ended(&self, index: usize, end: ServerAttemptEnd) {
         let now = self.now();
         self.write(|log| {
@@ -82,7 +84,7 @@
         });
     }
 
-    /// Takes the log's records; what is written later is lost.
+    /// Returns the log and leaves an empty one; records that are written later are lost.
     pub fn close(&self) -> EventLog {
         self.write(std::mem::take)
     }
--- a/crates/testbed/src/experiment/environment.rs
+++ b/crates/testbed/src/experiment/environment.rs
@@ -80,7 +80,7 @@
     /// The time from a server's start until it has its full speed, in seconds.
     pub warm_after_s: f64,
     /// The multiple of the work that a cold server can do within the overload window. A cold server that
-    /// receives more work within the window fails.
+    /// receives more work within the window crashes.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// The overload window, in seconds.
--- a/crates/testbed/src/experiment/fault.rs
+++ b/crates/testbed/src/experiment/fault.rs
@@ -88,8 +88,8 @@
     pub kind: FaultKind,
     /// When the fault starts, in seconds from the start of the run.
     pub at_s: f64,
-    /// The earliest phase of a split to start in: the fault starts once a node is notified of a split in this
-    /// phase.
+    /// The split phase to wait for: if set, the fault starts when a planner sends a node a shard map with a
+    /// split in this phase, at `at_s` at the earliest.
     #[serde(default)]
     pub at_step: Option<SplitPhase>,
     /// How long the fault lasts, in seconds.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,18 +1,19 @@
-//! The testbed: runs the real program in a world of emulated servers on loopback, sends it requests, injects faults, and
-//! audits what happened.
+//! The testbed of granitelb: runs the real program among emulated servers on loopback, sends it requests,
+//! injects faults, and audits the recorded events.
 //!
-//! The audit relies on nothing but what the emulated servers and the clients recorded. The testbed shares no code with the
-//! program under test, so that it can't inherit its faults; it has decoders and reference models of its own.
+//! The audit only uses the records of the emulated servers and the clients. The testbed has its own decoders
+//! and reference models and shares no code with the program under test, so that it can't inherit the
+//! program's faults.
 //!
-//! A module only uses modules of the layers below it:
+//! The modules form layers. A module only uses modules of its own layer and of those with a lower number:
 //!
 //! 1. records and reference models: [`event_log`], [`message_reference`], [`shard_map_reference`], [`stats`]
 //! 2. [`experiment`]: the definition of what to run
 //! 3. [`schedule`], [`shard_workload`], [`request_generator`], [`recording`]: the requests of a run
-//! 4. [`environment`]: servers, clients, processes and faults; [`faulty_node`] stands in for the program in tests
-//! 5. [`audit`]: what was measured and which rules were broken
-//! 6. [`run_result`]: one run, audited; [`report`] writes it down
-//! 7. [`runs`], [`compare`], [`hunt`], [`throughput`]: what commands do; [`program`] finds the program under test
+//! 4. [`environment`]: servers, clients, processes and faults; [`faulty_node`] replaces the program in tests
+//! 5. [`audit`]: measures the figures of a run and checks the rules
+//! 6. [`run_result`]: executes and audits one run; [`report`] writes the result to files
+//! 7. [`runs`], [`compare`], [`hunt`], [`throughput`]: the commands; [`program`] finds the program under test
 //! 8. [`command`]: the command line
 
 #![warn(missing_docs, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `granitelb-testbed`.
+//! The command-line program `granitelb-testbed`.
 
 use std::process::ExitCode;
 
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,4 +1,4 @@
-//! Finds the program under test.
+//! The search for the program under test.
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,40 +7,53 @@
 /// The file name of the program under test.
 const NODE_PROGRAM: &str = "granitelb";
 
-/// The program under test was not found.
+/// The reason why the program under test was not found.
 #[derive(Debug)]
 pub enum ProgramError {
     /// The path that was given is not a file.
     NoSuchProgram(PathBuf),
-    /// The program is not where cargo would build it.
+    /// The program is not in the folder that cargo builds it in.
     NotBuilt(PathBuf),
-    /// The path of this program, beside which the other is looked for, can't be determined.
+    /// The path of this program, in whose folder the program under test is searched for, can't be determined.
     OwnPath(io::Error),
-    /// This program is in no folder of a build.
+    /// This program is not in a build folder of cargo.
     NoBuildFolder,
 }
 
 impl fmt::Display for ProgramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ProgramError::NoSuchProgram(path) => write!(f, "{}: there is no such program", path.display()),
+            ProgramError::NoSuchProgram(path) => write!(f, "there is no program {}", path.display()),
             ProgramError::NotBuilt(path) => {
-                write!(f, "{}: build it (cargo build --release) or name one by --node", path.display())
+                write!(
+                    f,
+                    "the program under test is not built at {}; build it with `cargo build --release`, or set its \
+                     path with --node",
+                    path.display()
+                )
             }
-            ProgramError::OwnPath(error) => write!(f, "{error}"),
-            ProgramError::NoBuildFolder => f.write_str("this program's own place is not known"),
+            ProgramError::OwnPath(error) => write!(
+                f,
+                "the path of this program, beside which the program under test is searched for, is unknown: {error}; \
+                 set the path of the program under test with --node"
+            ),
+            ProgramError::NoBuildFolder => f.write_str(
+                "this program is not in a build folder of cargo; set the path of the program under test with --node",
+            ),
         }
     }
 }
 
 impl std::error::Error for ProgramError {}
 
-/// The program at a path, or without a path the one that was built beside this program.
+/// The path of the program under test: the given path, or if none is given that of the program built in the
+/// same folder as this program.
 ///
-/// If this program was started by cargo, which builds only what it is asked to build, the other one is built first.
+/// If no path is given and cargo started this program, the program under test is built first, because cargo
+/// builds only the programs that it is asked to build.
 ///
 /// # Errors
-/// There is no such program; the error says how to get it.
+/// A [`ProgramError`] if there is no program at the path.
 pub fn find_node(path: Option<&Path>) -> Result<PathBuf, ProgramError> {
     match path {
         Some(path) if path.is_file() => Ok(path.into()),
@@ -58,14 +71,15 @@
         if folder.ends_with("release") {
             build.arg("--release");
         }
-        // A failed build is not an error here: the program may exist from an earlier one.
+        // A failed build is ignored here: the program may exist from an earlier build.
         let _ = build.status();
     }
     let program = folder.join(NODE_PROGRAM);
     if program.is_file() { Ok(program) } else { Err(ProgramError::NotBuilt(program)) }
 }
 
-/// The folder that cargo puts programs in. Test programs are in its subfolder `deps`.
+/// The folder in which cargo builds programs, found from the path of a program in it or in its subfolder
+/// `deps`, which holds test programs.
 fn build_folder(program: &Path) -> Option<&Path> {
     let mut folders = program.ancestors().skip(1).take(2);
     folders.find(|folder| folder.file_name().is_some_and(|name| name != "deps"))
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -1,7 +1,7 @@
-//! Recordings of the requests that nodes received, one JSON object per line, and their replay.
+//! Recordings of the attempts that nodes received, one JSON object per line, and their replay.
 //!
-//! A recording marks what clients retried on their own. A replay sends each request once, and its own clients retry as the
-//! experiment has them.
+//! A recording marks the attempts that were clients' own retries. A replay omits these attempts and sends
+//! each request once; the replay's clients retry as the experiment configures.
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -12,45 +12,45 @@
 use crate::experiment::Experiment;
 use crate::schedule::{Schedule, ScheduledRequest, mix64};
 
-/// Tells the hash of line numbers apart from other uses of [`mix64`].
+/// Distinguishes hashes of line numbers from other uses of [`mix64`].
 const LINE_NUMBER_STREAM: u64 = 3;
 /// Microseconds per second.
 const US_PER_S: f64 = 1e6;
 
-/// One attempt of a client, as a node received it.
+/// A client's attempt, as a node received it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordedAttempt {
-    /// Microseconds from the start of the recording.
+    /// The time of the attempt, in microseconds from the start of the recording.
     pub at_us: i64,
     /// The index of the node.
     pub node: usize,
-    /// The name of the request's class.
+    /// The name of the request class.
     #[serde(rename = "product")]
     pub class: String,
-    /// The key that it reads or writes.
+    /// The key that the attempt reads or writes.
     pub key: u64,
-    /// The tenant's name, if it names one.
+    /// The tenant's name, if the attempt names a tenant.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// Whether it is a client's own retry of an earlier attempt.
+    /// Whether the attempt is a client's own retry.
     #[serde(rename = "repeat", default)]
     pub is_retry: bool,
-    /// As [`ScheduledRequest::single_use_connection`].
+    /// See [`ScheduledRequest::single_use_connection`].
     #[serde(rename = "once", default)]
     pub single_use_connection: bool,
-    /// As [`ScheduledRequest::honors_retry_after`].
+    /// See [`ScheduledRequest::honors_retry_after`].
     #[serde(rename = "heeds", default)]
     pub honors_retry_after: bool,
-    /// As [`ScheduledRequest::retry_delays_us`].
+    /// See [`ScheduledRequest::retry_delays_us`].
     #[serde(rename = "repeats_us", default)]
     pub retry_delays_us: Vec<u64>,
-    /// As [`ScheduledRequest::id_seed`]; 0 to derive it from the line's number.
+    /// See [`ScheduledRequest::id_seed`]; 0 to derive the seed from the line's number.
     #[serde(rename = "salt", default)]
     pub id_seed: u64,
 }
 
-/// Why a recording can't be replayed in an experiment, and in which line.
+/// The reason why a recording can't be replayed in an experiment, with the line.
 #[derive(Debug)]
 pub struct RecordingError {
     /// The recording, as named by the caller.
@@ -72,26 +72,30 @@
     UnknownTenant(String),
     /// The experiment has no node with this index.
     UnknownNode(usize),
-    /// The attempt's time is not within the experiment's duration.
+    /// The attempt's time is outside the experiment's duration.
     OutsideRun {
         /// The experiment's duration, in seconds.
         run_s: f64,
     },
-    /// An earlier line has the same ID seed, so that both requests would have the same IDs.
+    /// An earlier request has the same ID seed, so that both requests would have the same IDs.
     DuplicateIdSeed,
 }
 
 impl fmt::Display for RecordingErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RecordingErrorKind::Syntax(error) => write!(f, "{error}"),
-            RecordingErrorKind::UnknownClass(name) => write!(f, "product: there is no {name}"),
-            RecordingErrorKind::UnknownTenant(name) => write!(f, "tenant: there is no {name}"),
-            RecordingErrorKind::UnknownNode(node) => write!(f, "node: there is no node {node}"),
+            RecordingErrorKind::Syntax(error) => write!(f, "not a recorded attempt: {error}"),
+            RecordingErrorKind::UnknownClass(name) => {
+                write!(f, "product: the experiment has no request class {name}")
+            }
+            RecordingErrorKind::UnknownTenant(name) => {
+                write!(f, "tenant: the experiment has no tenant {name}")
+            }
+            RecordingErrorKind::UnknownNode(node) => write!(f, "node: the experiment has no node {node}"),
             RecordingErrorKind::OutsideRun { run_s } => {
-                write!(f, "at_us: not within the {run_s} s of the run")
+                write!(f, "at_us: outside the run, which lasts {run_s} s")
             }
-            RecordingErrorKind::DuplicateIdSeed => f.write_str("salt: a call before has the same"),
+            RecordingErrorKind::DuplicateIdSeed => f.write_str("salt: an earlier request has the same value"),
         }
     }
 }
@@ -104,14 +108,15 @@
 
 impl std::error::Error for RecordingError {}
 
-/// The recording of a run, ordered by time.
+/// The recording of a run: one line per client attempt, ordered by time.
 pub fn record(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> String {
     let mut attempts: Vec<RecordedAttempt> = Vec::new();
     for attempt in &event_log.client_attempts {
         let request = schedule.request(attempt.request);
         let is_retry = attempt.number > 0;
         attempts.push(RecordedAttempt {
-            // A first attempt is recorded at its due time: the delay of the testbed itself is not part of the traffic.
+            // A first attempt is recorded at its due time, because the delay by the testbed itself is not
+            // part of the traffic.
             at_us: if is_retry { attempt.sent.0 } else { attempt.due.0 },
             node: request.node,
             class: experiment.request_classes[request.class].name.clone(),
@@ -133,10 +138,11 @@
     text
 }
 
-/// The schedule of a recording's requests, without its clients' retries. `file` only serves to name the file in errors.
+/// The schedule of the requests of a recording, without the clients' retries. `file` is only used to name the
+/// file in errors.
 ///
 /// # Errors
-/// The first line that can't be replayed in this experiment, and why.
+/// A [`RecordingError`] with the first line that can't be replayed in this experiment.
 pub fn read(file: &Path, text: &str, experiment: &Experiment) -> Result<Schedule, RecordingError> {
     let mut requests = Vec::new();
     let mut id_seeds = BTreeSet::new();
@@ -160,7 +166,7 @@
     Ok(Schedule { requests })
 }
 
-/// The request that a recorded first attempt belongs to.
+/// The request of a recorded first attempt.
 fn scheduled_request(
     attempt: RecordedAttempt,
     line: usize,
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -215,14 +215,17 @@
 
 #[test_case(
     "{\"at_us\": 5, \"node\": 0, \"product\": \"none\", \"key\": 1}",
-    "r:1: product: there is no none"
+    "r:1: product: the experiment has no request class none"
 )]
 #[test_case(
     "{\"at_us\": 5, \"node\": 7, \"product\": \"summary\", \"key\": 1}",
-    "r:1: node: there is no node 7"
+    "r:1: node: the experiment has no node 7"
 )]
-#[test_case("\n{\"at_us\": -1, \"node\": 0, \"product\": \"summary\", \"key\": 1}", "r:2: at_us: not within")]
-#[test_case("{\"at_us\": 5, \"knot\": 0}", "r:1: unknown field `knot`")]
+#[test_case(
+    "\n{\"at_us\": -1, \"node\": 0, \"product\": \"summary\", \"key\": 1}",
+    "r:2: at_us: outside the run"
+)]
+#[test_case("{\"at_us\": 5, \"knot\": 0}", "r:1: not a recorded attempt: unknown field `knot`")]
 fn invalid_recording_is_reported_with_line(text: &str, message: &str) {
     let experiment = Experiment::read(Path::new("restless.toml"), MANY_RETRIES).expect("a valid experiment");
     let error = recording::read(Path::new("r"), text, &experiment).expect_err("an invalid recording");
