--- a/crates/testbed/src/experiment/node_changes/tests.rs
+++ b/crates/testbed/src/experiment/node_changes/tests.rs
@@ -2,6 +2,8 @@
 
 use crate::experiment::{Experiment, NodeAction, NodeChange};
 
+/// Guards against client requests to nodes that have not started yet or are about to stop: growth from 4 to
+/// 40 nodes over 9 s, then shrinkage to 6 nodes over 10 s.
 #[test]
 fn clients_use_only_active_nodes() {
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 40\n[world]\nnodes = 40\n[fleet]\nbegin = 4\n\
--- a/crates/testbed/src/request_generator.rs
+++ b/crates/testbed/src/request_generator.rs
@@ -1,7 +1,7 @@
-//! Draws the requests of a run from a seed.
+//! The generator of a run's requests, which draws them from a seed.
 //!
-//! The order in which numbers are drawn is part of the format: a change gives other schedules for the same seeds, and
-//! results recorded with them could no longer be compared.
+//! The order in which random numbers are drawn is part of the format: with another order, the same seeds
+//! would give other schedules, and results recorded with the former schedules could no longer be compared.
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Zipf};
@@ -10,24 +10,25 @@
 use crate::schedule::{Schedule, ScheduledRequest, mix64};
 use crate::shard_workload;
 
-/// Tells the hash of written keys apart from other uses of [`mix64`].
+/// Distinguishes hashes of written keys from other uses of [`mix64`].
 const WRITTEN_KEY_STREAM: u64 = 7;
-/// The smallest retry delay, as a fraction of the mean; the largest is 1 more.
+/// The smallest retry delay as a fraction of the mean delay. The largest fraction is greater by 1.
 const MIN_BACKOFF_FACTOR: f64 = 0.5;
 
 impl Schedule {
-    /// Draws the schedule of an experiment. The same experiment and seed give the same schedule.
+    /// Draws the schedule of an experiment. The same experiment and seed always give the same schedule.
     pub fn draw(experiment: &Experiment, seed: u64) -> Schedule {
         let mut generator = RequestGenerator::new(experiment, seed);
         let mut requests = generator.draw_all();
         requests.extend(shard_workload::requests(experiment, seed));
-        // A stable sort: without growing shards nothing changes.
+        // The sort is stable, so that a schedule without growing shards keeps its order.
         requests.sort_by_key(|request| request.at_us);
         Schedule { requests }
     }
 }
 
-/// Arrivals are a Poisson process of groups at the highest rate of any phase, thinned where the rate is lower.
+/// The state of the generator. Groups of requests arrive as a Poisson process with the highest rate of all
+/// phases, thinned at times with a lower rate.
 struct RequestGenerator<'a> {
     experiment: &'a Experiment,
     rng: ChaCha8Rng,
@@ -61,7 +62,8 @@
                 return requests;
             }
             let is_admitted = self.rng.random::<f64>() < load.factor_at(at_s) / max_factor;
-            // A dropped group is drawn as well, so that the draws that follow do not depend on the phases.
+            // A group that is not admitted is drawn as well, so that the following draws do not depend on the
+            // phases.
             for _ in 0..self.group_size() {
                 let request = self.draw_request(at_s);
                 if is_admitted {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Draws a class by the classes' shares.
+    /// Draws the index of a class, weighted by the classes' shares.
     fn draw_class(&mut self) -> usize {
         let mut drawn = self.rng.random::<f64>() * self.total_share;
         for (class, share) in self.class_shares.iter().enumerate() {
@@ -113,7 +115,7 @@
                 return class;
             }
         }
-        // Only reached by rounding.
+        // Reached only because of rounding errors.
         self.class_shares.len() - 1
     }
 
@@ -123,7 +125,7 @@
         if !self.experiment.request_classes[class].writes() {
             return rank - 1;
         }
-        // Written keys are a subset of all keys, independent of their popularity among reads.
+        // Written keys are a subset of all keys that does not depend on popularity among reads.
         let written_keys = ((load.keys as f64 * load.written_key_share) as u64).max(1);
         mix64(rank, WRITTEN_KEY_STREAM) % load.keys % written_keys
     }
@@ -155,7 +157,8 @@
     }
 }
 
-/// Draws from `0..count`, where the n-th number, counted from 1, has the weight n to the power of minus `skew`.
+/// Draws a number from `0..count`. The n-th number, counted from 1, has the weight n to the power of minus
+/// `skew`.
 fn draw_skewed(count: usize, skew: f64, rng: &mut impl Rng) -> usize {
     let weight = |n: usize| (n as f64).powf(-skew);
     let total_weight: f64 = (1..=count).map(weight).sum();
@@ -166,6 +169,6 @@
             return n - 1;
         }
     }
-    // Only reached by rounding.
+    // Reached only because of rounding errors.
     count - 1
 }
--- a/crates/testbed/src/run_result.rs
+++ b/crates/testbed/src/run_result.rs
@@ -1,4 +1,4 @@
-//! One run: an experiment is executed with one seed and audited.
+//! One run: executes an experiment with one seed and audits the event log.
 use std::fmt;
 use std::path::Path;
 
@@ -8,25 +8,26 @@
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
 
-/// The testbed itself is on time if it sends 99.9% of its requests within this many milliseconds of their due time.
+/// The largest delay of the testbed itself, in milliseconds: the testbed is on time if it sends 99.9% of the
+/// requests within this time after they are due.
 pub const ON_TIME_MS: f64 = 2.0;
 
-/// The record of a run and what the audit found.
+/// The event log of a run and the result of the audit.
 pub struct RunResult {
-    /// What the audit measured and found.
+    /// The figures that the audit measured and the violations that it found.
     pub audit_result: AuditResult,
-    /// Everything that servers and clients recorded.
+    /// All records of the servers and the clients.
     pub event_log: EventLog,
 }
 
-/// How a run, or the worst of several runs, ended. Ordered from best to worst.
+/// The outcome of a run, or of the worst of several runs. Ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunOutcome {
-    /// All rules held and all expectations were met.
+    /// No rule was violated and all expectations were met.
     Passed,
-    /// A rule was broken or an expectation was not met.
+    /// A rule was violated or an expectation was not met.
     Failed,
-    /// The experiment could not be run, or the testbed was too late to judge it.
+    /// The experiment could not be run, or the testbed sent requests too late for a judgement.
     NotRun,
 }
 
@@ -37,10 +38,11 @@
     }
 }
 
-/// An experiment could not be run: a process or a server did not start, or the scratch folder could not be written.
+/// The error of an experiment that could not be run, for instance because a process or a server did not start
+/// or the scratch folder could not be written.
 #[derive(Debug)]
 pub struct RunError {
-    /// What failed.
+    /// The cause.
     pub cause: EnvironmentError,
 }
 
@@ -52,7 +54,7 @@
 
 impl std::error::Error for RunError {}
 
-/// Runs an experiment with a seed and audits it. `node` is the program under test.
+/// Runs an experiment with a seed and audits the run. `node` is the path of the program under test.
 ///
 /// # Errors
 /// The experiment could not be run.
@@ -61,7 +63,7 @@
     run_schedule(experiment, &schedule, seed, node)
 }
 
-/// As [`run_experiment`], with requests that are drawn or recorded already.
+/// Runs an experiment with a given schedule, drawn or recorded, and audits the run; see [`run_experiment`].
 ///
 /// # Errors
 /// The experiment could not be run.
@@ -78,13 +80,13 @@
     };
     let audit_result = audit::audit_against(experiment, schedule, &event_log, baseline_service);
     if audit_result.holds() {
-        // The nodes' logs are only needed to examine a failure.
+        // The nodes' logs in the scratch folder are only needed to examine a failure.
         remove_scratch_folder(experiment, seed);
     }
     Ok(RunResult { audit_result, event_log })
 }
 
-/// The service with the same requests and without faults of planners and of control-plane messages.
+/// The service of a run with the same requests and without faults of planners and of control-plane messages.
 fn baseline_service(
     experiment: &Experiment,
     schedule: &Schedule,
@@ -108,7 +110,7 @@
     environment::execute(&run).map_err(|cause| RunError { cause })
 }
 
-/// Removes a run's scratch folder. A failure is ignored: the folder is a temporary one.
+/// Removes a run's scratch folder. A failure is ignored, because the folder is temporary.
 fn remove_scratch_folder(experiment: &Experiment, seed: u64) {
     let _ = std::fs::remove_dir_all(environment::scratch_directory(&experiment.name, seed));
 }
--- a/crates/testbed/src/runs.rs
+++ b/crates/testbed/src/runs.rs
@@ -1,4 +1,4 @@
-//! Runs experiments side by side, prints a summary of each, and writes reports.
+//! Runs several experiments at once, prints a summary of each run, and writes reports.
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,25 +10,26 @@
 use crate::run_result::{RunError, RunOutcome, RunResult, run_experiment};
 use crate::{environment, report};
 
-/// How often a run is repeated because the testbed itself was late.
+/// The largest number of times that a run is repeated because the testbed itself was late.
 const MAX_LATE_RERUNS: usize = 2;
 
-/// How experiments are run.
+/// The options for running experiments.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed to use in place of the experiment's own ones.
+    /// The seed to use instead of the experiment's own seeds.
     pub seed: Option<u64>,
-    /// How often each seed is run.
+    /// The number of runs with each seed.
     pub repeat: usize,
-    /// The program under test; if absent, it is looked for beside this program.
+    /// The path of the program under test; if absent, the program is searched for in the folder of this
+    /// program.
     pub node: Option<PathBuf>,
-    /// The folder for reports; if absent, none are written.
+    /// The folder for reports; if absent, no reports are written.
     pub report: Option<PathBuf>,
-    /// Whether reports contain the event log.
+    /// Whether the event log is written beside each report.
     pub event_log: bool,
-    /// How many experiments run at once.
+    /// The number of runs that are executed at once.
     pub jobs: usize,
-    /// A run for which the testbed was later than this many milliseconds is not judged.
+    /// The largest delay of the testbed, in milliseconds, at which a run is judged.
     pub late_ms: f64,
 }
 
@@ -60,14 +61,14 @@
     }
 }
 
-/// One run that is to be done.
+/// A run to execute.
 struct PlannedRun<'a> {
     experiment: &'a Experiment,
     seed: u64,
     repetition: usize,
 }
 
-/// What to print of a run, and how it ended.
+/// The text to print about a run, and the run's outcome.
 struct RunSummary {
     text: String,
     outcome: RunOutcome,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Runs all experiments with all their seeds and gives the worst outcome.
+/// Runs all experiments with all their seeds. Returns the worst outcome.
 pub fn run(options: &Options, node: &Path, experiments: &[Experiment]) -> RunOutcome {
     let planned_runs = planned_runs(options, experiments);
     let progress = progress_bar(planned_runs.len());
@@ -127,7 +128,9 @@
     let name = format!("{} seed {seed}", experiment.name);
     let result = match run_until_on_time(options, node, experiment, seed) {
         Ok(result) => result,
-        Err(error) => return RunSummary::not_run(format!("{name}: could not run: {error}")),
+        Err(error) => {
+            return RunSummary::not_run(format!("{name}: the experiment could not be run: {error}"));
+        }
     };
     let mut text = report::summary(&name, &result.audit_result);
     if let Some(folder) = &options.report {
@@ -138,20 +141,23 @@
     }
     let late_ms = result.audit_result.figures.harness_late_ms;
     if late_ms > options.late_ms {
-        text +=
-            &format!("\n    the rig was late: {late_ms:.1} ms at 99.9%, {} ms is on time", options.late_ms);
+        text += &format!(
+            "\n    not judged: the testbed sent requests late: {late_ms:.1} ms at 99.9%, limit {} ms",
+            options.late_ms
+        );
         return RunSummary::not_run(text);
     }
     let outcome = RunOutcome::of(&result.audit_result);
     if outcome == RunOutcome::Failed {
         let folder = environment::scratch_directory(&experiment.name, seed);
-        text += &format!("\n    what the nodes logged: {}", folder.display());
+        text += &format!("\n    logs of the nodes: {}", folder.display());
     }
     RunSummary { text, outcome }
 }
 
-/// Runs an experiment, and again while the testbed itself was late: it then did not send the requests as scheduled, which is
-/// no one's fault. After the last rerun the result may still be a late one.
+/// Runs an experiment, and repeats the run while the testbed itself was late, because a late testbed did not
+/// send the requests as scheduled and its run says nothing about the program under test. After
+/// [`MAX_LATE_RERUNS`] repetitions the result is returned even if the testbed was late.
 fn run_until_on_time(
     options: &Options,
     node: &Path,
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,67 +1,69 @@
-//! The requests of a run, complete before the run starts.
+//! The schedule of a run: all requests, fixed before the run starts.
 //!
-//! A schedule is drawn from a seed (see [`request_generator`](crate::request_generator)) or read from a recording. The same
-//! seed gives the same schedule, byte for byte. A [`RequestId`] is a request's position in its schedule.
+//! A schedule is drawn from a seed (see [`request_generator`](crate::request_generator)) or read from a
+//! recording. The same seed gives the same schedule, byte for byte. A [`RequestId`] is a request's position
+//! in its schedule.
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
 use crate::event_log::{NodeId, RequestId, Timestamp};
 
-/// Tells the idempotency key's hash apart from those of attempt numbers, which are below it.
+/// Distinguishes the hash of the idempotency key from the hashes of attempt numbers, which are smaller than
+/// this number.
 const IDEMPOTENCY_KEY_STREAM: u64 = 1 << 20;
 
-/// A request as it is to be sent.
+/// A request of a schedule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScheduledRequest {
-    /// When it is due, in microseconds from the start of the run.
+    /// When the request is due, in microseconds from the start of the run.
     pub at_us: i64,
-    /// The index of the node that the client uses.
+    /// The index of the node that the client sends the request to.
     pub node: usize,
-    /// The index of the request's class.
+    /// The index of the request class.
     #[serde(rename = "product")]
     pub class: usize,
-    /// The key that it reads or writes.
+    /// The key that the request reads or writes.
     pub key: u64,
-    /// The index of the tenant, if the load has tenants.
+    /// The index of the tenant; `None` if the load has no tenants.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<usize>,
-    /// Whether the client opens a connection for it and closes that after the answer.
+    /// Whether the client opens a connection for the request and closes the connection after the response.
     #[serde(rename = "once", default)]
     pub single_use_connection: bool,
     /// Whether the client honors `Retry-After`.
     #[serde(rename = "heeds", default)]
     pub honors_retry_after: bool,
-    /// The delays before the client's retries, in microseconds; as many as there may be retries.
+    /// The delays before the client's retries, in microseconds: one for each permitted retry.
     #[serde(rename = "repeats_us", default)]
     pub retry_delays_us: Vec<u64>,
-    /// Determines the IDs of the request's attempts and its idempotency key; different for each request.
+    /// The seed of the IDs of the request's attempts and of its idempotency key; different for each request.
     #[serde(rename = "salt")]
     pub id_seed: u64,
 }
 
 impl ScheduledRequest {
-    /// When it is due.
+    /// When the request is due.
     pub fn due(&self) -> Timestamp {
         Timestamp(self.at_us)
     }
 
-    /// The node that the client uses.
+    /// The node that the client sends the request to.
     pub fn node_id(&self) -> NodeId {
         NodeId(self.node)
     }
 
-    /// The ID of the client's attempt with this number, from 0.
+    /// The ID of the client's attempt with this number, counted from 0.
     pub fn attempt_id(&self, attempt: u8) -> String {
         format!("{:016x}", mix64(self.id_seed, u64::from(attempt)))
     }
 
-    /// The idempotency key, the same for all attempts.
+    /// The idempotency key, which is the same for all attempts.
     pub fn idempotency_key(&self) -> String {
         format!("k{:016x}", mix64(self.id_seed, IDEMPOTENCY_KEY_STREAM))
     }
 
-    /// The delay before the retry with this number, from 0; none if there are no further retries.
+    /// The delay before the retry with this number, counted from 0; `None` if there are no further retries.
     pub fn retry_delay(&self, retry: u8) -> Option<Duration> {
         let delay_us = self.retry_delays_us.get(usize::from(retry))?;
         Some(Duration::from_micros(*delay_us))
@@ -71,7 +73,7 @@
 /// The requests of a run, ordered by due time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// The requests; a [`RequestId`] is an index here.
+    /// The requests; a [`RequestId`] is an index into them.
     pub requests: Vec<ScheduledRequest>,
 }
 
@@ -86,13 +88,13 @@
         text
     }
 
-    /// The request with this ID, which has to be of this schedule.
+    /// The request with this ID, which has to belong to this schedule.
     pub fn request(&self, id: RequestId) -> &ScheduledRequest {
         &self.requests[id.0]
     }
 }
 
-/// Hashes two numbers by the finalizer of SplitMix64. Not cryptographic.
+/// A 64-bit hash of two numbers by the finalizer of SplitMix64; not cryptographic.
 pub fn mix64(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/testbed/src/shard_workload.rs
+++ b/crates/testbed/src/shard_workload.rs
@@ -1,8 +1,8 @@
-//! The requests for shards whose number of keys grows.
+//! The requests for the keys of growing shards.
 //!
-//! Each key is requested equally often on every accounting day, so that what is seen of a shard in a day is what it has
-//! to store. All draws come from one generator for each shard, seeded by the run's seed and the shard: their order is
-//! part of the workload.
+//! Each key is requested equally often on every accounting day, so that the keys of a shard that nodes see in
+//! a day are the keys that the shard has to store. Each shard has a random generator, seeded by the run's
+//! seed and the shard. The order of the draws is part of the workload.
 
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
@@ -14,24 +14,25 @@
 
 /// The approximate size of a response body without padding.
 const UNPADDED_RESPONSE_BYTES: usize = 100;
-/// Offset of a shard in the generators' streams: those below belong to the other draws of a schedule.
+/// The stream of the generator of shard 0. Smaller numbers are streams of the other draws of a schedule.
 const FIRST_SHARD_STREAM: u64 = 256;
 const MICROS_PER_MILLI: f64 = 1000.0;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Keeps the length of an accounting day finite where days don't pass.
+/// The smallest rate of accounting days, which keeps the length of a day finite if no day length is
+/// configured.
 const MIN_DAYS_PER_SECOND: f64 = 1e-9;
 
-/// The padding that brings the response for a key to its size; empty for keys outside growing shards.
+/// The padding that makes the response for a key [`VALUE_BYTES`] long; empty for keys outside growing shards.
 pub fn response_padding(key: u64) -> String {
     if key < FIRST_GROWING_KEY { String::new() } else { "x".repeat(VALUE_BYTES - UNPADDED_RESPONSE_BYTES) }
 }
 
-/// The body of a write to a key.
+/// The body of a write of a key.
 pub fn write_body(key: u64) -> Bytes {
     if key < FIRST_GROWING_KEY { Bytes::from_static(b"a new value") } else { "x".repeat(VALUE_BYTES).into() }
 }
 
-/// All requests for growing shards, shard by shard.
+/// All requests for growing shards, ordered by shard and then by time.
 pub fn requests(experiment: &Experiment, seed: u64) -> Vec<ScheduledRequest> {
     let Some(growth) = &experiment.growth else { return Vec::new() };
     let mut requests = Vec::new();
@@ -41,7 +42,7 @@
     requests
 }
 
-/// The indices of the request classes that a growing shard is read and written with.
+/// The indices of the request classes for reads and writes of growing shards.
 struct RequestClasses {
     read: usize,
     write: usize,
@@ -72,7 +73,8 @@
     let mut next_key = 0;
     while at_s < experiment.seconds {
         let key_count = growth.keys_after(experiment.accounting_days_at(at_s));
-        // Round robin: each key is requested within a day, whenever the day begins.
+        // Keys are requested round-robin, so that each key is requested within every day, whenever the day
+        // begins.
         if next_key >= key_count as usize {
             next_key = 0;
         }
@@ -84,7 +86,7 @@
     requests
 }
 
-/// One request; the order of the draws is part of the workload.
+/// Draws a request for a key at a time in seconds. The order of the draws is part of the workload.
 fn draw_request(
     experiment: &Experiment,
     growth: &GrowthConfig,
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -1,12 +1,13 @@
-//! Bootstrap intervals for differences of ratios.
+//! Bootstrap confidence intervals for differences of ratios.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-/// Resamples of a bootstrap: beyond this many, the ends of a 95% interval move by less than a tenth of its width.
+/// The number of bootstrap resamples. With more resamples, the ends of a 95% interval move by less than a
+/// tenth of the interval's width.
 const RESAMPLES: usize = 4000;
-/// One in this many resamples lies beyond each end of a 95% interval.
+/// The reciprocal of the share of resamples beyond each end of a 95% interval.
 const TAIL_DIVISOR: usize = 40;
 
 /// A figure with its 95% confidence interval.
@@ -20,40 +21,40 @@
     pub high: f64,
 }
 
-/// A ratio whose parts add up over blocks.
+/// A ratio whose numerators and denominators are summed over blocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ratio {
-    /// What is counted.
+    /// The numerator.
     pub numerator: f64,
-    /// What it is counted of.
+    /// The denominator.
     pub denominator: f64,
 }
 
 impl Ratio {
-    /// Adds another block's parts.
+    /// Adds another block's numerator and denominator.
     pub fn add(&mut self, other: Ratio) {
         self.numerator += other.numerator;
         self.denominator += other.denominator;
     }
 
-    /// The quotient; zero where nothing is counted.
+    /// The quotient; 0 if the denominator is not positive.
     pub fn value(self) -> f64 {
         if self.denominator > 0.0 { self.numerator / self.denominator } else { 0.0 }
     }
 }
 
-/// The same block of two runs.
+/// The ratios of the same block in two runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PairedBlock {
-    /// In the run that is compared with.
+    /// The ratio in the baseline run.
     pub baseline: Ratio,
-    /// In the run that is judged.
+    /// The ratio in the candidate run.
     pub candidate: Ratio,
 }
 
-/// The candidate's ratio less the baseline's; `None` without blocks.
+/// The candidate's ratio minus the baseline's, with its 95% interval; `None` if there are no blocks.
 ///
-/// Whole blocks are resampled with replacement, so that what is correlated within a block stays together.
+/// Whole blocks are resampled with replacement, so that correlated events within a block stay together.
 pub fn difference_of_ratios(blocks: &[PairedBlock], seed: u64) -> Option<Interval> {
     if blocks.is_empty() {
         return None;
