--- a/crates/testbed/src/audit/rules/draining.rs
+++ b/crates/testbed/src/audit/rules/draining.rs
@@ -1,4 +1,4 @@
-//! Nothing new is sent to a draining or removed cache after the grace period.
+//! Checks that no new attempt is sent to a draining or removed cache after the grace period.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,30 +6,34 @@
 use super::{DRAIN_GRACE_MS, Findings, Rule, TOLERANCE_MS};
 use crate::event_log::{EndpointState, EventLog, NodeId, ServerAttempt, ServerId, Timestamp};
 
-/// The attempts of a node at a cache while it knew the cache as draining or removed.
+/// The attempts of a node at a cache while the endpoint list of the node had the cache as draining or
+/// removed.
 pub(in crate::audit) struct Drain<'a> {
     pub node: NodeId,
     pub server: ServerId,
-    /// When the node was notified.
+    /// When the node was notified that the cache is draining or removed.
     pub notified: Timestamp,
     pub attempts: Vec<&'a ServerAttempt>,
 }
 
+/// Checks the attempts of each drain against the grace period.
 pub(super) fn check(index: &RunIndex<'_>, findings: &mut Findings) {
     let max_delay_ms = DRAIN_GRACE_MS + TOLERANCE_MS + index.link_delay_ms;
     for drain in drains(index.event_log) {
         for attempt in &drain.attempts {
             let delay_ms = attempt.arrived.ms_since(drain.notified);
-            if delay_ms > max_delay_ms && !index.was_cut_off(attempt) {
+            if delay_ms > max_delay_ms && !index.link_was_silent(attempt) {
                 let name = &index.event_log.servers[drain.server.0].name;
-                let example = format!("node {} to {name}, {delay_ms:.0} ms after", drain.node.0);
+                let example =
+                    format!("node {} to {name}, {delay_ms:.0} ms after the notification", drain.node.0);
                 findings.add(Rule::Draining, "a new shot to a draining or gone cache", example);
             }
         }
     }
 }
 
-/// When a node knew a cache as draining or removed; `to` is when it was listed as ready again.
+/// A period in which a node's endpoint list had a cache as draining or removed; it was listed as ready again
+/// at `to`.
 struct DrainPeriod {
     from: Timestamp,
     to: Timestamp,
@@ -53,17 +57,18 @@
     drains
 }
 
+/// The drain periods of each cache at each node, in the order of time.
 fn drain_periods(event_log: &EventLog) -> BTreeMap<(NodeId, ServerId), Vec<DrainPeriod>> {
     let mut notifications: Vec<_> = event_log.endpoint_notifications.iter().collect();
     notifications.sort_by_key(|notification| notification.at);
     let mut periods: BTreeMap<(NodeId, ServerId), Vec<DrainPeriod>> = BTreeMap::new();
     for notification in notifications {
-        let known = periods.entry((notification.node, notification.server)).or_default();
-        let open = known.last_mut().filter(|period| period.to == Timestamp::MAX);
+        let known_periods = periods.entry((notification.node, notification.server)).or_default();
+        let open = known_periods.last_mut().filter(|period| period.to == Timestamp::MAX);
         match (notification.state, open) {
             (EndpointState::Ready, Some(period)) => period.to = notification.at,
             (EndpointState::Draining | EndpointState::Removed, None) => {
-                known.push(DrainPeriod { from: notification.at, to: Timestamp::MAX });
+                known_periods.push(DrainPeriod { from: notification.at, to: Timestamp::MAX });
             }
             _ => {}
         }
--- a/crates/testbed/src/audit/rules/effects.rs
+++ b/crates/testbed/src/audit/rules/effects.rs
@@ -1,4 +1,5 @@
-//! No effect is executed twice, and no request is sent to two servers at once unless hedging is on.
+//! Checks that no deduplicated or non-idempotent effect is executed twice, and no request is sent to two
+//! servers at once unless hedging is on.
 
 use std::collections::BTreeMap;
 
@@ -54,11 +55,14 @@
     }
 }
 
+/// Whether the server may have executed the attempt: a server that rejects an attempt or reports a miss has
+/// not.
 fn may_have_executed(attempt: &ServerAttempt) -> bool {
     !matches!(attempt.end, ServerAttemptEnd::Rejected | ServerAttemptEnd::CacheMiss)
 }
 
-/// Checks that no attempt is sent while another one for the same request is in flight.
+/// Checks that no attempt is sent while another attempt for the same request is in flight, unless hedging is
+/// on.
 pub(super) fn check_hedging(index: &RunIndex<'_>, findings: &mut Findings) {
     if index.experiment.environment.hedging {
         return;
@@ -66,8 +70,8 @@
     for id in index.forwarded_ids() {
         for pair in index.server_attempts_by_arrival(id).windows(2) {
             let next = pair[1].arrived;
-            let is_over = pair[0].ended.is_some_and(|ended| next.ms_since(ended) > -TOLERANCE_MS);
-            if !is_over && !index.was_cut_off(pair[0]) {
+            let has_ended = pair[0].ended.is_some_and(|ended| next.ms_since(ended) > -TOLERANCE_MS);
+            if !has_ended && !index.link_was_silent(pair[0]) {
                 let example = format!("attempt {id} at {:.3} s", next.seconds());
                 findings.add(Rule::AtMostOnce, "a second copy while one was out", example);
             }
--- a/crates/testbed/src/audit/rules/index.rs
+++ b/crates/testbed/src/audit/rules/index.rs
@@ -1,4 +1,4 @@
-//! The event log with its records found by name.
+//! An index of the event log's records, which the checks of rules use.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,7 +6,7 @@
 use crate::event_log::{ClientAttempt, ClientAttemptEnd, Event, EventLog, NodeId, ServerAttempt, Timestamp};
 use crate::experiment::{Experiment, FaultKind, RequestEffect};
 
-/// A period of a node, both ends included; an open one ends at [`Timestamp::MAX`].
+/// A period in the state of a node, both ends included; a period without an end has [`Timestamp::MAX`].
 struct Period {
     from: Timestamp,
     to: Timestamp,
@@ -14,19 +14,19 @@
 
 type PeriodsByNode = BTreeMap<NodeId, Vec<Period>>;
 
-/// What the checks of rules look up.
+/// The records of a run, indexed for the checks of rules.
 pub(super) struct RunIndex<'a> {
     pub experiment: &'a Experiment,
     pub event_log: &'a EventLog,
-    /// What injected link faults may add to an attempt's way, in milliseconds.
+    /// The latency that injected link faults may add to an attempt, in milliseconds.
     pub link_delay_ms: f64,
-    /// Client attempts by name.
+    /// Client attempts by identifier.
     client_attempts: HashMap<&'a str, &'a ClientAttempt>,
-    /// Attempts at servers by the name of the client attempt, in the order of arrival.
+    /// Attempts at servers by the identifier of the client attempt, in the order of the event log.
     server_attempts: HashMap<&'a str, Vec<&'a ServerAttempt>>,
-    /// When each node could not be expected to respond.
+    /// Periods in which each node was down and could not respond.
     down: PeriodsByNode,
-    /// When each node accepted nothing new, though it owed responses.
+    /// Periods in which each node was stopping: it accepted no new requests, but had to answer accepted ones.
     stopping: PeriodsByNode,
 }
 
@@ -59,48 +59,50 @@
         index
     }
 
-    /// The client attempt of this name.
+    /// The client attempt with this identifier.
     pub fn client_attempt(&self, id: &str) -> Option<&'a ClientAttempt> {
         self.client_attempts.get(id).copied()
     }
 
-    /// The attempts at servers for a client attempt.
+    /// The attempts at servers for the client attempt with this identifier.
     pub fn server_attempts(&self, id: &str) -> &[&'a ServerAttempt] {
         self.server_attempts.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// The same by the time of their arrival.
+    /// The attempts at servers for the client attempt with this identifier, in the order of arrival.
     pub fn server_attempts_by_arrival(&self, id: &str) -> Vec<&'a ServerAttempt> {
         let mut attempts = self.server_attempts(id).to_vec();
         attempts.sort_by_key(|attempt| attempt.arrived);
         attempts
     }
 
-    /// The names of all client attempts that have attempts at servers.
+    /// The identifiers of all client attempts for which a server received an attempt.
     pub fn forwarded_ids(&self) -> impl Iterator<Item = &'a str> {
         self.server_attempts.keys().copied()
     }
 
+    /// The effect of executing the attempt's request.
     pub fn effect(&self, attempt: &ClientAttempt) -> RequestEffect {
         self.experiment.request_classes[attempt.request_class].effect
     }
 
-    /// Whether the node owes the attempt no response, because it was down or accepted nothing new.
+    /// Whether the node need not answer the attempt, because the node was down or accepted no new requests.
     pub fn is_excused(&self, attempt: &ClientAttempt) -> bool {
         let overlaps = |period: &Period| attempt.sent <= period.to && attempt.ended >= period.from;
         let any_overlap = |periods: &PeriodsByNode| {
             periods.get(&attempt.node).is_some_and(|periods| periods.iter().any(overlaps))
         };
-        // An attempt that found no connection was not accepted, unless something was sent upstream for it: its client
-        // had first used a pooled connection, which ended, and then tried to connect again.
+        // A node did not accept an attempt that could not connect. If something was sent upstream for the
+        // attempt, the node had accepted it on a pooled connection that then ended, and the client failed to
+        // connect again.
         let not_accepted =
             attempt.end == ClientAttemptEnd::ConnectFailed && self.server_attempts(&attempt.id).is_empty();
         any_overlap(&self.down) || (not_accepted && any_overlap(&self.stopping))
     }
 
-    /// Whether the link of an attempt was silent at some time while it was in flight, so that the server could not see
-    /// what the node did.
-    pub fn was_cut_off(&self, attempt: &ServerAttempt) -> bool {
+    /// Whether the link of an attempt was silent at some time while the attempt was in flight, so that the
+    /// server could not see what the node did.
+    pub fn link_was_silent(&self, attempt: &ServerAttempt) -> bool {
         let server = self.event_log.servers.get(attempt.server.0);
         let Some(slot) = server.and_then(|server| server.slot) else { return false };
         self.experiment.faults().iter().any(|fault| {
--- a/crates/testbed/src/audit/rules/mod.rs
+++ b/crates/testbed/src/audit/rules/mod.rs
@@ -1,7 +1,7 @@
 //! The rules that hold for each run.
 //!
-//! Each check looks for violations of one rule in the event log. Violations of one kind are gathered: the first few are
-//! reported one by one, and all are counted.
+//! Each check looks for violations of one rule in the event log. Violations are grouped by kind: all are
+//! counted, and the first few of each kind are reported as examples.
 
 mod draining;
 mod effects;
@@ -17,31 +17,34 @@
 
 pub(super) use draining::drains;
 
-/// What clocks and the loopback interface may add to any time limit of a rule, in milliseconds.
+/// Tolerance of all time limits of the rules for clock differences and loopback latency, in milliseconds.
 pub(super) const TOLERANCE_MS: f64 = 50.0;
-/// New attempts at a draining or removed cache are allowed for this long after the node was notified, in milliseconds.
+/// How long after its notification a node may still send new attempts to a draining or removed cache, in
+/// milliseconds.
 pub(super) const DRAIN_GRACE_MS: f64 = 300.0;
-/// Violations of one kind that are reported one by one.
+/// The most violations of one kind that are reported as examples.
 const MAX_EXAMPLES: usize = 5;
-/// What a throttled link may add to an attempt's way, in milliseconds.
+/// The latency that a throttled link may add to an attempt, in milliseconds.
 const THROTTLE_DELAY_MS: f64 = 1000.0;
 
-/// A rule. Reports keep the former names.
+/// A rule that each run has to keep. The serialized names are those of the first report format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    /// Each request gets exactly one final response in time, made for it, and nothing is sent upstream for it after.
+    /// Each request gets exactly one final response, made for this request and in time, and nothing is sent
+    /// upstream for the request afterwards.
     #[serde(rename = "OneAnswer")]
     SingleResponse,
-    /// No effect is executed twice, and none for a request that was rate-limited.
+    /// No deduplicated or non-idempotent effect is executed twice, and no effect for a rate-limited request.
     #[serde(rename = "NoEffectTwice")]
     AtMostOnce,
-    /// Nothing new is sent to a draining or removed cache after the grace period.
+    /// No new attempt is sent to a draining or removed cache after the grace period.
     #[serde(rename = "Drains")]
     Draining,
-    /// No cache that warms up is overloaded, nor the origin.
+    /// Neither a cache that is warming up nor the origin is overloaded.
     #[serde(rename = "Cold")]
     Overload,
-    /// One shard map for each version, one phase at a time, and no two splits on one cache.
+    /// Each version has one shard map, splits advance one phase at a time, and no cache takes part in two
+    /// splits.
     #[serde(rename = "Growth")]
     ShardGrowth,
 }
@@ -51,20 +54,20 @@
 pub struct RuleViolation {
     /// The rule that was broken.
     pub rule: Rule,
-    /// The kind of violation, the same for all alike.
+    /// The kind of violation, by which violations are grouped.
     pub kind: &'static str,
-    /// How many there were.
+    /// The number of violations of this kind.
     pub count: usize,
-    /// The first few.
+    /// Descriptions of the first few violations.
     pub examples: Vec<String>,
 }
 
-/// Violations while they are gathered, in the order in which their kinds were first found.
+/// Collects violations by kind, in the order in which their kinds were first found.
 #[derive(Default)]
 pub(super) struct Findings(Vec<RuleViolation>);
 
 impl Findings {
-    /// Adds one violation.
+    /// Adds one violation, described by `example`.
     pub fn add(&mut self, rule: Rule, kind: &'static str, example: String) {
         let known = self.0.iter().position(|violation| violation.kind == kind);
         let index = known.unwrap_or_else(|| {
@@ -78,13 +81,13 @@
         }
     }
 
-    /// The gathered violations.
+    /// The violations found, one entry per kind.
     pub fn into_violations(self) -> Vec<RuleViolation> {
         self.0
     }
 }
 
-/// Checks all rules but the one about shard growth.
+/// Checks all rules except [`Rule::ShardGrowth`].
 pub(super) fn check(experiment: &Experiment, event_log: &EventLog) -> Vec<RuleViolation> {
     let index = RunIndex::new(experiment, event_log);
     let mut findings = Findings::default();
@@ -97,7 +100,7 @@
     findings.into_violations()
 }
 
-/// What injected link faults may add to an attempt's way, in milliseconds.
+/// The latency that injected link faults may add to an attempt, in milliseconds.
 pub(super) fn link_delay_ms(experiment: &Experiment) -> f64 {
     let delay_ms = |fault: &Fault| match fault.kind {
         FaultKind::LinkDelay => 2.0 * fault.ms.unwrap_or(0.0),
--- a/crates/testbed/src/audit/rules/responses.rs
+++ b/crates/testbed/src/audit/rules/responses.rs
@@ -1,4 +1,5 @@
-//! Each request gets exactly one response in time, and nothing is sent upstream for it after.
+//! Checks that each request gets exactly one response in time, and that nothing is sent upstream for it
+//! afterwards.
 
 use super::index::RunIndex;
 use super::{Findings, Rule, TOLERANCE_MS};
@@ -7,7 +8,7 @@
 
 const CONNECTION_ENDED: &str = "connection ended without an answer";
 
-/// Checks how each client attempt ended, and that no process crashed.
+/// Checks how each client attempt ended, that no surplus response was sent and that no process crashed.
 pub(super) fn check_responses(index: &RunIndex<'_>, findings: &mut Findings) {
     for attempt in &index.event_log.client_attempts {
         if index.is_excused(attempt) {
@@ -23,6 +24,7 @@
     check_events(index, findings);
 }
 
+/// The kind of violation in how a client attempt ended; `None` where it ended as it should.
 fn response_violation(index: &RunIndex<'_>, attempt: &ClientAttempt) -> Option<&'static str> {
     let timeout_ms = index.experiment.request_classes[attempt.request_class].timeout_ms as f64;
     let is_late = attempt.ended.ms_since(attempt.sent) > timeout_ms + TOLERANCE_MS;
@@ -30,7 +32,8 @@
     match &attempt.end {
         ClientAttemptEnd::Cancelled => None,
         ClientAttemptEnd::TimedOut => Some("no final answer"),
-        // The connection was closed as idle while the request was on its way, unread: it was not accepted.
+        // The node closed the idle connection before it read the request, so the node did not accept the
+        // request.
         ClientAttemptEnd::ConnectionLost { reused: true } if !is_forwarded => None,
         ClientAttemptEnd::ConnectionLost { .. } => Some(CONNECTION_ENDED),
         ClientAttemptEnd::Fulfilled { made_for, .. } if *made_for != attempt.id => {
@@ -44,6 +47,7 @@
     }
 }
 
+/// Checks that no surplus response was sent and that no process crashed.
 fn check_events(index: &RunIndex<'_>, findings: &mut Findings) {
     for timed in &index.event_log.events {
         let seconds = timed.at.seconds();
@@ -65,7 +69,8 @@
     }
 }
 
-/// Checks that nothing is sent upstream for a request after its response, or for long after its client disconnected.
+/// Checks that nodes send nothing upstream for a request after its response, and little after its client
+/// disconnected.
 pub(super) fn check_after_response(index: &RunIndex<'_>, findings: &mut Findings) {
     let max_delay_ms = TOLERANCE_MS + index.link_delay_ms;
     for upstream in &index.event_log.server_attempts {
@@ -77,7 +82,7 @@
             continue;
         }
         let delay_ms = upstream.arrived.ms_since(attempt.ended);
-        if delay_ms > max_delay_ms && !index.was_cut_off(upstream) && !index.is_excused(attempt) {
+        if delay_ms > max_delay_ms && !index.link_was_silent(upstream) && !index.is_excused(attempt) {
             let example = format!("attempt {}, {delay_ms:.0} ms after its response", attempt.id);
             findings.add(Rule::SingleResponse, "sent after the final answer", example);
         }
