--- a/crates/testbed/src/audit/disconnects.rs
+++ b/crates/testbed/src/audit/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: what nodes send upstream for them afterwards.
+//! Attempts that nodes send upstream after the client of the request has disconnected.
 
 use std::collections::HashMap;
 
@@ -7,26 +7,27 @@
 use super::rules::{DRAIN_GRACE_MS, TOLERANCE_MS};
 use crate::event_log::{ClientAttemptEnd, EventLog, Timestamp};
 
-/// Fewer late attempts than this never count as a violation.
+/// The fewest late attempts that count as a violation.
 const MIN_LATE_ATTEMPTS: usize = 5;
-/// The share of waiting attempts that may be forwarded late.
+/// The largest share of waiting attempts that nodes may forward late.
 const MAX_LATE_SHARE: f64 = 0.25;
 
-/// Attempts whose client disconnected, and what became of them.
+/// Counts of client attempts whose client disconnected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DisconnectFigures {
-    /// Attempts whose client disconnected.
+    /// Client attempts whose client disconnected.
     #[serde(rename = "left")]
     pub disconnected: usize,
-    /// Of these, attempts for which nothing had been sent upstream by then.
+    /// The disconnected attempts for which the node had sent nothing upstream when the client disconnected.
     #[serde(rename = "waited")]
     pub waiting: usize,
-    /// Of the waiting ones, attempts for which something was sent later than is allowed.
+    /// The waiting attempts for which the node sent something upstream later than is allowed.
     pub sent_late: usize,
 }
 
 impl DisconnectFigures {
-    /// Counts the attempts of a run; `link_delay_ms` is what injected delays may add to an attempt's way.
+    /// Counts the attempts of a run. `link_delay_ms` is the latency that injected link faults may add to an
+    /// attempt.
     pub fn measure(event_log: &EventLog, link_delay_ms: f64) -> DisconnectFigures {
         let first_arrivals = first_arrivals(event_log);
         let max_delay_ms = DRAIN_GRACE_MS + TOLERANCE_MS + link_delay_ms;
@@ -48,18 +49,18 @@
         figures
     }
 
-    /// Whether so many were sent late that the node does not react to disconnects.
+    /// Whether nodes sent so many attempts late that they evidently ignore disconnects.
     pub fn is_violation(&self) -> bool {
         self.sent_late >= MIN_LATE_ATTEMPTS && self.sent_late as f64 > MAX_LATE_SHARE * self.waiting as f64
     }
 }
 
-/// When the first attempt arrived at a server, by the client attempt's name.
+/// When the first attempt for each client attempt arrived at a server, by the client attempt's identifier.
 fn first_arrivals(event_log: &EventLog) -> HashMap<&str, Timestamp> {
     let mut first: HashMap<&str, Timestamp> = HashMap::new();
     for attempt in &event_log.server_attempts {
-        let known = first.entry(&attempt.id).or_insert(attempt.arrived);
-        *known = (*known).min(attempt.arrived);
+        let earliest = first.entry(&attempt.id).or_insert(attempt.arrived);
+        *earliest = (*earliest).min(attempt.arrived);
     }
     first
 }
--- a/crates/testbed/src/audit/expectations.rs
+++ b/crates/testbed/src/audit/expectations.rs
@@ -1,4 +1,4 @@
-//! Compares an experiment's expectations with what was measured.
+//! Compares an experiment's expectations with the measured figures.
 
 use serde::Serialize;
 
@@ -15,11 +15,12 @@
     /// The bound that the experiment sets.
     #[serde(rename = "asked")]
     pub bound: f64,
-    /// What was measured.
+    /// The measured figure.
     pub measured: f64,
 }
 
-/// A lower bound: unmet if less was measured. Without a bound there is nothing to meet.
+/// Checks a lower bound: the unmet expectation if less was measured, `None` if it is met or there is no
+/// bound.
 pub(super) fn at_least(
     expectation: &'static str,
     bound: Option<f64>,
@@ -29,7 +30,8 @@
     if measured >= bound { None } else { Some(UnmetExpectation { expectation, bound, measured }) }
 }
 
-/// An upper bound: unmet if more was measured. Without a bound there is nothing to meet.
+/// Checks an upper bound: the unmet expectation if more was measured, `None` if it is met or there is no
+/// bound.
 pub(super) fn at_most(
     expectation: &'static str,
     bound: Option<f64>,
@@ -39,12 +41,12 @@
     if measured <= bound { None } else { Some(UnmetExpectation { expectation, bound, measured }) }
 }
 
-/// The expectations that the figures don't meet, lower bounds first.
+/// The experiment's expectations that the figures do not meet, lower bounds first.
 pub(super) fn unmet(experiment: &Experiment, figures: &Figures) -> Vec<UnmetExpectation> {
     let expectations = &experiment.expectations;
     let fleet = &figures.fleet;
     let attempts = figures.attempts.max(1) as f64;
-    // A recovery that did not come about took for ever.
+    // A run in which service did not recover exceeds every bound.
     let recovery_s = figures.longest_recovery().unwrap_or(f64::INFINITY);
     let service_after = figures.service_after.unwrap_or(figures.service);
     let detected = fleet.slow_caches_detected as f64;
--- a/crates/testbed/src/audit/figures/mod.rs
+++ b/crates/testbed/src/audit/figures/mod.rs
@@ -1,4 +1,4 @@
-//! What a run came to, in numbers.
+//! Figures that are measured from a run's event log.
 
 mod recovery;
 mod timeline;
@@ -24,79 +24,80 @@
 
 const MICROS_PER_MILLI: f64 = 1000.0;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The share of requests that the testbed's own lateness is reported for.
+/// The quantile at which the testbed's own lateness in sending requests is reported.
 const LATENESS_QUANTILE: f64 = 0.999;
-/// Bounds and digits of a latency histogram: a microsecond to a minute.
+/// Bounds and decimal digits of a latency histogram, which reaches from a microsecond to a minute.
 const HISTOGRAM_MIN_US: u64 = 1;
 const HISTOGRAM_MAX_US: u64 = 60_000_000;
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// What was measured of a run. Reports keep the former names of fields.
+/// The figures of a run. The serialized names of fields are those of the first report format.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     /// Requests of the schedule.
     #[serde(rename = "calls")]
     pub requests: usize,
-    /// The clients' attempts at them.
+    /// Client attempts at the requests of the schedule.
     #[serde(rename = "tries")]
     pub attempts: usize,
-    /// Attempts that brought a value.
+    /// Client attempts that returned a value.
     pub fulfilled: usize,
-    /// Attempts that were rejected by a rate limit.
+    /// Client attempts that were rejected by a rate limit.
     pub rate_limited: usize,
-    /// Attempts that brought another status.
+    /// Client attempts whose response was neither a value nor a rejection by a rate limit.
     pub errored: usize,
-    /// Attempts without a complete response, for whatever reason but the client's own disconnect.
+    /// Client attempts without a complete response, except those whose client disconnected.
     pub lost: usize,
     /// Rate-limited responses with a `Retry-After`.
     #[serde(rename = "told_when")]
     pub with_retry_after: usize,
     /// The share of the requests' value that was served within the latency objective.
     pub service: f64,
-    /// The same from the end of the last fault on.
+    /// The share of value served, as in `service`, from the end of the last fault on; `None` where the last
+    /// fault did not end within the run.
     pub service_after: Option<f64>,
     /// How long service took to recover from each fault.
     pub recoveries: Vec<Recovery>,
     /// Median latency of fulfilled attempts in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of the same.
+    /// The 99th percentile of the latency of fulfilled attempts in milliseconds.
     pub p99_ms: f64,
-    /// The greatest load of a steady cache over the mean.
+    /// The most attempts answered by one steady cache, divided by the mean of the steady caches.
     pub max_over_mean: f64,
-    /// Answered attempts by server.
+    /// The number of answered attempts by server.
     pub load: BTreeMap<String, usize>,
-    /// The busiest second's reads over the origin's capacity.
+    /// Reads at the origin in the busiest second, divided by the origin's capacity.
     pub origin_fetches: f64,
     /// The latest new attempt at a draining or removed cache, in milliseconds after the node was notified.
     pub drain_stop_ms: f64,
-    /// Notifications of nodes about draining or removed caches.
+    /// How often a node was notified that a cache is draining or removed.
     pub drains: usize,
-    /// Reads that brought a version which had been replaced before they were sent.
+    /// Reads that returned a version which had been replaced before the read was sent.
     pub stale_reads: usize,
     /// The greatest memory of a node in megabytes.
     pub memory_mb: f64,
-    /// The greatest number of a node's open descriptors.
+    /// The greatest number of open file descriptors of a node.
     pub descriptors: usize,
-    /// Microseconds of a core for each client attempt.
+    /// CPU time of the nodes per client attempt, in microseconds.
     #[serde(rename = "cpu_us_a_call")]
     pub cpu_us_per_attempt: f64,
-    /// Malformed clients.
+    /// The number of malformed clients.
     #[serde(rename = "bad_clients")]
     pub malformed_clients: usize,
-    /// The share of them that was rejected or disconnected in time.
+    /// The share of malformed clients that nodes rejected or disconnected in time.
     #[serde(rename = "bad_clients_met")]
     pub malformed_clients_handled: f64,
-    /// What nodes did for clients that disconnected.
+    /// Counts of client attempts whose client disconnected.
     #[serde(rename = "leaving")]
     pub disconnects: DisconnectFigures,
-    /// What nodes and planners did together.
+    /// Figures of the fleet of nodes and planners.
     pub fleet: FleetFigures,
-    /// How shards were split.
+    /// Figures of shard splits; `None` where no shard grows.
     #[serde(rename = "growth", skip_serializing_if = "Option::is_none")]
     pub shard_growth: Option<ShardGrowthFigures>,
-    /// The run second by second.
+    /// The figures of each second of the run.
     pub seconds: Vec<Second>,
-    /// How late the testbed began 99.9% of the requests at most, in milliseconds.
+    /// The 99.9th percentile of how late the testbed sent requests, in milliseconds.
     #[serde(rename = "rig_late_ms")]
     pub harness_late_ms: f64,
     /// The longest stall of the testbed itself in milliseconds.
@@ -105,7 +106,7 @@
 }
 
 impl Figures {
-    /// Measures a run, but for its shard growth.
+    /// Measures all figures of a run except those of shard splits.
     pub fn measure(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Figures {
         let mut figures = Figures {
             requests: schedule.requests.len(),
@@ -128,7 +129,7 @@
         figures
     }
 
-    /// The longest recovery in seconds; `None` where one did not come about.
+    /// The longest recovery in seconds; `None` where service did not recover from some fault.
     pub fn longest_recovery(&self) -> Option<f64> {
         let mut longest = 0.0_f64;
         for recovery in &self.recoveries {
@@ -146,7 +147,7 @@
                     self.with_retry_after += usize::from(retry_after.is_some());
                 }
                 ClientAttemptEnd::Errored { .. } => self.errored += 1,
-                // The disconnect figures have these.
+                // Cancelled attempts are counted in `disconnects`.
                 ClientAttemptEnd::Cancelled => {}
                 ClientAttemptEnd::TimedOut
                 | ClientAttemptEnd::ConnectionLost { .. }
@@ -215,12 +216,12 @@
     fn measure_resources(&mut self, event_log: &EventLog) {
         self.memory_mb = event_log.usage.iter().map(|sample| sample.memory_mb).fold(0.0, f64::max);
         self.descriptors = event_log.usage.iter().map(|sample| sample.descriptors).max().unwrap_or(0);
-        // A process that starts again counts from nothing, so that each rise counts by itself.
+        // The CPU time of a process that restarts begins at zero again, so only increases are summed.
         let mut cpu_s = 0.0;
         let mut previous = BTreeMap::new();
         for sample in &event_log.usage {
-            let before = previous.insert(sample.node, sample.cpu_s).unwrap_or(0.0);
-            cpu_s += if sample.cpu_s >= before { sample.cpu_s - before } else { sample.cpu_s };
+            let previous_s = previous.insert(sample.node, sample.cpu_s).unwrap_or(0.0);
+            cpu_s += if sample.cpu_s >= previous_s { sample.cpu_s - previous_s } else { sample.cpu_s };
         }
         self.cpu_us_per_attempt = cpu_s * MICROS_PER_SECOND / (event_log.client_attempts.len().max(1) as f64);
     }
@@ -246,7 +247,7 @@
 
 /// The latency of a fulfilled attempt.
 struct Latency {
-    /// When its request was due.
+    /// When the attempt's request was due.
     due: Timestamp,
     ms: f64,
 }
@@ -268,17 +269,17 @@
 fn is_steady_cache(event_log: &EventLog, id: ServerId) -> bool {
     let server = &event_log.servers[id.0];
     let notifications = &event_log.endpoint_notifications;
-    let left = notifications.iter().any(|n| n.server == id && n.state != EndpointState::Ready);
-    server.slot.is_some() && server.started.is_none() && !left
+    let was_delisted = notifications.iter().any(|n| n.server == id && n.state != EndpointState::Ready);
+    server.slot.is_some() && server.started.is_none() && !was_delisted
 }
 
-/// When a write of a version was answered.
+/// A version that a write stored, and when the write was answered.
 struct AnsweredWrite {
     at: Timestamp,
     version: Version,
 }
 
-/// Counts reads that brought a version which a write, answered before they were sent, had replaced.
+/// Counts reads that returned an older version than that of a write answered before the read was sent.
 fn count_stale_reads(experiment: &Experiment, event_log: &EventLog) -> usize {
     let mut writes: BTreeMap<u64, Vec<AnsweredWrite>> = BTreeMap::new();
     for attempt in &event_log.client_attempts {
--- a/crates/testbed/src/audit/figures/recovery.rs
+++ b/crates/testbed/src/audit/figures/recovery.rs
@@ -5,28 +5,31 @@
 use super::timeline::{Second, service_of};
 use crate::experiment::Experiment;
 
-/// Service has recovered once two successive seconds reach this share of what it was before the faults.
+/// Service counts as recovered once two successive seconds reach this share of the service before the faults.
 const RECOVERED_SHARE: f64 = 0.9;
-/// The first second is left out of the service before the faults: nodes learn in it.
+/// Seconds at the start that the service before the faults leaves out, because nodes are still learning in
+/// them.
 const LEARNING_S: usize = 1;
 
-/// How long after a fault's end service had recovered.
+/// How long service took to recover after the end of a fault.
 #[derive(Clone, Debug, Serialize)]
 pub struct Recovery {
     /// The fault's kind.
     pub fault: String,
     /// When the fault ended, in seconds of the run.
     pub ended_s: f64,
-    /// Seconds from then to recovery; `None` where it did not come about by the end of the run.
+    /// Seconds from the fault's end to recovery; `None` where service had not recovered by the end of the
+    /// run.
     pub after_s: Option<f64>,
 }
 
+/// The recovery of service from each fault of the experiment.
 pub(super) fn recoveries(experiment: &Experiment, seconds: &[Second]) -> Vec<Recovery> {
     let faults = experiment.faults();
     let Some(first) = faults.first() else { return Vec::new() };
-    let calm = seconds.get(LEARNING_S..first.at_s as usize).unwrap_or(&[]);
-    let threshold = RECOVERED_SHARE * service_of(calm);
-    // What lies past the end of the run counts as recovered.
+    let before_faults = seconds.get(LEARNING_S..first.at_s as usize).unwrap_or(&[]);
+    let threshold = RECOVERED_SHARE * service_of(before_faults);
+    // A second past the end of the run counts as recovered.
     let is_recovered = |n: usize| seconds.get(n).is_none_or(|second| second.service() >= threshold);
     let mut recoveries = Vec::new();
     for fault in &faults {
--- a/crates/testbed/src/audit/figures/timeline.rs
+++ b/crates/testbed/src/audit/figures/timeline.rs
@@ -1,4 +1,4 @@
-//! The run second by second.
+//! The figures of each second of a run.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -8,19 +8,19 @@
 use crate::experiment::Experiment;
 use crate::schedule::Schedule;
 
-/// One second of a run.
+/// The figures of one second of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
-    /// The value of the requests that were due in it.
+    /// The value of the requests that were due in this second.
     #[serde(rename = "asked")]
     pub requested: f64,
-    /// The value of those that were fulfilled within their latency objective.
+    /// The value of the requests due in this second that were fulfilled within their latency objective.
     pub served: f64,
-    /// Reads at the origin.
+    /// The number of reads at the origin.
     pub fetches: usize,
-    /// Median latency of fulfilled attempts in milliseconds.
+    /// Median latency of fulfilled attempts at requests due in this second, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of the same.
+    /// The 99th percentile of the latency of these attempts, in milliseconds.
     pub p99_ms: f64,
 }
 
@@ -38,8 +38,8 @@
     if requested > 0.0 { served / requested } else { 1.0 }
 }
 
-/// For each request of the schedule, whether some attempt fulfilled it within its latency objective. Time counts from
-/// when the request was due.
+/// For each request of the schedule, whether some attempt fulfilled it within its latency objective. The
+/// latency counts from when the request was due.
 pub(in crate::audit) fn served_requests(
     experiment: &Experiment,
     schedule: &Schedule,
@@ -57,6 +57,7 @@
     served
 }
 
+/// The figures of each second of the run.
 pub(super) fn seconds(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> Vec<Second> {
     let count = experiment.seconds.ceil() as usize;
     let mut seconds = vec![Second::default(); count];
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,8 +1,8 @@
 //! Judges a run from its event log alone.
 //!
-//! The audit has three parts: `rules` that hold for each run, figures that are measured, and the experiment's own
-//! expectations of those figures. It trusts nothing that the program under test says of itself, but for the signed
-//! messages that the relay saw.
+//! The audit checks `rules` that hold for each run, measures figures, and compares the figures with the
+//! experiment's expectations. Of what the program under test says of itself, the audit trusts only the signed
+//! messages that the relay received.
 
 mod disconnects;
 mod expectations;
@@ -24,7 +24,7 @@
 pub use rules::{Rule, RuleViolation};
 pub use shard_growth::{PhaseChange, ShardGrowthFigures};
 
-/// The outcome of a run.
+/// The outcome of a run's audit.
 #[derive(Debug, Serialize)]
 pub struct AuditResult {
     /// The rules that were broken.
@@ -33,12 +33,12 @@
     /// The experiment's expectations that were not met.
     #[serde(rename = "shortfalls")]
     pub unmet_expectations: Vec<UnmetExpectation>,
-    /// What was measured.
+    /// The figures that were measured.
     pub figures: Figures,
 }
 
 impl AuditResult {
-    /// Whether no rule was broken and each expectation was met.
+    /// Whether all rules hold and all expectations are met.
     pub fn holds(&self) -> bool {
         self.violations.is_empty() && self.unmet_expectations.is_empty()
     }
@@ -49,7 +49,11 @@
     audit_against(experiment, schedule, event_log, None)
 }
 
-/// The same as [`audit`], with the service of a run of the same requests without faults of planners and messages.
+/// Audits a run as [`audit`] does, and also measures the loss of service against another run of the same
+/// requests.
+///
+/// `undisturbed_service` is the share of value served in that other run, which had no faults of planners and
+/// messages.
 pub fn audit_against(
     experiment: &Experiment,
     schedule: &Schedule,
