--- a/crates/testbed/src/audit/fleet/detections.rs
+++ b/crates/testbed/src/audit/fleet/detections.rs
@@ -1,4 +1,5 @@
-//! Planners' reports that a cache is worse than others, compared with the caches that were slowed down.
+//! Compares the caches that planners reported to be worse than others with the caches that faults slowed
+//! down.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +7,17 @@
 use crate::experiment::{Experiment, FaultKind};
 use crate::message_reference::{self, Comparison, CounterfactualMessage, MessageKind};
 
-/// How many caches were reported to be worse than others.
+/// The number of caches that planners reported to be worse than others.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Detections {
-    /// Of those that were slowed down.
+    /// Reported caches that a fault slowed down.
     pub slow: usize,
-    /// Of all others.
+    /// Reported caches that no fault slowed down.
     pub not_slow: usize,
 }
 
 impl Detections {
+    /// Counts the caches that the planners' messages of a run report.
     pub fn read(experiment: &Experiment, event_log: &EventLog) -> Detections {
         let reported = reported_as_worse(event_log);
         let mut slow_slots = BTreeSet::new();
@@ -39,7 +41,7 @@
     }
 }
 
-/// The endpoint numbers of all caches that some planner reported to be worse than others.
+/// The endpoint numbers of all caches that at least one planner reported to be worse than others.
 fn reported_as_worse(event_log: &EventLog) -> BTreeSet<u64> {
     let mut reported = BTreeSet::new();
     for message in &event_log.messages {
--- a/crates/testbed/src/audit/fleet/leases.rs
+++ b/crates/testbed/src/audit/fleet/leases.rs
@@ -1,7 +1,7 @@
-//! The leases that nodes held, from the signed messages on the relay.
+//! Reconstructs the leases that nodes held from the signed messages that the relay received.
 //!
-//! A holder counts a lease's duration from when it sent the request. The relay received the request no earlier, so that
-//! the auditor counts each lease as held for at least as long as its holder does.
+//! A node counts a lease's duration from when the node sent the request. The relay received the request no
+//! earlier, so the audit counts each lease as held for at least as long as the node does.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 use crate::experiment::LeasesConfig;
 use crate::message_reference::{self, LeaseMessage, MessageKind, Resource};
 
-/// Leases count thousandths of a fetch from the origin.
+/// Units of a lease of the origin per fetch: leases count thousandths of a fetch.
 const ORIGIN_UNITS_PER_FETCH: f64 = 1e3;
-/// Leases count millionths of a second of work at a cache.
+/// Units of a lease of a cache per second of work: leases count millionths of a second.
 const WORK_UNITS_PER_SECOND: f64 = 1e6;
 
-/// How long a grant is meant to last. Neither kind replaces a grant of the other.
+/// Whether a grant is a short lease or a long-term allocation. A grant replaces only grants of the same term.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Term {
     Lease,
     Allocation,
 }
 
-/// Grants for one key replace each other.
+/// The key of grants that replace each other.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GrantKey {
     node: usize,
@@ -30,17 +30,20 @@
     term: Term,
 }
 
-/// A grant as its holder has it.
+/// A grant that a node received.
 struct Grant {
-    /// The holder's incarnation.
+    /// The node's incarnation.
     incarnation: u64,
+    /// When the relay received the node's request.
     requested: Timestamp,
-    /// When it was received.
+    /// When the node received the grant.
     from: Timestamp,
+    /// When the grant expires, is returned, or is lost in a restart of the node.
     to: Timestamp,
     amount: u32,
 }
 
+/// The number of a lease request, by node, planner and term.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     node: usize,
@@ -49,31 +52,33 @@
     request: u64,
 }
 
+/// When the relay received a lease request, and from which incarnation of the node.
 #[derive(Clone, Copy)]
 struct LeaseRequest {
     at: Timestamp,
     incarnation: u64,
 }
 
-/// What a planner granted with one message.
-struct Granted {
+/// The contents of a planner's message that grants a lease or an allocation.
+struct GrantMessage {
     term: Term,
     request: u64,
     amounts: Vec<(Resource, u32)>,
     duration_us: u32,
 }
 
-/// All grants of a run.
+/// All grants of leases and allocations of a run.
 #[derive(Default)]
 pub(super) struct LeaseHistory {
-    /// In the order in which they were received.
+    /// Grants in the order in which nodes received them.
     grants: BTreeMap<GrantKey, Vec<Grant>>,
+    /// The last request of each number.
     requests: BTreeMap<RequestKey, LeaseRequest>,
     /// The latest incarnation of each node.
     incarnations: BTreeMap<usize, u64>,
 }
 
-/// The change of what is held of a resource at a time.
+/// A change of the amount that nodes hold of a resource.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Change {
     at: Timestamp,
@@ -81,6 +86,7 @@
 }
 
 impl LeaseHistory {
+    /// Reads the messages of a run.
     pub fn read(event_log: &EventLog) -> LeaseHistory {
         let mut history = LeaseHistory::default();
         let mut messages: Vec<&RelayedMessage> =
@@ -95,6 +101,7 @@
         history
     }
 
+    /// The number of grants that nodes received.
     pub fn grant_count(&self) -> usize {
         self.grants.values().map(Vec::len).sum()
     }
@@ -113,7 +120,7 @@
                 self.on_node_message(node, planner, request, &lease);
             }
             (Member::Planner(planner), Member::Node(node)) => {
-                if let Some(granted) = Granted::from_message(lease) {
+                if let Some(granted) = GrantMessage::from_message(lease) {
                     self.on_grant(node, planner, &granted, &message.forwarded_at);
                 }
             }
@@ -121,10 +128,10 @@
         }
     }
 
-    /// A node that starts again loses what its earlier incarnation held.
+    /// Ends the grants of a node's earlier incarnations: a node loses its grants when it restarts.
     fn on_incarnation(&mut self, node: usize, incarnation: u64, at: Timestamp) {
-        let before = self.incarnations.insert(node, incarnation);
-        if before.is_none_or(|before| before >= incarnation) {
+        let previous = self.incarnations.insert(node, incarnation);
+        if previous.is_none_or(|previous| previous >= incarnation) {
             return;
         }
         for (key, grants) in &mut self.grants {
@@ -136,6 +143,7 @@
         }
     }
 
+    /// Records a node's lease request, or ends the grants that the node returns.
     fn on_node_message(&mut self, node: usize, planner: usize, sent: LeaseRequest, message: &LeaseMessage) {
         let key = |term, request: &u64| RequestKey { node, planner, term, request: *request };
         match message {
@@ -153,7 +161,7 @@
         }
     }
 
-    /// Ends all grants for requests up to the returned one.
+    /// Ends all grants for requests up to the returned request.
     fn on_return(&mut self, returned: RequestKey, at: Timestamp) {
         let Some(request) = self.requests.get(&returned) else { return };
         for (key, grants) in &mut self.grants {
@@ -168,9 +176,11 @@
         }
     }
 
-    fn on_grant(&mut self, node: usize, planner: usize, granted: &Granted, received: &[Timestamp]) {
+    /// Adds the grants of a message for each time at which the node received the message.
+    fn on_grant(&mut self, node: usize, planner: usize, granted: &GrantMessage, received: &[Timestamp]) {
         let term = granted.term;
-        // A node that starts again numbers its requests anew: the last one of the number is meant.
+        // A node that restarts numbers its requests from the beginning: the grant answers the last request of
+        // this number.
         let key = RequestKey { node, planner, term, request: granted.request };
         let Some(LeaseRequest { at: requested, incarnation }) = self.requests.get(&key).copied() else {
             return;
@@ -185,15 +195,16 @@
         }
     }
 
-    /// The greatest sum of what was held at a moment and of the nodes' permanent reserve, over the resource's capacity.
-    pub fn max_leased_ratio(&self, form: &LeasesConfig, nodes: usize) -> f64 {
+    /// The largest amount of a resource that nodes held at one time, including their permanent reserve,
+    /// divided by the resource's capacity; the largest such ratio of all resources.
+    pub fn max_leased_ratio(&self, config: &LeasesConfig, nodes: usize) -> f64 {
         let mut worst = 0.0_f64;
         for (resource, mut changes) in self.changes() {
             let capacity = match resource {
-                Resource::Origin => form.origin_per_s * ORIGIN_UNITS_PER_FETCH,
-                Resource::WarmingCache(_) => form.cold_cache_work * WORK_UNITS_PER_SECOND,
+                Resource::Origin => config.origin_per_s * ORIGIN_UNITS_PER_FETCH,
+                Resource::WarmingCache(_) => config.cold_cache_work * WORK_UNITS_PER_SECOND,
             };
-            // At one time, what ends counts before what begins.
+            // Grants that end at a time sort before grants that begin at the same time.
             changes.sort_unstable();
             let mut held = 0;
             let mut max_held = i64::MIN;
@@ -202,19 +213,20 @@
                 max_held = max_held.max(held);
             }
             let max_held = if changes.is_empty() { 0 } else { max_held };
-            let reserve = (capacity * form.reserve / nodes as f64).floor() * nodes as f64;
+            let reserve = (capacity * config.reserve / nodes as f64).floor() * nodes as f64;
             worst = worst.max((max_held as f64 + reserve) / capacity);
         }
         worst
     }
 
+    /// The changes of the amount that nodes hold of each resource.
     fn changes(&self) -> BTreeMap<Resource, Vec<Change>> {
         let mut changes: BTreeMap<Resource, Vec<Change>> = BTreeMap::new();
         for (key, grants) in &self.grants {
             let changes = changes.entry(key.resource).or_default();
             let mut last_requested = None;
             for (n, grant) in grants.iter().enumerate() {
-                // A duplicate, or a grant that arrives after a later one: the holder keeps the later one.
+                // A node ignores a duplicate, and a grant that arrives after the grant for a later request.
                 if last_requested.is_some_and(|last| last >= grant.requested) {
                     continue;
                 }
@@ -232,14 +244,14 @@
     }
 }
 
-impl Granted {
-    /// What a message grants; `None` for one that grants nothing.
-    fn from_message(message: LeaseMessage) -> Option<Granted> {
+impl GrantMessage {
+    /// What a message grants; `None` for a message that grants nothing.
+    fn from_message(message: LeaseMessage) -> Option<GrantMessage> {
         match message {
             LeaseMessage::Grant { request, granted, duration } => {
-                Some(Granted { term: Term::Lease, request, amounts: granted, duration_us: duration })
+                Some(GrantMessage { term: Term::Lease, request, amounts: granted, duration_us: duration })
             }
-            LeaseMessage::Allocation { request, amount, duration } if duration > 0 => Some(Granted {
+            LeaseMessage::Allocation { request, amount, duration } if duration > 0 => Some(GrantMessage {
                 term: Term::Allocation,
                 request,
                 amounts: vec![(Resource::Origin, amount)],
--- a/crates/testbed/src/audit/fleet/mod.rs
+++ b/crates/testbed/src/audit/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes and planners did together, from the records of the relay, the servers and the clients.
+//! Figures of the fleet of nodes and planners, from the records of the relay, the servers and the clients.
 
 mod detections;
 mod leases;
@@ -15,61 +15,64 @@
 use detections::Detections;
 use leases::LeaseHistory;
 
-/// Nodes with fewer requests are left out of fairness.
+/// The fewest requests with which a node counts for the fairness index.
 const MIN_REQUESTS_FOR_FAIRNESS: usize = 20;
-/// Seconds before planners return that service is compared with.
+/// Seconds before a return of planners over which service is averaged, to compare the service afterwards
+/// with.
 const SECONDS_BEFORE_RETURN: usize = 3;
-/// Seconds after planners return that are looked at.
+/// Seconds after a return of planners in which a drop of service is looked for.
 const SECONDS_AFTER_RETURN: usize = 5;
 
-/// What was measured of the fleet. Reports keep the former names of fields.
+/// The figures of the fleet. The serialized names of fields are those of the first report format.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FleetFigures {
-    /// Messages that the relay received.
+    /// The number of messages that the relay received.
     #[serde(rename = "letters")]
     pub messages: usize,
-    /// Those that it forwarded not once.
+    /// Messages that the relay never forwarded.
     #[serde(rename = "letters_lost")]
     pub messages_lost: usize,
-    /// Those that it corrupted.
+    /// Messages that the relay corrupted.
     #[serde(rename = "letters_changed")]
     pub messages_corrupted: usize,
-    /// Bytes of all messages a second.
+    /// Bytes per second of all messages that the relay received.
     pub bytes_per_s: f64,
-    /// Grants of leases and long-term allocations.
+    /// The number of grants of leases and long-term allocations that nodes received.
     pub grants: usize,
-    /// Live leases and the reserve over a resource's capacity, at the worst moment and resource.
+    /// Unexpired leases and the reserve, divided by the resource's capacity: the largest ratio of any time
+    /// and resource.
     #[serde(rename = "leases")]
     pub leased_ratio: f64,
-    /// Reads at the origin in the busiest second over its shared capacity.
+    /// Reads at the origin in the busiest second, divided by the capacity that nodes share.
     #[serde(rename = "origin_over_whole")]
     pub origin_over_capacity: f64,
-    /// Work at a cache that warms up in its busiest second over the shared capacity.
+    /// Work at a cache that is warming up in its busiest second, divided by the capacity that nodes share.
     #[serde(rename = "cold_over_whole")]
     pub warming_over_capacity: f64,
-    /// Attempts a second at a cache that hangs, once that can be known.
+    /// Attempts per second at a hung cache, after the time that nodes need to detect the hang.
     #[serde(rename = "sick_trials")]
     pub hung_cache_attempts_per_s: f64,
     /// Jain's fairness index of the nodes' shares of served requests.
     pub fairness: f64,
-    /// The greatest drop of service when planners return.
+    /// The greatest drop of the share of value served when planners return.
     #[serde(rename = "step")]
     pub service_drop: f64,
-    /// The loss of service against the same requests without faults of planners and messages, where that was played.
+    /// The loss of service against a run of the same requests without faults of planners and messages; `None`
+    /// without such a run.
     #[serde(rename = "loss")]
     pub service_loss: Option<f64>,
     /// Slow caches that planners reported to be worse than others.
     #[serde(rename = "named")]
     pub slow_caches_detected: usize,
-    /// Caches that they reported and that were not slow.
+    /// Caches that planners reported to be worse than others, although they were not slow.
     #[serde(rename = "named_wrongly")]
     pub false_detections: usize,
-    /// Planners that crashed.
+    /// How often a planner crashed.
     pub planners_crashed: usize,
 }
 
 impl FleetFigures {
-    /// Measures a run.
+    /// Measures all figures of the fleet except the loss of service.
     pub fn measure(
         experiment: &Experiment,
         schedule: &Schedule,
@@ -95,17 +98,18 @@
             planners_crashed: event_log.events.iter().filter(|timed| is_planner_crash(&timed.event)).count(),
             ..FleetFigures::default()
         };
-        if let Some(form) = experiment.fleet.as_ref().and_then(|fleet| fleet.leases.as_ref()) {
-            figures.leased_ratio = leases.max_leased_ratio(form, experiment.environment.nodes);
-            figures.origin_over_capacity = quotas::origin_over_capacity(form, experiment, event_log);
-            figures.warming_over_capacity = quotas::warming_over_capacity(form, experiment, event_log);
+        if let Some(config) = experiment.fleet.as_ref().and_then(|fleet| fleet.leases.as_ref()) {
+            figures.leased_ratio = leases.max_leased_ratio(config, experiment.environment.nodes);
+            figures.origin_over_capacity = quotas::origin_over_capacity(config, experiment, event_log);
+            figures.warming_over_capacity = quotas::warming_over_capacity(config, experiment, event_log);
         }
         figures
     }
 }
 
-/// The bound of the leased ratio: the experiment's own, or 1 where there are leases. There is none where a planner forges
-/// grants.
+/// The upper bound of the leased ratio: the experiment's own, else 1 where there are leases.
+///
+/// `None` without leases, and where a planner forges grants, if the experiment sets no bound.
 pub(super) fn max_leased_ratio(experiment: &Experiment) -> Option<f64> {
     let forges_grants =
         experiment.faults().iter().any(|fault| fault.false_claim == Some(FalseClaim::GrantEverything));
@@ -114,14 +118,15 @@
     experiment.expectations.leased_fraction.or(default)
 }
 
-/// What became of a node's requests.
+/// The requests that clients sent to one node.
 #[derive(Default)]
 struct NodeRequests {
+    /// Requests that were fulfilled within their latency objective.
     served: usize,
     requested: usize,
 }
 
-/// Jain's fairness index of the nodes' shares of served requests: 1 if all are alike.
+/// Jain's fairness index of the nodes' shares of served requests: 1 if all shares are equal.
 fn fairness(experiment: &Experiment, schedule: &Schedule, event_log: &EventLog) -> f64 {
     let mut nodes: BTreeMap<usize, NodeRequests> = BTreeMap::new();
     for (request, is_served) in schedule.requests.iter().zip(served_requests(experiment, schedule, event_log))
@@ -137,7 +142,8 @@
     if squares > 0.0 { sum * sum / (shares.len() as f64 * squares) } else { 1.0 }
 }
 
-/// How far the service of two successive seconds fell below what it was before, at the worst return of planners.
+/// The largest drop of service after a return of planners: the service before the return, less that of two
+/// successive seconds afterwards.
 fn service_drop(experiment: &Experiment, seconds: &[Second]) -> f64 {
     let mut worst = 0.0_f64;
     for fault in experiment.faults() {
--- a/crates/testbed/src/audit/fleet/quotas.rs
+++ b/crates/testbed/src/audit/fleet/quotas.rs
@@ -1,4 +1,4 @@
-//! What servers got in their busiest second, compared with what the nodes may take together.
+//! The load of servers in their busiest second, compared with the capacity that nodes share.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -7,18 +7,18 @@
 
 const WINDOW_US: i64 = 1_000_000;
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Attempts at a cache that hangs are counted from this long after it began: no node can know earlier.
-const DETECTION_S: f64 = 3.0;
-/// Shorter periods give no meaningful rate.
+/// Seconds after the start of a hang from which attempts are counted: no node can detect the hang earlier.
+const HANG_DETECTION_S: f64 = 3.0;
+/// The shortest period, in seconds, over which a rate of attempts is meaningful.
 const MIN_PERIOD_S: f64 = 1.0;
 
-/// Something that arrived at a server.
+/// An attempt that arrived at a server, with the load that it counts for.
 struct Arrival {
     at: Timestamp,
     weight: f64,
 }
 
-/// The greatest weight that arrived within any one second.
+/// The greatest sum of the weights that arrived within any one second.
 fn busiest_second(mut arrivals: Vec<Arrival>) -> f64 {
     arrivals.sort_by_key(|arrival| arrival.at);
     let mut oldest = 0;
@@ -35,9 +35,9 @@
     max
 }
 
-/// Reads at the origin in the busiest second over the rate that all nodes share.
+/// Reads at the origin in the busiest second, divided by the rate that all nodes share.
 pub(super) fn origin_over_capacity(
-    form: &LeasesConfig,
+    config: &LeasesConfig,
     experiment: &Experiment,
     event_log: &EventLog,
 ) -> f64 {
@@ -52,12 +52,13 @@
             arrivals.push(Arrival { at: attempt.arrived, weight: 1.0 });
         }
     }
-    busiest_second(arrivals) / form.origin_per_s
+    busiest_second(arrivals) / config.origin_per_s
 }
 
-/// Work at a cache that warms up in its busiest second over what all nodes share, at the worst cache.
+/// Work at a cache that is warming up in its busiest second, divided by the work that all nodes share; the
+/// largest ratio of all caches.
 pub(super) fn warming_over_capacity(
-    form: &LeasesConfig,
+    config: &LeasesConfig,
     experiment: &Experiment,
     event_log: &EventLog,
 ) -> f64 {
@@ -70,14 +71,14 @@
             arrivals.entry(attempt.server.0).or_default().push(arrival);
         }
     }
-    arrivals.into_values().map(busiest_second).fold(0.0, f64::max) / form.cold_cache_work
+    arrivals.into_values().map(busiest_second).fold(0.0, f64::max) / config.cold_cache_work
 }
 
-/// Attempts a second at a cache that hangs, at the worst cache.
+/// Attempts per second at a hung cache, the largest rate of all caches that hang.
 pub(super) fn hung_cache_attempts_per_s(experiment: &Experiment, event_log: &EventLog) -> f64 {
     let mut worst = 0.0_f64;
     for fault in experiment.faults() {
-        let from_s = fault.at_s + DETECTION_S;
+        let from_s = fault.at_s + HANG_DETECTION_S;
         let to_s = fault.at_s + fault.for_s;
         if fault.kind != FaultKind::Hang || to_s - from_s < MIN_PERIOD_S {
             continue;
--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -20,7 +20,8 @@
     RelayedMessage { from, to, received_at, forwarded_at: vec![received_at], corrupted: false, bytes }
 }
 
-/// Two nodes get 60 of 100 from a planner, each for 2 s; the second one this many microseconds after the first.
+/// The leased ratio where a planner grants 60 of 100 to each of two nodes for 2 s, to the second node this
+/// many microseconds after the first.
 fn leased_ratio(second_after: i64) -> f64 {
     let demand = Demand { resource: Resource::Origin, amount: 1, request_in_use: 0, claimants: 1, held: 0 };
     let request = LeaseMessage::Request { request: 1, demands: vec![demand] };
@@ -33,8 +34,8 @@
         event_log.messages.push(message(node, planner, at, &request));
         event_log.messages.push(message(planner, node, at + 500, &grant));
     }
-    let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
-    LeaseHistory::read(&event_log).max_leased_ratio(&form, 2)
+    let config = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
+    LeaseHistory::read(&event_log).max_leased_ratio(&config, 2)
 }
 
 #[test]
@@ -42,8 +43,8 @@
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 20\n[fleet]\nplanners = 1\n\
         [[fault]]\nkind = \"planner_kill\"\nat_s = 4\nfor_s = 6\n";
     let experiment = Experiment::read(Path::new("x.toml"), text).expect("a sound experiment");
-    let seconds = |low: f64| -> Vec<Second> {
-        let served = |n: usize| if (11..13).contains(&n) { low } else { 10.0 };
+    let seconds = |lowest_served: f64| -> Vec<Second> {
+        let served = |n: usize| if (11..13).contains(&n) { lowest_served } else { 10.0 };
         (0..20).map(|n| Second { requested: 10.0, served: served(n), ..Second::default() }).collect()
     };
     assert!((service_drop(&experiment, &seconds(7.0)) - 0.3).abs() < 1e-9);
@@ -81,7 +82,8 @@
     assert_eq!(Detections::read(&experiment, &event_log), Detections { slow: 1, not_slow: 1 });
 }
 
-/// A node has a lease and an allocation of one planner, and then another allocation.
+/// A node receives two allocations of one planner, then a lease. The second allocation replaces the first one, and the
+/// lease counts beside the second.
 #[test]
 fn an_allocation_counts_beside_a_lease_until_it_is_replaced() {
     let (node, planner) = (Member::Node(0), Member::Planner(0));
@@ -110,8 +112,8 @@
             let (from, to) = if n % 2 == 0 { (node, planner) } else { (planner, node) };
             event_log.messages.push(message(from, to, n as i64, &lease));
         }
-        let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
-        LeaseHistory::read(&event_log).max_leased_ratio(&form, 2)
+        let config = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
+        LeaseHistory::read(&event_log).max_leased_ratio(&config, 2)
     };
     assert!((max_ratio(50_000) - 1.1).abs() < 1e-9 && (max_ratio(30_000) - 0.9).abs() < 1e-9);
 }
