--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -82,8 +82,8 @@
     assert_eq!(Detections::read(&experiment, &event_log), Detections { slow: 1, not_slow: 1 });
 }
 
-/// A node receives two allocations of one planner, then a lease. The second allocation replaces the first one, and the
-/// lease counts beside the second.
+/// A node receives two allocations of one planner, then a lease. The second allocation replaces the first
+/// one, and the lease counts beside the second.
 #[test]
 fn an_allocation_counts_beside_a_lease_until_it_is_replaced() {
     let (node, planner) = (Member::Node(0), Member::Planner(0));
--- a/crates/testbed/src/audit/shard_growth/map_history.rs
+++ b/crates/testbed/src/audit/shard_growth/map_history.rs
@@ -1,4 +1,4 @@
-//! The shard maps that planners sent to nodes, and those that nodes reported to use.
+//! The shard maps that planners sent to nodes, and the versions that nodes reported to use.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,36 @@
 use crate::message_reference::{self, MessageKind};
 use crate::shard_map_reference::{ShardGrowthMessage, ShardMap};
 
-/// A node uses a shard map at the latest this long after it received it.
+/// The longest time in microseconds from when a node receives a shard map until the node uses the map.
 const ADOPTION_DELAY_US: i64 = 500_000;
 
-/// The first message with a version of the shard map.
+/// When, and by which planner, a version of the shard map was first sent.
 pub(super) struct FirstSent {
     pub at: Timestamp,
     pub planner: usize,
     pub map: ShardMap,
 }
 
-/// A version that a node received.
+/// A version of the shard map that a node received.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Received {
     pub at: Timestamp,
     pub version: u64,
 }
 
-/// A version that a node reported to use, after the incarnation that reported it.
+/// A version of the shard map that a node reported to use, ordered by the node's incarnation first.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Reported {
     incarnation: u64,
     version: u64,
 }
 
-/// All versions of the shard map.
+/// The versions of the shard map in a run, and which nodes received and reported them.
 #[derive(Default)]
 pub(super) struct MapHistory {
-    /// By version.
+    /// The first message with each version.
     pub first_sent: BTreeMap<u64, FirstSent>,
-    /// By node, in the order of time.
+    /// The versions that each node received, in the order of time.
     pub received: BTreeMap<usize, Vec<Received>>,
     /// The last report of each node.
     reported: BTreeMap<usize, Reported>,
@@ -45,7 +45,8 @@
 }
 
 impl MapHistory {
-    /// Reads the messages of a run. It finds versions with two maps, and nodes that go back to an older version.
+    /// Reads the messages of a run. Versions with two different maps, and nodes that go back to an older
+    /// version, are added to `findings`.
     pub fn read(event_log: &EventLog, findings: &mut Findings) -> MapHistory {
         let mut history = MapHistory::default();
         for message in &event_log.messages {
@@ -72,6 +73,7 @@
         history
     }
 
+    /// Records a shard map that a planner sent, and checks that each version has one map.
     fn on_map(
         &mut self,
         planner: usize,
@@ -96,49 +98,53 @@
         }
     }
 
-    /// Messages overtake each other in the relay and not before it, except for those to different planners.
+    /// Records a version that a node reported, and checks that the node does not go back to an older version.
+    ///
+    /// The check compares reports to the same planner only: these reach the relay in the order in which the
+    /// node sent them, and reports to different planners may overtake each other.
     fn on_report(&mut self, node: usize, planner: usize, reported: Reported, findings: &mut Findings) {
         if let Some(last) = self.reported_to.insert((node, planner), reported)
             && last.incarnation == reported.incarnation
             && reported.version < last.version
         {
-            let example = format!("node {node} held {}, then {}", last.version, reported.version);
+            let example = format!("node {node} reported version {}, then {}", last.version, reported.version);
             findings.add(Rule::ShardGrowth, "a node went back to an older form", example);
         }
         let latest = self.reported.entry(node).or_default();
         *latest = (*latest).max(reported);
     }
 
-    /// The last version that a node reported to use.
+    /// The last version that a node reported to use; `None` without a report.
     pub fn reported_version(&self, node: usize) -> Option<u64> {
         self.reported.get(&node).map(|reported| reported.version)
     }
 
-    /// The shard map that a node used for all of a period, as far as it is known.
+    /// The shard map that a node used from `from` to `to`; `None` where the node may have changed maps in
+    /// this period, or had none.
     pub fn map_in_use(&self, node: usize, from: Timestamp, to: Timestamp) -> Option<&ShardMap> {
         let received = self.received.get(&node)?;
         let newest_at = |time: Timestamp| {
             received.iter().filter(|received| received.at <= time).map(|received| received.version).max()
         };
-        let version = newest_at(adopted_since(from))?;
+        let version = newest_at(adoption_cutoff(from))?;
         if newest_at(to) != Some(version) {
             return None;
         }
         self.first_sent.get(&version).map(|first| &first.map)
     }
 
-    /// The newest shard map that some node has surely adopted by a time.
+    /// The newest shard map that was sent so long before `at` that a node that received it uses it by then.
     pub fn newest_adopted(&self, at: Timestamp) -> Option<&ShardMap> {
-        self.newest_sent_before(adopted_since(at))
+        self.newest_sent_before(adoption_cutoff(at))
     }
 
-    /// The newest shard map that was sent before a time.
+    /// The newest shard map that was first sent before `at`.
     pub fn newest_sent_before(&self, at: Timestamp) -> Option<&ShardMap> {
         self.first_sent.values().rfind(|first| first.at < at).map(|first| &first.map)
     }
 }
 
-/// What was received by then is in use at a time.
-fn adopted_since(at: Timestamp) -> Timestamp {
+/// The time up to which a shard map must have been received to be in use at `at`.
+fn adoption_cutoff(at: Timestamp) -> Timestamp {
     Timestamp(at.0 - ADOPTION_DELAY_US)
 }
--- a/crates/testbed/src/audit/shard_growth/mod.rs
+++ b/crates/testbed/src/audit/shard_growth/mod.rs
@@ -1,6 +1,7 @@
-//! How shards were split, from the messages on the relay and the servers' records.
+//! Audits how shards were split, from the messages that the relay received and the servers' records.
 //!
-//! It is judged with [`crate::shard_map_reference`] alone: no code of the program decides what a shard map means here.
+//! Shard maps are interpreted with [`crate::shard_map_reference`] alone, without code of the program under
+//! test.
 
 mod map_history;
 mod phases;
@@ -17,17 +18,17 @@
 use crate::shard_map_reference::{Placement, ShardState, SplitPhase};
 use map_history::MapHistory;
 
-/// A node need not have reported a shard map that was first sent this shortly before the end of the run.
+/// Seconds before the end of the run from which nodes need not have reported a newly sent shard map.
 const REPORT_DELAY_S: f64 = 3.0;
 
-/// A change of a shard's state. It is serialized as a triple.
+/// A change of a shard's state, serialized as an array of its three fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PhaseChange {
     /// When the new state was first sent, in seconds of the run.
     pub at_s: f64,
-    /// The shard.
+    /// The number of the shard.
     pub shard: u8,
-    /// Its new state.
+    /// The shard's new state.
     pub state: ShardState,
 }
 
@@ -37,55 +38,55 @@
     }
 }
 
-/// What was measured of splits. Reports keep the former names of fields.
+/// The figures of shard splits. The serialized names of fields are those of the first report format.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ShardGrowthFigures {
-    /// Versions of the shard map that were sent to nodes.
+    /// The number of versions of the shard map that were sent to nodes.
     #[serde(rename = "forms")]
     pub maps: usize,
-    /// All changes of shards, in order.
+    /// All changes of shards' states, in the order of versions of the shard map.
     #[serde(rename = "steps")]
     pub phase_changes: Vec<PhaseChange>,
-    /// Splits that were completed.
+    /// The number of splits that were completed.
     #[serde(rename = "settled")]
     pub completed: usize,
-    /// Splits that were abandoned.
+    /// How often a split was withdrawn.
     pub withdrawn: usize,
-    /// Steps forward while the origin was slow for long enough to be known.
+    /// Changes that advanced an active split after the origin had been slow for long enough to be detected.
     #[serde(rename = "steps_while_slow")]
     pub advances_while_slow: usize,
-    /// Planners that were killed.
+    /// How often a planner was killed.
     pub kills: usize,
     /// The shards' states at each kill.
     #[serde(rename = "killed_at")]
     pub states_at_kills: Vec<ShardState>,
-    /// Kills during which another planner sent the next shard map.
+    /// Kills after which another planner sent a new shard map before the killed planner returned.
     #[serde(rename = "gone_on")]
     pub taken_over: usize,
-    /// Reads that missed at the new place in the dual-read phase.
+    /// Reads in the dual-read phase that missed at the cache at the new place.
     pub missed: usize,
-    /// Of these, reads that the old place answered.
+    /// The missed reads that the cache at the old place answered.
     #[serde(rename = "spared")]
     pub answered_by_old: usize,
-    /// Of the missed ones, reads that went to the origin.
+    /// The missed reads that went to the origin.
     pub at_origin: usize,
-    /// Of these, reads that went to the old place first.
+    /// The missed reads that went to the cache at the old place before the origin.
     pub old_first: usize,
-    /// Reads at nodes with an older shard map, of keys that the newest one places elsewhere.
+    /// Reads by nodes with an older shard map, of keys that the newest shard map places elsewhere.
     #[serde(rename = "behind")]
     pub reads_by_older_map: usize,
-    /// Of these, reads that the origin answered.
+    /// The reads by an older shard map that went to the origin.
     #[serde(rename = "behind_at_origin")]
     pub older_map_at_origin: usize,
-    /// Reads at nodes with the newest shard map, of keys that have moved.
+    /// Reads by nodes with the newest shard map, of keys that have moved to another cache.
     #[serde(rename = "moved")]
     pub reads_of_moved: usize,
-    /// Of these, reads that the origin answered.
+    /// The reads of moved keys that went to the origin.
     #[serde(rename = "moved_at_origin")]
     pub moved_at_origin: usize,
-    /// Faults that never began, because the phase that they wait for did not.
+    /// Faults that never began, because the phase that triggers the fault was not reached.
     pub faults_missing: usize,
-    /// Nodes that did not end with the last shard map.
+    /// Nodes whose last reported shard map is not the last one that was sent.
     pub nodes_behind: usize,
 }
 
@@ -120,10 +121,11 @@
 }
 
 impl ShardGrowthFigures {
+    /// Writes one line for each change of a shard's state.
     fn fmt_phase_changes(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut last = None;
         for change in &self.phase_changes {
-            // Of copying, the first step stands for all.
+            // Of the steps of copying, only the first is written.
             let is_later_copy = matches!(change.state.phase, Some(SplitPhase::Copying(n)) if n > 1);
             let current = (change.shard, change.state);
             if !is_later_copy && last != Some(current) {
@@ -138,8 +140,8 @@
         Ok(())
     }
 
-    /// The expectations that are not met. Two bounds hold for each experiment: all faults begin, and no node ends with an
-    /// older shard map.
+    /// The expectations that are not met. Two bounds hold for each experiment: all faults begin, and no node
+    /// ends with an older shard map than the last one.
     pub(super) fn unmet(&self, expectations: &GrowthExpectations) -> Vec<UnmetExpectation> {
         let count = |bound: Option<usize>| bound.map(|bound| bound as f64);
         let old_first_share =
@@ -168,13 +170,13 @@
     }
 }
 
-/// The outcome of the audit of splits.
+/// The figures of shard splits, and the violations of the rule about splits.
 pub(super) struct ShardGrowthAudit {
     pub figures: ShardGrowthFigures,
     pub violations: Vec<RuleViolation>,
 }
 
-/// Measures splits and checks the rule about them.
+/// Measures the shard splits of a run and checks [`Rule::ShardGrowth`](super::Rule::ShardGrowth).
 pub(super) fn audit(
     experiment: &Experiment,
     growth: &GrowthConfig,
@@ -194,11 +196,14 @@
     ShardGrowthAudit { figures, violations: findings.into_violations() }
 }
 
+/// The number of faults that never began.
 fn faults_missing(experiment: &Experiment, event_log: &EventLog) -> usize {
     let began = event_log.events.iter().filter(|timed| matches!(timed.event, Event::FaultBegan { .. }));
     experiment.faults().len().saturating_sub(began.count())
 }
 
+/// The number of nodes whose last reported shard map is not the last one; 0 where that was sent too late to
+/// be reported.
 fn nodes_behind(experiment: &Experiment, history: &MapHistory) -> usize {
     let Some((last_version, last)) = history.first_sent.last_key_value() else { return 0 };
     if last.at.seconds() + REPORT_DELAY_S >= experiment.seconds {
--- a/crates/testbed/src/audit/shard_growth/phases.rs
+++ b/crates/testbed/src/audit/shard_growth/phases.rs
@@ -1,4 +1,4 @@
-//! Splits go through their phases in order, one at a time.
+//! Checks that splits go through their phases in order, one change at a time, and counts changes and kills.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,14 @@
 use crate::event_log::{Event, EventLog, Timestamp};
 use crate::shard_map_reference::{Placement, ShardMap, ShardState, SplitPhase};
 
-/// How long the origin is slow before planners must know. In measurements nodes remember fetches for 3 s: after 2.1 s slow
-/// ones are half of those; a fetch that is slow itself, a heartbeat, and one whose messages are lost come on top.
+/// Seconds after which planners must have detected that the origin is slow. Nodes remember measured fetches
+/// for 3 s, so half of the remembered fetches are slow after 2.1 s. The time of a slow fetch, of a heartbeat,
+/// and of another heartbeat whose messages are lost are added.
 const SLOWNESS_DETECTION_S: f64 = 3.5;
-/// How a slow origin is named in the events about faults.
+/// The prefix of the names of slow-origin faults in events.
 const SLOW_ORIGIN: &str = "OriginSlow";
 
-/// Counts the changes of each version and checks their order.
+/// Counts the changes of shards' states in each version of the shard map and checks their order.
 pub(super) fn check_phases(
     history: &MapHistory,
     placement: &Placement,
@@ -32,7 +33,8 @@
             let is_withdrawn = |state: ShardState| state.phase == Some(SplitPhase::Withdrawn);
             figures.withdrawn += usize::from(is_withdrawn(to) && !is_withdrawn(from));
         }
-        // Nothing is known of a version that was sent to no node: the next one may be two changes on.
+        // Changes are checked between successive versions only: a version that was sent to no node is
+        // unknown, and the next version may be two changes ahead.
         if first.map.version == before.version + 1 {
             check_change(&before, &first.map, &changed, findings);
         }
@@ -41,11 +43,13 @@
     }
 }
 
+/// The shards whose state differs between two shard maps.
 fn changed_shards(before: &ShardMap, after: &ShardMap) -> Vec<u8> {
     let shards: BTreeSet<u8> = before.shards.keys().chain(after.shards.keys()).copied().collect();
     shards.into_iter().filter(|shard| before.shard(*shard) != after.shard(*shard)).collect()
 }
 
+/// Checks that one version changed at most one shard, and by one step in order.
 fn check_change(before: &ShardMap, after: &ShardMap, changed: &[u8], findings: &mut Findings) {
     let version = after.version;
     if changed.len() > 1 {
@@ -70,7 +74,7 @@
             continue;
         }
         let caches = placement.caches_of_shard(*shard, state.bits + 1);
-        if let Some((other, _)) = active.iter().find(|(_, theirs)| !theirs.is_disjoint(&caches)) {
+        if let Some((other, _)) = active.iter().find(|(_, other_caches)| !other_caches.is_disjoint(&caches)) {
             let example = format!("version {}: shards {other} and {shard}", map.version);
             findings.add(Rule::ShardGrowth, "two splits on one cache", example);
         }
@@ -78,24 +82,25 @@
     }
 }
 
-/// Whether one change leads from a state to another.
+/// Whether one change may lead from state `from` to state `to`.
 fn may_follow(from: ShardState, to: ShardState) -> bool {
     if to.bits == from.bits + 1 {
         return from.phase == Some(SplitPhase::Switched) && to.phase.is_none();
     }
     let rank = |state: ShardState| state.phase.map_or(Some(0), SplitPhase::rank);
     let is_next = matches!((rank(from), rank(to)), (Some(before), Some(after)) if after == before + 1);
-    let is_back = match (from.phase, to.phase) {
+    let is_reversal = match (from.phase, to.phase) {
         (Some(SplitPhase::Withdrawn | SplitPhase::Forecast | SplitPhase::ScheduledRequest), None) => true,
         (Some(SplitPhase::ScheduledRequest), Some(SplitPhase::Forecast)) => true,
         (Some(SplitPhase::Withdrawn), Some(SplitPhase::Withdrawn)) => false,
         (Some(_), Some(SplitPhase::Withdrawn)) => true,
         _ => false,
     };
-    to.bits == from.bits && (is_next || is_back)
+    to.bits == from.bits && (is_next || is_reversal)
 }
 
-/// Counts the changes that advance an active split while the origin was slow for long enough to be known.
+/// The number of changes that advanced an active split after the origin had been slow for long enough to be
+/// detected.
 pub(super) fn advances_while_slow(history: &MapHistory, event_log: &EventLog) -> usize {
     let mut advances = 0;
     for timed in &event_log.events {
@@ -112,12 +117,14 @@
     advances
 }
 
+/// When the slow-origin fault that began at `began` ended; `None` where the fault did not end in the run.
 fn slowness_end(event_log: &EventLog, began: Timestamp) -> Option<Timestamp> {
     let is_end = |event: &Event| matches!(event, Event::FaultEnded { what } if what.starts_with(SLOW_ORIGIN));
     let end = event_log.events.iter().find(|timed| timed.at > began && is_end(&timed.event));
     end.map(|timed| timed.at)
 }
 
+/// Whether a shard map advances an active split, compared with the version before.
 fn is_advance(history: &MapHistory, map: &ShardMap) -> bool {
     let Some(before) = history.first_sent.get(&map.version.wrapping_sub(1)) else { return false };
     let rank = |state: ShardState| state.phase.and_then(SplitPhase::rank);
@@ -128,7 +135,8 @@
     })
 }
 
-/// Counts the planners that were killed, the shards' states then, and the kills during which another planner went on.
+/// Measures the kills of planners: their number, the shards' states at each kill, and the kills after which
+/// another planner sent a new shard map before the killed planner returned.
 pub(super) fn measure_kills(history: &MapHistory, event_log: &EventLog, figures: &mut ShardGrowthFigures) {
     for timed in &event_log.events {
         let Event::PlannerDown { planner } = timed.event else { continue };
--- a/crates/testbed/src/audit/shard_growth/reads.rs
+++ b/crates/testbed/src/audit/shard_growth/reads.rs
@@ -1,4 +1,4 @@
-//! Where reads of keys that move went.
+//! Counts the reads of growing shards by the servers that the reads went to.
 
 use std::collections::HashMap;
 
@@ -8,14 +8,14 @@
 use crate::experiment::{Experiment, GrowthConfig};
 use crate::shard_map_reference::{FIRST_GROWING_KEY, Placement, ShardMap, ShardState, SplitPhase, shard_of};
 
-/// What a read is judged by.
-struct Context<'a> {
+/// Classifies reads by the shard maps and the placement of keys.
+struct ReadClassifier<'a> {
     event_log: &'a EventLog,
     history: &'a MapHistory,
     placement: &'a Placement,
 }
 
-/// Counts the reads of growing shards by where they went.
+/// Counts the reads of growing shards by the servers that the reads went to.
 pub(super) fn measure(
     experiment: &Experiment,
     growth: &GrowthConfig,
@@ -24,7 +24,7 @@
     placement: &Placement,
     figures: &mut ShardGrowthFigures,
 ) {
-    let context = Context { event_log, history, placement };
+    let classifier = ReadClassifier { event_log, history, placement };
     let mut attempts: HashMap<&str, Vec<&ServerAttempt>> = HashMap::new();
     for attempt in &event_log.server_attempts {
         attempts.entry(&attempt.id).or_default().push(attempt);
@@ -39,18 +39,19 @@
             continue;
         }
         let attempts = attempts.get(read.id.as_str()).map_or(&[][..], Vec::as_slice);
-        context.measure_map_age(read, attempts, figures);
-        context.measure_dual_read(read, attempts, figures);
+        classifier.measure_map_age(read, attempts, figures);
+        classifier.measure_dual_read(read, attempts, figures);
     }
 }
 
-impl Context<'_> {
+impl ReadClassifier<'_> {
+    /// The cache slot of an attempt's server; `None` for the origin.
     fn slot(&self, attempt: &ServerAttempt) -> Option<usize> {
         self.event_log.servers[attempt.server.0].slot
     }
 
-    /// Counts a read at a node whose shard map places the key elsewhere than the newest one that any node received, or at
-    /// a node that has the newest one.
+    /// Counts a read by a node whose shard map places the key elsewhere than the newest adopted shard map
+    /// does, or a read of a moved key by a node whose shard map places the key where the newest one does.
     fn measure_map_age(
         &self,
         read: &ClientAttempt,
@@ -59,11 +60,11 @@
     ) {
         let Some(newest) = self.history.newest_adopted(read.sent) else { return };
         let Some(new_bits) = settled_bits(newest.shard(shard_of(read.key))) else { return };
-        let none_yet = ShardMap::default();
+        let empty_map = ShardMap::default();
         let map = if self.has_received_map(read) {
             self.history.map_in_use(read.node.0, read.sent, read.ended)
         } else {
-            Some(&none_yet)
+            Some(&empty_map)
         };
         let Some(map) = map else { return };
         let state = map.shard(shard_of(read.key));
@@ -89,7 +90,8 @@
         received.is_some_and(|received| received.iter().any(|received| received.at < read.ended))
     }
 
-    /// Counts a read that missed at its new place in the dual-read phase, by where it went next.
+    /// Counts a read that missed at the cache at its new place in the dual-read phase, by the servers that
+    /// the read went to next.
     fn measure_dual_read(
         &self,
         read: &ClientAttempt,
@@ -119,7 +121,8 @@
     }
 }
 
-/// The bits that place all keys of a shard; `None` while only some of the moving keys are read at their new place.
+/// The number of bits by which all keys of a shard are placed; `None` in a split of which not all moving keys
+/// are read at their new place.
 fn settled_bits(state: ShardState) -> Option<u8> {
     match state.phase {
         None => Some(state.bits),
--- a/crates/testbed/src/audit/shard_growth/tests.rs
+++ b/crates/testbed/src/audit/shard_growth/tests.rs
@@ -18,7 +18,7 @@
     Experiment::read(Path::new("x.toml"), text).expect("a sound experiment")
 }
 
-/// Twelve caches and the origin.
+/// An event log with twelve caches and the origin.
 fn event_log() -> EventLog {
     let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     for slot in 0..12 {
@@ -149,8 +149,9 @@
     assert!(unmet.contains(&"growth.expect.gone_on") && unmet.contains(&"growth.expect.steps_while_slow"));
 }
 
-/// A read of a key that moves, which misses at its new place in the dual-read phase.
-fn missed(old_first: bool) -> ShardGrowthFigures {
+/// The figures of a read of a moving key that misses at its new place in the dual-read phase; `old_first`
+/// says whether the read goes to its old place before the origin.
+fn figures_of_missed_read(old_first: bool) -> ShardGrowthFigures {
     let mut event_log = event_log();
     send_map(&mut event_log, 1.0, 1, &[(SHARD, 0, Some(SplitPhase::DualRead))]);
     let names: Vec<String> = (0..12).map(|slot| format!("box-{slot}.0")).collect();
@@ -197,7 +198,7 @@
     let expect = GrowthExpectations { min_old_owner_first: Some(0.9), ..GrowthExpectations::default() };
     let is_unmet =
         |f: &ShardGrowthFigures| f.unmet(&expect).iter().any(|s| s.expectation == "growth.expect.old_first");
-    let (right, wrong) = (missed(true), missed(false));
+    let (right, wrong) = (figures_of_missed_read(true), figures_of_missed_read(false));
     assert_eq!((right.missed, right.at_origin, right.old_first), (1, 1, 1));
     assert_eq!((wrong.missed, wrong.at_origin, wrong.old_first), (1, 1, 0));
     assert!(!is_unmet(&right) && is_unmet(&wrong));
