--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports of a run, for people and programs: a summary as text, a JSON file, a page, and the event log.
+//! Writes the reports of a run: a summary as text, a JSON file, an HTML page, and the event log.
 
 mod page;
 mod plots;
@@ -17,22 +17,24 @@
 /// Why a report could not be written.
 #[derive(Debug)]
 pub enum ReportError {
-    /// A file or folder can't be written.
+    /// A file or folder of the report can't be written.
     Write {
         /// The file or folder.
         path: PathBuf,
         /// The cause.
         error: std::io::Error,
     },
-    /// A plot of the page can't be drawn.
+    /// A plot of the HTML page can't be drawn.
     Plot(PlotError),
 }
 
 impl fmt::Display for ReportError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReportError::Write { path, error } => write!(f, "{}: {error}", path.display()),
-            ReportError::Plot(error) => write!(f, "a plot: {error}"),
+            ReportError::Write { path, error } => {
+                write!(f, "the report can't be written to {}: {error}", path.display())
+            }
+            ReportError::Plot(error) => write!(f, "a plot of the report page can't be drawn: {error}"),
         }
     }
 }
@@ -45,7 +47,8 @@
     }
 }
 
-/// One line for a run, and one more for each violation and unmet expectation.
+/// The summary of a run as text: one line of figures, further lines for disconnects, the fleet and shard
+/// growth, and one line for each violation and unmet expectation.
 pub fn summary(name: &str, result: &AuditResult) -> String {
     let figures = &result.figures;
     let mut text = format!("{name}: {}", overview(result));
@@ -77,6 +80,7 @@
     text
 }
 
+/// The outcome and the main figures of a run, on one line.
 fn overview(result: &AuditResult) -> String {
     let figures = &result.figures;
     let outcome = if result.holds() { "passed" } else { "FAILED" };
@@ -101,6 +105,7 @@
     )
 }
 
+/// The figures of the fleet, on one line.
 fn fleet_overview(figures: &Figures) -> String {
     let fleet = &figures.fleet;
     let loss = match fleet.service_loss {
@@ -124,10 +129,10 @@
     )
 }
 
-/// Writes a run's report as JSON and as a page: `file` with these extensions.
+/// Writes a run's report as JSON and as an HTML page, to `file` with the extensions `json` and `html`.
 ///
 /// # Errors
-/// Names the file that can't be written, or the plot that can't be drawn.
+/// A file or folder can't be written, or a plot can't be drawn.
 pub fn write(file: &Path, experiment: &Experiment, seed: u64, result: &RunResult) -> Result<(), ReportError> {
     if let Some(folder) = file.parent() {
         std::fs::create_dir_all(folder).map_err(|error| ReportError::Write { path: folder.into(), error })?;
@@ -145,10 +150,10 @@
     write_file(file.with_extension("html"), &page)
 }
 
-/// Writes all records of a run beside its report.
+/// Writes the event log of a run beside the report, to `file` with the extension `book.json`.
 ///
 /// # Errors
-/// Names the file that can't be written.
+/// The file can't be written.
 pub fn write_event_log(file: &Path, result: &RunResult) -> Result<(), ReportError> {
     write_file(file.with_extension("book.json"), &json!(result.event_log).to_string())
 }
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page of a run: one HTML file that needs no other.
+//! The report page of a run: one HTML file without references to other files.
 
 use std::fmt::Write as _;
 
@@ -10,14 +10,15 @@
 const STYLE: &str = "body{font:15px sans-serif;max-width:980px;margin:2em auto;padding:0 1em}\
     td,th{padding:.15em .8em;text-align:left;border-bottom:1px solid #ddd}.bad{color:#b00}";
 
+/// The text with the special characters of HTML escaped.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The page's HTML.
+/// The HTML of a run's report page.
 ///
 /// # Errors
-/// Says which plot can't be drawn.
+/// A plot can't be drawn.
 pub(super) fn render(
     experiment: &Experiment,
     seed: u64,
@@ -25,7 +26,7 @@
     events: &[TimedEvent],
 ) -> Result<String, PlotError> {
     let mut page = String::new();
-    // Writing to a string can't fail, so that the results of `write!` are ignored on this page.
+    // Writing to a string can't fail, so the results of `write!` are ignored in this module.
     write_head(&mut page, experiment, seed, result);
     write_problems(&mut page, result);
     write_figures(&mut page, &result.figures);
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of a run, as SVG texts.
+//! Draws the plots of a run as SVG documents.
 
 use plotters::chart::ChartBuilder;
 use plotters::drawing::{DrawingAreaErrorKind, IntoDrawingArea};
@@ -19,28 +19,28 @@
 const CAPTION_FONT: (&str, i32) = ("sans-serif", 16);
 const LINE_WIDTH: u32 = 2;
 const LEGEND_LINE_LENGTH: i32 = 16;
-/// Room above the greatest value.
+/// The top of the y axis, as a multiple of the greatest value.
 const HEADROOM: f64 = 1.05;
-/// A fault is shown at least as wide as this share of the run.
+/// The smallest width at which a fault is drawn, as a share of the run's duration.
 const MIN_FAULT_WIDTH: f64 = 1.0 / 300.0;
-/// How far a bar begins and ends within its unit of the x axis.
+/// Where a bar begins and ends within its unit of the x axis.
 const BAR_BEGIN: f64 = 0.15;
 const BAR_END: f64 = 0.85;
 
-/// A line of a plot.
+/// A line of a plot, with its points in the units of the axes.
 struct Line {
     label: &'static str,
     colour: RGBColor,
     points: Vec<(f64, f64)>,
 }
 
-/// All plots of a run.
+/// All plots of a run, as SVG documents.
 ///
 /// # Errors
-/// Says what the drawing library reports.
+/// The drawing library failed to draw a plot.
 pub(super) fn all(experiment: &Experiment, figures: &Figures) -> Result<Vec<String>, PlotError> {
     let line = |label, colour, value: fn(&Second) -> f64| {
-        // A second's figure is shown in its middle.
+        // The figure of a second is drawn at the middle of the second.
         let seconds = figures.seconds.iter().enumerate();
         let points = seconds.map(|(n, second)| (n as f64 + 0.5, value(second))).collect();
         Line { label, colour, points }
@@ -61,7 +61,8 @@
     ])
 }
 
-/// Lines over the seconds of the run, with the faults shaded behind them. The y axis reaches 1 at least.
+/// Plots lines over the seconds of the run, with the faults shaded behind the lines. The y axis reaches at
+/// least to 1.
 fn plot_over_time(experiment: &Experiment, title: &str, lines: &[Line]) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
@@ -95,7 +96,7 @@
     Ok(svg)
 }
 
-/// Answered attempts by server.
+/// Plots the number of answered attempts by server as bars.
 fn plot_load(figures: &Figures) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
@@ -109,7 +110,8 @@
             .x_label_area_size(X_LABELS_HEIGHT)
             .y_label_area_size(Y_LABELS_WIDTH)
             .build_cartesian_2d(0.0..names.len().max(1) as f64, 0.0..top)?;
-        // Labels stand at halves and at whole numbers: a bar's name belongs to its middle.
+        // The axis has labels at whole and half units: a server's name is shown at the middle of its bar
+        // only.
         let label = |x: &f64| {
             let is_middle = (x.fract() - 0.5).abs() < 1e-6;
             match names.get(*x as usize) {
