--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -14,14 +14,14 @@
 use arguments::{Builds, Command};
 use error::CommandError;
 
-/// Exit status: a rule was broken or an expectation was not met.
+/// Exit status after a run in which a rule was broken or an expectation was not met.
 const STATUS_FAILED: u8 = 1;
-/// Exit status: nothing was judged.
+/// Exit status after a command that could not be run, or whose run was not judged.
 const STATUS_NOT_RUN: u8 = 2;
 /// The seed of throughput measurements.
 const THROUGHPUT_SEED: u64 = 1;
 
-/// Parses the command line, runs the command and gives the program's exit status.
+/// Parses the command line, runs the command and returns the program's exit status.
 pub fn run() -> ExitCode {
     match run_command(arguments::parse()) {
         Ok(RunOutcome::Passed) => ExitCode::SUCCESS,
@@ -42,7 +42,7 @@
         Command::Compare { options, builds, files } => compare_builds(&options, &builds, &files),
         Command::Record { seed, node, out, file } => record_traffic(seed, node.as_deref(), &out, &file),
         Command::Replay { options, recording, file } => replay_traffic(&options, &recording, &file),
-        Command::Hunt { hunt, node } => Ok(hunt::run(&hunt, &program::find_node(node.as_deref())?)),
+        Command::Hunt { options, node } => Ok(hunt::run(&options, &program::find_node(node.as_deref())?)),
         Command::Throughput { node, seconds } => measure_throughput(node.as_deref(), seconds),
         Command::Relay { listen, to } => {
             throughput::relay(listen, to)?;
@@ -55,6 +55,7 @@
     }
 }
 
+/// Reads all experiment files.
 fn load(files: &[PathBuf]) -> Result<Vec<Experiment>, CommandError> {
     let mut experiments = Vec::new();
     for file in files {
@@ -120,7 +121,7 @@
     std::fs::write(out, text).map_err(CommandError::file(out))?;
     let requests = schedule.requests.len();
     let retries = result.event_log.client_attempts.len() - requests;
-    println!("{}: {requests} calls and {retries} repeats of clients", out.display());
+    println!("{}: recorded {requests} requests and {retries} client retries", out.display());
     Ok(RunOutcome::Passed)
 }
 
@@ -145,7 +146,10 @@
     let curves = throughput::curves(&node, &testbed, seconds, THROUGHPUT_SEED)?;
     println!("{}\n{}", curves.node, curves.relay);
     if let (Some(node), Some(relay)) = (curves.node.highest(), curves.relay.highest()) {
-        println!("granitelb over the bare relay: {:.2}", node.point.rate / relay.point.rate);
+        println!(
+            "highest rate of granitelb over that of the bare relay: {:.2}",
+            node.point.rate / relay.point.rate
+        );
     }
     Ok(RunOutcome::Passed)
 }
--- a/crates/testbed/src/command/arguments.rs
+++ b/crates/testbed/src/command/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's commands and options.
+//! The commands and options of the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,11 +6,11 @@
 use bpaf::{Parser, construct, long, positional};
 
 use crate::faulty_node::InjectedViolation;
-use crate::hunt::Hunt;
+use crate::hunt::HuntOptions;
 use crate::run_result::ON_TIME_MS;
 use crate::runs::Options;
 
-/// Where experiments are, relative to the repository's root.
+/// The default folder of experiments, relative to the repository's root.
 const DEFAULT_FOLDER: &str = "testbed/experiments";
 
 /// A command with its arguments.
@@ -22,7 +22,7 @@
     Compare { options: Options, builds: Builds, files: Vec<PathBuf> },
     Record { seed: u64, node: Option<PathBuf>, out: PathBuf, file: PathBuf },
     Replay { options: Options, recording: PathBuf, file: PathBuf },
-    Hunt { hunt: Hunt, node: Option<PathBuf> },
+    Hunt { options: HuntOptions, node: Option<PathBuf> },
     Throughput { node: Option<PathBuf>, seconds: f64 },
     Relay { listen: SocketAddr, to: SocketAddr },
     FaultyNode { violation: InjectedViolation, config: PathBuf },
@@ -31,13 +31,13 @@
 /// The two builds of a comparison.
 #[derive(Clone, Debug)]
 pub(super) struct Builds {
-    /// The build to compare with.
+    /// The path of the build to compare with.
     pub(super) a: PathBuf,
-    /// The build that is examined.
+    /// The path of the build that is examined.
     pub(super) b: PathBuf,
 }
 
-/// Parses the command line. Prints help or an error and ends the process where there is no command to run.
+/// Parses the command line. Without a valid command, prints help or an error and ends the process.
 pub(super) fn parse() -> Command {
     let run = run();
     let compare = compare();
@@ -63,18 +63,18 @@
     let event_log = long("book").help("With each report, write the event log that it is based on").switch();
     let jobs = long("jobs").help("Run this many experiments at once").argument("N").fallback(1);
     let late_ms = long("late")
-        .help("Don't judge runs for which the testbed was later than this, in ms; rules can be judged on a busy machine, too")
+        .help("Don't judge runs in which the testbed sent requests later than this, in ms; a high value allows judging rules on a busy machine")
         .argument("MS")
         .fallback(ON_TIME_MS);
     construct!(Options { seed, repeat, node, report, event_log, jobs, late_ms })
 }
 
 fn node() -> impl Parser<Option<PathBuf>> {
-    long("node").help("The program that is run as node").argument::<PathBuf>("PATH").optional()
+    long("node").help("The program to run as node").argument::<PathBuf>("PATH").optional()
 }
 
 fn files() -> impl Parser<Vec<PathBuf>> {
-    positional::<PathBuf>("FILE").help("Experiments").some("name at least one experiment")
+    positional::<PathBuf>("FILE").help("Experiment files").some("name at least one experiment file")
 }
 
 fn run() -> impl Parser<Command> {
@@ -93,13 +93,14 @@
     let files = files();
     construct!(Command::Check { files })
         .to_options()
-        .descr("Read experiments and report what is wrong with them")
+        .descr("Read experiment files, report the first error, and list descriptions")
         .command("check")
         .help("Check experiments")
 }
 
 fn list() -> impl Parser<Command> {
-    let folder = positional::<PathBuf>("DIR").help("Where experiments are").fallback(DEFAULT_FOLDER.into());
+    let folder =
+        positional::<PathBuf>("DIR").help("The folder of experiment files").fallback(DEFAULT_FOLDER.into());
     construct!(Command::List { folder })
         .to_options()
         .descr("List the experiments of a folder with their descriptions")
@@ -124,10 +125,10 @@
     let seed = long("seed").help("Run with this seed").argument("N").fallback(1);
     let out = long("out").short('o').help("The recording to write").argument::<PathBuf>("FILE");
     let node = node();
-    let file = positional::<PathBuf>("FILE").help("The experiment");
+    let file = positional::<PathBuf>("FILE").help("The experiment file");
     construct!(Command::Record { seed, node, out, file })
         .to_options()
-        .descr("Run an experiment and record its traffic, with clients' own retries marked")
+        .descr("Run an experiment and record its traffic, with client retries marked")
         .command("record")
         .help("Record traffic")
 }
@@ -135,25 +136,26 @@
 fn replay() -> impl Parser<Command> {
     let options = options();
     let recording = long("recording").short('r').help("The recording").argument::<PathBuf>("FILE");
-    let file = positional::<PathBuf>("FILE").help("The experiment to replay it in");
+    let file = positional::<PathBuf>("FILE").help("The experiment to replay the recording in");
     construct!(Command::Replay { options, recording, file })
         .to_options()
-        .descr("Replay recorded traffic in an experiment's world; recorded retries are left out")
+        .descr("Replay recorded traffic in an experiment's world, without recorded retries")
         .command("replay")
         .help("Replay traffic")
 }
 
 fn hunt() -> impl Parser<Command> {
-    let from = long("seed").help("The first seed").argument("N").fallback(1);
-    let count = long("count").help("The number of seeds").argument("N").fallback(20);
-    let seconds = long("seconds").help("The duration of each run").argument("S").fallback(12.0);
+    let first_seed = long("seed").help("The first seed").argument("N").fallback(1);
+    let seed_count = long("count").help("The number of seeds").argument("N").fallback(20);
+    let seconds = long("seconds").help("The duration of each run, in seconds").argument("S").fallback(12.0);
     let jobs = long("jobs").help("Do this many runs at once").argument("N").fallback(1);
-    let out = long("out").short('o').help("The folder for timelines that break a rule");
+    let out = long("out").short('o').help("The folder to write timelines that break a rule to");
     let out = out.argument("DIR").optional();
-    let shrinks = long("shrink").help("The most runs for shrinking a timeline").argument("N").fallback(24);
-    let hunt = construct!(Hunt { from, count, seconds, jobs, shrinks, out });
+    let max_shrink_runs =
+        long("shrink").help("The most runs for shrinking one timeline").argument("N").fallback(24);
+    let options = construct!(HuntOptions { first_seed, seed_count, seconds, jobs, max_shrink_runs, out });
     let node = node();
-    construct!(Command::Hunt { hunt, node })
+    construct!(Command::Hunt { options, node })
         .to_options()
         .descr("Draw timelines of overlapping faults, and shrink those that break a rule")
         .command("hunt")
@@ -161,7 +163,7 @@
 }
 
 fn throughput() -> impl Parser<Command> {
-    let seconds = long("seconds").help("The duration of each run").argument("S").fallback(2.5);
+    let seconds = long("seconds").help("The duration of each run, in seconds").argument("S").fallback(2.5);
     let node = node();
     construct!(Command::Throughput { node, seconds })
         .to_options()
@@ -170,22 +172,22 @@
         .help("Measure throughput")
 }
 
-/// The bare relay, which `throughput` starts as a process of its own.
+/// The command of the bare relay, which `throughput` starts as a separate process.
 fn relay() -> impl Parser<Command> {
     let listen = long("listen").argument("ADDRESS");
     let to = long("to").argument("ADDRESS");
     construct!(Command::Relay { listen, to })
         .to_options()
-        .descr("Relay bytes, as the lower bound of a measurement")
+        .descr("Relay bytes, as the lower bound of a proxy's cost in throughput measurements")
         .command("relay")
         .hide()
 }
 
-/// The faulty node, which the audit's tests run in place of the program under test.
+/// The command of the faulty node, which the audit's tests run in place of the program under test.
 fn faulty_node() -> impl Parser<Command> {
     let violation = long("vice").help("The violation to inject").argument::<InjectedViolation>("VICE");
     let config = long("config").help("The program's configuration").argument::<PathBuf>("FILE");
-    // The program under test has this option, so it is accepted here as well.
+    // The program under test has the option `--operator`, so the faulty node accepts it as well.
     let fleet_config = long("operator").help("Accepted and not read").argument::<PathBuf>("FILE").optional();
     let config = construct!(config, fleet_config).map(|(config, _)| config);
     construct!(Command::FaultyNode { violation, config })
--- a/crates/testbed/src/command/error.rs
+++ b/crates/testbed/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end a command.
+//! The errors that end a command.
 
 use std::fmt;
 use std::io;
@@ -22,7 +22,7 @@
     Program(ProgramError),
     /// An experiment could not be run.
     Run(RunError),
-    /// A recording can't be replayed.
+    /// A recording can't be read.
     Recording(RecordingError),
     /// The throughput could not be measured.
     Throughput(ThroughputError),
@@ -41,7 +41,7 @@
 }
 
 impl CommandError {
-    /// Adds the path to an error of a file or folder.
+    /// Converts an I/O error of the file or folder at `path`.
     pub(super) fn file(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
         move |error| CommandError::File { path: path.into(), error }
     }
@@ -59,8 +59,12 @@
             CommandError::Compare(error) => write!(f, "{error}"),
             CommandError::Report(error) => write!(f, "{error}"),
             CommandError::FaultyNode(error) => write!(f, "{error}"),
-            CommandError::File { path, error } => write!(f, "{}: {error}", path.display()),
-            CommandError::OwnPath(error) => write!(f, "{error}"),
+            CommandError::File { path, error } => {
+                write!(f, "{} can't be read or written: {error}", path.display())
+            }
+            CommandError::OwnPath(error) => {
+                write!(f, "the path of this program can't be determined: {error}")
+            }
         }
     }
 }
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -1,7 +1,8 @@
-//! A search for combinations of faults that break a rule.
+//! Searches for combinations of faults that break a rule.
 //!
-//! Each seed gives a random [`Timeline`] of overlapping faults. It is run on a fleet, and the audit's rules and the sum of
-//! leases are checked. A timeline that breaks one is shrunk: faults are removed as long as the same rule breaks without them.
+//! Each seed gives a random [`Timeline`] of overlapping faults. The timeline is run on a fleet, and the
+//! audit's rules and the sum of leases are checked. A timeline that breaks a rule or exceeds the sum of
+//! leases is shrunk: faults are removed as long as a violation of the same kind remains.
 mod timeline;
 
 use std::fmt;
@@ -15,54 +16,56 @@
 
 pub use timeline::Timeline;
 
-/// A run for which the testbed itself was later than this many milliseconds is not judged.
+/// The greatest lateness of the testbed in sending requests, in milliseconds, at which a run is judged.
 const MAX_LATENESS_MS: f64 = 40.0;
-/// A run for which the testbed itself stalled for longer than this many milliseconds is not judged.
+/// The longest stall of the testbed, in milliseconds, at which a run is judged.
 const MAX_STALL_MS: f64 = 100.0;
-/// How often a run that is not judged is repeated.
+/// The most repetitions of a run that is not judged.
 const MAX_RERUNS: usize = 2;
 
-/// The parameters of a search.
+/// The options of a search for timelines that break a rule.
 #[derive(Clone, Debug)]
-pub struct Hunt {
+pub struct HuntOptions {
     /// The first seed.
-    pub from: u64,
+    pub first_seed: u64,
     /// The number of seeds.
-    pub count: u64,
+    pub seed_count: u64,
     /// The duration of each run, in seconds.
     pub seconds: f64,
     /// How many runs are done at once.
     pub jobs: usize,
     /// The most runs for shrinking one timeline.
-    pub shrinks: usize,
-    /// The folder for shrunk timelines that break a rule; if absent, none are written.
+    pub max_shrink_runs: usize,
+    /// The folder that shrunk timelines are written to; `None` to write none.
     pub out: Option<PathBuf>,
 }
 
-/// A timeline was not judged.
+/// Why a timeline was not judged.
 #[derive(Debug)]
 pub enum HuntError {
     /// The timeline is not a valid experiment.
     Experiment(ExperimentError),
     /// The experiment could not be run.
     Run(RunError),
-    /// The testbed itself was late or stalled in each run; the machine is too busy.
+    /// The testbed itself was late or stalled in each run, because the machine is too busy.
     TestbedLate,
 }
 
 impl fmt::Display for HuntError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HuntError::Experiment(error) => write!(f, "{error}"),
+            HuntError::Experiment(error) => write!(f, "the timeline is not a valid experiment: {error}"),
             HuntError::Run(error) => write!(f, "{error}"),
-            HuntError::TestbedLate => f.write_str("the rig was late each time"),
+            HuntError::TestbedLate => f.write_str(
+                "the testbed was late or stalled in each run: the machine is too busy, so run fewer jobs",
+            ),
         }
     }
 }
 
 impl std::error::Error for HuntError {}
 
-/// What a run broke, one line each: the kinds of breaches, and the sum of leases.
+/// The violations of a run, one line each: broken rules by kind, and an exceeded sum of leases.
 pub fn violations(audit_result: &AuditResult) -> Vec<String> {
     let mut violations = Vec::new();
     for violation in &audit_result.violations {
@@ -70,15 +73,15 @@
         violations.push(format!("{} ({} times): {examples}", violation.kind, violation.count));
     }
     for unmet in audit_result.unmet_expectations.iter().filter(|unmet| unmet.expectation == "leases") {
-        violations.push(format!("leases: {:.3} of the whole", unmet.measured));
+        violations.push(format!("leases: {:.3} of the capacity", unmet.measured));
     }
     violations
 }
 
-/// Runs a timeline, and again while the testbed itself was late.
+/// Runs a timeline and audits the run. Repeats a run in which the testbed itself was late or stalled.
 ///
 /// # Errors
-/// The timeline could not be run, or the testbed was late each time.
+/// The timeline could not be run, or the testbed was late or stalled in each run.
 pub fn run_timeline(timeline: &Timeline, node: &Path) -> Result<AuditResult, HuntError> {
     let experiment = timeline.experiment().map_err(HuntError::Experiment)?;
     for _ in 0..=MAX_RERUNS {
@@ -91,7 +94,8 @@
     Err(HuntError::TestbedLate)
 }
 
-/// Removes faults one by one, the last one first, as long as a violation of the same kind remains.
+/// Removes each fault without which a violation of the same kind remains, the last fault first, in at most
+/// `max_runs` runs.
 fn shrink(mut timeline: Timeline, kind: &str, node: &Path, max_runs: usize) -> Timeline {
     let mut runs = 0;
     let mut index = timeline.faults.len();
@@ -107,19 +111,19 @@
     timeline
 }
 
-/// Runs the timelines of all seeds, prints what each broke, and gives the worst outcome.
-pub fn run(hunt: &Hunt, node: &Path) -> RunOutcome {
+/// Runs the timelines of all seeds, prints the violations of each, and returns the worst outcome.
+pub fn run(options: &HuntOptions, node: &Path) -> RunOutcome {
     let next_index = AtomicU64::new(0);
     let worst_outcome = Mutex::new(RunOutcome::Passed);
     std::thread::scope(|threads| {
-        for _ in 0..hunt.jobs.max(1) {
+        for _ in 0..options.jobs.max(1) {
             threads.spawn(|| {
                 loop {
                     let index = next_index.fetch_add(1, Ordering::Relaxed);
-                    if index >= hunt.count {
+                    if index >= options.seed_count {
                         return;
                     }
-                    let outcome = run_seed(hunt, hunt.from + index, node);
+                    let outcome = run_seed(options, options.first_seed + index, node);
                     let mut worst = worst_outcome.lock().expect("no holder of the lock panics");
                     *worst = (*worst).max(outcome);
                 }
@@ -129,12 +133,13 @@
     worst_outcome.into_inner().expect("no holder of the lock panics")
 }
 
-fn run_seed(hunt: &Hunt, seed: u64, node: &Path) -> RunOutcome {
-    let timeline = Timeline::draw(seed, hunt.seconds);
+/// Runs the timeline of one seed, and shrinks the timeline if it has a violation.
+fn run_seed(options: &HuntOptions, seed: u64, node: &Path) -> RunOutcome {
+    let timeline = Timeline::draw(seed, options.seconds);
     let audit_result = match run_timeline(&timeline, node) {
         Ok(audit_result) => audit_result,
         Err(error) => {
-            println!("seed {seed}: could not run: {error}");
+            println!("seed {seed}: the timeline was not judged: {error}");
             return RunOutcome::NotRun;
         }
     };
@@ -142,12 +147,16 @@
     print_summary(&timeline, &audit_result, &violations);
     let Some(first) = violations.first() else { return RunOutcome::Passed };
     let kind = violation_kind(first);
-    let shrunk = shrink(timeline, kind, node, hunt.shrinks);
-    println!("seed {seed}: {} faults are enough for: {kind}\n{}", shrunk.faults.len(), shrunk.text());
-    if let Some(folder) = &hunt.out {
+    let shrunk = shrink(timeline, kind, node, options.max_shrink_runs);
+    println!(
+        "seed {seed}: shrunk to {} faults that still cause: {kind}\n{}",
+        shrunk.faults.len(),
+        shrunk.text()
+    );
+    if let Some(folder) = &options.out {
         let file = folder.join(format!("hunt-{seed}.toml"));
         if let Err(error) = write_timeline(&shrunk, folder, &file) {
-            println!("{}: {error}", file.display());
+            println!("seed {seed}: the timeline can't be written to {}: {error}", file.display());
             return RunOutcome::NotRun;
         }
     }
--- a/crates/testbed/src/hunt/timeline.rs
+++ b/crates/testbed/src/hunt/timeline.rs
@@ -1,6 +1,7 @@
 //! Random timelines of overlapping faults.
 //!
-//! The order in which numbers are drawn is part of the format: a change gives other timelines for the same seeds.
+//! The order in which random numbers are drawn must not change: another order gives other timelines for the
+//! same seeds.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -22,82 +23,87 @@
 const MAX_FAULTS: usize = 9;
 /// The earliest start of a fault, in seconds.
 const MIN_START_S: f64 = 1.0;
-/// Faults start at least this many seconds before the end, so that effects on later requests are seen.
+/// The shortest time in seconds between a fault's start and the end of the run, so that effects on later
+/// requests are seen.
 const MIN_TIME_AFTER_START_S: f64 = 4.0;
-/// The earliest limit of start times, in seconds, however short the run is.
+/// The smallest upper limit of faults' start times, in seconds, which holds for short runs.
 const MIN_LATEST_START_S: f64 = 1.5;
-/// Faults end at least this many seconds before the end of the run, where a shortest fault allows it.
+/// The shortest time in seconds between a fault's end and the end of the run. Faults of the shortest duration
+/// may end later.
 const MIN_TIME_AFTER_END_S: f64 = 2.0;
 /// The shortest duration of a fault, in seconds.
 const MIN_DURATION_S: f64 = 0.3;
 /// The longest duration of a fault, in seconds.
 const MAX_DURATION_S: f64 = 4.0;
-/// The most caches that one fault of the endpoint list affects.
-const MAX_LISTED_CACHES: usize = 2;
+/// The most caches that one fault changes in the endpoint list.
+const MAX_CHANGED_CACHES: usize = 2;
 
-/// A timeline of faults and the run that it is for.
+/// A timeline of faults, with the seed and the duration of its run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timeline {
-    /// The seed that it was drawn from, and that it is run with.
+    /// The seed that the timeline is drawn from and run with.
     pub seed: u64,
+    /// The duration of the run in seconds.
     seconds: f64,
     /// The faults, each as the body of a `[[fault]]` table.
     pub faults: Vec<String>,
 }
 
-/// The faults that a timeline is drawn from: a kind, then the parameters that it needs as `key=value`, separated by blanks.
-/// These values are replaced by random ones:
+/// The faults that a timeline is drawn from: a kind, then the kind's parameters as `key=value`, separated by
+/// blanks.
 ///
-/// - `{some}`: up to a third of the caches
-/// - `{own}`: one or two caches that no other fault of this timeline changes in the endpoint list
+/// These placeholders are replaced by random values:
+///
+/// - `{caches}`: up to a third of the caches
+/// - `{unchanged}`: one or two caches that no other fault of this timeline changes in the endpoint list
 /// - `{node}`, `{nodes}`: one node, up to half of the nodes
 /// - `{planner}`: one planner
-/// - `{span}`: a duration in seconds
+/// - `{duration}`: a duration in seconds
 /// - `{low..high}`: a number in this range
 const FAULT_TEMPLATES: &[&str] = &[
-    "hang caches={some} for_s={span}",
-    "slow caches={some} factor={2..6} for_s={span}",
-    "crash caches={own} for_s={span}",
-    "drain caches={own} for_s={span}",
-    "remove caches={own} for_s={span}",
-    "replace caches={own} stagger_s={0.1..0.8}",
-    "reset caches={some} for_s={span}",
-    "knock_late caches={some} for_s={span}",
+    "hang caches={caches} for_s={duration}",
+    "slow caches={caches} factor={2..6} for_s={duration}",
+    "crash caches={unchanged} for_s={duration}",
+    "drain caches={unchanged} for_s={duration}",
+    "remove caches={unchanged} for_s={duration}",
+    "replace caches={unchanged} stagger_s={0.1..0.8}",
+    "reset caches={caches} for_s={duration}",
+    "knock_late caches={caches} for_s={duration}",
     "void",
-    "origin_slow factor={1.5..3} for_s={span}",
+    "origin_slow factor={1.5..3} for_s={duration}",
     "origin_stop for_s={0.3..1.2}",
-    "discovery_silent for_s={span}",
-    "discovery_stale for_s={span}",
-    "discovery_down for_s={span}",
-    "discovery_down renumber=true for_s={span}",
+    "discovery_silent for_s={duration}",
+    "discovery_stale for_s={duration}",
+    "discovery_down for_s={duration}",
+    "discovery_down renumber=true for_s={duration}",
     "discovery_move",
     "watches_silent",
     "watches_reset",
     "node_kill nodes={node} for_s={0.3..2}",
     "node_freeze nodes={node} for_s={0.3..2}",
     "node_restart nodes={nodes} stagger_s={0.1..0.8}",
-    "link_silent nodes={nodes} caches={some} for_s={span}",
-    "link_silent nodes={nodes} caches={some} toward='nodes' for_s={span}",
-    "link_silent caches={some} for_s={span}",
-    "spoil caches={some} how='noise' share={0.1..0.5} for_s={span}",
-    "spoil caches={some} how='cut' share={0.1..0.5} for_s={span}",
-    "spoil caches={some} how='half_line' share={0.1..0.5} ms={1..10} for_s={span}",
-    "spoil caches={some} how='no_length' share={0.1..0.5} for_s={span}",
-    "spoil caches={some} how='endless' share={0.1..0.3} for_s={span}",
-    "spoil how='reset' share={0.1..0.4} for_s={span}",
-    "spoil how='error' share={0.1..0.4} for_s={span}",
+    "link_silent nodes={nodes} caches={caches} for_s={duration}",
+    "link_silent nodes={nodes} caches={caches} toward='nodes' for_s={duration}",
+    "link_silent caches={caches} for_s={duration}",
+    "spoil caches={caches} how='noise' share={0.1..0.5} for_s={duration}",
+    "spoil caches={caches} how='cut' share={0.1..0.5} for_s={duration}",
+    "spoil caches={caches} how='half_line' share={0.1..0.5} ms={1..10} for_s={duration}",
+    "spoil caches={caches} how='no_length' share={0.1..0.5} for_s={duration}",
+    "spoil caches={caches} how='endless' share={0.1..0.3} for_s={duration}",
+    "spoil how='reset' share={0.1..0.4} for_s={duration}",
+    "spoil how='error' share={0.1..0.4} for_s={duration}",
     "clients_leave share={0.3..1}",
     "bad_clients count={5..20}",
-    "planner_kill planners={planner} for_s={span}",
-    "planner_kill planners={planner} store='torn' for_s={span}",
-    "planner_restart planners={planner} store='empty' for_s={span}",
-    "planner_freeze planners={planner} for_s={span}",
-    "letters_lost share={0.1..0.6} for_s={span}",
-    "letters_late share={0.1..0.6} ms={100..1500} for_s={span}",
-    "letters_doubled share={0.1..0.6} ms={100..1500} for_s={span}",
-    "letters_spoilt share={0.05..0.3} for_s={span}",
-    "letters_cut planners={planner} nodes={nodes} for_s={span}",
-    "letters_lost share=1 toward='nodes' planners={planner} for_s={span}",
+    "planner_kill planners={planner} for_s={duration}",
+    "planner_kill planners={planner} store='torn' for_s={duration}",
+    "planner_restart planners={planner} store='empty' for_s={duration}",
+    "planner_freeze planners={planner} for_s={duration}",
+    "letters_lost share={0.1..0.6} for_s={duration}",
+    "letters_late share={0.1..0.6} ms={100..1500} for_s={duration}",
+    "letters_doubled share={0.1..0.6} ms={100..1500} for_s={duration}",
+    "letters_spoilt share={0.05..0.3} for_s={duration}",
+    "letters_cut planners={planner} nodes={nodes} for_s={duration}",
+    "letters_lost share=1 toward='nodes' planners={planner} for_s={duration}",
 ];
 
 impl Timeline {
@@ -105,7 +111,7 @@
     pub fn draw(seed: u64, seconds: f64) -> Timeline {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(MIN_FAULTS..=MAX_FAULTS);
-        let mut unlisted_caches: Vec<usize> = (0..CACHES).collect();
+        let mut unchanged_caches: Vec<usize> = (0..CACHES).collect();
         let mut faults = Vec::new();
         while faults.len() < count {
             let template = FAULT_TEMPLATES[rng.random_range(0..FAULT_TEMPLATES.len())];
@@ -113,7 +119,7 @@
             let at_s = rng.random_range(MIN_START_S..latest_start_s);
             let longest_s = (seconds - MIN_TIME_AFTER_END_S - at_s).clamp(MIN_DURATION_S, MAX_DURATION_S);
             let mut values =
-                ValueGenerator { longest_s, unlisted_caches: &mut unlisted_caches, rng: &mut rng };
+                ValueGenerator { longest_s, unchanged_caches: &mut unchanged_caches, rng: &mut rng };
             if let Some(fault) = values.fill_in(template, at_s) {
                 faults.push(fault);
             }
@@ -139,7 +145,7 @@
     /// The timeline as an experiment.
     ///
     /// # Errors
-    /// The text is not a valid experiment, which is a fault of this module's templates.
+    /// The text is not a valid experiment, which is a mistake in this module's templates.
     pub fn experiment(&self) -> Result<Experiment, ExperimentError> {
         Experiment::read(Path::new("hunt"), &self.text())
     }
@@ -152,17 +158,19 @@
     }
 }
 
-/// Draws the values of one fault.
+/// Draws the random values of one fault.
 struct ValueGenerator<'a, R> {
     /// The longest duration, in seconds.
     longest_s: f64,
-    /// Caches that no fault has changed in the endpoint list so far. Each is changed once, and half of them never.
-    unlisted_caches: &'a mut Vec<usize>,
+    /// Caches that no fault has changed in the endpoint list so far. Each cache is changed at most once, and
+    /// drawing stops once only half of the caches are left.
+    unchanged_caches: &'a mut Vec<usize>,
     rng: &'a mut R,
 }
 
 impl<R: Rng> ValueGenerator<'_, R> {
-    /// The body of a `[[fault]]` table by a template; none where no cache is left for it.
+    /// The body of a `[[fault]]` table from a template; `None` where no unchanged cache is left for the
+    /// fault.
     fn fill_in(&mut self, template: &str, at_s: f64) -> Option<String> {
         let mut parts = template.split(' ');
         let mut text = format!("kind = \"{}\"\nat_s = {at_s:.2}\n", parts.next()?);
@@ -174,14 +182,15 @@
         Some(text)
     }
 
+    /// The value of a parameter, drawn where the template has a placeholder.
     fn value(&mut self, key: &str, placeholder: &str) -> Option<String> {
         match placeholder {
-            "{some}" => Some(self.indices(CACHES, CACHES / 3)),
-            "{own}" => self.unlisted_caches(),
+            "{caches}" => Some(self.indices(CACHES, CACHES / 3)),
+            "{unchanged}" => self.draw_unchanged_caches(),
             "{node}" => Some(self.indices(NODES, 1)),
             "{nodes}" => Some(self.indices(NODES, NODES / 2)),
             "{planner}" => Some(self.indices(PLANNERS, 1)),
-            "{span}" => {
+            "{duration}" => {
                 let duration_s = self.rng.random_range(MIN_DURATION_S..=self.longest_s);
                 Some(format!("{duration_s:.2}"))
             }
@@ -190,7 +199,7 @@
         }
     }
 
-    /// From 1 to `max` different indices of `count`, in ascending order.
+    /// From 1 to `max` different indices below `count`, in ascending order, as a TOML array.
     fn indices(&mut self, count: usize, max: usize) -> String {
         let mut remaining: Vec<usize> = (0..count).collect();
         let number = self.rng.random_range(1..=max.max(1));
@@ -202,20 +211,23 @@
         format!("{drawn:?}")
     }
 
-    fn unlisted_caches(&mut self) -> Option<String> {
-        if self.unlisted_caches.len() <= CACHES / 2 {
+    /// One or two caches that no fault has changed in the endpoint list; `None` once only half of the caches
+    /// are unchanged.
+    fn draw_unchanged_caches(&mut self) -> Option<String> {
+        if self.unchanged_caches.len() <= CACHES / 2 {
             return None;
         }
-        let number = self.rng.random_range(1..=MAX_LISTED_CACHES);
+        let number = self.rng.random_range(1..=MAX_CHANGED_CACHES);
         let mut drawn = Vec::new();
         for _ in 0..number {
-            let position = self.rng.random_range(0..self.unlisted_caches.len());
-            drawn.push(self.unlisted_caches.swap_remove(position));
+            let position = self.rng.random_range(0..self.unchanged_caches.len());
+            drawn.push(self.unchanged_caches.swap_remove(position));
         }
         Some(format!("{drawn:?}"))
     }
 
-    /// A number in a range written as `{low..high}`; an integer where the key is `count`.
+    /// A number in a range written as `{low..high}`, with two decimal digits; an integer where the key is
+    /// `count`.
     fn number(&mut self, key: &str, range: &str) -> Option<String> {
         let (low, high) = range.trim_matches(['{', '}']).split_once("..")?;
         let low: f64 = low.parse().ok()?;
