--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -1,8 +1,9 @@
-//! Measures the throughput of one node on one core: the highest rate at which it adds less than a millisecond to the latency at
-//! p99.
+//! Measures the throughput of one node on one core: the highest rate at which the node adds less than a
+//! millisecond to the latency at p99.
 //!
-//! Each rate is run with the node, with a bare relay of bytes, which is the least that any proxy costs, and without anything
-//! between clients and server. What is added is the difference from the latter.
+//! Each rate is run with the node, with a bare relay of bytes, whose cost is the lower bound of any proxy's
+//! cost, and without a proxy between clients and server. The added latency is the difference from the run
+//! without a proxy.
 mod curve;
 mod relay;
 
@@ -20,13 +21,15 @@
 pub use curve::{ComparedPoint, Curve, Point};
 pub use relay::{RelayError, relay};
 
-/// Rates that are measured, in requests per second, until one is too high.
+/// The rates that are measured, in requests per second, in rising order up to the first rate that is too
+/// high.
 const RATES: [f64; 12] = [
     1000.0, 2000.0, 3000.0, 4000.0, 5000.0, 6000.0, 8000.0, 10_000.0, 12_000.0, 15_000.0, 20_000.0, 25_000.0,
 ];
-/// The first seconds of each run are not counted, because connections are opened in them.
+/// Seconds at the start of each run that are not counted, because connections are opened in them.
 const WARMUP_S: f64 = 0.5;
-/// The most runs of one rate before it counts as too high: a single stall of the machine must not decide.
+/// The most runs of one rate, after which the rate counts as too high. A rate is repeated so that a single
+/// stall of the machine does not decide.
 const MAX_RUNS: usize = 3;
 /// The longest latency that is recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
@@ -42,10 +45,10 @@
     pub relay: Curve,
 }
 
-/// A measurement could not be done.
+/// Why the throughput could not be measured.
 #[derive(Debug)]
 pub enum ThroughputError {
-    /// The experiment of this module is not valid for the given duration.
+    /// The throughput experiment is not valid for the given duration.
     Experiment(ExperimentError),
     /// The experiment could not be run.
     Run(RunError),
@@ -54,7 +57,9 @@
 impl fmt::Display for ThroughputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ThroughputError::Experiment(error) => write!(f, "{error}"),
+            ThroughputError::Experiment(error) => {
+                write!(f, "the throughput experiment is not valid for the given duration: {error}")
+            }
             ThroughputError::Run(error) => write!(f, "{error}"),
         }
     }
@@ -62,7 +67,7 @@
 
 impl std::error::Error for ThroughputError {}
 
-/// Reads that all hit, on servers that take no time.
+/// An experiment of reads that all hit, on caches without a service time.
 fn experiment(rate: f64, seconds: f64) -> Result<Experiment, ThroughputError> {
     let text = format!(
         "name = \"throughput\"\nabout = \"reads that hit, as fast as they go\"\nseconds = {seconds}\n\
@@ -82,6 +87,7 @@
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
 
+/// Measures one run at one rate.
 fn measure(event_log: &EventLog, rate: f64) -> Point {
     let is_fulfilled = |attempt: &ClientAttempt| matches!(attempt.end, ClientAttemptEnd::Fulfilled { .. });
     let mut latencies_us = latency_histogram();
@@ -109,13 +115,14 @@
     }
 }
 
-/// How each rate is run.
+/// The duration in seconds and the seed of each run.
 #[derive(Clone, Copy)]
 struct RunParameters {
     seconds: f64,
     seed: u64,
 }
 
+/// Runs one rate with the proxy `front` and measures the run.
 fn run_point(frontend: Frontend<'_>, rate: f64, parameters: RunParameters) -> Result<Point, ThroughputError> {
     let RunParameters { seconds, seed } = parameters;
     let experiment = experiment(rate, seconds)?;
@@ -123,13 +130,13 @@
     let folder = environment::scratch_directory("throughput", seed);
     let run = Run { experiment: &experiment, schedule: &schedule, seed, frontend, folder: &folder };
     let event_log = environment::execute(&run).map_err(|cause| ThroughputError::Run(RunError { cause }))?;
-    // The folder is a temporary one.
+    // The folder is temporary: a failure to remove it does not affect the measurement.
     let _ = std::fs::remove_dir_all(&folder);
     Ok(measure(&event_log, rate))
 }
 
-/// The first run for which the testbed was on time; without a proxy, the fastest of several such runs. None where the testbed
-/// was late in all runs.
+/// The first run in which the testbed was on time; without a proxy, the run with the lowest latency at p99 of
+/// several such runs. `None` where the testbed was late in all runs.
 fn run_on_time(
     frontend: Frontend<'_>,
     rate: f64,
@@ -144,8 +151,8 @@
         if best.is_none_or(|best| point.p99_ms < best.p99_ms) {
             best = Some(point);
         }
-        // What is added is the difference from the fastest run without a proxy: a single stall of the machine must affect
-        // neither side.
+        // The added latency is the difference from the fastest run without a proxy, so that a single stall of
+        // the machine affects neither side of the difference.
         if !matches!(frontend, Frontend::None) {
             break;
         }
@@ -153,7 +160,8 @@
     Ok(best)
 }
 
-/// The run of a proxy that adds least; the first one that adds little enough.
+/// The run of a proxy that adds the least latency of several runs, which end with the first run that keeps to
+/// the limit. `None` where the testbed was late in all runs.
 fn compare_at_rate(
     frontend: Frontend<'_>,
     baseline: &Point,
@@ -177,11 +185,11 @@
     Ok(best)
 }
 
-/// A curve while it is measured.
+/// The curve of one proxy while the curve is being measured.
 struct CurveInProgress<'a> {
     proxy: Frontend<'a>,
     curve: Curve,
-    /// Whether a rate was too high, so that no higher ones are run.
+    /// Whether a rate was too high, so that no higher rates are run.
     is_complete: bool,
 }
 
@@ -190,6 +198,7 @@
         CurveInProgress { proxy, curve: Curve { front: name, points: Vec::new() }, is_complete: false }
     }
 
+    /// Adds the point of one rate to the curve, unless a lower rate was too high.
     fn run_rate(&mut self, baseline: &Point, parameters: RunParameters) -> Result<(), ThroughputError> {
         if self.is_complete {
             return Ok(());
@@ -201,7 +210,8 @@
     }
 }
 
-/// Measures the program `node` and the bare relay at rising rates. `testbed` is this program, which also is the relay.
+/// Measures the program `node` and the bare relay at rising rates, in runs of `seconds`. `testbed` is the
+/// path of this program, which also runs the relay.
 ///
 /// # Errors
 /// A run could not be done.
@@ -210,7 +220,7 @@
     let mut node_curve = CurveInProgress::new(Frontend::Nodes(node), "granitelb");
     let mut relay_curve = CurveInProgress::new(Frontend::Relays(testbed), "bare relay");
     for rate in RATES {
-        // At rates that the testbed itself can't send in time, only the testbed would be measured.
+        // At a rate that the testbed itself can't send in time, the latency would be that of the testbed.
         let Some(baseline) = run_on_time(Frontend::None, rate, parameters)? else { break };
         node_curve.run_rate(&baseline, parameters)?;
         relay_curve.run_rate(&baseline, parameters)?;
--- a/crates/testbed/src/throughput/curve.rs
+++ b/crates/testbed/src/throughput/curve.rs
@@ -1,15 +1,15 @@
-//! What is measured at each rate, and the curve over rising rates.
+//! The figures measured at each rate, and the curve of a proxy over rising rates.
 
 use std::fmt;
 
 use serde::{Serialize, Serializer};
 
-/// The most that may be added to the latency at p99, in milliseconds.
+/// The added latency at p99, in milliseconds, that a proxy has to stay under.
 const MAX_ADDED_MS: f64 = 1.0;
 /// The smallest fraction of requests that have to be fulfilled.
 const MIN_FULFILLED: f64 = 0.999;
 
-/// What was measured of one proxy, or of none, at one rate.
+/// The figures of one rate with one proxy, or without a proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
     /// Requests per second.
@@ -18,24 +18,24 @@
     pub p50_ms: f64,
     /// The latency at p99, in milliseconds.
     pub p99_ms: f64,
-    /// CPU time of the proxy per request, in microseconds.
+    /// CPU time of the proxy per client attempt, in microseconds.
     #[serde(rename = "cpu_us_a_call")]
     pub cpu_us_per_request: f64,
     /// The fraction of requests that were fulfilled.
     pub fulfilled: f64,
-    /// How late the testbed itself was for 99.9% of its requests, in milliseconds.
+    /// The 99.9th percentile of how late the testbed sent requests, in milliseconds.
     #[serde(rename = "rig_late_ms")]
     pub testbed_late_ms: f64,
 }
 
-/// A proxy's [`Point`] and what the proxy adds to the latency. In JSON it is an array of the point and both numbers.
+/// A proxy's [`Point`] and the latency that the proxy adds, serialized as an array of the three fields.
 #[derive(Clone, Copy, Debug)]
 pub struct ComparedPoint {
-    /// What was measured with the proxy.
+    /// The figures measured with the proxy.
     pub point: Point,
-    /// What the proxy adds at the median, in milliseconds.
+    /// The latency that the proxy adds at the median, in milliseconds.
     pub added_p50_ms: f64,
-    /// What the proxy adds at p99, in milliseconds.
+    /// The latency that the proxy adds at p99, in milliseconds.
     pub added_p99_ms: f64,
 }
 
@@ -46,33 +46,34 @@
 }
 
 impl ComparedPoint {
-    /// Whether what is added at p99 keeps to the limit.
+    /// Whether the added latency at p99 is under the limit.
     pub(super) fn adds_little(&self) -> bool {
         self.added_p99_ms < MAX_ADDED_MS
     }
 
-    /// Whether the proxy keeps up with this rate.
+    /// Whether the proxy keeps up with this rate: the added latency is under the limit and enough requests
+    /// are fulfilled.
     pub(super) fn is_fast_enough(&self) -> bool {
         self.adds_little() && self.point.fulfilled >= MIN_FULFILLED
     }
 }
 
-/// One proxy at rising rates.
+/// The figures of one proxy at rising rates.
 #[derive(Debug, Serialize)]
 pub struct Curve {
     /// The name of the proxy.
     pub front: &'static str,
-    /// What was measured, ordered by rate.
+    /// The figures of each rate, ordered by rate.
     pub points: Vec<ComparedPoint>,
 }
 
 impl Curve {
-    /// The point of the highest rate that the proxy is fast enough for.
+    /// The point of the highest rate that the proxy keeps up with; `None` where there is no such rate.
     pub fn highest(&self) -> Option<&ComparedPoint> {
         self.points.iter().rfind(|compared| compared.is_fast_enough())
     }
 
-    /// The point whose rate is nearest to half of the highest one.
+    /// The point whose rate is nearest to half of the highest rate that the proxy keeps up with.
     pub fn at_half(&self) -> Option<&ComparedPoint> {
         let half_rate = self.highest()?.point.rate / 2.0;
         let distance = |compared: &ComparedPoint| (compared.point.rate - half_rate).abs();
@@ -86,8 +87,8 @@
         for ComparedPoint { point, added_p50_ms, added_p99_ms } in &self.points {
             writeln!(
                 f,
-                "    {:>6.0}/s  adds {added_p50_ms:.3} ms p50, {added_p99_ms:.3} ms p99; {:.1} us of a core a call; \
-                 {:.2}% fulfilled; rig late {:.2} ms",
+                "    {:>6.0}/s  adds {added_p50_ms:.3} ms p50, {added_p99_ms:.3} ms p99; {:.1} us of CPU time per request; \
+                 {:.2}% fulfilled; testbed late {:.2} ms",
                 point.rate,
                 point.cpu_us_per_request,
                 point.fulfilled * 100.0,
@@ -97,10 +98,13 @@
         match (self.highest(), self.at_half()) {
             (Some(highest), Some(half)) => write!(
                 f,
-                "    under {MAX_ADDED_MS} ms at p99 up to {:.0}/s; at {:.0}/s adds {:.3} ms p50, {:.3} ms p99",
+                "    adds under {MAX_ADDED_MS} ms at p99 up to {:.0}/s; at {:.0}/s adds {:.3} ms p50, {:.3} ms p99",
                 highest.point.rate, half.point.rate, half.added_p50_ms, half.added_p99_ms
             ),
-            _ => write!(f, "    at no rate under {MAX_ADDED_MS} ms at p99"),
+            _ => write!(
+                f,
+                "    adds {MAX_ADDED_MS} ms or more at p99, or fulfils too few requests, at every rate"
+            ),
         }
     }
 }
--- a/crates/testbed/src/throughput/relay.rs
+++ b/crates/testbed/src/throughput/relay.rs
@@ -1,4 +1,4 @@
-//! The bare relay: forwards bytes between its clients and one server, on one thread.
+//! The bare relay, which forwards bytes between clients and one server on one thread.
 
 use std::fmt;
 use std::io;
@@ -6,12 +6,12 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// The relay could not be started.
+/// Why the relay could not be started.
 #[derive(Debug)]
 pub enum RelayError {
     /// The async runtime could not be created.
     Runtime(io::Error),
-    /// The address can't be listened on.
+    /// The relay can't listen on an address.
     Listen {
         /// The address.
         address: SocketAddr,
@@ -23,16 +23,18 @@
 impl fmt::Display for RelayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RelayError::Runtime(error) => write!(f, "{error}"),
-            RelayError::Listen { address, error } => write!(f, "{address}: {error}"),
+            RelayError::Runtime(error) => write!(f, "the relay's async runtime can't be created: {error}"),
+            RelayError::Listen { address, error } => {
+                write!(f, "the relay can't listen on {address}: {error}")
+            }
         }
     }
 }
 
 impl std::error::Error for RelayError {}
 
-/// Forwards bytes between everyone who connects to `listen` and the server at `to`. Returns when connections can no longer be
-/// accepted.
+/// Forwards bytes between all clients that connect to `listen` and the server at `to`. Returns when the relay
+/// can no longer accept connections.
 ///
 /// # Errors
 /// The relay could not be started.
@@ -48,9 +50,11 @@
     })
 }
 
+/// Forwards bytes between a client and the server until one of them closes its connection or fails.
 async fn forward(mut client: TcpStream, to: SocketAddr) {
     let Ok(mut server) = TcpStream::connect(to).await else { return };
-    // Without this option the relay is slower, but it still works; an error of a connection ends only that connection.
+    // Errors are ignored: without TCP_NODELAY the relay is slower but works, and an error of a connection
+    // ends only that connection.
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
