--- a/crates/testbed/src/message_reference/counterfactual.rs
+++ b/crates/testbed/src/message_reference/counterfactual.rs
@@ -1,4 +1,4 @@
-//! Counterfactual reports: comparisons of caches.
+//! Messages with counterfactual reports, which compare caches.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,32 +15,32 @@
     Better,
 }
 
-/// A comparison with its effect and the interval around it.
+/// A comparison of one cache with the others, with the estimated effect and its interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ComparisonReport {
     /// The cache's endpoint number.
     pub cache: u64,
     /// The index of the request class in the settings.
     pub request_class: u16,
-    /// The outcome.
+    /// The outcome of the comparison.
     pub comparison: Comparison,
-    /// The middle of the interval.
+    /// The estimated effect, at the middle of the interval.
     pub effect: f32,
-    /// Its lower end.
+    /// The lower end of the interval.
     pub low: f32,
-    /// Its upper end.
+    /// The upper end of the interval.
     pub high: f32,
 }
 
-/// Counterfactual reports. The bodies of what nodes send are not decoded.
+/// Counterfactual messages. The bodies of messages from nodes are not decoded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CounterfactualMessage {
     /// From a node: sampled requests.
     Samples,
     /// From a node: caches that started.
     Started,
-    /// From a planner: effects as shares of the latency objective.
+    /// From a planner: comparisons with effects as shares of the latency objective.
     Comparisons(Vec<ComparisonReport>),
-    /// From a planner: effects as multiples of the latency.
+    /// From a planner: comparisons with effects as multiples of the latency.
     LatencyRatios(Vec<ComparisonReport>),
 }
--- a/crates/testbed/src/message_reference/health.rs
+++ b/crates/testbed/src/message_reference/health.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The place of a fragment among those of a report that does not fit into one message.
+/// The position of a fragment of a report or plan that does not fit into one message.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// Which fragment this is, from 0.
+    /// The index of the fragment, from 0.
     pub index: u8,
-    /// How many fragments there are.
+    /// The number of fragments.
     pub count: u8,
 }
 
@@ -16,9 +16,9 @@
 pub struct AttemptCounts {
     /// The cache's endpoint number.
     pub cache: u64,
-    /// Attempts that were answered, in whatever way.
+    /// Attempts that got any response.
     pub answered: f32,
-    /// Attempts that were not answered.
+    /// Attempts that got no response.
     pub failed: f32,
     /// Attempts in flight at the time of the report.
     pub in_flight: f32,
@@ -29,40 +29,40 @@
 pub enum HealthStatus {
     /// The cache does not answer.
     Failing {
-        /// The age of the last failure.
+        /// The age of the last failure, in microseconds.
         ago: u64,
     },
-    /// The cache was failing, and the receiver is to probe it.
+    /// The cache was failing, and the receiver is to probe the cache.
     Probe {
         /// The age of the last failure.
         ago: u64,
     },
     /// The cache answers again.
     Recovered {
-        /// The time since the recovery.
+        /// The time since the recovery, in microseconds.
         ago: u64,
     },
 }
 
-/// Endpoint health between nodes and planners.
+/// Messages about endpoint health between nodes and planners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HealthMessage {
-    /// From a node: what it has seen of caches.
+    /// From a node: the results of its recent attempts at caches.
     Report {
-        /// The number of the report; its fragments share it.
+        /// The number of the report, which all of its fragments carry.
         number: u64,
-        /// Which part of the report this is.
+        /// The position of this fragment in the report.
         fragment: Fragment,
         /// The counts of each cache.
         caches: Vec<AttemptCounts>,
     },
-    /// From a planner: the caches that are not plainly healthy.
+    /// From a planner: the caches that are failing, to be probed or recovered.
     Plan {
-        /// The version of the plan; its fragments share it.
+        /// The version of the plan, which all of its fragments carry.
         version: u64,
-        /// Which part of the plan this is.
+        /// The position of this fragment in the plan.
         fragment: Fragment,
-        /// The number of nodes that the plan rests on.
+        /// The number of nodes whose reports the plan is based on.
         nodes: u64,
         /// The status of caches by endpoint number.
         statuses: Vec<(u64, HealthStatus)>,
--- a/crates/testbed/src/message_reference/leases.rs
+++ b/crates/testbed/src/message_reference/leases.rs
@@ -11,70 +11,70 @@
     WarmingCache(u64),
 }
 
-/// What a member asks for of one resource. Amounts are thousandths.
+/// The amount of one resource that a member requests, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// What is asked for.
+    /// The requested resource.
     pub resource: Resource,
-    /// How much of it.
+    /// The requested amount.
     pub amount: u32,
-    /// The request whose grant is in use; earlier grants are returned by this.
+    /// The number of the request whose grant is in use; this demand returns the grants of earlier requests.
     pub request_in_use: u64,
-    /// The number of members in need, where a planner asks for several.
+    /// The number of members that need the resource, where a planner requests it for several members.
     pub claimants: u32,
-    /// What they hold already without this lender.
+    /// The amount that these members already hold from other lenders.
     pub held: u32,
 }
 
-/// Leases between nodes and planners. Amounts are thousandths, durations microseconds.
+/// Messages about leases between nodes and planners. Amounts are in thousandths, durations in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Asks for leases.
+    /// Requests leases.
     Request {
         /// The number of the request; rises within an incarnation.
         request: u64,
-        /// What is asked for, by resource.
+        /// The requested amounts, by resource.
         demands: Vec<Demand>,
     },
     /// Grants leases, from the time at which the request was sent.
     Grant {
-        /// The request that is answered.
+        /// The number of the request that this grant answers.
         request: u64,
-        /// The amount of each resource.
+        /// The granted amount of each resource.
         granted: Vec<(Resource, u32)>,
         /// How long the leases last.
         duration: u32,
     },
-    /// Returns all that was granted up to this request.
+    /// Returns all leases granted up to this request.
     Return {
-        /// The last request whose grant is returned.
+        /// The number of the last request whose grant is returned.
         request: u64,
     },
-    /// Asks for a long-term allocation of the origin.
+    /// Requests a long-term allocation of the origin.
     RequestAllocation {
         /// The number of the request; rises within an incarnation.
         request: u64,
-        /// The amount that is asked for.
+        /// The requested amount.
         demand: u32,
-        /// The request whose grant is in use.
+        /// The number of the request whose grant is in use.
         request_in_use: u64,
         /// When the allocation is to end.
         until: u64,
-        /// What the sender holds already without this lender.
+        /// The amount that the sender already holds from other lenders.
         held: u32,
     },
-    /// Grants a long-term allocation; a duration of zero refuses it.
+    /// Grants a long-term allocation, or rejects the request with a duration of zero.
     Allocation {
-        /// The request that is answered.
+        /// The number of the request that this message answers.
         request: u64,
-        /// The amount that is granted.
+        /// The granted amount.
         amount: u32,
         /// How long the allocation lasts.
         duration: u32,
     },
     /// Returns the long-term allocations granted up to this request.
     ReturnAllocation {
-        /// The last request whose grant is returned.
+        /// The number of the last request whose grant is returned.
         request: u64,
     },
 }
--- a/crates/testbed/src/message_reference/membership.rs
+++ b/crates/testbed/src/message_reference/membership.rs
@@ -1,4 +1,4 @@
-//! Messages about members.
+//! Messages about the membership of nodes and planners.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 pub enum MembershipMessage {
     /// The sender is alive.
     Heartbeat,
-    /// The receiver was taken for failed under this incarnation.
+    /// This incarnation of the receiver was declared failed.
     DeclaredFailed {
         /// The incarnation whose messages are ignored from now on.
         incarnation: u64,
--- a/crates/testbed/src/message_reference/mod.rs
+++ b/crates/testbed/src/message_reference/mod.rs
@@ -1,11 +1,12 @@
 //! Reference codec for the messages between fleet members.
 //!
-//! It is written from the published wire format and shares no code with the program, so that the auditor does not
-//! inherit the program's faults. A message is an envelope with a header, the sender, a body and an HMAC tag. The bodies
-//! that the testbed judges or forges are decoded: membership, endpoint health, leases and counterfactual reports
-//! ([`crate::shard_map_reference`] has those about shard growth).
+//! The codec is written from the published wire format and shares no code with the program under test, so
+//! that the audit does not inherit the program's defects. A message is an envelope with a header, the sender,
+//! a body and an HMAC tag. The bodies that the testbed judges or forges are decoded: membership, endpoint
+//! health, leases and counterfactual reports ([`crate::shard_map_reference`] has those about shard growth).
 //!
-//! Bodies are encoded with postcard: the order of fields and of enum variants is the wire format and must not change.
+//! Bodies are encoded with postcard: the order of fields and of enum variants is the wire format and must not
+//! change.
 
 mod counterfactual;
 mod health;
@@ -27,7 +28,7 @@
 /// Length in bytes of the truncated HMAC-SHA-256 at the end of a message.
 const TAG_BYTES: usize = 16;
 
-/// The component that a message belongs to; its number stands in the envelope.
+/// The component that a message belongs to; the envelope contains the component's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum MessageKind {
@@ -55,15 +56,16 @@
 /// The sender in the envelope of each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Who signs the message.
+    /// The member that signs the message.
     pub member: Signer,
-    /// The sender's incarnation: a process that starts again has a greater one.
+    /// The sender's incarnation, which increases when the process restarts.
     pub incarnation: u64,
-    /// Rises with each message of an incarnation.
+    /// The sequence number, which increases with each message of an incarnation.
     pub sequence: u64,
 }
 
-/// The endpoint number of a cache in messages, from its name in the endpoint list: FNV-1a with a final mix.
+/// The endpoint number of a cache in messages: the FNV-1a hash of the cache's name in the endpoint list, with
+/// a final mix.
 pub fn endpoint_number(name: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -76,12 +78,14 @@
     hash ^ (hash >> 29)
 }
 
+/// The truncated HMAC-SHA-256 tag of the signed part of a message; `None` where the secret has no valid
+/// length.
 fn tag(secret: &[u8], signed: &[u8]) -> Option<[u8; TAG_BYTES]> {
     let mac = Hmac::<Sha256>::new_from_slice(secret).ok()?.chain_update(signed);
     mac.finalize().into_bytes().first_chunk().copied()
 }
 
-/// The part of a message that is signed, if its tag is right.
+/// The signed part of a message; `None` where the tag is wrong or the message too short.
 fn verified<'a>(secret: &[u8], bytes: &'a [u8]) -> Option<&'a [u8]> {
     let (signed, signature) = bytes.split_last_chunk::<TAG_BYTES>()?;
     if tag(secret, signed)? != *signature {
@@ -100,7 +104,7 @@
     Some(bytes)
 }
 
-/// The sender of a message of any kind; `None` where it is malformed or not signed with the secret.
+/// The sender of a message of any kind; `None` where the message is malformed or not signed with the secret.
 pub fn decode_sender(secret: &[u8], bytes: &[u8]) -> Option<Sender> {
     let signed = verified(secret, bytes)?;
     let body = signed.strip_prefix(&HEADER)?.get(1..)?;
@@ -108,7 +112,8 @@
     Some(sender)
 }
 
-/// A message of this kind with its sender; `None` where it is of another kind, malformed or not signed with the secret.
+/// The sender and the body of a message of `kind`; `None` where the message is of another kind, malformed, or
+/// not signed with the secret.
 pub fn decode<M: DeserializeOwned>(secret: &[u8], kind: MessageKind, bytes: &[u8]) -> Option<(Sender, M)> {
     let signed = verified(secret, bytes)?;
     let body = signed.strip_prefix(&HEADER)?.strip_prefix(&[kind as u8])?;
