--- a/crates/testbed/src/audit/shard_growth/mod.rs
+++ b/crates/testbed/src/audit/shard_growth/mod.rs
@@ -94,9 +94,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} maps, {} completed, {} withdrawn; {} of {} kills taken over, {} advances while slow; dual read: \
-             {} missed, {} answered by the old place, {} at the origin, {} of them after the old place; by an older \
-             map {} reads, {} at the origin, by the newest {}, {}; {} nodes behind at the end",
+            "{} maps, {} splits completed, {} withdrawn; {} of {} kills taken over, {} advances while the origin was slow; dual read: \
+             {} missed, {} answered by the old place, {} at the origin, {} of them after the old place; \
+             reads by an older map: {}, {} at the origin; reads of moved keys by the newest map: {}, {} at the origin; \
+             {} nodes behind at the end",
             self.maps,
             self.completed,
             self.withdrawn,
@@ -114,7 +115,11 @@
             self.nodes_behind
         )?;
         for state in &self.states_at_kills {
-            write!(f, "\n        killed at {:?} after {} splits", state.phase, state.bits)?;
+            write!(
+                f,
+                "\n        when a planner was killed: phase {:?} after {} splits",
+                state.phase, state.bits
+            )?;
         }
         self.fmt_phase_changes(f)
     }
@@ -202,8 +207,8 @@
     experiment.faults().len().saturating_sub(began.count())
 }
 
-/// The number of nodes whose last reported shard map is not the last one; 0 where that was sent too late to
-/// be reported.
+/// The number of nodes whose last reported shard map is not the last map that was sent; 0 where the last map
+/// was sent too late to be reported.
 fn nodes_behind(experiment: &Experiment, history: &MapHistory) -> usize {
     let Some((last_version, last)) = history.first_sent.last_key_value() else { return 0 };
     if last.at.seconds() + REPORT_DELAY_S >= experiment.seconds {
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -91,7 +91,7 @@
     };
     format!(
         "{outcome}; service {:.4}, {} requests, {} rate-limited, {} errored, {} lost, p50 {:.1} ms, p99 {:.1} ms, \
-         recovery {recovery}, max/mean {:.2}, origin {:.2}, {:.0} us an attempt",
+         recovery {recovery}, maximum over mean load {:.2}, origin load {:.2} of capacity, {:.0} us CPU per attempt",
         figures.service,
         figures.requests,
         figures.rate_limited,
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -77,7 +77,7 @@
         ("fulfilled, rate-limited, errored, lost attempts", ends),
         ("latency p50, p99", format!("{:.1} ms, {:.1} ms", figures.p50_ms, figures.p99_ms)),
         ("maximum over mean load of the steady caches", format!("{:.2}", figures.max_over_mean)),
-        ("the origin's busiest second over its capacity", format!("{:.2}", figures.origin_fetches)),
+        ("reads at the origin in the busiest second over capacity", format!("{:.2}", figures.origin_fetches)),
         (
             "last new attempt after the notification of a drain",
             format!("{:.0} ms, {} drains", figures.drain_stop_ms, figures.drains),
@@ -87,8 +87,8 @@
             "maximum memory, descriptors of a node",
             format!("{:.1} MB, {}", figures.memory_mb, figures.descriptors),
         ),
-        ("CPU time an attempt", format!("{:.0} \u{b5}s", figures.cpu_us_per_attempt)),
-        ("lateness of the testbed at 99.9%", format!("{:.2} ms", figures.harness_late_ms)),
+        ("CPU time per attempt", format!("{:.0} \u{b5}s", figures.cpu_us_per_attempt)),
+        ("lateness of the testbed, 99.9th percentile", format!("{:.2} ms", figures.harness_late_ms)),
     ];
     *page += "<table>";
     for (title, value) in rows {
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -56,7 +56,7 @@
     Ok(vec![
         plot_over_time(experiment, "service", &service)?,
         plot_over_time(experiment, "latency of fulfilled attempts, ms", &latencies)?,
-        plot_over_time(experiment, "the origin's fetches a second", &fetches)?,
+        plot_over_time(experiment, "fetches from the origin per second", &fetches)?,
         plot_load(figures)?,
     ])
 }
