--- a/crates/testbed/src/audit/expectations.rs
+++ b/crates/testbed/src/audit/expectations.rs
@@ -19,8 +19,7 @@
     pub measured: f64,
 }
 
-/// Checks a lower bound: the unmet expectation if less was measured, `None` if it is met or there is no
-/// bound.
+/// Checks a lower bound: the unmet expectation if less was measured, `None` where the bound is met or absent.
 pub(super) fn at_least(
     expectation: &'static str,
     bound: Option<f64>,
@@ -30,8 +29,8 @@
     if measured >= bound { None } else { Some(UnmetExpectation { expectation, bound, measured }) }
 }
 
-/// Checks an upper bound: the unmet expectation if more was measured, `None` if it is met or there is no
-/// bound.
+/// Checks an upper bound: the unmet expectation if more was measured, `None` where the bound is met or
+/// absent.
 pub(super) fn at_most(
     expectation: &'static str,
     bound: Option<f64>,
--- a/crates/testbed/src/audit/figures/recovery.rs
+++ b/crates/testbed/src/audit/figures/recovery.rs
@@ -7,8 +7,8 @@
 
 /// Service counts as recovered once two successive seconds reach this share of the service before the faults.
 const RECOVERED_SHARE: f64 = 0.9;
-/// Seconds at the start that the service before the faults leaves out, because nodes are still learning in
-/// them.
+/// Seconds at the start of the run that do not count for the service before the faults, because nodes still
+/// learn about the servers in them.
 const LEARNING_S: usize = 1;
 
 /// How long service took to recover after the end of a fault.
--- a/crates/testbed/src/audit/figures/timeline.rs
+++ b/crates/testbed/src/audit/figures/timeline.rs
@@ -20,7 +20,8 @@
     pub fetches: usize,
     /// Median latency of fulfilled attempts at requests due in this second, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of the latency of these attempts, in milliseconds.
+    /// The 99th percentile of the latency of fulfilled attempts at requests due in this second, in
+    /// milliseconds.
     pub p99_ms: f64,
 }
 
--- a/crates/testbed/src/audit/fleet/mod.rs
+++ b/crates/testbed/src/audit/fleet/mod.rs
@@ -17,8 +17,7 @@
 
 /// The fewest requests with which a node counts for the fairness index.
 const MIN_REQUESTS_FOR_FAIRNESS: usize = 20;
-/// Seconds before a return of planners over which service is averaged, to compare the service afterwards
-/// with.
+/// Seconds before a return of planners, with whose service the service after the return is compared.
 const SECONDS_BEFORE_RETURN: usize = 3;
 /// Seconds after a return of planners in which a drop of service is looked for.
 const SECONDS_AFTER_RETURN: usize = 5;
@@ -142,8 +141,8 @@
     if squares > 0.0 { sum * sum / (shares.len() as f64 * squares) } else { 1.0 }
 }
 
-/// The largest drop of service after a return of planners: the service before the return, less that of two
-/// successive seconds afterwards.
+/// The largest drop of service after a return of planners: the service before the return minus the service of
+/// two successive seconds after the return.
 fn service_drop(experiment: &Experiment, seconds: &[Second]) -> f64 {
     let mut worst = 0.0_f64;
     for fault in experiment.faults() {
--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -15,7 +15,7 @@
 
 fn message(from: Member, to: Member, at: i64, lease: &LeaseMessage) -> RelayedMessage {
     let sender = Sender { member: Signer::Planner(1), incarnation: 1, sequence: at as u64 };
-    let bytes = encode(SECRET, MessageKind::Leases, sender, lease).expect("it encodes");
+    let bytes = encode(SECRET, MessageKind::Leases, sender, lease).expect("the message can be encoded");
     let received_at = Timestamp(at);
     RelayedMessage { from, to, received_at, forwarded_at: vec![received_at], corrupted: false, bytes }
 }
@@ -42,7 +42,7 @@
 fn a_drop_of_service_when_planners_return_is_measured() {
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 20\n[fleet]\nplanners = 1\n\
         [[fault]]\nkind = \"planner_kill\"\nat_s = 4\nfor_s = 6\n";
-    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a sound experiment");
+    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a valid experiment");
     let seconds = |lowest_served: f64| -> Vec<Second> {
         let served = |n: usize| if (11..13).contains(&n) { lowest_served } else { 10.0 };
         (0..20).map(|n| Second { requested: 10.0, served: served(n), ..Second::default() }).collect()
@@ -55,7 +55,7 @@
 fn reported_caches_are_compared_with_the_slow_ones() {
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 9\n\
         [[fault]]\nkind = \"slow\"\nat_s = 1\nfor_s = 6\nfactor = 3\ncaches = [1]\n";
-    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a sound experiment");
+    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a valid experiment");
     let report = |name: &str, comparison| {
         let cache = endpoint_number(name);
         ComparisonReport { cache, request_class: 0, comparison, effect: 0.1, low: 0.0, high: 0.2 }
@@ -63,7 +63,8 @@
     let all = [("a", Comparison::AsGood), ("b", Comparison::Worse), ("c", Comparison::Worse)];
     let message = CounterfactualMessage::Comparisons(all.iter().map(|(n, s)| report(n, *s)).collect());
     let sender = Sender { member: Signer::Planner(1), incarnation: 1, sequence: 1 };
-    let bytes = encode(SECRET, MessageKind::Counterfactual, sender, &message).expect("it encodes");
+    let bytes =
+        encode(SECRET, MessageKind::Counterfactual, sender, &message).expect("the message can be encoded");
     let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     let from = Member::Planner(0);
     let to = Member::Node(0);
--- a/crates/testbed/src/audit/rules/effects.rs
+++ b/crates/testbed/src/audit/rules/effects.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Whether the server may have executed the attempt: a server that rejects an attempt or reports a miss has
-/// not.
+/// Whether the server may have executed the attempt: it did not where it rejected the attempt or reported a
+/// cache miss.
 fn may_have_executed(attempt: &ServerAttempt) -> bool {
     !matches!(attempt.end, ServerAttemptEnd::Rejected | ServerAttemptEnd::CacheMiss)
 }
--- a/crates/testbed/src/audit/shard_growth/phases.rs
+++ b/crates/testbed/src/audit/shard_growth/phases.rs
@@ -10,7 +10,7 @@
 
 /// Seconds after which planners must have detected that the origin is slow. Nodes remember measured fetches
 /// for 3 s, so half of the remembered fetches are slow after 2.1 s. The time of a slow fetch, of a heartbeat,
-/// and of another heartbeat whose messages are lost are added.
+/// and of a second heartbeat in case the messages of one are lost is added.
 const SLOWNESS_DETECTION_S: f64 = 3.5;
 /// The prefix of the names of slow-origin faults in events.
 const SLOW_ORIGIN: &str = "OriginSlow";
--- a/crates/testbed/src/audit/shard_growth/tests.rs
+++ b/crates/testbed/src/audit/shard_growth/tests.rs
@@ -15,7 +15,7 @@
 fn experiment() -> Experiment {
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 20\n[world]\nnodes = 1\n[fleet]\nplanners = 2\n\
         operator.growth.day_ms = 2000\n[growth]\nshards = [17, 90]\nkeys = 10\ngrows = 0.1\n";
-    Experiment::read(Path::new("x.toml"), text).expect("a sound experiment")
+    Experiment::read(Path::new("x.toml"), text).expect("a valid experiment")
 }
 
 /// An event log with twelve caches and the origin.
@@ -35,8 +35,8 @@
     };
     let received_at = Timestamp::from_s(at_s);
     let sender = Sender { member: signer, incarnation: 1, sequence: received_at.0 as u64 };
-    let bytes =
-        message_reference::encode(SECRET, MessageKind::ShardGrowth, sender, message).expect("it encodes");
+    let bytes = message_reference::encode(SECRET, MessageKind::ShardGrowth, sender, message)
+        .expect("the message can be encoded");
     event_log.messages.push(RelayedMessage {
         from,
         to,
@@ -55,7 +55,7 @@
 
 fn audited(event_log: &EventLog) -> (ShardGrowthFigures, Vec<&'static str>) {
     let experiment = experiment();
-    let growth = experiment.growth.as_ref().expect("its shards grow");
+    let growth = experiment.growth.as_ref().expect("the experiment has growing shards");
     let audited = audit(&experiment, growth, event_log);
     (audited.figures, audited.violations.iter().map(|violation| violation.kind).collect())
 }
@@ -157,8 +157,8 @@
     let names: Vec<String> = (0..12).map(|slot| format!("box-{slot}.0")).collect();
     let placement = Placement::new(names.iter().map(String::as_str));
     let moves = |key: &&u64| placement.cache_of(**key, 0) != placement.cache_of(**key, 1);
-    let key = *keys_of(SHARD, 40).iter().find(moves).expect("half of them");
-    let [old, new] = [0, 1].map(|bits| placement.cache_of(key, bits).expect("a place"));
+    let key = *keys_of(SHARD, 40).iter().find(moves).expect("half of the keys move");
+    let [old, new] = [0, 1].map(|bits| placement.cache_of(key, bits).expect("the key has a cache"));
     let mut route = vec![
         (new, ServerAttemptEnd::CacheMiss),
         (old, ServerAttemptEnd::CacheMiss),
--- a/crates/testbed/src/command.rs
+++ b/crates/testbed/src/command.rs
@@ -1,4 +1,5 @@
 //! Runs the commands of the command line.
+
 mod arguments;
 mod error;
 
--- a/crates/testbed/src/command/arguments.rs
+++ b/crates/testbed/src/command/arguments.rs
@@ -51,16 +51,19 @@
     let faulty_node = faulty_node();
     construct!([run, compare, record, replay, hunt, check, list, throughput, relay, faulty_node])
         .to_options()
-        .descr("Runs the node in a world of emulated servers, injects faults, and audits what it did")
+        .descr("Runs the node with emulated clients and servers, injects faults, and audits the run")
         .run()
 }
 
 fn options() -> impl Parser<Options> {
-    let seed = long("seed").help("Run with this seed instead of the file's").argument("N").optional();
+    let seed = long("seed")
+        .help("Run with this seed instead of those of the experiment file")
+        .argument("N")
+        .optional();
     let repeat = long("repeat").help("Run each seed this many times").argument("N").fallback(1);
     let node = node();
     let report = long("report").help("Write reports to this folder").argument::<PathBuf>("DIR").optional();
-    let event_log = long("book").help("With each report, write the event log that it is based on").switch();
+    let event_log = long("book").help("Write the event log of the run beside each report").switch();
     let jobs = long("jobs").help("Run this many experiments at once").argument("N").fallback(1);
     let late_ms = long("late")
         .help("Don't judge runs in which the testbed sent requests later than this, in ms; a high value allows judging rules on a busy machine")
@@ -139,7 +142,7 @@
     let file = positional::<PathBuf>("FILE").help("The experiment to replay the recording in");
     construct!(Command::Replay { options, recording, file })
         .to_options()
-        .descr("Replay recorded traffic in an experiment's world, without recorded retries")
+        .descr("Replay recorded traffic in an experiment's environment, without recorded retries")
         .command("replay")
         .help("Replay traffic")
 }
--- a/crates/testbed/src/command/error.rs
+++ b/crates/testbed/src/command/error.rs
@@ -22,7 +22,7 @@
     Program(ProgramError),
     /// An experiment could not be run.
     Run(RunError),
-    /// A recording can't be read.
+    /// A recording can't be replayed.
     Recording(RecordingError),
     /// The throughput could not be measured.
     Throughput(ThroughputError),
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -3,6 +3,7 @@
 //! Each seed gives a random [`Timeline`] of overlapping faults. The timeline is run on a fleet, and the
 //! audit's rules and the sum of leases are checked. A timeline that breaks a rule or exceeds the sum of
 //! leases is shrunk: faults are removed as long as a violation of the same kind remains.
+
 mod timeline;
 
 use std::fmt;
@@ -166,7 +167,7 @@
 fn print_summary(timeline: &Timeline, audit_result: &AuditResult, violations: &[String]) {
     let figures = &audit_result.figures;
     println!(
-        "seed {}: {}; {} faults, service {:.4}, leases {:.3}, rig late {:.1} ms",
+        "seed {}: {}; {} faults, service {:.4}, leases {:.3}, testbed late {:.1} ms",
         timeline.seed,
         if violations.is_empty() { "held" } else { "BROKE" },
         timeline.faults.len(),
--- a/crates/testbed/src/hunt/timeline.rs
+++ b/crates/testbed/src/hunt/timeline.rs
@@ -11,11 +11,11 @@
 
 use crate::experiment::{Experiment, ExperimentError};
 
-/// Nodes of the world.
+/// The number of nodes in a run.
 const NODES: usize = 6;
-/// Cache servers of the world.
+/// The number of caches in a run.
 const CACHES: usize = 8;
-/// Planners of the world.
+/// The number of planners in a run.
 const PLANNERS: usize = 2;
 /// The fewest faults of a timeline.
 const MIN_FAULTS: usize = 4;
@@ -26,7 +26,7 @@
 /// The shortest time in seconds between a fault's start and the end of the run, so that effects on later
 /// requests are seen.
 const MIN_TIME_AFTER_START_S: f64 = 4.0;
-/// The smallest upper limit of faults' start times, in seconds, which holds for short runs.
+/// The smallest upper limit of faults' start times, in seconds, which applies in short runs.
 const MIN_LATEST_START_S: f64 = 1.5;
 /// The shortest time in seconds between a fault's end and the end of the run. Faults of the shortest duration
 /// may end later.
@@ -163,7 +163,7 @@
     /// The longest duration, in seconds.
     longest_s: f64,
     /// Caches that no fault has changed in the endpoint list so far. Each cache is changed at most once, and
-    /// drawing stops once only half of the caches are left.
+    /// none is changed once half of the caches or fewer are left.
     unchanged_caches: &'a mut Vec<usize>,
     rng: &'a mut R,
 }
--- a/crates/testbed/src/message_reference/mod.rs
+++ b/crates/testbed/src/message_reference/mod.rs
@@ -78,8 +78,8 @@
     hash ^ (hash >> 29)
 }
 
-/// The truncated HMAC-SHA-256 tag of the signed part of a message; `None` where the secret has no valid
-/// length.
+/// The truncated HMAC-SHA-256 tag of the signed part of a message; `None` where the secret is not a valid
+/// key.
 fn tag(secret: &[u8], signed: &[u8]) -> Option<[u8; TAG_BYTES]> {
     let mac = Hmac::<Sha256>::new_from_slice(secret).ok()?.chain_update(signed);
     mac.finalize().into_bytes().first_chunk().copied()
--- a/crates/testbed/src/throughput.rs
+++ b/crates/testbed/src/throughput.rs
@@ -4,6 +4,7 @@
 //! Each rate is run with the node, with a bare relay of bytes, whose cost is the lower bound of any proxy's
 //! cost, and without a proxy between clients and server. The added latency is the difference from the run
 //! without a proxy.
+
 mod curve;
 mod relay;
 
@@ -29,7 +30,7 @@
 /// Seconds at the start of each run that are not counted, because connections are opened in them.
 const WARMUP_S: f64 = 0.5;
 /// The most runs of one rate, after which the rate counts as too high. A rate is repeated so that a single
-/// stall of the machine does not decide.
+/// stall of the machine does not decide the result.
 const MAX_RUNS: usize = 3;
 /// The longest latency that is recorded, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
