--- a/crates/testbed/src/throughput/curve.rs
+++ b/crates/testbed/src/throughput/curve.rs
@@ -103,7 +103,7 @@
             ),
             _ => write!(
                 f,
-                "    adds {MAX_ADDED_MS} ms or more at p99, or fulfils too few requests, at every rate"
+                "    no measured rate with under {MAX_ADDED_MS} ms added at p99 and enough requests fulfilled"
             ),
         }
     }
--- a/crates/testbed/src/throughput/relay.rs
+++ b/crates/testbed/src/throughput/relay.rs
@@ -50,7 +50,7 @@
     })
 }
 
-/// Forwards bytes between a client and the server until one of them closes its connection or fails.
+/// Forwards bytes between a client and the server until both directions are closed or one fails.
 async fn forward(mut client: TcpStream, to: SocketAddr) {
     let Ok(mut server) = TcpStream::connect(to).await else { return };
     // Errors are ignored: without TCP_NODELAY the relay is slower but works, and an error of a connection
