--- a/crates/testbed/src/audit/fleet/tests.rs
+++ b/crates/testbed/src/audit/fleet/tests.rs
@@ -15,12 +15,13 @@
 
 fn message(from: Member, to: Member, at: i64, lease: &LeaseMessage) -> RelayedMessage {
     let sender = Sender { member: Signer::Planner(1), incarnation: 1, sequence: at as u64 };
-    let bytes = encode(SECRET, MessageKind::Leases, sender, lease).expect("it encodes");
+    let bytes = encode(SECRET, MessageKind::Leases, sender, lease).expect("the message can be encoded");
     let received_at = Timestamp(at);
     RelayedMessage { from, to, received_at, forwarded_at: vec![received_at], corrupted: false, bytes }
 }
 
-/// Two nodes get 60 of 100 from a planner, each for 2 s; the second one this many microseconds after the first.
+/// The leased ratio where a planner grants 60 of 100 to each of two nodes for 2 s, to the second node this
+/// many microseconds after the first.
 fn leased_ratio(second_after: i64) -> f64 {
     let demand = Demand { resource: Resource::Origin, amount: 1, request_in_use: 0, claimants: 1, held: 0 };
     let request = LeaseMessage::Request { request: 1, demands: vec![demand] };
@@ -33,17 +34,17 @@
         event_log.messages.push(message(node, planner, at, &request));
         event_log.messages.push(message(planner, node, at + 500, &grant));
     }
-    let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
-    LeaseHistory::read(&event_log).max_leased_ratio(&form, 2)
+    let config = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
+    LeaseHistory::read(&event_log).max_leased_ratio(&config, 2)
 }
 
 #[test]
 fn a_drop_of_service_when_planners_return_is_measured() {
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 20\n[fleet]\nplanners = 1\n\
         [[fault]]\nkind = \"planner_kill\"\nat_s = 4\nfor_s = 6\n";
-    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a sound experiment");
-    let seconds = |low: f64| -> Vec<Second> {
-        let served = |n: usize| if (11..13).contains(&n) { low } else { 10.0 };
+    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a valid experiment");
+    let seconds = |lowest_served: f64| -> Vec<Second> {
+        let served = |n: usize| if (11..13).contains(&n) { lowest_served } else { 10.0 };
         (0..20).map(|n| Second { requested: 10.0, served: served(n), ..Second::default() }).collect()
     };
     assert!((service_drop(&experiment, &seconds(7.0)) - 0.3).abs() < 1e-9);
@@ -54,7 +55,7 @@
 fn reported_caches_are_compared_with_the_slow_ones() {
     let text = "name = \"x\"\nabout = \"y\"\nseconds = 9\n\
         [[fault]]\nkind = \"slow\"\nat_s = 1\nfor_s = 6\nfactor = 3\ncaches = [1]\n";
-    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a sound experiment");
+    let experiment = Experiment::read(Path::new("x.toml"), text).expect("a valid experiment");
     let report = |name: &str, comparison| {
         let cache = endpoint_number(name);
         ComparisonReport { cache, request_class: 0, comparison, effect: 0.1, low: 0.0, high: 0.2 }
@@ -62,7 +63,8 @@
     let all = [("a", Comparison::AsGood), ("b", Comparison::Worse), ("c", Comparison::Worse)];
     let message = CounterfactualMessage::Comparisons(all.iter().map(|(n, s)| report(n, *s)).collect());
     let sender = Sender { member: Signer::Planner(1), incarnation: 1, sequence: 1 };
-    let bytes = encode(SECRET, MessageKind::Counterfactual, sender, &message).expect("it encodes");
+    let bytes =
+        encode(SECRET, MessageKind::Counterfactual, sender, &message).expect("the message can be encoded");
     let mut event_log = EventLog { secret: SECRET.into(), ..EventLog::default() };
     let from = Member::Planner(0);
     let to = Member::Node(0);
@@ -81,7 +83,8 @@
     assert_eq!(Detections::read(&experiment, &event_log), Detections { slow: 1, not_slow: 1 });
 }
 
-/// A node has a lease and an allocation of one planner, and then another allocation.
+/// A node receives two allocations of one planner, then a lease. The second allocation replaces the first
+/// one, and the lease counts beside the second.
 #[test]
 fn an_allocation_counts_beside_a_lease_until_it_is_replaced() {
     let (node, planner) = (Member::Node(0), Member::Planner(0));
@@ -110,8 +113,8 @@
             let (from, to) = if n % 2 == 0 { (node, planner) } else { (planner, node) };
             event_log.messages.push(message(from, to, n as i64, &lease));
         }
-        let form = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
-        LeaseHistory::read(&event_log).max_leased_ratio(&form, 2)
+        let config = LeasesConfig { origin_per_s: 100.0, reserve: 0.2, ..LeasesConfig::default() };
+        LeaseHistory::read(&event_log).max_leased_ratio(&config, 2)
     };
     assert!((max_ratio(50_000) - 1.1).abs() < 1e-9 && (max_ratio(30_000) - 0.9).abs() < 1e-9);
 }
