--- a/crates/node/tests/scenarios/connection.rs
+++ b/crates/node/tests/scenarios/connection.rs
@@ -6,37 +6,37 @@
 
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType, sockopt};
 
-/// Longer than anything that is waited for takes, also on a busy machine.
+/// The longest wait for an expected event; every such event happens sooner, also on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long a poll waits for the next one.
+/// The pause between two polls of the connections.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// After this time without an answer a listener counts as blocked.
+/// The time after which a connection attempt without an answer shows that a listener's queue is full.
 const BLOCKED_AFTER: Duration = Duration::from_millis(100);
-/// The receive buffer of a connection that reads nothing for now.
+/// The size of the receive buffer of a connection that reads nothing at first.
 const SMALL_BUFFER_BYTES: usize = 4096;
 
-/// How a connection was ended by the other side.
+/// Whether the other side has ended a connection, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     Open,
-    /// It was closed in an orderly way.
+    /// The other side closed the connection in an orderly way.
     Closed,
-    /// It was reset.
+    /// The other side reset the connection.
     Reset,
 }
 
-/// A message that was received.
+/// A received HTTP request or response.
 pub struct ReceivedMessage {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-/// A non-blocking connection with what was received on it.
+/// A non-blocking connection with the bytes received on it that no message was taken from yet.
 pub struct TestConnection {
     pub stream: TcpStream,
     pub input: Vec<u8>,
     pub state: ConnectionState,
-    /// Whether what arrives is read.
+    /// Whether `poll` reads the bytes that arrive.
     pub is_reading: bool,
 }
 
@@ -46,7 +46,7 @@
         TestConnection { stream, input: Vec::new(), state: ConnectionState::Open, is_reading: true }
     }
 
-    /// Connects without reading for now, and with a small receive buffer.
+    /// Opens a connection with a small receive buffer that reads nothing until `is_reading` is set.
     pub fn connect_without_reading(address: SocketAddr) -> io::Result<TestConnection> {
         let socket = net::socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
         sockopt::set_socket_recv_buffer_size(&socket, SMALL_BUFFER_BYTES)?;
@@ -59,7 +59,7 @@
         self.state != ConnectionState::Open
     }
 
-    /// Reads what has arrived.
+    /// Reads the bytes that have arrived, and notes whether the other side has ended the connection.
     pub fn poll(&mut self) {
         let mut chunk = [0; 4096];
         while !self.has_ended() && self.is_reading {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Writes bytes, as far as the other side accepts them. It may have rejected the rest; what it says to
-    /// that is checked separately.
+    /// Writes bytes, as far as the other side accepts them. The other side may reject the rest; its response
+    /// to them is checked separately.
     pub fn write(&mut self, mut bytes: &[u8]) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while !bytes.is_empty() && Instant::now() < deadline {
@@ -101,22 +101,22 @@
     }
 }
 
-/// The value of a header of a message's head.
+/// The value of a header in a message's head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut headers = head.lines().filter_map(|line| line.split_once(':'));
     let (_, value) = headers.find(|(n, _)| n.eq_ignore_ascii_case(name))?;
     Some(value.trim())
 }
 
-/// Listens on a free port of an address.
+/// A non-blocking listener on a free port of an address.
 pub fn listen(address: &str) -> TcpListener {
     let listener = TcpListener::bind((address, 0)).expect("a loopback address");
     listener.set_nonblocking(true).expect("a socket");
     listener
 }
 
-/// Fills a listener's queue, so that connections to it are neither accepted nor refused. Returns the
-/// connections that fill it.
+/// Fills a listener's accept queue, so that further connections to the listener are neither accepted nor
+/// refused. Returns the connections that fill the queue.
 pub fn fill_accept_queue(listener: &TcpListener) -> Vec<TcpStream> {
     net::listen(listener, 0).expect("a socket");
     let address = listener.local_addr().expect("an address");
--- a/crates/node/tests/scenarios/in_process.rs
+++ b/crates/node/tests/scenarios/in_process.rs
@@ -1,4 +1,5 @@
-//! Commands that need no process: the HTTP parser, load reports, and how connections end attempts.
+//! Commands that need no process: they check the HTTP parser, load reports, and the outcomes of attempts
+//! whose connections were closed.
 
 use granitelb_node::http::{MessageDecoder, MessageKind, ParseError};
 use granitelb_node::proxy::{AttemptEnd, RequestProgress, parse_load_report};
@@ -6,9 +7,9 @@
 
 use crate::notation::unescape;
 
-/// Bytes that the decoder may have left unread when it refuses a body.
+/// The limit, in bytes, of the input that the decoder has not read when it refuses a body.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
-/// Splits of a text that are tried.
+/// The largest number of positions at which a text is split.
 const MAX_SPLITS: usize = 2000;
 
 const CLOSE_REASONS: [CloseReason; 10] = [
@@ -24,7 +25,7 @@
     CloseReason::NoLongerNeeded,
 ];
 
-/// Runs a command that needs no process, and returns whether the line is one.
+/// Runs a command that needs no process, and returns whether the line is such a command.
 pub fn run(line: &str, words: &[&str]) -> bool {
     match *words {
         ["attempt-end", reason, progress, outcome] => check_attempt_end(line, reason, progress, outcome),
@@ -62,7 +63,7 @@
     assert_eq!(actual.unwrap_or_default(), expected, "{line}");
 }
 
-/// Decodes bytes that arrive in these parts, and describes each message or error.
+/// Decodes bytes that arrive in the given parts, and returns a description of each message or error.
 fn decode<'a>(kind: MessageKind, parts: impl Iterator<Item = &'a [u8]>) -> Vec<String> {
     let mut decoder = MessageDecoder::new(kind);
     let mut input = RingBuffer::default();
@@ -98,7 +99,7 @@
     descriptions.iter().map(|description| description.trim_end().to_string()).collect()
 }
 
-/// Checks what a text is decoded to: at once, byte by byte, and split at each position.
+/// Checks the messages decoded from a text that arrives at once, byte by byte, and split at each position.
 pub fn check_decoder(arguments: &str, expected: &[&str]) {
     let (kind, text) = arguments.split_once(' ').expect("a kind of message and a text");
     let kind = match kind {
@@ -112,7 +113,7 @@
     for at in 0..text.len().min(MAX_SPLITS) {
         let (start, end) = text.split_at(at);
         assert_eq!(decode(kind, [start, end].into_iter()), expected, "split at {at}: {arguments}");
-        // A truncated message is neither a message nor an error.
+        // The truncated message at the end must be decoded neither to a message nor to an error.
         let truncated = decode(kind, [start].into_iter());
         assert!(truncated.len() <= expected.len(), "truncated at {at}: {arguments}: {truncated:?}");
     }
--- a/crates/node/tests/scenarios/main.rs
+++ b/crates/node/tests/scenarios/main.rs
@@ -1,62 +1,69 @@
 //! Runs the node's scenarios: text files of commands, run against the program itself with scripted clients,
 //! endpoints and a discovery on loopback, or against the parser alone.
 //!
-//! Commands are run in order; each waits for what it names. Before `start`:
+//! Commands are run in order; each waits for the event that it names. Before `start`:
 //!
-//! - `settings K=JSON ...`, `limits sockets=N`: keys of the configuration, a dot goes deeper.
-//! - `known NAME ...`: the endpoint list that the node has at the start.
+//! - `settings K=JSON ...`, `limits sockets=N`: sets keys of the configuration; a dot separates nested keys.
+//! - `known NAME ...`: sets the endpoint list that the node has at the start.
 //!
 //! Discovery. An endpoint's name may have `:STATE`, `@BOOT_MS` (or `@now-MS`) and `~ZONE#CELL` (nothing after
 //! `#`: no cell) after it, and `=OTHER` before these for an endpoint at the address of another; `?` is an
 //! invalid entry.
 //!
-//! - `watch-request [after=N] [within=MS]`: the node requests the watch, at most so long after the last line;
-//!   `while=trickle` or `while=heartbeats` writes an incomplete line, or empty lines, on the former watch
-//!   meanwhile.
-//! - `accept-watch`: answers with a head. `watch`: both. `interim-response`: answers with a status of 103.
-//! - `watch-pending MS`: the request is left open and no other one is made. `refuse-watch`: answers with 503.
+//! - `watch-request [after=N] [within=MS]`: the node requests the watch, at most MS milliseconds after the
+//!   last line was sent or the last request was taken; `while=trickle` or `while=heartbeats` writes an
+//!   incomplete line, or empty lines, on the former watch meanwhile.
+//! - `accept-watch`: answers the watch request with a head. `watch`: `watch-request`, then `accept-watch`.
+//!   `interim-response`: answers with a status of 103.
+//! - `watch-pending MS`: for this time the node keeps its watch request open and makes no other one.
+//!   `refuse-watch`: answers a watch request with 503.
 //! - `close-watch`, `silence-watch`: ends the watch, or sends nothing more on it.
 //! - `list NAME ...`, `change NAME ...`: sends the complete list, or changes. `change-over-lines`,
-//!   `change-indented`: the same over several lines. `partial-change`: the first half of it. `set-revision
-//!   N`: the next list follows revision N.
-//! - `heartbeat`, `malformed-list`, `cut-off-list`: sends an empty line, an invalid list, the start of one.
+//!   `change-indented`: sends changes over several lines. `partial-change`: sends the first half
+//!   of a change. `set-revision N`: the next list follows revision N.
+//! - `heartbeat`, `malformed-list`, `cut-off-list`: sends an empty line, an invalid list, a cut-off list.
 //! - `move-discovery`: the next configuration names another address. `former-change NAME ...`,
-//!   `former-closed`: as before, on the former watch.
+//!   `former-closed`: sends changes on the former watch; waits until the node has closed the former watch.
 //!
 //! Clients.
 //!
-//! - `request CLIENT CLASS KEY id=ID [timeout=MS] [put=BODY] [close]`, `send CLIENT TEXT`: writes.
+//! - `request CLIENT CLASS KEY id=ID [timeout=MS] [put=BODY] [close]`, `send CLIENT TEXT`: writes a request,
+//!   or any text.
 //! - `disconnect`, `reset-client`, `half-close CLIENT`: closes, resets, or closes for writing.
 //! - `stop-reading CLIENT`, `resume-reading CLIENT`: connects with a small buffer and reads nothing until
 //!   resumed.
 //! - `response CLIENT STATUS [body=TEXT] [+ HEADER: VALUE]`, `client-closed CLIENT`, `client-open CLIENT`:
-//!   checks.
+//!   checks the response, or whether the node has closed the client's connection.
 //! - `idle-clients N`, `partial-clients N`, `health-clients N`, `request-clients N`: clients connect and send
 //!   nothing, part of a request, a health check, a request each; they are named `idle0`, `partial0`,
 //!   `health0`, `crowd0` and so on.
 //!
-//! Endpoints. An upper-case name stands for the endpoint that it is first seen at, `any` for any.
+//! Endpoints. An upper-case name stands for the endpoint at which the first attempt under this name arrives,
+//! `any` for any endpoint.
 //!
-//! - `attempt ENDPOINT ID [put=BODY] [left=MS]`: an attempt arrives, with at most this time left.
-//! - `reply ID STATUS [body=TEXT] [+ HEADER: VALUE]`, `reply-part ID TEXT`: answers it.
-//! - `reset-attempt ID`, `close-attempt ID`: ends its connection. `attempt-closed ID`: the node has ended it.
-//! - `connection-count ENDPOINT N`: the number of connections made so far.
-//! - `kill ENDPOINT`, `block ENDPOINT`, `unblock ENDPOINT` (also `discovery`): connections are refused, or
-//!   not answered.
+//! - `attempt ENDPOINT ID [put=BODY] [left=MS]`: an attempt arrives, with at most MS milliseconds left.
+//! - `reply ID STATUS [body=TEXT] [+ HEADER: VALUE]`, `reply-part ID TEXT`: answers the attempt,
+//!   or writes a part of the answer.
+//! - `reset-attempt ID`, `close-attempt ID`: ends the attempt's connection. `attempt-closed ID`: the node has
+//!   ended the attempt's connection.
+//! - `connection-count ENDPOINT N`: checks the number of connections that the endpoint has accepted so far.
+//! - `kill ENDPOINT`, `block ENDPOINT`, `unblock ENDPOINT` (the last two also
+//!   `discovery`): connections are refused, left without an answer, or accepted again.
 //!
 //! The program and time.
 //!
 //! - `start`, `stop`, `exits`, `freeze`, `resume`, `reload [K=JSON ...]`, `limit-descriptors N`.
-//! - `low-cpu MS`: the node hardly uses its core. `quiet MS`: nothing happens. `wait MS`.
+//! - `low-cpu MS`: the node uses less than a third of a core. `quiet MS`: no attempt arrives and no client
+//!   receives anything or is disconnected. `wait MS`: lets time pass.
 //!
 //! Without a process.
 //!
 //! - `invalid KEY JSON says KEY`: checks that a configuration is refused.
 //! - `report TEXT [says NAME=VALUE ...]`: parses a load report.
-//! - `attempt-end REASON partly-written|fully-written OUTCOME`: the outcome of an attempt whose connection
-//!   was closed.
-//! - `decode request|response TEXT` and the expected messages as `> ...`: decodes at once, byte by byte, and
-//!   split at each position.
+//! - `attempt-end REASON partly-written|fully-written OUTCOME`: checks the outcome of an attempt whose
+//!   connection was closed.
+//! - `decode request|response TEXT` and the expected messages as `> ...`: decodes a text at once, byte by
+//!   byte, and split at each position.
 
 mod connection;
 mod harness;
--- a/crates/node/tests/scenarios/notation.rs
+++ b/crates/node/tests/scenarios/notation.rs
@@ -1,4 +1,4 @@
-//! The elements of a scenario's lines.
+//! Parsers for the elements of a scenario's lines: options, trailing text, extra headers and escapes.
 
 /// The value of `name=value` among the words.
 pub fn option<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
@@ -27,7 +27,7 @@
     bytes
 }
 
-/// Adds the bytes of the escape at the start of the text, and returns what follows it.
+/// Appends the bytes of the escape at the start of the text, and returns the text after the escape.
 fn unescape_one<'a>(escape: &'a str, bytes: &mut Vec<u8>) -> &'a str {
     match &escape[..1] {
         "r" => bytes.push(b'\r'),
@@ -37,7 +37,7 @@
             bytes.push(u8::from_str_radix(&escape[1..3], 16).expect("two digits"));
             return &escape[3..];
         }
-        // A run: \*300a stands for the letter a 300 times.
+        // A repetition: \*300a stands for the letter a 300 times.
         "*" => {
             let letter = escape[1..].find(|c: char| !c.is_ascii_digit()).expect("a letter") + 1;
             let count = escape[1..letter].parse().expect("a count");
