--- a/crates/node/tests/scenarios/harness/clients.rs
+++ b/crates/node/tests/scenarios/harness/clients.rs
@@ -1,4 +1,4 @@
-//! The clients and their requests.
+//! Commands for the clients and their requests.
 
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use crate::connection::{ConnectionState, TestConnection, header};
 use crate::notation::{extra_header, option, trailing, unescape};
 
-/// The pause between the requests of a crowd.
+/// The pause between two requests of the command `request-clients`.
 const CROWD_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Harness {
-    /// Runs the commands for clients, and returns whether the line is one of these.
+    /// Runs the commands for clients, and returns whether the line is such a command.
     pub(super) fn run_client_command(&mut self, line: &str, words: &[&str]) -> bool {
         match *words {
             ["request", client, class, key, ref options @ ..] => {
@@ -25,8 +25,8 @@
             ["reset-client", client] => self.clients.remove(client).expect("a client").reset(),
             ["disconnect", client] => {
                 let connection = self.clients.remove(client).expect("a client");
-                // A child that another test forks may hold the socket until its exec: a close alone ends
-                // nothing until then. It fails only where the node has ended the connection.
+                // A child that another test forks may hold the socket until its exec; until then a close does
+                // not end the connection. The shutdown fails only where the node has ended the connection.
                 let _ = connection.stream.shutdown(Shutdown::Write);
             }
             ["half-close", client] => {
@@ -51,7 +51,7 @@
         true
     }
 
-    /// Runs the commands that connect many clients, and returns whether the words are one of these.
+    /// Runs the commands that connect many clients, and returns whether the words are such a command.
     fn run_crowd_command(&mut self, words: &[&str]) -> bool {
         match *words {
             ["idle-clients", count] => self.connect_clients("idle", count, b""),
@@ -72,7 +72,7 @@
         true
     }
 
-    /// The connection of a client, which is opened where there is none.
+    /// The connection of a client, which is opened if the client has none.
     fn client(&mut self, name: &str) -> &mut TestConnection {
         let node = self.node;
         let connect = || TestConnection::new(TcpStream::connect(node).expect("the node listens"));
@@ -103,7 +103,7 @@
     fn expect_client_closed(&mut self, line: &str, client: &str) {
         self.wait_until(line, |harness| harness.clients.get(client)?.has_ended().then_some(()));
         let connection = self.clients.remove(client).expect("a client");
-        assert_eq!(connection.input.len(), 0, "{line}: something arrived before");
+        assert_eq!(connection.input.len(), 0, "{line}: bytes arrived before the connection closed");
         assert_eq!(connection.state, ConnectionState::Closed, "{line}");
     }
 }
--- a/crates/node/tests/scenarios/harness/discovery.rs
+++ b/crates/node/tests/scenarios/harness/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: lists and changes on the node's watch.
+//! Commands for discovery: endpoint lists and changes on the node's watch.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,11 @@
 use crate::connection::{POLL_INTERVAL, TestConnection, fill_accept_queue, listen};
 use crate::notation::option;
 
-/// How often something is written while a watch request is waited for.
+/// The time between two writes on the former watch while the harness waits for a watch request.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Harness {
-    /// Runs the commands for discovery, and returns whether the line is one of these.
+    /// Runs the commands for discovery, and returns whether the line is such a command.
     pub(super) fn run_discovery_command(&mut self, line: &str, words: &[&str]) -> bool {
         match *words {
             ["known", ref names @ ..] => self.config["known"] = self.next_list(names, true),
@@ -58,7 +58,7 @@
         true
     }
 
-    /// Runs the commands that send lists, and returns whether the words are one of these.
+    /// Runs the commands that send lists, and returns whether the words are such a command.
     fn run_list_command(&mut self, words: &[&str]) -> bool {
         match *words {
             ["list", ref names @ ..] => {
@@ -73,8 +73,8 @@
                 let list = self.next_list(names, false);
                 self.send_line(&format!("{list:#}"));
             }
-            // As the protocol's page shows it: an entry a line, and all that is open closed with the last
-            // one.
+            // As the protocol's page shows a change: an entry a line, and all open brackets closed on the
+            // line of the last entry.
             ["change-over-lines", ref names @ ..] => {
                 let list = self.next_list(names, false);
                 let entries: Vec<_> = names.iter().map(|name| format!("\n  {}", self.entry(name))).collect();
@@ -98,7 +98,7 @@
         let written_meanwhile = match option(options, "while") {
             Some("heartbeats") => Some("\n"),
             Some("trickle") => Some(" "),
-            Some(other) => panic!("{line}: unknown {other}"),
+            Some(other) => panic!("{line}: unknown value {other} of `while`"),
             None => None,
         };
         let mut next_write = Instant::now();
@@ -133,13 +133,13 @@
         let end = Instant::now() + Duration::from_millis(ms.parse().expect("a time"));
         while Instant::now() < end {
             self.poll();
-            assert!(!self.watch.as_ref().expect("a watch").has_ended(), "{line}: it was given up");
-            assert!(self.discovery_connections.is_empty(), "{line}: another was requested");
+            assert!(!self.watch.as_ref().expect("a watch").has_ended(), "{line}: the node closed the watch");
+            assert!(self.discovery_connections.is_empty(), "{line}: the node opened another connection");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// The JSON of an entry; its endpoint is created where there is none.
+    /// The JSON of a list entry, whose endpoint is created if it does not exist.
     pub(super) fn entry(&mut self, word: &str) -> Value {
         if word == "?" {
             return json!({"uid": 4, "endpoint": "nowhere"});
@@ -159,7 +159,7 @@
         entry
     }
 
-    /// The endpoint of this name, which is created where there is none.
+    /// The endpoint of this name, which is created if it does not exist.
     fn endpoint(&mut self, name: &str) -> &TestEndpoint {
         let address = &self.address;
         self.endpoints.entry(name.to_string()).or_insert_with(|| {
@@ -193,7 +193,7 @@
     }
 }
 
-/// Parses a start as Unix time in milliseconds, or as `now` or `now-MS`.
+/// The start of an endpoint as Unix time in milliseconds, parsed from a number, `now` or `now-MS`.
 fn parse_boot_ms(text: &str) -> u64 {
     let Some(before_now) = text.strip_prefix("now") else { return text.parse().expect("a time") };
     let now = std::time::UNIX_EPOCH.elapsed().expect("a clock").as_millis() as u64;
--- a/crates/node/tests/scenarios/harness/endpoints.rs
+++ b/crates/node/tests/scenarios/harness/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints and the attempts that arrive at them.
+//! Commands for endpoints and for the attempts that arrive at them.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -6,25 +6,26 @@
 use crate::connection::{ConnectionState, ReceivedMessage, TestConnection, fill_accept_queue, header};
 use crate::notation::{extra_header, option, trailing, unescape};
 
-/// The time that a request has unless a command says otherwise.
+/// The timeout of a request, and so the most time that its attempt may have left, unless a command says
+/// otherwise.
 const DEFAULT_TIMEOUT_MS: u64 = 1200;
 
 /// An endpoint that listens on loopback.
 #[derive(Default)]
 pub struct TestEndpoint {
-    /// None once it was killed.
+    /// None once the endpoint was killed.
     pub listener: Option<TcpListener>,
     pub address: Option<SocketAddr>,
-    /// How many connections were accepted.
+    /// The number of connections accepted so far.
     pub accepted: usize,
     /// Connections without an attempt.
     pub connections: Vec<TestConnection>,
-    /// Connections that fill its queue while it is blocked.
+    /// Connections that fill the listener's accept queue while the endpoint is blocked.
     pub blocked_by: Option<Vec<TcpStream>>,
 }
 
 impl TestEndpoint {
-    /// Accepts connections, unless it is blocked or was killed.
+    /// Accepts connections, unless the endpoint is blocked or was killed.
     pub fn accept(&mut self) {
         if self.blocked_by.is_some() {
             return;
@@ -63,7 +64,7 @@
 }
 
 impl Harness {
-    /// Runs the commands for endpoints and attempts, and returns whether the line is one of these.
+    /// Runs the commands for endpoints and attempts, and returns whether the line is such a command.
     pub(super) fn run_endpoint_command(&mut self, line: &str, words: &[&str]) -> bool {
         match *words {
             ["attempt", endpoint, id, ref options @ ..] => self.expect_attempt(line, endpoint, id, options),
@@ -105,7 +106,7 @@
         true
     }
 
-    /// The endpoint that a name stands for.
+    /// The name of the endpoint that a scenario's name stands for.
     fn resolve_endpoint(&self, name: &str) -> String {
         self.bound_names.get(name).cloned().unwrap_or_else(|| name.to_string())
     }
@@ -127,13 +128,13 @@
         };
         assert_eq!(*actual, expected, "{line}");
         let names = self.bound_names.values().filter(|bound| *bound == actual).count();
-        assert!(names <= 1, "{line}: two names for {actual}");
+        assert!(names <= 1, "{line}: two upper-case names stand for endpoint {actual}");
         let expected_body = option(options, "put").map_or(Vec::new(), unescape);
         assert_eq!(attempt.request.body, expected_body, "{line}");
         let left = header(&attempt.request.head, "x-timeout-ms").and_then(|ms| ms.parse().ok());
         let left: u64 = left.expect("a time");
         let max_left = option(options, "left").map_or(DEFAULT_TIMEOUT_MS, |ms| ms.parse().expect("a time"));
-        assert!(left <= max_left, "{line}: {left} ms are left");
+        assert!(left <= max_left, "{line}: the attempt has {left} ms left, more than {max_left} ms");
         self.attempts.insert(id.to_string(), attempt);
     }
 
--- a/crates/node/tests/scenarios/harness/mod.rs
+++ b/crates/node/tests/scenarios/harness/mod.rs
@@ -1,7 +1,8 @@
-//! A node on a loopback address of its own, with the clients, endpoints and discovery that the commands speak
+//! A node on a loopback address of its own, with the clients, endpoints and discovery that the commands act
 //! for.
 //!
-//! Each concern has a file whose `run_..._command` handles its commands.
+//! Clients, discovery, endpoints and the node's process have a file each, whose `run_..._command` runs the
+//! commands for them.
 
 mod clients;
 mod discovery;
@@ -20,23 +21,23 @@
 use crate::connection::{POLL_INTERVAL, TEST_TIMEOUT, TestConnection, listen};
 use crate::in_process;
 
-/// The lowest port of nodes, and how many there are: below the ports that the system gives out.
+/// The lowest port of nodes, and the number of such ports: all lie below the system's ephemeral ports.
 const FIRST_PORT: u16 = 16_384;
 const PORTS: u32 = 16_384;
 
-/// The node with all that it talks to.
+/// The node with the clients, endpoints and discovery that it is connected to.
 pub struct Harness {
     address: String,
     config: Value,
     process: Option<Child>,
     node: SocketAddr,
     discovery: TcpListener,
-    /// Connections that fill discovery's queue while it is blocked.
+    /// Connections that fill the accept queue of discovery while discovery is blocked.
     discovery_blocked_by: Option<Vec<TcpStream>>,
-    /// Connections to discovery whose request was not taken yet.
+    /// Connections to discovery whose watch request no command has taken yet.
     discovery_connections: Vec<TestConnection>,
     watch: Option<TestConnection>,
-    /// When a line was last sent on a watch.
+    /// When a line was last sent on a watch, or a watch request was last taken.
     last_sent_at: Instant,
     former_watch: Option<TestConnection>,
     revision: u64,
@@ -44,16 +45,16 @@
     /// The endpoints that upper-case names stand for.
     bound_names: BTreeMap<String, String>,
     clients: BTreeMap<String, TestConnection>,
-    /// Attempts that have arrived and were not expected yet.
+    /// Attempts that have arrived and that no command has expected yet.
     arrived: Vec<ArrivedAttempt>,
-    /// Attempts that were expected, by the identifier of their request.
+    /// Attempts that a command has expected, by the identifier of their request.
     attempts: BTreeMap<String, ArrivedAttempt>,
 }
 
 impl Drop for Harness {
     fn drop(&mut self) {
         if let Some(process) = &mut self.process {
-            // It may have exited.
+            // The kill fails where the process has exited, which does not matter here.
             let _ = process.kill();
             let _ = process.wait();
         }
@@ -66,8 +67,8 @@
         static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
         let address = format!("127.83.{}.1", NEXT_NETWORK.fetch_add(1, Ordering::Relaxed));
         let discovery = listen(&address);
-        // Chosen without a socket: a child that another test forks while one holds the port would keep it
-        // until its exec, and the node would find its address in use.
+        // The port is chosen without binding a socket: a child that another test forks would keep such a
+        // socket until its exec, and the node would find its address in use.
         let port = FIRST_PORT + (std::process::id() % PORTS) as u16;
         let node = SocketAddr::new(address.parse().expect("an address"), port);
         let config = json!({"name": "n", "listen": node.to_string(), "seed": "1f",
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Runs a command.
+    /// Runs a scenario's command; panics if it is unknown or its check fails.
     pub fn run(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let is_known = self.run_time_command(line, &words)
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Polls until `check` returns something.
+    /// Polls until `check` returns a value, and returns it; panics after `TEST_TIMEOUT`.
     fn wait_until<T>(&mut self, what: &str, mut check: impl FnMut(&mut Harness) -> Option<T>) -> T {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -141,12 +142,12 @@
             if let Some(found) = check(self) {
                 return found;
             }
-            assert!(Instant::now() < deadline, "waited in vain: {what}");
+            assert!(Instant::now() < deadline, "timed out waiting for: {what}");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Runs the commands that let time pass, and returns whether the line is one of these.
+    /// Runs the commands that let time pass, and returns whether the line is such a command.
     fn run_time_command(&mut self, line: &str, words: &[&str]) -> bool {
         match *words {
             ["quiet", ms] => self.expect_quiet(line, ms),
@@ -156,7 +157,7 @@
         true
     }
 
-    /// Checks that no attempt arrives and no client gets anything.
+    /// Checks that no attempt arrives and that no client receives bytes or is disconnected for `ms`.
     fn expect_quiet(&mut self, line: &str, ms: &str) {
         let clients = self.clients.len();
         let end = Instant::now() + Duration::from_millis(ms.parse().expect("a time"));
@@ -166,11 +167,11 @@
         }
         let arrived: Vec<_> =
             self.arrived.iter().map(|attempt| (&attempt.endpoint, &attempt.request.head)).collect();
-        assert!(arrived.is_empty(), "{line}: {arrived:?}");
+        assert!(arrived.is_empty(), "{line}: attempts arrived: {arrived:?}");
         let has_news = |connection: &TestConnection| !connection.input.is_empty() || connection.has_ended();
         let with_news: Vec<_> =
             self.clients.iter().filter(|(_, client)| has_news(client)).map(|(name, _)| name).collect();
-        assert!(with_news.is_empty(), "{line}: {with_news:?} got something");
+        assert!(with_news.is_empty(), "{line}: clients {with_news:?} received bytes or were disconnected");
         assert_eq!(self.clients.len(), clients, "{line}");
     }
 }
--- a/crates/node/tests/scenarios/harness/node_process.rs
+++ b/crates/node/tests/scenarios/harness/node_process.rs
@@ -1,4 +1,4 @@
-//! The node's process and its configuration.
+//! Commands for the node's process and its configuration.
 
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -11,11 +11,11 @@
 use super::Harness;
 use crate::connection::TestConnection;
 
-/// The length of one of the ticks in which the system counts a process's CPU time.
+/// The length, in milliseconds, of a tick, in which the system counts a process's CPU time.
 const TICK_MS: u64 = 10;
 
 impl Harness {
-    /// Runs the commands for the process and its configuration, and returns whether the line is one of these.
+    /// Runs the commands for the process and its configuration. Returns whether the line is such a command.
     pub(super) fn run_process_command(&mut self, line: &str, words: &[&str]) -> bool {
         match *words {
             ["settings" | "limits", ref changes @ ..] => self.configure(&format!("/{}", words[0]), changes),
@@ -35,7 +35,7 @@
             ["stop"] => self.signal(Signal::TERM),
             ["freeze"] => {
                 self.signal(Signal::STOP);
-                // The signal may take effect a moment later.
+                // The process may stop a moment after the signal was sent.
                 self.wait_until(line, |harness| (harness.process_stat().next()? == "T").then_some(()));
             }
             ["resume"] => self.signal(Signal::CONT),
@@ -49,7 +49,7 @@
         true
     }
 
-    /// Changes keys of the configuration under this path.
+    /// Sets keys of the configuration under the JSON pointer `under`.
     fn configure(&mut self, under: &str, changes: &[&str]) {
         for (path, value) in changes.iter().filter_map(|change| change.split_once('=')) {
             let pointer = format!("{under}{}", json_pointer(path));
@@ -64,10 +64,10 @@
         let before = self.cpu_time_ms();
         std::thread::sleep(Duration::from_millis(ms));
         let used = self.cpu_time_ms() - before;
-        assert!(used < ms / 3, "{line}: used {used} ms");
+        assert!(used < ms / 3, "{line}: the node used {used} ms of CPU time");
     }
 
-    /// Checks that a configuration with this value is refused, and that the message names the key.
+    /// Checks that a configuration with this value is refused, and that the error message names the key.
     fn expect_invalid_config(&self, line: &str, path: &str, value: &str, key: &str) {
         let mut config = self.config.clone();
         let pointer = json_pointer(path);
@@ -79,7 +79,7 @@
         let mut check = Command::new(env!("CARGO_BIN_EXE_granitelb"));
         let output = check.args(["check", "--config"]).arg(&file).output().expect("the program");
         let message = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success(), "{line}: accepted");
+        assert!(!output.status.success(), "{line}: the configuration was accepted");
         assert!(message.contains(&format!("configuration, {key}:")), "{line}: {message}");
     }
 
@@ -112,23 +112,23 @@
         self.clients.remove("health");
     }
 
-    /// The CPU time that the node has used, in user and system mode.
+    /// The CPU time, in milliseconds, that the node has used in user and system mode.
     fn cpu_time_ms(&self) -> u64 {
         let ticks = self.process_stat().skip(11).take(2);
         ticks.map(|ticks| ticks.parse::<u64>().expect("ticks") * TICK_MS).sum()
     }
 
-    /// The fields of the process's `/proc` stat after its name: its state first.
+    /// The fields of the process's `/proc` stat after the process name; the first is the process state.
     fn process_stat(&self) -> impl Iterator<Item = String> + use<> {
         let id = self.process.as_ref().expect("a node").id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("a process");
-        let (_, fields) = stat.rsplit_once(')').expect("its name");
+        let (_, fields) = stat.rsplit_once(')').expect("a process name");
         let fields: Vec<_> = fields.split_whitespace().map(String::from).collect();
         fields.into_iter()
     }
 }
 
-/// The JSON pointer of a path whose parts are separated by dots.
+/// The JSON pointer for a path whose parts are separated by dots.
 fn json_pointer(path: &str) -> String {
     path.split('.').map(|part| format!("/{part}")).collect()
 }
