--- a/crates/node/tests/scenarios/harness/mod.rs
+++ b/crates/node/tests/scenarios/harness/mod.rs
@@ -168,10 +168,11 @@
         let arrived: Vec<_> =
             self.arrived.iter().map(|attempt| (&attempt.endpoint, &attempt.request.head)).collect();
         assert!(arrived.is_empty(), "{line}: attempts arrived: {arrived:?}");
-        let has_news = |connection: &TestConnection| !connection.input.is_empty() || connection.has_ended();
-        let with_news: Vec<_> =
-            self.clients.iter().filter(|(_, client)| has_news(client)).map(|(name, _)| name).collect();
-        assert!(with_news.is_empty(), "{line}: clients {with_news:?} received bytes or were disconnected");
+        let is_affected =
+            |connection: &TestConnection| !connection.input.is_empty() || connection.has_ended();
+        let affected: Vec<_> =
+            self.clients.iter().filter(|(_, client)| is_affected(client)).map(|(name, _)| name).collect();
+        assert!(affected.is_empty(), "{line}: clients {affected:?} received bytes or were disconnected");
         assert_eq!(self.clients.len(), clients, "{line}");
     }
 }
--- a/crates/node/tests/scenarios/main.rs
+++ b/crates/node/tests/scenarios/main.rs
@@ -21,7 +21,8 @@
 //! - `list NAME ...`, `change NAME ...`: sends the complete list, or changes. `change-over-lines`,
 //!   `change-indented`: sends changes over several lines. `partial-change`: sends the first half
 //!   of a change. `set-revision N`: the next list follows revision N.
-//! - `heartbeat`, `malformed-list`, `cut-off-list`: sends an empty line, an invalid list, a cut-off list.
+//! - `heartbeat`, `malformed-list`, `cut-off-list`: sends an empty line, an invalid list, or only the start
+//!   of a list.
 //! - `move-discovery`: the next configuration names another address. `former-change NAME ...`,
 //!   `former-closed`: sends changes on the former watch; waits until the node has closed the former watch.
 //!
