--- a/crates/node/tests/control_plane.rs
+++ b/crates/node/tests/control_plane.rs
@@ -1,4 +1,4 @@
-//! A node of a fleet with a control plane, as a process, beside a planner that this test speaks for.
+//! Tests of a node process in a fleet with a control plane, whose planner's messages the test itself sends.
 
 #[path = "control_plane/node_fixture.rs"]
 mod node_fixture;
@@ -14,7 +14,7 @@
 
 use self::node_fixture::{Client, NodeFixture, TEST_TIMEOUT};
 
-/// Clients that send requests all the time while leases are tested, and the pause of each.
+/// The number of clients that send requests while leases are tested, and the pause of each between requests.
 const LEASE_CLIENTS: usize = 24;
 const LEASE_CLIENT_PAUSE_MS: u64 = 100;
 
@@ -28,33 +28,33 @@
     std::thread::sleep(Duration::from_millis(ms));
 }
 
-/// Waits until the log contains a text this many times.
+/// Waits until the node's log contains a text this many times.
 fn wait_for_log(fixture: &NodeFixture, text: &str, times: usize) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while fixture.log().matches(text).count() < times {
-        assert!(Instant::now() < deadline, "not logged: {text} in {}", fixture.log());
+        assert!(Instant::now() < deadline, "log lacks {text:?} {times} times: {}", fixture.log());
         sleep_ms(10);
     }
 }
 
-/// The next message of the node to the planner.
+/// The next message from the node to the planner.
 fn receive_message(fixture: &mut NodeFixture) -> (Sender, Message) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        assert!(Instant::now() < deadline, "no message: {}", fixture.log());
+        assert!(Instant::now() < deadline, "no message from the node, whose log is: {}", fixture.log());
         if let Some(received) = fixture.planner.receive() {
             return received;
         }
     }
 }
 
-/// The entries of a directory of the node's process.
+/// The number of entries of a directory of the node's process under `/proc`.
 fn count_process_entries(fixture: &NodeFixture, directory: &str) -> usize {
     let path = format!("/proc/{}/{directory}", fixture.child.id());
     std::fs::read_dir(path).expect("a process").count()
 }
 
-/// A node that has answered a request, by its numbers of threads and descriptors.
+/// The numbers of threads and of descriptors of a node that has answered a request.
 fn threads_and_descriptors(fleet_config: Option<&str>, address: &str) -> (usize, usize) {
     let fixture = start_node(address, fleet_config, 200);
     let mut client = Client::new(fixture.node);
@@ -66,7 +66,7 @@
 fn node_without_fleet_config_has_no_agent_thread_or_socket() {
     let (threads, descriptors) = threads_and_descriptors(None, "127.84.1.1");
     assert_eq!(threads, 1);
-    // A socket for its planner, and one for other senders.
+    // The agent's thread; a socket for the node's planner, and one for other senders.
     let with_agent = threads_and_descriptors(Some("forwarders = 2"), "127.84.1.2");
     assert_eq!(with_agent, (2, descriptors + 2));
 }
@@ -93,7 +93,8 @@
 }
 
 /// Waits for two heartbeats or reports and for reports of this many answered attempts. Each request had an
-/// attempt that its cache server answered. A node sends more once it has received a message of its planner.
+/// attempt that its cache server answered. A node sends more once it has received a message from
+/// its planner.
 fn expect_heartbeats_and_reports(fixture: &mut NodeFixture, expected: f64) {
     let mut heartbeats = 0;
     let mut answered = 0.0;
@@ -106,7 +107,7 @@
         assert!(Instant::now() < deadline, "{heartbeats} heartbeats, {answered} answered attempts reported");
         let Some((from, message)) = fixture.planner.receive() else { continue };
         assert_eq!(from.member, Member::Forwarder(ForwarderId::of_name("n")));
-        assert!(numbers.insert(from.sequence), "a number that came before");
+        assert!(numbers.insert(from.sequence), "a sequence number was received twice");
         match message {
             Message::Membership(membership::MembershipMessage::Heartbeat) => heartbeats += 1,
             Message::EndpointHealth(endpoint_health::HealthMessage::Report(report)) => {
@@ -118,7 +119,7 @@
     }
 }
 
-/// Sends the node messages that are invalid, some of which begin like valid ones.
+/// Sends the node invalid messages, some of which begin like valid messages.
 fn send_invalid_messages(fixture: &NodeFixture, is_flooding: &AtomicBool) {
     for n in (0u32..).take_while(|_| is_flooding.load(Ordering::Relaxed)) {
         let filler = (0..n % 1500).map(|byte| byte as u8);
@@ -138,12 +139,12 @@
     std::fs::write(&fixture.fleet_config, text.replace("forwarders = 2", "forwarders = 3")).expect("a file");
     fixture.signal(Signal::HUP);
     wait_for_log(&fixture, "was read again", 1);
-    // The node continues under a new incarnation: what was granted under the former configuration is void.
+    // The node continues under a new incarnation: leases granted under the former configuration are void.
     while receive_message(&mut fixture).0.incarnation == from.incarnation {}
     assert_eq!(Client::new(fixture.node).request("k"), 200);
 }
 
-/// Fetches of the origin within a time, in which the planner grants all lease requests or none.
+/// The number of origin fetches within `ms`, while the planner grants all lease requests or none.
 fn fetches_with_planner(fixture: &mut NodeFixture, ms: u64, grants: bool) -> u64 {
     let before = fixture.fetches.load(Ordering::Relaxed);
     let end = Instant::now() + Duration::from_millis(ms);
@@ -160,14 +161,15 @@
     fixture.fetches.load(Ordering::Relaxed) - before
 }
 
-/// Fetches of the origin within a time in which the planner is silent.
+/// The number of origin fetches within `ms`, while the planner is silent.
 fn fetches_without_planner(fixture: &NodeFixture, ms: u64) -> u64 {
     let before = fixture.fetches.load(Ordering::Relaxed);
     sleep_ms(ms);
     fixture.fetches.load(Ordering::Relaxed) - before
 }
 
-/// Five fetches a second are always the node's own, its half of a tenth of 100; what it is granted is added.
+/// Guards against origin fetches under an expired lease, also after a suspension that outlasts the lease. The
+/// node may always make five fetches a second, its half of a tenth of 100; granted leases are added to them.
 #[test]
 fn leases_limit_fetches_and_expire_also_while_the_process_is_suspended() {
     let fleet_config = "forwarders = 2\n[leases]\norigin_per_s = 100.0\nreserve = 0.1\nlasts_ms = 1000";
@@ -200,10 +202,11 @@
         fixture.signal(Signal::CONT);
         let after_suspension = fetches_without_planner(&fixture, 1000);
         is_running.store(false, Ordering::Relaxed);
-        // Its own are five, and as many that were saved up; with the lease it is 45 a second.
-        assert!((2..=12).contains(&own), "{own} before any lease");
-        assert!((30..=60).contains(&leased), "{leased} with a lease");
-        assert!((2..=12).contains(&expired), "{expired} after the lease has expired");
-        assert!(after_suspension <= 14, "{after_suspension} by a lease that has expired");
+        // Without a lease the node may make five fetches a second, and up to five more that it left unused
+        // before; with the lease, 45 a second.
+        assert!((2..=12).contains(&own), "{own} fetches before any lease");
+        assert!((30..=60).contains(&leased), "{leased} fetches with a lease");
+        assert!((2..=12).contains(&expired), "{expired} fetches after the lease expired");
+        assert!(after_suspension <= 14, "{after_suspension} fetches under an expired lease");
     });
 }
--- a/crates/node/tests/control_plane/fleet.rs
+++ b/crates/node/tests/control_plane/fleet.rs
@@ -1,5 +1,5 @@
-//! Planners and nodes as processes on loopback, all of them the real program: requests come to each node,
-//! whose cache server has nothing, and fetches of the origin are leased.
+//! A fleet of planner and node processes on loopback, all of them the real program. Each node receives
+//! requests, its cache server misses every key, and origin fetches are leased.
 
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,21 +13,21 @@
 use granitelb_coordination::Member;
 
 pub const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
-/// How long leases are waited for.
+/// The longest time to wait until all nodes use leases.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Clients of each node, and what each waits between two requests.
+/// The number of clients of each node, and the pause of each client between two requests.
 const CLIENTS_PER_NODE: usize = 3;
 const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Planners and nodes that belong together.
+/// The planners and nodes of one fleet.
 pub struct Fleet {
     pub planners: Vec<PlannerProcess>,
     pub nodes: Vec<NodeFixture>,
-    /// Where planners receive messages.
+    /// The addresses at which the planners receive messages.
     pub message_addresses: Vec<SocketAddr>,
 }
 
-/// A planner as a process.
+/// A planner process.
 pub struct PlannerProcess {
     child: Child,
     log: PathBuf,
@@ -35,7 +35,7 @@
 
 impl Drop for PlannerProcess {
     fn drop(&mut self) {
-        // It may have exited.
+        // The kill fails where the process has exited, which does not matter here.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -53,34 +53,34 @@
         PlannerProcess { child: child.expect("the program"), log }
     }
 
-    /// What the planner has logged.
+    /// The text that the planner has logged.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).expect("a log")
     }
 
-    /// Stops the planner and waits for its end.
+    /// Stops the planner and waits until its process has exited successfully.
     pub fn stop(&mut self) {
         let pid = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("it is there");
-        assert!(self.child.wait().expect("it ends").success(), "{}", self.log());
+        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("a running planner");
+        assert!(self.child.wait().expect("an exit status").success(), "{}", self.log());
     }
 }
 
-/// What became of requests in a time.
+/// The numbers of requests, answers and origin fetches within a time.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestCounts {
     pub requests: u64,
     pub answered: u64,
-    /// Fetches of the origin.
+    /// Origin fetches.
     pub fetches: u64,
 }
 
-/// How often members have reported faults of others.
+/// The numbers of log lines in which members reported faults of other members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultReports {
-    /// That a member is silent.
+    /// Reports that a member is silent.
     pub silent_members: usize,
-    /// That no planner grants leases.
+    /// Reports that no planner grants leases.
     pub missing_leases: usize,
 }
 
@@ -93,8 +93,8 @@
 }
 
 impl Fleet {
-    /// Starts planners and nodes; the origin is to get `origin_per_s` fetches a second, a tenth of them the
-    /// nodes' own. Nodes have the addresses 127.`net`.n.1.
+    /// Starts planners and nodes. The fleet may fetch `origin_per_s` times a second from the origin; a tenth
+    /// of these fetches needs no lease. Nodes have the addresses 127.`net`.n.1.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -120,11 +120,11 @@
         Fleet { planners, nodes, message_addresses }
     }
 
-    /// Where a node receives messages.
+    /// The address at which a node receives messages, from its log.
     pub fn message_address_of(&self, node: usize) -> SocketAddr {
         let log = self.nodes[node].log();
-        let said = log.split("messages are sent from ").nth(1).and_then(|rest| rest.split(' ').next());
-        said.and_then(|a| a.parse().ok()).unwrap_or_else(|| panic!("no address in:\n{log}"))
+        let address = log.split("messages are sent from ").nth(1).and_then(|rest| rest.split(' ').next());
+        address.and_then(|a| a.parse().ok()).unwrap_or_else(|| panic!("no address in the node's log:\n{log}"))
     }
 
     fn fetches(&self) -> u64 {
@@ -136,13 +136,13 @@
         let deadline = Instant::now() + LEASE_TIMEOUT;
         while !self.nodes.iter().all(|n| n.log().contains("uses leases of planners")) {
             let logs: Vec<_> = self.nodes.iter().map(NodeFixture::log).collect();
-            assert!(Instant::now() < deadline, "no leases: {logs:#?}");
+            assert!(Instant::now() < deadline, "not all nodes use leases: {logs:#?}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// The faults that members have reported of others. Those of a flood's sender, whose messages make a
-    /// member of it that is gone with them, are left out.
+    /// The faults that members have reported of other members. Reports about the sender of a flood are left
+    /// out: its messages make it a member, which is gone when the flood ends.
     pub fn fault_reports(&self) -> FaultReports {
         let unknown = Member::Forwarder(UNKNOWN_FORWARDER).to_string();
         let count = |log: &str, text: &str| {
@@ -157,8 +157,8 @@
         reports
     }
 
-    /// Sends requests to all nodes while `meanwhile` runs. It gets a function that waits for a time and
-    /// returns what became of requests within it.
+    /// Sends requests to all nodes while `meanwhile` runs. `meanwhile` gets a function that waits for a time
+    /// and returns the request counts within that time.
     pub fn with_requests<T>(&self, meanwhile: impl FnOnce(&dyn Fn(Duration) -> RequestCounts) -> T) -> T {
         let counters = ClientCounters::default();
         std::thread::scope(|scope| {
@@ -205,7 +205,8 @@
     }
 }
 
-/// Loopback addresses with free ports. All are held until each is chosen, so that none is chosen twice.
+/// Loopback addresses with free ports. All sockets stay open until each port is chosen, so that no port is
+/// chosen twice.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let sockets: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
     sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
--- a/crates/node/tests/control_plane/flood.rs
+++ b/crates/node/tests/control_plane/flood.rs
@@ -1,4 +1,4 @@
-//! Floods of datagrams at the control plane: their kinds, and a sender of as many a second as wanted.
+//! Floods of datagrams at the control plane: their kinds, and a sender with a given rate of datagrams.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 /// How long the sender sleeps between bursts.
 const BURST_INTERVAL: Duration = Duration::from_micros(500);
 
-/// What a flood consists of.
+/// The kind of datagrams that a flood consists of.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FloodKind {
-    /// Looks like a message, and has no valid signature.
+    /// Datagrams that begin like a message and have no valid signature.
     Unsigned,
-    /// One message of a member, over and over.
+    /// The same messages of members, repeated.
     Replayed,
-    /// New messages of a member, each with a lease request.
+    /// New messages of one member, each with a lease request.
     Valid,
 }
 
@@ -35,9 +35,9 @@
     let message = match (member, number) {
         (Member::Forwarder(_), 1..) => {
             let resource = leases::Resource::Origin;
-            let need =
+            let demand =
                 leases::Demand { resource, amount: 1, request_in_use: 0, requesters: 1, already_held: 0 };
-            Message::Leases(leases::LeaseMessage::Request { request_id: number, demands: vec![need] })
+            Message::Leases(leases::LeaseMessage::Request { request_id: number, demands: vec![demand] })
         }
         _ => Message::Membership(membership::MembershipMessage::Heartbeat),
     };
@@ -53,15 +53,15 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("digits")).collect()
 }
 
-/// The datagrams that one sender repeats.
+/// The datagrams that one sender of a flood sends in turn; for `Valid`, `count` of them.
 pub fn datagrams(kind: FloodKind, count: u64) -> Vec<Vec<u8>> {
     let unknown = Member::Forwarder(UNKNOWN_FORWARDER);
     match kind {
         FloodKind::Unsigned => {
-            // As long as a message may be: fewer of them fill a socket's buffer.
-            let mut one = sealed_message(unknown, 1, 0);
-            one.resize(message::MAX_DATAGRAM_BYTES, 0);
-            vec![one]
+            // The datagram has a message's maximum length, so that fewer datagrams fill a socket's buffer.
+            let mut datagram = sealed_message(unknown, 1, 0);
+            datagram.resize(message::MAX_DATAGRAM_BYTES, 0);
+            vec![datagram]
         }
         FloodKind::Replayed => {
             let of_planner = sealed_message(Member::Planner(PlannerId(1)), 1, 0);
@@ -71,8 +71,8 @@
     }
 }
 
-/// Sends `per_s` datagrams a second to each target for a time, in order and from the first again, and returns
-/// how many were sent to each.
+/// Sends `per_s` datagrams a second to each target for `duration`, starting over after the last datagram.
+/// Returns the number of datagrams sent to each target.
 pub fn flood(datagrams: &[Vec<u8>], targets: &[SocketAddr], per_s: u64, duration: Duration) -> u64 {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let start = Instant::now();
@@ -82,7 +82,7 @@
         while sent < due {
             let datagram = &datagrams[sent as usize % datagrams.len()];
             for target in targets {
-                // It fails where the target is gone, which does not matter here.
+                // Sending fails where the target is gone, which does not matter here.
                 let _ = socket.send_to(datagram, target);
             }
             sent += 1;
--- a/crates/node/tests/control_plane/node_fixture.rs
+++ b/crates/node/tests/control_plane/node_fixture.rs
@@ -15,21 +15,21 @@
 use serde_json::{Value, json};
 
 const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
-/// Longer than anything that is waited for takes, also on a busy machine.
+/// The longest wait for an expected event; every such event happens sooner, also on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(8);
-/// How often discovery sends a heartbeat on a watch.
+/// The time between two heartbeats of discovery on a watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// How long the planner waits for a message.
+/// The longest time that `Planner::receive` waits for a message.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
-/// The lowest port of nodes, and how many there are: below the ports that the system gives out.
+/// The lowest port of nodes, and the number of such ports: all lie below the system's ephemeral ports.
 const FIRST_PORT: u16 = 16_384;
 const PORTS: u32 = 16_384;
 
-/// A node as a process.
+/// A node process with its stand-ins for discovery, a cache server, the origin and a planner.
 pub struct NodeFixture {
     pub node: SocketAddr,
     pub child: Child,
-    /// The fetches that the origin got.
+    /// The number of fetches that the origin has received.
     pub fetches: Arc<AtomicU64>,
     pub planner: Planner,
     /// The path of the fleet configuration.
@@ -39,19 +39,19 @@
 
 impl Drop for NodeFixture {
     fn drop(&mut self) {
-        // It may have exited.
+        // The kill fails where the process has exited, which does not matter here.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A planner whose messages the test decides on.
+/// A stand-in for a planner, whose messages the test chooses.
 pub struct Planner {
     socket: UdpSocket,
     secrets: Secrets,
     number: u64,
     pub incarnation: Incarnation,
-    /// Where the node's messages come from.
+    /// The address that the node's last message came from.
     pub node: Option<SocketAddr>,
 }
 
@@ -64,7 +64,7 @@
         Planner { socket, secrets, number: 0, incarnation: Incarnation(7), node: None }
     }
 
-    /// The next message, if one arrives soon.
+    /// The next message, or none if no message arrives within `RECEIVE_TIMEOUT`.
     pub fn receive(&mut self) -> Option<(Sender, Message)> {
         let mut bytes = [0; 2048];
         let (length, from) = self.socket.recv_from(&mut bytes).ok()?;
@@ -72,7 +72,7 @@
         Some(message::open(&bytes[..length], &self.secrets).expect("a message"))
     }
 
-    /// Sends the node a message.
+    /// Sends the node a signed message.
     pub fn send_message(&mut self, message: &Message) {
         self.number += 1;
         let sender = Sender {
@@ -87,13 +87,13 @@
     /// Sends the node bytes that may not be a message.
     pub fn send_bytes(&self, bytes: &[u8]) {
         if let Some(node) = self.node {
-            // It fails where the node is gone, which does not matter here.
+            // Sending fails where the node is gone, which does not matter here.
             let _ = self.socket.send_to(bytes, node);
         }
     }
 }
 
-/// Responds to each request by `respond_to`, which gets its first line.
+/// Answers each request with `respond_to`, which gets the request's first line and the connection.
 fn serve(listener: TcpListener, respond_to: impl Fn(&str, &mut TcpStream) + Send + Sync + 'static) {
     let respond_to = Arc::new(respond_to);
     std::thread::spawn(move || {
@@ -112,11 +112,11 @@
     });
 }
 
-/// Serves an endpoint list, and heartbeats after it.
+/// Serves an endpoint list to each watch, and heartbeats after the list.
 fn serve_discovery(listener: TcpListener, list: String) {
     serve(listener, move |_, output| {
         let chunk = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
-        // A node that is gone is noticed by the heartbeats.
+        // This write may fail where the node is gone: the heartbeats then fail and end the loop.
         let _ = write!(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
         while output.write_all(b"1\r\n\n\r\n").is_ok() {
             std::thread::sleep(HEARTBEAT_INTERVAL);
@@ -126,7 +126,7 @@
 
 fn respond(output: &mut TcpStream, status: u16) {
     let response = format!("HTTP/1.1 {status} Such\r\nContent-Length: 4\r\n\r\nbody");
-    // It fails where the node is gone, which does not matter here.
+    // Writing fails where the node is gone, which does not matter here.
     let _ = output.write_all(response.as_bytes());
 }
 
@@ -164,8 +164,8 @@
 }
 
 impl NodeFixture {
-    /// Starts a node at an address of its own, with this at the end of the fleet configuration where it has
-    /// one; its cache server answers with `status`.
+    /// Starts a node at an address of its own. The node has a fleet configuration only where `fleet_config`,
+    /// a part of that configuration, is given. The node's cache server answers with `status`.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -181,8 +181,8 @@
         NodeFixture::start_named(program, folder, (address, "n"), text, status)
     }
 
-    /// Starts a node of any name, with the fleet configuration that `fleet_config` returns for the planner's
-    /// address.
+    /// Starts a node with a given name, and with the fleet configuration that `fleet_config` returns for the
+    /// planner's address. The node's cache server answers with `status`.
     pub fn start_named(
         program: &Path,
         folder: &Path,
@@ -225,16 +225,16 @@
         fixture
     }
 
-    /// Waits until the node knows its endpoints.
+    /// Waits until the node has logged that its two endpoints accept requests.
     fn wait_until_ready(&self) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while !self.log().contains("2 endpoints accept requests") {
-            assert!(Instant::now() < deadline, "not ready: {}", self.log());
+            assert!(Instant::now() < deadline, "the node is not ready; its log: {}", self.log());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// What the node has logged.
+    /// The text that the node has logged.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).expect("a log")
     }
@@ -267,7 +267,7 @@
         let mut chunk = [0; 1024];
         loop {
             let count = self.0.read(&mut chunk).expect("a response");
-            assert!(count > 0, "closed");
+            assert!(count > 0, "the node closed the connection");
             received.extend(&chunk[..count]);
             let text = String::from_utf8_lossy(&received);
             let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
