--- a/crates/node/tests/flood.rs
+++ b/crates/node/tests/flood.rs
@@ -1,4 +1,4 @@
-//! Floods of datagrams at a planner and at a node, with planners and nodes as processes.
+//! Test of floods of datagrams sent to a planner and to a node, with planners and nodes as processes.
 
 #[path = "control_plane/fleet.rs"]
 mod fleet;
@@ -16,16 +16,18 @@
 
 const DATAGRAMS_PER_S: u64 = 20_000;
 const FLOOD_TIME: Duration = Duration::from_secs(4);
-/// Fewer datagrams than this in all are not a flood.
+/// The number of datagrams in all that a flood must exceed.
 const MIN_DATAGRAMS: u64 = 10_000;
-/// Fetches a second that show that leases are used: six are the nodes' own, and they request some 30 more.
+/// The origin fetches a second that the nodes exceed only with leases: six need no lease, and the nodes
+/// request leases for some 30 more.
 const MIN_LEASED_FETCHES_PER_S: f64 = 12.0;
 
-/// All three kinds at once, of which valid messages of a member cost a planner most.
+/// Guards against a flood that makes members report others as silent or stops leases. All three kinds of
+/// datagrams are sent at once; of these kinds, valid messages of a member cost a planner most.
 #[test]
 fn flood_causes_no_failure_reports_and_leases_go_on() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("flood");
-    // There is none at the first run.
+    // Removing the folder fails at the first run, where it does not exist yet.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_granitelb"));
@@ -43,11 +45,11 @@
             (sent, counts)
         })
     });
-    assert!(sent > MIN_DATAGRAMS, "{sent} datagrams are no flood");
+    assert!(sent > MIN_DATAGRAMS, "only {sent} datagrams were sent");
     let logs: String = fleet.nodes.iter().map(|node| node.log()).collect();
     assert_eq!(fleet.fault_reports(), FaultReports { silent_members: 0, missing_leases: 0 }, "{logs}");
     let fetches_per_s = counts.fetches as f64 / FLOOD_TIME.as_secs_f64();
-    assert!(fetches_per_s > MIN_LEASED_FETCHES_PER_S, "{counts:?}: no leases");
+    assert!(fetches_per_s > MIN_LEASED_FETCHES_PER_S, "{counts:?}: the nodes use no leases");
     fleet.planners.iter_mut().for_each(PlannerProcess::stop);
     let log = fleet.planners[0].log();
     assert!(log.contains("flood") && log.contains("close the planner's port"), "{log}");
--- a/crates/node/tests/sites.rs
+++ b/crates/node/tests/sites.rs
@@ -1,6 +1,6 @@
-//! Deployments other than the one that the node is measured on. Each site file under `deploy/sites` is converted into a
-//! node's configuration, which `granitelb check` has to accept and decode as intended. A wrong value has to be rejected
-//! with its key named.
+//! Tests of deployments other than the one on which the node is measured. Each site file under `deploy/sites`
+//! is converted into a node's configuration, which `granitelb check` has to accept and decode as intended. A
+//! wrong value has to be rejected with its key named.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,8 @@
 use serde_json::{Value, json};
 use test_case::test_case;
 
-/// The longest time without a request for the endpoint list, where lists come on request. Site files do not set it.
+/// The longest time, in microseconds, without a request for the endpoint list, where lists come on request.
+/// Site files do not set this time.
 const MAX_LIST_REQUEST_INTERVAL_US: u64 = 10_000_000;
 
 fn site_files() -> Vec<PathBuf> {
@@ -47,19 +48,19 @@
     value.as_array().and_then(|r| r.last()).unwrap_or(value).clone()
 }
 
-/// A duration in microseconds. What is not a number stays as it is, for the node to reject.
+/// A duration in microseconds. A value that is not a number stays as it is, for the node to reject.
 fn duration_us(value: &Value, unit_us: f64) -> Value {
     value.as_f64().map_or_else(|| value.clone(), |v| json!((v * unit_us).round() as i64))
 }
 
-/// Translates a site file's name for a choice into the settings' name.
+/// The settings' name for a choice, given the site file's name for that choice.
 fn translate(value: &Value, names: &[(&str, &str)]) -> Value {
     let found = names.iter().find(|(in_site, _)| value == in_site).map(|(_, in_settings)| *in_settings);
     json!(found.unwrap_or_else(|| panic!("no setting for {value}")))
 }
 
-/// The settings with which the bench starts a node of this site, as far as a node reads them. Keys that the site leaves
-/// out are left out.
+/// The settings with which the bench starts a node of this site, as far as a node reads them. Keys that the
+/// site file leaves out are left out.
 fn settings(site: &Value) -> Value {
     let list = |path| at(site, path).as_array().cloned().unwrap_or_default();
     let allow = |key: &str| at(site, &format!("/allow/{key}")).clone();
@@ -153,7 +154,8 @@
     }
 }
 
-/// That the check accepts a file does not show how it is decoded: an unknown effect, for example, counts as unsafe.
+/// Guards against a site file that the check accepts and the node decodes wrongly: an unknown effect, for
+/// example, counts as unsafe.
 #[test]
 fn each_site_decodes_as_intended() {
     for file in site_files() {
@@ -201,13 +203,14 @@
         assert_eq!(decisions.is_value_per_work, site["load"]["worth_by"] == "work", "{name}");
         assert_eq!(decisions.sizes_are_capacities, tier["weights"] != "none", "{name}");
         assert_eq!(json!(decoded.names.zones), site["net"]["zones"], "{name}");
-        // The origin is the last kind, none of the caches'.
+        // The origin's kind is the last one, after the kinds of the caches.
         let origin = decisions.origin.map(|kind| usize::from(kind.0));
         assert_eq!(origin, Some(tier["kind"].as_array().expect("kinds").len()), "{name}");
     }
 }
 
-/// Each fault is made in the site file's text, so that it passes through the same conversion as correct values.
+/// Each wrong value is put into the site file's text, so that the value passes through the same conversion as
+/// correct values.
 #[test_case("late-worth", "late_worth = ", "1.5", "settings.Products[N].TardyBilledValue")]
 #[test_case("worth", "worth = ", "-1", "settings.Products[N].BilledValue")]
 #[test_case("aim", "aim_ms = ", "\"soon\"", "settings.Products[N].LatencySloUs")]
@@ -227,13 +230,14 @@
         let mut lines: Vec<_> = correct.lines().map(str::to_string).collect();
         let line =
             lines.iter().position(|l| l.starts_with(key)).unwrap_or_else(|| panic!("{name} has no {key}"));
-        // A value that begins with a line break replaces the whole line, whose key occurs in several tables.
+        // A value that begins with a line break replaces the whole line, as needed for a key that
+        // occurs in several tables.
         lines[line] = value.strip_prefix('\n').map_or_else(|| format!("{key}{value}"), str::to_string);
         let class = lines[..line].iter().filter(|l| *l == "[[class]]").count().saturating_sub(1);
         let reported_key = reported_key.replace("[N]", &format!("[{class}]"));
         let output = check(&format!("{name}-{fault}"), &settings(&parsed(&lines.join("\n"))));
         let stderr = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success(), "{name}: accepted with {key}{value}");
+        assert!(!output.status.success(), "{name}: the check accepted {key}{value}");
         assert!(
             stderr.contains(&format!("configuration, {reported_key}:")),
             "{name}, {reported_key}: {stderr}"
